--- a/cmd/shalestage/jobs.go
+++ b/cmd/shalestage/jobs.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"shalestage.example/shalestage/internal/client"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/launch"
 	"shalestage.example/shalestage/internal/scenario"
@@ -100,14 +100,14 @@
 
 // jobRow is a job as the commands print it.
 type jobRow struct {
-	ID      string        `json:"id"`
-	Name    string        `json:"name,omitempty"`
-	Status  ledger.Status `json:"status"` // "unknown" where there is no such job
-	Done    int           `json:"done"`
-	Running int           `json:"running"`
+	ID      string      `json:"id"`
+	Name    string      `json:"name,omitempty"`
+	Status  jobs.Status `json:"status"` // "unknown" where there is no such job
+	Done    int         `json:"done"`
+	Running int         `json:"running"`
 }
 
-const unknown ledger.Status = "unknown"
+const unknown jobs.Status = "unknown"
 
 func printRows(rows []jobRow, asJSON bool) error {
 	if asJSON {
@@ -169,9 +169,9 @@
 		switch {
 		case r.Status == unknown:
 			code = max(code, exitNoSuchJob)
-		case r.Status == ledger.Cancelled:
+		case r.Status == jobs.Cancelled:
 			code = max(code, exitCancelled)
-		case r.Status != ledger.Done:
+		case r.Status != jobs.Done:
 			code = max(code, exitNotOver)
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	var rows []jobRow
 	for _, id := range o.IDs {
-		if !ledger.ValidID(id) {
+		if !jobs.ValidID(id) {
 			return nil, nil, unusable(fmt.Errorf("%q is not the form of a job's id", id))
 		}
 		r := jobRow{ID: id}
--- a/cmd/shalestage/rehearse.go
+++ b/cmd/shalestage/rehearse.go
@@ -13,7 +13,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/pelletier/go-toml/v2"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/account"
 	"shalestage.example/shalestage/internal/emulator/sim"
 	"shalestage.example/shalestage/internal/emulator/traffic"
@@ -116,7 +116,7 @@
 			return opt, finish, err
 		}
 		files = append(files, f)
-		opt.Census, opt.CensusEvery = rehearse.WriteCensus(f), unit.Seconds(o.Every)
+		opt.Census, opt.CensusEvery = rehearse.WriteCensus(f), units.Seconds(o.Every)
 	}
 	if o.Traffic != "" {
 		f, err := os.Create(o.Traffic)
@@ -124,7 +124,7 @@
 			return opt, finish, err
 		}
 		files = append(files, f)
-		opt.Traffic = traffic.New(unit.Seconds(o.From))
+		opt.Traffic = traffic.New(units.Seconds(o.From))
 	}
 	return opt, finish, nil
 }
@@ -307,10 +307,10 @@
 }
 
 // logInto returns logs that tell simulated time.
-func logInto(level string) func(string, func() unit.Micros) *slog.Logger {
+func logInto(level string) func(string, func() units.Microseconds) *slog.Logger {
 	var l slog.Level
 	_ = l.UnmarshalText([]byte(strings.ToUpper(level))) // one of three words
-	return func(node string, now func() unit.Micros) *slog.Logger {
+	return func(node string, now func() units.Microseconds) *slog.Logger {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
 				return slog.Float64("t", now().Seconds())
--- a/cmd/shalestage/serve.go
+++ b/cmd/shalestage/serve.go
@@ -16,7 +16,7 @@
 	"shalestage.example/shalestage/internal/cloud"
 	"shalestage.example/shalestage/internal/config"
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/memory"
 	"shalestage.example/shalestage/internal/node"
 	"shalestage.example/shalestage/internal/peer"
@@ -71,7 +71,7 @@
 	log.Info("serving", "node", s.Node, "listen", s.Listen, "version", version)
 	failed := make(chan error, 1)
 	// Room is left for connections to the services and to other controllers.
-	go func() { failed <- api.Serve(l, n, d.Quota.FDLimit*9/10, 60*unit.Second, log) }()
+	go func() { failed <- api.Serve(l, n, d.Quota.FDLimit*9/10, 60*units.Second, log) }()
 	ends, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	select {
--- a/cmd/shalestage/up.go
+++ b/cmd/shalestage/up.go
@@ -15,7 +15,7 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 
 	"shalestage.example/shalestage/examples"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/launch"
@@ -182,7 +182,7 @@
 		name                    string
 		jobs, done, off, gaveUp int
 		late                    int
-		over, longest           unit.Micros
+		over, longest           units.Microseconds
 	}
 	var order []string
 	groups := map[string]*group{}
@@ -217,7 +217,7 @@
 		g := groups[n]
 		mean := "-"
 		if k := g.done + g.off; k > 0 {
-			mean = fmt.Sprintf("%.1f", (g.over / unit.Micros(k)).Seconds())
+			mean = fmt.Sprintf("%.1f", (g.over / units.Microseconds(k)).Seconds())
 		}
 		t.AppendRow([]any{g.name, g.jobs, g.done, g.off, g.jobs - g.done - g.off, g.late, mean, fmt.Sprintf("%.1f", g.longest.Seconds())})
 	}
--- a/cmd/shalestage/zone.go
+++ b/cmd/shalestage/zone.go
@@ -31,7 +31,7 @@
 func (o *zoneCmd) Run() error {
 	c, opt := o.client()
 	items := map[string]store.Event{}
-	for _, prefix := range core.WordPrefixes { // not the jobs
+	for _, prefix := range core.OverridePrefixes { // not the jobs
 		for after, more := "", true; more; {
 			out, _, page, again := c.List(prefix, after, core.ListPage)
 			if out != store.OK {
@@ -43,20 +43,20 @@
 			more = again
 		}
 	}
-	words := core.ZoneWords(items)
+	words := core.OperatorOverrides(items)
 	if o.Zone == "" {
 		for _, w := range words {
 			fmt.Printf("%-20s %s\n", w.Zone, w.Word)
 		}
 		return nil
 	}
-	word := zones.Word(strings.TrimSpace(o.Word))
+	word := zones.Override(strings.TrimSpace(o.Word))
 	if word == "clear" {
-		word = zones.NoWord
-	} else if word == zones.NoWord {
-		return unusable(fmt.Errorf("want one of %v or clear", zones.Words))
+		word = zones.NoOverride
+	} else if word == zones.NoOverride {
+		return unusable(fmt.Errorf("want one of %v or clear", zones.Overrides))
 	}
-	w, err := core.SayZone(items, o.Zone, word)
+	w, err := core.OverrideZone(items, o.Zone, word)
 	if err != nil {
 		return unusable(err)
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -18,8 +18,8 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/gate"
 	"shalestage.example/shalestage/internal/wire"
 )
@@ -27,10 +27,10 @@
 // Node is what the interface asks of the controller. Every call returns an
 // answer, whatever happens.
 type Node interface {
-	Submit(ctx context.Context, id string, spec *ledger.Spec, bad string) core.Reply
+	Submit(ctx context.Context, id string, spec *jobs.Spec, bad string) core.Reply
 	Query(ctx context.Context, id string) core.Reply
 	Abort(ctx context.Context, id string) core.Reply
-	Report(ctx context.Context, r *fleet.Report) core.Reply
+	Report(ctx context.Context, r *fleet.Heartbeat) core.Reply
 	Ready(ctx context.Context) bool
 	Stats(ctx context.Context) (core.Stats, bool)
 }
@@ -102,7 +102,7 @@
 
 func byID(w http.ResponseWriter, req *http.Request, f func(context.Context, string) core.Reply) {
 	id := chi.URLParam(req, "id")
-	if !ledger.ValidID(id) {
+	if !jobs.ValidID(id) {
 		write(w, core.Reply{Code: http.StatusNotFound, Body: core.Problem{Text: "no such job"}})
 		return
 	}
@@ -132,8 +132,8 @@
 			s.Done, s.Running = &b.Done, &b.Running
 		}
 		body = s
-	case core.Orders:
-		o := wire.Orders{Token: b.Token, Commands: []wire.Command{}}
+	case core.HeartbeatResponse:
+		o := wire.Orders{Token: b.FencingToken, Commands: []wire.Command{}}
 		for _, c := range b.Commands {
 			o.Commands = append(o.Commands, wire.EncodeCommand(c))
 		}
@@ -173,7 +173,7 @@
 
 // Serve answers requests on a listener. Slow, half-open and idle clients lose
 // their connection; of maxConns, users may hold a part, see package gate.
-func Serve(l net.Listener, n Node, maxConns int, idle unit.Micros, log *slog.Logger) error {
+func Serve(l net.Listener, n Node, maxConns int, idle units.Microseconds, log *slog.Logger) error {
 	g := gate.New(l, maxConns)
 	s := &http.Server{
 		Handler:           Handler(n, log, g),
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -10,8 +10,8 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // fake answers as a controller would, and notes what reached it.
@@ -20,23 +20,23 @@
 	reports int
 }
 
-func (f *fake) Submit(_ context.Context, id string, spec *ledger.Spec, bad string) core.Reply {
+func (f *fake) Submit(_ context.Context, id string, spec *jobs.Spec, bad string) core.Reply {
 	f.bad = bad
 	if spec == nil {
 		return core.Reply{Code: 400, Body: core.Problem{Text: bad}}
 	}
-	return core.Reply{Code: 201, Body: core.JobAnswer{ID: id, Status: ledger.Pending}}
+	return core.Reply{Code: 201, Body: core.JobAnswer{ID: id, Status: jobs.Pending}}
 }
 
 func (f *fake) Query(_ context.Context, id string) core.Reply {
-	return core.Reply{Code: 200, Body: core.JobAnswer{ID: id, Status: ledger.Running, Counts: true, Done: 3, Running: 0}}
+	return core.Reply{Code: 200, Body: core.JobAnswer{ID: id, Status: jobs.Running, Counts: true, Done: 3, Running: 0}}
 }
 
 func (f *fake) Abort(_ context.Context, id string) core.Reply {
-	return core.Reply{Code: 503, Body: core.Problem{Text: "x"}, RetryAfter: 1500 * unit.Second / 1000}
+	return core.Reply{Code: 503, Body: core.Problem{Text: "x"}, RetryAfter: 1500 * units.Second / 1000}
 }
 
-func (f *fake) Report(context.Context, *fleet.Report) core.Reply {
+func (f *fake) Report(context.Context, *fleet.Heartbeat) core.Reply {
 	f.reports++
 	return core.Reply{Code: 421, Body: core.Redirect{}}
 }
@@ -44,7 +44,7 @@
 func (f *fake) Ready(context.Context) bool { return false }
 
 func (f *fake) Stats(context.Context) (core.Stats, bool) {
-	return core.Stats{Seated: true, Blocks: []core.BlockStats{{Block: 2, Waiting: 7, Spot: core.PoolStats{Machines: 5, Booting: 1, Idle: 1}}}}, true
+	return core.Stats{Member: true, Shards: []core.ShardStats{{Shard: 2, Waiting: 7, Spot: core.PoolStats{Machines: 5, Booting: 1, Idle: 1}}}}, true
 }
 
 func TestStatuses(t *testing.T) {
@@ -92,14 +92,14 @@
 	var cmds []fleet.Command
 	add := func(op fleet.Op, n int) {
 		for range n {
-			cmds = append(cmds, fleet.Command{Op: op, ID: ledger.TaskID{Job: "wk-123456789012345678", Task: 99_999}, Attempt: 1<<64 - 1, Grace: 12345678})
+			cmds = append(cmds, fleet.Command{Op: op, ID: jobs.TaskID{Job: "wk-123456789012345678", Task: 99_999}, Attempt: 1<<64 - 1, Grace: 12345678})
 		}
 	}
 	add(fleet.Forget, core.MaxForgets)
 	add(fleet.Stop, 2*core.MaxStops) // of what should not be there, and for others
 	add(fleet.Start, core.MaxStarts)
 	w := httptest.NewRecorder()
-	write(w, core.Reply{Code: http.StatusOK, Body: core.Orders{Token: 1<<64 - 1, Commands: cmds}})
+	write(w, core.Reply{Code: http.StatusOK, Body: core.HeartbeatResponse{FencingToken: 1<<64 - 1, Commands: cmds}})
 	if n := w.Body.Len(); n > 64<<10 || n < 40<<10 {
 		t.Fatalf("%d bytes", n)
 	}
--- a/internal/api/internal_test.go
+++ b/internal/api/internal_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // configured answers as a controller would whose present version is 7.
@@ -20,7 +20,7 @@
 	f.asked = append(f.asked, r)
 	switch {
 	case r.By == "late":
-		return core.Reply{Code: 503, Body: core.ConfigRefused{Err: &configuration.Unavailable{Reason: "x", Unknown: true}}, RetryAfter: unit.Second}
+		return core.Reply{Code: 503, Body: core.ConfigRefused{Err: &configuration.Unavailable{Reason: "x", Unknown: true}}, RetryAfter: units.Second}
 	case r.By == "slow":
 		return core.Reply{Code: 503, Body: core.Problem{Text: "busy"}}
 	case r.Base != nil && *r.Base != 7:
@@ -31,7 +31,7 @@
 
 func (f *configured) ConfigContent(context.Context) core.Reply {
 	return core.Reply{Code: 200, Body: core.ConfigContent{Version: 7, Content: configuration.Content{
-		Teams:      []configuration.Team{{Name: "red", Guarantee: pack.Vec{1500}, Limit: pack.Vec{2500, 1000}}, {Name: "old", Removed: 1}},
+		Teams:      []configuration.Team{{Name: "red", Guarantee: binpack.Vec{1500}, Limit: binpack.Vec{2500, 1000}}, {Name: "old", Removed: 1}},
 		Objectives: []configuration.Objective{{Kind: "wait", Class: "x", Within: 1500_000, Share: 0.9}}}}}
 }
 
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -65,16 +65,16 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	flag := map[bool]float64{true: 1}
-	put(descSeated, flag[s.Seated])
+	put(descSeated, flag[s.Member])
 	put(descLeading, flag[s.Leading])
 	put(descFull, flag[s.Full])
 	put(descKnownJobs, float64(s.KnownJobs))
-	put(descKeptDone, float64(s.KeptDone))
-	put(descPacked, float64(s.PackedIDs))
-	put(descLooked, float64(s.Looked))
-	put(descShed, float64(s.Shed))
+	put(descKeptDone, float64(s.FinishedJobs))
+	put(descPacked, float64(s.ArchivedIDs))
+	put(descLooked, float64(s.ArchiveReads))
+	put(descShed, float64(s.ArchiveShed))
 	put(descActiveJobs, float64(s.ActiveJobs))
-	put(descAwaitJobs, float64(s.AwaitJobs))
+	put(descAwaitJobs, float64(s.BlockedJobs))
 	put(descWrites, float64(s.Writes))
 	for _, z := range s.Zones {
 		for _, st := range zones.States {
@@ -85,12 +85,12 @@
 		put(descZoneHeard, float64(z.Heard), z.Zone, "yes")
 		put(descZoneHeard, float64(z.Up-z.Heard), z.Zone, "no")
 	}
-	for _, b := range s.Blocks {
-		n := strconv.Itoa(b.Block)
+	for _, b := range s.Shards {
+		n := strconv.Itoa(b.Shard)
 		put(descTasks, float64(b.Waiting), n, "waiting")
 		put(descTasks, float64(b.Placed), n, "placed")
-		put(descUnaccounted, float64(b.Unaccounted), n)
-		put(descFollowed, flag[b.Follower != ""], n)
+		put(descUnaccounted, float64(b.Unreconciled), n)
+		put(descFollowed, flag[b.Standby != ""], n)
 		for _, p := range []struct {
 			kind string
 			core.PoolStats
--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -16,9 +16,9 @@
 
 	"shalestage.example/shalestage/internal/backup"
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/lead"
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/direct"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	_ "shalestage.example/shalestage/internal/fixedseed"
@@ -29,7 +29,7 @@
 // request.
 type service struct {
 	m      *kv.Service
-	now    unit.Micros
+	now    units.Microseconds
 	before func()
 	lost   func() bool // carried out, and the answer lost
 }
@@ -39,7 +39,7 @@
 }
 
 func (s *service) ask() {
-	s.now += unit.Second
+	s.now += units.Second
 	if s.before != nil {
 		s.before()
 	}
@@ -65,7 +65,7 @@
 	return s.outcome(l.Code), l.Rev, direct.Items(l.Items), l.More
 }
 
-func (s *service) Watch(prefix string, after uint64, _ unit.Micros) (store.Outcome, uint64, []store.Event, bool) {
+func (s *service) Watch(prefix string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
 	s.ask()
 	s.m.Watch(s.now, 1, "x", prefix, after, 0)
 	c := s.m.Drain()[0]
@@ -133,9 +133,9 @@
 			seen[s.m.Rev()] = s.all()
 		}
 		s.commit(&store.Txn{Changes: []store.Change{
-			{Key: core.TermKey, Value: store.Value(lead.Term{Term: 7, Node: "a"})},
-			{Key: "shalestage/leader", Value: store.Value(lead.Claim{Term: 7, Node: "a"})},
-			{Key: "shalestage/seat/a", Value: store.Value(lead.Seat{Node: "a"})}}})
+			{Key: core.TermKey, Value: store.Value(authority.Term{Term: 7, Node: "a"})},
+			{Key: "shalestage/leader", Value: store.Value(authority.LeaderRecord{Term: 7, Node: "a"})},
+			{Key: "shalestage/seat/a", Value: store.Value(authority.Member{Node: "a"})}}})
 		for range 10 {
 			change()
 		}
@@ -176,7 +176,7 @@
 		}
 		delete(want, "shalestage/leader")
 		delete(want, "shalestage/seat/a")
-		want[core.TermKey] = string(store.Value(lead.Term{Term: done.Term, Node: "a"}))
+		want[core.TermKey] = string(store.Value(authority.Term{Term: done.Term, Node: "a"}))
 		if got := to.all(); !maps.Equal(got, want) || done.Term < 1007 {
 			t.Fatalf("term %d; restored\n%v\nwant\n%v", done.Term, got, want)
 		}
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -9,7 +9,7 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/archive"
-	"shalestage.example/shalestage/internal/core/lead"
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -58,7 +58,7 @@
 		return w.out, err
 	}
 	var sum Summary
-	term := lead.Term{}
+	term := authority.Term{}
 	err := Each(r, &sum, func(e store.Event) error {
 		if e.Key == core.TermKey {
 			if e.Value != nil {
@@ -72,7 +72,7 @@
 			w.out.Skipped++ // it ended with its controller's lease
 			return nil
 		}
-		if e.Key == core.PastKey && e.Value != nil {
+		if e.Key == core.ArchiveKey && e.Value != nil {
 			var m archive.Mark
 			if err := json.Unmarshal(e.Value, &m); err != nil {
 				return fmt.Errorf("%s: %w", e.Key, err)
@@ -91,8 +91,8 @@
 	}
 	age := max(0, o.Now().Sub(began).Seconds())
 	term.Term = max(term.Term+termsAtLeast+uint64(age), o.Above)
-	if term.Term > lead.MaxTerm {
-		return w.out, fmt.Errorf("term %d: there are no more than %d", term.Term, uint64(lead.MaxTerm))
+	if term.Term > authority.MaxTerm {
+		return w.out, fmt.Errorf("term %d: there are no more than %d", term.Term, uint64(authority.MaxTerm))
 	}
 	w.out.Term = term.Term
 	if err := w.add(store.Change{Key: core.TermKey, Value: store.Value(term)}); err != nil {
@@ -164,7 +164,7 @@
 	}
 	unsure := false
 	err := w.o.again("writing", func() store.Outcome {
-		t := &store.Txn{Guards: []store.Guard{{Key: restoreKey, Stamp: w.stamp}},
+		t := &store.Txn{Guards: []store.Guard{{Key: restoreKey, Version: w.stamp}},
 			Changes: append([]store.Change{{Key: restoreKey, Value: store.Value(w.out)}}, w.batch...)}
 		o, rev, _ := w.s.Commit(t)
 		if o == store.OK {
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Service is what is needed of a state service's client.
 type Service interface {
 	List(prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool)
-	Watch(prefix string, after uint64, wait unit.Micros) (store.Outcome, uint64, []store.Event, bool)
+	Watch(prefix string, after uint64, wait units.Microseconds) (store.Outcome, uint64, []store.Event, bool)
 	Commit(t *store.Txn) (store.Outcome, uint64, []string)
 }
 
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -14,9 +14,9 @@
 
 	"shalestage.example/shalestage/internal/backup"
 	"shalestage.example/shalestage/internal/core/archive"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/host"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/packed"
@@ -33,7 +33,7 @@
 	}
 	from, first := serve(t)
 	to, second := serve(t)
-	first.Do(func(now unit.Micros, m *kv.Service) {
+	first.Do(func(now units.Microseconds, m *kv.Service) {
 		for _, e := range history(*scaleJobs) {
 			if r := m.Commit(now, "x", kv.Txn{Changes: []kv.Change{{Key: e.Key, Value: e.Value}}}); r.Code != http.StatusOK {
 				t.Errorf("%s: %d", e.Key, r.Code)
@@ -41,7 +41,7 @@
 		}
 	})
 	keys := func(s *host.State) (n int) {
-		s.Do(func(_ unit.Micros, m *kv.Service) { n = m.Len() })
+		s.Do(func(_ units.Microseconds, m *kv.Service) { n = m.Len() })
 		return n
 	}
 	o := backup.Options{Rate: 1e9, Sleep: func(time.Duration) {}}
@@ -95,9 +95,9 @@
 }
 
 // history is so many packed jobs.
-func history(jobs int) []store.Event {
-	return packed.Buckets(jobs, func(i uint64) (uint64, archive.Answer) {
-		return 1_000_000 + i*7919%90_000_000_000, archive.Answer{Status: ledger.Done, Tasks: int(1 + i%300), Ended: unit.Micros(1_790_000_000+i/2) * unit.Second}
+func history(count int) []store.Event {
+	return packed.Buckets(count, func(i uint64) (uint64, archive.Answer) {
+		return 1_000_000 + i*7919%90_000_000_000, archive.Answer{Status: jobs.Done, Tasks: int(1 + i%300), FinishedAt: units.Microseconds(1_790_000_000+i/2) * units.Second}
 	})
 }
 
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/wire"
 )
 
@@ -35,14 +35,14 @@
 // Reply is an answer about a job.
 type Reply struct {
 	Code          int
-	Status        ledger.Status // of a 200 or 201
-	Done, Running int           // tasks, of a poll
-	RetryAfter    unit.Micros
+	Status        jobs.Status // of a 200 or 201
+	Done, Running int         // tasks, of a poll
+	RetryAfter    units.Microseconds
 	Error         string // what a refusal says
 }
 
 // Submit submits a job.
-func (c *Client) Submit(ctx context.Context, id string, spec *ledger.Spec) (Reply, error) {
+func (c *Client) Submit(ctx context.Context, id string, spec *jobs.Spec) (Reply, error) {
 	b, err := wire.EncodeSubmission(id, spec)
 	if err != nil {
 		return Reply{}, err
@@ -76,7 +76,7 @@
 	}
 	r := Reply{Code: resp.StatusCode}
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && s >= 0 {
-		r.RetryAfter = unit.Micros(min(s, 3600)) * unit.Second
+		r.RetryAfter = units.Microseconds(min(s, 3600)) * units.Second
 	}
 	if r.Code != http.StatusOK && r.Code != http.StatusCreated {
 		r.Error = wire.ProblemText(b)
@@ -111,7 +111,7 @@
 			}
 			err = fmt.Errorf("answered %d: %s", r.Code, r.Error)
 		}
-		pause := max(time.Second, time.Duration(min(r.RetryAfter, 30*unit.Second))*time.Microsecond)
+		pause := max(time.Second, time.Duration(min(r.RetryAfter, 30*units.Second))*time.Microsecond)
 		if time.Since(began)+pause > tryFor {
 			return r, fmt.Errorf("nobody takes the request: %w", err)
 		}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/time/rate"
 
+	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/scale"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/rest"
 	"shalestage.example/shalestage/internal/wire"
@@ -82,7 +82,7 @@
 }
 
 // Rent asks for machines. Failed means that none are to be had.
-func (c *Client) Rent(request string, r scale.Rent, may func() bool) (store.Outcome, []string) {
+func (c *Client) Rent(request string, r autoscaler.Rent, may func() bool) (store.Outcome, []string) {
 	var b struct {
 		wire.Names
 		wire.Problem
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"shalestage.example/shalestage/internal/core/scale"
+	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -22,7 +22,7 @@
 	defer s.Close()
 	c := New(strings.TrimPrefix(s.URL, "http://"), 100, slog.New(slog.DiscardHandler))
 	never := func() bool { return false }
-	if o, _ := c.Rent("r-1", scale.Rent{Count: 1}, never); o != store.Refused {
+	if o, _ := c.Rent("r-1", autoscaler.Rent{Count: 1}, never); o != store.Refused {
 		t.Errorf("rental: outcome %v", o)
 	}
 	if o := c.Return([]string{"n-1"}, never); o != store.Refused || calls != 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,7 +10,7 @@
 	"net/netip"
 	"os"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Settings is what one controller is told about itself and its deployment.
@@ -260,7 +260,7 @@
 }
 
 // LeaseTime is how long a worker keeps its tasks without an answer.
-func (s *Settings) LeaseTime() unit.Micros { return unit.Seconds(s.Deployment.Workers.LeaseS) }
+func (s *Settings) LeaseTime() units.Microseconds { return units.Seconds(s.Deployment.Workers.LeaseS) }
 
 // reportsPerCore is how many reports a second a whole core could answer, with all
 // that goes with them; docs/operations.md has what was measured.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // What operators read and send to change teams and objectives while the service runs, in the
@@ -108,7 +108,7 @@
 	if !(v >= 0 && v < 1e9) {
 		return 0, &configuration.Invalid{Field: field, Reason: fmt.Sprintf("want 0 to 1e9, got %g", v)}
 	}
-	return unit.MilliDown(v), nil
+	return units.MilliDown(v), nil
 }
 
 // Request returns the change that a patch asks for, or an error that names the wrong field.
@@ -157,12 +157,12 @@
 
 func teamOf(t Team) core.Team {
 	return core.Team{Name: t.Name,
-		Guarantee: pack.Vec{unit.MilliDown(t.CPUs), unit.MilliDown(t.GPUs)},
-		Limit:     pack.Vec{unit.MilliDown(t.CPUsMax), unit.MilliDown(t.GPUsMax)}}
+		Guarantee: binpack.Vec{units.MilliDown(t.CPUs), units.MilliDown(t.GPUs)},
+		Limit:     binpack.Vec{units.MilliDown(t.CPUsMax), units.MilliDown(t.GPUsMax)}}
 }
 
 func objectiveOf(o Objective) core.Objective {
-	return core.Objective{Kind: o.Kind, Class: o.Class, Within: unit.Seconds(o.WithinS), Times: o.Times, Share: o.Share}
+	return core.Objective{Kind: o.Kind, Class: o.Class, Within: units.Seconds(o.WithinS), Times: o.Times, Share: o.Share}
 }
 
 // NewDocument returns a version as a document.
@@ -174,8 +174,8 @@
 			continue
 		}
 		units := func(milli int64) float64 { return float64(milli) / 1000 }
-		d.Teams = append(d.Teams, Team{Name: t.Name, CPUs: units(t.Guarantee[pack.CPU]), CPUsMax: units(t.Limit[pack.CPU]),
-			GPUs: units(t.Guarantee[pack.GPU]), GPUsMax: units(t.Limit[pack.GPU])})
+		d.Teams = append(d.Teams, Team{Name: t.Name, CPUs: units(t.Guarantee[binpack.CPU]), CPUsMax: units(t.Limit[binpack.CPU]),
+			GPUs: units(t.Guarantee[binpack.GPU]), GPUsMax: units(t.Limit[binpack.GPU])})
 	}
 	slices.SortFunc(d.Teams, func(a, b Team) int { return cmp.Compare(a.Name, b.Name) })
 	for _, o := range c.Objectives {
--- a/internal/core/archive/archive.go
+++ b/internal/core/archive/archive.go
@@ -22,7 +22,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Mark is the record that says that jobs are packed, and which may be. Only
@@ -70,8 +70,8 @@
 // scanPage is how many buckets are read at once.
 const scanPage = 64
 
-// Past is what a controller knows of packed jobs. It is owned by one goroutine.
-type Past struct {
+// Index is what a controller knows of packed jobs. It is owned by one goroutine.
+type Index struct {
 	mark  Mark
 	stamp uint64 // version of the mark; 0: it is not stored
 	on    bool   // there has been one: a mark that is lost takes no packed job with it
@@ -84,7 +84,7 @@
 	scanning bool
 	scanned  string // the last key of the scan
 	round    uint64 // tells scans apart
-	scanAt   unit.Micros
+	scanAt   units.Microseconds
 
 	reads   map[string]*read
 	urgent  []string // keys to be read: for submissions, and for all else
@@ -92,10 +92,10 @@
 	under   int     // reads under way
 	rate    float64 // at which reads are sent
 	credit  float64
-	last    unit.Micros
-	hold    unit.Micros // nothing is read before
-	Shed    uint64      // lookups that were refused
-	Looked  uint64      // buckets that were read for somebody
+	last    units.Microseconds
+	hold    units.Microseconds // nothing is read before
+	Shed    uint64             // lookups that were refused
+	Looked  uint64             // buckets that were read for somebody
 }
 
 // read is a bucket that is being read, or is to be.
@@ -115,16 +115,16 @@
 }
 
 // New returns what a controller knows when it starts.
-func New() *Past {
+func New() *Index {
 	cache, err := simplelru.NewLRU[string, Answer](cacheJobs, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
-	return &Past{cache: cache, filter: newFilter(filterBytes), reads: map[string]*read{}}
+	return &Index{cache: cache, filter: newFilter(filterBytes), reads: map[string]*read{}}
 }
 
 // LearnMark takes the mark as it is stored; nil: there is none.
-func (p *Past) LearnMark(value json.RawMessage, stamp uint64) error {
+func (p *Index) LearnMark(value json.RawMessage, stamp uint64) error {
 	if value == nil {
 		p.stamp = 0
 		return nil
@@ -135,51 +135,51 @@
 	}
 	if !p.on {
 		p.on = true
-		p.Lost() // whatever was packed before this node knew of it is to be read
+		p.Suspect() // whatever was packed before this node knew of it is to be read
 	}
 	p.mark, p.stamp = m, stamp
 	return nil
 }
 
 // Mark returns the mark and its version, which is 0 where there is none.
-func (p *Past) Mark() (Mark, uint64) { return p.mark, p.stamp }
+func (p *Index) Mark() (Mark, uint64) { return p.mark, p.stamp }
 
 // On reports whether anything may be packed.
-func (p *Past) On() bool { return p.on }
+func (p *Index) On() bool { return p.on }
 
-// Lost notes that packed jobs may have been missed: the copy was taken anew.
-func (p *Past) Lost() {
+// Suspect notes that packed jobs may have been missed: the copy was taken anew.
+func (p *Index) Suspect() {
 	p.whole, p.scanning, p.scanned = false, false, ""
 	p.round++
 	p.filter = newFilter(filterBytes)
 }
 
 // Packed notes that a job's record has been removed.
-func (p *Past) Packed(id string) { p.filter.add(id) }
+func (p *Index) Packed(id string) { p.filter.add(id) }
 
 // Remember keeps an answer at hand.
-func (p *Past) Remember(id string, a Answer) { p.cache.Add(id, a) }
+func (p *Index) Remember(id string, a Answer) { p.cache.Add(id, a) }
 
 // Remembered returns the jobs whose answers are at hand, those of one bucket together.
-func (p *Past) Remembered() []string {
+func (p *Index) Remembered() []string {
 	ids := p.cache.Keys()
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(bits.Reverse64(hash(a)), bits.Reverse64(hash(b))) })
 	return ids
 }
 
 // Known returns an answer that is at hand.
-func (p *Past) Known(id string) (Answer, bool) { return p.cache.Get(id) }
+func (p *Index) Known(id string) (Answer, bool) { return p.cache.Get(id) }
 
 // Never reports whether an id is surely not that of a packed job, as of the copy that
 // the rest of the controller goes by.
-func (p *Past) Never(id string) bool { return !p.on || p.whole && !p.filter.has(id) }
+func (p *Index) Never(id string) bool { return !p.on || p.whole && !p.filter.has(id) }
 
 // Whole reports whether the filter is complete, and how many ids it holds.
-func (p *Past) Whole() (bool, int) { return p.whole, p.filter.count }
+func (p *Index) Whole() (bool, int) { return p.whole, p.filter.count }
 
 // Find looks a job's answer up. done is told before Find returns where that is
 // known, or where too much waits. Submissions are urgent.
-func (p *Past) Find(id string, urgent bool, done func(Verdict, Answer)) {
+func (p *Index) Find(id string, urgent bool, done func(Verdict, Answer)) {
 	if a, ok := p.cache.Get(id); ok {
 		done(Found, a)
 		return
@@ -193,7 +193,7 @@
 
 // Bucket reads the bucket for an id: nil where that is not known, and a stamp of 0
 // where it is not stored yet.
-func (p *Past) Bucket(id string, got func(b *Bucket, stamp uint64)) {
+func (p *Index) Bucket(id string, got func(b *Bucket, stamp uint64)) {
 	p.look(&lookup{id: id, bucket: got})
 }
 
@@ -206,10 +206,10 @@
 }
 
 // look has the bucket read in which an id most likely is.
-func (p *Past) look(l *lookup) { p.lookAt(l, p.guess(hash(l.id))) }
+func (p *Index) look(l *lookup) { p.lookAt(l, p.guess(hash(l.id))) }
 
 // guess follows the hints to the bucket for a hash.
-func (p *Past) guess(h uint64) uint32 {
+func (p *Index) guess(h uint64) uint32 {
 	for depth := p.deep; depth > 0; depth-- {
 		n := at(h, depth)
 		if int(n) >= len(p.hints) { // deeper than what hints are kept for
@@ -223,7 +223,7 @@
 }
 
 // hint notes a bucket's depth.
-func (p *Past) hint(n uint32, depth int) {
+func (p *Index) hint(n uint32, depth int) {
 	p.deep = max(p.deep, depth)
 	if n >= maxHints || depth == 0 {
 		return
@@ -234,7 +234,7 @@
 	p.hints[n] = uint8(depth)
 }
 
-func (p *Past) lookAt(l *lookup, n uint32) {
+func (p *Index) lookAt(l *lookup, n uint32) {
 	l.steps++
 	key := Key(n)
 	r := p.reads[key]
@@ -261,7 +261,7 @@
 }
 
 // Next returns the reads that are due, at most rate a second.
-func (p *Past) Next(now unit.Micros, rate float64) []Read {
+func (p *Index) Next(now units.Microseconds, rate float64) []Read {
 	p.rate = rate
 	p.credit = min(p.credit+rate*(now-p.last).Seconds(), max(2, rate/2))
 	p.last = now
@@ -286,7 +286,7 @@
 }
 
 // OnRead takes the answer to a read: the value, nil where the key does not exist.
-func (p *Past) OnRead(now unit.Micros, r Read, o store.Outcome, value json.RawMessage, stamp uint64) error {
+func (p *Index) OnRead(now units.Microseconds, r Read, o store.Outcome, value json.RawMessage, stamp uint64) error {
 	w := p.reads[r.Key]
 	if w == nil || !w.sent {
 		return nil
@@ -294,7 +294,7 @@
 	delete(p.reads, r.Key)
 	p.under--
 	if o != store.OK && o != store.Failed {
-		p.hold = now + unit.Second/4
+		p.hold = now + units.Second/4
 		for _, l := range slices.Concat(w.waiting, w.late) {
 			l.fail()
 		}
@@ -341,7 +341,7 @@
 	return n &^ (1 << bits.Len32(n) >> 1)
 }
 
-func (p *Past) tell(l *lookup, b *Bucket, stamp uint64) {
+func (p *Index) tell(l *lookup, b *Bucket, stamp uint64) {
 	if l.bucket != nil {
 		l.bucket(b, stamp)
 		return
@@ -357,7 +357,7 @@
 
 // NextScan returns the read of buckets that is due, if any: until every packed id is
 // in the filter. every is the time between two such reads.
-func (p *Past) NextScan(now unit.Micros, every unit.Micros) *Scan {
+func (p *Index) NextScan(now units.Microseconds, every units.Microseconds) *Scan {
 	if !p.on || p.whole || p.scanning || now < p.scanAt {
 		return nil
 	}
@@ -369,13 +369,13 @@
 // after it in the order of the keys, and what is packed meanwhile is told to Packed:
 // nothing is missed. It returns the keys that cannot be read, of which nothing is
 // known: the filter proves nothing while there are any.
-func (p *Past) OnScan(now unit.Micros, s Scan, o store.Outcome, items []store.Event, more bool) (bad []string) {
+func (p *Index) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) (bad []string) {
 	if s.began != p.round {
 		return nil
 	}
 	p.scanning = false
 	if o != store.OK {
-		p.scanAt = now + unit.Second/2
+		p.scanAt = now + units.Second/2
 		return nil
 	}
 	for _, it := range items {
@@ -392,8 +392,8 @@
 	}
 	switch {
 	case len(bad) > 0:
-		p.Lost()
-		p.scanAt = now + 60*unit.Second
+		p.Suspect()
+		p.scanAt = now + 60*units.Second
 	case !more || len(items) == 0:
 		p.whole = true
 	}
--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -10,17 +10,17 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
 func genAnswer(t *rapid.T) Answer {
-	a := Answer{Status: ledger.Cancelled, Tasks: rapid.IntRange(0, ledger.MaxTasks).Draw(t, "tasks"),
-		Ended: unit.Micros(rapid.Int64Range(0, 4e9).Draw(t, "ended")) * unit.Second}
+	a := Answer{Status: jobs.Cancelled, Tasks: rapid.IntRange(0, jobs.MaxTasks).Draw(t, "tasks"),
+		FinishedAt: units.Microseconds(rapid.Int64Range(0, 4e9).Draw(t, "ended")) * units.Second}
 	if rapid.Bool().Draw(t, "done") {
-		a.Status = ledger.Done
+		a.Status = jobs.Done
 	}
 	return a
 }
@@ -61,7 +61,7 @@
 // Whatever stands at a bucket's key is read or refused, and what is read can be
 // written and read again.
 func TestDecodeTakesAnything(t *testing.T) {
-	good := (&Bucket{Jobs: map[uint64]Answer{1: {ledger.Done, 3, unit.Second}, 17: {ledger.Cancelled, 1, 0}}}).Encode()
+	good := (&Bucket{Jobs: map[uint64]Answer{1: {jobs.Done, 3, units.Second}, 17: {jobs.Cancelled, 1, 0}}}).Encode()
 	rapid.Check(t, func(t *rapid.T) {
 		value := []byte(slices.Clone(good))
 		for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -88,7 +88,7 @@
 // commit carries a transaction out and reports whether its guards held.
 func (s *service) commit(w *store.Write) bool {
 	for _, g := range w.Guards {
-		if s.keys[g.Key].Stamp != g.Stamp {
+		if s.keys[g.Key].Stamp != g.Version {
 			return false
 		}
 	}
@@ -118,7 +118,7 @@
 type machine struct {
 	t        *rapid.T
 	s        *service
-	now      unit.Micros
+	now      units.Microseconds
 	nodes    []*controller
 	accepted map[string]bool
 	ended    map[string]Answer
@@ -135,8 +135,8 @@
 // controller has a copy of the keys, made of what it has synced.
 type controller struct {
 	m      *machine
-	past   *Past
-	packer *Packer
+	past   *Index
+	packer *Archiver
 	jobs   map[string]store.Event
 	rev    uint64
 	reads  []*pending
@@ -146,7 +146,7 @@
 
 func (m *machine) start(c *controller) {
 	c.past = New()
-	c.packer = NewPacker(c.past)
+	c.packer = NewArchiver(c.past)
 	c.jobs, c.reads, c.rev = map[string]store.Event{}, nil, m.s.rev
 	c.life++
 	for _, k := range slices.Sorted(maps.Keys(m.s.keys)) {
@@ -167,12 +167,12 @@
 	if e.Value == nil {
 		delete(c.jobs, id)
 		c.past.Packed(id)
-		c.packer.Gone(id)
+		c.packer.RecordRemoved(id)
 		return
 	}
 	c.jobs[id] = e
 	if string(e.Value) != "1" {
-		c.packer.Over(c.m.now, id)
+		c.packer.JobOver(c.m.now, id)
 	}
 }
 
@@ -251,7 +251,7 @@
 			return
 		}
 		c.m.late = append(c.m.late, &txn{accept: id, w: &store.Write{
-			Guards:  []store.Guard{{Key: jobAt + id}, {Key: markAt, Stamp: stamp}},
+			Guards:  []store.Guard{{Key: jobAt + id}, {Key: markAt, Version: stamp}},
 			Changes: []store.Change{{Key: jobAt + id, Value: json.RawMessage("1")}}}})
 	})
 }
@@ -282,7 +282,7 @@
 // mark has a controller raise the cut.
 func (c *controller) mark() {
 	old, stamp := c.past.Mark()
-	c.m.late = append(c.m.late, &txn{w: &store.Write{Guards: []store.Guard{{Key: markAt, Stamp: stamp}},
+	c.m.late = append(c.m.late, &txn{w: &store.Write{Guards: []store.Guard{{Key: markAt, Version: stamp}},
 		Changes: []store.Change{{Key: markAt, Value: store.Value(Mark{Release: 4, Cut: max(old.Cut, c.rev+1)})}}}})
 }
 
@@ -293,9 +293,9 @@
 		return
 	}
 	m := c.m
-	m.now += unit.Second
+	m.now += units.Second
 	lim := Limits{Value: m.value, Ops: ops, Size: 10_000}
-	c.packer.Step(m.now, unit.Second, c, lim, func(w *store.Write) bool {
+	c.packer.Step(m.now, units.Second, c, lim, func(w *store.Write) bool {
 		if len(w.Changes) > lim.Ops {
 			m.t.Fatalf("%d changes of %d", len(w.Changes), lim.Ops)
 		}
@@ -427,7 +427,7 @@
 					}
 				}
 			},
-			"read": func(t *rapid.T) { m.now += unit.Second; node(t).pump() },
+			"read": func(t *rapid.T) { m.now += units.Second; node(t).pump() },
 			"sync": func(t *rapid.T) { node(t).sync() },
 			"calm": func(t *rapid.T) { // for a while everything is prompt
 				c := node(t)
@@ -490,12 +490,12 @@
 		})
 	}
 	ask()
-	reads := p.Next(unit.Second, 100)
+	reads := p.Next(units.Second, 100)
 	ask()
 	p.cache.Purge() // as if others' answers had come in between
-	b := &Bucket{Jobs: map[uint64]Answer{50: {ledger.Done, 3, 0}}}
+	b := &Bucket{Jobs: map[uint64]Answer{50: {jobs.Done, 3, 0}}}
 	for _, r := range reads {
-		if err := p.OnRead(unit.Second, r, store.OK, b.Encode(), 8); err != nil {
+		if err := p.OnRead(units.Second, r, store.OK, b.Encode(), 8); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -13,9 +13,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is that of all buckets. It lies outside of what controllers list and watch.
@@ -32,9 +32,9 @@
 
 // Answer is what is told of a job that is over.
 type Answer struct {
-	Status ledger.Status // final
-	Tasks  int
-	Ended  unit.Micros // time of day, in whole seconds; 0: not known
+	Status     jobs.Status // final
+	Tasks      int
+	FinishedAt units.Microseconds // time of day, in whole seconds; 0: not known
 }
 
 // Bucket holds the answers of all packed jobs whose ids' hashes end in the same
@@ -74,7 +74,7 @@
 
 // number is an id's own number, which tells the id.
 func number(id string) (uint64, error) {
-	if !ledger.ValidID(id) {
+	if !jobs.ValidID(id) {
 		return 0, fmt.Errorf("job id %q", id)
 	}
 	return strconv.ParseUint(id[len("wk-"):], 10, 64)
@@ -102,15 +102,15 @@
 			out = append(out, ' ')
 		}
 		out = strconv.AppendUint(out, n-last, base)
-		if a.Status == ledger.Done {
+		if a.Status == jobs.Done {
 			out = append(out, '+')
 		} else {
 			out = append(out, '-')
 		}
 		out = strconv.AppendInt(out, int64(a.Tasks), base)
-		if a.Ended > 0 {
+		if a.FinishedAt > 0 {
 			out = append(out, '@')
-			out = strconv.AppendInt(out, int64(a.Ended/unit.Second), base)
+			out = strconv.AppendInt(out, int64(a.FinishedAt/units.Second), base)
 		}
 		last = n
 	}
@@ -149,26 +149,26 @@
 	if i < 0 {
 		return bad()
 	}
-	a := Answer{Status: ledger.Done}
+	a := Answer{Status: jobs.Done}
 	if text[i] == '-' {
-		a.Status = ledger.Cancelled
+		a.Status = jobs.Cancelled
 	}
 	tasks, ended, timed := strings.Cut(text[i+1:], "@")
 	diff, err1 := strconv.ParseUint(text[:i], base, 64)
 	count, err2 := strconv.ParseInt(tasks, base, 32)
-	if err1 != nil || err2 != nil || count < 0 || count > ledger.MaxTasks || last+diff < last || diff == 0 && last > 0 {
+	if err1 != nil || err2 != nil || count < 0 || count > jobs.MaxTasks || last+diff < last || diff == 0 && last > 0 {
 		return bad()
 	}
 	if timed {
 		s, err := strconv.ParseInt(ended, base, 64)
-		if err != nil || s <= 0 || s > int64(unit.Never/unit.Second) {
+		if err != nil || s <= 0 || s > int64(units.Never/units.Second) {
 			return bad()
 		}
-		a.Ended = unit.Micros(s) * unit.Second
+		a.FinishedAt = units.Microseconds(s) * units.Second
 	}
 	n := last + diff
 	id := idOf(n)
-	if !ledger.ValidID(id) || !b.Covers(id) {
+	if !jobs.ValidID(id) || !b.Covers(id) {
 		return bad()
 	}
 	a.Tasks = int(count)
--- a/internal/core/archive/pack.go
+++ b/internal/core/archive/pack.go
@@ -4,7 +4,7 @@
 	"container/list"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Jobs is what the packer needs to know of the jobs that are over.
@@ -23,39 +23,39 @@
 	Clear  []string
 }
 
-// Packer moves the answers of jobs that are over into buckets, the oldest first. Any
+// Archiver moves the answers of jobs that are over into buckets, the oldest first. Any
 // controller keeps the list; the leader packs.
-type Packer struct {
-	past  *Past
+type Archiver struct {
+	past  *Index
 	order *list.List // ids of jobs that are over, as they were learnt
 	where map[string]*list.Element
 	busy  bool
-	try   unit.Micros
+	try   units.Microseconds
 	Done  int // packed by this node
 }
 
 type entry struct {
 	id    string
-	since unit.Micros
+	since units.Microseconds
 }
 
 // window bounds how many of the jobs are looked at for those of one bucket.
 const window = 1 << 13
 
-// NewPacker returns a packer with nothing to pack.
-func NewPacker(p *Past) *Packer {
-	return &Packer{past: p, order: list.New(), where: map[string]*list.Element{}}
+// NewArchiver returns a packer with nothing to pack.
+func NewArchiver(p *Index) *Archiver {
+	return &Archiver{past: p, order: list.New(), where: map[string]*list.Element{}}
 }
 
-// Over notes that a job is over.
-func (k *Packer) Over(now unit.Micros, id string) {
+// JobOver notes that a job is over.
+func (k *Archiver) JobOver(now units.Microseconds, id string) {
 	if k.where[id] == nil {
 		k.where[id] = k.order.PushBack(entry{id, now})
 	}
 }
 
-// Gone notes that a job's record is not there any more.
-func (k *Packer) Gone(id string) {
+// RecordRemoved notes that a job's record is not there any more.
+func (k *Archiver) RecordRemoved(id string) {
 	if e := k.where[id]; e != nil {
 		k.order.Remove(e)
 		delete(k.where, id)
@@ -63,10 +63,10 @@
 }
 
 // Len returns how many jobs that are over are kept in memory.
-func (k *Packer) Len() int { return len(k.where) }
+func (k *Archiver) Len() int { return len(k.where) }
 
 // later puts a job that cannot be packed yet behind the others.
-func (k *Packer) later(now unit.Micros, id string) {
+func (k *Archiver) later(now units.Microseconds, id string) {
 	if e := k.where[id]; e != nil {
 		e.Value = entry{id, now}
 		k.order.MoveToBack(e)
@@ -83,20 +83,20 @@
 // Step packs some jobs, if any has been over for long enough: it reads a bucket and
 // hands the write to send, which has guards for all but the packer's own authority.
 // One step is under way at a time.
-func (k *Packer) Step(now unit.Micros, age unit.Micros, jobs Jobs, lim Limits, send func(*store.Write) bool) {
+func (k *Archiver) Step(now units.Microseconds, age units.Microseconds, jobs Jobs, lim Limits, send func(*store.Write) bool) {
 	if k.busy || now < k.try {
 		return
 	}
 	first := k.order.Front()
 	for range 64 { // those that must stay are put back
 		if first == nil || now-first.Value.(entry).since < age {
-			k.try = now + unit.Second
+			k.try = now + units.Second
 			return
 		}
 		id := first.Value.(entry).id
 		j, ok := jobs.Packable(id, k.past.mark.Cut)
 		if j.Stamp >= k.past.mark.Cut { // the next cut is for it and those behind it
-			k.try = now + unit.Second
+			k.try = now + units.Second
 			return
 		}
 		if ok {
@@ -110,10 +110,10 @@
 }
 
 // pack writes a bucket that was read just now.
-func (k *Packer) pack(jobs Jobs, lim Limits, now, age unit.Micros, b *Bucket, stamp uint64, send func(*store.Write) bool) {
+func (k *Archiver) pack(jobs Jobs, lim Limits, now, age units.Microseconds, b *Bucket, stamp uint64, send func(*store.Write) bool) {
 	k.busy = false
 	if b == nil { // not known: the state service is asked again soon
-		k.try = max(k.try, now+unit.Second)
+		k.try = max(k.try, now+units.Second)
 		return
 	}
 	w, taken := k.write(jobs, lim, now, age, b, stamp)
@@ -128,26 +128,26 @@
 			k.Done += len(taken)
 			for id, a := range taken {
 				k.past.Remember(id, a)
-				k.Gone(id) // the copy shows it with the next read
+				k.RecordRemoved(id) // the copy shows it with the next read
 			}
 		case store.TooLarge:
-			k.try = max(k.try, now+unit.Second)
+			k.try = max(k.try, now+units.Second)
 			for id := range taken {
 				k.later(now, id)
 			}
 		default: // what has come of it shows when the bucket is read again
-			k.try = max(k.try, now+unit.Second/2)
+			k.try = max(k.try, now+units.Second/2)
 		}
 	}
 	if !send(w) {
 		k.busy = false
-		k.try = now + unit.Second
+		k.try = now + units.Second
 	}
 }
 
 // write makes the transaction that adds to a bucket as many jobs as fit.
-func (k *Packer) write(jobs Jobs, lim Limits, now, age unit.Micros, b *Bucket, stamp uint64) (*store.Write, map[string]Answer) {
-	w := &store.Write{Late: true}
+func (k *Archiver) write(jobs Jobs, lim Limits, now, age units.Microseconds, b *Bucket, stamp uint64) (*store.Write, map[string]Answer) {
+	w := &store.Write{Deferred: true}
 	taken := map[string]Answer{}
 	more := map[uint64]Answer{}
 	var clear []store.Change
@@ -179,7 +179,7 @@
 			for _, c := range j.Clear[:min(len(j.Clear), lim.Ops)] {
 				w.Changes = append(w.Changes, store.Change{Key: c})
 			}
-			w.Guards = append(w.Guards, store.Guard{Key: j.Key, Stamp: j.Stamp})
+			w.Guards = append(w.Guards, store.Guard{Key: j.Key, Version: j.Stamp})
 			return w, nil
 		}
 		n, err := number(v.id)
@@ -200,7 +200,7 @@
 		size += here
 		taken[v.id] = j.Answer
 		more[n] = j.Answer
-		w.Guards = append(w.Guards, store.Guard{Key: j.Key, Stamp: j.Stamp})
+		w.Guards = append(w.Guards, store.Guard{Key: j.Key, Version: j.Stamp})
 		clear = append(clear, gone...)
 	}
 	if len(taken) == 0 {
@@ -221,7 +221,7 @@
 	for _, p := range parts {
 		g := store.Guard{Key: Key(p.N)}
 		if p.N == b.N {
-			g.Stamp = stamp
+			g.Version = stamp
 		}
 		w.Guards = append(w.Guards, g)
 		w.Changes = append(w.Changes, store.Change{Key: Key(p.N), Value: p.Encode()})
--- /dev/null
+++ b/internal/core/archived.go
@@ -0,0 +1,462 @@
+package core
+
+import (
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strings"
+
+	"shalestage.example/shalestage/internal/core/archive"
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/core/watchcache"
+)
+
+// Jobs that are over leave memory once there are many: the leader packs their answers
+// into buckets of package past, which controllers look up when they are asked.
+
+// archivedJobs is what a controller keeps for that.
+type archivedJobs struct {
+	history *archive.Index
+	packer  *archive.Archiver
+	markAt  units.Microseconds // the mark is not written before
+	doubts  []string           // jobs of which it is not sure that the service still has them
+	asked   int                // of those, being looked up
+	leads   map[string]store.Event
+}
+
+// Effects of lookups.
+type (
+	// ReadKey reads one bucket (OnKey).
+	ReadKey struct {
+		archive.Read
+		Known uint64 // the highest revision that was known when it was sent
+	}
+	// ScanKeys reads some buckets (OnScan).
+	ScanKeys struct{ archive.Scan }
+)
+
+const (
+	// archiveKey holds the mark that jobs are packed.
+	archiveKey = root + "past"
+	// leaderKeyArchived holds the leader's claim once that is there. The key of before then
+	// says, for good, that another leads: a controller of an older release that is
+	// started afterwards never leads, holds nothing and learns no machine types from
+	// anybody, so that it is never ready and accepts nothing. It would not find what
+	// is packed.
+	leaderKeyArchived  = root + "lead"
+	kindPrefix         = root + "kind/" // machine types since then
+	excludedLeaderName = "release-4"    // the name in that claim
+
+	// markEvery is the least time between two marks, each of which fails the
+	// submissions under way; they are tried again at once.
+	markEvery = 30 * units.Second
+	// calmAfter is how long after a refusal for rates nothing is packed.
+	calmAfter = 30 * units.Second
+	// packShare is the part of the state service's changes that packing takes at
+	// most, and packShareMost that when twice as much is kept as should be.
+	packShare     = 0.1
+	packShareMost = 0.25
+	// lookShare is the part of a controller's reads that lookups take, and as much
+	// again is for filling the filter after a start.
+	lookShare = 1.0 / 6
+	// retryOld is when one should come back who asked for an old job while too many did.
+	retryOld = 5 * units.Second
+	// doubtsAtOnce bounds the lookups under way after the state service went back.
+	doubtsAtOnce = 16
+)
+
+// TermKey and PastKey are keys whose values a restore has to change.
+const (
+	TermKey    = termKey
+	ArchiveKey = archiveKey
+)
+
+// IsLeased reports whether a key and its value belong to a controller's lease: with
+// that they are gone.
+func IsLeased(e store.Event) bool {
+	return strings.HasPrefix(e.Key, memberPrefix) || e.Key == leaderKeyArchived || e.Key == leaderKeyFirst && !excludesOlderReleases(e.Value)
+}
+
+// excludesOlderReleases reports whether a claim is the one that keeps older releases out.
+func excludesOlderReleases(claim []byte) bool {
+	var c authority.LeaderRecord
+	return json.Unmarshal(claim, &c) == nil && c.Node == excludedLeaderName
+}
+
+func newArchivedJobs() archivedJobs {
+	p := archive.New()
+	return archivedJobs{history: p, packer: archive.NewArchiver(p), leads: map[string]store.Event{}}
+}
+
+// leaderKey is where the leader's claim is stored.
+func (c *Core) leaderKey() string {
+	if c.archived.history.On() {
+		return leaderKeyArchived
+	}
+	return leaderKeyFirst
+}
+
+// typeKey is where a machine type is stored.
+func (c *Core) typeKey(name string) string {
+	if c.archived.history.On() {
+		return kindPrefix + name
+	}
+	return typePrefix + name
+}
+
+// learnLead takes a claim, if it is at the key that counts.
+func (c *Core) learnLead(e store.Event) error {
+	c.archived.leads[e.Key] = e
+	if e.Key != c.leaderKey() {
+		return nil
+	}
+	return c.learnLeaderRecord(e)
+}
+
+// learnMark takes the mark. From the first one on the lead is at another key.
+func (c *Core) learnMark(e store.Event) error {
+	was := c.archived.history.On()
+	if err := c.archived.history.LearnMark(e.Value, e.Stamp); err != nil {
+		return err
+	}
+	if now := c.archived.history.On(); now && !was {
+		c.log.Info("jobs that are over are packed from now on")
+		// Also where nobody claims it: what keeps older releases out is no claim.
+		return c.learnLeaderRecord(c.archived.leads[leaderKeyArchived])
+	}
+	return nil
+}
+
+// tooOld reports whether a controller runs a release that cannot read what is packed, or
+// does not go by the configuration that is stored.
+func (c *Core) tooOld(node string) bool {
+	return node != c.cfg.Node && (c.archived.history.On() && c.releases[node] < releaseArchive || c.config.Changed() && c.releases[node] < releaseConfig)
+}
+
+// jobOver notes that a job is over, so that it is packed some day.
+func (c *Core) jobOver(j *jobs.Job) { c.archived.packer.JobOver(c.now, j.ID) }
+
+// jobArchived takes in that the record of a job is not there any more.
+func (c *Core) jobArchived(j *jobs.Job) {
+	if j.Active() || j.CancelledBy != "" {
+		return // not packed: nobody removes these
+	}
+	c.archived.history.Packed(j.ID)
+	c.archived.history.Remember(j.ID, answerOf(j))
+	c.archived.packer.RecordRemoved(j.ID)
+	if j.Placed() > 0 {
+		j.Archived = true // its tasks count until their machines report them gone
+		return
+	}
+	delete(c.jobs, j.ID)
+}
+
+// dropArchived drops a packed job once nothing of it may be running any more.
+func (c *Core) dropArchived(j *jobs.Job) {
+	if j.Archived && j.Placed() == 0 {
+		delete(c.jobs, j.ID)
+	}
+}
+
+func answerOf(j *jobs.Job) archive.Answer {
+	return archive.Answer{Status: j.Record.Status, Tasks: j.Record.Tasks, FinishedAt: j.Record.FinishedAt / units.Second * units.Second}
+}
+
+// Packable says what is to be packed of a job that is over. One that an unfinished
+// job awaits stays, as whoever learns of that one has to learn how it ended; so does
+// one of which something is left to clean up.
+func (c *Core) Packable(id string, cut uint64) (archive.Job, bool) {
+	j := c.jobs[id]
+	if j == nil {
+		return archive.Job{}, false
+	}
+	out := archive.Job{Answer: answerOf(j), Key: jobPrefix + id, Stamp: j.Version}
+	if j.Active() || j.CancelledBy != "" || j.Version >= cut || j.Placed() > 0 || c.dependencies.Named(id) || c.chunkStore.Any(id) || c.pendingDeletion[id] {
+		return out, false
+	}
+	// A cancelled job's finished tasks are still stored.
+	for _, name := range c.progressLayout.Names(j.Record.Tasks) {
+		if k := progressKey(id, name); c.cache.Version(k) != 0 {
+			out.Clear = append(out.Clear, k)
+		}
+	}
+	return out, true
+}
+
+// packAge is how long a job must be over: by then its machines have long reported
+// what they ran of it, or lost their leases.
+func (c *Core) packAge() units.Microseconds { return 2*c.leaseBound() + c.cfg.CancelWithin }
+
+// tickArchive does what is due for jobs that are over.
+func (c *Core) tickArchive() {
+	o := &c.archived
+	c.noteOlderReleases()
+	c.verifyNextArchived()
+	if !c.cache.Loaded() || c.stateAge() > watchcache.Heartbeat+units.Second/2 || c.cache.Recovering() {
+		return
+	}
+	rate := c.cache.Rate() / float64(c.cfg.Size) * lookShare
+	if s := o.history.NextScan(c.now, units.Seconds(1/rate)); s != nil {
+		c.emit(ScanKeys{*s})
+	}
+	l := c.leader
+	if l == nil || c.cfg.KeepFinished == 0 || c.cache.Refused(c.now, calmAfter) || c.queues[ControlQueue].Len() > 0 || c.queues[UserQueue].Len() > 0 {
+		return // packing takes only what nobody else needs
+	}
+	if l.writing || c.now >= o.markAt && c.excludeOlderReleases(l) {
+		return
+	}
+	_, stamp := o.history.Mark()
+	if stamp == 0 || c.cache.Revision < stamp || o.packer.Len() <= c.cfg.KeepFinished-c.cfg.KeepFinished/4 || c.queues[ArchiveQueue].Len() > 0 {
+		return
+	}
+	share := packShare
+	if o.packer.Len() > 2*c.cfg.KeepFinished {
+		share = packShareMost
+	}
+	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * share
+	lim := archive.Limits{Value: archive.Limit(c.cfg.ValueMax), Ops: c.cfg.TxnOps, Size: c.queues[ArchiveQueue].MaxBytes}
+	o.packer.Step(c.now, c.packAge(), c, lim, func(w *store.Write) bool {
+		if c.leader != l {
+			return false
+		}
+		w.Guards = append(w.Guards, store.Guard{Key: c.leaderKey(), Version: l.version})
+		return c.queues[ArchiveQueue].Add(w)
+	})
+}
+
+// excludeOlderReleases writes the mark when it is due, and what keeps older releases out. It
+// reports whether there was anything to write.
+func (c *Core) excludeOlderReleases(l *leaderState) bool {
+	o := &c.archived
+	mark, stamp := o.history.Mark()
+	nobodys := store.Change{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: l.term, Node: excludedLeaderName})}
+	if !o.history.On() {
+		if o.packer.Len() <= c.cfg.KeepFinished || !c.allRunSince(releaseArchive) {
+			return false
+		}
+		for _, name := range sortedKeys(c.types) {
+			if key := kindPrefix + name; c.cache.Version(key) == 0 {
+				l.write(c, []store.Guard{{Key: key}}, store.Change{Key: key, Value: store.Value(c.types[name])})
+				return true
+			}
+		}
+		mark = archive.Mark{Release: releaseArchive, Cut: c.cache.Revision + 1}
+		l.write(c, []store.Guard{{Key: archiveKey}, {Key: leaderKeyArchived, Version: c.cache.Version(leaderKeyArchived)}, {Key: memberPrefix + c.cfg.Node, Version: c.membership.ID()}},
+			store.Change{Key: leaderKeyArchived, Value: store.Value(authority.LeaderRecord{Term: l.term, Node: c.cfg.Node, MemberID: c.membership.ID()}), Lease: c.membership.LeaseID()},
+			nobodys,
+			store.Change{Key: archiveKey, Value: store.Value(mark)})
+		o.markAt = c.now + units.Second
+		return true
+	}
+	o.markAt = c.now + units.Second/2
+	if e := o.leads[leaderKeyFirst]; !excludesOlderReleases(e.Value) {
+		l.write(c, []store.Guard{{Key: leaderKeyFirst, Version: c.cache.Version(leaderKeyFirst)}},
+			nobodys)
+		o.markAt = c.now
+		return true
+	}
+	for _, name := range sortedKeys(c.types) {
+		if key := typePrefix + name; c.cache.Version(key) != 0 {
+			l.write(c, []store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key})
+			o.markAt = c.now
+			return true
+		}
+	}
+	if stamp != 0 && o.packer.Len() <= c.cfg.KeepFinished {
+		return false
+	}
+	// A new cut lets further jobs be packed.
+	mark.Release, mark.Cut, mark.Jobs = releaseArchive, max(mark.Cut, c.cache.Revision+1), mark.Jobs+o.packer.Done
+	o.packer.Done = 0
+	o.markAt = c.now + markEvery
+	l.write(c, []store.Guard{{Key: archiveKey, Version: stamp}}, store.Change{Key: archiveKey, Value: store.Value(mark)})
+	return true
+}
+
+// pumpArchive sends the reads that are due.
+func (c *Core) pumpArchive() {
+	for _, r := range c.archived.history.Next(c.now, c.cache.Rate()/float64(c.cfg.Size)*lookShare) {
+		c.emit(ReadKey{r, c.cache.HighestRevision()})
+	}
+}
+
+// OnKey takes a bucket that was read; a nil value: it is not stored. rev is the
+// service's revision where it told one, else 0.
+func (c *Core) OnKey(now units.Microseconds, r ReadKey, o store.Outcome, value []byte, stamp, rev uint64) {
+	c.advance(now)
+	o = c.noteOutcome(o)
+	if rev > 0 && c.cache.RolledBack(rev, r.Known) {
+		o = store.Unknown
+	}
+	if err := c.archived.history.OnRead(now, r.Read, o, value, stamp); err != nil {
+		c.log.Error("unusable record", "key", r.Key, "err", err)
+	}
+}
+
+// OnScan takes some buckets.
+func (c *Core) OnScan(now units.Microseconds, s ScanKeys, o store.Outcome, items []store.Event, more bool) {
+	c.advance(now)
+	o = c.noteOutcome(o)
+	for _, key := range c.archived.history.OnScan(now, s.Scan, o, items, more) {
+		c.log.Error("unusable record", "key", key)
+	}
+	if whole, n := c.archived.history.Whole(); whole && !more && o == store.OK {
+		c.log.Info("packed jobs are known", "jobs", n)
+	}
+}
+
+// answerArchived tells how a packed job ended.
+func (c *Core) answerArchived(req RequestID, id string, a archive.Answer, counts bool) {
+	out := JobAnswer{ID: id, Status: a.Status, Counts: counts}
+	if a.Status == jobs.Done {
+		out.Done = a.Tasks
+	}
+	c.reply(req, http.StatusOK, out)
+}
+
+// findArchived answers a poll or a cancellation of a job whose record is not there, as of
+// a read that began after the request came.
+func (c *Core) findArchived(req RequestID, id string, counts bool) {
+	c.archived.history.Find(id, false, func(v archive.Verdict, a archive.Answer) {
+		switch v {
+		case archive.Found:
+			c.answerArchived(req, id, a, counts)
+		case archive.Absent:
+			c.reply(req, http.StatusNotFound, Problem{"no such job"})
+		default:
+			c.send(Reply{Request: req, Code: http.StatusServiceUnavailable, Body: Problem{"too many requests for old jobs"}, RetryAfter: retryOld})
+		}
+	})
+}
+
+// resolveArchived finds out of a submission's own id, and of the jobs that it awaits, which
+// are those of packed jobs. From then on the answers are at hand, or their absence
+// is proven for whoever guards the mark of that time.
+func (c *Core) resolveArchived(n submission, then func(n submission, ok bool)) {
+	_, n.mark = c.archived.history.Mark()
+	if !c.archived.history.On() {
+		then(n, true)
+		return
+	}
+	if c.cache.Revision < n.mark { // the copy may lack what was accepted before the mark
+		c.readFresh(func(ok bool) {
+			if !ok {
+				then(n, false)
+				return
+			}
+			c.resolveArchived(n, then)
+		})
+		return
+	}
+	ids := []string{n.id}
+	if n.spec != nil {
+		ids = append(ids, n.spec.Awaits...)
+	}
+	n.absent = map[string]bool{}
+	left, all := 1, true
+	ended := func() {
+		if left--; left == 0 {
+			then(n, all)
+		}
+	}
+	for _, id := range ids {
+		if c.jobs[id] != nil {
+			continue
+		}
+		left++
+		c.archived.history.Find(id, true, func(v archive.Verdict, _ archive.Answer) {
+			all = all && v != archive.Unknown
+			if v == archive.Absent {
+				n.absent[id] = true
+			}
+			ended()
+		})
+	}
+	ended()
+}
+
+// dropFinishedDependencies takes out of a description the awaited jobs that are over for so long
+// that they may be packed at any moment: those that are done need not be waited for.
+// cancelled reports that one was cancelled, and the job with it.
+func (c *Core) dropFinishedDependencies(s *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
+	mark, _ := c.archived.history.Mark()
+	if len(s.Awaits) == 0 || !c.archived.history.On() {
+		return s, false, true
+	}
+	out := *s
+	out.Awaits = nil
+	for _, id := range s.Awaits {
+		var a archive.Answer
+		j := c.jobs[id]
+		switch {
+		case j == nil:
+			if a, ok = c.archived.history.Known(id); !ok {
+				return nil, false, false
+			}
+		case !j.Active() && j.CancelledBy == "" && j.Version < mark.Cut:
+			a = answerOf(j)
+		default:
+			out.Awaits = append(out.Awaits, id)
+			continue
+		}
+		cancelled = cancelled || a.Status == jobs.Cancelled
+	}
+	return &out, cancelled, true
+}
+
+// restoreFinished puts right what a service that went back lists as unfinished although it is
+// known here that it was over and packed: it must not start again. It returns what is
+// to be written.
+func (c *Core) restoreFinished(items []store.Event) []store.Event {
+	var again []store.Event
+	for i, e := range items {
+		id, isJob := strings.CutPrefix(e.Key, jobPrefix)
+		if !isJob || c.jobs[id] != nil {
+			continue
+		}
+		a, known := c.archived.history.Known(id)
+		if r, err := jobs.DecodeRecord(e.Value); !known || err != nil || r.Status.Final() {
+			continue
+		}
+		items[i].Value = jobs.Record{Status: a.Status, Tasks: a.Tasks, FinishedAt: a.FinishedAt}.Encode()
+		again = append(again, items[i])
+	}
+	return again
+}
+
+// verifyArchived looks at what is remembered of packed jobs after the state service went back:
+// what it has lost of them is written again.
+func (c *Core) verifyArchived() {
+	c.archived.history.Suspect()
+	c.archived.doubts = c.archived.history.Remembered()
+}
+
+func (c *Core) verifyNextArchived() {
+	o := &c.archived
+	for len(o.doubts) > 0 && o.asked < doubtsAtOnce && c.cache.Loaded() && !c.cache.Recovering() {
+		id := o.doubts[0]
+		o.doubts = o.doubts[1:]
+		a, known := o.history.Known(id)
+		if c.jobs[id] != nil || !known {
+			continue
+		}
+		o.asked++
+		o.history.Bucket(id, func(b *archive.Bucket, _ uint64) {
+			o.asked--
+			if b == nil {
+				o.doubts = append(o.doubts, id)
+				return
+			}
+			if _, stored := b.Find(id); stored || c.jobs[id] != nil || slices.Contains(o.doubts, id) {
+				return
+			}
+			c.log.Warn("written again", "job", id)
+			rec := jobs.Record{Status: a.Status, Tasks: a.Tasks, FinishedAt: a.FinishedAt}
+			c.writeAgain(store.Event{Key: jobPrefix + id, Value: rec.Encode()})
+		})
+	}
+}
--- a/internal/core/lead/lead_test.go
+++ b/internal/core/authority/authority_test.go
@@ -1,11 +1,11 @@
-package lead
+package authority
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
@@ -13,11 +13,11 @@
 func TestTokensRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		term := rapid.Uint64Range(1, 1<<23).Draw(t, "term")
-		n := rapid.Uint64Range(0, numbersPerTerm-2).Draw(t, "number")
-		if Token(term, n) >= Token(term, n+1) || Token(term, n) >= Token(term+1, 0) {
+		n := rapid.Uint64Range(0, assignmentsPerTerm-2).Draw(t, "number")
+		if FencingToken(term, n) >= FencingToken(term, n+1) || FencingToken(term, n) >= FencingToken(term+1, 0) {
 			t.Fatal("token does not rise")
 		}
-		if Attempt(Token(term, n), rapid.Uint64Range(0, attemptsPerGrant-1).Draw(t, "attempt")) >= Attempt(Token(term, n+1), 0) {
+		if AttemptNumber(FencingToken(term, n), rapid.Uint64Range(0, attemptsPerAssignment-1).Draw(t, "attempt")) >= AttemptNumber(FencingToken(term, n+1), 0) {
 			t.Fatal("attempt of a later grant is not larger")
 		}
 	})
@@ -26,15 +26,15 @@
 // voterNode is a controller with a clock of its own in TestPromises.
 type voterNode struct {
 	v     Voter
-	born  unit.Micros // on true time
+	born  units.Microseconds // on true time
 	rate  float64
 	seen  uint64 // the holder's seat as it last read it
 	last  uint64 // and as this process has ever seen it: in an outage that counts
 	alive bool
 }
 
-func (n *voterNode) local(now unit.Micros) unit.Micros {
-	return unit.Micros(float64(now-n.born) * n.rate)
+func (n *voterNode) local(now units.Microseconds) units.Microseconds {
+	return units.Microseconds(float64(now-n.born) * n.rate)
 }
 
 // One of several controllers keeps what seat 1 holds by promises alone, its
@@ -45,7 +45,7 @@
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
-		now := 100 * unit.Second
+		now := 100 * units.Second
 		ns := make([]*voterNode, nodes)
 		start := func(i int, seen uint64) {
 			ns[i] = &voterNode{born: now, rate: rapid.Float64Range(0.9995, 1.0005).Draw(t, "rate"), seen: seen, last: seen, alive: true}
@@ -53,24 +53,24 @@
 		for i := range ns {
 			start(i, 1)
 		}
-		const short = 8 * unit.Second
-		auth := Authority{TTL: 3 * unit.Second, Margin: unit.Second / 10, Short: short, Peers: nodes / 2, All: nodes - 1}
+		const short = 8 * units.Second
+		auth := Authority{TTL: 3 * units.Second, Margin: units.Second / 10, Short: short, Peers: nodes / 2, All: nodes - 1}
 		auth.Renewed(0)
 		type promise struct {
 			from int
-			sent unit.Micros
+			sent units.Microseconds
 		}
-		var asks []unit.Micros
+		var asks []units.Microseconds
 		var late []promise
 		permits := map[int]bool{}
 		names := []string{"0", "1", "2", "3", "4"}
 		gone := false // the seat's record
-		var goneAt unit.Micros
+		var goneAt units.Microseconds
 		alone := false // one has taken the seat for over without the others' help
 		t.Repeat(map[string]func(*rapid.T){
-			"wait": func(t *rapid.T) { now += unit.Seconds(rapid.Float64Range(0, 1.5).Draw(t, "dt")) },
+			"wait": func(t *rapid.T) { now += units.Seconds(rapid.Float64Range(0, 1.5).Draw(t, "dt")) },
 			"record gone": func(t *rapid.T) {
-				if now < 103*unit.Second {
+				if now < 103*units.Second {
 					t.Skip() // the service keeps the record for the lease's time, by its own clock
 				}
 				if !gone {
@@ -91,7 +91,7 @@
 				if rapid.Bool().Draw(t, "in an outage") {
 					seen = ns[i].last
 				}
-				if ns[i].v.Promise(ns[i].local(now), 1, seen) {
+				if ns[i].v.GrantPeerLease(ns[i].local(now), 1, seen) {
 					late = append(late, promise{i, sent})
 				}
 			},
@@ -100,7 +100,7 @@
 					t.Skip()
 				}
 				p := late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
-				auth.Promised(names[p.from], p.sent)
+				auth.PeerLeaseGranted(names[p.from], p.sent)
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(1, nodes-1).Draw(t, "node")
@@ -115,13 +115,13 @@
 					t.Skip() // whoever asks has seen that the record is gone
 				}
 				i := rapid.IntRange(1, nodes-1).Draw(t, "by")
-				if ns[i].v.Permit(ns[i].local(now), 1) {
+				if ns[i].v.Vote(ns[i].local(now), 1) {
 					permits[i] = true
 				}
 			},
 			"alone": func(t *rapid.T) {
 				i := rapid.IntRange(1, nodes-1).Draw(t, "by")
-				if n := ns[i]; gone && n.seen == 0 && now-goneAt > unit.Longest(short) && n.v.Permit(n.local(now), 1) {
+				if n := ns[i]; gone && n.seen == 0 && now-goneAt > units.Longest(short) && n.v.Vote(n.local(now), 1) {
 					alone = true
 				}
 			},
@@ -139,15 +139,15 @@
 // majority within the bound, or that of the promises of all.
 func TestUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		second := func(name string) unit.Micros { return unit.Seconds(rapid.Float64Range(0, 30).Draw(t, name)) }
-		a := Authority{TTL: 3 * unit.Second, Margin: unit.Second / 10, Short: second("short"), Peers: rapid.IntRange(1, 3).Draw(t, "peers"), All: 4}
+		second := func(name string) units.Microseconds { return units.Seconds(rapid.Float64Range(0, 30).Draw(t, name)) }
+		a := Authority{TTL: 3 * units.Second, Margin: units.Second / 10, Short: second("short"), Peers: rapid.IntRange(1, 3).Draw(t, "peers"), All: 4}
 		a.Renewed(second("renewed"))
-		promised := map[string]unit.Micros{}
+		promised := map[string]units.Microseconds{}
 		for _, p := range []string{"a", "b", "c", "d"} {
 			if rapid.Bool().Draw(t, p) {
 				asked := second("asked")
-				a.Promised(p, asked)
-				promised[p] = asked + unit.Shortest(PromiseTime) - a.Margin
+				a.PeerLeaseGranted(p, asked)
+				promised[p] = asked + units.Shortest(PeerLeaseTime) - a.Margin
 			}
 		}
 		now := second("now")
--- a/internal/core/scale/scale.go
+++ b/internal/core/autoscaler/scale.go
@@ -1,14 +1,14 @@
-// Package scale decides which machines to rent and which to return.
-package scale
+// Package autoscaler decides which machines to rent and which to return.
+package autoscaler
 
 import (
 	"math"
 	"slices"
 	"sort"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Pool is one kind of offer: a type in a zone, spot or ordinary.
@@ -40,9 +40,9 @@
 	Tasks   int
 	Running int // tasks placed at present
 	Ready   int // tasks that wait
-	Total   pack.Vec
-	Waiting unit.Micros
-	Slack   unit.Micros // that those that wait may wait and still be in time, added up
+	Total   binpack.Vec
+	Waiting units.Microseconds
+	Slack   units.Microseconds // that those that wait may wait and still be in time, added up
 	Rate    float64
 	Types   []string
 }
@@ -51,22 +51,22 @@
 type Machine struct {
 	Name   string
 	Pool   Pool
-	Idle   unit.Micros // for how long it has held no task; 0: it holds some
+	Idle   units.Microseconds // for how long it has held no task; 0: it holds some
 	Booted bool
-	Age    unit.Micros // since it was rented
-	Away   bool        // in a zone that is lost: it does no work for now, and would if the zone came back
-	Wanted bool        // set by Plan: the work at hand needs it
+	Age    units.Microseconds // since it was rented
+	Away   bool               // in a zone that is lost: it does no work for now, and would if the zone came back
+	Wanted bool               // set by Plan: the work at hand needs it
 }
 
 // leastCharge is the time that every rented machine is charged for.
-const leastCharge = 60 * unit.Second
+const leastCharge = 60 * units.Second
 
 // Params are the knobs of scaling.
 type Params struct {
-	Spare      float64     // room kept above average demand
-	Memory     unit.Micros // time over which demand is averaged
-	Worth      unit.Micros // work that must wait for each slot of a machine to be worth renting
-	IdleReturn unit.Micros
+	Spare      float64            // room kept above average demand
+	Memory     units.Microseconds // time over which demand is averaged
+	Worth      units.Microseconds // work that must wait for each slot of a machine to be worth renting
+	IdleReturn units.Microseconds
 }
 
 // Rent asks for machines of one pool, however many that takes.
@@ -87,12 +87,12 @@
 	tasks float64    // placed, on average
 	avg   [3]float64 // demand of a task
 	types []string
-	at    unit.Micros
+	at    units.Microseconds
 }
 
 type refusal struct {
-	until unit.Micros
-	pause unit.Micros
+	until units.Microseconds
+	pause units.Microseconds
 }
 
 // New returns a scaler without memory.
@@ -101,9 +101,9 @@
 }
 
 // Refused records that the cloud has no more of a pool; granted clears it.
-func (s *Scaler) Refused(now unit.Micros, p Pool) {
+func (s *Scaler) Refused(now units.Microseconds, p Pool) {
 	r := s.refused[p]
-	r.pause = min(max(2*r.pause, 5*unit.Second), 40*unit.Second)
+	r.pause = min(max(2*r.pause, 5*units.Second), 40*units.Second)
 	r.until = now + r.pause
 	s.refused[p] = r
 }
@@ -113,7 +113,7 @@
 
 // slots is how many average tasks a piece of room holds. Part of a task of
 // each machine is expected to be lost to tasks of unlike sizes.
-func slots(room pack.Vec, avg [3]float64) float64 {
+func slots(room binpack.Vec, avg [3]float64) float64 {
 	n := math.Inf(1)
 	for i, d := range avg {
 		if d > 0 {
@@ -129,7 +129,7 @@
 // Plan returns what to rent and what to return, given all work at hand, and
 // notes on the machines which of them that work needs. most tells how many machines may be
 // rented into a zone at present; less than 0: any number.
-func (s *Scaler) Plan(now unit.Micros, needs map[Group]Need, machines []Machine, types map[string]*fleet.Type, most func(zone string) int) ([]Rent, []string) {
+func (s *Scaler) Plan(now units.Microseconds, needs map[Group]Need, machines []Machine, types map[string]*fleet.Type, most func(zone string) int) ([]Rent, []string) {
 	s.remember(now, needs)
 	groups := make([]Group, 0, len(s.usual))
 	for g := range s.usual {
@@ -152,7 +152,7 @@
 		return a.Class+a.Types < b.Class+b.Types
 	})
 	perCore := func(p Pool) float64 { return perCore(types[p.Type], p.Spot) }
-	left := make([]pack.Vec, len(machines))
+	left := make([]binpack.Vec, len(machines))
 	order := make([]int, len(machines))
 	for i, m := range machines {
 		order[i], machines[i].Wanted = i, false
@@ -205,7 +205,7 @@
 	var back []string
 	for _, m := range machines {
 		// Until then it costs the same whether it stays or goes.
-		if !m.Wanted && !m.Away && m.Booted && m.Idle >= s.p.IdleReturn && m.Age >= leastCharge-2*unit.Second {
+		if !m.Wanted && !m.Away && m.Booted && m.Idle >= s.p.IdleReturn && m.Age >= leastCharge-2*units.Second {
 			back = append(back, m.Name)
 		}
 	}
@@ -215,7 +215,7 @@
 // take has a group take room for so many average tasks, of the machines of lost zones (away)
 // or of the others, as long as a CPU is not too dear, and returns for how many there is none.
 // What it takes is wanted.
-func take(g Group, us *usual, need, dear float64, away bool, machines []Machine, left []pack.Vec, order []int, types map[string]*fleet.Type) float64 {
+func take(g Group, us *usual, need, dear float64, away bool, machines []Machine, left []binpack.Vec, order []int, types map[string]*fleet.Type) float64 {
 	wants := need
 	for _, i := range order {
 		m := machines[i]
@@ -292,10 +292,10 @@
 
 // perCore is the price of a CPU of a type.
 func perCore(t *fleet.Type, spot bool) float64 {
-	if t == nil || t.Capacity[pack.CPU] == 0 {
+	if t == nil || t.Capacity[binpack.CPU] == 0 {
 		return math.Inf(1)
 	}
-	return t.Rate(spot) / float64(t.Capacity[pack.CPU])
+	return t.Rate(spot) / float64(t.Capacity[binpack.CPU])
 }
 
 // cheapest is the price of a CPU of the cheapest offer of some types.
@@ -314,7 +314,7 @@
 // the time a machine is up, the slots there are will have done part of the
 // work, of this group and those that chose before it, and each new slot must
 // find enough of the rest.
-func (s *Scaler) offer(now unit.Micros, g Group, us *usual, short float64, b backlog, alike *backlog, stranded bool, types map[string]*fleet.Type, most func(zone string) int) (Rent, bool) {
+func (s *Scaler) offer(now units.Microseconds, g Group, us *usual, short float64, b backlog, alike *backlog, stranded bool, types map[string]*fleet.Type, most func(zone string) int) (Rent, bool) {
 	best, bestCost := Rent{}, math.Inf(1)
 	least := cheapest(us.types, g.Spot, types)
 	for _, name := range us.types {
@@ -373,7 +373,7 @@
 }
 
 // remember brings the averages up to date.
-func (s *Scaler) remember(now unit.Micros, needs map[Group]Need) {
+func (s *Scaler) remember(now units.Microseconds, needs map[Group]Need) {
 	for g, n := range needs {
 		if n.Tasks > 0 && s.usual[g] == nil {
 			s.usual[g] = &usual{at: now}
--- a/internal/core/scale/scale_test.go
+++ b/internal/core/autoscaler/scale_test.go
@@ -1,27 +1,27 @@
-package scale
+package autoscaler
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-const second = unit.Second
+const second = units.Second
 
 var types = map[string]*fleet.Type{
-	"big":   {Name: "big", Capacity: pack.Vec{16_000, 0, 64_000}, Boot: 30 * second, Zones: []string{"a", "b"}, Price: 1.6, SpotPrice: 0.5},
-	"small": {Name: "small", Capacity: pack.Vec{4_000, 0, 16_000}, Boot: 10 * second, Zones: []string{"b"}, Price: 0.4, SpotPrice: 0.1},
+	"big":   {Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Boot: 30 * second, Zones: []string{"a", "b"}, Price: 1.6, SpotPrice: 0.5},
+	"small": {Name: "small", Capacity: binpack.Vec{4_000, 0, 16_000}, Boot: 10 * second, Zones: []string{"b"}, Price: 0.4, SpotPrice: 0.1},
 }
 
 var knobs = Params{Memory: 30 * second, Worth: 20 * second, IdleReturn: 10 * second}
 
-func need(tasks int, run unit.Micros) Need {
-	return Need{Tasks: tasks, Ready: tasks, Total: pack.Vec{4_000, 0, 8_000}.Times(int64(tasks)), Waiting: run * unit.Micros(tasks), Types: []string{"big", "small"}}
+func need(tasks int, run units.Microseconds) Need {
+	return Need{Tasks: tasks, Ready: tasks, Total: binpack.Vec{4_000, 0, 8_000}.Times(int64(tasks)), Waiting: run * units.Microseconds(tasks), Types: []string{"big", "small"}}
 }
 
 // Work that may not use spot machines never gets one, spot work does as it is
@@ -61,7 +61,7 @@
 func TestWorkSoonBegun(t *testing.T) {
 	have := []Machine{{Name: "m", Pool: Pool{"big", "a", false}, Booted: true, Age: 100 * second}}
 	for _, c := range []struct {
-		run  unit.Micros
+		run  units.Microseconds
 		rent bool
 	}{{5 * second, false}, {200 * second, true}} {
 		n := need(12, c.run)
@@ -83,7 +83,7 @@
 	for _, c := range []struct {
 		name  string
 		group Group
-		slack unit.Micros
+		slack units.Microseconds
 		rent  bool
 	}{
 		{"done in 100 s, in time", Group{Class: "x", Spot: true}, 150 * second, false},
@@ -111,7 +111,7 @@
 		var ms []Machine
 		for i := range rapid.IntRange(0, 12).Draw(t, "machines") {
 			m := Machine{Name: string(rune('a' + i)), Pool: Pool{"small", "b", rapid.Bool().Draw(t, "spot")}, Booted: rapid.Bool().Draw(t, "booted"),
-				Idle: unit.Seconds(rapid.Float64Range(0, 100).Draw(t, "idle")), Age: unit.Seconds(rapid.Float64Range(0, 200).Draw(t, "age"))}
+				Idle: units.Seconds(rapid.Float64Range(0, 100).Draw(t, "idle")), Age: units.Seconds(rapid.Float64Range(0, 200).Draw(t, "age"))}
 			ms = append(ms, m)
 		}
 		g := Group{Class: "x", Zone: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "may_spot")}
--- a/internal/core/pack/pack.go
+++ b/internal/core/binpack/pack.go
@@ -1,6 +1,6 @@
-// Package pack holds the Tetris packer: which tasks go to a machine that has
+// Package binpack holds the Tetris packer: which tasks go to a machine that has
 // free room. Section numbers in comments are the paper's.
-package pack
+package binpack
 
 import (
 	"math"
--- a/internal/core/pack/pack_test.go
+++ b/internal/core/binpack/pack_test.go
@@ -1,4 +1,4 @@
-package pack
+package binpack
 
 import (
 	"math"
--- a/internal/core/cancellations/cancellations.go
+++ b/internal/core/cancellations/cancellations.go
@@ -19,7 +19,7 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 const (
@@ -29,7 +29,7 @@
 	atOnce = 128
 	// doubtFor is for how long nobody vouches after the state service went back behind its
 	// answers: until then not all go by the same revisions.
-	doubtFor = 10 * unit.Second
+	doubtFor = 10 * units.Second
 )
 
 // Config says whose book it is.
@@ -47,26 +47,26 @@
 	List  []store.Event
 }
 
-// Book is what one controller knows.
-type Book struct {
+// Tracker is what one controller knows.
+type Tracker struct {
 	cfg   Config
 	list  []store.Event // the last cancellations, by revision
 	floor uint64        // up to here some are no longer in the list
 
 	told    uint64 // every cancellation up to here is known by other controllers' word
-	asOf    unit.Micros
-	vouched map[string]unit.Micros // when each controller was last asked that listed all
-	forgot  unit.Micros            // the state service last went back; 0: never
+	asOf    units.Microseconds
+	vouched map[string]units.Microseconds // when each controller was last asked that listed all
+	forgot  units.Microseconds            // the state service last went back; 0: never
 }
 
 // New returns an empty book.
-func New(cfg Config) *Book {
+func New(cfg Config) *Tracker {
 	cfg.Kept, cfg.AtOnce = cmp.Or(cfg.Kept, kept), cmp.Or(cfg.AtOnce, atOnce)
-	return &Book{cfg: cfg, vouched: map[string]unit.Micros{}}
+	return &Tracker{cfg: cfg, vouched: map[string]units.Microseconds{}}
 }
 
 // Note takes a stored cancellation that is newer than the copy of the state service's keys.
-func (b *Book) Note(e store.Event) {
+func (b *Tracker) Note(e store.Event) {
 	i, there := slices.BinarySearchFunc(b.list, e, order)
 	if there {
 		return
@@ -83,17 +83,19 @@
 }
 
 // Forget drops all that goes by revisions, as the state service went back behind its answers.
-func (b *Book) Forget(now unit.Micros) {
+func (b *Tracker) Forget(now units.Microseconds) {
 	*b = *New(b.cfg)
 	b.forgot = max(now, 1)
 }
 
-func (b *Book) doubtful(now unit.Micros) bool { return b.forgot != 0 && now-b.forgot < doubtFor }
+func (b *Tracker) doubtful(now units.Microseconds) bool {
+	return b.forgot != 0 && now-b.forgot < doubtFor
+}
 
-// Tell answers a controller that knows every cancellation up to since. The copy of the keys
+// ListFor answers a controller that knows every cancellation up to since. The copy of the keys
 // is complete up to rev and was begun at the revision begun; complete is false while it is
 // being taken: then what it lacks is not known.
-func (b *Book) Tell(now unit.Micros, since, begun, rev uint64, complete bool) Told {
+func (b *Tracker) ListFor(now units.Microseconds, since, begun, rev uint64, complete bool) Told {
 	t := Told{Since: since, Upto: since}
 	i, _ := slices.BinarySearchFunc(b.list, since, func(e store.Event, rev uint64) int {
 		if e.Stamp <= rev {
@@ -116,12 +118,12 @@
 
 // Known is the revision up to which every cancellation is known, where the copy of the keys
 // is complete up to rev.
-func (b *Book) Known(rev uint64) uint64 { return max(b.told, rev) }
+func (b *Tracker) Known(rev uint64) uint64 { return max(b.told, rev) }
 
-// Take takes what another controller has told when it was asked at a time on this
+// Receive takes what another controller has told when it was asked at a time on this
 // controller's clock. The list is true in any case; the rest counts only where it goes on
 // from what is known.
-func (b *Book) Take(now unit.Micros, from string, asked unit.Micros, t Told, rev uint64) {
+func (b *Tracker) Receive(now units.Microseconds, from string, asked units.Microseconds, t Told, rev uint64) {
 	if t.Since > b.Known(rev) || asked > now || b.doubtful(now) || b.forgot != 0 && asked <= b.forgot {
 		return
 	}
@@ -135,10 +137,10 @@
 	}
 }
 
-// AsOf is the time up to which every cancellation that any user was told of is surely known.
+// KnownUntil is the time up to which every cancellation that any user was told of is surely known.
 // read is when the last request was sent whose answer has brought the copy of the keys up to
 // date.
-func (b *Book) AsOf(now, read unit.Micros) unit.Micros {
+func (b *Tracker) KnownUntil(now, read units.Microseconds) units.Microseconds {
 	if b.cfg.Peers == 0 {
 		return now // there is nobody else who tells users
 	}
--- a/internal/core/cancellations/cancellations_test.go
+++ b/internal/core/cancellations/cancellations_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 func cancelled(rev uint64) store.Event {
@@ -16,29 +16,29 @@
 // has told all, and what was asked for before counts for nothing, as revisions of before may
 // come again and mean something else.
 func TestGoneBack(t *testing.T) {
-	now := 100 * unit.Second
+	now := 100 * units.Second
 	b := New(Config{Peers: 1})
 	b.Note(cancelled(7))
-	if told := b.Tell(now, 5, 3, 6, true); !told.Whole || told.Upto != 6 || len(told.List) != 1 {
+	if told := b.ListFor(now, 5, 3, 6, true); !told.Whole || told.Upto != 6 || len(told.List) != 1 {
 		t.Fatalf("%+v", told)
 	}
-	b.Take(now, "b", now, Told{Since: 6, Upto: 9, Whole: true}, 6)
-	if b.Known(6) != 9 || b.AsOf(now, 0) != now {
-		t.Fatalf("knows up to %d, all as of %d", b.Known(6), b.AsOf(now, 0))
+	b.Receive(now, "b", now, Told{Since: 6, Upto: 9, Whole: true}, 6)
+	if b.Known(6) != 9 || b.KnownUntil(now, 0) != now {
+		t.Fatalf("knows up to %d, all as of %d", b.Known(6), b.KnownUntil(now, 0))
 	}
 	b.Forget(now)
-	if b.Known(4) != 4 || b.AsOf(now, 1) != 1 {
+	if b.Known(4) != 4 || b.KnownUntil(now, 1) != 1 {
 		t.Error("what was told before counts")
 	}
 	for _, c := range []struct {
-		after, asked unit.Micros
+		after, asked units.Microseconds
 		want         bool
-	}{{unit.Second, unit.Second, false}, {11 * unit.Second, -unit.Second, false}, {11 * unit.Second, 10 * unit.Second, true}} {
+	}{{units.Second, units.Second, false}, {11 * units.Second, -units.Second, false}, {11 * units.Second, 10 * units.Second, true}} {
 		at := now + c.after
-		if got := b.Tell(at, 5, 3, 6, true).Whole; got != (c.after > doubtFor) {
+		if got := b.ListFor(at, 5, 3, 6, true).Whole; got != (c.after > doubtFor) {
 			t.Errorf("after %d: all is told: %v", c.after, got)
 		}
-		b.Take(at, "b", now+c.asked, Told{Since: 4, Upto: 9, Whole: true}, 4)
+		b.Receive(at, "b", now+c.asked, Told{Since: 4, Upto: 9, Whole: true}, 4)
 		if got := b.Known(4) == 9; got != c.want {
 			t.Errorf("after %d, asked at %d: taken %v", c.after, c.asked, got)
 		}
@@ -52,12 +52,12 @@
 	for rev := uint64(100); rev < 170; rev++ {
 		b.Note(cancelled(rev))
 	}
-	if told := b.Tell(0, 110, 0, 200, true); told.Whole || told.Upto != 110 || len(told.List) != 8 {
+	if told := b.ListFor(0, 110, 0, 200, true); told.Whole || told.Upto != 110 || len(told.List) != 8 {
 		t.Errorf("some are no longer kept: %v, up to %d, %d", told.Whole, told.Upto, len(told.List))
 	}
 	known, got, asked := uint64(125), 0, 0
 	for ; asked < 20; asked++ {
-		told := b.Tell(0, known, 0, 200, true)
+		told := b.ListFor(0, known, 0, 200, true)
 		if got += len(told.List); told.Whole {
 			break
 		}
--- a/internal/core/cancellations/trace.go
+++ b/internal/core/cancellations/trace.go
@@ -5,13 +5,13 @@
 	"maps"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Trace tells all that a book holds, for exploring what may follow: times as how long ago they
+// Describe tells all that a book holds, for exploring what may follow: times as how long ago they
 // are, those longer than most as most.
-func (b *Book) Trace(now, most unit.Micros) string {
-	ago := func(t unit.Micros) unit.Micros { return min(now-t, most) }
+func (b *Tracker) Describe(now, most units.Microseconds) string {
+	ago := func(t units.Microseconds) units.Microseconds { return min(now-t, most) }
 	out := fmt.Sprint(b.floor, b.told, ago(b.asOf))
 	for _, e := range b.list {
 		out += fmt.Sprint(" ", e.Key, e.Stamp)
--- a/internal/core/chunks/chunks.go
+++ b/internal/core/chunks/chunks.go
@@ -10,9 +10,9 @@
 	"slices"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is where parts are stored: JOB/SUM/N.
@@ -32,30 +32,30 @@
 // removes it first may remove the others as long as it stays away.
 func First(key string) string { return key[:strings.LastIndexByte(key, '/')+1] + "0" }
 
-// Shelf is what a controller keeps of them. Its memory grows with the parts that are
+// Store is what a controller keeps of them. Its memory grows with the parts that are
 // stored; the texts of a job's are dropped once it has been read.
-type Shelf struct {
-	texts map[string]map[string]string // by job and key; "" where nobody needs it any more
-	heads map[string]store.Event       // records whose parts are not all there
-	lone  map[string]unit.Micros       // jobs with parts and no record, and when the last part came
-	queue []loner                      // the same in the order of time; those that no longer hold are passed over
+type Store struct {
+	texts map[string]map[string]string  // by job and key; "" where nobody needs it any more
+	heads map[string]store.Event        // records whose parts are not all there
+	lone  map[string]units.Microseconds // jobs with parts and no record, and when the last part came
+	queue []orphan                      // the same in the order of time; those that no longer hold are passed over
 }
 
-type loner struct {
+type orphan struct {
 	id string
-	at unit.Micros
+	at units.Microseconds
 }
 
 // New returns an empty shelf.
-func New() *Shelf {
-	return &Shelf{texts: map[string]map[string]string{}, heads: map[string]store.Event{}, lone: map[string]unit.Micros{}}
+func New() *Store {
+	return &Store{texts: map[string]map[string]string{}, heads: map[string]store.Event{}, lone: map[string]units.Microseconds{}}
 }
 
 // Put takes a part. read says that its job's record has been read already, so that
 // nobody needs the text. It returns the record that waits for parts, if one does.
-func (s *Shelf) Put(now unit.Micros, e store.Event, read bool) (head store.Event, waits bool, err error) {
+func (s *Store) Put(now units.Microseconds, e store.Event, read bool) (head store.Event, waits bool, err error) {
 	id := Owner(e.Key)
-	text, err := ledger.PartText(e.Value)
+	text, err := jobs.PartText(e.Value)
 	if err != nil {
 		return head, false, err
 	}
@@ -74,14 +74,14 @@
 }
 
 // await notes that a record is missing.
-func (s *Shelf) await(now unit.Micros, id string) {
+func (s *Store) await(now units.Microseconds, id string) {
 	s.lone[id] = now
-	s.queue = append(s.queue, loner{id, now})
+	s.queue = append(s.queue, orphan{id, now})
 }
 
 // Drop forgets a part that is stored no more, and reports whether it was the last of
 // its job's.
-func (s *Shelf) Drop(key string) bool {
+func (s *Store) Drop(key string) bool {
 	id := Owner(key)
 	if delete(s.texts[id], key); len(s.texts[id]) > 0 {
 		return false
@@ -93,14 +93,14 @@
 
 // Keys returns the keys of a job's parts in their order: of each description the
 // first part comes first.
-func (s *Shelf) Keys(id string) []string { return slices.Sorted(maps.Keys(s.texts[id])) }
+func (s *Store) Keys(id string) []string { return slices.Sorted(maps.Keys(s.texts[id])) }
 
 // Any reports whether any part of a job is stored.
-func (s *Shelf) Any(id string) bool { return len(s.texts[id]) > 0 }
+func (s *Store) Any(id string) bool { return len(s.texts[id]) > 0 }
 
 // Join completes a record with its description, and reports whether all of its parts
 // are there. Where they are not, the record waits for them.
-func (s *Shelf) Join(id string, r *ledger.Record, e store.Event) (bool, error) {
+func (s *Store) Join(id string, r *jobs.Record, e store.Event) (bool, error) {
 	delete(s.lone, id)
 	texts := make([]string, r.Parts)
 	for n := range texts {
@@ -122,14 +122,14 @@
 }
 
 // Read notes that a job's record has been read, or needs no parts.
-func (s *Shelf) Read(id string) {
+func (s *Store) Read(id string) {
 	delete(s.heads, id)
 	delete(s.lone, id)
 }
 
-// Lone returns a job of which parts but no record have been known for some time: its
+// Orphaned returns a job of which parts but no record have been known for some time: its
 // submission was given up half-way. It is told once, unless it is put back.
-func (s *Shelf) Lone(now, after unit.Micros) (id string, ok bool) {
+func (s *Store) Orphaned(now, after units.Microseconds) (id string, ok bool) {
 	for len(s.queue) > 0 && now-s.queue[0].at >= after {
 		l := s.queue[0]
 		s.queue = s.queue[1:]
@@ -140,8 +140,8 @@
 	return "", false
 }
 
-// Back has a job told as lone again after the same time.
-func (s *Shelf) Back(now unit.Micros, id string) {
+// Defer has a job told as lone again after the same time.
+func (s *Store) Defer(now units.Microseconds, id string) {
 	if _, waits := s.lone[id]; waits {
 		s.await(now, id)
 	}
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -5,11 +5,11 @@
 	"slices"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // lossyState answers a core's reads with the changes there are, and carries out its
@@ -23,21 +23,21 @@
 	commits   []Commit
 	reads     int
 	abandoned []*store.Txn
-	replies   map[ReqID]Reply
+	replies   map[RequestID]Reply
 }
 
 func newLossyState(c *Core) *lossyState {
-	return &lossyState{rev: c.mirror.Rev + 1000, carryOut: true, watches: true, replies: map[ReqID]Reply{}}
+	return &lossyState{rev: c.cache.Revision + 1000, carryOut: true, watches: true, replies: map[RequestID]Reply{}}
 }
 
 // serve lets time pass.
-func (s *lossyState) serve(c *Core, d unit.Micros) {
+func (s *lossyState) serve(c *Core, d units.Microseconds) {
 	for end := c.now + d; c.now < end; {
-		c.Tick(c.now+unit.Second/100, c.wall+unit.Second/100)
+		c.Tick(c.now+units.Second/100, c.wall+units.Second/100)
 		for _, e := range c.Drain() {
 			switch e := e.(type) {
 			case Reply:
-				s.replies[e.Req] = e
+				s.replies[e.Request] = e
 			case Abandon:
 				s.abandoned = append(s.abandoned, e.Txn)
 			case Commit:
@@ -64,7 +64,7 @@
 		s.events = append(s.events, store.Event{Key: ch.Key, Value: ch.Value, Stamp: s.rev})
 	}
 	if !s.loses {
-		c.OnCommit(c.now, e.Lane, e.Txn, store.OK, s.rev, nil)
+		c.OnCommit(c.now, e.Queue, e.Txn, store.OK, s.rev, nil)
 	}
 }
 
@@ -89,8 +89,8 @@
 	return nil
 }
 
-func smallJob() *ledger.Spec {
-	return &ledger.Spec{Team: "t", Tasks: 1, Demand: pack.Vec{1000, 0, 1000}, AnyType: true}
+func smallJob() *jobs.Spec {
+	return &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true}
 }
 
 // TestAnswerLost has the answers to transactions lost that were carried out: of a submission,
@@ -109,27 +109,27 @@
 			return jobPrefix + known, http.StatusOK
 		},
 		"end": func(c *Core) (string, int) {
-			c.Report(c.now, 2, &fleet.Report{Machine: "n-1", Type: "big", Zone: "z", Session: 1, Seq: 7, Token: c.held[0].token, Notice: unit.Never,
-				Tasks: []fleet.Task{{ID: ledger.TaskID{Job: known}, Attempt: 1, State: fleet.Exited, Cause: fleet.Completed}}})
+			c.Heartbeat(c.now, 2, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: c.owned[0].fencingToken, Notice: units.Never,
+				Tasks: []fleet.Task{{ID: jobs.TaskID{Job: known}, Attempt: 1, State: fleet.Exited, Cause: fleet.Completed}}})
 			return jobPrefix + known, 0
 		},
 	} {
 		for _, watches := range []bool{true, false} {
 			for _, late := range []store.Outcome{store.OK, store.Failed, store.Unknown, store.Refused, store.TooLarge} {
-				record := ledger.Record{Status: ledger.Pending, Tasks: 1, Spec: smallJob()}
-				c := holding(t, map[string]any{machPrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
+				record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: smallJob()}
+				c := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 					jobPrefix + known: record, jobPrefix + other: record})
 				s := newLossyState(c)
-				s.serve(c, unit.Second/10)
+				s.serve(c, units.Second/10)
 				s.loses, s.watches = true, watches
 				key, code := ask(c)
-				s.serve(c, unit.Second/100)
+				s.serve(c, units.Second/100)
 				sent := s.of(key)
 				if sent == nil {
 					t.Fatalf("%s: not sent", name)
 				}
 				c.Abort(c.now, 3, other) // it goes behind a user's, and beside the end
-				s.serve(c, 14*unit.Second/100)
+				s.serve(c, 14*units.Second/100)
 				if got := s.replies[1].Code; got != code {
 					t.Errorf("%s, watch answers %v: answered %d", name, watches, got)
 				}
@@ -137,7 +137,7 @@
 				if j == nil || name != "submission" && j.Active() {
 					t.Fatalf("%s, watch answers %v: job %+v", name, watches, j)
 				}
-				if !slices.Contains(s.abandoned, sent.Txn) || c.lanes[sent.Lane].UnderWay(sent.Txn) {
+				if !slices.Contains(s.abandoned, sent.Txn) || c.queues[sent.Queue].UnderWay(sent.Txn) {
 					t.Errorf("%s, watch answers %v: the transaction is still waited for", name, watches)
 				}
 				if got := s.replies[3].Code; got != http.StatusOK {
@@ -145,12 +145,12 @@
 				}
 				s.carryOut = false
 				c.Submit(c.now, 4, "wk-000010", smallJob(), "")
-				s.serve(c, unit.Second/100)
+				s.serve(c, units.Second/100)
 				next, status := s.of(jobPrefix+"wk-000010"), j.Record.Status
 				delete(s.replies, 1)
-				c.OnCommit(c.now, sent.Lane, sent.Txn, late, s.rev, []string{key})
-				s.serve(c, unit.Second/100)
-				if len(s.replies) > 0 && (s.replies[1].Code != 0 || s.replies[4].Code != 0) || j.Record.Status != status || !c.lanes[UserLane].UnderWay(next.Txn) {
+				c.OnCommit(c.now, sent.Queue, sent.Txn, late, s.rev, []string{key})
+				s.serve(c, units.Second/100)
+				if len(s.replies) > 0 && (s.replies[1].Code != 0 || s.replies[4].Code != 0) || j.Record.Status != status || !c.queues[UserQueue].UnderWay(next.Txn) {
 					t.Errorf("%s: an answer that came late changed something", name)
 				}
 			}
@@ -163,10 +163,10 @@
 func TestNothingIsKnownEarly(t *testing.T) {
 	c := holding(t, nil)
 	s := newLossyState(c)
-	s.serve(c, unit.Second)
+	s.serve(c, units.Second)
 	s.loses, s.carryOut, s.reads = true, false, 0
 	c.Submit(c.now, 1, "wk-000009", smallJob(), "")
-	s.serve(c, 950*unit.Second/1000)
+	s.serve(c, 950*units.Second/1000)
 	if r, ok := s.replies[1]; ok || len(s.abandoned) > 0 {
 		t.Fatalf("answered %d, abandoned %d", r.Code, len(s.abandoned))
 	}
@@ -175,8 +175,8 @@
 		t.Errorf("%d reads", s.reads)
 	}
 	sent := s.of(jobPrefix + "wk-000009")
-	c.OnCommit(c.now, sent.Lane, sent.Txn, store.Unknown, 0, nil)
-	s.serve(c, unit.Second/10)
+	c.OnCommit(c.now, sent.Queue, sent.Txn, store.Unknown, 0, nil)
+	s.serve(c, units.Second/10)
 	if r := s.replies[1]; r.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", r.Code)
 	}
@@ -190,22 +190,22 @@
 	for _, lost := range []bool{false, true} {
 		c := holding(t, nil)
 		s := newLossyState(c)
-		s.serve(c, unit.Second)
+		s.serve(c, units.Second)
 		s.loses, s.carryOut, s.watches = true, false, false
 		c.Submit(c.now, 1, "wk-000009", smallJob(), "")
-		s.serve(c, unit.Second/20)
+		s.serve(c, units.Second/20)
 		sent := s.of(jobPrefix + "wk-000009")
 		stored := []store.Event{{Key: jobPrefix + "wk-000009", Value: sent.Txn.Changes[0].Value, Stamp: s.rev + 5}}
 		if lost {
-			c.mirror.Anew(c.now)
+			c.cache.Reload(c.now)
 			c.OnList(c.now, List{}, store.OK, s.rev-3, nil, false)
 			c.OnChanges(c.now, Watch{After: s.rev - 3}, store.OK, s.rev+5, stored, false)
 		} else { // changes between the copy and this answer are not known
-			c.OnChanges(c.now, Watch{After: c.mirror.Rev + 2}, store.OK, s.rev+5, stored, false)
+			c.OnChanges(c.now, Watch{After: c.cache.Revision + 2}, store.OK, s.rev+5, stored, false)
 		}
 		s.rev += 5
-		s.serve(c, unit.Second/2)
-		if r, ok := s.replies[1]; ok || !c.lanes[UserLane].UnderWay(sent.Txn) {
+		s.serve(c, units.Second/2)
+		if r, ok := s.replies[1]; ok || !c.queues[UserQueue].UnderWay(sent.Txn) {
 			t.Errorf("lost %v: answered %d", lost, r.Code)
 		}
 	}
--- a/internal/core/configuration/book.go
+++ b/internal/core/configuration/book.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Host is the controller that a book is kept for.
@@ -38,16 +38,16 @@
 	TxnOps   int // changes of a transaction, at most
 	// Bound is for how long a controller that nobody hears may at most start tasks by
 	// what it knew before.
-	Bound unit.Micros
+	Bound units.Microseconds
 	Log   *slog.Logger
 }
 
-// Book is what a controller knows of the configuration.
-type Book struct {
+// Versions is what a controller knows of the configuration.
+type Versions struct {
 	cfg  Config
 	host Host
-	now  unit.Micros
-	wall unit.Micros
+	now  units.Microseconds
+	wall units.Microseconds
 
 	// In force here.
 	version uint64
@@ -68,22 +68,22 @@
 }
 
 // New returns a book that knows the settings file's content alone.
-func New(cfg Config, host Host) *Book {
+func New(cfg Config, host Host) *Versions {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	b := &Book{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, past: map[string]Entry{}}
+	b := &Versions{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, past: map[string]Entry{}}
 	b.confirm = newConfirmation(cfg.Peers)
 	b.fall = newClearance()
 	return b
 }
 
 // Version is the version in force here, and Content what it says.
-func (b *Book) Version() uint64  { return b.version }
-func (b *Book) Content() Content { return b.content }
+func (b *Versions) Version() uint64  { return b.version }
+func (b *Versions) Content() Content { return b.content }
 
 // Known is the latest version that this controller has in force or knows to be stored.
-func (b *Book) Known() uint64 {
+func (b *Versions) Known() uint64 {
 	if b.headThere {
 		return max(b.version, b.head.Version)
 	}
@@ -92,13 +92,13 @@
 
 // Behind reports whether a version is known to exist that is later than the one in force
 // here. Whoever is behind starts no tasks and accepts no jobs.
-func (b *Book) Behind() bool { return b.heard > b.version }
+func (b *Versions) Behind() bool { return b.heard > b.version }
 
 // Changed reports whether any version but the settings file's is known to exist.
-func (b *Book) Changed() bool { return b.heard > 0 }
+func (b *Versions) Changed() bool { return b.heard > 0 }
 
 // Learn takes a change of a record under Prefix.
-func (b *Book) Learn(now unit.Micros, e store.Event) error {
+func (b *Versions) Learn(now units.Microseconds, e store.Event) error {
 	b.now = max(b.now, now)
 	switch {
 	case e.Key == HeadKey:
@@ -117,7 +117,7 @@
 	return nil // of a later release
 }
 
-func (b *Book) learnHead(e store.Event) error {
+func (b *Versions) learnHead(e store.Event) error {
 	b.head, b.headThere = head{}, false
 	if e.Value == nil {
 		return nil
@@ -131,7 +131,7 @@
 	return b.adopt()
 }
 
-func (b *Book) learnPast(e store.Event) error {
+func (b *Versions) learnPast(e store.Event) error {
 	if e.Value == nil {
 		delete(b.past, e.Key)
 		return nil
@@ -146,7 +146,7 @@
 
 // adopt puts the stored version in force once all its records are there, unless a later one
 // is in force already.
-func (b *Book) adopt() error {
+func (b *Versions) adopt() error {
 	if !b.headThere || b.head.Version < b.version || b.head.Version == b.version && b.head.ID == b.id {
 		return nil
 	}
@@ -166,19 +166,19 @@
 	return nil
 }
 
-// Heard takes another controller's word that a version exists, and reports whether this
+// PeerKnows takes another controller's word that a version exists, and reports whether this
 // controller lacks it.
-func (b *Book) Heard(version uint64) bool {
+func (b *Versions) PeerKnows(version uint64) bool {
 	b.heard = max(b.heard, version)
 	return b.Behind()
 }
 
 // Reloaded says that the copy was taken anew as the state service went back behind its
 // answers: a version that nobody has in force may be gone for good.
-func (b *Book) Reloaded() { b.heard = b.Known() }
+func (b *Versions) Reloaded() { b.heard = b.Known() }
 
 // History returns the last versions, the latest first.
-func (b *Book) History() []Entry {
+func (b *Versions) History() []Entry {
 	list := slices.Collect(maps.Values(b.past))
 	slices.SortFunc(list, func(x, y Entry) int {
 		if x.Version > y.Version {
@@ -190,7 +190,7 @@
 }
 
 // storedAs returns the version that a change was stored as.
-func (b *Book) storedAs(id string) (uint64, bool) {
+func (b *Versions) storedAs(id string) (uint64, bool) {
 	if b.headThere && b.head.ID == id {
 		return b.head.Version, true
 	}
--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -8,21 +8,21 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 const (
 	// changeEvery is the least time between two versions that one controller stores:
 	// changes that come meanwhile are stored together.
-	changeEvery = unit.Second / 4
+	changeEvery = units.Second / 4
 	// maxWaiting bounds the changes that wait.
 	maxWaiting = 128
 	// maxTries bounds how often a change is tried again whose outcome was not OK.
 	maxTries = 4
 	// repairEvery is the least time between two tries to store again what the service lost.
-	repairEvery = unit.Second
+	repairEvery = units.Second
 	// cleanAfter is for how long chunks must have been of no use before they are removed.
-	cleanAfter = 30 * unit.Second
+	cleanAfter = 30 * units.Second
 	// partBytes bounds what goes into one transaction beside the head.
 	partBytes = store.TxnBytes / 2
 	maxID     = 64
@@ -70,10 +70,10 @@
 type changeQueue struct {
 	waiting  []waitingChange
 	current  *batch
-	nextAt   unit.Micros
+	nextAt   units.Microseconds
 	made     uint64 // batches
-	repairAt unit.Micros
-	unusedAt unit.Micros // since when there are chunks of no use; 0: there are none
+	repairAt units.Microseconds
+	unusedAt units.Microseconds // since when there are chunks of no use; 0: there are none
 	cleaning bool
 }
 
@@ -93,7 +93,7 @@
 }
 
 // Change asks for a change; the host is told the answer.
-func (b *Book) Change(now, wall unit.Micros, number uint64, r Request) {
+func (b *Versions) Change(now, wall units.Microseconds, number uint64, r Request) {
 	b.now, b.wall = max(b.now, now), wall
 	if err := b.checkRequest(r); err != nil {
 		b.host.Answered(number, Answer{Err: err})
@@ -107,7 +107,7 @@
 	b.pump()
 }
 
-func (b *Book) checkRequest(r Request) error {
+func (b *Versions) checkRequest(r Request) error {
 	if len(r.By) > MaxName {
 		return invalid("by", "want at most %d bytes", MaxName)
 	}
@@ -124,7 +124,7 @@
 }
 
 // Tick does what time asks for. leads says that this controller leads: it cleans up.
-func (b *Book) Tick(now, wall unit.Micros, leads bool) {
+func (b *Versions) Tick(now, wall units.Microseconds, leads bool) {
 	b.now, b.wall = max(b.now, now), wall
 	if len(b.queue.waiting) > 0 {
 		b.pump()
@@ -138,7 +138,7 @@
 
 // pump begins to store the changes that wait, once those before are stored. Each batch
 // begins with a fresh read, so that whoever missed a version is told the right one.
-func (b *Book) pump() {
+func (b *Versions) pump() {
 	q := &b.queue
 	if q.current != nil || len(q.waiting) == 0 || b.now < q.nextAt {
 		return
@@ -150,7 +150,7 @@
 	b.read(q.current)
 }
 
-func (b *Book) newID() string {
+func (b *Versions) newID() string {
 	id := fmt.Sprintf("%s.%x.%d", b.cfg.Node, int64(b.wall), b.queue.made)
 	if len(id) > maxID {
 		sum := sha256.Sum256([]byte(id))
@@ -160,7 +160,7 @@
 }
 
 // read reads afresh and goes on with a batch.
-func (b *Book) read(x *batch) {
+func (b *Versions) read(x *batch) {
 	b.host.Read(func(ok bool) {
 		if !ok || !b.host.Current() {
 			b.giveUp(x, "the state service does not answer")
@@ -175,7 +175,7 @@
 }
 
 // giveUp answers all changes of a batch that they could not be stored.
-func (b *Book) giveUp(x *batch, why string) {
+func (b *Versions) giveUp(x *batch, why string) {
 	b.queue.current = nil
 	for _, ch := range x.changes {
 		b.host.Answered(ch.number, Answer{Err: &Unavailable{why, x.unknown}})
@@ -183,7 +183,7 @@
 }
 
 // done answers all changes of a batch that are stored.
-func (b *Book) done(x *batch, version uint64) {
+func (b *Versions) done(x *batch, version uint64) {
 	b.queue.current = nil
 	for _, ch := range x.changes {
 		b.host.Answered(ch.number, Answer{Version: version})
@@ -192,7 +192,7 @@
 
 // build makes the version that a batch asks for and begins to store it. What cannot be done
 // is answered and left out.
-func (b *Book) build(x *batch) {
+func (b *Versions) build(x *batch) {
 	content := b.content
 	if !x.repair {
 		content = b.merge(x)
@@ -225,7 +225,7 @@
 	b.storeChunks(x)
 }
 
-func (b *Book) refuse(x *batch, err error) {
+func (b *Versions) refuse(x *batch, err error) {
 	b.queue.current = nil
 	for _, ch := range x.changes {
 		b.host.Answered(ch.number, Answer{Err: err})
@@ -234,7 +234,7 @@
 
 // merge returns the content with all changes of a batch that can be made, one after the
 // other; the others are answered.
-func (b *Book) merge(x *batch) Content {
+func (b *Versions) merge(x *batch) Content {
 	content := b.content.tidied(b.wall, b.host.Busy)
 	current := max(b.heard, b.version)
 	var left []waitingChange
@@ -256,7 +256,7 @@
 
 // apply returns the content after one request. others says that requests of the same batch
 // come before it.
-func (b *Book) apply(content Content, r Request, current uint64, others bool) (Content, error) {
+func (b *Versions) apply(content Content, r Request, current uint64, others bool) (Content, error) {
 	if r.Base != nil && *r.Base != current {
 		return content, &Missed{*r.Base, current}
 	}
@@ -280,7 +280,7 @@
 }
 
 // authors names who asked for the changes of a batch.
-func (b *Book) authors(x *batch) string {
+func (b *Versions) authors(x *batch) string {
 	var names []string
 	for _, ch := range x.changes {
 		if by := ch.request.By; by != "" && !slices.Contains(names, by) {
@@ -299,7 +299,7 @@
 
 // lacking returns the chunks of a version that the service does not surely have as long as
 // the head stays as it is: only chunks that a head names are never removed.
-func (b *Book) lacking(e encoded) []string {
+func (b *Versions) lacking(e encoded) []string {
 	var out []string
 	for _, name := range e.names {
 		kept := b.headThere && slices.Contains(b.head.Chunks, name) && b.chunks[name] != nil
@@ -311,7 +311,7 @@
 }
 
 // fitting returns how many of the missing chunks go into the head's own transaction.
-func (b *Book) fitting(x *batch) int {
+func (b *Versions) fitting(x *batch) int {
 	room, bytes := b.cfg.TxnOps-2, 0 // the head and its entry of the history
 	n := 0
 	for i := len(x.missing) - 1; i >= 0 && n < room; i-- {
@@ -327,7 +327,7 @@
 // storeChunks stores the chunks that do not go with the head, then the head. They are under
 // names of their content: to store one late or twice does no harm. None of them can be
 // removed before the head is stored, as that changes the head's key (clean), which is guarded.
-func (b *Book) storeChunks(x *batch) {
+func (b *Versions) storeChunks(x *batch) {
 	early := x.missing[:len(x.missing)-x.inHead]
 	if len(early) == 0 {
 		b.storeHead(x)
@@ -355,7 +355,7 @@
 	b.queueWrite(x, w)
 }
 
-func (b *Book) queueWrite(x *batch, w *store.Write) {
+func (b *Versions) queueWrite(x *batch, w *store.Write) {
 	if !b.host.Store(w) {
 		b.giveUp(x, "too many changes wait for the state service")
 	}
@@ -363,8 +363,8 @@
 
 // storeHead stores the head with the last chunks, guarded by the head's version: of two that
 // store at once one fails, and so does one that comes late.
-func (b *Book) storeHead(x *batch) {
-	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Stamp: x.headAt}}}
+func (b *Versions) storeHead(x *batch) {
+	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Version: x.headAt}}}
 	for _, name := range x.missing {
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name), Value: x.encoded.values[name]})
 	}
@@ -386,7 +386,7 @@
 }
 
 // unused returns the stored chunks that a head with some chunks does not name.
-func (b *Book) unused(named []string) []string {
+func (b *Versions) unused(named []string) []string {
 	var out []string
 	for name := range b.chunks {
 		if !slices.Contains(named, name) {
@@ -399,7 +399,7 @@
 
 // again tries a batch once more after an outcome that was not OK: what counts is what is
 // stored then.
-func (b *Book) again(x *batch, o store.Outcome) {
+func (b *Versions) again(x *batch, o store.Outcome) {
 	x.unknown = x.unknown || o == store.Unknown
 	if o == store.TooLarge {
 		b.giveUp(x, "the state service takes no records of that size")
@@ -413,7 +413,7 @@
 }
 
 // repair stores the version in force again where the service lost it or a part of it.
-func (b *Book) repair() {
+func (b *Versions) repair() {
 	q := &b.queue
 	if b.version == 0 || q.current != nil || b.now < q.repairAt || !b.host.Current() {
 		return
@@ -432,7 +432,7 @@
 
 // clean removes chunks of no use. The head is written again as it is, so that nothing that
 // was made for the head as it was before can still be stored.
-func (b *Book) clean(leads bool) {
+func (b *Versions) clean(leads bool) {
 	q := &b.queue
 	if !leads || q.current != nil || q.cleaning || !b.headThere || !b.host.Current() || len(b.chunks) <= len(b.head.Chunks) {
 		q.unusedAt = 0
@@ -445,7 +445,7 @@
 		return
 	}
 	q.unusedAt = 0
-	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Stamp: b.host.Stamp(HeadKey)}},
+	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Version: b.host.Stamp(HeadKey)}},
 		Changes: []store.Change{{Key: HeadKey, Value: store.Value(b.head)}}}
 	for _, name := range b.unused(b.head.Chunks) {
 		if len(w.Changes) >= b.cfg.TxnOps {
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -8,9 +8,9 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
@@ -41,7 +41,7 @@
 		var late []*store.Write
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
 			m := rapid.SampledFrom(members).Draw(t, "member")
-			m.now += unit.Second / 10
+			m.now += units.Second / 10
 			switch rapid.IntRange(0, 11).Draw(t, "step") {
 			case 0, 1:
 				r := asked{m: m, team: fmt.Sprintf("team-%03d", rapid.IntRange(0, teams).Draw(t, "team")), limit: int64(rapid.IntRange(1, 99).Draw(t, "limit")) * 1000}
@@ -88,7 +88,7 @@
 				case 0: // a process ends, and another begins
 					m.start(m.cfg.Peers, teams)
 				case 1: // chunks of no use are old enough to be removed
-					m.now += 31 * unit.Second
+					m.now += 31 * units.Second
 					m.Tick(m.now, m.now, true)
 				}
 			}
@@ -119,7 +119,7 @@
 				if !there {
 					t.Fatalf("version %d is to have %s, and has not", a.Version, r.team)
 				}
-				if r.base != nil && s.truth[a.Version].Teams[i].Limit[pack.CPU] != r.limit {
+				if r.base != nil && s.truth[a.Version].Teams[i].Limit[binpack.CPU] != r.limit {
 					t.Fatalf("version %d is to have %s at %d, and has %v", a.Version, r.team, r.limit, s.truth[a.Version].Teams[i])
 				}
 				if r.base != nil && a.Version != *r.base+1 && !s.truth[a.Version].equal(s.truth[*r.base]) {
@@ -154,7 +154,7 @@
 			t.Fatalf("%d bytes: %+v, %d changes", c.value, a, s.writes-before)
 		}
 		m.start(nil, 1) // another settings file counts no more
-		if i, ok := m.Content().Find("team-008"); !ok || len(m.Content().Teams) != 340 || m.Content().Teams[i].Limit[pack.CPU] != 8000 {
+		if i, ok := m.Content().Find("team-008"); !ok || len(m.Content().Teams) != 340 || m.Content().Teams[i].Limit[binpack.CPU] != 8000 {
 			t.Errorf("read back: %v", m.Content().Teams)
 		}
 	}
@@ -185,7 +185,7 @@
 	}
 	var many Content
 	for i := range 1000 {
-		many.Teams = append(many.Teams, Team{Name: fmt.Sprintf("a-rather-long-name-of-a-team-which-takes-much-room-%d", i), Limit: pack.Vec{1e9, 1e9}})
+		many.Teams = append(many.Teams, Team{Name: fmt.Sprintf("a-rather-long-name-of-a-team-which-takes-much-room-%d", i), Limit: binpack.Vec{1e9, 1e9}})
 	}
 	n := m.change(Request{Base: &zero, Whole: &many})
 	m.settle()
@@ -257,7 +257,7 @@
 	m := newMember(s, "a", nil, 340)
 	for i := range 100 {
 		m.change(Request{Teams: []TeamChange{limit("team-007", int64(1000+i))}})
-		m.now += unit.Second / 100
+		m.now += units.Second / 100
 		m.Tick(m.now, m.now, false)
 		m.read(true)
 		for w, ok := m.send(); ok; w, ok = m.send() {
@@ -265,7 +265,7 @@
 		}
 	}
 	m.settle()
-	if i, _ := m.Content().Find("team-007"); m.Version() > 5 || m.Version() < 3 || m.Content().Teams[i].Limit[pack.CPU] != 1099 || len(m.answers) != 100 {
+	if i, _ := m.Content().Find("team-007"); m.Version() > 5 || m.Version() < 3 || m.Content().Teams[i].Limit[binpack.CPU] != 1099 || len(m.answers) != 100 {
 		t.Errorf("%d versions, %v, %d answers", m.Version(), m.Content().Teams[i], len(m.answers))
 	}
 }
@@ -279,7 +279,7 @@
 	a.settle()
 	base, whole := uint64(1), initial(340)
 	for i := range whole.Teams {
-		whole.Teams[i].Limit[pack.CPU]--
+		whole.Teams[i].Limit[binpack.CPU]--
 	}
 	n := a.change(Request{Base: &base, Whole: &whole})
 	a.read(true)
@@ -289,7 +289,7 @@
 	}
 	b.watch(len(s.log))
 	for range 2 {
-		b.now += 31 * unit.Second
+		b.now += 31 * units.Second
 		b.Tick(b.now, b.now, true)
 	}
 	w, ok := b.send()
@@ -324,7 +324,7 @@
 	}
 	m.busy["team-001"] = true
 	set(TeamChange{Name: "team-001", Remove: true})
-	if x, ok := there(); !ok || x.Removed == 0 || x.Limit[pack.CPU] != 50_000 || x.Guarantee != (pack.Vec{}) {
+	if x, ok := there(); !ok || x.Removed == 0 || x.Limit[binpack.CPU] != 50_000 || x.Guarantee != (binpack.Vec{}) {
 		t.Errorf("%v %+v", ok, x)
 	}
 	m.busy["team-001"] = false
@@ -403,7 +403,7 @@
 func TestLacksRecords(t *testing.T) {
 	s := newService(t, 4, 2048)
 	m := newMember(s, "a", []string{"b"}, 3)
-	if m.MayStart("team-000", 0) != true || !m.Heard(3) || m.MayStart("team-000", 0) {
+	if m.MayStart("team-000", 0) != true || !m.PeerKnows(3) || m.MayStart("team-000", 0) {
 		t.Error("starts by an older version than it knows of")
 	}
 	n := m.change(Request{Teams: []TeamChange{limit("team-000", 1000)}})
@@ -430,27 +430,27 @@
 	w, _ := m.send()
 	m.finish(w, s.commit(w))
 	silent := map[string]bool{}
-	status := func(after unit.Micros) Status {
+	status := func(after units.Microseconds) Status {
 		return m.Status(m.now+after, 1, func(n string) bool { return silent[n] })
 	}
 	if status(0).Confirmed {
 		t.Error("confirmed, and nobody else has it")
 	}
-	m.Told(m.now, "b", 1, 1)
+	m.PeerStatus(m.now, "b", 1, 1)
 	silent["c"] = true
-	if x := status(m.cfg.Bound - unit.Second); x.Confirmed {
+	if x := status(m.cfg.Bound - units.Second); x.Confirmed {
 		t.Errorf("confirmed before one that is silent surely starts nothing: %+v", x)
 	}
 	silent["c"] = false
-	if x := status(30 * unit.Second); x.Confirmed || x.Controllers[2].Done {
+	if x := status(30 * units.Second); x.Confirmed || x.Controllers[2].Done {
 		t.Errorf("confirmed by time alone of one that is heard: %+v", x)
 	}
 	silent["c"] = true
-	if x := status(40 * unit.Second); !x.Confirmed || !x.Controllers[2].Done {
+	if x := status(40 * units.Second); !x.Confirmed || !x.Controllers[2].Done {
 		t.Errorf("not confirmed: %+v", x)
 	}
 	silent["c"] = false
-	m.Told(m.now, "c", 0, 0) // it has just begun, and reads all keys before it starts anything
+	m.PeerStatus(m.now, "c", 0, 0) // it has just begun, and reads all keys before it starts anything
 	if x := status(0); !x.Confirmed || x.Controllers[2].Done {
 		t.Errorf("%+v", x)
 	}
@@ -464,7 +464,7 @@
 func TestOtherBlocks(t *testing.T) {
 	s := newService(t, 12, 8192)
 	m := newMember(s, "a", []string{"b"}, 3)
-	m.Blocks([]int{0, 1})
+	m.SetShards([]int{0, 1})
 	set := func(team string, cpus int64) {
 		m.change(Request{Teams: []TeamChange{limit(team, cpus)}})
 		m.settle()
@@ -477,9 +477,9 @@
 	if m.MayStart("team-000", 0) {
 		t.Error("the first version that a process knows clears nothing")
 	}
-	m.Over(0, 1, nil)
-	m.Over(1, 1, nil)
-	m.Blocks([]int{0, 1})
+	m.SetOverQuota(0, 1, nil)
+	m.SetOverQuota(1, 1, nil)
+	m.SetShards([]int{0, 1})
 	if !m.MayStart("team-000", 0) || m.Falling() {
 		t.Error("held back, and all blocks keep within their shares")
 	}
@@ -488,27 +488,27 @@
 		t.Error("a limit that rose holds back")
 	}
 	set("team-000", 20_000)
-	m.Over(0, 3, []string{"team-000"})
-	m.Over(1, 2, nil) // by an older version
-	m.Blocks([]int{0, 1})
+	m.SetOverQuota(0, 3, []string{"team-000"})
+	m.SetOverQuota(1, 2, nil) // by an older version
+	m.SetShards([]int{0, 1})
 	if m.MayStart("team-000", 0) || !m.MayStart("team-001", 0) {
 		t.Error("a block that goes by an older version clears the new one")
 	}
-	m.Over(1, 3, []string{"team-000"})
+	m.SetOverQuota(1, 3, []string{"team-000"})
 	if m.MayStart("team-000", 0) {
 		t.Error("starts while another block is above its share")
 	}
-	m.Over(1, 4, nil)
+	m.SetOverQuota(1, 4, nil)
 	if m.MayStart("team-000", 0) {
 		t.Error("the word of a version that this controller does not go by yet: who holds the block then is not known")
 	}
-	m.Over(1, 3, nil)
-	m.Blocks([]int{0, 1})
+	m.SetOverQuota(1, 3, nil)
+	m.SetShards([]int{0, 1})
 	if !m.MayStart("team-000", 0) || m.MayStart("team-000", 1) || !m.Falling() {
 		t.Error("the block above its share holds back the one that is not, or not the other way round")
 	}
-	m.Over(0, 3, nil)
-	m.Blocks([]int{0, 1})
+	m.SetOverQuota(0, 3, nil)
+	m.SetShards([]int{0, 1})
 	if m.Falling() {
 		t.Error("never settled")
 	}
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // keptTimes bounds for how many versions it is kept since when they are in force here.
@@ -11,7 +11,7 @@
 
 type adoption struct {
 	version uint64
-	at      unit.Micros
+	at      units.Microseconds
 }
 
 // confirmation keeps which version each controller goes by.
@@ -35,7 +35,7 @@
 	return c
 }
 
-func (c *confirmation) adopted(now unit.Micros, version uint64) {
+func (c *confirmation) adopted(now units.Microseconds, version uint64) {
 	c.adoptions = append(c.adoptions, adoption{version, now})
 	if len(c.adoptions) > keptTimes {
 		c.adoptions = c.adoptions[1:]
@@ -44,7 +44,7 @@
 
 // since is when this controller surely knew of a version: when it first had that or a later
 // one in force.
-func (c *confirmation) since(version uint64) (unit.Micros, bool) {
+func (c *confirmation) since(version uint64) (units.Microseconds, bool) {
 	for _, a := range c.adoptions {
 		if a.version >= version {
 			return a.at, true
@@ -75,9 +75,9 @@
 	Controllers  []ControllerStatus
 }
 
-// Told takes another controller's status: the version that it goes by, and the latest that
+// PeerStatus takes another controller's status: the version that it goes by, and the latest that
 // it knows of.
-func (b *Book) Told(now unit.Micros, from string, inForce, known uint64) {
+func (b *Versions) PeerStatus(now units.Microseconds, from string, inForce, known uint64) {
 	b.now = max(b.now, now)
 	if p := b.confirm.peers[from]; p != nil {
 		p.inForce, p.known = inForce, known
@@ -86,7 +86,7 @@
 
 // Status tells how far a version has come, 0: the one in force here. silent reports whether
 // another controller is not heard at present.
-func (b *Book) Status(now unit.Micros, version uint64, silent func(node string) bool) Status {
+func (b *Versions) Status(now units.Microseconds, version uint64, silent func(node string) bool) Status {
 	b.now = max(b.now, now)
 	if version == 0 {
 		version = b.version
@@ -97,7 +97,7 @@
 		s.Waiting += len(b.queue.current.changes)
 	}
 	since, here := c.since(version)
-	late := here && b.now-since >= unit.Longest(b.cfg.Bound)
+	late := here && b.now-since >= units.Longest(b.cfg.Bound)
 	all := b.version >= version && !b.Behind()
 	s.Controllers = append(s.Controllers, ControllerStatus{Node: b.cfg.Node, InForce: b.version, Known: max(b.version, b.heard), Done: all})
 	for _, n := range c.names {
@@ -142,11 +142,11 @@
 	}
 }
 
-// Over takes a holder's word, by a version that it goes by, which teams use more of their
+// SetOverQuota takes a holder's word, by a version that it goes by, which teams use more of their
 // limits in a block than its share. It is to be taken only from the block's holder as stored,
 // from a copy that is complete up to the version in force here, and only once all machines of
 // the block are accounted for.
-func (b *Book) Over(block int, version uint64, teams []string) {
+func (b *Versions) SetOverQuota(block int, version uint64, teams []string) {
 	if len(b.fall.fallen) == 0 || version > b.version {
 		return
 	}
@@ -159,12 +159,12 @@
 
 // Falling reports whether limits fell of which not all blocks are known to keep within their
 // shares.
-func (b *Book) Falling() bool { return len(b.fall.fallen) > 0 }
+func (b *Versions) Falling() bool { return len(b.fall.fallen) > 0 }
 
 // MayStart reports whether a team's tasks may start in a block, apart from its limit there:
 // not while this controller is behind, nor after the limit fell until all other blocks keep
 // within their shares of it.
-func (b *Book) MayStart(team string, block int) bool {
+func (b *Versions) MayStart(team string, block int) bool {
 	if b.Behind() {
 		return false
 	}
@@ -186,9 +186,9 @@
 	return ok && told.version >= version && !told.over[team]
 }
 
-// Blocks says which blocks there are, and forgets that a team's limit fell once all of them
+// SetShards says which blocks there are, and forgets that a team's limit fell once all of them
 // keep within their shares: none starts anything beyond its share, so that it stays so.
-func (b *Book) Blocks(all []int) {
+func (b *Versions) SetShards(all []int) {
 	c := &b.fall
 	c.all = all
 	for team, version := range c.fallen {
--- a/internal/core/configuration/content.go
+++ b/internal/core/configuration/content.go
@@ -19,9 +19,9 @@
 	"unicode"
 	"unicode/utf8"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/demand"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Bounds of a configuration.
@@ -35,11 +35,11 @@
 // Team holds a team's guarantee and limit, in thousandths; 0 means none.
 type Team struct {
 	Name      string
-	Guarantee pack.Vec
-	Limit     pack.Vec
+	Guarantee binpack.Vec
+	Limit     binpack.Vec
 	// Removed is the time of day at which the team was removed; 0: it was not. Its known
 	// jobs go on under its last limit, and it is given no new ones.
-	Removed unit.Micros
+	Removed units.Microseconds
 }
 
 // Objective is one of the users' aims for a class of jobs.
@@ -98,7 +98,7 @@
 		for _, r := range []struct {
 			name string
 			of   int
-		}{{"cpus", pack.CPU}, {"gpus", pack.GPU}} {
+		}{{"cpus", binpack.CPU}, {"gpus", binpack.GPU}} {
 			if err := checkAmounts(field, r.name, t.Guarantee[r.of], t.Limit[r.of]); err != nil {
 				return err
 			}
@@ -152,7 +152,7 @@
 		if len(o.Class) > MaxName || !utf8.ValidString(o.Class) {
 			return invalid(field+".class", "cannot be used")
 		}
-		if o.Within < 0 || o.Within > unit.Seconds(1e9) {
+		if o.Within < 0 || o.Within > units.Seconds(1e9) {
 			return invalid(field+".within_s", "want 0 to 1e9, got %g", o.Within.Seconds())
 		}
 		if !(o.Times >= 0 && o.Times <= 1e6) {
@@ -175,14 +175,14 @@
 }
 
 // with returns the content after a change of one team at a time of day.
-func (c Content) with(ch TeamChange, wall unit.Micros) (Content, error) {
+func (c Content) with(ch TeamChange, wall units.Microseconds) (Content, error) {
 	i, there := c.Find(ch.Name)
 	if ch.Remove {
 		if !there || c.Teams[i].Removed != 0 {
 			return c, invalid("teams["+ch.Name+"]", "there is no such team")
 		}
 		out := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
-		out.Teams[i].Guarantee, out.Teams[i].Removed = pack.Vec{}, max(wall, 1)
+		out.Teams[i].Guarantee, out.Teams[i].Removed = binpack.Vec{}, max(wall, 1)
 		return out, nil
 	}
 	out := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
@@ -194,7 +194,7 @@
 	for _, a := range []struct {
 		to   *int64
 		from *int64
-	}{{&t.Guarantee[pack.CPU], ch.GuaranteeCPU}, {&t.Guarantee[pack.GPU], ch.GuaranteeGPU}, {&t.Limit[pack.CPU], ch.LimitCPU}, {&t.Limit[pack.GPU], ch.LimitGPU}} {
+	}{{&t.Guarantee[binpack.CPU], ch.GuaranteeCPU}, {&t.Guarantee[binpack.GPU], ch.GuaranteeGPU}, {&t.Limit[binpack.CPU], ch.LimitCPU}, {&t.Limit[binpack.GPU], ch.LimitGPU}} {
 		if a.from != nil {
 			*a.to = *a.from
 		}
@@ -204,12 +204,12 @@
 
 // replaced returns the content after all of it was given anew. Teams that are missing there
 // are removed.
-func (c Content) replaced(whole Content, wall unit.Micros) Content {
+func (c Content) replaced(whole Content, wall units.Microseconds) Content {
 	out := whole.sorted()
 	for _, t := range c.Teams {
 		if i, there := out.Find(t.Name); !there {
 			if t.Removed == 0 {
-				t.Guarantee, t.Removed = pack.Vec{}, max(wall, 1)
+				t.Guarantee, t.Removed = binpack.Vec{}, max(wall, 1)
 			}
 			out.Teams = slices.Insert(out.Teams, i, t)
 		}
@@ -219,10 +219,10 @@
 
 // forgetAfter is how long a removed team is kept at least. Until then no controller can
 // still go by a version in which it was there, and all that such a one accepted is known.
-const forgetAfter = 3600 * unit.Second
+const forgetAfter = 3600 * units.Second
 
 // tidied returns the content without the removed teams that have no unfinished jobs.
-func (c Content) tidied(wall unit.Micros, busy func(team string) bool) Content {
+func (c Content) tidied(wall units.Microseconds, busy func(team string) bool) Content {
 	if !slices.ContainsFunc(c.Teams, func(t Team) bool { return t.Removed != 0 }) {
 		return c
 	}
@@ -236,7 +236,7 @@
 }
 
 // below reports whether a limit allows less than another of any resource; 0 is no limit.
-func below(limit, than pack.Vec) bool {
+func below(limit, than binpack.Vec) bool {
 	for i := range limit {
 		if limit[i] != 0 && (than[i] == 0 || limit[i] < than[i]) {
 			return true
@@ -251,7 +251,7 @@
 	var out []string
 	for _, t := range now.Teams {
 		i, there := before.Find(t.Name)
-		if t.Limit != (pack.Vec{}) && (!known || there && below(t.Limit, before.Teams[i].Limit)) {
+		if t.Limit != (binpack.Vec{}) && (!known || there && below(t.Limit, before.Teams[i].Limit)) {
 			out = append(out, t.Name)
 		}
 	}
--- a/internal/core/configuration/record.go
+++ b/internal/core/configuration/record.go
@@ -10,9 +10,9 @@
 	"slices"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is where configurations are stored.
@@ -39,20 +39,20 @@
 
 // teamRecord, objectiveRecord and chunk are how a configuration is stored.
 type teamRecord struct {
-	Name    string      `json:"name"`
-	CPU     int64       `json:"cpu,omitempty"`
-	CPUMax  int64       `json:"cpu_max,omitempty"`
-	GPU     int64       `json:"gpu,omitempty"`
-	GPUMax  int64       `json:"gpu_max,omitempty"`
-	Removed unit.Micros `json:"removed,omitempty"`
+	Name    string             `json:"name"`
+	CPU     int64              `json:"cpu,omitempty"`
+	CPUMax  int64              `json:"cpu_max,omitempty"`
+	GPU     int64              `json:"gpu,omitempty"`
+	GPUMax  int64              `json:"gpu_max,omitempty"`
+	Removed units.Microseconds `json:"removed,omitempty"`
 }
 
 type objectiveRecord struct {
-	Kind   string      `json:"kind"`
-	Class  string      `json:"class,omitempty"`
-	Within unit.Micros `json:"within,omitempty"`
-	Times  float64     `json:"times,omitempty"`
-	Share  float64     `json:"share,omitempty"`
+	Kind   string             `json:"kind"`
+	Class  string             `json:"class,omitempty"`
+	Within units.Microseconds `json:"within,omitempty"`
+	Times  float64            `json:"times,omitempty"`
+	Share  float64            `json:"share,omitempty"`
 }
 
 type chunk struct {
@@ -62,11 +62,11 @@
 
 // Entry tells of a version.
 type Entry struct {
-	Version uint64      `json:"version"`
-	ID      string      `json:"id"`
-	By      string      `json:"by"`
-	At      unit.Micros `json:"at"` // time of day
-	What    string      `json:"what"`
+	Version uint64             `json:"version"`
+	ID      string             `json:"id"`
+	By      string             `json:"by"`
+	At      units.Microseconds `json:"at"` // time of day
+	What    string             `json:"what"`
 }
 
 func chunkKey(name string) string { return chunkPrefix + name }
@@ -112,7 +112,7 @@
 		hash := fnv.New32a()
 		_, _ = hash.Write([]byte(t.Name)) // cannot fail
 		p := &parts[hash.Sum32()%uint32(buckets)]
-		p.Teams = append(p.Teams, teamRecord{t.Name, t.Guarantee[pack.CPU], t.Limit[pack.CPU], t.Guarantee[pack.GPU], t.Limit[pack.GPU], t.Removed})
+		p.Teams = append(p.Teams, teamRecord{t.Name, t.Guarantee[binpack.CPU], t.Limit[binpack.CPU], t.Guarantee[binpack.GPU], t.Limit[binpack.GPU], t.Removed})
 	}
 	// Objectives keep their order; a chunk is closed when the next does not fit.
 	var list chunk
@@ -152,7 +152,7 @@
 			return Content{}, err
 		}
 		for _, t := range p.Teams {
-			c.Teams = append(c.Teams, Team{t.Name, pack.Vec{t.CPU, t.GPU}, pack.Vec{t.CPUMax, t.GPUMax}, t.Removed})
+			c.Teams = append(c.Teams, Team{t.Name, binpack.Vec{t.CPU, t.GPU}, binpack.Vec{t.CPUMax, t.GPUMax}, t.Removed})
 		}
 		for _, o := range p.Objectives {
 			c.Objectives = append(c.Objectives, Objective{Kind: o.Kind, Class: o.Class, Within: o.Within, Times: o.Times, Share: o.Share})
--- a/internal/core/configuration/service_test.go
+++ b/internal/core/configuration/service_test.go
@@ -6,9 +6,9 @@
 	"maps"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // service is a state service that keeps every change.
@@ -36,7 +36,7 @@
 		s.t.Fatalf("a transaction of %d changes and %d guards", len(w.Changes), len(w.Guards))
 	}
 	for _, g := range w.Guards {
-		if s.keys[g.Key].Stamp != g.Stamp {
+		if s.keys[g.Key].Stamp != g.Version {
 			return false
 		}
 	}
@@ -96,12 +96,12 @@
 
 // member is a controller's book with its copy of the keys.
 type member struct {
-	*Book
+	*Versions
 	name    string
 	service *service
 	stamps  map[string]uint64
 	seen    int // transactions of the service's log
-	now     unit.Micros
+	now     units.Microseconds
 	queue   []*store.Write
 	reads   []func(bool)
 	answers map[uint64]Answer
@@ -113,9 +113,9 @@
 func initial(teams int) Content {
 	var c Content
 	for i := range teams {
-		c.Teams = append(c.Teams, Team{Name: fmt.Sprintf("team-%03d", i), Guarantee: pack.Vec{1000}, Limit: pack.Vec{50_000, 4000}})
+		c.Teams = append(c.Teams, Team{Name: fmt.Sprintf("team-%03d", i), Guarantee: binpack.Vec{1000}, Limit: binpack.Vec{50_000, 4000}})
 	}
-	c.Objectives = []Objective{{Kind: "wait", Class: "x", Within: 5 * unit.Second}, {Kind: "finished", Class: "y", Within: 60 * unit.Second, Share: 0.9}}
+	c.Objectives = []Objective{{Kind: "wait", Class: "x", Within: 5 * units.Second}, {Kind: "finished", Class: "y", Within: 60 * units.Second, Share: 0.9}}
 	return c
 }
 
@@ -128,7 +128,7 @@
 // start begins the process anew, with a copy as the service has it.
 func (m *member) start(peers []string, teams int) {
 	m.stamps, m.queue, m.reads, m.adopted = map[string]uint64{}, nil, nil, 0
-	m.Book = New(Config{Node: m.name, Initial: initial(teams), Peers: peers, ValueMax: m.service.value, TxnOps: m.service.ops, Bound: 20 * unit.Second}, m)
+	m.Versions = New(Config{Node: m.name, Initial: initial(teams), Peers: peers, ValueMax: m.service.value, TxnOps: m.service.ops, Bound: 20 * units.Second}, m)
 	m.seen = len(m.service.log)
 	for _, k := range slices.Sorted(maps.Keys(m.service.keys)) {
 		m.learn(m.service.keys[k])
@@ -210,7 +210,7 @@
 // settle lets everything that waits go well.
 func (m *member) settle() {
 	for range 200 {
-		m.now += unit.Second
+		m.now += units.Second
 		m.Tick(m.now, m.now, false)
 		m.read(true)
 		for w, ok := m.send(); ok; w, ok = m.send() {
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -6,10 +6,10 @@
 	"net/http"
 	"slices"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
-	"shalestage.example/shalestage/internal/core/pack"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Teams, their limits and the objectives may change while the service runs: package
@@ -39,23 +39,23 @@
 	ConfigStatus = configuration.Status
 )
 
-// configured is what this controller does for its configuration.
-type configured struct{ *Core }
+// configurationHost is what this controller does for its configuration.
+type configurationHost struct{ *Core }
 
 // Store implements configuration.Host.
-func (c configured) Store(w *store.Write) bool { return c.lanes[UserLane].Add(w) }
+func (c configurationHost) Store(w *store.Write) bool { return c.queues[UserQueue].Add(w) }
 
 // Stamp implements configuration.Host.
-func (c configured) Stamp(key string) uint64 { return c.mirror.Stamp(key) }
+func (c configurationHost) Stamp(key string) uint64 { return c.cache.Version(key) }
 
 // Read implements configuration.Host.
-func (c configured) Read(f func(ok bool)) { c.wantSync(f) }
+func (c configurationHost) Read(f func(ok bool)) { c.readFresh(f) }
 
 // Current implements configuration.Host.
-func (c configured) Current() bool { return c.mirror.Loaded() && !c.mirror.Recovering() }
+func (c configurationHost) Current() bool { return c.cache.Loaded() && !c.cache.Recovering() }
 
 // Busy implements configuration.Host.
-func (c configured) Busy(team string) bool {
+func (c configurationHost) Busy(team string) bool {
 	for _, j := range c.active {
 		if j.Spec().Team == team {
 			return true
@@ -65,11 +65,11 @@
 }
 
 // Adopted implements configuration.Host.
-func (c configured) Adopted(content configuration.Content) { c.reconfigure(content) }
+func (c configurationHost) Adopted(content configuration.Content) { c.reconfigure(content) }
 
 // Answered implements configuration.Host.
-func (c configured) Answered(request uint64, a configuration.Answer) {
-	r := Reply{Req: ReqID(request), Code: http.StatusOK, Body: ConfigStored{a.Version}}
+func (c configurationHost) Answered(request uint64, a configuration.Answer) {
+	r := Reply{Request: RequestID(request), Code: http.StatusOK, Body: ConfigStored{a.Version}}
 	var missed *configuration.Missed
 	var invalid *configuration.Invalid
 	switch {
@@ -97,18 +97,18 @@
 		}
 	}
 	c.cfg.Objectives = content.Objectives
-	for _, bl := range c.held {
-		bl.demand.SetObjectives(content.Objectives)
-		bl.sortAt, bl.newWork = 0, true // a limit that rose is used at once
+	for _, shard := range c.owned {
+		shard.demand.SetObjectives(content.Objectives)
+		shard.nextSortAt, shard.newWork = 0, true // a limit that rose is used at once
 	}
 }
 
 // Configure asks for a change of the configuration. While a controller of a release that
 // does not know of such changes is known, none is made: it would go by its settings file.
-func (c *Core) Configure(now unit.Micros, req ReqID, r configuration.Request) {
-	c.at(now)
+func (c *Core) Configure(now units.Microseconds, req RequestID, r configuration.Request) {
+	c.advance(now)
 	if old := c.unaware(); old != "" {
-		c.emit(Reply{Req: req, Code: http.StatusServiceUnavailable, RetryAfter: crowdedRetry,
+		c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: crowdedRetry,
 			Body: ConfigRefused{&configuration.Unavailable{Reason: "controller " + old + " still runs an older release, which goes by its settings file"}}})
 		return
 	}
@@ -127,59 +127,59 @@
 }
 
 // ConfigContent answers with the configuration in force here, as new as the request.
-func (c *Core) ConfigContent(now unit.Micros, req ReqID) {
+func (c *Core) ConfigContent(now units.Microseconds, req RequestID) {
 	c.readConfig(now, req, func() any { return ConfigContent{c.config.Version(), c.config.Content()} })
 }
 
 // ConfigHistory answers with the last versions.
-func (c *Core) ConfigHistory(now unit.Micros, req ReqID) {
+func (c *Core) ConfigHistory(now units.Microseconds, req RequestID) {
 	c.readConfig(now, req, func() any { return ConfigHistory(c.config.History()) })
 }
 
-func (c *Core) readConfig(now unit.Micros, req ReqID, body func() any) {
-	c.at(now)
-	c.wantSync(func(ok bool) {
+func (c *Core) readConfig(now units.Microseconds, req RequestID, body func() any) {
+	c.advance(now)
+	c.readFresh(func(ok bool) {
 		if !ok || c.config.Behind() {
-			c.emit(Reply{Req: req, Code: http.StatusServiceUnavailable, RetryAfter: retryAfter,
+			c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: retryAfter,
 				Body: ConfigRefused{&configuration.Unavailable{Reason: "the present configuration cannot be read"}}})
 			return
 		}
-		c.emit(Reply{Req: req, Code: http.StatusOK, Body: body()})
+		c.emit(Reply{Request: req, Code: http.StatusOK, Body: body()})
 	})
 }
 
 // ConfigStatus answers how far a version has come; 0: the one in force here.
-func (c *Core) ConfigStatus(now unit.Micros, req ReqID, version uint64) {
-	c.at(now)
-	c.emit(Reply{Req: req, Code: http.StatusOK, Body: c.config.Status(c.now, version, func(node string) bool { return !c.alive(c.peers.views[node]) })})
+func (c *Core) ConfigStatus(now units.Microseconds, req RequestID, version uint64) {
+	c.advance(now)
+	c.emit(Reply{Request: req, Code: http.StatusOK, Body: c.config.Status(c.now, version, func(node string) bool { return !c.alive(c.peers.views[node]) })})
 }
 
-// heardConfig takes what another controller's status says of the configuration.
-func (c *Core) heardConfig(from string, s PeerStatus) {
-	c.config.Told(c.now, from, s.Config, s.ConfigKnown)
-	if c.config.Heard(s.ConfigKnown) {
-		c.wantSync(nil)
+// receiveConfigStatus takes what another controller's status says of the configuration.
+func (c *Core) receiveConfigStatus(from string, s PeerStatus) {
+	c.config.PeerStatus(c.now, from, s.Config, s.ConfigKnown)
+	if c.config.PeerKnows(s.ConfigKnown) {
+		c.readFresh(nil)
 	}
 	if !c.config.Falling() || !c.configComplete() {
 		return
 	}
 	for _, b := range s.Blocks {
-		if b.Use >= 0 && c.blocks[b.Block].Node == from {
-			c.config.Over(b.Block, s.Config, b.Over)
+		if b.Use >= 0 && c.assignments[b.Block].Node == from {
+			c.config.SetOverQuota(b.Block, s.Config, b.Over)
 		}
 	}
-	c.config.Blocks(slices.Collect(maps.Keys(c.blocks)))
+	c.config.SetShards(slices.Collect(maps.Keys(c.assignments)))
 }
 
 // configComplete reports whether the copy shows all that was stored before the configuration
 // in force: who held which block then.
 func (c *Core) configComplete() bool {
-	return c.mirror.Loaded() && !c.mirror.Recovering() && c.mirror.Rev >= c.mirror.Stamp(configuration.HeadKey)
+	return c.cache.Loaded() && !c.cache.Recovering() && c.cache.Revision >= c.cache.Version(configuration.HeadKey)
 }
 
-// tellConfig adds to a status which version is in force here, and which teams are above
+// addConfigStatus adds to a status which version is in force here, and which teams are above
 // their share of a block's limits.
-func (c *Core) tellConfig(s *PeerStatus) {
+func (c *Core) addConfigStatus(s *PeerStatus) {
 	if !c.config.Changed() {
 		return
 	}
@@ -191,9 +191,9 @@
 		if b.Use < 0 {
 			continue
 		}
-		over := c.overShare(c.held[b.Block])
+		over := c.overShare(c.owned[b.Block])
 		if complete {
-			c.config.Over(b.Block, s.Config, over)
+			c.config.SetOverQuota(b.Block, s.Config, over)
 		}
 		for _, name := range over {
 			room -= len(name) + len("    ")
@@ -205,25 +205,25 @@
 		b.Over = over
 	}
 	if complete {
-		c.config.Blocks(slices.Collect(maps.Keys(c.blocks)))
+		c.config.SetShards(slices.Collect(maps.Keys(c.assignments)))
 	}
 }
 
 // overShare returns the teams that use more of their limit in a block than its share.
-func (c *Core) overShare(bl *block) []string {
+func (c *Core) overShare(shard *ownedShard) []string {
 	var out []string
 	for _, name := range sortedKeys(c.teams) {
-		if !withinLimit(c.part(bl, c.teams[name].Limit), bl.usage[name]) {
+		if !withinLimit(c.quotaPart(shard, c.teams[name].Limit), shard.usage[name]) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// part is a block's share of a limit.
-func (c *Core) part(bl *block, limit pack.Vec) pack.Vec {
+// quotaPart is a block's share of a limit.
+func (c *Core) quotaPart(shard *ownedShard, limit binpack.Vec) binpack.Vec {
 	for i := range limit {
-		if part := int64(float64(limit[i]) * c.shares[bl.n].share); limit[i] > 0 {
+		if part := int64(float64(limit[i]) * c.allocations[shard.number].fraction); limit[i] > 0 {
 			limit[i] = max(part, 1) // 0 would mean no limit
 		}
 	}
@@ -233,5 +233,5 @@
 // mayAccept reports whether this controller surely knows the configuration well enough to
 // accept jobs: it knows of no later one, and its copy is recent.
 func (c *Core) mayAccept() bool {
-	return !c.config.Changed() || !c.config.Behind() && c.now-c.mirror.AsOf() < c.extension()
+	return !c.config.Changed() || !c.config.Behind() && c.now-c.cache.AsOf() < c.extension()
 }
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -23,24 +23,24 @@
 // TestHolderThatIsBehind tells a holder, by another's status or promise, of a version that it
 // lacks: it starts and accepts nothing until it has it.
 func TestHolderThatIsBehind(t *testing.T) {
-	spec := &ledger.Spec{Team: "t", Tasks: 1, Demand: pack.Vec{1000}}
+	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
 	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerPromise{ConfigKnown: 3}} {
 		c := holding(t, nil)
 		c.peers = newPeers([]string{"b"})
-		bl := c.held[0]
-		c.shares[0] = shared{share: 1}
-		if !c.permits(bl, spec) || !c.mayAccept() {
+		shard := c.owned[0]
+		c.allocations[0] = quotaAllocation{fraction: 1}
+		if !c.withinQuota(shard, spec) || !c.mayAccept() {
 			t.Fatalf("%s: the settings file's team may not start", name)
 		}
 		c.OnPeer(c.now, "b", m)
-		if c.permits(bl, spec) || c.mayAccept() {
+		if c.withinQuota(shard, spec) || c.mayAccept() {
 			t.Errorf("%s: starts or accepts by an older version than it knows of", name)
 		}
 		rev := uint64(200)
 		for k, v := range configRecords(3, 2000) {
 			c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: rev})
 		}
-		if !c.permits(bl, spec) || !c.mayAccept() || c.teams["t"].Limit[pack.CPU] != 2000 {
+		if !c.withinQuota(shard, spec) || !c.mayAccept() || c.teams["t"].Limit[binpack.CPU] != 2000 {
 			t.Errorf("%s: starts nothing once it has it", name)
 		}
 	}
@@ -50,17 +50,17 @@
 // that as soon as it holds anything, with the removed teams' limits for their jobs.
 func TestRestartReadsTheConfiguration(t *testing.T) {
 	c := holding(t, configRecords(4, 5000))
-	if c.config.Version() != 4 || c.config.Behind() || c.teams["t"].Limit[pack.CPU] != 5000 {
+	if c.config.Version() != 4 || c.config.Behind() || c.teams["t"].Limit[binpack.CPU] != 5000 {
 		t.Errorf("goes by %d: %+v", c.config.Version(), c.teams["t"])
 	}
-	c.shares[0] = shared{share: 1}
-	c.reconfigure(configuration.Content{Teams: []Team{{Name: "t"}, {Name: "u", Limit: pack.Vec{3000}, Removed: 1}}, Objectives: []Objective{{Kind: "wait"}}})
-	spec := &ledger.Spec{Team: "u", Tasks: 1, Demand: pack.Vec{3000}, AnyType: true}
-	if c.impossible(spec, nil) != "unknown team" || !c.permits(c.held[0], spec) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
-		t.Errorf("%q, %+v", c.impossible(spec, nil), c.cfg.Teams)
+	c.allocations[0] = quotaAllocation{fraction: 1}
+	c.reconfigure(configuration.Content{Teams: []Team{{Name: "t"}, {Name: "u", Limit: binpack.Vec{3000}, Removed: 1}}, Objectives: []Objective{{Kind: "wait"}}})
+	spec := &jobs.Spec{Team: "u", Tasks: 1, Demand: binpack.Vec{3000}, AnyType: true}
+	if c.infeasible(spec, nil) != "unknown team" || !c.withinQuota(c.owned[0], spec) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
+		t.Errorf("%q, %+v", c.infeasible(spec, nil), c.cfg.Teams)
 	}
-	spec.Demand[pack.CPU]++
-	if c.permits(c.held[0], spec) {
+	spec.Demand[binpack.CPU]++
+	if c.withinQuota(c.owned[0], spec) {
 		t.Error("a removed team has no limit")
 	}
 }
@@ -69,19 +69,19 @@
 // the same share of the new one, and what it uses beyond is told.
 func TestShareOfALowerLimit(t *testing.T) {
 	c := holding(t, configRecords(1, 40_000))
-	bl := c.held[0]
-	c.shares[0] = shared{share: 0.25}
-	bl.usage["t"] = pack.Vec{8000}
-	if p := c.part(bl, c.teams["t"].Limit); p[pack.CPU] != 10_000 || len(c.overShare(bl)) != 0 || c.useOf(bl) != 0.2 {
-		t.Errorf("part %v, use %g, over %v", p, c.useOf(bl), c.overShare(bl))
+	shard := c.owned[0]
+	c.allocations[0] = quotaAllocation{fraction: 0.25}
+	shard.usage["t"] = binpack.Vec{8000}
+	if p := c.quotaPart(shard, c.teams["t"].Limit); p[binpack.CPU] != 10_000 || len(c.overShare(shard)) != 0 || c.quotaUseOf(shard) != 0.2 {
+		t.Errorf("part %v, use %g, over %v", p, c.quotaUseOf(shard), c.overShare(shard))
 	}
 	for k, v := range configRecords(2, 20_000) {
 		c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: 200})
 	}
-	if p := c.part(bl, c.teams["t"].Limit); p[pack.CPU] != 5000 || !slices.Equal(c.overShare(bl), []string{"t"}) || c.useOf(bl) != 0.4 {
-		t.Errorf("part %v, use %g, over %v", p, c.useOf(bl), c.overShare(bl))
+	if p := c.quotaPart(shard, c.teams["t"].Limit); p[binpack.CPU] != 5000 || !slices.Equal(c.overShare(shard), []string{"t"}) || c.quotaUseOf(shard) != 0.4 {
+		t.Errorf("part %v, use %g, over %v", p, c.quotaUseOf(shard), c.overShare(shard))
 	}
-	if c.permits(bl, &ledger.Spec{Team: "t", Demand: pack.Vec{1}}) {
+	if c.withinQuota(shard, &jobs.Spec{Team: "t", Demand: binpack.Vec{1}}) {
 		t.Error("starts above its share")
 	}
 }
@@ -91,7 +91,7 @@
 func TestOlderReleases(t *testing.T) {
 	c := holding(t, nil)
 	c.peers = newPeers([]string{"b"})
-	c.heardRelease("b", releaseConfig-1)
+	c.noteRelease("b", releaseConfig-1)
 	limit := int64(1000)
 	c.Configure(c.now, 7, configuration.Request{Teams: []configuration.TeamChange{{Name: "t", LimitCPU: &limit}}})
 	if r := replyTo(t, c, 7); r.Code != 503 || r.RetryAfter == 0 {
@@ -100,7 +100,7 @@
 	if c.tooOld("b") {
 		t.Error("too old, and nothing is stored")
 	}
-	c.config.Heard(1)
+	c.config.PeerKnows(1)
 	if !c.tooOld("b") {
 		t.Error("may hold a block though it does not go by the stored version")
 	}
@@ -110,22 +110,22 @@
 // stays small, and says that the block's use is not known.
 func TestManyTeamsAboveTheirShare(t *testing.T) {
 	c := holding(t, configRecords(1, 40_000))
-	bl := c.held[0]
+	shard := c.owned[0]
 	var content configuration.Content
 	for i := range 1000 {
 		name := fmt.Sprintf("a-team-whose-name-is-about-as-long-as-names-may-be-at-all-%04d", i)
-		content.Teams = append(content.Teams, Team{Name: name, Limit: pack.Vec{1000}})
-		bl.usage[name] = pack.Vec{2000}
+		content.Teams = append(content.Teams, Team{Name: name, Limit: binpack.Vec{1000}})
+		shard.usage[name] = binpack.Vec{2000}
 	}
 	c.reconfigure(content)
 	s := PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
-	if c.tellConfig(&s); s.Blocks[0].Use != -1 || len(s.Blocks[0].Over) > 0 {
+	if c.addConfigStatus(&s); s.Blocks[0].Use != -1 || len(s.Blocks[0].Over) > 0 {
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
 	content.Teams = content.Teams[:100]
 	c.reconfigure(content)
 	s = PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
-	if c.tellConfig(&s); s.Blocks[0].Use != 2 || len(s.Blocks[0].Over) != 100 {
+	if c.addConfigStatus(&s); s.Blocks[0].Use != 2 || len(s.Blocks[0].Over) != 100 {
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
 }
--- a/internal/core/demand/demand.go
+++ b/internal/core/demand/demand.go
@@ -7,23 +7,23 @@
 	"math"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/scale"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/autoscaler"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Objective is one of the users' aims for a class of jobs.
 type Objective struct {
 	Kind   string // "wait", "finished", "deadline" or "guarantee"
 	Class  string
-	Within unit.Micros
+	Within units.Microseconds
 	Times  float64 // of the deadline, for "deadline"
 	Share  float64 // of the jobs for which it is to hold; nothing goes by it
 }
 
-// Book is what is known of a block's work: its owners' aims and how long it really runs.
-type Book struct {
+// Estimator is what is known of a block's work: its owners' aims and how long it really runs.
+type Estimator struct {
 	objectives []Objective
 	roundShare float64
 	runtimes   map[string]*ratio // by class
@@ -31,12 +31,12 @@
 
 // New returns a book that has learnt nothing. roundShare is the share of a job's time that
 // renting counts on for tasks one after the other.
-func New(objectives []Objective, roundShare float64) *Book {
-	return &Book{objectives: objectives, roundShare: roundShare, runtimes: map[string]*ratio{}}
+func New(objectives []Objective, roundShare float64) *Estimator {
+	return &Estimator{objectives: objectives, roundShare: roundShare, runtimes: map[string]*ratio{}}
 }
 
 // SetObjectives replaces the owners' aims.
-func (b *Book) SetObjectives(objectives []Objective) { b.objectives = objectives }
+func (b *Estimator) SetObjectives(objectives []Objective) { b.objectives = objectives }
 
 // ratio learns how long tasks of a class really run, as a share of what their
 // owners estimate ("earlier runs of the same or similar jobs", 3.3.1).
@@ -54,7 +54,7 @@
 }
 
 // Learn takes in how long a task ran.
-func (b *Book) Learn(s *ledger.Spec, took unit.Micros) {
+func (b *Estimator) Learn(s *jobs.Spec, took units.Microseconds) {
 	if s.Service || s.Estimate <= 0 || took <= 0 {
 		return
 	}
@@ -68,9 +68,9 @@
 
 // Runtime is how long a task of a job is expected to run: the owner's
 // estimate, corrected by what the class has shown once a few tasks are through.
-func (b *Book) Runtime(s *ledger.Spec) unit.Micros {
+func (b *Estimator) Runtime(s *jobs.Spec) units.Microseconds {
 	if r := b.runtimes[s.Class]; r != nil && r.n >= 5 {
-		return unit.Micros(float64(s.Estimate) * r.mean)
+		return units.Microseconds(float64(s.Estimate) * r.mean)
 	}
 	return s.Estimate
 }
@@ -78,12 +78,12 @@
 // patience bounds the time a job without any aim is given, in run times.
 const patience = 8
 
-// TimeLeft is the time in which a job should be done, by the earliest deadline
+// TimeAllowed is the time in which a job should be done, by the earliest deadline
 // that depends on it or by the strictest aim for its class.
-func (b *Book) TimeLeft(wall unit.Micros, j *ledger.Job) unit.Micros {
+func (b *Estimator) TimeAllowed(wall units.Microseconds, j *jobs.Job) units.Microseconds {
 	s := j.Spec()
 	run := b.Runtime(s)
-	left := unit.Never
+	left := units.Never
 	for _, o := range b.objectives {
 		if o.Class != s.Class || o.Within <= 0 {
 			continue
@@ -95,10 +95,10 @@
 			left = min(left, o.Within+run)
 		}
 	}
-	if left == unit.Never && j.Aims.Due == unit.Never {
+	if left == units.Never && j.Objectives.Due == units.Never {
 		left = patience * run
 	}
-	return min(left-(wall-j.Since), j.Aims.Due-wall)
+	return min(left-(wall-j.Since), j.Objectives.Due-wall)
 }
 
 // Urgency of a job within its tier: work that can still meet its first aim
@@ -114,26 +114,26 @@
 
 // aims calls f with each of a job's aims: the time by which it should be done or, with
 // start, its tasks should have begun. All times are from when the job could first start.
-func (b *Book) aims(j *ledger.Job, f func(t unit.Micros, start bool)) {
+func (b *Estimator) aims(j *jobs.Job, f func(t units.Microseconds, start bool)) {
 	for _, o := range b.objectives {
 		if o.Class == j.Spec().Class && (o.Kind == "wait" || o.Kind == "finished") {
 			f(o.Within, o.Kind == "wait")
 		}
 	}
-	if due := j.Aims.Due; due != unit.Never {
+	if due := j.Objectives.Due; due != units.Never {
 		f(due-j.Since, false)
-		if last := j.Aims.LastDue; last > due {
+		if last := j.Objectives.LastDue; last > due {
 			f(last-j.Since, false)
 		}
 	}
 }
 
 // Urgency tells which of a job's aims can still be met.
-func (b *Book) Urgency(wall unit.Micros, j *ledger.Job) int {
+func (b *Estimator) Urgency(wall units.Microseconds, j *jobs.Job) int {
 	ends := wall - j.Since + b.Runtime(j.Spec())
 	aims, missed := 0, 0
-	first := unit.Never
-	b.aims(j, func(t unit.Micros, start bool) {
+	first := units.Never
+	b.aims(j, func(t units.Microseconds, start bool) {
 		if start {
 			first = 0 // its tasks should start soon: no time to spare
 			return
@@ -156,10 +156,10 @@
 }
 
 // Slack is how long a job's tasks may wait for the next aim that they can still meet.
-func (b *Book) Slack(wall unit.Micros, j *ledger.Job) unit.Micros {
+func (b *Estimator) Slack(wall units.Microseconds, j *jobs.Job) units.Microseconds {
 	run, age := b.Runtime(j.Spec()), wall-j.Since
-	least := unit.Never
-	b.aims(j, func(t unit.Micros, start bool) {
+	least := units.Never
+	b.aims(j, func(t units.Microseconds, start bool) {
 		switch {
 		case !start:
 			t -= run
@@ -170,14 +170,14 @@
 			least = min(least, left)
 		}
 	})
-	return min(least, patience*max(run, unit.Second))
+	return min(least, patience*max(run, units.Second))
 }
 
 // Idle reports whether a job uses the time that others leave: it has the lowest priority,
 // nobody expects it by any time, and it has not waited for long.
-func (b *Book) Idle(wall unit.Micros, j *ledger.Job) bool {
+func (b *Estimator) Idle(wall units.Microseconds, j *jobs.Job) bool {
 	s := j.Spec()
-	if j.Aims.Priority != ledger.Low || s.Service || j.Aims.Due != unit.Never {
+	if j.Objectives.Priority != jobs.Low || s.Service || j.Objectives.Due != units.Never {
 		return false
 	}
 	for _, o := range b.objectives {
@@ -185,26 +185,26 @@
 			return false
 		}
 	}
-	return b.TimeLeft(wall, j) > 0
+	return b.TimeAllowed(wall, j) > 0
 }
 
 // Host is what needs are weighed against.
 type Host interface {
 	// Limit is a team's limit, in thousandths; 0: none.
-	Limit(team string) pack.Vec
-	// Stranded counts a job's tasks that are placed where nobody hears of them any more: they
+	Limit(team string) binpack.Vec
+	// LostTasks counts a job's tasks that are placed where nobody hears of them any more: they
 	// will have to start elsewhere.
-	Stranded(j *ledger.Job) int
-	// Fitting names the types of machine that a job's tasks fit on and may use.
-	Fitting(s *ledger.Spec) []string
+	LostTasks(j *jobs.Job) int
+	// CompatibleTypes names the types of machine that a job's tasks fit on and may use.
+	CompatibleTypes(s *jobs.Spec) []string
 }
 
-// Needs adds up the work at hand, by what pools it may use; order are the jobs, the first
+// SlotsNeeded adds up the work at hand, by what pools it may use; order are the jobs, the first
 // to have come first. A job needs no more room than lets it end in time: where there is time
 // for several tasks one after the other, fewer machines do.
-func (b *Book) Needs(now, wall unit.Micros, order []*ledger.Job, host Host) map[scale.Group]scale.Need {
-	needs := map[scale.Group]scale.Need{}
-	perTeam := map[string]pack.Vec{}
+func (b *Estimator) SlotsNeeded(now, wall units.Microseconds, order []*jobs.Job, host Host) map[autoscaler.Group]autoscaler.Need {
+	needs := map[autoscaler.Group]autoscaler.Need{}
+	perTeam := map[string]binpack.Vec{}
 	for _, j := range order {
 		s := j.Spec()
 		if s == nil || now < j.NotBefore {
@@ -212,13 +212,13 @@
 		}
 		n := j.Record.Tasks - j.Finished()
 		if run := b.Runtime(s); !s.Service && run > 0 {
-			rounds := b.roundShare * b.TimeLeft(wall, j).Seconds() / run.Seconds()
+			rounds := b.roundShare * b.TimeAllowed(wall, j).Seconds() / run.Seconds()
 			if rounds > 1 {
 				n = int(math.Ceil(float64(n) / rounds))
 			}
 		}
 		placed, ready := j.Placed(), j.Ready()
-		if lost := host.Stranded(j); lost > 0 {
+		if lost := host.LostTasks(j); lost > 0 {
 			placed, ready = placed-lost, ready+lost
 		}
 		n = max(n, placed)
@@ -236,15 +236,15 @@
 		}
 		v := s.Demand.Times(int64(n))
 		perTeam[s.Team] = perTeam[s.Team].Add(v)
-		names := host.Fitting(s)
-		g := scale.Group{Class: s.Class, Types: strings.Join(names, ","), Zone: s.Zone, Spot: s.Spot, Idle: b.Idle(wall, j)}
+		names := host.CompatibleTypes(s)
+		g := autoscaler.Group{Class: s.Class, Types: strings.Join(names, ","), Zone: s.Zone, Spot: s.Spot, Idle: b.Idle(wall, j)}
 		need := needs[g]
 		need.Tasks += n
 		need.Running += placed
 		need.Ready += ready
 		run := b.Runtime(s)
-		need.Waiting += run * unit.Micros(ready)
-		need.Slack += b.Slack(wall, j) * unit.Micros(ready)
+		need.Waiting += run * units.Microseconds(ready)
+		need.Slack += b.Slack(wall, j) * units.Microseconds(ready)
 		if !s.Service {
 			need.Rate += float64(placed) / max(run.Seconds(), 1)
 		}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -6,19 +6,19 @@
 	"errors"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Type is a kind of machine that the cloud rents out.
 type Type struct {
-	Name     string      `json:"name"`
-	Capacity pack.Vec    `json:"capacity"`
-	CacheMB  int64       `json:"cache_mb"`
-	FetchMBs int64       `json:"fetch_mb_per_s"`
-	Boot     unit.Micros `json:"boot"`
-	Zones    []string    `json:"zones"`
+	Name     string             `json:"name"`
+	Capacity binpack.Vec        `json:"capacity"`
+	CacheMB  int64              `json:"cache_mb"`
+	FetchMBs int64              `json:"fetch_mb_per_s"`
+	Boot     units.Microseconds `json:"boot"`
+	Zones    []string           `json:"zones"`
 
 	Price     float64 `json:"price"`
 	SpotPrice float64 `json:"spot_price"`
@@ -44,14 +44,14 @@
 
 // Group is the stored value of machines of one kind that were rented together.
 type Group struct {
-	Block   int      `json:"block,omitempty"`
+	Shard   int      `json:"block,omitempty"`
 	Type    string   `json:"type"`
 	Zone    string   `json:"zone"`
 	Spot    bool     `json:"spot"`
 	Up      []string `json:"up,omitempty"`
 	Booting []string `json:"booting,omitempty"`
-	// Rented is the time of day at which they were; 0: not known.
-	Rented unit.Micros `json:"rented,omitempty"`
+	// ProvisionedAt is the time of day at which they were; 0: not known.
+	ProvisionedAt units.Microseconds `json:"rented,omitempty"`
 }
 
 // MaxGroup is how many machines one group may have: as many as the cloud rents
@@ -106,31 +106,31 @@
 	Completed
 	Stopped
 	Failed
-	NoRoom
+	NoCapacity
 	Busy
 	Unknown
 )
 
 // Task is one attempt in a report.
 type Task struct {
-	ID      ledger.TaskID
+	ID      jobs.TaskID
 	Attempt uint64
 	State   State
 	Cause   Cause
 }
 
-// Report is a worker's report.
-type Report struct {
-	Machine string
-	Addr    string
-	Type    string
-	Zone    string
-	Spot    bool
-	Session uint64
-	Seq     uint64
-	Token   uint64
-	Notice  unit.Micros // until the cloud takes it; Never: no notice
-	Tasks   []Task
+// Heartbeat is a worker's report.
+type Heartbeat struct {
+	Machine      string
+	Addr         string
+	Type         string
+	Zone         string
+	Spot         bool
+	Incarnation  uint64
+	Seq          uint64
+	FencingToken uint64
+	Notice       units.Microseconds // until the cloud takes it; Never: no notice
+	Tasks        []Task
 }
 
 // Machine is what a holder knows of one machine.
@@ -139,48 +139,48 @@
 	Record Record // Up once it is stored that the machine is up
 	Group  string // that it is stored with
 
-	Type      *Type
-	Addr      string      // "" if not known
-	Asked     int         // how often it was asked directly for what it runs
-	Rented    unit.Micros // when it was rented or first heard of
-	Session   uint64
-	Seq       uint64
-	LastSeen  unit.Micros // last report; 0: none yet
-	LeaseEnd  unit.Micros // its tasks are surely gone from then on
-	Accounted bool        // it reported under its holder's token
-	Handed    bool        // what may be on it was handed on by its last holder
-	Notice    unit.Micros // when the cloud takes it; Never: no notice
-	Tasks     map[ledger.TaskID]Attempt
-	Listed    int // tasks in its last report, those that have exited too
-	IdleSince unit.Micros
-	Lost      bool        // its lease ran out unheard
-	Void      uint64      // the last attempt that surely ended with a lease
-	Sick      bool        // it fails what it starts: nothing more starts there
-	Leaving   bool        // a return is under way
-	Unlisted  bool        // the cloud's list should show it and does not
-	Spare     unit.Micros // since when the work at hand does not need it; 0: it does
-
-	Failed   map[string]bool // jobs of which nothing had worked yet and that failed here, since a task completed
-	FailedAt unit.Micros     // last failure
-	Proven   bool            // some task completed here
-	used     pack.Vec        // by Tasks
-	slow     int             // tasks in a row that took much longer than their job's others
-	images   []string        // most recently used last
+	Type           *Type
+	Addr           string             // "" if not known
+	Probes         int                // how often it was asked directly for what it runs
+	ProvisionedAt  units.Microseconds // when it was rented or first heard of
+	Incarnation    uint64
+	Seq            uint64
+	LastSeen       units.Microseconds // last report; 0: none yet
+	LeaseEnd       units.Microseconds // its tasks are surely gone from then on
+	Reconciled     bool               // it reported under its holder's token
+	Transferred    bool               // what may be on it was handed on by its last holder
+	Notice         units.Microseconds // when the cloud takes it; Never: no notice
+	Tasks          map[jobs.TaskID]Attempt
+	Listed         int // tasks in its last report, those that have exited too
+	IdleSince      units.Microseconds
+	Lost           bool               // its lease ran out unheard
+	ExpiredAttempt uint64             // the last attempt that surely ended with a lease
+	Quarantined    bool               // it fails what it starts: nothing more starts there
+	Deprovisioning bool               // a return is under way
+	Unlisted       bool               // the cloud's list should show it and does not
+	Spare          units.Microseconds // since when the work at hand does not need it; 0: it does
+
+	Failed   map[string]bool    // jobs of which nothing had worked yet and that failed here, since a task completed
+	FailedAt units.Microseconds // last failure
+	Proven   bool               // some task completed here
+	used     binpack.Vec        // by Tasks
+	slow     int                // tasks in a row that took much longer than their job's others
+	images   []string           // most recently used last
 }
 
 // Attempt is one attempt that may be on the machine.
 type Attempt struct {
 	Number  uint64
 	Team    string
-	Demand  pack.Vec
+	Demand  binpack.Vec
 	State   State
-	Started unit.Micros // when it was commanded or first seen
-	Live    unit.Micros // when it was first seen with its image; 0: not yet
-	Adopted bool        // started by an earlier holder: how long it has run is not known
+	Started units.Microseconds // when it was commanded or first seen
+	Live    units.Microseconds // when it was first seen with its image; 0: not yet
+	Adopted bool               // started by an earlier holder: how long it has run is not known
 }
 
 // Ran is how long the attempt has run with its image.
-func (a Attempt) Ran(now unit.Micros) unit.Micros {
+func (a Attempt) Ran(now units.Microseconds) units.Microseconds {
 	if a.Live == 0 {
 		return 0
 	}
@@ -188,31 +188,31 @@
 }
 
 // New returns a machine that has not reported yet.
-func New(name string, r Record, t *Type, now unit.Micros) *Machine {
-	return &Machine{Name: name, Record: r, Type: t, Rented: now, Notice: unit.Never, IdleSince: now,
-		Tasks: map[ledger.TaskID]Attempt{}}
+func New(name string, r Record, t *Type, now units.Microseconds) *Machine {
+	return &Machine{Name: name, Record: r, Type: t, ProvisionedAt: now, Notice: units.Never, IdleSince: now,
+		Tasks: map[jobs.TaskID]Attempt{}}
 }
 
 // Newer reports whether a report comes after all that were seen.
-func (m *Machine) Newer(r *Report) bool {
-	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
+func (m *Machine) Newer(r *Heartbeat) bool {
+	return r.Incarnation > m.Incarnation || (r.Incarnation == m.Incarnation && r.Seq > m.Seq)
 }
 
 // Used returns the room that tasks may take.
-func (m *Machine) Used() pack.Vec { return m.used }
+func (m *Machine) Used() binpack.Vec { return m.used }
 
 // Free returns the room that is left; the machine's type must be known.
-func (m *Machine) Free() pack.Vec { return m.Type.Capacity.Sub(m.used) }
+func (m *Machine) Free() binpack.Vec { return m.Type.Capacity.Sub(m.used) }
 
 // Put records an attempt that may be on the machine.
-func (m *Machine) Put(id ledger.TaskID, a Attempt) {
+func (m *Machine) Put(id jobs.TaskID, a Attempt) {
 	m.Drop(id)
 	m.Tasks[id] = a
 	m.used = m.used.Add(a.Demand)
 }
 
 // Drop records that an attempt is on the machine no more.
-func (m *Machine) Drop(id ledger.TaskID) {
+func (m *Machine) Drop(id jobs.TaskID) {
 	m.used = m.used.Sub(m.Tasks[id].Demand)
 	delete(m.Tasks, id)
 }
@@ -243,25 +243,25 @@
 // Ran takes in how long a task ran here and, unless 0, how long its job's
 // tasks take on average, and reports whether the machine now counts as slow:
 // nothing more starts on it.
-func (m *Machine) Ran(took, usual unit.Micros) bool {
+func (m *Machine) Ran(took, usual units.Microseconds) bool {
 	switch {
 	case usual == 0:
-	case took > 2*usual && took > usual+2*unit.Second:
+	case took > 2*usual && took > usual+2*units.Second:
 		m.slow++
 	default:
 		m.slow = 0
 	}
-	if m.slow < slowAfter || m.Sick {
+	if m.slow < slowAfter || m.Quarantined {
 		return false
 	}
-	m.Sick, m.slow = true, 0
+	m.Quarantined, m.slow = true, 0
 	return true
 }
 
-// Settled reports whether tasks may start here: everything on the machine is
+// Schedulable reports whether tasks may start here: everything on the machine is
 // known, a new holder would know of the machine, and it is meant to stay.
-func (m *Machine) Settled() bool {
-	return m.Accounted && m.Record.Up && m.Type != nil && !m.Lost && !m.Sick && !m.Leaving
+func (m *Machine) Schedulable() bool {
+	return m.Reconciled && m.Record.Up && m.Type != nil && !m.Lost && !m.Quarantined && !m.Deprovisioning
 }
 
 // Op is what a command asks of a worker.
@@ -277,7 +277,7 @@
 // Command is one order to a worker about an attempt.
 type Command struct {
 	Op      Op
-	ID      ledger.TaskID
+	ID      jobs.TaskID
 	Attempt uint64
-	Grace   unit.Micros // of a Stop; 0 stops at once
+	Grace   units.Microseconds // of a Stop; 0 stops at once
 }
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -6,42 +6,42 @@
 	"slices"
 	"strconv"
 
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/follow"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
 // What controllers tell each other of starts, see package follow.
 type (
 	// PeerStarts tells a follower what may have been started; PeerKnown answers it.
-	PeerStarts = follow.Message
-	PeerKnown  = follow.Ack
+	PeerStarts = replication.Message
+	PeerKnown  = replication.Ack
 )
 
-// followed is what a block does for those that follow it.
-type followed struct {
+// replicationHost is what a block does for those that follow it.
+type replicationHost struct {
 	*Core
-	bl *block
+	bl *ownedShard
 }
 
-// startAnswer is an answer to a report, with something to start.
-type startAnswer struct {
-	req    ReqID
-	orders Orders
+// startReply is an answer to a report, with something to start.
+type startReply struct {
+	req    RequestID
+	orders HeartbeatResponse
 }
 
 // Candidate implements follow.Host. A zone that is lost takes all in it with it: whoever
 // follows is in another one, where that can be.
-func (f followed) Candidate() string {
+func (f replicationHost) Candidate() string {
 	best, bestCost := "", 4
 	names := f.everyone()
 	at := slices.Index(names, f.cfg.Node)
 	for i := range names {
 		n := names[(at+i)%len(names)]
-		if n == f.cfg.Node || !f.Fit(n) || f.stateAge() > stateFresh {
+		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > stateFresh {
 			continue
 		}
 		cost := 0
@@ -57,17 +57,17 @@
 	return best
 }
 
-// Fit implements follow.Host.
-func (f followed) Fit(n string) bool {
-	return f.alive(f.peers.views[n]) && f.seats.Of(n) != 0 && f.releases[n] >= releaseFollows && !f.isDeaf(n)
+// Eligible implements follow.Host.
+func (f replicationHost) Eligible(n string) bool {
+	return f.alive(f.peers.views[n]) && f.membership.Current(n) != 0 && f.releases[n] >= releaseReplicates && !f.peerUnreachable(n)
 }
 
 // Send implements follow.Host.
-func (f followed) Send(to string, m follow.Message) { f.emit(SendPeer{to, m}) }
+func (f replicationHost) Send(to string, m replication.Message) { f.emit(SendPeer{to, m}) }
 
 // Machines implements follow.Host. Tasks may run on one that is being returned until the
 // cloud has answered.
-func (f followed) Machines() []string {
+func (f replicationHost) Machines() []string {
 	var out []string
 	for _, name := range sortedKeys(f.bl.machines) {
 		if len(f.bl.machines[name].Tasks) > 0 {
@@ -77,24 +77,24 @@
 	return out
 }
 
-// Draw implements follow.Host. A machine that is not there was returned: nothing is on it.
-func (f followed) Draw(name string) follow.MachinePicture {
+// SnapshotMachine implements follow.Host. A machine that is not there was returned: nothing is on it.
+func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
 	if m := f.bl.machines[name]; m != nil {
 		return drawMachine(m)
 	}
-	return follow.MachinePicture{Name: name}
+	return replication.MachinePicture{Name: name}
 }
 
 func drawMachine(m *fleet.Machine) MachinePicture {
-	p := MachinePicture{Name: m.Name, Addr: m.Addr, Session: m.Session, Seq: m.Seq}
+	p := MachinePicture{Name: m.Name, Addr: m.Addr, Session: m.Incarnation, Seq: m.Seq}
 	for _, id := range sortedTasks(m.Tasks) {
 		p.Tasks = append(p.Tasks, fleet.Task{ID: id, Attempt: m.Tasks[id].Number, State: m.Tasks[id].State})
 	}
 	return p
 }
 
-// Undone implements follow.Host.
-func (f followed) Undone() (out []TasksDone) {
+// UnstoredTasks implements follow.Host.
+func (f replicationHost) UnstoredTasks() (out []TasksDone) {
 	for _, id := range sortedKeys(f.bl.active) {
 		if tasks := unstored(f.bl.active[id]); len(tasks) > 0 {
 			out = append(out, TasksDone{Job: id, Tasks: tasks})
@@ -104,7 +104,7 @@
 }
 
 // unstored are the tasks of a job that are done and not stored as such.
-func unstored(j *ledger.Job) (out []int) {
+func unstored(j *jobs.Job) (out []int) {
 	if j.DirtySince == 0 && !j.AllFinished() {
 		return nil // all that is done is stored
 	}
@@ -117,92 +117,92 @@
 }
 
 // Store implements follow.Host.
-func (f followed) Store(r follow.Record, done func(bool)) {
-	key := followKey(f.bl.n)
-	guards := []store.Guard{{Key: blockKey(f.bl.n), Stamp: f.bl.grant}}
+func (f replicationHost) Store(r replication.Record, done func(bool)) {
+	key := standbyKey(f.bl.number)
+	guards := []store.Guard{{Key: assignmentKey(f.bl.number), Version: f.bl.assignment}}
 	if r.Node != "" {
 		// That nobody follows is written over whatever is there; that somebody does must not
 		// come after it.
-		guards = append(guards, store.Guard{Key: key, Stamp: f.mirror.Stamp(key)})
+		guards = append(guards, store.Guard{Key: key, Version: f.cache.Version(key)})
 	}
-	f.lanes[LeaderLane].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(r)}}, First: true,
+	f.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(r)}}, First: true,
 		Done: func(o store.Outcome, _ uint64) {
 			if o == store.OK {
-				f.log.Info("followed", "block", f.bl.n, "by", r.Node)
+				f.log.Info("followed", "block", f.bl.number, "by", r.Node)
 			}
 			done(o == store.OK)
 		}})
 }
 
 // Answer implements follow.Host.
-func (f followed) Answer(a any, ok bool) {
-	x := a.(startAnswer)
-	if ok && f.held[f.bl.n] == f.bl && f.Holds(f.now, f.bl.n) {
+func (f replicationHost) Answer(a any, ok bool) {
+	x := a.(startReply)
+	if ok && f.owned[f.bl.number] == f.bl && f.Owns(f.now, f.bl.number) {
 		f.reply(x.req, http.StatusOK, x.orders)
 		return
 	}
 	f.reply(x.req, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
-// giveOrders answers a report. One that starts something waits until whoever follows knows.
-func (c *Core) giveOrders(bl *block, m *fleet.Machine, req ReqID, o Orders) {
+// answerHeartbeat answers a report. One that starts something waits until whoever follows knows.
+func (c *Core) answerHeartbeat(shard *ownedShard, m *fleet.Machine, req RequestID, o HeartbeatResponse) {
 	starts := slices.ContainsFunc(o.Commands, func(x fleet.Command) bool { return x.Op == fleet.Start })
-	if !starts || !c.keeps(guard.FollowerKnows) || !bl.follow.Started(c.now, m.Name, startAnswer{req, o}) {
+	if !starts || !c.guarded(guard.FollowerKnows) || !shard.replication.DeferAnswer(c.now, m.Name, startReply{req, o}) {
 		c.reply(req, http.StatusOK, o)
 	}
 }
 
-const followPrefix = root + "follow/"
+const standbyPrefix = root + "follow/"
 
-func followKey(k int) string { return followPrefix + strconv.Itoa(k) }
+func standbyKey(k int) string { return standbyPrefix + strconv.Itoa(k) }
 
 // learnFollow takes who follows a block. A stream of a holder that has somebody else follow
 // it, or nobody, is of no use any more.
 func (c *Core) learnFollow(e store.Event) error {
-	k, err := blockNumber(e.Key, followPrefix)
+	k, err := shardNumber(e.Key, standbyPrefix)
 	if err != nil {
 		return err
 	}
-	var r follow.Record
+	var r replication.Record
 	if e.Value != nil {
 		if err := json.Unmarshal(e.Value, &r); err != nil {
 			return err
 		}
 	}
-	c.follows[k] = r
+	c.standbys[k] = r
 	return nil
 }
 
-// followerOf names who knows all that the last holder of a block has started; "" if nobody
+// standbyOf names who knows all that the last holder of a block has started; "" if nobody
 // is stored to.
-func (c *Core) followerOf(k int) string {
-	if g, r := c.blocks[k], c.follows[k]; r.Token == lead.Token(g.Term, g.Number) {
+func (c *Core) standbyOf(k int) string {
+	if g, r := c.assignments[k], c.standbys[k]; r.Token == authority.FencingToken(g.Term, g.Number) {
 		return r.Node
 	}
 	return ""
 }
 
-// takeFollowed returns the picture of a block that was followed here up to the end of the
+// takeReplicated returns the picture of a block that was followed here up to the end of the
 // grant before this one, or nil.
-func (c *Core) takeFollowed(bl *block) *picture {
-	defer c.sink.Forget(bl.n)
-	r := c.follows[bl.n]
-	if after := c.blocks[bl.n].After; after == 0 || after != r.Token {
+func (c *Core) takeReplicated(shard *ownedShard) *shardSnapshot {
+	defer c.standby.Forget(shard.number)
+	r := c.standbys[shard.number]
+	if after := c.assignments[shard.number].PreviousToken; after == 0 || after != r.Token {
 		return nil // somebody else has held it since, or an older release granted it
 	}
-	machines, done, ok := c.sink.Picture(bl.n, c.cfg.Node, r)
+	machines, done, ok := c.standby.Snapshot(shard.number, c.cfg.Node, r)
 	if !ok {
 		return nil
 	}
-	return &picture{token: r.Token, machines: machines, done: done, whole: true}
+	return &shardSnapshot{fencingToken: r.Token, machines: machines, done: done, whole: true}
 }
 
-// takeStarts takes what a holder has started.
-func (c *Core) takeStarts(from string, m PeerStarts) {
-	if m.Block < 0 || m.Block >= maxBlocks || c.blocks[m.Block].Node != from {
+// receiveStarts takes what a holder has started.
+func (c *Core) receiveStarts(from string, m PeerStarts) {
+	if m.Block < 0 || m.Block >= maxShards || c.assignments[m.Block].Node != from {
 		return
 	}
-	a := c.sink.Take(m, func(job string, task int) bool {
+	a := c.standby.Receive(m, func(job string, task int) bool {
 		j := c.jobs[job]
 		return j == nil || !j.Active() || j.IsStored(task)
 	})
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -4,9 +4,9 @@
 	"net/http"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/follow"
-	"shalestage.example/shalestage/internal/core/unit"
-	"shalestage.example/shalestage/internal/core/watch"
+	"shalestage.example/shalestage/internal/core/liveness"
+	"shalestage.example/shalestage/internal/core/replication"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // A holder that gives a block up while its seat stands hands on its picture: what may run on
@@ -25,8 +25,8 @@
 		Done     []TasksDone // and are not stored as done yet
 	}
 	// TasksDone and MachinePicture are parts of a picture.
-	TasksDone      = follow.TasksDone
-	MachinePicture = follow.MachinePicture
+	TasksDone      = replication.TasksDone
+	MachinePicture = replication.MachinePicture
 )
 
 const (
@@ -36,27 +36,27 @@
 	maxPicture = 1 << 16
 )
 
-// picture is what was handed on for a block.
-type picture struct {
-	token    uint64
-	machines map[string]MachinePicture
-	done     []TasksDone
-	whole    bool // on machines that are not in it, nothing can be
+// shardSnapshot is what was handed on for a block.
+type shardSnapshot struct {
+	fencingToken uint64
+	machines     map[string]MachinePicture
+	done         []TasksDone
+	whole        bool // on machines that are not in it, nothing can be
 }
 
-// handOn sends the picture of a block that is being given up to all that can use it: who
+// sendSnapshot sends the picture of a block that is being given up to all that can use it: who
 // gets the block is the leader's to decide.
-func (c *Core) handOn(bl *block) {
-	if !bl.ready || len(bl.unaccounted) > 0 {
+func (c *Core) sendSnapshot(shard *ownedShard) {
+	if !shard.ready || len(shard.unreconciled) > 0 {
 		return
 	}
 	var to []string
 	for _, n := range c.peers.names {
-		if c.releases[n] >= releaseHands && c.alive(c.peers.views[n]) {
+		if c.releases[n] >= releaseTransfers && c.alive(c.peers.views[n]) {
 			to = append(to, n)
 		}
 	}
-	part := PeerPicture{Block: bl.n, Token: bl.token}
+	part := PeerPicture{Block: shard.number, Token: shard.fencingToken}
 	size := 0
 	send := func() {
 		for _, n := range to {
@@ -64,10 +64,10 @@
 		}
 		part.Machines, part.Done, size = nil, nil, 0
 	}
-	for _, id := range sortedKeys(bl.active) {
+	for _, id := range sortedKeys(shard.active) {
 		// The rest would be done once more: machines show what has ended only with their
 		// next report.
-		for tasks := unstored(bl.active[id]); len(tasks) > 0; {
+		for tasks := unstored(shard.active[id]); len(tasks) > 0; {
 			if size >= PictureTasks {
 				send()
 			}
@@ -76,11 +76,11 @@
 			tasks = tasks[n:]
 		}
 	}
-	for _, name := range sortedKeys(bl.machines) {
-		m := bl.machines[name]
+	for _, name := range sortedKeys(shard.machines) {
+		m := shard.machines[name]
 		// One that has just come up has not shown the token yet; as all that earlier holders
 		// left is accounted for, nothing can be on it, unless nobody knows who rented it.
-		if m.Leaving || m.Lost || !m.Record.Up || !m.Accounted && isStray(m.Group) {
+		if m.Deprovisioning || m.Lost || !m.Record.Up || !m.Reconciled && isOrphanKey(m.Group) {
 			continue
 		}
 		p := drawMachine(m)
@@ -92,17 +92,17 @@
 	send()
 }
 
-// handed takes a part of a picture.
-func (c *Core) handed(m PeerPicture) {
-	if m.Block < 0 || m.Block >= maxBlocks {
+// receiveSnapshot takes a part of a picture.
+func (c *Core) receiveSnapshot(m PeerPicture) {
+	if m.Block < 0 || m.Block >= maxShards {
 		return
 	}
-	p := c.pictures[m.Block]
-	if p == nil || p.token < m.Token {
-		p = &picture{token: m.Token, machines: map[string]MachinePicture{}}
-		c.pictures[m.Block] = p
+	p := c.snapshots[m.Block]
+	if p == nil || p.fencingToken < m.Token {
+		p = &shardSnapshot{fencingToken: m.Token, machines: map[string]MachinePicture{}}
+		c.snapshots[m.Block] = p
 	}
-	if p.token != m.Token || len(p.machines)+len(m.Machines)+len(p.done)+len(m.Done) > maxPicture {
+	if p.fencingToken != m.Token || len(p.machines)+len(m.Machines)+len(p.done)+len(m.Done) > maxPicture {
 		return
 	}
 	p.done = append(p.done, m.Done...)
@@ -111,106 +111,106 @@
 	}
 }
 
-// takePicture returns what was handed on with the grant of a block, and forgets it.
-func (c *Core) takePicture(bl *block) *picture {
-	p := c.pictures[bl.n]
-	delete(c.pictures, bl.n)
-	if f := c.takeFollowed(bl); f != nil {
+// takeSnapshot returns what was handed on with the grant of a block, and forgets it.
+func (c *Core) takeSnapshot(shard *ownedShard) *shardSnapshot {
+	p := c.snapshots[shard.number]
+	delete(c.snapshots, shard.number)
+	if f := c.takeReplicated(shard); f != nil {
 		return f
 	}
-	if from := c.blocks[bl.n].From; p == nil || from == 0 || p.token != from {
-		return &picture{}
+	if from := c.assignments[shard.number].TransferredFrom; p == nil || from == 0 || p.fencingToken != from {
+		return &shardSnapshot{}
 	}
 	return p
 }
 
 // covers reports whether nothing can be on machines of a group that the picture does not
 // show. On one that nobody is known to have rented, anybody may have started anything.
-func (p *picture) covers(group string) bool { return p.whole && !isStray(group) }
+func (p *shardSnapshot) covers(group string) bool { return p.whole && !isOrphanKey(group) }
 
-// believe takes in a whole picture, and returns of how many machines it tells.
-func (c *Core) believe(bl *block, p *picture) int {
+// restore takes in a whole picture, and returns of how many machines it tells.
+func (c *Core) restore(shard *ownedShard, p *shardSnapshot) int {
 	n := 0
-	for _, name := range sortedKeys(bl.machines) {
-		m := bl.machines[name]
+	for _, name := range sortedKeys(shard.machines) {
+		m := shard.machines[name]
 		if x, ok := p.machines[name]; m.Record.Up && (ok || p.covers(m.Group)) {
-			c.adopt(bl, m, x)
+			c.restoreMachine(shard, m, x)
 			n++
 		}
 	}
 	for _, d := range p.done {
 		for _, t := range d.Tasks {
-			if j := bl.active[d.Job]; j != nil && t >= 0 && t < j.Record.Tasks && !j.IsFinished(t) {
-				c.finished(bl, j, t)
+			if j := shard.active[d.Job]; j != nil && t >= 0 && t < j.Record.Tasks && !j.IsFinished(t) {
+				c.finished(shard, j, t)
 			}
 		}
 	}
 	return n
 }
 
-// adopt takes in what may be on a machine by the last holder's word.
-func (c *Core) adopt(bl *block, m *fleet.Machine, p MachinePicture) {
-	m.Accounted, m.Handed = true, true
-	m.Addr, m.Session, m.Seq = p.Addr, p.Session, p.Seq
+// restoreMachine takes in what may be on a machine by the last holder's word.
+func (c *Core) restoreMachine(shard *ownedShard, m *fleet.Machine, p MachinePicture) {
+	m.Reconciled, m.Transferred = true, true
+	m.Addr, m.Incarnation, m.Seq = p.Addr, p.Session, p.Seq
 	for _, t := range p.Tasks {
 		if t.State != fleet.Exited {
-			c.onBoard(bl, m, t) // what should stop is told when it reports
+			c.taskReported(shard, m, t) // what should stop is told when it reports
 		}
 	}
 }
 
 // retireWithin is how long a controller that ends on purpose may take to hand on what it
 // holds.
-const retireWithin = 3 * unit.Second
+const retireWithin = 3 * units.Second
 
 // Retire has this controller give up all that it holds, as its process is about to end on
 // purpose. Users' requests are still answered, and workers sent on.
-func (c *Core) Retire(now unit.Micros) {
-	c.at(now)
-	if c.retiring == 0 {
-		c.retiring = max(c.now, 1)
-		c.log.Info("retiring", "blocks", len(c.held))
+func (c *Core) Retire(now units.Microseconds) {
+	c.advance(now)
+	if c.retiringSince == 0 {
+		c.retiringSince = max(c.now, 1)
+		c.log.Info("retiring", "blocks", len(c.owned))
 	}
-	for _, k := range sortedBlocks(c.held) {
-		c.release(c.held[k], "this controller is about to end")
+	for _, k := range sortedShards(c.owned) {
+		c.release(c.owned[k], "this controller is about to end")
 	}
 }
 
 // Retired reports whether the process of a controller that retires may end: everything is
 // another's, and each worker has had the time to report once more and be sent on. One that
 // finds nobody here tries the next controller a second later.
-func (c *Core) Retired(now unit.Micros) bool {
-	c.at(now)
+func (c *Core) Retired(now units.Microseconds) bool {
+	c.advance(now)
 	switch {
-	case c.retiring == 0:
+	case c.retiringSince == 0:
 		return false
-	case len(c.held) > 0:
-		c.emptied = 0
-		return now-c.retiring > retireWithin
-	case c.emptied == 0:
-		c.emptied = c.now
+	case len(c.owned) > 0:
+		c.emptySince = 0
+		return now-c.retiringSince > retireWithin
+	case c.emptySince == 0:
+		c.emptySince = c.now
 	}
-	return !c.reach.Any() || now-c.emptied > watch.NextReport(c.cfg.ReportEvery)
+	return !c.reachability.Any() || now-c.emptySince > liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval)
 }
 
 // Leave gives up the seat, so that nobody waits for its lease to end. The process ends.
-func (c *Core) Leave(now unit.Micros) {
-	c.at(now)
-	if c.seats.ID() != 0 {
-		c.emit(CloseLease{ID: c.seats.Pass()})
+func (c *Core) Leave(now units.Microseconds) {
+	c.advance(now)
+	if c.membership.ID() != 0 {
+		c.emit(CloseLease{ID: c.membership.LeaseID()})
 	}
 }
 
-// sendOn answers the reports that wait while a block is given up: by the block's next
+// redirectPending answers the reports that wait while a block is given up: by the block's next
 // holder, once that is known.
-func (c *Core) sendOn(bl *block) {
-	to := c.holderOf(bl.n)
-	for _, h := range bl.held {
+func (c *Core) redirectPending(shard *ownedShard) {
+	to := c.ownerOf(shard.number)
+	for _, h := range shard.pendingHeartbeats {
 		if to == "" {
-			c.reply(h.req, http.StatusServiceUnavailable, Problem{"no authority at present"})
+			c.reply(h.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
 		} else {
-			c.reply(h.req, http.StatusMisdirectedRequest, Redirect{to})
+			c.reply(h.request, http.StatusMisdirectedRequest, Redirect{to})
 		}
 	}
-	bl.held = nil
+	shard.pendingHeartbeats = nil
 }
