--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -1,40 +1,42 @@
 package core
 
 import (
+	"shalestage.example/shalestage/internal/core/autoscaler"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/renting"
-	"shalestage.example/shalestage/internal/core/scale"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/provisioner"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
-// yields reports whether a job uses what room is left, and keeps its progress
+// isPreemptible reports whether a job uses what room is left, and keeps its progress
 // when it makes room: stopping its tasks costs little.
-func yields(j *ledger.Job) bool { return j.Aims.Priority == ledger.Low && j.Spec().Checkpoint > 0 }
+func isPreemptible(j *jobs.Job) bool {
+	return j.Objectives.Priority == jobs.Low && j.Spec().Checkpoint > 0
+}
 
 const (
 	// vacateAfter is how long a machine must have been spare before what runs
 	// there by idle time is stopped.
-	vacateAfter = 10 * unit.Second
+	vacateAfter = 10 * units.Second
 	// vacateRun is how long every such task must have run, so that saving and
 	// starting anew stays a small part of the time.
-	vacateRun = 30 * unit.Second
+	vacateRun = 30 * units.Second
 )
 
-// vacate stops the tasks of a machine that is kept for nothing but idle-time
+// evictIdle stops the tasks of a machine that is kept for nothing but idle-time
 // work which keeps its progress, where that work should rather go on elsewhere:
 // the machine is dear, or mostly empty. It is returned when it is empty.
-func (c *Core) vacate(bl *block, m *fleet.Machine) []fleet.Command {
+func (c *Core) evictIdle(shard *ownedShard, m *fleet.Machine) []fleet.Command {
 	if m.Spare == 0 || c.now-m.Spare < vacateAfter || len(m.Tasks) == 0 {
 		return nil
 	}
 	var out []fleet.Command
-	roomy := 2*m.Used()[pack.CPU] <= m.Type.Capacity[pack.CPU]
+	roomy := 2*m.Used()[binpack.CPU] <= m.Type.Capacity[binpack.CPU]
 	for _, id := range sortedTasks(m.Tasks) {
 		a, j := m.Tasks[id], c.jobs[id.Job]
-		if j == nil || !j.Active() || !yields(j) || !bl.demand.Idle(c.wall, j) || a.Ran(c.now) < vacateRun ||
-			!roomy && !c.dear(m, j.Spec()) {
+		if j == nil || !j.Active() || !isPreemptible(j) || !shard.demand.Idle(c.wall, j) || a.Ran(c.now) < vacateRun ||
+			!roomy && !c.expensive(m, j.Spec()) {
 			return nil
 		}
 		if a.State == fleet.Running {
@@ -44,7 +46,7 @@
 	return atMost(out, MaxStops)
 }
 
-// dear reports whether a machine costs too much for idle-time work.
-func (c *Core) dear(m *fleet.Machine, s *ledger.Spec) bool {
-	return scale.Dear(renting.PoolOf(m), c.fitting(s), s.Spot, c.types)
+// expensive reports whether a machine costs too much for idle-time work.
+func (c *Core) expensive(m *fleet.Machine, s *jobs.Spec) bool {
+	return autoscaler.Dear(provisioner.PoolOf(m), c.compatibleTypes(s), s.Spot, c.types)
 }
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -8,12 +8,12 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/archive"
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/follow"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -34,7 +34,7 @@
 type Inspector struct {
 	found  []Finding
 	keys   map[string]int
-	jobs   map[string]inspected
+	jobs   map[string]inspectedJob
 	parts  map[string][]store.Event
 	done   map[string][]store.Event
 	seats  map[string]uint64
@@ -47,8 +47,8 @@
 	packed int
 }
 
-type inspected struct {
-	status ledger.Status
+type inspectedJob struct {
+	status jobs.Status
 	stamp  uint64
 	parts  int
 	sum    string
@@ -56,7 +56,7 @@
 
 // NewInspector returns one that has seen nothing.
 func NewInspector() *Inspector {
-	return &Inspector{keys: map[string]int{}, jobs: map[string]inspected{}, parts: map[string][]store.Event{}, done: map[string][]store.Event{},
+	return &Inspector{keys: map[string]int{}, jobs: map[string]inspectedJob{}, parts: map[string][]store.Event{}, done: map[string][]store.Event{},
 		seats: map[string]uint64{}, blocks: map[int]store.Event{}, awaits: map[string][]string{}, bits: map[uint32]int{}}
 }
 
@@ -72,42 +72,42 @@
 	switch {
 	case strings.HasPrefix(e.Key, jobPrefix):
 		err = s.lookJob(e)
-	case strings.HasPrefix(e.Key, partPrefix):
+	case strings.HasPrefix(e.Key, chunkPrefix):
 		id, _, _ := strings.Cut(rest, "/")
 		s.parts[id] = append(s.parts[id], store.Event{Key: e.Key, Stamp: e.Stamp})
-		_, err = ledger.PartText(e.Value)
-	case strings.HasPrefix(e.Key, donePrefix):
+		_, err = jobs.PartText(e.Value)
+	case strings.HasPrefix(e.Key, progressPrefix):
 		id, _, _ := strings.Cut(rest, "/")
 		s.done[id] = append(s.done[id], store.Event{Key: e.Key, Stamp: e.Stamp})
 		err = json.Unmarshal(e.Value, &finishedRecord{})
-	case strings.HasPrefix(e.Key, machPrefix):
+	case strings.HasPrefix(e.Key, machinePrefix):
 		s.groups = append(s.groups, e)
-	case strings.HasPrefix(e.Key, seatPrefix):
+	case strings.HasPrefix(e.Key, memberPrefix):
 		s.seats[rest] = e.Stamp
-		err = json.Unmarshal(e.Value, &lead.Seat{})
-	case strings.HasPrefix(e.Key, blockPrefix):
+		err = json.Unmarshal(e.Value, &authority.Member{})
+	case strings.HasPrefix(e.Key, assignmentPrefix):
 		var k int
-		if k, err = blockNumber(e.Key, blockPrefix); err == nil {
+		if k, err = shardNumber(e.Key, assignmentPrefix); err == nil {
 			s.blocks[k] = e
 		}
 	case strings.HasPrefix(e.Key, configPrefix):
 		err = configuration.Readable(e.Key, e.Value)
-	case strings.HasPrefix(e.Key, wordPrefix):
-		err = json.Unmarshal(e.Value, &ZoneWord{})
-	case strings.HasPrefix(e.Key, followPrefix):
-		err = json.Unmarshal(e.Value, &follow.Record{})
-	case strings.HasPrefix(e.Key, sharePrefix):
-		err = json.Unmarshal(e.Value, &lead.Share{})
+	case strings.HasPrefix(e.Key, overridePrefix):
+		err = json.Unmarshal(e.Value, &OperatorOverride{})
+	case strings.HasPrefix(e.Key, standbyPrefix):
+		err = json.Unmarshal(e.Value, &replication.Record{})
+	case strings.HasPrefix(e.Key, allocationPrefix):
+		err = json.Unmarshal(e.Value, &authority.QuotaAllocation{})
 	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, kindPrefix):
 		s.types = append(s.types, store.Event{Key: e.Key, Stamp: e.Stamp})
 		err = json.Unmarshal(e.Value, &fleet.Type{})
-	case e.Key == pastKey:
+	case e.Key == archiveKey:
 		s.mark = &archive.Mark{}
 		err = json.Unmarshal(e.Value, s.mark)
-	case e.Key == leadKeyFirst || e.Key == leadKeyPast:
-		err = json.Unmarshal(e.Value, &lead.Claim{})
+	case e.Key == leaderKeyFirst || e.Key == leaderKeyArchived:
+		err = json.Unmarshal(e.Value, &authority.LeaderRecord{})
 	case e.Key == termKey:
-		err = json.Unmarshal(e.Value, &lead.Term{})
+		err = json.Unmarshal(e.Value, &authority.Term{})
 	default:
 		s.find("foreign", e.Key, nil, "no release of this program writes such a key")
 	}
@@ -118,12 +118,12 @@
 
 func (s *Inspector) lookJob(e store.Event) error {
 	id := e.Key[len(jobPrefix):]
-	r, err := ledger.DecodeRecord(e.Value)
+	r, err := jobs.DecodeRecord(e.Value)
 	if err != nil {
-		s.jobs[id] = inspected{status: ledger.Pending, stamp: e.Stamp} // its parts and progress stay
+		s.jobs[id] = inspectedJob{status: jobs.Pending, stamp: e.Stamp} // its parts and progress stay
 		return err
 	}
-	s.jobs[id] = inspected{r.Status, e.Stamp, r.Parts, r.Sum}
+	s.jobs[id] = inspectedJob{r.Status, e.Stamp, r.Parts, r.Sum}
 	if r.Spec != nil && !r.Status.Final() {
 		for _, a := range r.Spec.Awaits {
 			s.awaits[a] = append(s.awaits[a], id)
@@ -157,7 +157,7 @@
 func (s *Inspector) Machines() map[string]string {
 	out := map[string]string{}
 	for _, e := range s.groups {
-		g, err := fleet.DecodeGroup(e.Key[len(machPrefix):], e.Value)
+		g, err := fleet.DecodeGroup(e.Key[len(machinePrefix):], e.Value)
 		if err != nil {
 			continue // told as unreadable
 		}
@@ -170,7 +170,7 @@
 
 // removal removes keys as long as the record of a job is as it was seen.
 func (s *Inspector) removal(id string, list []store.Event) *store.Write {
-	w := &store.Write{Guards: []store.Guard{{Key: jobPrefix + id, Stamp: s.jobs[id].stamp}}}
+	w := &store.Write{Guards: []store.Guard{{Key: jobPrefix + id, Version: s.jobs[id].stamp}}}
 	for _, e := range list {
 		w.Changes = append(w.Changes, store.Change{Key: e.Key})
 	}
@@ -215,25 +215,25 @@
 		s.find("leftover", list[0].Key, s.removal(id, list), "%d records of finished tasks of a job that is over or not there", len(list))
 	}
 	for _, e := range s.groups {
-		g, err := fleet.DecodeGroup(e.Key[len(machPrefix):], e.Value)
+		g, err := fleet.DecodeGroup(e.Key[len(machinePrefix):], e.Value)
 		if err != nil {
 			s.find("unreadable", e.Key, nil, "cannot be read: %v", err)
 			continue
 		}
 		if len(g.Up)+len(g.Booting) == 0 {
-			s.find("no_machines", e.Key, &store.Write{Guards: []store.Guard{{Key: e.Key, Stamp: e.Stamp}}, Changes: []store.Change{{Key: e.Key}}}, "names no machine")
+			s.find("no_machines", e.Key, &store.Write{Guards: []store.Guard{{Key: e.Key, Version: e.Stamp}}, Changes: []store.Change{{Key: e.Key}}}, "names no machine")
 		}
-		if _, ok := s.blocks[g.Block]; !ok {
-			s.find("no_block", e.Key, nil, "its machines belong to block %d, which does not exist", g.Block)
+		if _, ok := s.blocks[g.Shard]; !ok {
+			s.find("no_block", e.Key, nil, "its machines belong to block %d, which does not exist", g.Shard)
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.blocks)) {
-		b, err := lead.DecodeBlock(s.blocks[k].Value)
+		b, err := authority.DecodeAssignment(s.blocks[k].Value)
 		switch {
 		case err != nil:
-			s.find("unreadable", blockKey(k), nil, "cannot be read: %v", err)
-		case b.Node != "" && s.seats[b.Node] != b.Seat:
-			s.find("no_seat", blockKey(k), nil, "is held by a seat of %s that does not stand; the leader grants it anew", b.Node)
+			s.find("unreadable", assignmentKey(k), nil, "cannot be read: %v", err)
+		case b.Node != "" && s.seats[b.Node] != b.MemberID:
+			s.find("no_seat", assignmentKey(k), nil, "is held by a seat of %s that does not stand; the leader grants it anew", b.Node)
 		}
 	}
 	if s.mark != nil {
--- a/internal/core/ledger/graph.go
+++ b/internal/core/jobs/graph.go
@@ -1,38 +1,38 @@
-package ledger
+package jobs
 
-import "shalestage.example/shalestage/internal/core/unit"
+import "shalestage.example/shalestage/internal/core/units"
 
-// Aims are what of time and priority is asked of a job: by its own user, and by
+// Objectives are what of time and priority is asked of a job: by its own user, and by
 // those of the jobs that need it.
-type Aims struct {
+type Objectives struct {
 	Priority Priority
-	Due      unit.Micros // time of day by which it should be done; Never: none
-	LastDue  unit.Micros // and by which it is still of some use
+	Due      units.Microseconds // time of day by which it should be done; Never: none
+	LastDue  units.Microseconds // and by which it is still of some use
 }
 
 // Tighten takes in what another asks for.
-func (a *Aims) Tighten(b Aims) {
+func (a *Objectives) Tighten(b Objectives) {
 	a.Priority = max(a.Priority, b.Priority)
 	a.Due, a.LastDue = min(a.Due, b.Due), min(a.LastDue, b.LastDue)
 }
 
 // Before returns the aims of what must be done some time before.
-func (a Aims) Before(t unit.Micros) Aims {
-	for _, d := range []*unit.Micros{&a.Due, &a.LastDue} {
-		if *d != unit.Never {
+func (a Objectives) Before(t units.Microseconds) Objectives {
+	for _, d := range []*units.Microseconds{&a.Due, &a.LastDue} {
+		if *d != units.Never {
 			*d -= t
 		}
 	}
 	return a
 }
 
-// Graph keeps which unfinished jobs wait for which. Only what is stored passes
+// DependencyGraph keeps which unfinished jobs wait for which. Only what is stored passes
 // along it: a job is released by the stored ends of those that it awaits, and
 // cancelled by the stored cancellation of any, however far before it.
 //
 // A job that waits has never been started: what cancels it from afar stops
 // nothing.
-type Graph struct {
+type DependencyGraph struct {
 	after map[string][]*Job // jobs that await the named one
 	named map[string]int    // unfinished jobs whose descriptions name it, done or not
 }
@@ -40,7 +40,7 @@
 // Link takes in an unfinished job that was just learnt. The jobs that it awaits
 // may be known or, while a listing is taken in, not yet. It returns the name of
 // an awaited one that is cancelled, if any is.
-func (g *Graph) Link(j *Job, jobs map[string]*Job, now unit.Micros) (cancelled string) {
+func (g *DependencyGraph) Link(j *Job, jobs map[string]*Job, now units.Microseconds) (cancelled string) {
 	j.Since = j.Record.Submitted
 	j.awaits = j.Spec().Awaits
 	if g.named == nil {
@@ -53,7 +53,7 @@
 			if g.after == nil {
 				g.after = map[string][]*Job{}
 			}
-			j.Awaiting++
+			j.OpenDependencies++
 			g.after[id] = append(g.after[id], j)
 		case a.Record.Status == Cancelled:
 			cancelled = id
@@ -64,8 +64,8 @@
 	return cancelled
 }
 
-func (j *Job) startsAfter(a *Job, now unit.Micros) {
-	ended := a.Record.Ended
+func (j *Job) startsAfter(a *Job, now units.Microseconds) {
+	ended := a.Record.FinishedAt
 	if ended == 0 {
 		ended = now // stored by a release that noted no time
 	}
@@ -75,13 +75,13 @@
 // Cancel makes a job final that needs a cancelled one.
 func (j *Job) Cancel(through string) {
 	s := j.Spec()
-	j.Through, j.Awaiting = through, 0
-	j.Settle(Record{Status: Cancelled, Block: j.Record.Block, Tasks: j.Record.Tasks, Team: s.Team, Demand: s.Demand}, j.Stamp)
+	j.CancelledBy, j.OpenDependencies = through, 0
+	j.Settle(Record{Status: Cancelled, Shard: j.Record.Shard, Tasks: j.Record.Tasks, Team: s.Team, Demand: s.Demand}, j.Version)
 }
 
-// Over takes in that a job is final. It returns the jobs that may start now, and
+// JobOver takes in that a job is final. It returns the jobs that may start now, and
 // those that are cancelled with it.
-func (g *Graph) Over(j *Job, now unit.Micros) (ready, cancelled []*Job) {
+func (g *DependencyGraph) JobOver(j *Job, now units.Microseconds) (ready, cancelled []*Job) {
 	for queue := []*Job{j}; len(queue) > 0; queue = queue[1:] {
 		o := queue[0]
 		g.unname(o)
@@ -93,9 +93,9 @@
 				cancelled = append(cancelled, d)
 				queue = append(queue, d)
 			default:
-				d.Awaiting--
+				d.OpenDependencies--
 				d.startsAfter(o, now)
-				if d.Awaiting == 0 {
+				if d.OpenDependencies == 0 {
 					ready = append(ready, d)
 				}
 			}
@@ -105,10 +105,10 @@
 	return ready, cancelled
 }
 
-// Flow lets aims pass back along the graph: what a job that waits asks for, it
+// Propagate lets aims pass back along the graph: what a job that waits asks for, it
 // asks of those that it awaits, less the time that it takes itself. own is what a
 // job's user asks for. Every job is looked at after all that need it.
-func (g *Graph) Flow(jobs map[string]*Job, own func(*Job) Aims, takes func(*Job) unit.Micros) {
+func (g *DependencyGraph) Propagate(jobs map[string]*Job, own func(*Job) Objectives, takes func(*Job) units.Microseconds) {
 	left := make(map[*Job]int, len(g.after)) // jobs that need it and were not looked at
 	var queue []*Job
 	for id, after := range g.after {
@@ -123,7 +123,7 @@
 			delete(g.after, id)
 		}
 		if a := jobs[id]; a != nil && a.Active() {
-			a.Aims = own(a)
+			a.Objectives = own(a)
 			left[a] = len(waits)
 			if len(waits) == 0 {
 				queue = append(queue, a)
@@ -132,7 +132,7 @@
 		for _, d := range waits {
 			if len(g.after[d.ID]) == 0 {
 				if _, seen := left[d]; !seen {
-					d.Aims = own(d)
+					d.Objectives = own(d)
 					left[d] = 0
 					queue = append(queue, d)
 				}
@@ -141,16 +141,16 @@
 	}
 	for ; len(queue) > 0; queue = queue[1:] {
 		d := queue[0]
-		if d.Awaiting == 0 {
+		if d.OpenDependencies == 0 {
 			continue
 		}
-		aims := d.Aims.Before(takes(d))
+		aims := d.Objectives.Before(takes(d))
 		for _, id := range d.Spec().Awaits {
 			a := jobs[id]
 			if a == nil || !a.Active() {
 				continue
 			}
-			a.Aims.Tighten(aims)
+			a.Objectives.Tighten(aims)
 			if left[a]--; left[a] == 0 {
 				queue = append(queue, a)
 			}
@@ -160,10 +160,10 @@
 
 // Named reports whether any unfinished job's description names the job: whoever
 // learns that description has to learn how the job ended.
-func (g *Graph) Named(id string) bool { return g.named[id] > 0 }
+func (g *DependencyGraph) Named(id string) bool { return g.named[id] > 0 }
 
 // unname notes that a job is over: nobody asks any more what it awaited.
-func (g *Graph) unname(j *Job) {
+func (g *DependencyGraph) unname(j *Job) {
 	for _, id := range j.awaits {
 		if g.named[id]--; g.named[id] <= 0 {
 			delete(g.named, id)
@@ -173,10 +173,10 @@
 }
 
 // Awaited reports whether any job waits for the named one.
-func (g *Graph) Awaited(id string) bool { return len(g.after[id]) > 0 }
+func (g *DependencyGraph) Awaited(id string) bool { return len(g.after[id]) > 0 }
 
 // Waiting returns how many jobs wait for others.
-func (g *Graph) Waiting() int {
+func (g *DependencyGraph) Waiting() int {
 	seen := map[*Job]bool{}
 	for _, after := range g.after {
 		for _, d := range after {
--- a/internal/core/ledger/graph_test.go
+++ b/internal/core/jobs/graph_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobs
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // plain is a graph's truth, by looking at everything each time.
 type plain struct {
 	awaits map[string][]string
-	own    map[string]Aims
+	own    map[string]Objectives
 	stored map[string]Status // final states that were stored
 }
 
@@ -29,11 +29,11 @@
 }
 
 // aims is what is asked of a job, where each takes a second.
-func (p *plain) aims(id string) Aims {
+func (p *plain) aims(id string) Objectives {
 	out := p.own[id]
 	for d, awaits := range p.awaits {
 		if slices.Contains(awaits, id) && p.open(d) {
-			out.Tighten(p.aims(d).Before(unit.Second))
+			out.Tighten(p.aims(d).Before(units.Second))
 		}
 	}
 	return out
@@ -44,18 +44,18 @@
 // when any before it is, and is asked for what those that need it ask for.
 func TestGraph(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var g Graph
-		p := &plain{map[string][]string{}, map[string]Aims{}, map[string]Status{}}
+		var g DependencyGraph
+		p := &plain{map[string][]string{}, map[string]Objectives{}, map[string]Status{}}
 		jobs := map[string]*Job{}
 		ready := map[string]bool{}
 		var ids, unread []string
 		final := func(j *Job) {
-			r, off := g.Over(j, 77)
+			r, off := g.JobOver(j, 77)
 			for _, d := range r {
 				ready[d.ID] = true
 			}
 			for _, d := range off {
-				if d.Through == "" {
+				if d.CancelledBy == "" {
 					t.Fatalf("%s is cancelled through nothing", d.ID)
 				}
 			}
@@ -72,11 +72,11 @@
 				final(j)
 				return
 			}
-			j.Aims = p.own[id]
+			j.Objectives = p.own[id]
 			if by := g.Link(j, jobs, 77); by != "" {
 				j.Cancel(by)
 				final(j)
-			} else if j.Awaiting == 0 {
+			} else if j.OpenDependencies == 0 {
 				ready[id] = true
 			}
 		}
@@ -86,9 +86,9 @@
 				if len(ids) > 0 {
 					p.awaits[id] = rapid.SliceOfN(rapid.SampledFrom(ids), 0, 4).Draw(t, "awaits")
 				}
-				p.own[id] = Aims{Priority(rapid.IntRange(0, 3).Draw(t, "priority")), unit.Never, unit.Never}
+				p.own[id] = Objectives{Priority(rapid.IntRange(0, 3).Draw(t, "priority")), units.Never, units.Never}
 				if rapid.Bool().Draw(t, "due") {
-					p.own[id] = Aims{Low, unit.Micros(rapid.IntRange(0, 100).Draw(t, "at")) * unit.Second, unit.Never}
+					p.own[id] = Objectives{Low, units.Microseconds(rapid.IntRange(0, 100).Draw(t, "at")) * units.Second, units.Never}
 				}
 				ids = append(ids, id)
 				unread = append(unread, id)
@@ -124,7 +124,7 @@
 				if len(unread) > 0 {
 					return
 				}
-				g.Flow(jobs, func(j *Job) Aims { return p.own[j.ID] }, func(*Job) unit.Micros { return unit.Second })
+				g.Propagate(jobs, func(j *Job) Objectives { return p.own[j.ID] }, func(*Job) units.Microseconds { return units.Second })
 				for _, id := range ids {
 					j := jobs[id]
 					if j.Active() != p.open(id) || (j.Record.Status == Cancelled) != p.off(id) {
@@ -133,13 +133,13 @@
 					if !j.Active() {
 						continue
 					}
-					if ready[id] == p.waits(id) || (j.Awaiting > 0) != p.waits(id) || g.Awaited(id) != slices.ContainsFunc(ids, func(d string) bool {
+					if ready[id] == p.waits(id) || (j.OpenDependencies > 0) != p.waits(id) || g.Awaited(id) != slices.ContainsFunc(ids, func(d string) bool {
 						return p.open(d) && slices.Contains(p.awaits[d], id)
 					}) {
-						t.Fatalf("%s: ready %v, awaiting %d, waits %v", id, ready[id], j.Awaiting, p.waits(id))
+						t.Fatalf("%s: ready %v, awaiting %d, waits %v", id, ready[id], j.OpenDependencies, p.waits(id))
 					}
-					if j.Aims != p.aims(id) {
-						t.Fatalf("%s: aims %+v, want %+v", id, j.Aims, p.aims(id))
+					if j.Objectives != p.aims(id) {
+						t.Fatalf("%s: aims %+v, want %+v", id, j.Objectives, p.aims(id))
 					}
 				}
 			},
@@ -154,7 +154,7 @@
 		"fan":   func(int) []string { return []string{"0"} },
 	} {
 		const n = 50_000
-		var g Graph
+		var g DependencyGraph
 		jobs := map[string]*Job{}
 		for i := range n {
 			j := &Job{ID: fmt.Sprint(i), Record: Record{Status: Pending, Tasks: 1, Spec: &Spec{Tasks: 1}}}
@@ -165,18 +165,18 @@
 			jobs[j.ID] = j
 			g.Link(j, jobs, 1)
 		}
-		own := func(j *Job) Aims {
+		own := func(j *Job) Objectives {
 			if j.ID == fmt.Sprint(n-1) {
-				return Aims{High, n * unit.Second, unit.Never}
+				return Objectives{High, n * units.Second, units.Never}
 			}
-			return Aims{Low, unit.Never, unit.Never}
+			return Objectives{Low, units.Never, units.Never}
 		}
-		g.Flow(jobs, own, func(*Job) unit.Micros { return 1 })
-		if a := jobs["0"].Aims; a.Priority != High || a.Due >= n*unit.Second {
+		g.Propagate(jobs, own, func(*Job) units.Microseconds { return 1 })
+		if a := jobs["0"].Objectives; a.Priority != High || a.Due >= n*units.Second {
 			t.Errorf("%s: %+v is asked of the first", name, a)
 		}
 		jobs["0"].Settle(Record{Status: Cancelled}, 1)
-		if _, off := g.Over(jobs["0"], 1); len(off) != n-1 || g.Waiting() != 0 {
+		if _, off := g.JobOver(jobs["0"], 1); len(off) != n-1 || g.Waiting() != 0 {
 			t.Errorf("%s: %d cancelled, %d wait", name, len(off), g.Waiting())
 		}
 	}
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/jobs/jobs.go
@@ -1,5 +1,5 @@
-// Package ledger keeps jobs, their finished tasks and what teams use.
-package ledger
+// Package jobs keeps jobs, their finished tasks and what teams use.
+package jobs
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"strconv"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Status of a job, as stored and as told to users.
@@ -44,25 +44,25 @@
 
 // Spec is what a user submitted, as stored in the job's record.
 type Spec struct {
-	Class      string      `json:"class"`
-	Team       string      `json:"team"`
-	Service    bool        `json:"service,omitempty"`
-	Priority   Priority    `json:"priority"`
-	Tasks      int         `json:"tasks"`
-	Demand     pack.Vec    `json:"demand"`
-	Types      []string    `json:"types,omitempty"`
-	AnyType    bool        `json:"any_type,omitempty"`
-	Zone       string      `json:"zone,omitempty"`
-	OneZone    bool        `json:"one_zone,omitempty"`
-	Spread     bool        `json:"spread,omitempty"`
-	Spot       bool        `json:"spot,omitempty"`
-	Image      string      `json:"image"`
-	ImageMB    int64       `json:"image_mb"`
-	Estimate   unit.Micros `json:"estimate"`
-	Checkpoint unit.Micros `json:"checkpoint,omitempty"`
-	Save       unit.Micros `json:"save,omitempty"`
-	Deadline   unit.Micros `json:"deadline,omitempty"` // from submission; 0: none
-	Awaits     []string    `json:"awaits,omitempty"`   // jobs that must be done before any task starts
+	Class      string             `json:"class"`
+	Team       string             `json:"team"`
+	Service    bool               `json:"service,omitempty"`
+	Priority   Priority           `json:"priority"`
+	Tasks      int                `json:"tasks"`
+	Demand     binpack.Vec        `json:"demand"`
+	Types      []string           `json:"types,omitempty"`
+	AnyType    bool               `json:"any_type,omitempty"`
+	Zone       string             `json:"zone,omitempty"`
+	OneZone    bool               `json:"one_zone,omitempty"`
+	Spread     bool               `json:"spread,omitempty"`
+	Spot       bool               `json:"spot,omitempty"`
+	Image      string             `json:"image"`
+	ImageMB    int64              `json:"image_mb"`
+	Estimate   units.Microseconds `json:"estimate"`
+	Checkpoint units.Microseconds `json:"checkpoint,omitempty"`
+	Save       units.Microseconds `json:"save,omitempty"`
+	Deadline   units.Microseconds `json:"deadline,omitempty"` // from submission; 0: none
+	Awaits     []string           `json:"awaits,omitempty"`   // jobs that must be done before any task starts
 }
 
 // Record is a job's value in the state service. Once a job is final only the
@@ -70,14 +70,14 @@
 // cancelled one what its tasks take, as some may still be running when the next
 // holder comes.
 type Record struct {
-	Status    Status      `json:"status"`
-	Block     int         `json:"block,omitempty"` // whose holder owns the job
-	Tasks     int         `json:"tasks"`
-	Team      string      `json:"team,omitempty"`
-	Demand    pack.Vec    `json:"demand,omitzero"`
-	Submitted unit.Micros `json:"submitted,omitempty"` // time of day
-	Ended     unit.Micros `json:"ended,omitempty"`     // time of day; 0: not known (releases before 0.3)
-	Spec      *Spec       `json:"spec,omitempty"`
+	Status     Status             `json:"status"`
+	Shard      int                `json:"block,omitempty"` // whose holder owns the job
+	Tasks      int                `json:"tasks"`
+	Team       string             `json:"team,omitempty"`
+	Demand     binpack.Vec        `json:"demand,omitzero"`
+	Submitted  units.Microseconds `json:"submitted,omitempty"` // time of day
+	FinishedAt units.Microseconds `json:"ended,omitempty"`     // time of day; 0: not known (releases before 0.3)
+	Spec       *Spec              `json:"spec,omitempty"`
 	// A description that does not fit one value is stored in parts, see Split.
 	Parts int    `json:"parts,omitempty"`
 	Sum   string `json:"sum,omitempty"`
@@ -105,7 +105,7 @@
 
 // check reports why a record of an unfinished job cannot be worked with.
 func (r *Record) check() error {
-	if r.Spec == nil || !r.Spec.Sane() || r.Tasks != r.Spec.Tasks || r.Block < 0 {
+	if r.Spec == nil || !r.Spec.Sane() || r.Tasks != r.Spec.Tasks || r.Shard < 0 {
 		return errors.New("no usable description")
 	}
 	return nil
@@ -230,9 +230,9 @@
 
 // Job is an unfinished job in memory, or the mere status of a finished one.
 type Job struct {
-	ID     string
-	Stamp  uint64 // version of the job's record
-	Record Record
+	ID      string
+	Version uint64 // version of the job's record
+	Record  Record
 
 	finished Set // known to be done
 	stored   Set // done and stored
@@ -241,27 +241,27 @@
 	dirty    map[int]bool
 	zones    map[string]int // tasks that may be running, by zone
 
-	DirtySince unit.Micros // finished tasks wait to be stored; 0: none do
-
-	Errors    map[string]int // machines on which tasks failed, while none has worked
-	Worked    bool           // some task completed
-	Begun     bool           // some task ran, as far as this controller knows
-	Failing   bool           // it is stored that the job fails everywhere
-	Replaced  int            // machines given up on account of this job alone
-	NotBefore unit.Micros    // failed lately: not started before this
-	MeanRun   unit.Micros    // of the tasks that completed; 0: too few yet
-	runs      int
-	runSum    unit.Micros
-	Closing   bool // its end is being stored
-	Held      bool // may have been started by an earlier holder: wait until all machines are accounted for
-	Moving    bool // to another block: not started here
-
-	Awaiting int         // awaited jobs that are not stored as done; none of its tasks may start before
-	Since    unit.Micros // time of day from which its times count, but for the deadline
-	Through  string      // the awaited job whose cancellation cancelled this one
-	awaits   []string    // as the graph counts them, until it is over
-	Packed   bool        // its record has left the state service's listing: kept only while tasks of it may run
-	Aims     Aims        // its own and those of the jobs that need it
+	DirtySince units.Microseconds // finished tasks wait to be stored; 0: none do
+
+	Errors               map[string]int     // machines on which tasks failed, while none has worked
+	Worked               bool               // some task completed
+	Started              bool               // some task ran, as far as this controller knows
+	Failing              bool               // it is stored that the job fails everywhere
+	Replaced             int                // machines given up on account of this job alone
+	NotBefore            units.Microseconds // failed lately: not started before this
+	MeanRun              units.Microseconds // of the tasks that completed; 0: too few yet
+	runs                 int
+	runSum               units.Microseconds
+	Closing              bool // its end is being stored
+	AwaitsReconciliation bool // may have been started by an earlier holder: wait until all machines are accounted for
+	Migrating            bool // to another block: not started here
+
+	OpenDependencies int                // awaited jobs that are not stored as done; none of its tasks may start before
+	Since            units.Microseconds // time of day from which its times count, but for the deadline
+	CancelledBy      string             // the awaited job whose cancellation cancelled this one
+	awaits           []string           // as the graph counts them, until it is over
+	Archived         bool               // its record has left the state service's listing: kept only while tasks of it may run
+	Objectives       Objectives         // its own and those of the jobs that need it
 }
 
 // Spec returns the job's description; nil once the job is final.
@@ -311,10 +311,10 @@
 // Ready returns how many tasks may start.
 func (j *Job) Ready() int { return len(j.ready) }
 
-// Movable reports whether nothing of the job runs and all that is done is
+// Migratable reports whether nothing of the job runs and all that is done is
 // stored, so that another controller can own it.
-func (j *Job) Movable() bool {
-	return !j.Held && !j.Closing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
+func (j *Job) Migratable() bool {
+	return !j.AwaitsReconciliation && !j.Closing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
 }
 
 // Placed returns how many tasks may be running.
@@ -347,14 +347,14 @@
 	j.dirty, j.DirtySince = map[int]bool{}, 0
 	j.zones = map[string]int{}
 	j.Errors = map[string]int{}
-	j.Closing, j.Held, j.Moving = false, false, false
+	j.Closing, j.AwaitsReconciliation, j.Migrating = false, false, false
 }
 
 // Reset prepares the job for a new holder: every unfinished task is ready.
 func (j *Job) Reset() {
 	j.Clear()
 	j.Worked = j.Worked || j.finished.Len() > 0
-	j.Begun = j.Begun || j.Worked
+	j.Started = j.Started || j.Worked
 	if j.Active() {
 		for t := j.Record.Tasks - 1; t >= 0; t-- {
 			if !j.finished.Has(t) {
@@ -384,7 +384,7 @@
 	}
 	j.places[task] = p
 	j.zones[p.Zone]++
-	j.Begun = j.Begun || p.Live
+	j.Started = j.Started || p.Live
 }
 
 func (j *Job) unready(task int) {
@@ -398,7 +398,7 @@
 	p := j.places[task]
 	p.Live = true
 	j.places[task] = p
-	j.Begun = true
+	j.Started = true
 }
 
 // Release records that an attempt is no longer anywhere; unless it is done the task is ready again.
@@ -419,7 +419,7 @@
 	if !j.Active() || task >= j.Record.Tasks || !j.finished.Add(task) {
 		return
 	}
-	j.Worked, j.Begun = true, true
+	j.Worked, j.Started = true, true
 	j.Errors = map[string]int{}
 	j.dirty[l.Of(task, j.Record.Tasks).Lo] = true
 	if _, ok := j.places[task]; ok {
@@ -429,17 +429,17 @@
 }
 
 // Ran records how long a task ran.
-func (j *Job) Ran(took unit.Micros) {
+func (j *Job) Ran(took units.Microseconds) {
 	j.runs++
 	j.runSum += took
 	if j.runs >= 3 {
-		j.MeanRun = j.runSum / unit.Micros(j.runs)
+		j.MeanRun = j.runSum / units.Microseconds(j.runs)
 	}
 }
 
 // Settle makes the job final: only its status is kept.
 func (j *Job) Settle(r Record, stamp uint64) {
-	j.Record, j.Stamp = r, stamp
+	j.Record, j.Version = r, stamp
 	j.ready, j.dirty, j.Errors = nil, nil, nil
 	j.finished, j.stored = Set{}, Set{}
 	if len(j.places) == 0 {
@@ -475,9 +475,9 @@
 	return (!spot || s.Spot) && (s.Zone == "" || s.Zone == zone) && s.AllowsType(typ)
 }
 
-// ZonePermits reports whether one more task may go to a zone, given where the
+// ZoneAllows reports whether one more task may go to a zone, given where the
 // job's other tasks may be running.
-func (j *Job) ZonePermits(zone string) bool {
+func (j *Job) ZoneAllows(zone string) bool {
 	s := j.Spec()
 	if !s.OneZone && !s.Spread {
 		return true
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobs
 
 import (
 	"testing"
--- a/internal/core/ledger/progress_test.go
+++ b/internal/core/jobs/progress_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobs
 
 import (
 	"strconv"
@@ -86,7 +86,7 @@
 			s.Awaits = append(s.Awaits, "wk-000001")
 		}
 		limit := rapid.IntRange(200, 9000).Draw(t, "limit")
-		r, parts := Record{Status: Pending, Tasks: 1, Submitted: 5, Block: 1, Spec: s}.Split(limit)
+		r, parts := Record{Status: Pending, Tasks: 1, Submitted: 5, Shard: 1, Spec: s}.Split(limit)
 		var texts []string
 		for _, p := range parts {
 			if len(p) > limit {
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -6,36 +6,36 @@
 	"strconv"
 	"strings"
 
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
 )
 
-// copied is what the copy of the state service's keys tells this controller.
-type copied struct{ *Core }
+// cacheHost is what the copy of the state service's keys tells this controller.
+type cacheHost struct{ *Core }
 
 // Emit implements watchcache.Host.
-func (c copied) Emit(e any) { c.emit(e) }
+func (c cacheHost) Emit(e any) { c.emit(e) }
 
 // Learn implements watchcache.Host.
-func (c copied) Learn(e store.Event) { c.learn(e) }
+func (c cacheHost) Learn(e store.Event) { c.learn(e) }
 
 // Removed implements watchcache.Host.
-func (c copied) Removed(key string) {
+func (c cacheHost) Removed(key string) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
-		c.old.past.Packed(id)
+		c.archived.history.Packed(id)
 	}
 }
 
 // Gap implements watchcache.Host.
-func (c copied) Gap() { c.old.past.Lost() }
+func (c cacheHost) Gap() { c.archived.history.Suspect() }
 
 // Limited implements watchcache.Host: from now on the rates count that the state service was
 // to have later.
-func (c copied) Limited() {
+func (c cacheHost) Limited() {
 	if next := c.cfg.NextWriteRate; 0 < next && next < c.cfg.WriteRate {
 		c.log.Info("state service takes fewer changes", "a_second", next)
 		c.cfg.WriteRate = next
@@ -44,31 +44,31 @@
 }
 
 // Reload implements watchcache.Host.
-func (c copied) Reload(rev uint64, items []store.Event) { c.reload(rev, items) }
+func (c cacheHost) Reload(rev uint64, items []store.Event) { c.reload(rev, items) }
 
 // ListPage is how many keys are listed at once.
 const ListPage = watchcache.Page
 
-// wantSync asks for a fresh read; f, if any, is told whether it worked.
-func (c *Core) wantSync(f func(ok bool)) { c.mirror.Want(f) }
+// readFresh asks for a fresh read; f, if any, is told whether it worked.
+func (c *Core) readFresh(f func(ok bool)) { c.cache.ReadFresh(f) }
 
-// heard notes whether the state service serves this node, and at what rate. It
+// noteOutcome notes whether the state service serves this node, and at what rate. It
 // returns the outcome for those whom the reason of a refusal does not concern.
-func (c *Core) heard(o store.Outcome) store.Outcome { return c.mirror.Heard(c.now, o) }
+func (c *Core) noteOutcome(o store.Outcome) store.Outcome { return c.cache.NoteOutcome(c.now, o) }
 
 // OnList takes a page of the listing, read at a revision; more says that there are
 // others.
-func (c *Core) OnList(now unit.Micros, l List, o store.Outcome, rev uint64, items []store.Event, more bool) {
-	c.at(now)
-	c.mirror.OnList(c.now, l, o, rev, items, more)
+func (c *Core) OnList(now units.Microseconds, l List, o store.Outcome, rev uint64, items []store.Event, more bool) {
+	c.advance(now)
+	c.cache.OnList(c.now, l, o, rev, items, more)
 }
 
 // OnChanges takes a watch's answer. gone means that the service no longer has all
 // changes since then.
-func (c *Core) OnChanges(now unit.Micros, w Watch, o store.Outcome, rev uint64, events []store.Event, gone bool) {
-	c.at(now)
-	taken := o == store.OK && w.After <= c.mirror.Rev
-	c.mirror.OnChanges(c.now, w, o, rev, events, gone)
+func (c *Core) OnChanges(now units.Microseconds, w Watch, o store.Outcome, rev uint64, events []store.Event, gone bool) {
+	c.advance(now)
+	taken := o == store.OK && w.After <= c.cache.Revision
+	c.cache.OnChanges(c.now, w, o, rev, events, gone)
 	if taken {
 		c.observeCommits(events)
 	}
@@ -78,35 +78,35 @@
 // and skipped: they end no process.
 func (c *Core) learn(e store.Event) {
 	if !isAuthority(e.Key) {
-		c.memory.Note(e)
+		c.replayLog.Note(e)
 	}
 	var err error
 	switch {
-	case e.Key == leadKeyFirst || e.Key == leadKeyPast:
+	case e.Key == leaderKeyFirst || e.Key == leaderKeyArchived:
 		err = c.learnLead(e)
-	case e.Key == pastKey:
+	case e.Key == archiveKey:
 		err = c.learnMark(e)
-	case strings.HasPrefix(e.Key, seatPrefix):
-		err = c.seats.Learn(c.now, e.Key[len(seatPrefix):], e)
-	case strings.HasPrefix(e.Key, blockPrefix):
-		err = c.learnBlock(e)
+	case strings.HasPrefix(e.Key, memberPrefix):
+		err = c.membership.Learn(c.now, e.Key[len(memberPrefix):], e)
+	case strings.HasPrefix(e.Key, assignmentPrefix):
+		err = c.learnAssignment(e)
 	case strings.HasPrefix(e.Key, configPrefix):
 		err = c.config.Learn(c.now, e)
-	case strings.HasPrefix(e.Key, wordPrefix):
+	case strings.HasPrefix(e.Key, overridePrefix):
 		err = c.learnWord(e)
-	case strings.HasPrefix(e.Key, followPrefix):
+	case strings.HasPrefix(e.Key, standbyPrefix):
 		err = c.learnFollow(e)
-	case strings.HasPrefix(e.Key, sharePrefix):
-		err = c.learnShare(e)
+	case strings.HasPrefix(e.Key, allocationPrefix):
+		err = c.learnAllocation(e)
 	case e.Key == termKey:
 		err = c.learnTerm(e)
 	case strings.HasPrefix(e.Key, jobPrefix):
 		err = c.learnJob(e.Key[len(jobPrefix):], e)
-	case strings.HasPrefix(e.Key, partPrefix):
+	case strings.HasPrefix(e.Key, chunkPrefix):
 		err = c.learnPart(e)
-	case strings.HasPrefix(e.Key, donePrefix):
-		err = c.learnFinished(e.Key[len(donePrefix):], e)
-	case strings.HasPrefix(e.Key, machPrefix):
+	case strings.HasPrefix(e.Key, progressPrefix):
+		err = c.learnFinished(e.Key[len(progressPrefix):], e)
+	case strings.HasPrefix(e.Key, machinePrefix):
 		err = c.learnMachines(e.Key, e)
 	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, kindPrefix):
 		err = c.learnType(e)
@@ -119,15 +119,15 @@
 // learnTerm takes the highest term. It never falls, whatever is stored: tokens that
 // workers have seen must not be given out again.
 func (c *Core) learnTerm(e store.Event) error {
-	var t lead.Term
+	var t authority.Term
 	if e.Value == nil {
 		return nil
 	}
 	if err := json.Unmarshal(e.Value, &t); err != nil {
 		return err
 	}
-	if t.Term >= c.term.Term {
-		c.term = t
+	if t.Term >= c.highestTerm.Term {
+		c.highestTerm = t
 	}
 	return nil
 }
@@ -135,23 +135,23 @@
 func (c *Core) learnJob(id string, e store.Event) error {
 	if e.Value == nil {
 		if j := c.jobs[id]; j != nil {
-			c.packed(j)
+			c.jobArchived(j)
 		}
 		return nil
 	}
-	r, err := ledger.DecodeRecord(e.Value)
+	r, err := jobs.DecodeRecord(e.Value)
 	if err != nil {
 		return err
 	}
 	j := c.jobs[id]
 	if r.Parts > 0 && j == nil {
-		if complete, err := c.parts.Join(id, &r, e); err != nil || !complete {
+		if complete, err := c.chunkStore.Join(id, &r, e); err != nil || !complete {
 			return err
 		}
 	}
-	c.parts.Read(id)
+	c.chunkStore.Read(id)
 	if j == nil {
-		j = &ledger.Job{ID: id, Stamp: e.Stamp, Record: r}
+		j = &jobs.Job{ID: id, Version: e.Stamp, Record: r}
 		c.jobs[id] = j
 		j.Clear()
 		if !r.Status.Final() {
@@ -159,42 +159,42 @@
 			c.linkJob(j)
 		}
 	}
-	if r.Status == ledger.Cancelled && e.Stamp > c.mirror.Rev {
-		c.cancels.Note(e)
+	if r.Status == jobs.Cancelled && e.Stamp > c.cache.Revision {
+		c.cancellations.Note(e)
 	}
 	if r.Status.Final() {
-		if bl := c.held[j.Record.Block]; bl != nil && j.Active() {
-			bl.jobOver(c, j, r.Status)
+		if shard := c.owned[j.Record.Shard]; shard != nil && j.Active() {
+			shard.jobOver(c, j, r.Status)
 		}
 		j.Settle(r, e.Stamp)
-		j.Through = "" // its own record says so now, whoever has cleaned up
-		delete(c.untidy, id)
+		j.CancelledBy = "" // its own record says so now, whoever has cleaned up
+		delete(c.pendingDeletion, id)
 		c.jobFinal(j)
 		return nil
 	}
-	j.Stamp = e.Stamp
+	j.Version = e.Stamp
 	if !j.Active() {
 		return nil // cancelled through another: whatever its record says
 	}
-	if r.Block != j.Record.Block {
-		if bl := c.held[j.Record.Block]; bl != nil {
-			bl.dropJob(j)
+	if r.Shard != j.Record.Shard {
+		if shard := c.owned[j.Record.Shard]; shard != nil {
+			shard.dropJob(j)
 		}
-		j.Record.Block = r.Block
+		j.Record.Shard = r.Shard
 		j.Clear()
-		c.joinBlock(j)
+		c.joinShard(j)
 	}
 	return nil
 }
 
-// joinBlock gives a job to its block, if this node holds that.
-func (c *Core) joinBlock(j *ledger.Job) {
-	if j.Awaiting == 0 {
-		c.begun.Add(j)
+// joinShard gives a job to its block, if this node holds that.
+func (c *Core) joinShard(j *jobs.Job) {
+	if j.OpenDependencies == 0 {
+		c.runnable.Add(j)
 	}
-	if bl := c.held[j.Record.Block]; bl != nil && bl.ready && j.Awaiting == 0 {
+	if shard := c.owned[j.Record.Shard]; shard != nil && shard.ready && j.OpenDependencies == 0 {
 		j.Reset()
-		bl.addJob(j)
+		shard.addJob(j)
 	}
 }
 
@@ -211,7 +211,7 @@
 	if e.Value == nil || j == nil || !j.Active() || !ok {
 		return nil
 	}
-	if err != nil || n < 0 || n > ledger.MaxTasks {
+	if err != nil || n < 0 || n > jobs.MaxTasks {
 		return err
 	}
 	var f finishedRecord
@@ -221,29 +221,29 @@
 	if n == 0 {
 		j.Failing = f.Failing
 	}
-	return j.LoadFinished(n, c.layout, f.Tasks)
+	return j.LoadFinished(n, c.progressLayout, f.Tasks)
 }
 
 func (c *Core) learnMachines(key string, e store.Event) error {
-	if old, ok := c.groups[key]; ok {
-		delete(c.groups, key)
+	if old, ok := c.machineGroups[key]; ok {
+		delete(c.machineGroups, key)
 		for _, n := range slices.Concat(old.Up, old.Booting) {
-			if c.where[n] == old.Block {
-				delete(c.where, n)
+			if c.machineShard[n] == old.Shard {
+				delete(c.machineShard, n)
 			}
 		}
 	}
 	if e.Value == nil {
 		return nil
 	}
-	g, err := fleet.DecodeGroup(key[len(machPrefix):], e.Value)
+	g, err := fleet.DecodeGroup(key[len(machinePrefix):], e.Value)
 	if err != nil {
 		return err
 	}
-	c.groups[key] = g
+	c.machineGroups[key] = g
 	for _, n := range slices.Concat(g.Up, g.Booting) {
-		if _, known := c.where[n]; !known || !isStray(key) {
-			c.where[n] = g.Block
+		if _, known := c.machineShard[n]; !known || !isOrphanKey(key) {
+			c.machineShard[n] = g.Shard
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/core/members.go
@@ -0,0 +1,117 @@
+package core
+
+import (
+	"maps"
+	"slices"
+
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// membershipHost is what this controller does for its seat, and what the seat tells it.
+type membershipHost struct{ *Core }
+
+// Emit implements seats.Host.
+func (c membershipHost) Emit(e any) { c.emit(e) }
+
+// Store implements seats.Host.
+func (c membershipHost) Store(w *store.Write) { c.queues[ControlQueue].Add(w) }
+
+// Version implements seats.Host.
+func (c membershipHost) Version(key string) uint64 { return c.cache.Version(key) }
+
+// CacheAge implements seats.Host.
+func (c membershipHost) CacheAge() (since, age units.Microseconds, ok bool) {
+	return c.cache.LoadedAt(), c.stateAge(), c.cache.Loaded()
+}
+
+// Refresh implements seats.Host.
+func (c membershipHost) Refresh() { c.readFresh(nil) }
+
+// RequestVotes implements seats.Host.
+func (c membershipHost) RequestVotes(node string, seat uint64) {
+	for _, n := range c.peers.names {
+		c.emit(SendPeer{n, PeerPermitAsk{node, seat}})
+	}
+}
+
+// Joined implements seats.Host. The record is seen by others before its answer is here:
+// where that is slow, a leader may have granted a block to the seat meanwhile, and nobody
+// would hold it for as long as the seat stands.
+func (c membershipHost) Joined() {
+	for _, k := range slices.Sorted(maps.Keys(c.assignments)) {
+		c.take(k)
+	}
+}
+
+// Lost implements seats.Host.
+func (c membershipHost) Lost() {
+	c.leader = nil
+	if c.leaderRecord.Node == c.cfg.Node {
+		c.leaderRecord = authority.LeaderRecord{} // the record goes with the lease
+	}
+	for _, k := range sortedShards(c.owned) {
+		c.drop(c.owned[k])
+	}
+	c.queues[ControlQueue].Clear()
+}
+
+// PeerRelease implements seats.Host.
+func (c membershipHost) PeerRelease(node string, release int) { c.noteRelease(node, release) }
+
+// shortFor is how many times its lease a majority's promises may carry a seat past its last
+// renewal. What a zone holds that is cut off with most controllers is free that much later;
+// an outage of the state service during which a controller is missing stops all work that
+// much earlier.
+const shortFor = 3
+
+// freshFor is how old the copy of the state service's keys may become before it is read.
+const freshFor = 2 * units.Second
+
+// extension is for how long a holder may answer workers after the time up to which it knows
+// every cancellation: what it runs must still be gone in time, a worker's lease after its
+// last answer.
+func (c *Core) extension() units.Microseconds {
+	return max(c.cfg.LeaderTTL, c.cfg.CancelWithin-c.leaseBound()-2*units.Second)
+}
+
+// ValidUntil is when this node may no longer answer workers, as known at present: the
+// authority of its seat ends, or a cancellation may have been told that it has not heard of.
+func (c *Core) ValidUntil() units.Microseconds {
+	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.extension()))
+}
+
+// OnLease takes a new lease's outcome.
+func (c *Core) OnLease(now units.Microseconds, o store.Outcome, id uint64) {
+	c.advance(now)
+	c.membership.OnLease(c.now, c.noteOutcome(o), id)
+}
+
+// OnRenew takes a renewal's outcome.
+func (c *Core) OnRenew(now units.Microseconds, id uint64, o store.Outcome) {
+	c.advance(now)
+	c.membership.OnRenew(c.now, id, c.noteOutcome(o))
+}
+
+// drop stops holding a block.
+func (c *Core) drop(shard *ownedShard) {
+	delete(c.owned, shard.number)
+	shard.replication.Close(c.now)
+	c.log.Info("block given up", "block", shard.number)
+	c.redirectPending(shard)
+	for _, j := range c.active {
+		if j.Record.Shard == shard.number {
+			j.Clear()
+		}
+	}
+	for _, m := range shard.machines { // what runs there of jobs that are over is the next holder's to count
+		for id := range m.Tasks {
+			if j := c.jobs[id.Job]; j != nil && !j.Active() {
+				j.Release(id.Task)
+				c.dropArchived(j)
+			}
+		}
+	}
+	c.setRates()
+}
--- a/internal/core/seats/seats.go
+++ b/internal/core/membership/membership.go
@@ -1,4 +1,4 @@
-// Package seats keeps a controller's standing in the state service, and what it knows of
+// Package membership keeps a controller's standing in the state service, and what it knows of
 // the others'. A seat is a record that is attached to a lease: blocks and the lead are
 // held by a seat and end with it. What a seat held is given away once its record is gone
 // and a majority of the controllers has permitted it; see package lead for promises and
@@ -6,7 +6,7 @@
 //
 // It is pure: answers and the time go in by method calls, what is to be done comes out by
 // its host.
-package seats
+package membership
 
 import (
 	"encoding/json"
@@ -15,10 +15,10 @@
 	"slices"
 	"strconv"
 
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/lead"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is where seats are stored, by the controllers' names.
@@ -27,7 +27,7 @@
 // Effects.
 type (
 	// OpenLease asks for a lease (OnLease).
-	OpenLease struct{ TTL unit.Micros }
+	OpenLease struct{ TTL units.Microseconds }
 	// RenewLease extends a lease (OnRenew).
 	RenewLease struct{ ID uint64 }
 	// CloseLease ends a lease; no answer is needed.
@@ -40,20 +40,20 @@
 	Emit(e any)
 	// Store queues a write ahead of what users ask for.
 	Store(w *store.Write)
-	// Stamp is the version of a key in the copy of the state service's keys.
-	Stamp(key string) uint64
-	// Copy tells since when there is a copy (ok: there is one now), and how long ago the
+	// Version is the version of a key in the copy of the state service's keys.
+	Version(key string) uint64
+	// CacheAge tells since when there is a copy (ok: there is one now), and how long ago the
 	// state service last answered.
-	Copy() (since, age unit.Micros, ok bool)
-	// Reread asks for a fresh read.
-	Reread()
-	// AskPermits asks all other controllers to permit that what a seat held is given away.
-	AskPermits(node string, seat uint64)
-	// Seated says that the seat stands, Lost that it does no longer.
-	Seated()
+	CacheAge() (since, age units.Microseconds, ok bool)
+	// Refresh asks for a fresh read.
+	Refresh()
+	// RequestVotes asks all other controllers to permit that what a seat held is given away.
+	RequestVotes(node string, seat uint64)
+	// Joined says that the seat stands, Lost that it does no longer.
+	Joined()
 	Lost()
-	// Release tells which release a controller runs.
-	Release(node string, release int)
+	// PeerRelease tells which release a controller runs.
+	PeerRelease(node string, release int)
 }
 
 // Config says what a seat is like.
@@ -61,90 +61,90 @@
 	Node    string
 	Size    int // controllers, this one included
 	Release int
-	TTL     unit.Micros
+	TTL     units.Microseconds
 	// Short is how long the promises of a majority may carry a seat past its last renewal.
 	// Extend is the time after which a seat that is older or newer than what is known here is
 	// taken for over without the others' permits: at least as long as Short.
-	Extend, Short unit.Micros
+	Extend, Short units.Microseconds
 	Log           *slog.Logger
-	// LeftOut is a check that is left out; only tests set it.
-	LeftOut guard.Guard
+	// SkippedGuard is a check that is left out; only tests set it.
+	SkippedGuard guard.Guard
 }
 
-// Seats is a controller's own seat and its view of the others.
-type Seats struct {
+// Registry is a controller's own seat and its view of the others.
+type Registry struct {
 	cfg  Config
 	host Host
-	now  unit.Micros
+	now  units.Microseconds
 
 	id       uint64 // version of the record; 0: none
 	pass     uint64 // lease in the state service
-	auth     lead.Authority
+	auth     authority.Authority
 	opening  bool
-	sent     unit.Micros // when the lease was asked for
-	after    unit.Micros // not tried before
+	sent     units.Microseconds // when the lease was asked for
+	after    units.Microseconds // not tried before
 	renewing bool
-	renewAt  unit.Micros
-	lastHold unit.Micros // when the renewal under way was sent
+	renewAt  units.Microseconds
+	lastHold units.Microseconds // when the renewal under way was sent
 
 	views  map[string]*view
-	voters map[string]*lead.Voter // what is owed with regard to each controller
-	polls  map[string]*poll
+	voters map[string]*authority.Voter // what is owed with regard to each controller
+	polls  map[string]*takeoverPoll
 }
 
 // view is what this node knows of a controller's seat.
 type view struct {
-	id     uint64      // 0: none
-	since  unit.Micros // when that was learnt
-	goneAt unit.Micros // when the record was seen to be gone
-	last   uint64      // the record that was there before, as this process has seen it; 0: none
+	id     uint64             // 0: none
+	since  units.Microseconds // when that was learnt
+	goneAt units.Microseconds // when the record was seen to be gone
+	last   uint64             // the record that was there before, as this process has seen it; 0: none
 }
 
-// poll collects permits to give away what a seat holds.
-type poll struct {
+// takeoverPoll collects permits to give away what a seat holds.
+type takeoverPoll struct {
 	seat    uint64
-	askedAt unit.Micros
+	askedAt units.Microseconds
 	permits map[string]bool
 }
 
 const (
 	authorityMargin = 100_000 // 0.1 s for the service's own slack and ours
 	// permitFresh is how long a round of asking for permits lasts.
-	permitFresh = unit.Second / 4
+	permitFresh = units.Second / 4
 	// unserved is how long the state service must not have answered this node.
-	unserved = unit.Second
+	unserved = units.Second
 	// pause is the time before the next try to take a seat, pauseLease that after a lease
 	// was refused.
-	pause      = unit.Second / 5
-	pauseLease = unit.Second / 2
+	pause      = units.Second / 5
+	pauseLease = units.Second / 2
 )
 
 // New returns a controller's standing before it has any.
-func New(cfg Config, host Host) *Seats {
-	return &Seats{cfg: cfg, host: host, views: map[string]*view{}, voters: map[string]*lead.Voter{}, polls: map[string]*poll{}}
+func New(cfg Config, host Host) *Registry {
+	return &Registry{cfg: cfg, host: host, views: map[string]*view{}, voters: map[string]*authority.Voter{}, polls: map[string]*takeoverPoll{}}
 }
 
 // ID is the version of this node's record, 0 while it has no seat; Pass is the lease to
 // which that is attached.
-func (s *Seats) ID() uint64   { return s.id }
-func (s *Seats) Pass() uint64 { return s.pass }
+func (s *Registry) ID() uint64      { return s.id }
+func (s *Registry) LeaseID() uint64 { return s.pass }
 
 // Valid reports whether this node's seat surely stands.
-func (s *Seats) Valid(now unit.Micros) bool { return now < s.Until() }
+func (s *Registry) Valid(now units.Microseconds) bool { return now < s.Until() }
 
 // Until is when the authority of this node's seat ends, as known at present.
-func (s *Seats) Until() unit.Micros {
+func (s *Registry) Until() units.Microseconds {
 	if s.id == 0 {
 		return 0
 	}
-	if s.cfg.LeftOut == guard.Authority {
-		return unit.Never
+	if s.cfg.SkippedGuard == guard.Authority {
+		return units.Never
 	}
 	return s.auth.Until()
 }
 
 // Tick takes a seat, and keeps it.
-func (s *Seats) Tick(now unit.Micros) {
+func (s *Registry) Tick(now units.Microseconds) {
 	s.now = now
 	if s.id != 0 {
 		if !s.renewing && now >= s.renewAt {
@@ -153,12 +153,12 @@
 		}
 		return
 	}
-	_, age, ok := s.host.Copy()
+	_, age, ok := s.host.CacheAge()
 	if !ok || s.opening || now < s.after {
 		return
 	}
-	if age > unit.Second {
-		s.host.Reread()
+	if age > units.Second {
+		s.host.Refresh()
 		return
 	}
 	s.opening, s.sent = true, now
@@ -168,7 +168,7 @@
 // OnLease takes a new lease's outcome and takes a seat with it. A record of
 // this node's that is there already was left by its last process, which has
 // surely ended.
-func (s *Seats) OnLease(now unit.Micros, o store.Outcome, id uint64) {
+func (s *Registry) OnLease(now units.Microseconds, o store.Outcome, id uint64) {
 	s.now = now
 	if o != store.OK {
 		s.opening, s.after = false, now+pauseLease
@@ -177,28 +177,28 @@
 	key := Prefix + s.cfg.Node
 	sent := s.sent
 	s.host.Store(&store.Write{
-		Guards:  []store.Guard{{Key: key, Stamp: s.host.Stamp(key)}},
-		Changes: []store.Change{{Key: key, Value: store.Value(lead.Seat{Node: s.cfg.Node, Release: s.cfg.Release}), Lease: id}},
+		Guards:  []store.Guard{{Key: key, Version: s.host.Version(key)}},
+		Changes: []store.Change{{Key: key, Value: store.Value(authority.Member{Node: s.cfg.Node, Release: s.cfg.Release}), Lease: id}},
 		Done: func(o store.Outcome, rev uint64) {
 			s.opening = false
 			if o != store.OK {
 				// Ending the lease also keeps a late write from being carried out.
 				s.after = s.now + pause
 				s.host.Emit(CloseLease{id})
-				s.host.Reread()
+				s.host.Refresh()
 				return
 			}
 			s.id, s.pass, s.renewing, s.renewAt = rev, id, false, sent+s.cfg.TTL/5
-			s.auth = lead.Authority{TTL: s.cfg.TTL, Margin: authorityMargin, Short: s.cfg.Short, Peers: s.cfg.Size / 2, All: s.cfg.Size - 1}
+			s.auth = authority.Authority{TTL: s.cfg.TTL, Margin: authorityMargin, Short: s.cfg.Short, Peers: s.cfg.Size / 2, All: s.cfg.Size - 1}
 			s.auth.Renewed(sent)
 			s.cfg.Log.Info("seated", "seat", rev)
-			s.host.Seated()
+			s.host.Joined()
 		},
 	})
 }
 
 // OnRenew takes a renewal's outcome.
-func (s *Seats) OnRenew(now unit.Micros, id uint64, o store.Outcome) {
+func (s *Registry) OnRenew(now units.Microseconds, id uint64, o store.Outcome) {
 	s.now = now
 	if s.id == 0 || s.pass != id {
 		return
@@ -206,7 +206,7 @@
 	s.renewing = false
 	switch o {
 	case store.OK:
-		if s.cfg.LeftOut == guard.RenewalSent {
+		if s.cfg.SkippedGuard == guard.RenewalSent {
 			s.lastHold = now
 		}
 		s.auth.Renewed(s.lastHold)
@@ -219,16 +219,16 @@
 }
 
 // lose gives up the seat, and with it all that this node holds.
-func (s *Seats) lose(why string) {
+func (s *Registry) lose(why string) {
 	s.cfg.Log.Warn("seat lost", "seat", s.id, "why", why)
 	s.host.Emit(CloseLease{s.pass})
 	s.id, s.after = 0, s.now+pause
 	s.host.Lost()
-	s.host.Reread()
+	s.host.Refresh()
 }
 
 // Learn takes the record of a controller's seat.
-func (s *Seats) Learn(now unit.Micros, node string, e store.Event) error {
+func (s *Registry) Learn(now units.Microseconds, node string, e store.Event) error {
 	s.now = now
 	v := &view{since: now}
 	if e.Value == nil {
@@ -237,12 +237,12 @@
 			v.last = max(old.id, old.last)
 		}
 	} else {
-		var r lead.Seat
+		var r authority.Member
 		if err := json.Unmarshal(e.Value, &r); err != nil {
 			return err
 		}
 		v.id = e.Stamp
-		s.host.Release(node, r.Release)
+		s.host.PeerRelease(node, r.Release)
 	}
 	s.views[node] = v
 	if node == s.cfg.Node && s.id != 0 && v.id != s.id {
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// Of returns the seat that a controller has, as far as this node knows; 0: none.
-func (s *Seats) Of(node string) uint64 {
+// Current returns the seat that a controller has, as far as this node knows; 0: none.
+func (s *Registry) Current(node string) uint64 {
 	if v := s.views[node]; v != nil {
 		return v.id
 	}
@@ -260,61 +260,61 @@
 }
 
 // Since is when it was learnt that a controller has the seat that it has.
-func (s *Seats) Since(node string) unit.Micros {
+func (s *Registry) Since(node string) units.Microseconds {
 	if v := s.views[node]; v != nil {
 		return v.since
 	}
 	return 0
 }
 
-func (s *Seats) voter(node string) *lead.Voter {
+func (s *Registry) voter(node string) *authority.Voter {
 	v := s.voters[node]
 	if v == nil {
-		v = &lead.Voter{LeftOut: s.cfg.LeftOut}
+		v = &authority.Voter{SkippedGuard: s.cfg.SkippedGuard}
 		s.voters[node] = v
 	}
 	return v
 }
 
-// Promise is asked by a controller for its seat. Where the record is gone and the state
+// GrantPeerLease is asked by a controller for its seat. Where the record is gone and the state
 // service serves this node, somebody may soon hold what the seat held. In an outage nobody
 // can: the seat, which ended just before, may be carried on. Whoever has permitted to give
 // away what it held never promises again, nor does a process that has begun since and has
 // forgotten whether it had.
-func (s *Seats) Promise(now unit.Micros, node string, seat uint64) bool {
-	seen := s.Of(node)
-	if s.cfg.LeftOut == guard.PromiseRecord {
+func (s *Registry) GrantPeerLease(now units.Microseconds, node string, seat uint64) bool {
+	seen := s.Current(node)
+	if s.cfg.SkippedGuard == guard.PromiseRecord {
 		seen = seat
 	}
 	if v := s.views[node]; v != nil && v.id == 0 && v.last == seat {
-		if _, age, _ := s.host.Copy(); age > unserved {
+		if _, age, _ := s.host.CacheAge(); age > unserved {
 			seen = seat
 		}
 	}
-	return seat != 0 && s.voter(node).Promise(now, seat, seen)
+	return seat != 0 && s.voter(node).GrantPeerLease(now, seat, seen)
 }
 
-// Promised takes a controller's promise for a seat of this node's, which asked for it at
+// PeerLeaseGranted takes a controller's promise for a seat of this node's, which asked for it at
 // a time.
-func (s *Seats) Promised(now unit.Micros, from string, seat uint64, asked unit.Micros) {
+func (s *Registry) PeerLeaseGranted(now units.Microseconds, from string, seat uint64, asked units.Microseconds) {
 	if s.id != 0 && s.id == seat && asked <= now {
-		if s.cfg.LeftOut == guard.PromiseAsked {
+		if s.cfg.SkippedGuard == guard.PromiseAsked {
 			asked = now
 		}
-		s.auth.Promised(from, asked)
+		s.auth.PeerLeaseGranted(from, asked)
 	}
 }
 
-// Ended reports whether a seat surely holds nothing any more, and seeks the
+// Expired reports whether a seat surely holds nothing any more, and seeks the
 // help of a majority to make that sure.
-func (s *Seats) Ended(now unit.Micros, node string, id uint64) bool {
+func (s *Registry) Expired(now units.Microseconds, node string, id uint64) bool {
 	s.now = now
 	if node == s.cfg.Node {
 		return id != s.id // it was this node's last process, or was given up
 	}
 	v := s.views[node]
 	if v == nil { // not there when the copy was first read
-		since, _, _ := s.host.Copy()
+		since, _, _ := s.host.CacheAge()
 		v = &view{since: since, goneAt: since}
 		s.views[node] = v
 	}
@@ -327,31 +327,31 @@
 		// The view is older than the block's record, as while a listing goes on whose pages
 		// with seats are still to come: the seat may stand. Where versions went back, it is
 		// over in time.
-		return now-v.since > unit.Longest(s.cfg.Extend)+s.cfg.TTL && s.voter(node).Permit(now, id)
+		return now-v.since > units.Longest(s.cfg.Extend)+s.cfg.TTL && s.voter(node).Vote(now, id)
 	case id == 0: // held by an older release that knows no seats
-		return now-v.goneAt > unit.Longest(s.cfg.Extend)+s.cfg.TTL
+		return now-v.goneAt > units.Longest(s.cfg.Extend)+s.cfg.TTL
 	}
 	// A majority may carry it no longer, and all do not: this node has promised it nothing
 	// that still runs, and never will again. (As Extend is at least as long as Short, that is
 	// also the last that a seat of another controller's is waited for.)
-	if now-v.goneAt > unit.Longest(s.cfg.Short) && s.voter(node).Permit(now, id) {
+	if now-v.goneAt > units.Longest(s.cfg.Short) && s.voter(node).Vote(now, id) {
 		return true
 	}
 	p := s.polls[node]
 	if p == nil || p.seat != id || now-p.askedAt > permitFresh {
-		p = &poll{seat: id, askedAt: now, permits: map[string]bool{}}
+		p = &takeoverPoll{seat: id, askedAt: now, permits: map[string]bool{}}
 		s.polls[node] = p
-		s.host.AskPermits(node, id)
+		s.host.RequestVotes(node, id)
 	}
-	if !p.permits[s.cfg.Node] && s.voter(node).Permit(now, id) {
+	if !p.permits[s.cfg.Node] && s.voter(node).Vote(now, id) {
 		p.permits[s.cfg.Node] = true
 	}
-	return len(p.permits) > s.cfg.Size/2 || s.cfg.LeftOut == guard.Majority
+	return len(p.permits) > s.cfg.Size/2 || s.cfg.SkippedGuard == guard.Majority
 }
 
-// PermitAsked answers a controller that wants to give away what a seat holds. The node is
+// VoteRequested answers a controller that wants to give away what a seat holds. The node is
 // one of the controllers.
-func (s *Seats) PermitAsked(now unit.Micros, node string, seat uint64) bool {
+func (s *Registry) VoteRequested(now units.Microseconds, node string, seat uint64) bool {
 	s.now = now
 	if node == s.cfg.Node && seat == s.id {
 		if s.id == 0 || s.Valid(now) {
@@ -359,22 +359,22 @@
 		}
 		s.lose("another takes over and authority has run out")
 	}
-	return s.voter(node).Permit(now, seat)
+	return s.voter(node).Vote(now, seat)
 }
 
-// Permitted takes a controller's help.
-func (s *Seats) Permitted(from, node string, seat uint64) {
+// VoteReceived takes a controller's help.
+func (s *Registry) VoteReceived(from, node string, seat uint64) {
 	if p := s.polls[node]; p != nil && p.seat == seat {
 		p.permits[from] = true
 	}
 }
 
-// Trace tells all that counts of a controller's standing, in times from now: for logs, and
+// Describe tells all that counts of a controller's standing, in times from now: for logs, and
 // for exploring what may follow, as equal traces act the same from then on.
-func (s *Seats) Trace(now unit.Micros) string {
+func (s *Registry) Describe(now units.Microseconds) string {
 	var b []byte
 	number := func(what string, n uint64) { b = strconv.AppendUint(append(b, what...), n, 10) }
-	ahead := func(what string, t unit.Micros) { number(what, uint64(max(0, t-now))) }
+	ahead := func(what string, t units.Microseconds) { number(what, uint64(max(0, t-now))) }
 	number("seat ", s.id)
 	number(" pass ", s.pass)
 	ahead(" after ", s.after)
@@ -390,8 +390,8 @@
 		v := s.views[n]
 		number("; "+n+" has ", v.id)
 		if v.id == 0 { // what counts is when it will have been gone for long enough
-			ahead(" gone ", v.goneAt+unit.Longest(s.cfg.Extend)+s.cfg.TTL)
-			ahead(" short ", v.goneAt+unit.Longest(s.cfg.Short))
+			ahead(" gone ", v.goneAt+units.Longest(s.cfg.Extend)+s.cfg.TTL)
+			ahead(" short ", v.goneAt+units.Longest(s.cfg.Short))
 			number(" after ", v.last)
 		}
 	}
--- a/internal/core/seats/seats_test.go
+++ b/internal/core/membership/membership_test.go
@@ -1,4 +1,4 @@
-package seats
+package membership
 
 import (
 	"encoding/json"
@@ -6,28 +6,28 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // nobody is a host that needs nothing.
 type nobody struct{}
 
-func (nobody) Emit(any)                                {}
-func (nobody) Store(*store.Write)                      {}
-func (nobody) Stamp(string) uint64                     { return 0 }
-func (nobody) Copy() (since, age unit.Micros, ok bool) { return 0, 0, true }
-func (nobody) Reread()                                 {}
-func (nobody) AskPermits(string, uint64)               {}
-func (nobody) Seated()                                 {}
-func (nobody) Lost()                                   {}
-func (nobody) Release(string, int)                     {}
+func (nobody) Emit(any)                                           {}
+func (nobody) Store(*store.Write)                                 {}
+func (nobody) Version(string) uint64                              { return 0 }
+func (nobody) CacheAge() (since, age units.Microseconds, ok bool) { return 0, 0, true }
+func (nobody) Refresh()                                           {}
+func (nobody) RequestVotes(string, uint64)                        {}
+func (nobody) Joined()                                            {}
+func (nobody) Lost()                                              {}
+func (nobody) PeerRelease(string, int)                            {}
 
 // TestOlderView asks for a seat that is newer than what is known of its controller: it may
 // stand, and counts as ended only when whatever could carry it is over, or a later one is
 // there.
 func TestOlderView(t *testing.T) {
-	s := New(Config{Node: "a", Size: 3, TTL: 2 * unit.Second, Extend: 20 * unit.Second, Log: slog.New(slog.DiscardHandler)}, nobody{})
-	now := 100 * unit.Second
+	s := New(Config{Node: "a", Size: 3, TTL: 2 * units.Second, Extend: 20 * units.Second, Log: slog.New(slog.DiscardHandler)}, nobody{})
+	now := 100 * units.Second
 	learn := func(seat uint64) {
 		t.Helper()
 		if err := s.Learn(now, "b", store.Event{Key: Prefix + "b", Value: json.RawMessage(`{"node":"b"}`), Stamp: seat}); err != nil {
@@ -35,16 +35,16 @@
 		}
 	}
 	learn(5)
-	if s.Ended(now, "b", 5) || !s.Ended(now, "b", 4) || s.Ended(now, "b", 9) {
+	if s.Expired(now, "b", 5) || !s.Expired(now, "b", 4) || s.Expired(now, "b", 9) {
 		t.Error("of seats 4, 5 and 9, with 5 known, only 4 has ended")
 	}
-	if now += 21 * unit.Second; s.Ended(now, "b", 9) {
+	if now += 21 * units.Second; s.Expired(now, "b", 9) {
 		t.Error("a newer seat is called ended while promises may carry it")
 	}
-	if now += 2 * unit.Second; !s.Ended(now, "b", 9) {
+	if now += 2 * units.Second; !s.Expired(now, "b", 9) {
 		t.Error("a newer seat is never called ended")
 	}
-	if learn(12); !s.Ended(now, "b", 9) || s.Ended(now, "b", 12) {
+	if learn(12); !s.Expired(now, "b", 9) || s.Expired(now, "b", 12) {
 		t.Error("of seats 9 and 12, with 12 known, only 9 has ended")
 	}
 }
@@ -52,20 +52,20 @@
 // outage is a host that the state service serves or not.
 type outage struct {
 	nobody
-	age unit.Micros
+	age units.Microseconds
 }
 
-func (o *outage) Copy() (since, age unit.Micros, ok bool) { return 0, o.age, true }
+func (o *outage) CacheAge() (since, age units.Microseconds, ok bool) { return 0, o.age, true }
 
 // TestPromiseInOutage has a seat end just before an outage of the state service. Its holder was
 // given up by all, and all leases ran out, though nobody could hold what it held until the
 // outage was over. Whom the service serves does not promise; nor whoever has helped to end the
 // seat, has seen another in its place, or has begun since and may have forgotten either.
 func TestPromiseInOutage(t *testing.T) {
-	now := 100 * unit.Second
+	now := 100 * units.Second
 	host := &outage{}
-	begin := func(seen ...uint64) *Seats {
-		s := New(Config{Node: "a", Size: 3, TTL: 2 * unit.Second, Extend: 20 * unit.Second, Short: 6 * unit.Second, Log: slog.New(slog.DiscardHandler)}, host)
+	begin := func(seen ...uint64) *Registry {
+		s := New(Config{Node: "a", Size: 3, TTL: 2 * units.Second, Extend: 20 * units.Second, Short: 6 * units.Second, Log: slog.New(slog.DiscardHandler)}, host)
 		for _, id := range seen {
 			e := store.Event{Key: Prefix + "b", Stamp: id}
 			if id != 0 {
@@ -78,12 +78,12 @@
 		return s
 	}
 	host.age = 0
-	if begin(5, 0).Promise(now, "b", 5) {
+	if begin(5, 0).GrantPeerLease(now, "b", 5) {
 		t.Error("promised to a seat that is gone, though the service serves this node")
 	}
-	host.age = 2 * unit.Second
+	host.age = 2 * units.Second
 	for name, c := range map[string]struct {
-		s    *Seats
+		s    *Registry
 		want bool
 	}{
 		"seen to go":          {begin(5, 0), true},
@@ -93,18 +93,18 @@
 		"begun since":         {begin(), false},
 		"begun since, listed": {begin(0), false},
 	} {
-		if got := c.s.Promise(now, "b", 5); got != c.want {
+		if got := c.s.GrantPeerLease(now, "b", 5); got != c.want {
 			t.Errorf("%s: promised %v", name, got)
 		}
 	}
 	s := begin(5, 0)
-	if !s.PermitAsked(now, "b", 5) || s.Promise(now, "b", 5) {
+	if !s.VoteRequested(now, "b", 5) || s.GrantPeerLease(now, "b", 5) {
 		t.Error("promised to a seat that this node has helped to end")
 	}
-	if s = begin(5, 0); !s.Promise(now, "b", 5) || s.PermitAsked(now, "b", 5) || s.Ended(now+unit.Second, "b", 5) {
+	if s = begin(5, 0); !s.GrantPeerLease(now, "b", 5) || s.VoteRequested(now, "b", 5) || s.Expired(now+units.Second, "b", 5) {
 		t.Error("helped to end a seat to which a promise runs")
 	}
-	if now += 3 * unit.Second; !s.PermitAsked(now, "b", 5) {
+	if now += 3 * units.Second; !s.VoteRequested(now, "b", 5) {
 		t.Error("a promise never ends")
 	}
 }
--- a/internal/core/overdue_test.go
+++ b/internal/core/overdue_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // TestLargestJobBegins has a team at its limit whose small jobs keep coming. The least
@@ -15,33 +15,33 @@
 // never free at once. Once it has waited for long its first task goes ahead of all else, the
 // limit is kept free for it meanwhile, and then it has no more right than before.
 func TestLargestJobBegins(t *testing.T) {
-	job := func(tasks int, cpu int64) ledger.Record {
-		return ledger.Record{Status: ledger.Pending, Tasks: tasks, Submitted: 1000 * unit.Second,
-			Spec: &ledger.Spec{Team: "t", Tasks: tasks, AnyType: true, Demand: pack.Vec{cpu, 0, 1}, Estimate: 20 * unit.Second}}
+	job := func(tasks int, cpu int64) jobs.Record {
+		return jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: 1000 * units.Second,
+			Spec: &jobs.Spec{Team: "t", Tasks: tasks, AnyType: true, Demand: binpack.Vec{cpu, 0, 1}, Estimate: 20 * units.Second}}
 	}
 	values := map[string]any{
-		machPrefix + "r-1":      fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
+		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + "wk-000000": job(200, 4000),
 	}
 	for i := 1; i <= 24/(beginTasks-1); i++ {
 		values[jobPrefix+fmt.Sprintf("wk-%06d", i)] = job(beginTasks-1, 1000)
 	}
 	c := holding(t, values)
-	c.cfg.Pack = pack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}
-	c.shares[0] = shared{share: 1}
-	c.teams["t"].Limit = pack.Vec{8000, 0, 0}
-	bl := c.held[0]
-	bl.unaccounted, bl.hiddenStale = map[string]bool{}, true
-	m := bl.machines["n-1"]
+	c.cfg.Pack = binpack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}
+	c.allocations[0] = quotaAllocation{fraction: 1}
+	c.teams["t"].Limit = binpack.Vec{8000, 0, 0}
+	shard := c.owned[0]
+	shard.unreconciled, shard.unreconciledStale = map[string]bool{}, true
+	m := shard.machines["n-1"]
 	m.Type = c.types["big"]
 	for _, j := range c.active {
-		j.Held = false
+		j.AwaitsReconciliation = false
 	}
 	// fill gives the machine work and returns how many tasks are of the large job.
 	fill := func() (large, all int) {
-		c.sortJobs(bl)
-		c.rank(bl)
-		for _, cmd := range c.fill(bl, m) {
+		c.sortJobs(shard)
+		c.rank(shard)
+		for _, cmd := range c.fill(shard, m) {
 			if all++; cmd.ID.Job == "wk-000000" {
 				large++
 			}
@@ -52,7 +52,7 @@
 	end := func(n int) {
 		for _, id := range sortedTasks(m.Tasks) {
 			if n > 0 && id.Job != "wk-000000" {
-				c.taskGone(bl, m, id)
+				c.taskRemoved(shard, m, id)
 				n--
 			}
 		}
@@ -60,7 +60,7 @@
 	if large, all := fill(); large != 0 || all != 8 {
 		t.Fatalf("%d tasks of the large job among the first %d", large, all)
 	}
-	c.wall += beginWithin + unit.Second
+	c.wall += beginWithin + units.Second
 	end(3)
 	if _, all := fill(); all != 0 {
 		t.Errorf("%d small tasks take what is kept for the large job", all)
--- a/internal/core/word.go
+++ b/internal/core/override.go
@@ -14,33 +14,33 @@
 // Operators say what they know of a zone by a record, so that every controller knows it and
 // the next holder too.
 
-const wordPrefix = root + "zone/"
+const overridePrefix = root + "zone/"
 
-// WordPrefixes are the prefixes of the keys that ZoneWords and SayZone look at.
-var WordPrefixes = []string{typePrefix, kindPrefix, wordPrefix}
+// OverridePrefixes are the prefixes of the keys that ZoneWords and SayZone look at.
+var OverridePrefixes = []string{typePrefix, kindPrefix, overridePrefix}
 
-// ZoneWord is what an operator has said of a zone.
-type ZoneWord struct {
-	Zone string     `json:"-"`
-	Word zones.Word `json:"word"`
+// OperatorOverride is what an operator has said of a zone.
+type OperatorOverride struct {
+	Zone string         `json:"-"`
+	Word zones.Override `json:"word"`
 }
 
 // learnWord takes an operator's word.
 func (c *Core) learnWord(e store.Event) error {
-	var w ZoneWord
+	var w OperatorOverride
 	if e.Value != nil {
 		if err := json.Unmarshal(e.Value, &w); err != nil {
 			return err
 		}
 	}
-	return c.zones.Say(e.Key[len(wordPrefix):], w.Word)
+	return c.zones.SetOverride(e.Key[len(overridePrefix):], w.Word)
 }
 
-// ZoneWords returns the words among the keys of the state service, by zone.
-func ZoneWords(items map[string]store.Event) (out []ZoneWord) {
+// OperatorOverrides returns the words among the keys of the state service, by zone.
+func OperatorOverrides(items map[string]store.Event) (out []OperatorOverride) {
 	for _, k := range slices.Sorted(maps.Keys(items)) {
-		if zone, ok := strings.CutPrefix(k, wordPrefix); ok {
-			w := ZoneWord{Zone: zone}
+		if zone, ok := strings.CutPrefix(k, overridePrefix); ok {
+			w := OperatorOverride{Zone: zone}
 			if json.Unmarshal(items[k].Value, &w) == nil {
 				out = append(out, w)
 			}
@@ -49,10 +49,10 @@
 	return out
 }
 
-// SayZone returns the write that stores an operator's word of a zone, given the keys of the
+// OverrideZone returns the write that stores an operator's word of a zone, given the keys of the
 // state service. A zone in which no type of machine is offered is an error that names those
 // in which one is.
-func SayZone(items map[string]store.Event, zone string, word zones.Word) (*store.Write, error) {
+func OverrideZone(items map[string]store.Event, zone string, word zones.Override) (*store.Write, error) {
 	known := map[string]bool{}
 	for k, e := range items {
 		var t fleet.Type
@@ -66,10 +66,10 @@
 	if err := zones.Check(names, zone, word); err != nil {
 		return nil, err
 	}
-	key := wordPrefix + zone
+	key := overridePrefix + zone
 	ch := store.Change{Key: key}
-	if word != zones.NoWord {
-		ch.Value = store.Value(ZoneWord{Word: word})
+	if word != zones.NoOverride {
+		ch.Value = store.Value(OperatorOverride{Word: word})
 	}
-	return &store.Write{Guards: []store.Guard{{Key: key, Stamp: items[key].Stamp}}, Changes: []store.Change{ch}}, nil
+	return &store.Write{Guards: []store.Guard{{Key: key, Version: items[key].Stamp}}, Changes: []store.Change{ch}}, nil
 }
--- a/internal/core/word_test.go
+++ b/internal/core/override_test.go
@@ -14,28 +14,28 @@
 func TestOperatorsWord(t *testing.T) {
 	items := map[string]store.Event{typePrefix + "big": {Key: typePrefix + "big", Value: store.Value(fleet.Type{Name: "big", Zones: []string{"a", "b"}}), Stamp: 3}}
 	c := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
-	say := func(zone string, w zones.Word) error {
-		x, err := SayZone(items, zone, w)
+	say := func(zone string, w zones.Override) error {
+		x, err := OverrideZone(items, zone, w)
 		if err != nil {
 			return err
 		}
 		ch := x.Changes[0]
-		if x.Guards[0].Stamp != items[ch.Key].Stamp {
-			t.Errorf("%s: guarded by %d", zone, x.Guards[0].Stamp)
+		if x.Guards[0].Version != items[ch.Key].Stamp {
+			t.Errorf("%s: guarded by %d", zone, x.Guards[0].Version)
 		}
 		e := store.Event{Key: ch.Key, Value: ch.Value, Stamp: items[ch.Key].Stamp + 1}
 		items[ch.Key] = e
 		c.learn(e)
 		return nil
 	}
-	if err := say("x", zones.Gone); err == nil || !strings.Contains(err.Error(), "a, b") {
+	if err := say("x", zones.OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
 		t.Errorf("a zone that does not exist: %v", err)
 	}
-	for _, w := range []zones.Word{zones.Gone, zones.Returns, zones.NoWord} {
+	for _, w := range []zones.Override{zones.OverrideLost, zones.OverrideReturning, zones.NoOverride} {
 		if err := say("b", w); err != nil {
 			t.Fatal(err)
 		}
-		if c.zones.Lost("b") != (w == zones.Gone) || c.zones.Returning("b") != (w == zones.Returns) {
+		if c.zones.Lost("b") != (w == zones.OverrideLost) || c.zones.Returning("b") != (w == zones.OverrideReturning) {
 			t.Errorf("after %q: lost %v, returning %v", w, c.zones.Lost("b"), c.zones.Returning("b"))
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"shalestage.example/shalestage/internal/core/cancellations"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
@@ -17,16 +17,16 @@
 type (
 	// PeerStatus is sent a few times a second.
 	PeerStatus struct {
-		StateAge unit.Micros // since the state service last served the sender
-		Seat     uint64      // for which it asks for a promise; 0: none
-		Sent     unit.Micros // on the sender's clock
-		Deaf     bool        // no worker has reached the sender for a while
+		StateAge units.Microseconds // since the state service last served the sender
+		Seat     uint64             // for which it asks for a promise; 0: none
+		Sent     units.Microseconds // on the sender's clock
+		Deaf     bool               // no worker has reached the sender for a while
 		Blocks   []BlockStatus
-		Release  int            // what the sender understands; 0: less than 0.3 does
-		Full     bool           // the sender's memory is nearly full
-		Back     unit.Micros    // when the sender last noticed that the state service went back; 0: never
-		Zones    []zones.Status // those that do not serve, as a holder of blocks sees it
-		Known    uint64         // the sender knows every cancellation up to this revision
+		Release  int                // what the sender understands; 0: less than 0.3 does
+		Full     bool               // the sender's memory is nearly full
+		Back     units.Microseconds // when the sender last noticed that the state service went back; 0: never
+		Zones    []zones.Status     // those that do not serve, as a holder of blocks sees it
+		Known    uint64             // the sender knows every cancellation up to this revision
 		// Config is the version of the configuration that the sender goes by, and ConfigKnown
 		// the latest that it knows to be stored; 0: that of its settings file.
 		Config, ConfigKnown uint64
@@ -44,7 +44,7 @@
 	// lacks.
 	PeerPromise struct {
 		Seat uint64
-		Sent unit.Micros
+		Sent units.Microseconds
 		Told cancellations.Told
 		// ConfigKnown is the latest version of the configuration that the sender knows.
 		ConfigKnown uint64
@@ -66,7 +66,7 @@
 		ID   uint64
 		Kind AskKind
 		Job  string
-		Spec *ledger.Spec
+		Spec *jobs.Spec
 		Bad  string
 	}
 	// PeerAnswer answers an ask.
@@ -75,7 +75,7 @@
 		Code       int
 		Body       *JobAnswer // nil: Text says why not
 		Text       string
-		RetryAfter unit.Micros
+		RetryAfter units.Microseconds
 	}
 	// SendPeer is the effect that sends one of these; it may be lost.
 	SendPeer struct {
@@ -98,46 +98,46 @@
 	statusEvery = 300_000
 	// A peer is taken as alive, and the state service as serving a node, for
 	// a few statuses' time.
-	peerFresh  = 1200 * unit.Second / 1000
-	stateFresh = 1 * unit.Second
+	peerFresh  = 1200 * units.Second / 1000
+	stateFresh = 1 * units.Second
 	// askWithin leaves a user who polls, and waits 2 s, time for an answer, also
 	// where the controller that was asked stands still.
-	askWithin = 1 * unit.Second
+	askWithin = 1 * units.Second
 	maxAsks   = 256
 )
 
 type peerView struct {
-	status PeerStatus
-	heard  unit.Micros // 0: never
-	silent bool        // as last logged
-	back   unit.Micros // its mark of the last time that the state service went back
+	status        PeerStatus
+	lastHeartbeat units.Microseconds // 0: never
+	unresponsive  bool               // as last logged
+	rollbackMark  units.Microseconds // its mark of the last time that the state service went back
 }
 
-type handedOver struct {
-	req   ReqID
-	until unit.Micros
+type forwardedRequest struct {
+	req   RequestID
+	until units.Microseconds
 }
 
-type peersState struct {
-	views    map[string]*peerView
-	names    []string
-	statusAt unit.Micros
-	asks     map[uint64]handedOver
-	nextAsk  uint64
-	foreign  map[ReqID]askOrigin // requests that came from a peer
-	nextReq  ReqID
+type peerDirectory struct {
+	views           map[string]*peerView
+	names           []string
+	statusAt        units.Microseconds
+	pendingForwards map[uint64]forwardedRequest
+	nextForward     uint64
+	forwarded       map[RequestID]forwardOrigin // requests that came from a peer
+	nextReq         RequestID
 }
 
-type askOrigin struct {
+type forwardOrigin struct {
 	node string
 	id   uint64
 }
 
 // foreignBase keeps the numbers of handed-over requests apart from own ones.
-const foreignBase ReqID = 1 << 62
+const foreignBase RequestID = 1 << 62
 
-func newPeers(names []string) peersState {
-	p := peersState{views: map[string]*peerView{}, names: names, asks: map[uint64]handedOver{}, foreign: map[ReqID]askOrigin{}, nextReq: foreignBase}
+func newPeers(names []string) peerDirectory {
+	p := peerDirectory{views: map[string]*peerView{}, names: names, pendingForwards: map[uint64]forwardedRequest{}, forwarded: map[RequestID]forwardOrigin{}, nextReq: foreignBase}
 	for _, n := range names {
 		p.views[n] = &peerView{}
 	}
@@ -145,56 +145,56 @@
 }
 
 // stateAge is how long ago the state service last answered.
-func (c *Core) stateAge() unit.Micros { return c.mirror.Age(c.now) }
+func (c *Core) stateAge() units.Microseconds { return c.cache.Age(c.now) }
 
 func (c *Core) tickPeers() {
 	p := &c.peers
 	if c.now >= p.statusAt {
 		p.statusAt = c.now + statusEvery
-		s := PeerStatus{StateAge: c.stateAge(), Deaf: c.reach.DeafNow(c.now), Release: release, Full: c.full, Back: c.mirror.Mark()}
+		s := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: release, Full: c.memoryFull, Back: c.cache.RollbackMark()}
 		// Also once authority has run out: what the others still promise then, nobody has taken.
-		if c.seats.ID() != 0 {
-			s.Seat, s.Sent, s.Known = c.seats.ID(), c.now, c.cancels.Known(c.mirror.Rev)
+		if c.membership.ID() != 0 {
+			s.Seat, s.Sent, s.Known = c.membership.ID(), c.now, c.cancellations.Known(c.cache.Revision)
 		}
-		c.hearZones()
-		if len(c.held) > 0 {
-			s.Zones = c.zones.Tell()
+		c.updateZonePeers()
+		if len(c.owned) > 0 {
+			s.Zones = c.zones.Report()
 		}
-		for _, k := range sortedBlocks(c.held) {
-			st := BlockStatus{Block: k, Share: c.shares[k].stamp, Use: -1}
-			if bl := c.held[k]; bl.ready && len(bl.unaccounted) == 0 {
-				st.Use = c.useOf(bl)
+		for _, k := range sortedShards(c.owned) {
+			st := BlockStatus{Block: k, Share: c.allocations[k].version, Use: -1}
+			if shard := c.owned[k]; shard.ready && len(shard.unreconciled) == 0 {
+				st.Use = c.quotaUseOf(shard)
 			}
 			s.Blocks = append(s.Blocks, st)
 		}
-		c.tellConfig(&s)
+		c.addConfigStatus(&s)
 		for _, n := range p.names {
 			c.emit(SendPeer{n, s})
 		}
 	}
 	for _, n := range p.names {
-		if v := p.views[n]; v.heard != 0 && c.alive(v) == v.silent {
-			v.silent = !v.silent
-			c.log.Info("peer", "controller", n, "silent", v.silent)
+		if v := p.views[n]; v.lastHeartbeat != 0 && c.alive(v) == v.unresponsive {
+			v.unresponsive = !v.unresponsive
+			c.log.Info("peer", "controller", n, "silent", v.unresponsive)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.asks)) {
-		if a := p.asks[id]; c.now >= a.until {
-			delete(p.asks, id)
+	for _, id := range slices.Sorted(maps.Keys(p.pendingForwards)) {
+		if a := p.pendingForwards[id]; c.now >= a.until {
+			delete(p.pendingForwards, id)
 			c.unavailable(a.req, "no controller is served by the state service")
 		}
 	}
 }
 
-// hearZones tells the picture of the zones which controllers are heard: by this one, or by
+// updateZonePeers tells the picture of the zones which controllers are heard: by this one, or by
 // the state service, where their seats stand. Two zones that do not reach each other are
 // not lost while both reach that.
-func (c *Core) hearZones() {
+func (c *Core) updateZonePeers() {
 	all, alive := map[string]int{}, map[string]int{}
 	for _, n := range c.peers.names {
 		z := c.cfg.PeerZones[n]
 		all[z]++
-		if c.alive(c.peers.views[n]) || c.seats.Of(n) != 0 && c.stateAge() < stateFresh {
+		if c.alive(c.peers.views[n]) || c.membership.Current(n) != 0 && c.stateAge() < stateFresh {
 			alive[z]++
 		}
 	}
@@ -203,10 +203,12 @@
 	}
 }
 
-func (c *Core) alive(v *peerView) bool { return v.heard != 0 && c.now-v.heard < peerFresh }
+func (c *Core) alive(v *peerView) bool {
+	return v.lastHeartbeat != 0 && c.now-v.lastHeartbeat < peerFresh
+}
 
-// served returns a peer that is alive and was served lately, or "".
-func (c *Core) served() string {
+// servedPeer returns a peer that is alive and was served lately, or "".
+func (c *Core) servedPeer() string {
 	best, age := "", stateFresh
 	for _, n := range c.peers.names {
 		v := c.peers.views[n]
@@ -227,87 +229,87 @@
 	return false
 }
 
-// unserved reports whether a request should go to a peer right away: the state
+// shouldForward reports whether a request should go to a peer right away: the state
 // service has not answered this node for a while, and it has answered another.
-func (c *Core) unserved(req ReqID) bool {
-	_, foreign := c.peers.foreign[req]
-	return !foreign && c.stateAge() > stateFresh && c.served() != ""
+func (c *Core) shouldForward(req RequestID) bool {
+	_, foreign := c.peers.forwarded[req]
+	return !foreign && c.stateAge() > stateFresh && c.servedPeer() != ""
 }
 
-// handOver gives a request that the state service does not let this node
+// forward gives a request that the state service does not let this node
 // serve to a controller that it does, or tells the user to come back.
-func (c *Core) handOver(req ReqID, kind AskKind, job string, spec *ledger.Spec, bad string) {
-	to := c.served()
-	if spec != nil && len(spec.Awaits) > 0 && c.releases[to] < releaseAwaits {
+func (c *Core) forward(req RequestID, kind AskKind, job string, spec *jobs.Spec, bad string) {
+	to := c.servedPeer()
+	if spec != nil && len(spec.Awaits) > 0 && c.releases[to] < releaseDependencies {
 		to = "" // it would start the job at once
 	}
-	if _, foreign := c.peers.foreign[req]; foreign || to == "" || len(c.peers.asks) >= maxAsks {
+	if _, foreign := c.peers.forwarded[req]; foreign || to == "" || len(c.peers.pendingForwards) >= maxAsks {
 		c.unavailable(req, "state service does not answer")
 		return
 	}
 	p := &c.peers
-	p.nextAsk++
-	p.asks[p.nextAsk] = handedOver{req, c.now + askWithin}
-	c.emit(SendPeer{to, PeerAsk{ID: p.nextAsk, Kind: kind, Job: job, Spec: spec, Bad: bad}})
+	p.nextForward++
+	p.pendingForwards[p.nextForward] = forwardedRequest{req, c.now + askWithin}
+	c.emit(SendPeer{to, PeerAsk{ID: p.nextForward, Kind: kind, Job: job, Spec: spec, Bad: bad}})
 }
 
 // OnPeer takes a message of another controller.
-func (c *Core) OnPeer(now unit.Micros, from string, m any) {
-	c.at(now)
+func (c *Core) OnPeer(now units.Microseconds, from string, m any) {
+	c.advance(now)
 	v := c.peers.views[from]
 	if v == nil {
 		return
 	}
 	switch m := m.(type) {
 	case PeerStatus:
-		v.status, v.heard = m, now
+		v.status, v.lastHeartbeat = m, now
 		// In an outage one that was cut off may go on beside the one that holds the block now.
-		if len(c.held) == 0 && slices.ContainsFunc(m.Blocks, func(b BlockStatus) bool { return c.blocks[b.Block].Node == from }) {
-			c.zones.Told(m.Zones)
+		if len(c.owned) == 0 && slices.ContainsFunc(m.Blocks, func(b BlockStatus) bool { return c.assignments[b.Block].Node == from }) {
+			c.zones.PeerView(m.Zones)
 		}
-		c.heardRelease(from, m.Release)
-		c.heardBack(from, v, m.Back)
-		c.heardConfig(from, m)
-		if c.seats.Promise(now, from, m.Seat) {
-			c.emit(SendPeer{from, PeerPromise{Seat: m.Seat, Sent: m.Sent, Told: c.tellCancels(m), ConfigKnown: c.config.Known()}})
+		c.noteRelease(from, m.Release)
+		c.peerSawRollback(from, v, m.Back)
+		c.receiveConfigStatus(from, m)
+		if c.membership.GrantPeerLease(now, from, m.Seat) {
+			c.emit(SendPeer{from, PeerPromise{Seat: m.Seat, Sent: m.Sent, Told: c.cancellationsFor(m), ConfigKnown: c.config.Known()}})
 		}
 		if l := c.leader; l != nil {
 			for _, b := range m.Blocks {
-				if g, ok := c.blocks[b.Block]; ok && g.Node == from && b.Use >= 0 {
-					l.claim(c, b.Block, b.Share, b.Use)
+				if g, ok := c.assignments[b.Block]; ok && g.Node == from && b.Use >= 0 {
+					l.noteUse(c, b.Block, b.Share, b.Use)
 				}
 			}
 		}
 	case PeerPromise:
-		c.seats.Promised(now, from, m.Seat, m.Sent)
-		c.config.Heard(m.ConfigKnown) // before the others' word lengthens this holder's authority
-		c.toldCancels(from, m)
+		c.membership.PeerLeaseGranted(now, from, m.Seat, m.Sent)
+		c.config.PeerKnows(m.ConfigKnown) // before the others' word lengthens this holder's authority
+		c.receiveCancellations(from, m)
 	case PeerPermitAsk:
 		// Of no controller: whoever asks waits until its time is over.
-		if (m.Node == c.cfg.Node || c.peers.views[m.Node] != nil) && c.seats.PermitAsked(now, m.Node, m.Seat) {
+		if (m.Node == c.cfg.Node || c.peers.views[m.Node] != nil) && c.membership.VoteRequested(now, m.Node, m.Seat) {
 			c.emit(SendPeer{from, PeerPermit(m)})
 		}
 	case PeerPermit:
-		c.seats.Permitted(from, m.Node, m.Seat)
+		c.membership.VoteReceived(from, m.Node, m.Seat)
 	case PeerRelease:
-		if bl := c.held[m.Block]; bl != nil && bl.grant == m.Grant {
-			c.release(bl, "the leader asks for it")
+		if shard := c.owned[m.Block]; shard != nil && shard.assignment == m.Grant {
+			c.release(shard, "the leader asks for it")
 		}
 	case PeerStarts:
-		c.takeStarts(from, m)
+		c.receiveStarts(from, m)
 	case PeerKnown:
-		if bl := c.held[m.Block]; bl != nil {
-			bl.follow.Acked(now, from, m)
+		if shard := c.owned[m.Block]; shard != nil {
+			shard.replication.OnAck(now, from, m)
 		}
 	case PeerPicture:
-		c.handed(m)
+		c.receiveSnapshot(m)
 	case PeerAsk:
-		if !ledger.ValidID(m.Job) || m.Spec != nil && !m.Spec.Sane() || len(c.peers.foreign) >= maxAsks {
+		if !jobs.ValidID(m.Job) || m.Spec != nil && !m.Spec.Sane() || len(c.peers.forwarded) >= maxAsks {
 			return
 		}
 		c.peers.nextReq++
 		req := c.peers.nextReq
-		c.peers.foreign[req] = askOrigin{from, m.ID}
+		c.peers.forwarded[req] = forwardOrigin{from, m.ID}
 		switch m.Kind {
 		case AskSubmit:
 			c.Submit(now, req, m.Job, m.Spec, m.Bad)
@@ -316,30 +318,30 @@
 		case AskAbort:
 			c.Abort(now, req, m.Job)
 		default:
-			delete(c.peers.foreign, req)
+			delete(c.peers.forwarded, req)
 		}
 	case PeerAnswer:
-		a, ok := c.peers.asks[m.ID]
+		a, ok := c.peers.pendingForwards[m.ID]
 		if !ok {
 			return
 		}
-		delete(c.peers.asks, m.ID)
+		delete(c.peers.pendingForwards, m.ID)
 		if m.Body != nil {
-			c.emit(Reply{Req: a.req, Code: m.Code, Body: *m.Body})
+			c.emit(Reply{Request: a.req, Code: m.Code, Body: *m.Body})
 		} else {
-			c.emit(Reply{Req: a.req, Code: m.Code, Body: Problem{m.Text}, RetryAfter: m.RetryAfter})
+			c.emit(Reply{Request: a.req, Code: m.Code, Body: Problem{m.Text}, RetryAfter: m.RetryAfter})
 		}
 	}
 }
 
 // send answers a request, wherever it came from.
 func (c *Core) send(r Reply) {
-	o, ok := c.peers.foreign[r.Req]
+	o, ok := c.peers.forwarded[r.Request]
 	if !ok {
 		c.emit(r)
 		return
 	}
-	delete(c.peers.foreign, r.Req)
+	delete(c.peers.forwarded, r.Request)
 	a := PeerAnswer{ID: o.id, Code: r.Code, RetryAfter: r.RetryAfter}
 	switch b := r.Body.(type) {
 	case JobAnswer:
@@ -354,16 +356,16 @@
 // serves nobody, going unready would help no user and would keep the load
 // balancer away for a while after the outage; a node that alone is refused is
 // still of use while it can hand requests over.
-func (c *Core) Ready(now unit.Micros) bool {
-	c.at(now)
-	if !c.mirror.Loaded() || len(c.types) == 0 || c.retiring != 0 {
+func (c *Core) Ready(now units.Microseconds) bool {
+	c.advance(now)
+	if !c.cache.Loaded() || len(c.types) == 0 || c.retiringSince != 0 {
 		return false
 	}
-	return c.stateAge() < 3*unit.Second || c.anyPeer()
+	return c.stateAge() < 3*units.Second || c.anyPeer()
 }
 
 // Answer answers a request that needed no more than a look.
-func (c *Core) Answer(req ReqID, ok bool) {
+func (c *Core) Answer(req RequestID, ok bool) {
 	code := http.StatusServiceUnavailable
 	if ok {
 		code = http.StatusOK
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -8,37 +8,37 @@
 	"strings"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/chunks"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
-func job(awaits ...string) *ledger.Spec {
-	return &ledger.Spec{Class: "x", Team: "t", Tasks: 1, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: unit.Second, Awaits: awaits}
+func job(awaits ...string) *jobs.Spec {
+	return &jobs.Spec{Class: "x", Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: units.Second, Awaits: awaits}
 }
 
-func pending(s *ledger.Spec) ledger.Record {
-	return ledger.Record{Status: ledger.Pending, Tasks: s.Tasks, Submitted: 900 * unit.Second, Spec: s}
+func pending(s *jobs.Spec) jobs.Record {
+	return jobs.Record{Status: jobs.Pending, Tasks: s.Tasks, Submitted: 900 * units.Second, Spec: s}
 }
 
 // serve plays the state service for a while: it carries out transactions and
 // answers reads at once, and returns the replies to users.
-func serve(t *testing.T, c *Core, keys map[string]store.Event) map[ReqID]Reply {
+func serve(t *testing.T, c *Core, keys map[string]store.Event) map[RequestID]Reply {
 	t.Helper()
-	replies := map[ReqID]Reply{}
+	replies := map[RequestID]Reply{}
 	rev := uint64(c.now) // beyond that of any earlier call
 	for range 400 {
 		c.Tick(c.now+TickEvery, c.wall+TickEvery)
 		for _, e := range c.Drain() {
 			switch e := e.(type) {
 			case Reply:
-				replies[e.Req] = e
+				replies[e.Request] = e
 			case Watch:
 				if e.Fresh {
-					c.OnChanges(c.now, e, store.OK, c.mirror.Rev, nil, false)
+					c.OnChanges(c.now, e, store.OK, c.cache.Revision, nil, false)
 				}
 			case Commit:
 				if len(e.Txn.Changes) > 4 || len(e.Txn.Guards) > 16 {
@@ -53,10 +53,10 @@
 						delete(keys, ch.Key)
 					}
 				}
-				c.OnCommit(c.now, e.Lane, e.Txn, store.OK, rev, nil)
+				c.OnCommit(c.now, e.Queue, e.Txn, store.OK, rev, nil)
 				for _, ch := range e.Txn.Changes {
 					if ch.Value == nil {
-						c.mirror.Learn(store.Event{Key: ch.Key, Stamp: rev})
+						c.cache.Learn(store.Event{Key: ch.Key, Stamp: rev})
 					}
 				}
 			}
@@ -68,12 +68,12 @@
 // An unknown name is refused for good only by a read that began after the
 // request; where there is none, the user is told to come back.
 func TestUnknownAwaited(t *testing.T) {
-	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(&ledger.Spec{Tasks: 1, Service: true})})
+	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(&jobs.Spec{Tasks: 1, Service: true})})
 	read := func(o store.Outcome, events ...store.Event) Reply {
 		t.Helper()
 		for _, e := range c.Drain() {
 			if w, ok := e.(Watch); ok && w.Fresh {
-				c.OnChanges(c.now, w, o, c.mirror.Rev+1, events, false)
+				c.OnChanges(c.now, w, o, c.cache.Revision+1, events, false)
 				return replyTo(t, c, 5)
 			}
 		}
@@ -81,8 +81,8 @@
 		return Reply{}
 	}
 	step := func() {
-		c.Tick(c.now+unit.Second, c.wall+unit.Second)
-		c.OnChanges(c.now, Watch{Fresh: true, After: c.mirror.Rev}, store.OK, c.mirror.Rev, nil, false)
+		c.Tick(c.now+units.Second, c.wall+units.Second)
+		c.OnChanges(c.now, Watch{Fresh: true, After: c.cache.Revision}, store.OK, c.cache.Revision, nil, false)
 	}
 	step()
 	c.Submit(c.now, 5, "wk-000009", job("wk-000001", "wk-000008"), "")
@@ -100,10 +100,10 @@
 	c.Submit(c.now, 5, "wk-000009", job("wk-000008"), "")
 	for _, e := range c.Drain() {
 		if w, ok := e.(Watch); ok && w.Fresh { // another controller has accepted it meanwhile
-			c.OnChanges(c.now, w, store.OK, c.mirror.Rev+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pending(job()).Encode(), Stamp: c.mirror.Rev + 1}}, false)
+			c.OnChanges(c.now, w, store.OK, c.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pending(job()).Encode(), Stamp: c.cache.Revision + 1}}, false)
 		}
 	}
-	if r := serve(t, c, map[string]store.Event{})[5]; r.Code != http.StatusCreated || c.jobs["wk-000009"].Awaiting != 1 {
+	if r := serve(t, c, map[string]store.Event{})[5]; r.Code != http.StatusCreated || c.jobs["wk-000009"].OpenDependencies != 1 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -116,25 +116,25 @@
 	})
 	keys := map[string]store.Event{}
 	first, second, third := c.jobs["wk-000001"], c.jobs["wk-000002"], c.jobs["wk-000003"]
-	c.finished(c.held[0], first, 0)
-	if !first.AllFinished() || second.Awaiting != 1 || c.held[0].active[second.ID] != nil {
+	c.finished(c.owned[0], first, 0)
+	if !first.AllFinished() || second.OpenDependencies != 1 || c.owned[0].active[second.ID] != nil {
 		t.Fatal("released before that is stored")
 	}
 	serve(t, c, keys)
-	if second.Awaiting != 0 || c.held[0].active[second.ID] == nil || second.Since < 1000*unit.Second || third.Awaiting != 1 {
-		t.Fatalf("awaiting %d and %d, since %d", second.Awaiting, third.Awaiting, second.Since)
+	if second.OpenDependencies != 0 || c.owned[0].active[second.ID] == nil || second.Since < 1000*units.Second || third.OpenDependencies != 1 {
+		t.Fatalf("awaiting %d and %d, since %d", second.OpenDependencies, third.OpenDependencies, second.Since)
 	}
 	c.Abort(c.now, 5, second.ID)
 	c.Submit(c.now, 6, "wk-000004", job("wk-000001", "wk-000003"), "")
 	replies := serve(t, c, keys)
 	for _, id := range []string{"wk-000002", "wk-000003", "wk-000004"} {
-		var r ledger.Record
-		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || c.jobs[id].Record.Status != ledger.Cancelled || r.Status != ledger.Cancelled {
+		var r jobs.Record
+		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || c.jobs[id].Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
 			t.Errorf("%s: %s, stored %s, %v", id, c.jobs[id].Record.Status, r.Status, err)
 		}
 	}
-	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || len(c.active) != 0 || len(c.untidy) != 0 {
-		t.Fatalf("%+v, %d active, untidy %v", replies, len(c.active), c.untidy)
+	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || len(c.active) != 0 || len(c.pendingDeletion) != 0 {
+		t.Fatalf("%+v, %d active, untidy %v", replies, len(c.active), c.pendingDeletion)
 	}
 }
 
@@ -156,11 +156,11 @@
 	if r := submit("wk-000003"); r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	c.learn(store.Event{Key: seatPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
+	c.learn(store.Event{Key: memberPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
 	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	c.at(c.now + 2*unit.Second) // the state service has not answered for a while
+	c.advance(c.now + 2*units.Second) // the state service has not answered for a while
 	c.OnPeer(c.now, "b", PeerStatus{StateAge: 0})
 	c.Submit(c.now, 7, "wk-000004", job("wk-000001"), "")
 	for _, e := range c.Drain() {
@@ -179,7 +179,7 @@
 	var awaits []string
 	for i := range 2500 {
 		id := fmt.Sprintf("wk-%06d", i)
-		values[jobPrefix+id] = ledger.Record{Status: ledger.Done, Tasks: 1, Ended: 1010 * unit.Second}
+		values[jobPrefix+id] = jobs.Record{Status: jobs.Done, Tasks: 1, FinishedAt: 1010 * units.Second}
 		awaits = append(awaits, id)
 	}
 	values[jobPrefix+"wk-000007"] = pending(job())
@@ -203,7 +203,7 @@
 	}
 	again := holding(t, all)
 	j := again.jobs["wk-900000"]
-	if j == nil || j.Awaiting != 1 || len(j.Spec().Awaits) != 2500 || j.Since != 1010*unit.Second {
+	if j == nil || j.OpenDependencies != 1 || len(j.Spec().Awaits) != 2500 || j.Since != 1010*units.Second {
 		t.Fatalf("read anew: %+v", j)
 	}
 	delete(all, chunks.Key("wk-900000", j.Record.Sum, 1))
@@ -213,11 +213,11 @@
 	c.Abort(c.now, 6, "wk-000007")
 	serve(t, c, keys)
 	for k := range keys {
-		if strings.HasPrefix(k, partPrefix) {
+		if strings.HasPrefix(k, chunkPrefix) {
 			t.Fatalf("%s is left", k)
 		}
 	}
-	if c.jobs["wk-900000"].Record.Status != ledger.Cancelled {
+	if c.jobs["wk-900000"].Record.Status != jobs.Cancelled {
 		t.Fatal(c.jobs["wk-900000"].Record.Status)
 	}
 }
@@ -226,9 +226,9 @@
 // much.
 func TestRatesFall(t *testing.T) {
 	c := holding(t, nil)
-	before := c.lanes[LeaderLane].Rate
-	if o := c.heard(store.Limited); o != store.Refused || c.lanes[LeaderLane].Rate >= before || c.cfg.WriteRate != 20 {
-		t.Fatalf("%v, %v after %v", o, c.lanes[LeaderLane].Rate, before)
+	before := c.queues[ControlQueue].Rate
+	if o := c.noteOutcome(store.Limited); o != store.Refused || c.queues[ControlQueue].Rate >= before || c.cfg.WriteRate != 20 {
+		t.Fatalf("%v, %v after %v", o, c.queues[ControlQueue].Rate, before)
 	}
 }
 
@@ -251,9 +251,9 @@
 	}
 	c.OnList(1, List{}, store.OK, 100, items, false)
 	j := c.jobs["wk-000412"]
-	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.Awaiting != 0 || j.Spec().Deadline != 900*unit.Second ||
-		c.jobs["wk-000398"].Record.Status != ledger.Done || c.jobs["wk-000405"].Record.Demand[0] != 1000 ||
-		c.claim.Term != 3 || c.blocks[1].Left != "stagehand-0" || c.shares[0].share != 0.75 || c.where["n-000002"] != 1 || c.older() != "stagehand-1" {
+	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.OpenDependencies != 0 || j.Spec().Deadline != 900*units.Second ||
+		c.jobs["wk-000398"].Record.Status != jobs.Done || c.jobs["wk-000405"].Record.Demand[0] != 1000 ||
+		c.leaderRecord.Term != 3 || c.assignments[1].ReleasedBy != "stagehand-0" || c.allocations[0].fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
 		t.Fatalf("%+v", j)
 	}
 	type oldRecord struct {
@@ -283,13 +283,13 @@
 	c := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	for i, r := range []int{0, release, release} {
 		node := string(rune('a' + i))
-		c.learn(store.Event{Key: seatPrefix + node, Value: store.Value(lead.Seat{Node: node, Release: r}), Stamp: uint64(i + 1)})
+		c.learn(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: r}), Stamp: uint64(i + 1)})
 	}
-	if to := c.chooseHolder(0, granted{Block: lead.Block{Node: "a"}}, nil); to == "a" || to == "" {
+	if to := c.chooseOwner(0, shardAssignment{Assignment: authority.Assignment{Node: "a"}}, nil); to == "a" || to == "" {
 		t.Fatalf("goes to %q", to)
 	}
-	c.learn(store.Event{Key: seatPrefix + "a", Value: store.Value(lead.Seat{Node: "a", Release: release}), Stamp: 9})
-	if to := c.chooseHolder(0, granted{Block: lead.Block{Node: "a"}}, nil); to != "a" {
+	c.learn(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: release}), Stamp: 9})
+	if to := c.chooseOwner(0, shardAssignment{Assignment: authority.Assignment{Node: "a"}}, nil); to != "a" {
 		t.Fatalf("goes to %q, and not to the last holder", to)
 	}
 }
--- a/internal/core/ranking/queue.go
+++ b/internal/core/ranking/queue.go
@@ -10,14 +10,14 @@
 	"slices"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Candidate is a job with ready tasks and its place in the ranking.
 type Candidate struct {
-	Job     *ledger.Job
+	Job     *jobs.Job
 	Tier    int     // the larger is served first
 	Deficit float64 // within a tier, how far the job is from its fair share: the further first
 
@@ -27,7 +27,7 @@
 
 // shapeKey is all that decides whether a machine can take a job's tasks, whatever runs there.
 type shapeKey struct {
-	demand  pack.Vec
+	demand  binpack.Vec
 	types   string
 	anyType bool
 	zone    string
@@ -37,32 +37,32 @@
 // shape holds the ranked jobs that the same machines can take.
 type shape struct {
 	key    shapeKey
-	spec   *ledger.Spec // of any of its jobs
-	jobs   int          // in the queue
-	ranked []int        // positions in the ranking, the first first
-	spent  int          // so many of them, the first, have no task left to start
+	spec   *jobs.Spec // of any of its jobs
+	jobs   int        // in the queue
+	ranked []int      // positions in the ranking, the first first
+	spent  int        // so many of them, the first, have no task left to start
 }
 
 // Queue is a block's active jobs and their ranking. The zero value is empty.
 type Queue struct {
 	Order
-	shapes map[*ledger.Job]*shape // of all jobs
-	known  map[shapeKey]*shape    // those of any job
-	ranked []Candidate            // the first to be served first
-	active []*shape               // those that have ranked jobs
-	since  unit.Micros            // the least of the ranked jobs'
-	heads  []cursor               // of Each, kept for its memory
+	shapes map[*jobs.Job]*shape // of all jobs
+	known  map[shapeKey]*shape  // those of any job
+	ranked []Candidate          // the first to be served first
+	active []*shape             // those that have ranked jobs
+	since  units.Microseconds   // the least of the ranked jobs'
+	heads  []cursor             // of Each, kept for its memory
 	steps  uint64
 }
 
 // Add puts a job into the queue, if it is not there.
-func (q *Queue) Add(j *ledger.Job) {
+func (q *Queue) Add(j *jobs.Job) {
 	if q.shapes[j] != nil {
 		return
 	}
 	q.Order.Add(j)
 	if q.shapes == nil {
-		q.shapes, q.known = map[*ledger.Job]*shape{}, map[shapeKey]*shape{}
+		q.shapes, q.known = map[*jobs.Job]*shape{}, map[shapeKey]*shape{}
 	}
 	spec := j.Spec()
 	key := shapeKey{demand: spec.Demand, anyType: spec.AnyType, zone: spec.Zone, spot: spec.Spot}
@@ -79,7 +79,7 @@
 }
 
 // Remove takes a job out of the queue, if it is there. It stays in the ranking until the next.
-func (q *Queue) Remove(j *ledger.Job) {
+func (q *Queue) Remove(j *jobs.Job) {
 	s := q.shapes[j]
 	if s == nil {
 		return
@@ -103,7 +103,7 @@
 		s.ranked, s.spent = s.ranked[:0], 0
 	}
 	q.active = q.active[:0]
-	q.since = unit.Never
+	q.since = units.Never
 }
 
 // Propose puts a job of the queue into the ranking that was begun.
@@ -150,7 +150,7 @@
 
 // Since is when the first of the ranked jobs could first start: time of day; Never: none is
 // ranked.
-func (q *Queue) Since() unit.Micros { return q.since }
+func (q *Queue) Since() units.Microseconds { return q.since }
 
 // cursor is how far Each has come with one shape.
 type cursor struct {
@@ -167,7 +167,7 @@
 // Each calls visit with the ranked jobs that may suit a machine, the first to be served first,
 // until visit returns false. suits tells by a job's description whether a machine could take its
 // tasks; it is asked once for all jobs that are alike in that. alike is the same number for these.
-func (q *Queue) Each(suits func(*ledger.Spec) bool, visit func(c Candidate, alike int) bool) {
+func (q *Queue) Each(suits func(*jobs.Spec) bool, visit func(c Candidate, alike int) bool) {
 	heads := q.heads[:0]
 	for _, s := range q.active {
 		q.steps++
@@ -232,9 +232,9 @@
 
 // Gap is the least time between two rankings. It grows with the jobs, so that what rankings take
 // of the processor does not.
-func (q *Queue) Gap() unit.Micros {
+func (q *Queue) Gap() units.Microseconds {
 	if q.Len() <= fewJobs {
 		return 0
 	}
-	return unit.Micros(q.Len()) * unit.Second / looksPerSecond
+	return units.Microseconds(q.Len()) * units.Second / looksPerSecond
 }
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"testing"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // TestAgainstSorting lets jobs come and go, and compares the order with one that is sorted anew,
@@ -16,12 +16,12 @@
 func TestAgainstSorting(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var q Queue
-	there := map[*ledger.Job]bool{}
-	var known []*ledger.Job
+	there := map[*jobs.Job]bool{}
+	var known []*jobs.Job
 	for round := range 2000 {
 		for range rng.IntN(4) {
-			j := &ledger.Job{ID: fmt.Sprintf("wk-%06d", rng.IntN(1_000_000)), Since: unit.Micros(round + rng.IntN(50)),
-				Record: ledger.Record{Status: ledger.Pending, Tasks: 1, Spec: &ledger.Spec{Tasks: 1, Spot: rng.IntN(2) == 0, Types: []string{"a", "b"}[:rng.IntN(3)], Demand: pack.Vec{int64(rng.IntN(5))}}}}
+			j := &jobs.Job{ID: fmt.Sprintf("wk-%06d", rng.IntN(1_000_000)), Since: units.Microseconds(round + rng.IntN(50)),
+				Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, Spot: rng.IntN(2) == 0, Types: []string{"a", "b"}[:rng.IntN(3)], Demand: binpack.Vec{int64(rng.IntN(5))}}}}
 			j.Reset()
 			known = append(known, j)
 		}
@@ -43,7 +43,7 @@
 			continue
 		}
 		q.Settle()
-		var want []*ledger.Job
+		var want []*jobs.Job
 		for j := range there {
 			want = append(want, j)
 		}
@@ -55,24 +55,24 @@
 	}
 }
 
-func compareOffers(t *testing.T, q *Queue, jobs []*ledger.Job, rng *rand.Rand) {
+func compareOffers(t *testing.T, q *Queue, ranked []*jobs.Job, rng *rand.Rand) {
 	t.Helper()
 	type offer struct {
-		job           *ledger.Job
+		job           *jobs.Job
 		tier, deficit int
 	}
 	var all []offer
 	q.Begin()
-	for _, j := range jobs {
+	for _, j := range ranked {
 		o := offer{j, rng.IntN(3), rng.IntN(3)}
 		all = append(all, o)
 		q.Propose(Candidate{Job: j, Tier: o.tier, Deficit: float64(o.deficit)})
 	}
 	q.Finish()
 	slices.SortStableFunc(all, func(a, b offer) int { return (b.tier-a.tier)*10 + b.deficit - a.deficit })
-	free := pack.Vec{int64(rng.IntN(6))}
-	suits := func(s *ledger.Spec) bool { return s.Demand.Fits(free) && s.Allows("a", "z", true) }
-	var want, got []*ledger.Job
+	free := binpack.Vec{int64(rng.IntN(6))}
+	suits := func(s *jobs.Spec) bool { return s.Demand.Fits(free) && s.Allows("a", "z", true) }
+	var want, got []*jobs.Job
 	for _, o := range all {
 		if suits(o.job.Spec()) {
 			want = append(want, o.job)
@@ -94,7 +94,7 @@
 func TestSpentJobsAreSkipped(t *testing.T) {
 	var q Queue
 	for i := range 2 * fewJobs {
-		j := &ledger.Job{ID: fmt.Sprintf("wk-%06d", i), Record: ledger.Record{Status: ledger.Pending, Tasks: 1, Spec: &ledger.Spec{Tasks: 1}}}
+		j := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1}}}
 		j.Reset()
 		q.Add(j)
 	}
@@ -104,14 +104,14 @@
 		q.Propose(Candidate{Job: j})
 	}
 	q.Finish()
-	any := func(*ledger.Spec) bool { return true }
+	any := func(*jobs.Spec) bool { return true }
 	from := q.Steps()
 	for i := range fewJobs {
 		q.Each(any, func(c Candidate, _ int) bool {
 			if c.Job != q.Jobs()[i] {
 				t.Fatalf("offered %s at %d", c.Job.ID, i)
 			}
-			c.Job.Take(ledger.Place{})
+			c.Job.Take(jobs.Place{})
 			return false
 		})
 	}
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -6,12 +6,12 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/archive"
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/follow"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // The state service never goes back behind an answer, by the protocol. Should it all
@@ -21,65 +21,65 @@
 // and writes it again; its peers learn of it by its status and do the same. What
 // authority rests on, seats and the lead, is as the service has it now.
 
-// recallBytes bounds the memory for what may have to be written again: some
+// replayLogBytes bounds the memory for what may have to be written again: some
 // minutes of changes at the rates of docs/results.md.
-const recallBytes = 1 << 20
+const replayLogBytes = 1 << 20
 
 // isAuthority reports whether a key says who may act: it is never written again by
 // others than its owner.
 func isAuthority(key string) bool {
-	return key == leadKeyFirst || key == leadKeyPast || strings.HasPrefix(key, seatPrefix) || strings.HasPrefix(key, followPrefix)
+	return key == leaderKeyFirst || key == leaderKeyArchived || strings.HasPrefix(key, memberPrefix) || strings.HasPrefix(key, standbyPrefix)
 }
 
-// heardBack takes a peer's word that the state service went back: each has its own
+// peerSawRollback takes a peer's word that the state service went back: each has its own
 // mark, as two may have noticed two different times.
-func (c *Core) heardBack(from string, v *peerView, mark unit.Micros) {
-	if mark == v.back {
+func (c *Core) peerSawRollback(from string, v *peerView, mark units.Microseconds) {
+	if mark == v.rollbackMark {
 		return
 	}
-	v.back = mark
+	v.rollbackMark = mark
 	c.log.Warn("another controller says that the state service went back", "controller", from)
-	c.mirror.Anew(c.now)
+	c.cache.Reload(c.now)
 }
 
 // reload takes a listing after the state service went back.
 func (c *Core) reload(rev uint64, items []store.Event) {
-	again := c.endAgain(items)
+	again := c.restoreFinished(items)
 	listed := make(map[string]store.Event, len(items))
 	for _, e := range items {
 		listed[e.Key] = e
 	}
 	keep := map[string]bool{}
-	for _, e := range c.memory.Lost(listed) {
+	for _, e := range c.replayLog.Lost(listed) {
 		if v, ok := c.newer(e, listed[e.Key].Value); ok {
 			keep[e.Key] = true
 			again = append(again, store.Event{Key: e.Key, Value: v, Stamp: listed[e.Key].Stamp})
 		}
 	}
-	c.mirror.Recover(rev, items, keep)
+	c.cache.Recover(rev, items, keep)
 	c.config.Reloaded()
-	c.cancels.Forget(c.now)
-	c.doubtCommits()
-	c.doubt()
-	c.sink = follow.NewSink() // who is stored to follow may be as of an earlier time
+	c.cancellations.Forget(c.now)
+	c.suspectCommits()
+	c.verifyArchived()
+	c.standby = replication.NewStandby() // who is stored to follow may be as of an earlier time
 	for _, e := range again {
 		c.log.Warn("written again", "key", e.Key, "listed_version", e.Stamp)
 		c.writeAgain(e)
 	}
-	for _, k := range sortedBlocks(c.held) {
-		bl := c.held[k]
-		bl.follow.Leave(c.now)
-		for _, id := range sortedKeys(bl.active) {
-			j := bl.active[id]
-			for lo := 0; lo < j.Record.Tasks && j.Finished() > 0; lo = c.layout.Of(lo, j.Record.Tasks).Hi {
+	for _, k := range sortedShards(c.owned) {
+		shard := c.owned[k]
+		shard.replication.Stop(c.now)
+		for _, id := range sortedKeys(shard.active) {
+			j := shard.active[id]
+			for lo := 0; lo < j.Record.Tasks && j.Finished() > 0; lo = c.progressLayout.Of(lo, j.Record.Tasks).Hi {
 				j.MarkDirty(lo)
 			}
 			if j.Finished() > 0 {
-				c.markDirty(bl, j)
+				c.markDirty(shard, j)
 			}
 		}
-		for _, key := range sortedKeys(bl.groups) {
-			c.storeGroup(bl, key, true)
+		for _, key := range sortedKeys(shard.machineGroups) {
+			c.storeGroup(shard, key, true)
 		}
 	}
 }
@@ -87,8 +87,8 @@
 // writeAgain stores a value that was lost, unless somebody else changes the key
 // first. What one who knew less has written over it is judged again.
 func (c *Core) writeAgain(e store.Event) {
-	c.lanes[LeaderLane].Add(&store.Write{
-		Guards:  []store.Guard{{Key: e.Key, Stamp: e.Stamp}},
+	c.queues[ControlQueue].Add(&store.Write{
+		Guards:  []store.Guard{{Key: e.Key, Version: e.Stamp}},
 		Changes: []store.Change{{Key: e.Key, Value: e.Value}},
 		First:   true,
 		Done: func(o store.Outcome, _ uint64) {
@@ -96,8 +96,8 @@
 				return
 			}
 			// Refused, unknown or another was first: what counts is what is there.
-			c.wantSync(func(ok bool) {
-				stamp := c.mirror.Stamp(e.Key)
+			c.readFresh(func(ok bool) {
+				stamp := c.cache.Version(e.Key)
 				if ok && (stamp != e.Stamp || o == store.Failed) {
 					return // it is there, or somebody else's is
 				}
@@ -116,37 +116,37 @@
 	switch {
 	case strings.HasPrefix(known.Key, jobPrefix):
 		// An end says more than whatever else was stored meanwhile.
-		a, err1 := ledger.DecodeRecord(known.Value)
-		b, err2 := ledger.DecodeRecord(listed)
+		a, err1 := jobs.DecodeRecord(known.Value)
+		b, err2 := jobs.DecodeRecord(listed)
 		// Or a move: nobody who knew of it has moved the job since.
-		return known.Value, err1 == nil && (err2 != nil || !b.Status.Final() && (a.Status.Final() || a.Block != b.Block))
-	case strings.HasPrefix(known.Key, machPrefix):
+		return known.Value, err1 == nil && (err2 != nil || !b.Status.Final() && (a.Status.Final() || a.Shard != b.Shard))
+	case strings.HasPrefix(known.Key, machinePrefix):
 		return moreUp(known, listed)
-	case strings.HasPrefix(known.Key, blockPrefix):
-		a, err1 := lead.DecodeBlock(known.Value)
-		b, err2 := lead.DecodeBlock(listed)
-		return known.Value, err1 == nil && (err2 != nil || laterGrant(a, b))
-	case known.Key == pastKey:
+	case strings.HasPrefix(known.Key, assignmentPrefix):
+		a, err1 := authority.DecodeAssignment(known.Value)
+		b, err2 := authority.DecodeAssignment(listed)
+		return known.Value, err1 == nil && (err2 != nil || laterAssignment(a, b))
+	case known.Key == archiveKey:
 		var a, b archive.Mark
 		return known.Value, json.Unmarshal(known.Value, &a) == nil && (json.Unmarshal(listed, &b) != nil || a.Cut > b.Cut)
 	case known.Key == termKey:
-		var a, b lead.Term
+		var a, b authority.Term
 		return known.Value, json.Unmarshal(known.Value, &a) == nil && (json.Unmarshal(listed, &b) != nil || a.Term > b.Term)
 	}
 	return nil, false
 }
 
-// laterGrant reports whether a block's record a is of a later grant than b, or of
+// laterAssignment reports whether a block's record a is of a later grant than b, or of
 // the same after it was given up.
-func laterGrant(a, b lead.Block) bool {
-	x, y := lead.Token(a.Term, a.Number), lead.Token(b.Term, b.Number)
-	return x > y || x == y && a.Left != "" && b.Left == ""
+func laterAssignment(a, b authority.Assignment) bool {
+	x, y := authority.FencingToken(a.Term, a.Number), authority.FencingToken(b.Term, b.Number)
+	return x > y || x == y && a.ReleasedBy != "" && b.ReleasedBy == ""
 }
 
 // moreUp joins two records of machines: on all that either calls up, tasks may run.
 func moreUp(known store.Event, listed json.RawMessage) (json.RawMessage, bool) {
-	a, err1 := fleet.DecodeGroup(known.Key[len(machPrefix):], known.Value)
-	b, err2 := fleet.DecodeGroup(known.Key[len(machPrefix):], listed)
+	a, err1 := fleet.DecodeGroup(known.Key[len(machinePrefix):], known.Value)
+	b, err2 := fleet.DecodeGroup(known.Key[len(machinePrefix):], listed)
 	if err1 != nil || err2 != nil {
 		return known.Value, err1 == nil
 	}
--- a/internal/core/follow/follow.go
+++ b/internal/core/replication/replication.go
@@ -1,4 +1,4 @@
-// Package follow has another controller know what a holder has started, at any moment, so
+// Package replication has another controller know what a holder has started, at any moment, so
 // that it can go on at once should the holder end without a word.
 //
 // The holder (Source) sends its follower (Sink) its picture of the block, then every
@@ -11,15 +11,15 @@
 //
 // It is pure: messages and the time go in by method calls, what is to be done comes out by
 // its host.
-package follow
+package replication
 
 import (
 	"maps"
 	"slices"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 type (
@@ -63,15 +63,15 @@
 type Host interface {
 	// Candidate names a controller that should follow; "" if there is none at present.
 	Candidate() string
-	// Fit reports whether a follower should go on being one.
-	Fit(node string) bool
+	// Eligible reports whether a follower should go on being one.
+	Eligible(node string) bool
 	// Send sends a message, which may be lost.
 	Send(to string, m Message)
 	// Machines are those on which anything may be; Draw tells what may be on one.
 	Machines() []string
-	Draw(machine string) MachinePicture
-	// Undone are the tasks that have completed and are not stored as done.
-	Undone() []TasksDone
+	SnapshotMachine(machine string) MachinePicture
+	// UnstoredTasks are the tasks that have completed and are not stored as done.
+	UnstoredTasks() []TasksDone
 	// Store writes a record, guarded by the holder's grant and by the version of the record
 	// that was last known: a write that comes late must fail once another was stored. done is
 	// told whether it is surely stored.
@@ -83,13 +83,13 @@
 const (
 	// FlushEvery is the least time between two messages, so that their number does not grow
 	// with the starts.
-	FlushEvery = unit.Second / 50
+	FlushEvery = units.Second / 50
 	// resendAfter is how long an answer of the follower is waited for before messages go
 	// out again, and giveUpAfter before somebody else is to follow.
-	resendAfter = unit.Second / 5
-	giveUpAfter = 4 * unit.Second / 5
+	resendAfter = units.Second / 5
+	giveUpAfter = 4 * units.Second / 5
 	// pause is the time before somebody is to follow again.
-	pause = unit.Second
+	pause = units.Second
 	// window bounds the messages without an answer, and messageSize the tasks and machines in
 	// one, which must fit into a frame between controllers.
 	window      = 16
@@ -97,21 +97,21 @@
 	// maxWaiting bounds the answers that wait, and answerWithin how long each may: a worker
 	// drops what comes later than 4 s after its report.
 	maxWaiting   = 4096
-	answerWithin = 3 * unit.Second
+	answerWithin = 3 * units.Second
 )
 
-type answer struct {
+type pendingAnswer struct {
 	what any
 	n    uint64 // of the message that must have arrived; 0: it is not sent yet
-	at   unit.Micros
+	at   units.Microseconds
 }
 
-// Source is a holder's side.
-type Source struct {
+// Primary is a holder's side.
+type Primary struct {
 	block int
 	token uint64
 	host  Host
-	now   unit.Micros
+	now   units.Microseconds
 
 	to       string // who follows, or is about to; "" nobody
 	run      uint64
@@ -123,33 +123,33 @@
 	copying  []string         // machines that are still to be drawn for the copy
 	dirty    map[string]bool  // machines of which the follower is to be told
 	done     map[string][]int // tasks of which it is to be told
-	waiting  []answer
-	bound    bool        // it may be stored, or is about to be, that somebody follows: answers wait
-	stored   bool        // or was tried to be
-	storing  bool        // a record is being written
-	leaving  bool        // nobody is to follow any more, and that is to be stored
-	progress unit.Micros // when the follower last told of progress, or had nothing to tell
-	sentAt   unit.Micros
-	flushed  unit.Micros
-	restAt   unit.Micros // nobody new before
+	waiting  []pendingAnswer
+	bound    bool               // it may be stored, or is about to be, that somebody follows: answers wait
+	stored   bool               // or was tried to be
+	storing  bool               // a record is being written
+	leaving  bool               // nobody is to follow any more, and that is to be stored
+	progress units.Microseconds // when the follower last told of progress, or had nothing to tell
+	sentAt   units.Microseconds
+	flushed  units.Microseconds
+	restAt   units.Microseconds // nobody new before
 }
 
-// NewSource returns the side of a holder that nobody follows yet.
-func NewSource(block int, token uint64, host Host) *Source {
-	return &Source{block: block, token: token, host: host, dirty: map[string]bool{}, done: map[string][]int{}}
+// NewPrimary returns the side of a holder that nobody follows yet.
+func NewPrimary(block int, token uint64, host Host) *Primary {
+	return &Primary{block: block, token: token, host: host, dirty: map[string]bool{}, done: map[string][]int{}}
 }
 
-// Follower names who surely follows; "" if nobody does.
-func (s *Source) Follower() string {
+// Standby names who surely follows; "" if nobody does.
+func (s *Primary) Standby() string {
 	if s.stored && !s.storing && !s.leaving {
 		return s.to
 	}
 	return ""
 }
 
-// Started says that an answer starts something on a machine. It is kept until the follower
+// DeferAnswer says that an answer starts something on a machine. It is kept until the follower
 // knows, and true is returned; else it may be given at once.
-func (s *Source) Started(now unit.Micros, machine string, what any) bool {
+func (s *Primary) DeferAnswer(now units.Microseconds, machine string, what any) bool {
 	s.now = now
 	if s.to != "" && !s.leaving {
 		s.dirty[machine] = true
@@ -161,19 +161,19 @@
 		s.host.Answer(what, false)
 		return true
 	}
-	s.waiting = append(s.waiting, answer{what: what, at: now})
+	s.waiting = append(s.waiting, pendingAnswer{what: what, at: now})
 	return true
 }
 
-// Done says that a task has completed; it is stored later.
-func (s *Source) Done(job string, task int) {
+// TaskDone says that a task has completed; it is stored later.
+func (s *Primary) TaskDone(job string, task int) {
 	if s.to != "" && !s.leaving {
 		s.done[job] = append(s.done[job], task)
 	}
 }
 
 // Tick lets time pass; it is called often. settled: all that earlier holders left is known.
-func (s *Source) Tick(now unit.Micros, settled bool) {
+func (s *Primary) Tick(now units.Microseconds, settled bool) {
 	s.now = now
 	switch {
 	case s.leaving:
@@ -182,7 +182,7 @@
 		if settled && now >= s.restAt {
 			s.begin()
 		}
-	case !s.host.Fit(s.to) || len(s.unacked) > 0 && now-s.progress > giveUpAfter:
+	case !s.host.Eligible(s.to) || len(s.unacked) > 0 && now-s.progress > giveUpAfter:
 		s.leave()
 	default:
 		s.flush()
@@ -197,7 +197,7 @@
 }
 
 // begin has somebody follow from now on.
-func (s *Source) begin() {
+func (s *Primary) begin() {
 	to := s.host.Candidate()
 	if to == "" {
 		return
@@ -208,14 +208,14 @@
 	s.copying = s.host.Machines()
 	clear(s.dirty)
 	clear(s.done)
-	for _, d := range s.host.Undone() {
+	for _, d := range s.host.UnstoredTasks() {
 		s.done[d.Job] = slices.Clone(d.Tasks)
 	}
 	s.flush()
 }
 
 // flush sends what the follower does not know yet, as far as the window allows.
-func (s *Source) flush() {
+func (s *Primary) flush() {
 	if s.wholeAt != 0 && (len(s.dirty)+len(s.done) == 0 || s.now-s.flushed < FlushEvery) {
 		return
 	}
@@ -269,20 +269,20 @@
 
 // seal notes by which message the follower knows of all that was let out before answers
 // began to wait.
-func (s *Source) seal() {
+func (s *Primary) seal() {
 	if s.bound && s.sealAt == 0 && len(s.dirty) == 0 {
 		s.sealAt = s.n
 	}
 }
 
-func (s *Source) draw(m *Message, name string) int {
-	p := s.host.Draw(name)
+func (s *Primary) draw(m *Message, name string) int {
+	p := s.host.SnapshotMachine(name)
 	m.Machines = append(m.Machines, p)
 	return len(p.Tasks) + 4
 }
 
-// Acked takes a follower's word.
-func (s *Source) Acked(now unit.Micros, from string, a Ack) {
+// OnAck takes a follower's word.
+func (s *Primary) OnAck(now units.Microseconds, from string, a Ack) {
 	s.now = now
 	if from != s.to || a.Token != s.token || a.Run != s.run || a.N <= s.acked || a.N > s.n {
 		return
@@ -291,7 +291,7 @@
 	for len(s.unacked) > 0 && s.unacked[0].N <= a.N {
 		s.unacked = s.unacked[1:]
 	}
-	s.release(func(w answer) bool { return w.n != 0 && w.n <= a.N })
+	s.release(func(w pendingAnswer) bool { return w.n != 0 && w.n <= a.N })
 	if s.wholeAt != 0 && a.N >= s.wholeAt && !s.bound && !s.leaving {
 		s.bound = true
 		s.seal()
@@ -303,8 +303,8 @@
 }
 
 // release lets answers out.
-func (s *Source) release(which func(answer) bool) {
-	var kept []answer
+func (s *Primary) release(which func(pendingAnswer) bool) {
+	var kept []pendingAnswer
 	for _, w := range s.waiting {
 		if which(w) {
 			s.host.Answer(w.what, s.now-w.at < answerWithin)
@@ -317,14 +317,14 @@
 
 // expire gives up answers that nobody waits for any more. What they start does not show in
 // the machine's next report, and was never carried out.
-func (s *Source) expire() {
+func (s *Primary) expire() {
 	if len(s.waiting) > 0 && s.now-s.waiting[0].at >= answerWithin {
-		s.release(func(w answer) bool { return s.now-w.at >= answerWithin })
+		s.release(func(w pendingAnswer) bool { return s.now-w.at >= answerWithin })
 	}
 }
 
-// Leave has nobody follow for now.
-func (s *Source) Leave(now unit.Micros) {
+// Stop has nobody follow for now.
+func (s *Primary) Stop(now units.Microseconds) {
 	s.now = now
 	if s.to != "" && !s.leaving {
 		s.leave()
@@ -333,7 +333,7 @@
 
 // leave has nobody follow any more. Until that is surely stored the follower may be granted
 // the block by what it has.
-func (s *Source) leave() {
+func (s *Primary) leave() {
 	if !s.stored {
 		s.free()
 		return
@@ -343,14 +343,14 @@
 }
 
 // free ends it: surely nobody is stored to follow.
-func (s *Source) free() {
+func (s *Primary) free() {
 	s.to, s.bound, s.stored, s.leaving, s.unacked, s.copying = "", false, false, false, nil, nil
 	s.restAt = s.now + pause
-	s.release(func(answer) bool { return true })
+	s.release(func(pendingAnswer) bool { return true })
 }
 
 // store writes a record until it is known what became of it.
-func (s *Source) store(r Record) {
+func (s *Primary) store(r Record) {
 	if s.storing {
 		return
 	}
@@ -367,7 +367,7 @@
 }
 
 // Close ends it: the block is given up, and no answer is let out any more.
-func (s *Source) Close(now unit.Micros) {
+func (s *Primary) Close(now units.Microseconds) {
 	s.now = now
 	for _, w := range s.waiting {
 		s.host.Answer(w.what, false)
@@ -375,8 +375,8 @@
 	s.waiting = nil
 }
 
-// Sink is a follower's side: the streams of the blocks that it follows.
-type Sink struct {
+// Standby is a follower's side: the streams of the blocks that it follows.
+type Standby struct {
 	streams map[int]*stream
 }
 
@@ -398,12 +398,12 @@
 	maxBlocks   = 1024
 )
 
-// NewSink returns a follower of nobody.
-func NewSink() *Sink { return &Sink{streams: map[int]*stream{}} }
+// NewStandby returns a follower of nobody.
+func NewStandby() *Standby { return &Standby{streams: map[int]*stream{}} }
 
-// Take takes a message and returns what to answer. stored reports whether a task is known
+// Receive takes a message and returns what to answer. stored reports whether a task is known
 // to be stored as done, or its job to be over.
-func (k *Sink) Take(m Message, stored func(job string, task int) bool) Ack {
+func (k *Standby) Receive(m Message, stored func(job string, task int) bool) Ack {
 	s := k.streams[m.Block]
 	if m.N == 1 && (s == nil || m.Token > s.token || m.Token == s.token && m.Run > s.run) && m.Block >= 0 && m.Block < maxBlocks {
 		s = &stream{token: m.Token, run: m.Run, machines: map[string]MachinePicture{}, done: map[string]map[int]bool{}, ahead: map[uint64]Message{}}
@@ -448,15 +448,15 @@
 	return Ack{m.Block, m.Token, m.Run, s.n}
 }
 
-// Picture returns what the holder of a block had started, if this node is the one that the
+// Snapshot returns what the holder of a block had started, if this node is the one that the
 // record names and has the whole of that very stream. Of a task that is on several machines
 // the last attempt counts: it was started once the others were known to be gone.
-func (k *Sink) Picture(block int, node string, r Record) (machines map[string]MachinePicture, done []TasksDone, ok bool) {
+func (k *Standby) Snapshot(block int, node string, r Record) (machines map[string]MachinePicture, done []TasksDone, ok bool) {
 	s := k.streams[block]
 	if s == nil || r.Node != node || r.Token != s.token || r.Run != s.run || !s.whole {
 		return nil, nil, false
 	}
-	last := map[ledger.TaskID]uint64{}
+	last := map[jobs.TaskID]uint64{}
 	for _, p := range s.machines {
 		for _, t := range p.Tasks {
 			last[t.ID] = max(last[t.ID], t.Attempt)
@@ -473,8 +473,8 @@
 	return machines, done, true
 }
 
-// Run tells by which stream a block is followed; 0: by none.
-func (k *Sink) Run(block int) uint64 {
+// StreamID tells by which stream a block is followed; 0: by none.
+func (k *Standby) StreamID(block int) uint64 {
 	if s := k.streams[block]; s != nil {
 		return s.run
 	}
@@ -482,4 +482,4 @@
 }
 
 // Forget drops a block's stream.
-func (k *Sink) Forget(block int) { delete(k.streams, block) }
+func (k *Standby) Forget(block int) { delete(k.streams, block) }
--- a/internal/core/follow/trace.go
+++ b/internal/core/replication/trace.go
@@ -1,4 +1,4 @@
-package follow
+package replication
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"slices"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Trace tells all that counts of a holder's side, in times from now, for logs and for
 // exploring what may follow: equal traces act the same from then on.
-func (s *Source) Trace(now unit.Micros) string {
+func (s *Primary) Trace(now units.Microseconds) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "to %q run %d n %d acked %d whole %d seal %d bound %v stored %v storing %v leaving %v rest %d copying %v dirty %v done %v waiting",
 		s.to, s.run, s.n, s.acked, s.wholeAt, s.sealAt, s.bound, s.stored, s.storing, s.leaving, max(0, s.restAt-now),
@@ -27,7 +27,7 @@
 }
 
 // Trace tells all that counts of a follower's side.
-func (k *Sink) Trace() string {
+func (k *Standby) Trace() string {
 	var b strings.Builder
 	for _, n := range slices.Sorted(maps.Keys(k.streams)) {
 		s := k.streams[n]
--- /dev/null
+++ b/internal/core/shard.go
@@ -0,0 +1,343 @@
+package core
+
+import (
+	"maps"
+	"slices"
+
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/demand"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/guard"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/liveness"
+	"shalestage.example/shalestage/internal/core/provisioner"
+	"shalestage.example/shalestage/internal/core/ranking"
+	"shalestage.example/shalestage/internal/core/replication"
+	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// ownedShard is what a controller knows and does while it holds a block: machines,
+// the jobs that run on them, and a share of the teams' limits.
+type ownedShard struct {
+	number         int
+	assignment     uint64 // version of the block's record; guards every write
+	fencingToken   uint64
+	ready          bool // the picture is complete enough to answer reports
+	releasing      bool // being given up: nothing is answered any more
+	storingRelease bool // and that is being stored
+	ownedSince     units.Microseconds
+	attempts       uint64
+
+	machines             map[string]*fleet.Machine
+	machineGroups        map[string]*machineGroup // stored machines, by key
+	changedGroups        []*machineGroup          // to be stored
+	unreconciled         map[string]bool          // machines on which earlier holders' tasks may run
+	probeQueue           []string                 // those that are to be asked directly
+	nextProbeAt          units.Microseconds
+	probesInFlight       int         // requests under way
+	unreconciledCapacity binpack.Vec // capacity of the machines that are unaccounted for
+	unknownCapacity      bool        // the capacity of some of them is not known
+	unreconciledStale    bool
+	active               map[string]*jobs.Job
+	queue                ranking.Queue          // active jobs, and the order in which they are served
+	rights               ranking.Rights         // of theirs, by their teams' guarantees
+	shortfall            map[string]int64       // CPU of teams that have waited for long for their part of the guarantees
+	reserved             map[string]binpack.Vec // demand of the first task of a job that is overdue, by team
+	orderStale           bool
+	usage                map[string]binpack.Vec
+	capacity             binpack.Vec      // capacity of all machines
+	readyTasks           int              // ready tasks of the ranked jobs
+	finishRate           float64          // tasks of all jobs that end in a second, by their run times
+	withHeadroom         []*fleet.Machine // machines with free room, preferred ones first
+	rankedAt             units.Microseconds
+	viewed               []*jobs.Job // for one machine, kept for their memory
+	views                []binpack.Job
+	nextWritesAt         units.Microseconds // when late writes are next made
+	unstoredJobs         []*jobs.Job        // with finished tasks to be stored, the longest first
+
+	demand            *demand.Estimator
+	provisioner       *provisioner.Provisioner
+	liveness          *liveness.Detector
+	replication       *replication.Primary
+	pendingHeartbeats []pendingHeartbeat // reports of idle machines that wait for work
+	pendingCheckedAt  units.Microseconds // when held reports are next looked at
+	newWork           bool               // tasks have become ready since jobs were ranked
+	pendingStale      bool               // or since held reports were looked at
+	preempted         map[string]preemption
+	nextSortAt        units.Microseconds
+	nextSweepAt       units.Microseconds
+	nextMigrationAt   units.Microseconds
+	nextLogAt         units.Microseconds
+	orphanedJob       string                        // job whose parts are being cleared, as it has no record
+	nextOrphanAt      units.Microseconds            // when that goes on
+	unknownMachines   map[string]units.Microseconds // unknown machines that report, since when
+}
+
+func sortedShards(m map[int]*ownedShard) []int { return slices.Sorted(maps.Keys(m)) }
+
+// own begins to hold a block. Reports are answered once a read that began
+// after the grant was stored has shown everything that earlier holders stored.
+func (c *Core) own(k int, g shardAssignment) {
+	shard := &ownedShard{number: k, assignment: g.version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
+		machines: map[string]*fleet.Machine{}, machineGroups: map[string]*machineGroup{},
+		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{}, usage: map[string]binpack.Vec{},
+		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), preempted: map[string]preemption{}, unknownMachines: map[string]units.Microseconds{}}
+	host := shardHost{c, shard}
+	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: adoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
+	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, host, shard.provisioner, c.zones)
+	shard.replication = replication.NewPrimary(k, shard.fencingToken, replicationHost{c, shard})
+	c.owned[k] = shard
+	c.reachability.ShardAcquired()
+	c.zones.ShardAcquired()
+	c.log.Info("holding", "block", k, "token", shard.fencingToken)
+	c.setRates()
+	c.rebuild(shard)
+}
+
+func (c *Core) rebuild(shard *ownedShard) {
+	c.readFresh(func(ok bool) {
+		if c.owned[shard.number] != shard {
+			return
+		}
+		if !ok {
+			c.rebuild(shard)
+			return
+		}
+		picture := c.takeSnapshot(shard)
+		for _, key := range sortedKeys(c.machineGroups) {
+			g := c.machineGroups[key]
+			if g.Shard != shard.number {
+				continue
+			}
+			// A holder that took them for new would keep idle ones for their
+			// least charge once more.
+			age := units.Microseconds(0)
+			if g.ProvisionedAt > 0 {
+				age = max(0, c.wall-g.ProvisionedAt)
+			}
+			for _, name := range g.Up {
+				m := c.newMachine(shard, name, key, g.Record(true), age)
+				// An earlier holder may have started tasks there, and its last
+				// answer may have been accepted just before this grant.
+				m.LeaseEnd = c.now + c.leaseBound()
+				if _, handed := picture.machines[name]; !handed && !picture.covers(key) && c.guarded(guard.Unaccounted) {
+					shard.unreconciled[name] = true
+					shard.unreconciledStale = true
+				}
+			}
+			for _, name := range g.Booting {
+				c.newMachine(shard, name, key, g.Record(false), age)
+			}
+		}
+		for _, id := range sortedKeys(c.active) {
+			if j := c.active[id]; j.Record.Shard == shard.number && j.OpenDependencies == 0 {
+				j.Reset()
+				shard.addJob(j)
+				// Whether any of its tasks were ever started only the last holder knew.
+				j.AwaitsReconciliation = len(shard.unreconciled) > 0
+			}
+		}
+		handed := c.restore(shard, picture)
+		shard.ready = true
+		c.log.Info("picture read", "block", shard.number, "jobs", len(shard.active), "machines", len(shard.machines), "handed_on", handed, "followed", picture.whole)
+	})
+}
+
+// release gives a block up while this node's seat stands, so that the leader
+// can lease it to another. Nothing is answered from now on, whether or not the
+// release gets stored soon.
+func (c *Core) release(shard *ownedShard, why string) {
+	if shard.releasing {
+		return
+	}
+	c.log.Warn("releasing a block", "block", shard.number, "why", why)
+	shard.releasing = true
+	shard.replication.Close(c.now)
+	c.sendSnapshot(shard)
+	c.storeRelease(shard)
+}
+
+func (c *Core) storeRelease(shard *ownedShard) {
+	g := c.assignments[shard.number]
+	if shard.storingRelease || g.version != shard.assignment {
+		return
+	}
+	shard.storingRelease = true
+	c.queues[ControlQueue].Add(&store.Write{
+		Guards:  []store.Guard{{Key: assignmentKey(shard.number), Version: shard.assignment}},
+		Changes: []store.Change{{Key: assignmentKey(shard.number), Value: store.Value(authority.Assignment{Term: g.Term, Number: g.Number, ReleasedBy: c.cfg.Node})}},
+		Done:    func(store.Outcome, uint64) { shard.storingRelease = false }, // tried again until it is known to be so
+	})
+}
+
+// leaseBound is the time after which tasks of a machine that gets no answer
+// are surely gone.
+func (c *Core) leaseBound() units.Microseconds { return units.Longest(c.cfg.Lease) + units.Second/5 }
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+
+// Owns reports whether this node may answer workers of a block at present.
+func (c *Core) Owns(now units.Microseconds, k int) bool {
+	shard := c.owned[k]
+	return shard != nil && shard.ready && !shard.releasing && now < c.ValidUntil()
+}
+
+func (shard *ownedShard) addJob(j *jobs.Job) {
+	if shard.active[j.ID] == j {
+		return
+	}
+	if old := shard.active[j.ID]; old != nil {
+		shard.queue.Remove(old)
+	}
+	shard.active[j.ID] = j
+	shard.queue.Add(j)
+	shard.orderStale, shard.newWork = true, true
+}
+
+// jobOver forgets a job that is done or cancelled. Its tasks on machines keep
+// counting against the team until the machines report them gone.
+func (shard *ownedShard) jobOver(c *Core, j *jobs.Job, s jobs.Status) {
+	shard.dropJob(j)
+	spec := j.Spec()
+	c.log.Info("job over", "job", j.ID, "status", s, "class", spec.Class, "tasks", spec.Tasks,
+		"took_s", (c.wall - j.Since).Seconds(), "waited_s", (j.Since - j.Record.Submitted).Seconds(), "deadline_s", spec.Deadline.Seconds())
+}
+
+// dropJob forgets a job that is over or another block's now.
+func (shard *ownedShard) dropJob(j *jobs.Job) {
+	if old := shard.active[j.ID]; old != nil {
+		shard.queue.Remove(old)
+		delete(shard.active, j.ID)
+	}
+	shard.orderStale = true
+}
+
+// sortJobs keeps the active jobs in the order in which they could first start, and
+// notes which fit their team's guarantee together with the team's earlier jobs. Jobs
+// that wait for others count nowhere.
+func (c *Core) sortJobs(shard *ownedShard) {
+	c.propagateObjectives(shard)
+	shard.orderStale = false
+	shard.queue.Settle()
+	// A guarantee covers the earliest of a team's jobs in all blocks.
+	all := &shard.queue.Order
+	if len(c.active) > len(shard.active) {
+		all = &c.runnable
+		all.Settle()
+	}
+	shard.rights = ranking.Weigh(shard.queue.Jobs(), all.Jobs(), quotaSource{c})
+	shard.capacity = binpack.Vec{}
+	for _, m := range shard.machines {
+		if m.Type != nil && !m.Deprovisioning {
+			shard.capacity = shard.capacity.Add(m.Type.Capacity)
+		}
+	}
+	c.computeShortfall(shard)
+}
+
+// quotaSource tells package ranking of the teams.
+type quotaSource struct{ c *Core }
+
+// Guarantee implements ranking.Guarantees.
+func (g quotaSource) Guarantee(team string) (binpack.Vec, bool) {
+	if t := g.c.teams[team]; t != nil {
+		return t.Guarantee, true
+	}
+	return binpack.Vec{}, false
+}
+
+// Total implements ranking.Guarantees.
+func (g quotaSource) Total() (cpu int64, teams int) {
+	for _, t := range g.c.cfg.Teams {
+		cpu += t.Guarantee[binpack.CPU]
+	}
+	return cpu, len(g.c.cfg.Teams)
+}
+
+// tickShard does what a holder does as time passes.
+func (c *Core) tickShard(shard *ownedShard) {
+	if shard.releasing {
+		if len(shard.pendingHeartbeats) > 0 && c.now >= shard.pendingHeartbeats[0].until {
+			c.redirectPending(shard) // it takes longer than it should
+		}
+		c.storeRelease(shard)
+		return
+	}
+	if c.retiringSince != 0 {
+		c.release(shard, "this controller is about to end")
+		return
+	}
+	if !c.Owns(c.now, shard.number) {
+		return
+	}
+	if c.unreachable(shard) {
+		c.reachability.ShardsReleased(c.now)
+		for _, k := range sortedShards(c.owned) {
+			c.release(c.owned[k], "no worker can reach this node")
+		}
+		return
+	}
+	if c.now >= shard.nextSortAt {
+		shard.nextSortAt = c.now + units.Second
+		c.sortJobs(shard)
+		for _, j := range shard.queue.Jobs() {
+			if j.AllFinished() && c.guarded(guard.CloseAgain) {
+				// Not only when its last task ends: an earlier holder may have
+				// stored that and ended before it could store the job's end.
+				c.closeJob(shard, j)
+			}
+		}
+	}
+	if c.now >= shard.nextSweepAt {
+		shard.nextSweepAt = c.now + units.Second/4
+		shard.liveness.Sweep(c.now)
+	}
+	if c.now >= shard.nextMigrationAt {
+		shard.nextMigrationAt = c.now + units.Second/2
+		c.migrateJobs(shard)
+	}
+	c.probe(shard)
+	c.tickCloud(shard)
+}
+
+// setRates divides the budgets of the outside services by the open blocks that
+// this node holds.
+func (c *Core) setRates() {
+	open, mine := 0, 0
+	for k, s := range c.allocations {
+		if s.fraction > 1e-9 {
+			open++
+			if c.owned[k] != nil {
+				mine++
+			}
+		}
+	}
+	part := 1.0
+	if open > 0 {
+		part = max(float64(mine), 0.5) / float64(max(open, mine))
+	}
+	// Submissions come in bursts that seldom meet the holders' changes: together
+	// the lanes may ask for more than the budget.
+	c.queues[UserQueue].Rate = c.cfg.WriteRate / float64(2*c.cfg.Size)
+	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * part
+	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * packShare
+	if part != c.cloudPart {
+		c.cloudPart = part
+		c.emit(CloudBudget{part})
+	}
+}
+
+// quotaUseOf is the largest part of a team's limit that is in use in a block.
+func (c *Core) quotaUseOf(shard *ownedShard) float64 {
+	most := 0.0
+	for name, t := range c.teams {
+		for i, lim := range t.Limit {
+			if lim > 0 {
+				most = max(most, float64(shard.usage[name][i])/float64(lim))
+			}
+		}
+	}
+	return most
+}
--- a/internal/core/block_test.go
+++ b/internal/core/shard_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/autoscaler"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/scale"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // TestMachineAgeOutlivesHolder has a new holder take over a machine that was
@@ -19,16 +19,16 @@
 // more: with a hand-over a minute nothing was returned at all.
 func TestMachineAgeOutlivesHolder(t *testing.T) {
 	c := New(Config{Node: "a", Size: 1, TxnOps: 8, ValueKB: 8, StateRate: 100, WriteRate: 50,
-		LeaderTTL: 1000 * unit.Second, Lease: 10 * unit.Second, ReportEvery: 3 * unit.Second})
-	now, wall := unit.Second, 1000*unit.Second
+		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second})
+	now, wall := units.Second, 1000*units.Second
 	c.Tick(now, wall)
-	g := fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}, Rented: wall - 400*unit.Second}
-	c.OnList(now, List{}, store.OK, 5, []store.Event{{Key: machPrefix + "r-1", Value: store.Value(g), Stamp: 3}}, false)
-	c.hold(0, granted{stamp: 4})
+	g := fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}, ProvisionedAt: wall - 400*units.Second}
+	c.OnList(now, List{}, store.OK, 5, []store.Event{{Key: machinePrefix + "r-1", Value: store.Value(g), Stamp: 3}}, false)
+	c.own(0, shardAssignment{version: 4})
 	c.Drain()
 	c.OnChanges(now, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
-	m := c.held[0].machines["n-1"]
-	if m == nil || now-m.Rented != 400*unit.Second {
+	m := c.owned[0].machines["n-1"]
+	if m == nil || now-m.ProvisionedAt != 400*units.Second {
 		t.Fatalf("machine %+v", m)
 	}
 }
@@ -41,7 +41,7 @@
 	if code != 421 {
 		t.Fatalf("answered %d", code)
 	}
-	if j, m := c.jobs["wk-000001"], c.held[0].machines["n-1"]; m != nil || j.Placed() != 0 {
+	if j, m := c.jobs["wk-000001"], c.owned[0].machines["n-1"]; m != nil || j.Placed() != 0 {
 		t.Fatalf("machine %v, %d tasks placed", m, j.Placed())
 	}
 	// Without the check the task would wait for the lease of a machine that is gone.
@@ -55,15 +55,15 @@
 func reportOfReturned(t *testing.T, leftOut guard.Guard) (*Core, int) {
 	t.Helper()
 	c := holding(t, map[string]any{
-		machPrefix + "r-1":      fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
-		jobPrefix + "wk-000001": ledger.Record{Status: ledger.Pending, Tasks: 1, Spec: &ledger.Spec{Tasks: 1, AnyType: true}},
+		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
+		jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}},
 	})
-	c.cfg.LeftOut = leftOut
-	bl := c.held[0]
-	c.OnReturn(c.now, ReturnHosts{Names: []string{"n-1"}, Grant: bl.grant}, store.OK)
+	c.cfg.SkippedGuard = leftOut
+	shard := c.owned[0]
+	c.OnScaleIn(c.now, ScaleIn{Names: []string{"n-1"}, Assignment: shard.assignment}, store.OK)
 	c.Drain()
-	c.Report(c.now, 9, &fleet.Report{Machine: "n-1", Type: "big", Zone: "z", Session: 1, Seq: 7, Token: bl.token, Notice: unit.Never,
-		Tasks: []fleet.Task{{ID: ledger.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
+	c.Heartbeat(c.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.Never,
+		Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
 	return c, replyTo(t, c, 9).Code
 }
 
@@ -72,19 +72,19 @@
 func TestDirectAnswerBesideStart(t *testing.T) {
 	for leftOut, want := range map[guard.Guard]int{guard.None: 1, guard.DirectAnswer: 0} {
 		c := holding(t, map[string]any{
-			machPrefix + "r-1":      fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
-			jobPrefix + "wk-000001": ledger.Record{Status: ledger.Pending, Tasks: 1, Spec: &ledger.Spec{Team: "t", Tasks: 1, AnyType: true}},
+			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
+			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Team: "t", Tasks: 1, AnyType: true}},
 		})
-		c.cfg.LeftOut = leftOut
-		bl := c.held[0]
-		r := fleet.Report{Machine: "n-1", Type: "big", Zone: "z", Session: 1, Seq: 1, Token: bl.token, Notice: unit.Never}
-		c.Report(c.now, 9, &r)
+		c.cfg.SkippedGuard = leftOut
+		shard := c.owned[0]
+		r := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never}
+		c.Heartbeat(c.now, 9, &r)
 		j := c.jobs["wk-000001"]
 		if j.Placed() != 1 {
 			t.Fatalf("%d tasks are started", j.Placed())
 		}
 		r.Seq = 2
-		c.OnContact(c.now, Contact{Block: 0, Grant: bl.grant, Machine: "n-1"}, store.OK, &r)
+		c.OnProbe(c.now, Probe{Shard: 0, Assignment: shard.assignment, Machine: "n-1"}, store.OK, &r)
 		if j.Placed() != want {
 			t.Errorf("left out %d: %d tasks count as started, want %d", leftOut, j.Placed(), want)
 		}
@@ -99,18 +99,18 @@
 		names = append(names, fmt.Sprintf("n-%d", i))
 	}
 	for heard, want := range map[int]int{0: 0, 1: 0, 3: 6} {
-		c := holding(t, map[string]any{machPrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names}})
-		c.cfg.Zones, c.cfg.Lease = []string{"z"}, 60*unit.Second
+		c := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names}})
+		c.cfg.Zones, c.cfg.Lease = []string{"z"}, 60*units.Second
 		returned := map[string]bool{}
 		for i := range 200 {
 			for k := range heard {
 				if i%20 == k {
-					c.Report(c.now, ReqID(1000*i+k+1), &fleet.Report{Machine: names[k], Type: "big", Zone: "z", Session: 1, Seq: uint64(i + 1), Token: c.held[0].token, Notice: unit.Never})
+					c.Heartbeat(c.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: c.owned[0].fencingToken, Notice: units.Never})
 				}
 			}
 			c.Tick(c.now+TickEvery, c.wall+TickEvery)
 			for _, e := range c.Drain() {
-				if r, ok := e.(ReturnHosts); ok {
+				if r, ok := e.(ScaleIn); ok {
 					for _, n := range r.Names {
 						returned[n] = true
 					}
@@ -132,37 +132,37 @@
 	names := []string{"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	for _, c := range []struct {
 		gone   int // the last ones
-		rented unit.Micros
+		rented units.Microseconds
 		want   int
-	}{{1, 100 * unit.Second, 1}, {3, 100 * unit.Second, 3}, {3, 2 * unit.Second, 0}, {5, 100 * unit.Second, 0}} {
+	}{{1, 100 * units.Second, 1}, {3, 100 * units.Second, 3}, {3, 2 * units.Second, 0}, {5, 100 * units.Second, 0}} {
 		lives := len(names) - c.gone
 		k := holding(t, map[string]any{
-			machPrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names[:lives], Rented: 900 * unit.Second},
-			machPrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[lives:], Rented: 1000*unit.Second - c.rented},
+			machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names[:lives], ProvisionedAt: 900 * units.Second},
+			machinePrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[lives:], ProvisionedAt: 1000*units.Second - c.rented},
 		})
-		k.cfg.Lease, k.cfg.ReportEvery, k.cfg.ListLag = 60*unit.Second, 6*unit.Second, 3*unit.Second
-		bl := k.held[0]
+		k.cfg.Lease, k.cfg.HeartbeatInterval, k.cfg.ListLag = 60*units.Second, 6*units.Second, 3*units.Second
+		shard := k.owned[0]
 		returned := 0
 		for i := range 40 { // 2 s
 			if i < lives {
-				k.Report(k.now, ReqID(1000+i), &fleet.Report{Machine: names[i], Type: "big", Zone: "z", Session: 1, Seq: 1, Token: bl.token, Notice: unit.Never})
+				k.Heartbeat(k.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never})
 			}
 			k.Tick(k.now+TickEvery, k.wall+TickEvery)
 			for _, e := range k.Drain() {
 				switch e := e.(type) {
-				case ListHosts:
-					var list []Host
+				case ListMachines:
+					var list []ListedMachine
 					for _, n := range names[:lives] {
-						list = append(list, Host{Name: n})
+						list = append(list, ListedMachine{Name: n})
 					}
-					k.OnHosts(k.now, e, store.OK, list)
-				case ReturnHosts:
+					k.OnListMachines(k.now, e, store.OK, list)
+				case ScaleIn:
 					returned += len(e.Names)
 				}
 			}
 		}
-		if returned != c.want || len(bl.unaccounted) != c.gone {
-			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", c.gone, c.rented.Seconds(), returned, len(bl.unaccounted))
+		if returned != c.want || len(shard.unreconciled) != c.gone {
+			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", c.gone, c.rented.Seconds(), returned, len(shard.unreconciled))
 		}
 	}
 }
@@ -174,14 +174,14 @@
 	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
 	c.peers = newPeers([]string{"b"})
 	spec := job()
-	submit := func(req ReqID, id string) { c.Submit(c.now, req, id, spec, "") }
+	submit := func(req RequestID, id string) { c.Submit(c.now, req, id, spec, "") }
 	for i, set := range []func(full bool){c.SetFull, func(full bool) { c.OnPeer(c.now, "b", PeerStatus{Full: full}) }} {
 		set(true)
-		submit(ReqID(10+i), "wk-000002")
-		if r := replyTo(t, c, ReqID(10+i)); r.Code != 503 || r.RetryAfter != crowdedRetry {
+		submit(RequestID(10+i), "wk-000002")
+		if r := replyTo(t, c, RequestID(10+i)); r.Code != 503 || r.RetryAfter != crowdedRetry {
 			t.Errorf("new job: %+v", r)
 		}
-		submit(ReqID(20+i), "wk-000001")
+		submit(RequestID(20+i), "wk-000001")
 		code := 0
 		for range 20 {
 			for _, e := range c.Drain() {
@@ -206,7 +206,7 @@
 	if !c.crowded() {
 		t.Error("not crowded while another is full")
 	}
-	c.at(c.now + 2*peerFresh)
+	c.advance(c.now + 2*peerFresh)
 	if c.crowded() {
 		t.Error("crowded by one that is heard no more")
 	}
@@ -224,16 +224,16 @@
 // TestLateBoot has a job wait for a machine that does not come up. It waited for as
 // long as the slowest machines take, 160 s: no other was rented for it.
 func TestLateBoot(t *testing.T) {
-	for rented, want := range map[unit.Micros]bool{5 * unit.Second: false, 25 * unit.Second: true} {
+	for rented, want := range map[units.Microseconds]bool{5 * units.Second: false, 25 * units.Second: true} {
 		c := holding(t, map[string]any{
-			machPrefix + "r-1":      fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}, Rented: 1000*unit.Second - rented},
+			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}, ProvisionedAt: 1000*units.Second - rented},
 			jobPrefix + "wk-000001": pending(job()),
 		})
 		rents := false
 		for range 10 {
 			c.Tick(c.now+TickEvery, c.wall+TickEvery)
 			for _, e := range c.Drain() {
-				_, ok := e.(RentHosts)
+				_, ok := e.(ScaleOut)
 				rents = rents || ok
 			}
 		}
@@ -248,10 +248,10 @@
 // missed the grant and held nothing as long as its seat stood: no work started,
 // though everything worked (rehearsals/drawn.toml, seed 407).
 func TestGrantBeforeAnswerToSeat(t *testing.T) {
-	c := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * unit.Second,
-		Lease: 10 * unit.Second, ReportEvery: 3 * unit.Second, CancelIn: 40 * unit.Second})
-	c.Tick(unit.Second, 1000*unit.Second)
-	c.OnList(c.now, List{}, store.OK, 100, []store.Event{{Key: leadKeyFirst, Value: store.Value(lead.Claim{Term: 1, Node: "b", Seat: 9}), Stamp: 10}}, false)
+	c := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * units.Second,
+		Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CancelWithin: 40 * units.Second})
+	c.Tick(units.Second, 1000*units.Second)
+	c.OnList(c.now, List{}, store.OK, 100, []store.Event{{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: 1, Node: "b", MemberID: 9}), Stamp: 10}}, false)
 	c.Drain()
 	c.Tick(c.now+TickEvery, c.wall+TickEvery)
 	c.Drain()
@@ -266,14 +266,14 @@
 		t.Fatal("no seat is taken")
 	}
 	c.OnChanges(c.now, Watch{After: 100}, store.OK, 102, []store.Event{
-		{Key: seatPrefix + "a", Value: seat.Txn.Changes[0].Value, Stamp: 101},
-		{Key: blockKey(0), Value: store.Value(lead.Block{Term: 1, Number: 1, Node: "a", Seat: 101}), Stamp: 102}}, false)
-	if c.held[0] != nil {
+		{Key: memberPrefix + "a", Value: seat.Txn.Changes[0].Value, Stamp: 101},
+		{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 101}), Stamp: 102}}, false)
+	if c.owned[0] != nil {
 		t.Fatal("held without a seat")
 	}
-	c.OnCommit(c.now, seat.Lane, seat.Txn, store.OK, 101, nil)
-	if bl := c.held[0]; bl == nil || bl.grant != 102 {
-		t.Fatalf("held: %+v", bl)
+	c.OnCommit(c.now, seat.Queue, seat.Txn, store.OK, 101, nil)
+	if shard := c.owned[0]; shard == nil || shard.assignment != 102 {
+		t.Fatalf("held: %+v", shard)
 	}
 }
 
@@ -281,17 +281,17 @@
 // answered. The holder notices it by a revision, keeps what it knows, writes it again
 // under the versions that are there now, and neither forgets a job nor takes back an end.
 func TestLostWritesAreWrittenAgain(t *testing.T) {
-	done := ledger.Record{Status: ledger.Done, Tasks: 1}
+	done := jobs.Record{Status: jobs.Done, Tasks: 1}
 	early, late := pending(job()), pending(job())
-	c := holding(t, map[string]any{jobPrefix + "wk-000001": early, machPrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}})
+	c := holding(t, map[string]any{jobPrefix + "wk-000001": early, machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}})
 	c.OnChanges(c.now, Watch{After: 101}, store.OK, 120, []store.Event{
-		{Key: blockKey(0), Value: store.Value(lead.Block{Term: 1, Node: "a", Seat: 1}), Stamp: 105},
+		{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Node: "a", MemberID: 1}), Stamp: 105},
 		{Key: jobPrefix + "wk-000002", Value: store.Value(late), Stamp: 110},
 		{Key: jobPrefix + "wk-000001", Value: store.Value(done), Stamp: 115},
-		{Key: machPrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), Stamp: 118}}, false)
+		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), Stamp: 118}}, false)
 	c.Drain()
 	c.OnChanges(c.now, Watch{After: 101, Known: 101}, store.OK, 110, nil, false)
-	if c.mirror.Recovering() {
+	if c.cache.Recovering() {
 		t.Fatal("an answer that was under way is taken for a service that went back")
 	}
 	c.OnChanges(c.now, Watch{After: 120, Known: 120}, store.OK, 107, nil, false)
@@ -304,10 +304,10 @@
 		t.Fatal("a revision below a known one was not noticed")
 	}
 	c.OnList(c.now, List{}, store.OK, 108, []store.Event{
-		{Key: seatPrefix + "a", Value: store.Value(lead.Seat{Node: "a"}), Stamp: 1},
+		{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a"}), Stamp: 1},
 		{Key: jobPrefix + "wk-000001", Value: store.Value(early), Stamp: 1},
-		{Key: machPrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), Stamp: 2}}, false)
-	if c.jobs["wk-000001"].Active() || c.jobs["wk-000002"] == nil || c.held[0] == nil {
+		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), Stamp: 2}}, false)
+	if c.jobs["wk-000001"].Active() || c.jobs["wk-000002"] == nil || c.owned[0] == nil {
 		t.Fatal("what was lost is forgotten")
 	}
 	written, rev := map[string]uint64{}, uint64(108)
@@ -320,7 +320,7 @@
 			}
 			guards := map[string]uint64{}
 			for _, g := range cm.Txn.Guards {
-				guards[g.Key] = g.Stamp
+				guards[g.Key] = g.Version
 			}
 			rev++
 			for _, ch := range cm.Txn.Changes {
@@ -328,15 +328,15 @@
 					written[ch.Key] = guards[ch.Key]
 				}
 			}
-			c.OnCommit(c.now, cm.Lane, cm.Txn, store.OK, rev, nil)
+			c.OnCommit(c.now, cm.Queue, cm.Txn, store.OK, rev, nil)
 		}
 	}
-	for key, guard := range map[string]uint64{jobPrefix + "wk-000001": 1, jobPrefix + "wk-000002": 0, machPrefix + "r-1": 2, blockKey(0): 0} {
+	for key, guard := range map[string]uint64{jobPrefix + "wk-000001": 1, jobPrefix + "wk-000002": 0, machinePrefix + "r-1": 2, assignmentKey(0): 0} {
 		if got, ok := written[key]; !ok || got != guard {
 			t.Errorf("%s: written %v, guarded by version %d, want %d", key, ok, got, guard)
 		}
 	}
-	if bl := c.held[0]; bl == nil || bl.grant != c.blocks[0].stamp {
+	if shard := c.owned[0]; shard == nil || shard.assignment != c.assignments[0].version {
 		t.Error("the block is not held under the version that it has now")
 	}
 }
@@ -346,22 +346,22 @@
 func holding(t testing.TB, values map[string]any) *Core {
 	t.Helper()
 	c := New(Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, NextWriteRate: 20, Teams: []Team{{Name: "t"}},
-		LeaderTTL: 1000 * unit.Second, Lease: 10 * unit.Second, ReportEvery: 3 * unit.Second, CloudRate: 5,
-		Scale: scale.Params{Memory: 15 * unit.Second, Worth: 20 * unit.Second, IdleReturn: 5 * unit.Second}})
-	c.Tick(unit.Second, 1000*unit.Second)
+		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CloudRate: 5,
+		Scale: autoscaler.Params{Memory: 15 * units.Second, Worth: 20 * units.Second, IdleReturn: 5 * units.Second}})
+	c.Tick(units.Second, 1000*units.Second)
 	var items []store.Event
 	for _, k := range sortedKeys(values) {
 		items = append(items, store.Event{Key: k, Value: store.Value(values[k]), Stamp: uint64(len(items) + 1)})
 	}
-	c.OnTypes(c.now, store.OK, []fleet.Type{{Name: "big", Capacity: pack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2, Boot: 10 * unit.Second}})
+	c.OnTypes(c.now, store.OK, []fleet.Type{{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2, Boot: 10 * units.Second}})
 	c.OnLease(c.now, store.OK, 7)
 	for _, e := range c.Drain() {
 		if w, ok := e.(Commit); ok {
-			c.OnCommit(c.now, w.Lane, w.Txn, store.OK, 1, nil)
-			items = append(items, store.Event{Key: seatPrefix + "a", Value: w.Txn.Changes[0].Value, Stamp: 1})
+			c.OnCommit(c.now, w.Queue, w.Txn, store.OK, 1, nil)
+			items = append(items, store.Event{Key: memberPrefix + "a", Value: w.Txn.Changes[0].Value, Stamp: 1})
 		}
 	}
-	items = append(items, store.Event{Key: blockKey(0), Value: store.Value(lead.Block{Term: 1, Node: "a", Seat: 1}), Stamp: 100})
+	items = append(items, store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Node: "a", MemberID: 1}), Stamp: 100})
 	c.OnList(c.now, List{}, store.OK, 100, items, false)
 	c.Drain()
 	c.OnChanges(c.now, Watch{After: 100, Fresh: true}, store.OK, 101, nil, false)
@@ -370,10 +370,10 @@
 }
 
 // replyTo returns the answer to a request.
-func replyTo(t *testing.T, c *Core, req ReqID) Reply {
+func replyTo(t *testing.T, c *Core, req RequestID) Reply {
 	t.Helper()
 	for _, e := range c.Drain() {
-		if r, ok := e.(Reply); ok && r.Req == req {
+		if r, ok := e.(Reply); ok && r.Request == req {
 			return r
 		}
 	}
@@ -389,7 +389,7 @@
 	if c.leader == nil {
 		t.Fatal("nobody leads")
 	}
-	c.cfg.Size, c.cfg.LeaderTTL = 3, 2*unit.Second
+	c.cfg.Size, c.cfg.LeaderTTL = 3, 2*units.Second
 	c.peers = newPeers([]string{"b", "c"})
 	commits := func() (n int) {
 		for range 100 {
@@ -397,7 +397,7 @@
 			for _, e := range c.Drain() {
 				switch e := e.(type) {
 				case Watch: // nothing has changed
-					c.OnChanges(c.now, e, store.OK, c.mirror.Rev, nil, false)
+					c.OnChanges(c.now, e, store.OK, c.cache.Revision, nil, false)
 				case Commit:
 					n++
 				}
@@ -405,9 +405,9 @@
 		}
 		return n
 	}
-	c.OnChanges(c.now, Watch{After: c.mirror.Rev}, store.Failed, 0, nil, true)
+	c.OnChanges(c.now, Watch{After: c.cache.Revision}, store.Failed, 0, nil, true)
 	// A page of the new listing: the block is another's, whose seat is on a later one.
-	c.learn(store.Event{Key: blockKey(0), Value: store.Value(lead.Block{Term: 1, Number: 7, Node: "b", Seat: 1 << 50}), Stamp: 1 << 51})
+	c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 7, Node: "b", MemberID: 1 << 50}), Stamp: 1 << 51})
 	if n := commits(); n > 0 {
 		t.Errorf("%d transactions of a leader whose copy is not whole", n)
 	}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -3,37 +3,37 @@
 import (
 	"net/http"
 
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
 // Stats is what an operator may want to watch of a controller.
 type Stats struct {
-	Seated     bool
-	Leading    bool
-	Full       bool   // memory is nearly full
-	KnownJobs  int    // in memory, final ones included
-	Keys       int    // in the copy
-	KeptDone   int    // jobs that are over and not packed
-	PackedIDs  int    // packed jobs that the filter holds
-	Looked     uint64 // buckets read since the start
-	Shed       uint64 // look-ups refused since the start
-	ActiveJobs int    // of all blocks
-	AwaitJobs  int    // of those, the ones that wait for others to be done
-	Writes     int    // that wait for the state service
-	Zones      []zones.View
-	Blocks     []BlockStats
+	Member       bool
+	Leading      bool
+	Full         bool   // memory is nearly full
+	KnownJobs    int    // in memory, final ones included
+	Keys         int    // in the copy
+	FinishedJobs int    // jobs that are over and not packed
+	ArchivedIDs  int    // packed jobs that the filter holds
+	ArchiveReads uint64 // buckets read since the start
+	ArchiveShed  uint64 // look-ups refused since the start
+	ActiveJobs   int    // of all blocks
+	BlockedJobs  int    // of those, the ones that wait for others to be done
+	Writes       int    // that wait for the state service
+	Zones        []zones.ZoneStats
+	Shards       []ShardStats
 }
 
-// BlockStats tells of a block that the controller holds.
-type BlockStats struct {
-	Block          int
+// ShardStats tells of a block that the controller holds.
+type ShardStats struct {
+	Shard          int
 	Jobs           int
 	Waiting        int    // tasks
 	Placed         int    // tasks
 	Started        uint64 // tasks, since this controller has held it
-	Unaccounted    int    // machines
-	Follower       string // who knows all that is started here; "": nobody
+	Unreconciled   int    // machines
+	Standby        string // who knows all that is started here; "": nobody
 	Ordinary, Spot PoolStats
 }
 
@@ -44,23 +44,23 @@
 }
 
 // Stats answers a request for the present figures.
-func (c *Core) Stats(req ReqID) {
-	s := Stats{Seated: c.seats.ID() != 0, Leading: c.leader != nil, Full: c.full, KnownJobs: len(c.jobs), ActiveJobs: len(c.active), AwaitJobs: c.graph.Waiting()}
-	s.Keys, s.KeptDone, s.Looked, s.Shed = c.mirror.Keys(), c.old.packer.Len(), c.old.past.Looked, c.old.past.Shed
-	_, s.PackedIDs = c.old.past.Whole()
-	s.Zones = c.zones.Views()
-	for _, l := range c.lanes {
+func (c *Core) Stats(req RequestID) {
+	s := Stats{Member: c.membership.ID() != 0, Leading: c.leader != nil, Full: c.memoryFull, KnownJobs: len(c.jobs), ActiveJobs: len(c.active), BlockedJobs: c.dependencies.Waiting()}
+	s.Keys, s.FinishedJobs, s.ArchiveReads, s.ArchiveShed = c.cache.Keys(), c.archived.packer.Len(), c.archived.history.Looked, c.archived.history.Shed
+	_, s.ArchivedIDs = c.archived.history.Whole()
+	s.Zones = c.zones.Stats()
+	for _, l := range c.queues {
 		s.Writes += l.Len()
 	}
-	for _, k := range sortedBlocks(c.held) {
-		s.Blocks = append(s.Blocks, c.held[k].stats())
+	for _, k := range sortedShards(c.owned) {
+		s.Shards = append(s.Shards, c.owned[k].shardStats())
 	}
 	c.reply(req, http.StatusOK, s)
 }
 
-func (bl *block) stats() BlockStats {
-	s := BlockStats{Block: bl.n, Jobs: len(bl.queue.Jobs()), Unaccounted: len(bl.unaccounted), Started: bl.attempts, Follower: bl.follow.Follower()}
-	for _, m := range bl.machines {
+func (shard *ownedShard) shardStats() ShardStats {
+	s := ShardStats{Shard: shard.number, Jobs: len(shard.queue.Jobs()), Unreconciled: len(shard.unreconciled), Started: shard.attempts, Standby: shard.replication.Standby()}
+	for _, m := range shard.machines {
 		p := &s.Ordinary
 		if m.Record.Spot {
 			p = &s.Spot
@@ -72,11 +72,11 @@
 			p.Idle++
 		}
 		if m.Type != nil {
-			p.CPUs += m.Type.Capacity[pack.CPU] / 1000
-			p.UsedCPUs += m.Used()[pack.CPU] / 1000
+			p.CPUs += m.Type.Capacity[binpack.CPU] / 1000
+			p.UsedCPUs += m.Used()[binpack.CPU] / 1000
 		}
 	}
-	for _, j := range bl.queue.Jobs() {
+	for _, j := range shard.queue.Jobs() {
 		s.Waiting += j.Ready()
 		s.Placed += j.Placed()
 	}
@@ -84,8 +84,8 @@
 }
 
 // logFleet tells an operator what there is and what it does.
-func (c *Core) logFleet(bl *block) {
-	s := bl.stats()
+func (c *Core) logFleet(shard *ownedShard) {
+	s := shard.shardStats()
 	for _, p := range []struct {
 		kind string
 		PoolStats
--- a/internal/core/store/proof.go
+++ b/internal/core/store/proof.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"reflect"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // The answer to a transaction may be lost although the transaction was carried out. The
@@ -24,17 +24,17 @@
 
 const (
 	// firstUsual is how long an answer is taken to need before any has come.
-	firstUsual = 10 * unit.Second / 1000
+	firstUsual = 10 * units.Second / 1000
 	// answerSlack is added to what answers usually need before one counts as late.
-	answerSlack = 10 * unit.Second / 1000
+	answerSlack = 10 * units.Second / 1000
 	// readEvery is the time between two reads for one transaction, maxReads their number.
-	readEvery = unit.Second / 4
+	readEvery = units.Second / 4
 	maxReads  = 3
 )
 
 // Observe takes changes of the service's keys, in the order of their revisions, each
 // revision whole. They must be in the copy already.
-func (l *Lane) Observe(events []Event) {
+func (l *WriteQueue) Observe(events []Event) {
 	t := l.current
 	if t == nil || t.doubted || t.proof != 0 {
 		return
@@ -52,9 +52,9 @@
 	}
 }
 
-// Doubt says that the service has gone back behind its answers. Revisions may be given
+// SuspectRollback says that the service has gone back behind its answers. Revisions may be given
 // out again, so that they prove nothing of the transaction under way.
-func (l *Lane) Doubt() {
+func (l *WriteQueue) SuspectRollback() {
 	if l.current != nil {
 		l.current.doubted, l.current.proof = true, 0
 	}
@@ -63,7 +63,7 @@
 // Conclude ends the transaction under way where it is proven to have been carried out and
 // its answer is late. It returns that transaction, or nil. An answer that still comes is to
 // be dropped, see UnderWay.
-func (l *Lane) Conclude(now unit.Micros) *Txn {
+func (l *WriteQueue) Conclude(now units.Microseconds) *Txn {
 	t := l.current
 	if t == nil || t.proof == 0 || now < t.sent+l.usually()*3/2+answerSlack {
 		return nil
@@ -74,16 +74,16 @@
 
 // UnderWay reports whether a transaction is the one under way: the answer to any other
 // comes too late.
-func (l *Lane) UnderWay(t *Txn) bool { return t != nil && l.current == t }
+func (l *WriteQueue) UnderWay(t *Txn) bool { return t != nil && l.current == t }
 
 // ReadDue reports whether the copy should be read now for the transaction under way, whose
 // answer is late and which the watch has not shown. It is true a few times for each.
-func (l *Lane) ReadDue(now unit.Micros) bool {
+func (l *WriteQueue) ReadDue(now units.Microseconds) bool {
 	t := l.current
 	if t == nil || t.proof != 0 || t.doubted || t.reads == maxReads {
 		return false
 	}
-	if now < t.sent+3*l.usually()+2*answerSlack+unit.Micros(t.reads)*readEvery {
+	if now < t.sent+3*l.usually()+2*answerSlack+units.Microseconds(t.reads)*readEvery {
 		return false
 	}
 	t.reads++
@@ -91,7 +91,7 @@
 }
 
 // usually is about how long an answer takes.
-func (l *Lane) usually() unit.Micros {
+func (l *WriteQueue) usually() units.Microseconds {
 	if l.usual == 0 {
 		return firstUsual
 	}
@@ -100,7 +100,7 @@
 
 // took notes how long an answer has taken. One that took very long counts as less, so that
 // single slow answers change little.
-func (l *Lane) took(d unit.Micros) {
+func (l *WriteQueue) took(d units.Microseconds) {
 	u := l.usually()
 	l.usual = max(1, u+(min(d, 2*u+answerSlack)-u)/8)
 }
--- a/internal/core/store/proof_test.go
+++ b/internal/core/store/proof_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // revision is what a transaction made: the number of each value, 0: removed.
@@ -26,8 +26,8 @@
 // and others who write the same and nearly the same.
 type lostAnswers struct {
 	t        *rapid.T
-	lane     Lane
-	now      unit.Micros
+	lane     WriteQueue
+	now      units.Microseconds
 	log      []revision // the first made revision 1
 	versions map[string]uint64
 	observed int    // revisions that the lane was shown
@@ -64,7 +64,7 @@
 // carryOut carries out a transaction if its guards hold.
 func (m *lostAnswers) carryOut(t *Txn) {
 	for _, g := range t.Guards {
-		if m.versions[g.Key] != g.Stamp {
+		if m.versions[g.Key] != g.Version {
 			return
 		}
 	}
@@ -91,7 +91,7 @@
 
 func (m *lostAnswers) add() {
 	id := m.added
-	w := &Write{Late: rapid.Bool().Draw(m.t, "late")}
+	w := &Write{Deferred: rapid.Bool().Draw(m.t, "late")}
 	for range rapid.IntRange(1, 2).Draw(m.t, "changes") {
 		k := fmt.Sprint(rapid.IntRange(0, 2).Draw(m.t, "key"))
 		c := Change{Key: k}
@@ -137,7 +137,7 @@
 	if m.lane.Conclude(m.current.sent) != nil {
 		m.t.Fatal("concluded before the answer can be late")
 	}
-	m.now += 100 * unit.Second
+	m.now += 100 * units.Second
 	rev, t := m.proven(), m.lane.Conclude(m.now)
 	if (rev != 0) != (t != nil) {
 		m.t.Fatalf("proven by revision %d, concluded: %v", rev, t != nil)
@@ -173,7 +173,7 @@
 // find it at that revision; and each is told once.
 func TestLostAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &lostAnswers{t: t, lane: Lane{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 1e6}, versions: map[string]uint64{}, told: map[int]int{}}
+		m := &lostAnswers{t: t, lane: WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 1e6}, versions: map[string]uint64{}, told: map[int]int{}}
 		underWay := func() *Txn {
 			if m.current == nil {
 				t.Skip()
@@ -188,7 +188,7 @@
 				}
 				m.t = rt
 				m.add()
-				m.now += unit.Second
+				m.now += units.Second
 				if m.current = m.lane.Next(m.now); m.current == nil {
 					t.Skip()
 				}
@@ -226,7 +226,7 @@
 			"wait":  func(rt *rapid.T) { m.t = rt; underWay(); m.conclude() },
 			"went back": func(*rapid.T) {
 				underWay()
-				m.lane.Doubt()
+				m.lane.SuspectRollback()
 				m.doubted = true
 			},
 			"answer": func(rt *rapid.T) {
@@ -273,12 +273,12 @@
 // few, soon where answers are quick, and none before its time is up where all are slow.
 func TestReadsForLateAnswers(t *testing.T) {
 	for _, c := range []struct {
-		usual unit.Micros
-		first unit.Micros // at which the first read is due at the latest
-		reads int         // within a second
-	}{{2_000, 60_000, 3}, {10_000, 100_000, 3}, {400_000, unit.Never, 0}} {
-		l := &Lane{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 100}
-		now := unit.Second
+		usual units.Microseconds
+		first units.Microseconds // at which the first read is due at the latest
+		reads int                // within a second
+	}{{2_000, 60_000, 3}, {10_000, 100_000, 3}, {400_000, units.Never, 0}} {
+		l := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 100}
+		now := units.Second
 		send := func() {
 			l.Add(&Write{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}, Done: func(Outcome, uint64) {}})
 			if l.Next(now) == nil {
@@ -286,14 +286,14 @@
 			}
 		}
 		for range 50 {
-			now += unit.Second
+			now += units.Second
 			send()
 			now += c.usual
 			l.Finish(now, OK, 1, nil)
 		}
 		send()
-		reads, first := 0, unit.Never
-		for d := unit.Micros(0); d < unit.Second; d += 5_000 {
+		reads, first := 0, units.Never
+		for d := units.Microseconds(0); d < units.Second; d += 5_000 {
 			if l.ReadDue(now + d) {
 				reads++
 				first = min(first, d)
--- a/internal/core/store/store.go
+++ b/internal/core/store/store.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Value returns plain data in the form in which it is stored.
@@ -22,8 +22,8 @@
 
 // Guard is a condition: the key has this version (0: it does not exist).
 type Guard struct {
-	Key   string
-	Stamp uint64
+	Key     string
+	Version uint64
 }
 
 // Change is a put, or a delete where Value is nil.
@@ -71,10 +71,10 @@
 
 // Replica is the copy. Rev is the revision up to which it is complete.
 type Replica struct {
-	Rev    uint64
-	stamps map[string]uint64
-	apply  func(Event)
-	taking *taking // a listing that is being taken
+	Revision uint64
+	stamps   map[string]uint64
+	apply    func(Event)
+	taking   *taking // a listing that is being taken
 }
 
 // taking is a listing of which the pages come one after the other, while changes go
@@ -90,8 +90,8 @@
 	return &Replica{stamps: map[string]uint64{}, apply: apply}
 }
 
-// Stamp returns a key's version in the copy, 0 if it does not exist.
-func (r *Replica) Stamp(key string) uint64 { return r.stamps[key] }
+// Version returns a key's version in the copy, 0 if it does not exist.
+func (r *Replica) Version(key string) uint64 { return r.stamps[key] }
 
 // Learn applies one event unless something newer is known of its key.
 func (r *Replica) Learn(e Event) {
@@ -114,22 +114,22 @@
 
 // Advance applies what a watch answered: all changes after the given revision up to rev.
 func (r *Replica) Advance(after, rev uint64, events []Event) {
-	if after > r.Rev {
+	if after > r.Revision {
 		return // a gap: the copy was taken anew meanwhile
 	}
 	for _, e := range events {
-		if e.Stamp > r.Rev {
+		if e.Stamp > r.Revision {
 			r.Learn(e)
 		}
 	}
-	r.Rev = max(r.Rev, rev)
+	r.Revision = max(r.Revision, rev)
 }
 
 // Begin begins to take a full listing, of which the first page was read at rev. From
 // then on watches go on from there, while further pages come.
 func (r *Replica) Begin(rev uint64) {
 	r.taking = &taking{rev: rev, listed: map[string]bool{}, removed: map[string]uint64{}}
-	r.Rev = rev
+	r.Revision = rev
 }
 
 // Page takes a part of the listing.
@@ -184,7 +184,7 @@
 			r.apply(Event{Key: k, Stamp: rev})
 		}
 	}
-	r.Rev = rev
+	r.Revision = rev
 }
 
 // Put takes what a transaction of this node's has stored at a revision, also where
@@ -196,10 +196,10 @@
 
 // Write is one group of changes that go together.
 type Write struct {
-	Guards  []Guard
-	Changes []Change
-	Late    bool // goes only when nothing else waits
-	First   bool // goes ahead of all that waits
+	Guards   []Guard
+	Changes  []Change
+	Deferred bool // goes only when nothing else waits
+	First    bool // goes ahead of all that waits
 	// Done is told the outcome, and the revision where it is OK.
 	Done func(o Outcome, rev uint64)
 }
@@ -210,14 +210,14 @@
 	Changes []Change
 	Known   uint64 // the highest revision that was known when it was sent
 	writes  []*Write
-	sent    unit.Micros
+	sent    units.Microseconds
 	proof   uint64 // the revision that proves that it was carried out; 0: none yet
 	doubted bool   // revisions prove nothing of it
 	reads   int    // made for it as its answer was late
 }
 
-// Lane queues writes and has one transaction under way at a time.
-type Lane struct {
+// WriteQueue queues writes and has one transaction under way at a time.
+type WriteQueue struct {
 	MaxOps   int
 	MaxBytes int
 	MaxQueue int
@@ -227,18 +227,18 @@
 	late    []*Write
 	current *Txn
 	credit  float64
-	last    unit.Micros
-	holdOff unit.Micros
-	usual   unit.Micros // how long answers take, smoothed; 0: none has come
+	last    units.Microseconds
+	holdOff units.Microseconds
+	usual   units.Microseconds // how long answers take, smoothed; 0: none has come
 }
 
 // Add queues a write; it reports false when the queue is full.
-func (l *Lane) Add(w *Write) bool {
+func (l *WriteQueue) Add(w *Write) bool {
 	if len(l.queue)+len(l.late) >= l.MaxQueue {
 		return false
 	}
 	switch {
-	case w.Late:
+	case w.Deferred:
 		l.late = append(l.late, w)
 	case w.First:
 		n := 0
@@ -253,7 +253,7 @@
 }
 
 // Len returns how many writes wait or are under way.
-func (l *Lane) Len() int {
+func (l *WriteQueue) Len() int {
 	n := len(l.queue) + len(l.late)
 	if l.current != nil {
 		n += len(l.current.writes)
@@ -261,10 +261,10 @@
 	return n
 }
 
-// Room returns how many late writes may be added so that they go with the next
+// Capacity returns how many late writes may be added so that they go with the next
 // transaction: whoever has many to make makes them only then, so that what is
 // written is as it is then, and several changes of a key are one.
-func (l *Lane) Room(now unit.Micros) int {
+func (l *WriteQueue) Capacity(now units.Microseconds) int {
 	if l.current != nil || now < l.holdOff {
 		return 0
 	}
@@ -272,12 +272,12 @@
 }
 
 // funds is how many changes may be sent now.
-func (l *Lane) funds(now unit.Micros) float64 {
+func (l *WriteQueue) funds(now units.Microseconds) float64 {
 	return min(l.credit+l.Rate*(now-l.last).Seconds(), max(float64(l.MaxOps), l.Rate))
 }
 
 // Next returns the next transaction to send, or nil.
-func (l *Lane) Next(now unit.Micros) *Txn {
+func (l *WriteQueue) Next(now units.Microseconds) *Txn {
 	l.credit, l.last = l.funds(now), now
 	if l.current != nil || now < l.holdOff {
 		return nil
@@ -299,7 +299,7 @@
 		}
 		for _, g := range w.Guards {
 			s, ok := guards[g.Key]
-			clash = clash || (ok && s != g.Stamp)
+			clash = clash || (ok && s != g.Version)
 		}
 		if len(t.writes) > 0 && (clash || len(t.Changes)+len(w.Changes) > l.MaxOps || size+n > l.MaxBytes ||
 			float64(len(t.Changes)+len(w.Changes)) > l.credit || len(guards)+len(w.Guards) > 4*l.MaxOps) {
@@ -320,7 +320,7 @@
 		}
 		for _, g := range w.Guards {
 			if _, ok := guards[g.Key]; !ok {
-				guards[g.Key] = g.Stamp
+				guards[g.Key] = g.Version
 				t.Guards = append(t.Guards, g)
 			}
 		}
@@ -339,7 +339,7 @@
 // queue. After a refusal the next transaction waits for a moment. Where the
 // service took no transaction of that size, its writes go again in smaller ones;
 // one that is too large by itself is told so, and never sent again as it is.
-func (l *Lane) Finish(now unit.Micros, o Outcome, rev uint64, failed []string) {
+func (l *WriteQueue) Finish(now units.Microseconds, o Outcome, rev uint64, failed []string) {
 	if l.current == nil {
 		return
 	}
@@ -350,7 +350,7 @@
 }
 
 // settle tells the writes of the transaction under way its outcome, or queues them again.
-func (l *Lane) settle(now unit.Micros, o Outcome, rev uint64, failed []string) {
+func (l *WriteQueue) settle(now units.Microseconds, o Outcome, rev uint64, failed []string) {
 	t := l.current
 	l.current = nil
 	if o == Refused || o == Limited {
@@ -371,7 +371,7 @@
 		switch {
 		case !split && !spared:
 			tell = append(tell, func() { w.Done(o, rev) })
-		case w.Late:
+		case w.Deferred:
 			late = append(late, w)
 		default:
 			again = append(again, w)
@@ -385,7 +385,7 @@
 
 // Clear drops everything that waits, telling each that it was refused. What
 // is under way still gets its outcome.
-func (l *Lane) Clear() {
+func (l *WriteQueue) Clear() {
 	q := append(l.queue, l.late...)
 	l.queue, l.late = nil, nil
 	for _, w := range q {
--- a/internal/core/store/store_test.go
+++ b/internal/core/store/store_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
@@ -32,7 +32,7 @@
 		var late []answer
 		page, came, items := "", false, []Event(nil) // of the listing under way
 		rev := func() uint64 { return uint64(len(log)) }
-		ask := func() answer { return answer{r.Rev, rev(), log[r.Rev:]} }
+		ask := func() answer { return answer{r.Revision, rev(), log[r.Revision:]} }
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				k := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "key"))
@@ -87,12 +87,12 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if r.Rev != rev() || page != "" {
+				if r.Revision != rev() || page != "" {
 					return
 				}
 				for i := range 5 {
-					if k := fmt.Sprint(i); r.Stamp(k) != truth[k] {
-						t.Fatalf("key %s: version %d, truth %d", k, r.Stamp(k), truth[k])
+					if k := fmt.Sprint(i); r.Version(k) != truth[k] {
+						t.Fatalf("key %s: version %d, truth %d", k, r.Version(k), truth[k])
 					}
 				}
 			},
@@ -104,14 +104,14 @@
 // no transaction goes over the limits.
 func TestLaneOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &Lane{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 50}
+		l := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 50}
 		told := map[int]int{}
 		added := 0
 		var now = int64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				id := added
-				w := &Write{Late: rapid.Bool().Draw(t, "late"), First: rapid.Bool().Draw(t, "first"), Done: func(Outcome, uint64) { told[id]++ }}
+				w := &Write{Deferred: rapid.Bool().Draw(t, "late"), First: rapid.Bool().Draw(t, "first"), Done: func(Outcome, uint64) { told[id]++ }}
 				for range rapid.IntRange(1, 3).Draw(t, "changes") {
 					k := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "key"))
 					w.Changes = append(w.Changes, Change{Key: k, Value: json.RawMessage("1")})
@@ -156,4 +156,4 @@
 	})
 }
 
-func micros(v int64) unit.Micros { return unit.Micros(v) }
+func micros(v int64) units.Microseconds { return units.Microseconds(v) }
--- a/internal/core/unit/unit.go
+++ b/internal/core/units/unit.go
@@ -1,23 +1,23 @@
-// Package unit holds the units that the whole program counts in: whole
+// Package units holds the units that the whole program counts in: whole
 // microseconds for time, thousandths for amounts of a resource.
-package unit
+package units
 
 import "math"
 
-// Micros is a time or a duration in whole microseconds.
-type Micros int64
+// Microseconds is a time or a duration in whole microseconds.
+type Microseconds int64
 
 // Second is one second.
-const Second Micros = 1_000_000
+const Second Microseconds = 1_000_000
 
 // Never is later than any time that occurs.
-const Never Micros = math.MaxInt64 / 4
+const Never Microseconds = math.MaxInt64 / 4
 
 // Seconds turns a decimal number of seconds into microseconds.
-func Seconds(s float64) Micros { return Micros(math.Round(s * 1e6)) }
+func Seconds(s float64) Microseconds { return Microseconds(math.Round(s * 1e6)) }
 
 // Seconds returns m as a decimal number of seconds.
-func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
+func (m Microseconds) Seconds() float64 { return float64(m) / 1e6 }
 
 // Milli turns a decimal amount into thousandths, rounding up so that a demand is never understated.
 func Milli(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
@@ -29,7 +29,7 @@
 const driftPerMille = 1
 
 // Longest is the most that a duration of m on another machine's clock can take on ours.
-func Longest(m Micros) Micros { return m + m*driftPerMille/1000 + 1 }
+func Longest(m Microseconds) Microseconds { return m + m*driftPerMille/1000 + 1 }
 
 // Shortest is the least that a duration of m on another machine's clock can take on ours.
-func Shortest(m Micros) Micros { return m - m*driftPerMille/1000 - 1 }
+func Shortest(m Microseconds) Microseconds { return m - m*driftPerMille/1000 - 1 }
