--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -5,34 +5,36 @@
 	"net/http"
 	"slices"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // retryAfter is when a user who could not be served should come back.
-const retryAfter = 1 * unit.Second
+const retryAfter = 1 * units.Second
 
 // maxTries bounds how often a submission is judged again by itself.
 const maxTries = 4
 
-func (c *Core) reply(req ReqID, code int, body any) { c.send(Reply{Req: req, Code: code, Body: body}) }
+func (c *Core) reply(req RequestID, code int, body any) {
+	c.send(Reply{Request: req, Code: code, Body: body})
+}
 
 // unavailable tells a user at once that the request could not be taken.
-func (c *Core) unavailable(req ReqID, why string) {
-	c.send(Reply{Req: req, Code: http.StatusServiceUnavailable, Body: Problem{why}, RetryAfter: retryAfter})
+func (c *Core) unavailable(req RequestID, why string) {
+	c.send(Reply{Request: req, Code: http.StatusServiceUnavailable, Body: Problem{why}, RetryAfter: retryAfter})
 }
 
 // answer tells a job's state; code is 200 except for a job accepted just now.
-func (c *Core) answer(req ReqID, code int, j *ledger.Job, counts bool) {
+func (c *Core) answer(req RequestID, code int, j *jobs.Job, counts bool) {
 	a := JobAnswer{ID: j.ID, Status: j.Record.Status, Counts: counts, Done: j.Finished()}
 	if j.Active() {
 		a.Running = j.Live()
-		if a.Running > 0 || c.held[j.Record.Block] == nil && a.Done > 0 {
-			a.Status = ledger.Running
+		if a.Running > 0 || c.owned[j.Record.Shard] == nil && a.Done > 0 {
+			a.Status = jobs.Running
 		}
 	}
 	c.reply(req, code, a)
@@ -41,25 +43,25 @@
 // Submit takes a submission. bad, if any, says why its body is malformed: that
 // matters only if the id is not known, as a known job is always answered with
 // its state.
-func (c *Core) Submit(now unit.Micros, req ReqID, id string, spec *ledger.Spec, bad string) {
-	c.at(now)
+func (c *Core) Submit(now units.Microseconds, req RequestID, id string, spec *jobs.Spec, bad string) {
+	c.advance(now)
 	if j := c.jobs[id]; j != nil {
 		c.Query(now, req, id)
 		return
 	}
-	if c.unserved(req) {
-		c.handOver(req, AskSubmit, id, spec, bad)
+	if c.shouldForward(req) {
+		c.forward(req, AskSubmit, id, spec, bad)
 		return
 	}
-	c.admit(newJob{req: req, id: id, spec: spec, bad: bad}, false)
+	c.admit(submission{req: req, id: id, spec: spec, bad: bad}, false)
 }
 
 // admit judges a submission whose id this node does not know. fresh says that the
 // copy is newer than the submission.
-func (c *Core) admit(n newJob, fresh bool) {
-	c.lookUp(n, func(n newJob, ok bool) {
+func (c *Core) admit(n submission, fresh bool) {
+	c.resolveArchived(n, func(n submission, ok bool) {
 		j := c.jobs[n.id]
-		old, packed := c.old.past.Known(n.id)
+		old, packed := c.archived.history.Known(n.id)
 		why := ""
 		switch {
 		case j != nil && (fresh || !j.Active()):
@@ -69,13 +71,13 @@
 			c.Query(c.now, n.req, n.id)
 			return
 		case packed:
-			c.answerOld(n.req, n.id, old, false)
+			c.answerArchived(n.req, n.id, old, false)
 			return
 		case !ok:
-			c.handOver(n.req, AskSubmit, n.id, n.spec, n.bad)
+			c.forward(n.req, AskSubmit, n.id, n.spec, n.bad)
 			return
 		case n.spec != nil && len(c.types) > 0:
-			if why = c.impossible(n.spec, n.absent); why == "" {
+			if why = c.infeasible(n.spec, n.absent); why == "" {
 				c.accept(n)
 				return
 			}
@@ -84,9 +86,9 @@
 		case !fresh:
 			// Before a refusal for good, make sure that no other node has accepted
 			// it, nor a job that it awaits.
-			c.wantSync(func(ok bool) {
+			c.readFresh(func(ok bool) {
 				if !ok {
-					c.handOver(n.req, AskSubmit, n.id, n.spec, n.bad)
+					c.forward(n.req, AskSubmit, n.id, n.spec, n.bad)
 					return
 				}
 				c.admit(n, true)
@@ -101,14 +103,14 @@
 	})
 }
 
-// impossible says why a job can never run, or "". absent are ids that are surely not
+// infeasible says why a job can never run, or "". absent are ids that are surely not
 // those of packed jobs.
-func (c *Core) impossible(s *ledger.Spec, absent map[string]bool) string {
+func (c *Core) infeasible(s *jobs.Spec, absent map[string]bool) string {
 	t := c.teams[s.Team]
 	if t == nil || t.Removed != 0 {
 		return "unknown team"
 	}
-	if len(c.fitting(s)) == 0 {
+	if len(c.compatibleTypes(s)) == 0 {
 		return "a task fits no allowed machine type"
 	}
 	d := s.Demand
@@ -118,11 +120,11 @@
 	if !withinLimit(t.Limit, d) {
 		return "needs more than the team's limit"
 	}
-	return c.missing(s, absent)
+	return c.unmetDependency(s, absent)
 }
 
 // withinLimit reports whether use stays within a limit, where 0 means none.
-func withinLimit(limit, use pack.Vec) bool {
+func withinLimit(limit, use binpack.Vec) bool {
 	for i, l := range limit {
 		if l > 0 && use[i] > l {
 			return false
@@ -131,8 +133,8 @@
 	return true
 }
 
-// fitting returns the names of the machine types on which a job's tasks can run.
-func (c *Core) fitting(s *ledger.Spec) []string {
+// compatibleTypes returns the names of the machine types on which a job's tasks can run.
+func (c *Core) compatibleTypes(s *jobs.Spec) []string {
 	var out []string
 	for _, t := range c.types {
 		if s.Demand.Fits(t.Capacity) && s.AllowsType(t.Name) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone)) {
@@ -144,12 +146,12 @@
 }
 
 // crowdedRetry is when users should come back who were refused for want of memory.
-const crowdedRetry = 5 * unit.Second
+const crowdedRetry = 5 * units.Second
 
 // SetFull says whether this process's memory is nearly full.
 func (c *Core) SetFull(full bool) {
-	if full != c.full {
-		c.full = full
+	if full != c.memoryFull {
+		c.memoryFull = full
 		c.log.Warn("memory", "nearly_full", full, "jobs", len(c.jobs))
 	}
 }
@@ -163,37 +165,37 @@
 			return true
 		}
 	}
-	return c.full
+	return c.memoryFull
 }
 
 // accept stores a new job and then answers 201. Where it is not sure that the
 // job is stored the user is told to ask again; asking again does no harm.
-func (c *Core) accept(n newJob) {
+func (c *Core) accept(n submission) {
 	if c.crowded() {
-		c.send(Reply{Req: n.req, Code: http.StatusServiceUnavailable, Body: Problem{"a controller's memory is nearly full"}, RetryAfter: crowdedRetry})
+		c.send(Reply{Request: n.req, Code: http.StatusServiceUnavailable, Body: Problem{"a controller's memory is nearly full"}, RetryAfter: crowdedRetry})
 		return
 	}
 	if !c.mayAccept() {
 		c.unavailable(n.req, "the present configuration is not known")
 		return
 	}
-	c.loads()
-	spec, cancelled, ok := c.settleAwaits(n.spec)
+	c.measureLoads()
+	spec, cancelled, ok := c.dropFinishedDependencies(n.spec)
 	// Nothing is accepted without a proof that it is not packed.
-	if !ok || c.old.past.On() && !n.absent[n.id] {
+	if !ok || c.archived.history.On() && !n.absent[n.id] {
 		c.unavailable(n.req, "try again")
 		return
 	}
-	n.record = ledger.Record{Status: ledger.Pending, Block: c.lightest(), Tasks: spec.Tasks, Submitted: c.wall, Spec: spec}
+	n.record = jobs.Record{Status: jobs.Pending, Shard: c.leastLoaded(), Tasks: spec.Tasks, Submitted: c.wall, Spec: spec}
 	if cancelled {
-		n.record = ledger.Record{Status: ledger.Cancelled, Tasks: spec.Tasks, Team: spec.Team, Demand: spec.Demand}
+		n.record = jobs.Record{Status: jobs.Cancelled, Tasks: spec.Tasks, Team: spec.Team, Demand: spec.Demand}
 	}
 	n.parts, n.stored, n.first, n.there = nil, 0, 0, false
 	if n.value = n.record.Encode(); len(n.value) > c.cfg.ValueMax {
 		n.record, n.parts = n.record.Split(c.cfg.ValueMax)
 		n.value = n.record.Encode()
 	}
-	if old := c.older(); old != "" && (len(n.parts) > 0 || len(spec.Awaits) > 0) {
+	if old := c.olderPeer(); old != "" && (len(n.parts) > 0 || len(spec.Awaits) > 0) {
 		// It would start the job at once, or could not read it.
 		c.unavailable(n.req, "controller "+old+" still runs an older release")
 		return
@@ -201,16 +203,16 @@
 	c.store(n)
 }
 
-// newJob is a job that is being accepted.
-type newJob struct {
-	req    ReqID
+// submission is a job that is being accepted.
+type submission struct {
+	req    RequestID
 	id     string
-	spec   *ledger.Spec // nil: malformed, as bad says
+	spec   *jobs.Spec // nil: malformed, as bad says
 	bad    string
 	mark   uint64          // version of the mark when it was looked up
 	absent map[string]bool // ids that are then surely not those of packed jobs
 	tries  int
-	record ledger.Record
+	record jobs.Record
 	value  json.RawMessage   // its stored form
 	parts  []json.RawMessage // of its description, where that is stored in parts
 	stored int               // parts
@@ -220,17 +222,17 @@
 
 // store stores what is next of a new job: parts of its description, if there are
 // any, and then the record, which makes the job visible.
-func (c *Core) store(n newJob) {
+func (c *Core) store(n submission) {
 	key := jobPrefix + n.id
 	// The first guard also keeps late parts from an accepted job, and the second a late
 	// record from one that was over and packed meanwhile.
-	w := &store.Write{Guards: []store.Guard{{Key: key}, {Key: pastKey, Stamp: n.mark}}}
+	w := &store.Write{Guards: []store.Guard{{Key: key}, {Key: archiveKey, Version: n.mark}}}
 	last := n.stored == len(n.parts)
 	first := chunks.Key(n.id, n.record.Sum, 0)
 	if last {
 		w.Changes = []store.Change{{Key: key, Value: n.value}}
 		if n.first != 0 { // who clears parts without a record begins with that one
-			w.Guards = append(w.Guards, store.Guard{Key: first, Stamp: n.first})
+			w.Guards = append(w.Guards, store.Guard{Key: first, Version: n.first})
 		}
 	}
 	// Another controller may be storing the same: written once more, the first part's
@@ -239,12 +241,12 @@
 	// cleared.
 	begins := n.stored == 0 && !last
 	if begins {
-		n.first = c.mirror.Stamp(first)
+		n.first = c.cache.Version(first)
 		n.there = n.first != 0
 	}
 	for ; len(w.Changes) < c.cfg.TxnOps && n.stored < len(n.parts); n.stored++ {
 		k := chunks.Key(n.id, n.record.Sum, n.stored)
-		if !n.there || c.mirror.Stamp(k) == 0 {
+		if !n.there || c.cache.Version(k) == 0 {
 			w.Changes = append(w.Changes, store.Change{Key: k, Value: n.parts[n.stored]})
 		}
 	}
@@ -270,23 +272,23 @@
 		case o == store.TooLarge:
 			c.unavailable(n.req, "the state service takes no value of that size")
 		default:
-			c.handOver(n.req, AskSubmit, n.id, n.spec, "")
+			c.forward(n.req, AskSubmit, n.id, n.spec, "")
 		}
 	}
-	if !c.lanes[UserLane].Add(w) {
+	if !c.queues[UserQueue].Add(w) {
 		c.unavailable(n.req, "too many submissions")
 	}
 }
 
 // again judges a submission once more that was not stored for what others stored.
-func (c *Core) again(n newJob) {
+func (c *Core) again(n submission) {
 	if n.tries++; n.tries > maxTries {
 		c.unavailable(n.req, "try again")
 		return
 	}
-	c.wantSync(func(ok bool) {
+	c.readFresh(func(ok bool) {
 		if !ok {
-			c.handOver(n.req, AskSubmit, n.id, n.spec, n.bad)
+			c.forward(n.req, AskSubmit, n.id, n.spec, n.bad)
 			return
 		}
 		c.admit(n, true)
@@ -295,57 +297,57 @@
 
 // Query answers a poll. Only a final state may come from the copy as it is:
 // any other must be at least as new as the poll.
-func (c *Core) Query(now unit.Micros, req ReqID, id string) {
-	c.at(now)
+func (c *Core) Query(now units.Microseconds, req RequestID, id string) {
+	c.advance(now)
 	if j := c.jobs[id]; j != nil && !j.Active() {
 		c.answer(req, http.StatusOK, j, true)
 		return
 	}
-	if a, ok := c.old.past.Known(id); ok {
-		c.answerOld(req, id, a, true)
+	if a, ok := c.archived.history.Known(id); ok {
+		c.answerArchived(req, id, a, true)
 		return
 	}
-	if c.unserved(req) {
-		c.handOver(req, AskQuery, id, nil, "")
+	if c.shouldForward(req) {
+		c.forward(req, AskQuery, id, nil, "")
 		return
 	}
-	c.readFirst(func(ok bool) {
+	c.readBeforeAnswer(func(ok bool) {
 		j := c.jobs[id]
 		switch {
 		case !ok:
-			c.handOver(req, AskQuery, id, nil, "")
+			c.forward(req, AskQuery, id, nil, "")
 		case j == nil:
-			c.findOld(req, id, true)
+			c.findArchived(req, id, true)
 		default:
 			c.answer(req, http.StatusOK, j, true)
 		}
 	})
 }
 
-// readFirst answers a poll once a read that begins now has ended.
-func (c *Core) readFirst(answer func(ok bool)) {
-	if !c.keeps(guard.FreshRead) {
+// readBeforeAnswer answers a poll once a read that begins now has ended.
+func (c *Core) readBeforeAnswer(answer func(ok bool)) {
+	if !c.guarded(guard.FreshRead) {
 		answer(true)
 		return
 	}
-	c.wantSync(answer)
+	c.readFresh(answer)
 }
 
 // Abort cancels a job and answers once that is stored.
-func (c *Core) Abort(now unit.Micros, req ReqID, id string) {
-	c.at(now)
+func (c *Core) Abort(now units.Microseconds, req RequestID, id string) {
+	c.advance(now)
 	j := c.jobs[id]
-	if (j == nil || j.Active()) && c.unserved(req) {
-		c.handOver(req, AskAbort, id, nil, "")
+	if (j == nil || j.Active()) && c.shouldForward(req) {
+		c.forward(req, AskAbort, id, nil, "")
 		return
 	}
 	if j == nil {
-		c.wantSync(func(ok bool) {
+		c.readFresh(func(ok bool) {
 			switch {
 			case !ok:
-				c.handOver(req, AskAbort, id, nil, "")
+				c.forward(req, AskAbort, id, nil, "")
 			case c.jobs[id] == nil:
-				c.findOld(req, id, false)
+				c.findArchived(req, id, false)
 			default:
 				c.Abort(c.now, req, id)
 			}
@@ -357,16 +359,16 @@
 		return
 	}
 	key := jobPrefix + id
-	rec := ledger.Record{Status: ledger.Cancelled, Tasks: j.Record.Tasks, Team: j.Spec().Team, Demand: j.Spec().Demand}
-	ok := c.lanes[UserLane].Add(&store.Write{
-		Guards:  []store.Guard{{Key: key, Stamp: j.Stamp}},
+	rec := jobs.Record{Status: jobs.Cancelled, Tasks: j.Record.Tasks, Team: j.Spec().Team, Demand: j.Spec().Demand}
+	ok := c.queues[UserQueue].Add(&store.Write{
+		Guards:  []store.Guard{{Key: key, Version: j.Version}},
 		Changes: []store.Change{{Key: key, Value: rec.Encode()}},
 		Done: func(o store.Outcome, _ uint64) {
 			switch o {
 			case store.OK:
-				c.reply(req, http.StatusOK, JobAnswer{ID: id, Status: ledger.Cancelled})
+				c.reply(req, http.StatusOK, JobAnswer{ID: id, Status: jobs.Cancelled})
 			case store.Failed: // done, or cancelled by another node, meanwhile
-				c.wantSync(func(ok bool) {
+				c.readFresh(func(ok bool) {
 					if !ok || j.Active() {
 						c.unavailable(req, "try again")
 						return
@@ -374,7 +376,7 @@
 					c.answer(req, http.StatusOK, j, false)
 				})
 			default:
-				c.handOver(req, AskAbort, id, nil, "")
+				c.forward(req, AskAbort, id, nil, "")
 			}
 		},
 	})
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // busyFleet is a full fleet with jobs of 13 tasks that wait, half of them for other machines: each report tells that one task is
@@ -19,7 +19,7 @@
 // time.
 type busyFleet struct {
 	c       *Core
-	bl      *block
+	bl      *ownedShard
 	names   []string // of the machines
 	teams   int
 	waiting int // jobs
@@ -40,20 +40,20 @@
 			g.Up = append(g.Up, fmt.Sprintf("n-%05d", k))
 		}
 		f.names = append(f.names, g.Up...)
-		values[fmt.Sprintf("%sr-%05d", machPrefix, i)] = g
+		values[fmt.Sprintf("%sr-%05d", machinePrefix, i)] = g
 	}
 	f.c = holding(tb, values)
-	f.bl = f.c.held[0]
+	f.bl = f.c.owned[0]
 	f.c.cfg.Teams = nil
 	for i := range teams {
-		f.c.cfg.Teams = append(f.c.cfg.Teams, Team{Name: fmt.Sprintf("t%d", i), Guarantee: pack.Vec{int64(machines * 16_000 / teams), 0, 0}})
+		f.c.cfg.Teams = append(f.c.cfg.Teams, Team{Name: fmt.Sprintf("t%d", i), Guarantee: binpack.Vec{int64(machines * 16_000 / teams), 0, 0}})
 	}
 	for i := range f.c.cfg.Teams {
 		f.c.teams[f.c.cfg.Teams[i].Name] = &f.c.cfg.Teams[i]
 	}
 	for _, m := range f.bl.machines {
 		m.Type, m.LastSeen = f.c.types["big"], f.c.now
-		f.bl.accounted(f.c, m)
+		f.bl.reconciled(f.c, m)
 	}
 	for len(f.c.active) < waiting+machines { // so many are about to run
 		f.submit(f.jobs%2 == 0 || len(f.c.active) > waiting)
@@ -70,34 +70,34 @@
 func (f *busyFleet) submit(here bool) {
 	f.jobs++
 	id := fmt.Sprintf("wk-%06d", f.jobs)
-	r := ledger.Record{Status: ledger.Pending, Tasks: 13, Submitted: f.c.wall, Spec: &ledger.Spec{Class: "c", Team: fmt.Sprintf("t%d", f.jobs%f.teams),
-		Priority: ledger.Normal, Tasks: 13, AnyType: true, Demand: pack.Vec{2000, 0, int64(1+f.jobs%4) * 1000}, Estimate: 70 * unit.Second}}
+	r := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: f.c.wall, Spec: &jobs.Spec{Class: "c", Team: fmt.Sprintf("t%d", f.jobs%f.teams),
+		Priority: jobs.Normal, Tasks: 13, AnyType: true, Demand: binpack.Vec{2000, 0, int64(1+f.jobs%4) * 1000}, Estimate: 70 * units.Second}}
 	if !here {
-		r.Spec.AnyType, r.Spec.Types, r.Spec.Priority = false, []string{"other"}, ledger.High
+		r.Spec.AnyType, r.Spec.Types, r.Spec.Priority = false, []string{"other"}, jobs.High
 	}
 	f.c.learn(store.Event{Key: jobPrefix + id, Value: r.Encode(), Stamp: uint64(200 + f.jobs)})
 }
 
 // report has the next machine finish a task, and be given others.
 func (f *busyFleet) report() {
-	c, bl := f.c, f.bl
-	c.at(c.now + unit.Second/fleetReports)
-	c.wall += unit.Second / fleetReports
+	c, shard := f.c, f.bl
+	c.advance(c.now + units.Second/fleetReports)
+	c.wall += units.Second / fleetReports
 	f.reports++
-	m := bl.machines[f.names[f.reports%len(f.names)]]
+	m := shard.machines[f.names[f.reports%len(f.names)]]
 	m.LastSeen = c.now
 	if tasks := sortedTasks(m.Tasks); len(tasks) > 0 {
 		id := tasks[f.reports%len(tasks)]
 		j := c.jobs[id.Job]
-		j.Finish(id.Task, c.layout)
-		c.taskGone(bl, m, id)
+		j.Finish(id.Task, c.progressLayout)
+		c.taskRemoved(shard, m, id)
 		if j.AllFinished() {
-			c.learn(store.Event{Key: jobPrefix + id.Job, Value: ledger.Record{Status: ledger.Done, Tasks: 13}.Encode(), Stamp: j.Stamp})
+			c.learn(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
 			f.submit(true)
 		}
 	}
-	f.started += len(c.fill(bl, m))
-	c.preempt(bl, m)
+	f.started += len(c.fill(shard, m))
+	c.preempt(shard, m)
 }
 
 // processorTime is what this process has used so far; other processes' load does not count.
@@ -184,12 +184,12 @@
 // BenchmarkListing measures what it takes a controller that starts to take in the listing, by
 // jobs that are not over.
 func BenchmarkListing(b *testing.B) {
-	for _, jobs := range []int{1000, 3000, 10_000, 30_000} {
-		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
+	for _, count := range []int{1000, 3000, 10_000, 30_000} {
+		b.Run(fmt.Sprintf("jobs=%d", count), func(b *testing.B) {
 			var items []store.Event
-			for i := range jobs {
-				r := ledger.Record{Status: ledger.Pending, Tasks: 13, Submitted: unit.Second, Spec: &ledger.Spec{Class: "c", Team: "t1", Tasks: 13, AnyType: true,
-					Demand: pack.Vec{2000, 0, 1000}, Estimate: 70 * unit.Second, Image: "registry/image"}}
+			for i := range count {
+				r := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t1", Tasks: 13, AnyType: true,
+					Demand: binpack.Vec{2000, 0, 1000}, Estimate: 70 * units.Second, Image: "registry/image"}}
 				items = append(items, store.Event{Key: fmt.Sprintf("%swk-%06d", jobPrefix, i+1), Value: r.Encode(), Stamp: uint64(i + 1)})
 			}
 			from := processorTime(b)
@@ -212,7 +212,7 @@
 			from := processorTime(b)
 			for b.Loop() {
 				f.c.Stats(1)
-				f.c.out = nil
+				f.c.effects = nil
 			}
 			b.ReportMetric(float64(processorTime(b)-from)/float64(b.N), "cpu-ns/op")
 		})
--- a/internal/core/watchcache/watchcache.go
+++ b/internal/core/watchcache/watchcache.go
@@ -14,7 +14,7 @@
 	"slices"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Effects. Each is answered by the method named in its comment, exactly once, whatever
@@ -26,9 +26,9 @@
 	Watch struct {
 		After uint64
 		Known uint64 // the highest revision that was known when it was sent
-		Wait  unit.Micros
+		Wait  units.Microseconds
 		Fresh bool
-		Sent  unit.Micros
+		Sent  units.Microseconds
 	}
 )
 
@@ -58,108 +58,108 @@
 	NextRate float64 // once the service has refused something as too much; 0: the same
 	// Fresh is how old the copy may become before it is read though the service answers
 	// other requests: a watch may hang, and shows what it brings as of when it was sent.
-	Fresh unit.Micros
+	Fresh units.Microseconds
 	Log   *slog.Logger
 }
 
 const (
-	watchWait = 5 * unit.Second
+	watchWait = 5 * units.Second
 	// Page is how many keys are listed at once.
 	Page      = 500
 	maxWaiter = 2000
 	// Heartbeat is how often the service is asked at least, so that every controller
 	// knows, and can tell its peers, whether it is served.
-	Heartbeat = 400 * unit.Second / 1000
+	Heartbeat = 400 * units.Second / 1000
 	// retry is the pause after a listing or a watch that was not served, retryRead that
 	// after a read.
-	retry     = unit.Second / 2
-	retryRead = unit.Second / 4
+	retry     = units.Second / 2
+	retryRead = units.Second / 4
 )
 
-// Mirror is the copy and what keeps it.
-type Mirror struct {
+// Cache is the copy and what keeps it.
+type Cache struct {
 	*store.Replica
 	host Host
 	cfg  Config
-	now  unit.Micros
-	wall unit.Micros
+	now  units.Microseconds
+	wall units.Microseconds
 
 	loaded    bool
-	loadedAt  unit.Micros
+	loadedAt  units.Microseconds
 	listing   bool
-	listKnown uint64        // the highest revision that was known when the listing began
-	page      string        // the last key that it has shown; "": it has not begun
-	pageRev   uint64        // revision at which it began
-	pages     []store.Event // what it has shown, where the service went back
-	limitedAt unit.Micros   // the service last refused something as too much; 0: never
+	listKnown uint64             // the highest revision that was known when the listing began
+	page      string             // the last key that it has shown; "": it has not begun
+	pageRev   uint64             // revision at which it began
+	pages     []store.Event      // what it has shown, where the service went back
+	limitedAt units.Microseconds // the service last refused something as too much; 0: never
 	watching  bool
 	reading   bool
-	retryAt   unit.Micros
-	nextRead  unit.Micros
-	nextWatch unit.Micros
+	retryAt   units.Microseconds
+	nextRead  units.Microseconds
+	nextWatch units.Microseconds
 	current   []func(ok bool) // told when the read under way ends
 	waiting   []func(ok bool) // wait for the next read
 	want      bool
-	lastOK    unit.Micros // the service last answered
+	lastOK    units.Microseconds // the service last answered
 	everOK    bool
-	listSent  unit.Micros // when the listing under way, or the last one, was begun
-	asOf      unit.Micros // the copy shows all that was stored before; Never negated: it was never complete
+	listSent  units.Microseconds // when the listing under way, or the last one, was begun
+	asOf      units.Microseconds // the copy shows all that was stored before; Never negated: it was never complete
 
-	mark  unit.Micros // time of day at which this node last noticed that the service went back: tells one time from the next
-	due   bool        // the copy is to be taken anew for it
-	stale bool        // the listing under way began before that
-	seen  uint64      // the highest revision that any answer has told
+	mark  units.Microseconds // time of day at which this node last noticed that the service went back: tells one time from the next
+	due   bool               // the copy is to be taken anew for it
+	stale bool               // the listing under way began before that
+	seen  uint64             // the highest revision that any answer has told
 }
 
 // New returns an empty copy.
-func New(cfg Config, host Host) *Mirror {
+func New(cfg Config, host Host) *Cache {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Mirror{Replica: store.NewReplica(host.Learn), host: host, cfg: cfg, asOf: -unit.Never}
+	return &Cache{Replica: store.NewReplica(host.Learn), host: host, cfg: cfg, asOf: -units.Never}
 }
 
 // Loaded reports whether the copy is complete, and LoadedAt since when it was last
 // taken anew.
-func (m *Mirror) Loaded() bool          { return m.loaded }
-func (m *Mirror) LoadedAt() unit.Micros { return m.loadedAt }
+func (m *Cache) Loaded() bool                 { return m.loaded }
+func (m *Cache) LoadedAt() units.Microseconds { return m.loadedAt }
 
 // AsOf is a time: whatever was stored before it, the copy shows. It is when the last request
 // was sent whose answer has been taken in, as other requests that the service answers, such
 // as renewals, tell nothing of its keys.
-func (m *Mirror) AsOf() unit.Micros { return m.asOf }
+func (m *Cache) AsOf() units.Microseconds { return m.asOf }
 
-// Begun is the revision at which the copy was last begun to be taken.
-func (m *Mirror) Begun() uint64 { return m.pageRev }
+// LoadRevision is the revision at which the copy was last begun to be taken.
+func (m *Cache) LoadRevision() uint64 { return m.pageRev }
 
 // Recovering reports whether the service went back and the copy was not taken anew yet.
-func (m *Mirror) Recovering() bool { return m.due }
+func (m *Cache) Recovering() bool { return m.due }
 
-// Mark is the time of day at which this node last noticed that the service went back;
+// RollbackMark is the time of day at which this node last noticed that the service went back;
 // 0: never.
-func (m *Mirror) Mark() unit.Micros { return m.mark }
+func (m *Cache) RollbackMark() units.Microseconds { return m.mark }
 
-// Seen is the highest revision that any answer has told.
-func (m *Mirror) Seen() uint64 { return m.seen }
+// HighestRevision is the highest revision that any answer has told.
+func (m *Cache) HighestRevision() uint64 { return m.seen }
 
 // Rate is how many requests a second the service takes at present.
-func (m *Mirror) Rate() float64 { return m.cfg.Rate }
+func (m *Cache) Rate() float64 { return m.cfg.Rate }
 
 // Age is how long ago the service last answered.
-func (m *Mirror) Age(now unit.Micros) unit.Micros {
+func (m *Cache) Age(now units.Microseconds) units.Microseconds {
 	if !m.everOK {
-		return unit.Never
+		return units.Never
 	}
 	return now - m.lastOK
 }
 
 // Refused reports whether the service has refused something as too much within a time.
-func (m *Mirror) Refused(now, within unit.Micros) bool {
+func (m *Cache) Refused(now, within units.Microseconds) bool {
 	return m.limitedAt > 0 && now < m.limitedAt+within
 }
 
-// Want asks for a fresh read; f, if any, is told whether it worked.
-func (m *Mirror) Want(f func(ok bool)) {
+// ReadFresh asks for a fresh read; f, if any, is told whether it worked.
+func (m *Cache) ReadFresh(f func(ok bool)) {
 	if f != nil && len(m.waiting) >= maxWaiter {
 		f(false)
 		return
@@ -170,9 +170,9 @@
 	}
 }
 
-// Heard notes whether the service serves this node, and at what rate. It returns the
+// NoteOutcome notes whether the service serves this node, and at what rate. It returns the
 // outcome for those whom the reason of a refusal does not concern.
-func (m *Mirror) Heard(now unit.Micros, o store.Outcome) store.Outcome {
+func (m *Cache) NoteOutcome(now units.Microseconds, o store.Outcome) store.Outcome {
 	m.now = now
 	switch o {
 	case store.OK, store.Failed, store.TooLarge:
@@ -189,13 +189,13 @@
 }
 
 // Tick does what time asks for. wall is the time of day.
-func (m *Mirror) Tick(now, wall unit.Micros) {
+func (m *Cache) Tick(now, wall units.Microseconds) {
 	m.now, m.wall = now, wall
 	m.ask()
 }
 
 // ask sends the listing and the watch that are due.
-func (m *Mirror) ask() {
+func (m *Cache) ask() {
 	if m.loaded && (m.now-m.lastOK > Heartbeat || m.now-m.asOf > m.cfg.Fresh) {
 		m.want = true
 	}
@@ -212,18 +212,18 @@
 		m.watching = true
 		// A watch ends with every change, so a third of the budget bounds them.
 		m.nextWatch = m.now + m.every(3)
-		m.host.Emit(Watch{After: m.Rev, Known: m.seen, Wait: watchWait, Sent: m.now})
+		m.host.Emit(Watch{After: m.Revision, Known: m.seen, Wait: watchWait, Sent: m.now})
 	}
 }
 
 // every is the time between requests that take one in so many of the budget, of which
 // this node has its share.
-func (m *Mirror) every(one float64) unit.Micros {
-	return unit.Seconds(one * float64(m.cfg.Size) / m.cfg.Rate)
+func (m *Cache) every(one float64) units.Microseconds {
+	return units.Seconds(one * float64(m.cfg.Size) / m.cfg.Rate)
 }
 
 // Pump sends the read that is due.
-func (m *Mirror) Pump(now unit.Micros) {
+func (m *Cache) Pump(now units.Microseconds) {
 	m.now = now
 	if !m.want || m.reading || !m.loaded || now < m.nextRead {
 		return
@@ -231,13 +231,13 @@
 	m.want, m.reading = false, true
 	m.current, m.waiting = m.waiting, nil
 	m.nextRead = now + m.every(2)
-	m.host.Emit(Watch{After: m.Rev, Known: m.seen, Fresh: true, Sent: m.now})
+	m.host.Emit(Watch{After: m.Revision, Known: m.seen, Fresh: true, Sent: m.now})
 }
 
 // OnList takes a page of the listing, read at a revision; more says that there are
 // others. A page that was not served is asked for again.
-func (m *Mirror) OnList(now unit.Micros, l List, o store.Outcome, rev uint64, items []store.Event, more bool) {
-	o = m.Heard(now, o)
+func (m *Cache) OnList(now units.Microseconds, l List, o store.Outcome, rev uint64, items []store.Event, more bool) {
+	o = m.NoteOutcome(now, o)
 	m.listing = false
 	if o != store.OK {
 		m.retryAt = now + retry
@@ -287,14 +287,14 @@
 	m.loaded, m.loadedAt = true, now
 	m.asOf = max(m.asOf, m.listSent)
 	m.cfg.Log.Info("state loaded", "keys", m.Keys(), "revision", m.pageRev)
-	m.Want(nil)
+	m.ReadFresh(nil)
 	m.ask()
 }
 
 // OnChanges takes a watch's answer. gone means that the service no longer has all
 // changes since then, so the copy is taken anew.
-func (m *Mirror) OnChanges(now unit.Micros, w Watch, o store.Outcome, rev uint64, events []store.Event, gone bool) {
-	o = m.Heard(now, o)
+func (m *Cache) OnChanges(now units.Microseconds, w Watch, o store.Outcome, rev uint64, events []store.Event, gone bool) {
+	o = m.NoteOutcome(now, o)
 	var told []func(bool)
 	if w.Fresh {
 		m.reading = false
@@ -302,7 +302,7 @@
 	} else {
 		m.watching = false
 	}
-	if o == store.OK && m.Behind(rev, w.Known) {
+	if o == store.OK && m.RolledBack(rev, w.Known) {
 		o = store.Unknown
 	}
 	if o == store.OK {
@@ -312,7 +312,7 @@
 				m.host.Removed(e.Key)
 			}
 		}
-		if m.loaded && w.After <= m.Rev {
+		if m.loaded && w.After <= m.Revision {
 			m.asOf = max(m.asOf, w.Sent)
 		}
 		m.Advance(w.After, rev, events)
@@ -331,10 +331,10 @@
 	}
 }
 
-// Behind takes the revision of an answer to a request that was sent when a revision was
+// RolledBack takes the revision of an answer to a request that was sent when a revision was
 // known, and reports whether the service has gone back. An answer to one that was sent
 // before the copy was last taken anew tells nothing of it.
-func (m *Mirror) Behind(rev, known uint64) bool {
+func (m *Cache) RolledBack(rev, known uint64) bool {
 	if rev >= known || known > m.seen {
 		return false
 	}
@@ -344,7 +344,7 @@
 
 // Committed takes what a transaction of this node's has stored at a revision; keep says
 // which keys belong to the copy.
-func (m *Mirror) Committed(now unit.Micros, t *store.Txn, rev uint64, keep func(key string) bool) {
+func (m *Cache) Committed(now units.Microseconds, t *store.Txn, rev uint64, keep func(key string) bool) {
 	m.now = now
 	learn := m.Learn
 	if rev < t.Known || rev == t.Known && puts(t) {
@@ -367,24 +367,24 @@
 }
 
 // wentBack notes that the service is behind what it has answered.
-func (m *Mirror) wentBack(known, got uint64) {
+func (m *Cache) wentBack(known, got uint64) {
 	if m.due {
 		return
 	}
 	m.cfg.Log.Error("the state service went back behind an answer: what is known here is written again", "known_revision", known, "revision", got)
 	m.mark = max(m.wall, m.mark+1)
-	m.Anew(m.now)
+	m.Reload(m.now)
 }
 
-// Anew has the copy taken anew, as the service went back.
-func (m *Mirror) Anew(now unit.Micros) {
+// Reload has the copy taken anew, as the service went back.
+func (m *Cache) Reload(now units.Microseconds) {
 	m.now, m.due = now, true
 	m.stale = m.listing
 	m.loaded, m.page = false, ""
 	m.retryAt = m.now
 }
 
-// Explain says how the copy stands.
-func (m *Mirror) Explain() string {
+// Describe says how the copy stands.
+func (m *Cache) Describe() string {
 	return fmt.Sprintf("loaded %v listing %v watching %v reading %v want %v retry %d next %d", m.loaded, m.listing, m.watching, m.reading, m.want, m.retryAt, m.nextRead)
 }
--- a/internal/core/watchcache/watchcache_test.go
+++ b/internal/core/watchcache/watchcache_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
@@ -46,7 +46,7 @@
 
 // reader is whom the copy is for: it keeps what it was told.
 type reader struct {
-	m    *Mirror
+	m    *Cache
 	sent []any
 	has  map[string]string
 }
@@ -72,8 +72,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := &service{rev: 5, keys: map[string]store.Event{}}
 		r := &reader{has: map[string]string{}}
-		r.m = New(Config{Size: 1, Rate: 100, Fresh: 2 * unit.Second}, r)
-		now := unit.Second
+		r.m = New(Config{Size: 1, Rate: 100, Fresh: 2 * units.Second}, r)
+		now := units.Second
 		back := rapid.Bool().Draw(t, "goes_back")
 		var old *service // the service as it was some time ago
 		pages := map[string]int{}
@@ -102,7 +102,7 @@
 				r.m.OnChanges(now, e, o, s.rev, events, gone)
 			}
 		}
-		step := func(d unit.Micros) {
+		step := func(d units.Microseconds) {
 			now += d
 			r.m.Tick(now, now)
 			r.m.Pump(now)
@@ -111,7 +111,7 @@
 			return len(r.has) == len(s.keys) && !slices.ContainsFunc(slices.Collect(maps.Values(s.keys)), func(e store.Event) bool { return r.has[e.Key] != string(e.Value) })
 		}
 		type put struct {
-			at unit.Micros
+			at units.Microseconds
 			store.Event
 		}
 		var puts []put
@@ -131,7 +131,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": change,
-			"time":   func(t *rapid.T) { step(unit.Micros(rapid.IntRange(1, 600).Draw(t, "ms")) * 1000) },
+			"time":   func(t *rapid.T) { step(units.Microseconds(rapid.IntRange(1, 600).Draw(t, "ms")) * 1000) },
 			"answer": func(t *rapid.T) {
 				if len(r.sent) > 0 {
 					answer(rapid.IntRange(0, len(r.sent)-1).Draw(t, "which"), rapid.SampledFrom([]store.Outcome{store.OK, store.OK, store.OK, store.Refused, store.Unknown, store.Limited}).Draw(t, "outcome"))
@@ -139,10 +139,10 @@
 			},
 			"read": func(t *rapid.T) {
 				want := maps.Clone(s.keys)
-				r.m.Want(func(ok bool) {
+				r.m.ReadFresh(func(ok bool) {
 					for k, e := range want {
-						if ok && !back && r.m.Stamp(k) < e.Stamp && s.keys[k].Stamp == e.Stamp {
-							t.Fatalf("a read shows %s as of %d, it was stored at %d before", k, r.m.Stamp(k), e.Stamp)
+						if ok && !back && r.m.Version(k) < e.Stamp && s.keys[k].Stamp == e.Stamp {
+							t.Fatalf("a read shows %s as of %d, it was stored at %d before", k, r.m.Version(k), e.Stamp)
 						}
 					}
 				})
@@ -150,7 +150,7 @@
 			// What the copy claims to show, it shows, whatever other requests were answered.
 			"": func(t *rapid.T) {
 				for _, p := range puts {
-					if !back && p.at < r.m.AsOf() && s.keys[p.Key].Stamp == p.Stamp && r.m.Stamp(p.Key) < p.Stamp {
+					if !back && p.at < r.m.AsOf() && s.keys[p.Key].Stamp == p.Stamp && r.m.Version(p.Key) < p.Stamp {
 						t.Fatalf("at %d the copy is as of %d, and lacks %s, which was stored at %d", now, r.m.AsOf(), p.Key, p.at)
 					}
 				}
@@ -159,9 +159,9 @@
 			"go back": func(t *rapid.T) {
 				// Behind what was told, as a loss that nobody has seen is nobody's; and
 				// asked at once, as one that is written over meanwhile is not noticed.
-				if back && old != nil && old.rev < r.m.Seen() && r.m.Loaded() && len(r.sent) == 0 {
+				if back && old != nil && old.rev < r.m.HighestRevision() && r.m.Loaded() && len(r.sent) == 0 {
 					s, old = old, nil
-					step(unit.Second)
+					step(units.Second)
 					for len(r.sent) > 0 && !r.m.Recovering() {
 						answer(0, store.OK)
 					}
@@ -172,14 +172,14 @@
 			},
 		})
 		for range 200 {
-			step(unit.Second / 10)
+			step(units.Second / 10)
 			for len(r.sent) > 0 {
 				answer(0, store.OK)
 			}
 		}
-		r.m.Want(nil)
+		r.m.ReadFresh(nil)
 		for range 20 {
-			step(unit.Second / 10)
+			step(units.Second / 10)
 			for len(r.sent) > 0 {
 				answer(0, store.OK)
 			}
--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -12,7 +12,7 @@
 	"slices"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // State of a zone.
@@ -33,25 +33,25 @@
 // String names a state for people.
 func (s State) String() string { return [...]string{"serving", "doubt", "lost", "back"}[s] }
 
-// Word is what an operator knows of a zone.
-type Word string
+// Override is what an operator knows of a zone.
+type Override string
 
 // Words. Without one the picture goes by its evidence.
 const (
-	NoWord  Word = ""
-	Returns Word = "returns" // it will be back: its machines are kept
-	Gone    Word = "gone"    // it will not: its machines are returned
+	NoOverride        Override = ""
+	OverrideReturning Override = "returns" // it will be back: its machines are kept
+	OverrideLost      Override = "gone"    // it will not: its machines are returned
 )
 
-// Words lists what an operator may say.
-var Words = []Word{Returns, Gone}
+// Overrides lists what an operator may say.
+var Overrides = []Override{OverrideReturning, OverrideLost}
 
 // Status is what controllers tell each other of a zone that does not serve.
 type Status struct {
 	Zone  string
 	State int
-	For   unit.Micros // since the state began
-	Times int         // how often the zone was lost lately
+	For   units.Microseconds // since the state began
+	Times int                // how often the zone was lost lately
 }
 
 // Count is what a holder sees of a zone's machines: those that are up, as far as is known,
@@ -60,10 +60,10 @@
 
 // Config says which zones there are.
 type Config struct {
-	Zones       []string
-	Home        string // this controller's zone
-	ReportEvery unit.Micros
-	Log         *slog.Logger
+	Zones             []string
+	Home              string // this controller's zone
+	HeartbeatInterval units.Microseconds
+	Log               *slog.Logger
 }
 
 const (
@@ -71,53 +71,53 @@
 	// silent too. Where they are heard, or there are none, each machine must have had the time
 	// to report: those that were rented together, or that came back from a cut, report all at
 	// once, and say nothing in between.
-	muteQuiet = 2 * unit.Second
+	muteQuiet = 2 * units.Second
 	// enough is the share of the other zones' machines that must be heard: where nobody is,
 	// it is this controller that is deaf.
 	enough = 0.5
 	// A zone that was lost is trusted once it has been heard for calm; each further loss
 	// within forget doubles that, up to longestCalm.
-	calm        = 4 * unit.Second
-	longestCalm = 64 * unit.Second
-	forget      = 300 * unit.Second
+	calm        = 4 * units.Second
+	longestCalm = 64 * units.Second
+	forget      = 300 * units.Second
 	// probe is how many machines are rented at once into a zone that is coming back, and
 	// probeAfter when one is rented into a zone that is in doubt or lost and in which nothing
 	// is left that could be heard again.
 	probe      = 5
-	probeAfter = 60 * unit.Second
+	probeAfter = 60 * units.Second
 	// awakeStep is the most that one tick adds to the time awake.
-	awakeStep = unit.Second / 10
+	awakeStep = units.Second / 10
 )
 
 // zone is the picture of one zone.
 type zone struct {
 	state State
-	since unit.Micros // when the state began
-	heard unit.Micros // time awake when a machine of the zone last reported
-	away  unit.Micros // when the zone was last not heard from: it is lost since then, if it is
+	since units.Microseconds // when the state began
+	heard units.Microseconds // time awake when a machine of the zone last reported
+	away  units.Microseconds // when the zone was last not heard from: it is lost since then, if it is
 	times int
-	lost  unit.Micros // when it was last lost
-	again unit.Micros // when it last came back; 0: never
+	lost  units.Microseconds // when it was last lost
+	again units.Microseconds // when it last came back; 0: never
 	count Count
-	peers int         // other controllers of the zone
-	mute  unit.Micros // when one of them was last heard
-	alive int         // of them, those that are heard
-	word  Word
+	peers int                // other controllers of the zone
+	mute  units.Microseconds // when one of them was last heard
+	alive int                // of them, those that are heard
+	word  Override
 }
 
-// Picture is what a controller knows of all zones.
-type Picture struct {
+// View is what a controller knows of all zones.
+type View struct {
 	cfg   Config
 	zones map[string]*zone
 	names []string
-	now   unit.Micros
-	awake unit.Micros
-	taken unit.Micros // time awake when a block was last taken over
+	now   units.Microseconds
+	awake units.Microseconds
+	taken units.Microseconds // time awake when a block was last taken over
 }
 
 // New returns a picture in which all zones serve.
-func New(cfg Config) *Picture {
-	p := &Picture{cfg: cfg, zones: map[string]*zone{}}
+func New(cfg Config) *View {
+	p := &View{cfg: cfg, zones: map[string]*zone{}}
 	for _, z := range cfg.Zones {
 		if p.zones[z] == nil {
 			p.zones[z] = &zone{}
@@ -129,13 +129,13 @@
 }
 
 // Tick lets time pass.
-func (p *Picture) Tick(now unit.Micros) {
+func (p *View) Tick(now units.Microseconds) {
 	p.awake += min(now-p.now, awakeStep)
 	p.now = now
 }
 
-// Heard says that a machine of a zone has reported to this controller.
-func (p *Picture) Heard(name string) {
+// HeartbeatReceived says that a machine of a zone has reported to this controller.
+func (p *View) HeartbeatReceived(name string) {
 	if z := p.zones[name]; z != nil {
 		z.heard = p.awake
 		if !z.reachable() {
@@ -144,9 +144,9 @@
 	}
 }
 
-// Taken says that a block was taken over: whom its machines report to changes, and until
+// ShardAcquired says that a block was taken over: whom its machines report to changes, and until
 // they have found this controller their silence says nothing.
-func (p *Picture) Taken() {
+func (p *View) ShardAcquired() {
 	p.taken = p.awake
 	for _, z := range p.zones {
 		z.count = Count{}
@@ -154,7 +154,7 @@
 }
 
 // Controllers says how many other controllers a zone has, and how many of them are heard.
-func (p *Picture) Controllers(name string, all, alive int) {
+func (p *View) Controllers(name string, all, alive int) {
 	z := p.zones[name]
 	if z == nil {
 		return
@@ -169,7 +169,7 @@
 }
 
 // quiet is how long a zone has not been heard, in time awake.
-func (p *Picture) quiet(z *zone) unit.Micros { return p.awake - max(z.heard, p.taken) }
+func (p *View) quiet(z *zone) units.Microseconds { return p.awake - max(z.heard, p.taken) }
 
 // reachable reports whether a zone is heard.
 func (z *zone) reachable() bool { return z.state == Serving || z.state == Back }
@@ -184,15 +184,15 @@
 
 // bounds are the silence of a zone that puts it in doubt, and that after which its work is
 // done elsewhere. Shorter cuts cost less when they are waited for.
-func (p *Picture) bounds(z *zone) (doubt, lost unit.Micros) {
+func (p *View) bounds(z *zone) (doubt, lost units.Microseconds) {
 	if z.muted() {
-		return muteQuiet, p.cfg.ReportEvery + unit.Second
+		return muteQuiet, p.cfg.HeartbeatInterval + units.Second
 	}
-	return p.cfg.ReportEvery + unit.Second, 3*p.cfg.ReportEvery/2 + unit.Second
+	return p.cfg.HeartbeatInterval + units.Second, 3*p.cfg.HeartbeatInterval/2 + units.Second
 }
 
-// Look takes what a holder sees of its machines, a few times a second, and judges.
-func (p *Picture) Look(counts map[string]Count) {
+// Update takes what a holder sees of its machines, a few times a second, and judges.
+func (p *View) Update(counts map[string]Count) {
 	for n, z := range p.zones {
 		z.count = counts[n]
 	}
@@ -225,7 +225,7 @@
 
 // othersHeard reports whether this controller hears the machines of other zones well enough
 // that the silence of one means something.
-func (p *Picture) othersHeard(name string) bool {
+func (p *View) othersHeard(name string) bool {
 	if p.upElsewhere(name) == 0 { // the controllers tell
 		return p.zones[name].muted() && p.othersAlive(name)
 	}
@@ -240,7 +240,7 @@
 }
 
 // upElsewhere counts the machines of the other zones, whatever those are thought to do.
-func (p *Picture) upElsewhere(name string) int {
+func (p *View) upElsewhere(name string) int {
 	n := 0
 	for other, z := range p.zones {
 		if other != name {
@@ -252,7 +252,7 @@
 
 // othersAlive reports whether controllers of other zones are heard, or there are none but
 // this one, which is for its host to judge.
-func (p *Picture) othersAlive(name string) bool {
+func (p *View) othersAlive(name string) bool {
 	all, alive := 0, 0
 	for other, z := range p.zones {
 		if other != name {
@@ -264,9 +264,9 @@
 }
 
 // calm is how long a zone must be heard before it is trusted again.
-func (p *Picture) calm(z *zone) unit.Micros { return min(calm<<max(z.times-1, 0), longestCalm) }
+func (p *View) calm(z *zone) units.Microseconds { return min(calm<<max(z.times-1, 0), longestCalm) }
 
-func (p *Picture) set(name string, z *zone, s State, why string) {
+func (p *View) set(name string, z *zone, s State, why string) {
 	p.cfg.Log.Warn("zone", "zone", name, "state", s.String(), "was", z.state.String(), "for_s", (p.now - z.since).Seconds(),
 		"why", why, "up", z.count.Up, "times_lost", z.times)
 	if s == Back {
@@ -275,9 +275,9 @@
 	z.state, z.since = s, p.now
 }
 
-// Told takes what a controller that holds blocks says of the zones that do not serve. One
+// PeerView takes what a controller that holds blocks says of the zones that do not serve. One
 // that has machines of its own goes by what it hears itself.
-func (p *Picture) Told(list []Status) {
+func (p *View) PeerView(list []Status) {
 	told := map[string]Status{}
 	for _, s := range list {
 		told[s.Zone] = s
@@ -297,8 +297,8 @@
 	}
 }
 
-// Tell returns what other controllers should know.
-func (p *Picture) Tell() (out []Status) {
+// Report returns what other controllers should know.
+func (p *View) Report() (out []Status) {
 	for _, n := range p.names {
 		if z := p.zones[n]; z.state != Serving {
 			out = append(out, Status{Zone: n, State: int(z.state), For: p.now - z.since, Times: z.times})
@@ -308,19 +308,19 @@
 }
 
 // Check reports what is wrong with an operator's word about a zone, of those that there are.
-func Check(names []string, name string, w Word) error {
+func Check(names []string, name string, w Override) error {
 	if !slices.Contains(names, name) {
 		return fmt.Errorf("no zone %q; there are %s", name, strings.Join(names, ", "))
 	}
-	if w != NoWord && !slices.Contains(Words, w) {
-		return fmt.Errorf("zone %s: %q is none of %v", name, w, Words)
+	if w != NoOverride && !slices.Contains(Overrides, w) {
+		return fmt.Errorf("zone %s: %q is none of %v", name, w, Overrides)
 	}
 	return nil
 }
 
-// Say takes an operator's word. A zone that does not exist is an error that names those
+// SetOverride takes an operator's word. A zone that does not exist is an error that names those
 // that do.
-func (p *Picture) Say(name string, w Word) error {
+func (p *View) SetOverride(name string, w Override) error {
 	if err := Check(p.names, name, w); err != nil {
 		return err
 	}
@@ -333,7 +333,7 @@
 }
 
 // State returns a zone's state; a zone that nobody has configured serves.
-func (p *Picture) State(name string) State {
+func (p *View) State(name string) State {
 	if z := p.zones[name]; z != nil {
 		return z.state
 	}
@@ -341,14 +341,14 @@
 }
 
 // Reachable reports whether work may be expected to go on in a zone.
-func (p *Picture) Reachable(name string) bool {
+func (p *View) Reachable(name string) bool {
 	z := p.zones[name]
 	return z == nil || z.reachable()
 }
 
 // Explains reports whether the silence of all machines is that of zones: each that has any
 // is out of reach. Else it is this controller that nobody reaches.
-func (p *Picture) Explains() bool {
+func (p *View) Explains() bool {
 	any := false
 	for _, z := range p.zones {
 		if z.count.Up > 0 {
@@ -362,17 +362,17 @@
 }
 
 // Lost reports whether a zone's work is to be done elsewhere.
-func (p *Picture) Lost(name string) bool { return p.State(name) == Lost || p.Gone(name) }
+func (p *View) Lost(name string) bool { return p.State(name) == Lost || p.DeclaredLost(name) }
 
-// Gone reports whether an operator has said that a zone will not be back: nothing more is to
+// DeclaredLost reports whether an operator has said that a zone will not be back: nothing more is to
 // start there, and what is empty goes.
-func (p *Picture) Gone(name string) bool { return p.word(name) == Gone }
+func (p *View) DeclaredLost(name string) bool { return p.word(name) == OverrideLost }
 
-func (p *Picture) word(name string) Word {
+func (p *View) word(name string) Override {
 	if z := p.zones[name]; z != nil {
 		return z.word
 	}
-	return NoWord
+	return NoOverride
 }
 
 // Keep reports whether silent machines of a lost zone should be kept, which are charged for
@@ -381,28 +381,28 @@
 // them anew once the zone is back: whoever keeps them until that much has been spent since
 // nothing can run on them any more pays at most twice what it would have cost to know how
 // long the cut lasts.
-func (p *Picture) Keep(name string, most unit.Micros) bool {
+func (p *View) Keep(name string, most units.Microseconds) bool {
 	z := p.zones[name]
 	switch {
 	case z == nil || z.reachable():
 		return true
-	case z.word == Returns:
+	case z.word == OverrideReturning:
 		return true
-	case z.word == Gone:
+	case z.word == OverrideLost:
 		return false
 	}
 	return p.now-z.away < most
 }
 
 // Returning reports whether an operator has said that a zone will be back.
-func (p *Picture) Returning(name string) bool { return p.word(name) == Returns }
+func (p *View) Returning(name string) bool { return p.word(name) == OverrideReturning }
 
 // Rents says how many machines may be rented into a zone at present; -1: any number.
-func (p *Picture) Rents(name string) int {
+func (p *View) Rents(name string) int {
 	switch z := p.zones[name]; {
 	case z == nil:
 		return -1
-	case z.word == Gone:
+	case z.word == OverrideLost:
 		return 0
 	case z.state == Doubt || z.state == Lost:
 		if z.nothingSilent() && p.now-z.since >= probeAfter {
@@ -416,38 +416,38 @@
 }
 
 // For is how long a zone has been in its state.
-func (p *Picture) For(name string) unit.Micros {
+func (p *View) For(name string) units.Microseconds {
 	if z := p.zones[name]; z != nil {
 		return p.now - z.since
 	}
-	return unit.Never
+	return units.Never
 }
 
 // Again is how long ago a zone came back; a zone that always served came back long ago.
-func (p *Picture) Again(name string) unit.Micros {
+func (p *View) Again(name string) units.Microseconds {
 	if z := p.zones[name]; z != nil && z.again > 0 {
 		return p.now - z.again
 	}
-	return unit.Never
+	return units.Never
 }
 
-// View is a zone as people see it.
-type View struct {
+// ZoneStats is a zone as people see it.
+type ZoneStats struct {
 	Zone             string
 	State            State
-	For              unit.Micros
+	For              units.Microseconds
 	Up, Heard        int
 	Times            int
-	Word             Word
+	Word             Override
 	Controllers      int // other ones of the zone
 	ControllersHeard int
 }
 
-// Views returns all zones by name.
-func (p *Picture) Views() (out []View) {
+// Stats returns all zones by name.
+func (p *View) Stats() (out []ZoneStats) {
 	for _, n := range p.names {
 		z := p.zones[n]
-		out = append(out, View{n, z.state, p.now - z.since, z.count.Up, z.count.Heard, z.times, z.word, z.peers, z.alive})
+		out = append(out, ZoneStats{n, z.state, p.now - z.since, z.count.Up, z.count.Heard, z.times, z.word, z.peers, z.alive})
 	}
 	return out
 }
--- a/internal/core/zones/zones_test.go
+++ b/internal/core/zones/zones_test.go
@@ -7,39 +7,39 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 const (
-	every = 6 * unit.Second
-	step  = unit.Second / 20
+	every = 6 * units.Second
+	step  = units.Second / 20
 )
 
 // yard is machines of some zones that report to one controller, which sees what a holder
 // sees of them.
 type yard struct {
-	p     *Picture
-	now   unit.Micros
+	p     *View
+	now   units.Microseconds
 	cut   map[string]bool
 	peers map[string][2]int // other controllers of each zone, and those that are heard
-	last  map[string][]unit.Micros
+	last  map[string][]units.Microseconds
 }
 
 func newYard(zones ...string) *yard {
-	y := &yard{cut: map[string]bool{}, peers: map[string][2]int{}, last: map[string][]unit.Micros{}}
-	y.p = New(Config{Zones: zones, Home: zones[0], ReportEvery: every, Log: slog.New(slog.DiscardHandler)})
+	y := &yard{cut: map[string]bool{}, peers: map[string][2]int{}, last: map[string][]units.Microseconds{}}
+	y.p = New(Config{Zones: zones, Home: zones[0], HeartbeatInterval: every, Log: slog.New(slog.DiscardHandler)})
 	return y
 }
 
 // add has n machines of a zone up, which report one after the other.
 func (y *yard) add(zone string, n int) {
 	for i := range n {
-		y.last[zone] = append(y.last[zone], y.now-every+every*unit.Micros(i)/unit.Micros(n))
+		y.last[zone] = append(y.last[zone], y.now-every+every*units.Microseconds(i)/units.Microseconds(n))
 	}
 }
 
 // pass lets time pass.
-func (y *yard) pass(d unit.Micros, seen func()) {
+func (y *yard) pass(d units.Microseconds, seen func()) {
 	for end := y.now + d; y.now < end; {
 		y.now += step
 		y.p.Tick(y.now)
@@ -49,7 +49,7 @@
 			for i, at := range list {
 				if y.now-at >= every && !y.cut[z] {
 					list[i] = y.now
-					y.p.Heard(z)
+					y.p.HeartbeatReceived(z)
 				}
 				if y.now-list[i] < 3*every/2 {
 					c.Heard++
@@ -61,7 +61,7 @@
 			y.p.Controllers(z, n[0], n[1])
 		}
 		if (y.now/step)%5 == 0 {
-			y.p.Look(counts)
+			y.p.Update(counts)
 		}
 		if seen != nil {
 			seen()
@@ -80,7 +80,7 @@
 			y.add(z, rapid.IntRange(12, 80).Draw(t, "machines"))
 		}
 		y.pass(2*every, nil)
-		since := map[string]unit.Micros{}
+		since := map[string]units.Microseconds{}
 		for range rapid.IntRange(1, 6).Draw(t, "cuts") {
 			z := rapid.SampledFrom(names).Draw(t, "zone")
 			whole := 0
@@ -93,17 +93,17 @@
 				y.cut[z] = !y.cut[z]
 				since[z] = y.now
 			}
-			y.pass(unit.Micros(rapid.IntRange(1, 90).Draw(t, "seconds"))*unit.Second, func() {
+			y.pass(units.Microseconds(rapid.IntRange(1, 90).Draw(t, "seconds"))*units.Second, func() {
 				for _, n := range names {
 					quiet, s := y.now-since[n], y.p.State(n)
 					switch {
-					case y.cut[n] && quiet > 5*every/2+2*unit.Second && s != Lost:
+					case y.cut[n] && quiet > 5*every/2+2*units.Second && s != Lost:
 						t.Fatalf("%s is cut off for %v and %v", n, quiet, s)
 					case y.cut[n] && s != Serving && s != Back && y.p.Rents(n) != 0:
 						t.Fatalf("%s is %v and %d machines may be rented there", n, s, y.p.Rents(n))
-					case !y.cut[n] && quiet > every+unit.Second && !y.p.Reachable(n):
+					case !y.cut[n] && quiet > every+units.Second && !y.p.Reachable(n):
 						t.Fatalf("%s is heard for %v and %v", n, quiet, s)
-					case !y.cut[n] && quiet > longestCalm+every+unit.Second && s != Serving:
+					case !y.cut[n] && quiet > longestCalm+every+units.Second && s != Serving:
 						t.Fatalf("%s is heard for %v and still %v", n, quiet, s)
 					}
 				}
@@ -118,14 +118,14 @@
 	y.add("a", 50)
 	y.add("b", 50)
 	y.pass(2*every, nil)
-	var took []unit.Micros
+	var took []units.Microseconds
 	for range 7 {
 		y.cut["b"] = true
-		y.pass(12*unit.Second, nil)
+		y.pass(12*units.Second, nil)
 		y.cut["b"] = false
 		at := y.now
 		for y.p.State("b") != Serving && y.now-at < 2*longestCalm {
-			y.pass(unit.Second, nil)
+			y.pass(units.Second, nil)
 		}
 		took = append(took, y.now-at)
 	}
@@ -151,7 +151,7 @@
 		{"all machines, in all zones", func(y *yard) { y.add("a", 30); y.cut["a"], y.cut["b"] = true, true }, false},
 		{"all machines, which are in one zone, whose controllers are heard", func(y *yard) { y.cut["b"] = true; y.peers["b"] = [2]int{1, 1} }, false},
 		{"all machines, which are in one zone, and its controllers", func(y *yard) { y.cut["b"] = true; y.peers["b"], y.peers["a"] = [2]int{1, 0}, [2]int{1, 1} }, true},
-		{"nobody: it stood still", func(y *yard) { y.add("a", 30); y.now += 40 * unit.Second }, false},
+		{"nobody: it stood still", func(y *yard) { y.add("a", 30); y.now += 40 * units.Second }, false},
 	} {
 		y := newYard("a", "b")
 		y.add("b", 30)
@@ -175,7 +175,7 @@
 	y.add("b", 30)
 	y.pass(2*every, nil)
 	y.cut["b"] = true
-	y.pass(30*unit.Second, nil)
+	y.pass(30*units.Second, nil)
 	return y
 }
 
@@ -183,21 +183,21 @@
 // decides otherwise, and one about a zone that does not exist names those that do.
 func TestWords(t *testing.T) {
 	y := withoutB()
-	if !y.p.Keep("b", 60*unit.Second) || y.p.Keep("b", 20*unit.Second) {
+	if !y.p.Keep("b", 60*units.Second) || y.p.Keep("b", 20*units.Second) {
 		t.Error("not kept by how long the cut lasts")
 	}
-	for _, w := range Words {
-		if err := y.p.Say("b", w); err != nil {
+	for _, w := range Overrides {
+		if err := y.p.SetOverride("b", w); err != nil {
 			t.Fatal(err)
 		}
-		if keep := y.p.Keep("b", 20*unit.Second); keep != (w == Returns) || y.p.Keep("b", 60*unit.Second) != keep {
+		if keep := y.p.Keep("b", 20*units.Second); keep != (w == OverrideReturning) || y.p.Keep("b", 60*units.Second) != keep {
 			t.Errorf("%s: kept %v", w, keep)
 		}
 	}
-	if err := y.p.Say("x", Gone); err == nil || !strings.Contains(err.Error(), "a, b") {
+	if err := y.p.SetOverride("x", OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
 		t.Errorf("a zone that does not exist: %v", err)
 	}
-	if err := y.p.Say("a", "soon"); err == nil {
+	if err := y.p.SetOverride("a", "soon"); err == nil {
 		t.Error("a word that says nothing is taken")
 	}
 }
@@ -207,7 +207,7 @@
 func TestProbes(t *testing.T) {
 	y := withoutB()
 	y.last["b"] = nil // all were returned
-	y.pass(unit.Second, nil)
+	y.pass(units.Second, nil)
 	if n := y.p.Rents("b"); n != 0 {
 		t.Errorf("%d are rented into a zone that was just lost", n)
 	}
@@ -217,7 +217,7 @@
 	}
 	y.cut["b"] = false
 	y.add("b", 1)
-	y.pass(unit.Second, nil)
+	y.pass(units.Second, nil)
 	if n := y.p.Rents("b"); y.p.State("b") != Back || n != probe {
 		t.Errorf("%v: %d", y.p.State("b"), n)
 	}
@@ -238,12 +238,12 @@
 		y.add("b", 3)
 		y.pass(2*every, nil)
 		y.cut["b"] = true
-		y.pass(every+unit.Second+unit.Second/2, nil)
+		y.pass(every+units.Second+units.Second/2, nil)
 		if s := y.p.State("b"); s != Doubt {
 			t.Fatalf("the zone is %v", s)
 		}
 		y.last["a"], y.last["b"] = nil, nil
-		y.pass(unit.Second, nil)
+		y.pass(units.Second, nil)
 		if n := y.p.Rents("b"); n != 0 {
 			t.Errorf("controllers %v: %d are rented at once", peers, n)
 		}
@@ -253,7 +253,7 @@
 		}
 		y.cut["b"] = false
 		y.add("b", 1)
-		y.pass(unit.Second, nil)
+		y.pass(units.Second, nil)
 		if s := y.p.State("b"); s != Back {
 			t.Errorf("controllers %v: a machine reports, and the zone is %v", peers, s)
 		}
--- a/internal/emulator/account/account.go
+++ b/internal/emulator/account/account.go
@@ -8,14 +8,14 @@
 	"maps"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/rental"
 )
 
 // Every is how often an account looks at the machines: what holds at a look is taken to
 // have held since the one before.
-const Every = unit.Second / 2
+const Every = units.Second / 2
 
 // Use is what money was spent on.
 type Use int
@@ -78,7 +78,7 @@
 	empty  float64 // since it last held a task
 	perCPU float64 // what a CPU of it has cost since the first look
 	rate   float64
-	tasks  map[ledger.TaskID]held
+	tasks  map[jobs.TaskID]held
 }
 
 // held is a task's CPUs and what one had cost when it began.
@@ -88,7 +88,7 @@
 type Account struct {
 	rows map[rental.Pool]*Row
 	live map[string]*machine
-	at   unit.Micros
+	at   units.Microseconds
 }
 
 // New returns an account of nothing.
@@ -97,7 +97,7 @@
 }
 
 // Look takes all machines that are paid for at a time.
-func (a *Account) Look(at unit.Micros, list []Machine) {
+func (a *Account) Look(at units.Microseconds, list []Machine) {
 	hours := (at - a.at).Seconds() / 3600
 	a.at = at
 	there := make(map[string]bool, len(list))
@@ -106,7 +106,7 @@
 		m := a.live[x.Name]
 		since := hours
 		if m == nil {
-			m = &machine{host: x.Machine, row: a.row(x.Pool), tasks: map[ledger.TaskID]held{}}
+			m = &machine{host: x.Machine, row: a.row(x.Pool), tasks: map[jobs.TaskID]held{}}
 			m.row.Machines++
 			a.live[x.Name] = m
 			since = (at - x.Rented).Seconds() / 3600 // it was rented since the last look
@@ -167,9 +167,9 @@
 
 // gone closes a machine's account. What was left of its last half second is not seen, and
 // neither is it paid for.
-func (a *Account) gone(at unit.Micros, m *machine) {
+func (a *Account) gone(at units.Microseconds, m *machine) {
 	m.close()
-	if left := rental.LeastCharge - (at - m.host.Rented); left > 0 && m.host.Died == unit.Never && !m.host.Taken {
+	if left := rental.LeastCharge - (at - m.host.Rented); left > 0 && m.host.Died == units.Never && !m.host.Taken {
 		m.row.Spent[Least] += m.rate * left.Seconds() / 3600
 	}
 }
@@ -189,14 +189,14 @@
 }
 
 // Began says that a task is on a machine, with its image.
-func (a *Account) Began(name string, id ledger.TaskID, cpus float64) {
+func (a *Account) Began(name string, id jobs.TaskID, cpus float64) {
 	if m := a.live[name]; m != nil {
 		m.tasks[id] = held{cpus, m.perCPU}
 	}
 }
 
 // Ended says that a task is no longer on a machine, and whether it completed.
-func (a *Account) Ended(name string, id ledger.TaskID, completed bool) {
+func (a *Account) Ended(name string, id jobs.TaskID, completed bool) {
 	m := a.live[name]
 	if m == nil {
 		return
--- a/internal/emulator/agenda/agenda.go
+++ b/internal/emulator/agenda/agenda.go
@@ -4,7 +4,7 @@
 import (
 	"container/heap"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Agenda holds items until they are due. Those due at the same moment come in
@@ -15,7 +15,7 @@
 }
 
 type entry[T any] struct {
-	at   unit.Micros
+	at   units.Microseconds
 	seq  uint64
 	item T
 }
@@ -37,21 +37,21 @@
 }
 
 // Add plans an item.
-func (a *Agenda[T]) Add(at unit.Micros, item T) {
+func (a *Agenda[T]) Add(at units.Microseconds, item T) {
 	a.seq++
 	heap.Push(&a.h, entry[T]{at, a.seq, item})
 }
 
 // Next returns when the first item is due, or unit.Never.
-func (a *Agenda[T]) Next() unit.Micros {
+func (a *Agenda[T]) Next() units.Microseconds {
 	if len(a.h) == 0 {
-		return unit.Never
+		return units.Never
 	}
 	return a.h[0].at
 }
 
 // Due takes the first item that is due by now, with the time for which it was planned.
-func (a *Agenda[T]) Due(now unit.Micros) (at unit.Micros, item T, ok bool) {
+func (a *Agenda[T]) Due(now units.Microseconds) (at units.Microseconds, item T, ok bool) {
 	if len(a.h) == 0 || a.h[0].at > now {
 		return 0, item, false
 	}
--- a/internal/emulator/balance/balance.go
+++ b/internal/emulator/balance/balance.go
@@ -7,22 +7,22 @@
 	"math/rand/v2"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 )
 
 // Times of the protocol.
 const (
-	ProbeWithin  = unit.Second
-	AcceptWithin = unit.Second / 2
+	ProbeWithin  = units.Second
+	AcceptWithin = units.Second / 2
 	MaxTries     = 3 // nodes that one connection is offered to
-	probeEvery   = unit.Second
-	firstPause   = 3 * unit.Second // before a node that was removed is taken back
-	maxPause     = 60 * unit.Second
-	recent       = 120 * unit.Second // removals within this time double the pause
-	slowStart    = 10 * unit.Second
-	resetAfter   = 5 * unit.Second // unhealthy for this long: its connections are reset
-	skipFor      = 3 * unit.Second // after three connections failed one after another
+	probeEvery   = units.Second
+	firstPause   = 3 * units.Second // before a node that was removed is taken back
+	maxPause     = 60 * units.Second
+	recent       = 120 * units.Second // removals within this time double the pause
+	slowStart    = 10 * units.Second
+	resetAfter   = 5 * units.Second // unhealthy for this long: its connections are reset
+	skipFor      = 3 * units.Second // after three connections failed one after another
 )
 
 // Effects.
@@ -35,21 +35,21 @@
 
 type node struct {
 	healthy   bool
-	ever      bool        // has been healthy
-	since     unit.Micros // healthy since
-	removed   unit.Micros // unhealthy since
-	pause     unit.Micros // before it is taken back
-	good, bad int         // probes one after another
-	last      []bool      // of the last six probes, whether each failed
-	open      int         // connections
-	failed    int         // connections one after another
-	skip      unit.Micros // not chosen before this
+	ever      bool               // has been healthy
+	since     units.Microseconds // healthy since
+	removed   units.Microseconds // unhealthy since
+	pause     units.Microseconds // before it is taken back
+	good, bad int                // probes one after another
+	last      []bool             // of the last six probes, whether each failed
+	open      int                // connections
+	failed    int                // connections one after another
+	skip      units.Microseconds // not chosen before this
 }
 
 type step struct {
 	node  int
 	reset bool
-	since unit.Micros
+	since units.Microseconds
 }
 
 // Balancer chooses nodes.
@@ -61,20 +61,20 @@
 }
 
 // New returns a balancer for n nodes, of which none is known to be healthy.
-func New(n int, now unit.Micros, rng *rand.Rand) *Balancer {
+func New(n int, now units.Microseconds, rng *rand.Rand) *Balancer {
 	b := &Balancer{rng: rng}
 	for i := range n {
 		b.nodes = append(b.nodes, &node{pause: firstPause})
-		b.plans.Add(now+unit.Micros(i)*probeEvery/unit.Micros(n), step{node: i})
+		b.plans.Add(now+units.Microseconds(i)*probeEvery/units.Microseconds(n), step{node: i})
 	}
 	return b
 }
 
 // Next returns when Advance is next of use.
-func (b *Balancer) Next() unit.Micros { return b.plans.Next() }
+func (b *Balancer) Next() units.Microseconds { return b.plans.Next() }
 
 // Advance lets time pass.
-func (b *Balancer) Advance(now unit.Micros) {
+func (b *Balancer) Advance(now units.Microseconds) {
 	for {
 		at, s, ok := b.plans.Due(now)
 		if !ok {
@@ -87,12 +87,12 @@
 			continue
 		}
 		b.out = append(b.out, Probe{s.node})
-		b.plans.Add(at+unit.Micros(float64(probeEvery)*(0.9+0.2*b.rng.Float64())), step{node: s.node})
+		b.plans.Add(at+units.Microseconds(float64(probeEvery)*(0.9+0.2*b.rng.Float64())), step{node: s.node})
 	}
 }
 
 // Probed takes a probe's result. A timeout is a failure.
-func (b *Balancer) Probed(now unit.Micros, i int, ok bool) {
+func (b *Balancer) Probed(now units.Microseconds, i int, ok bool) {
 	n := b.nodes[i]
 	n.last = append(n.last, !ok)
 	if len(n.last) > 6 {
@@ -121,7 +121,7 @@
 	n.last = nil
 }
 
-func (b *Balancer) remove(now unit.Micros, i int) {
+func (b *Balancer) remove(now units.Microseconds, i int) {
 	n := b.nodes[i]
 	if n.removed > 0 && now-n.removed < recent {
 		n.pause = min(2*n.pause, maxPause)
@@ -137,7 +137,7 @@
 
 // Choose returns a node for a new connection, not one of those tried before; -1:
 // there is none.
-func (b *Balancer) Choose(now unit.Micros, tried []int) int {
+func (b *Balancer) Choose(now units.Microseconds, tried []int) int {
 	if len(tried) >= MaxTries {
 		return -1
 	}
@@ -166,7 +166,7 @@
 func (b *Balancer) Closed(i int) { b.nodes[i].open-- }
 
 // Failed says that a node has refused a connection, or not taken it in time.
-func (b *Balancer) Failed(now unit.Micros, i int) {
+func (b *Balancer) Failed(now units.Microseconds, i int) {
 	n := b.nodes[i]
 	if n.failed++; n.failed >= 3 {
 		n.failed, n.skip = 0, now+skipFor
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -13,9 +13,9 @@
 	"net/http"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 )
 
@@ -50,29 +50,29 @@
 
 const (
 	// pollsFail is for how long every poll for a job may fail while most others do not.
-	pollsFail = 90 * unit.Second
+	pollsFail = 90 * units.Second
 	// pollsFailCalm is for how long once all troubles are over, however the others fare.
-	pollsFailCalm = 75 * unit.Second
+	pollsFailCalm = 75 * units.Second
 )
 
 // Team is a team's limit; 0 means none.
 type Team struct {
 	Name  string
-	Limit pack.Vec
+	Limit binpack.Vec
 }
 
 // Type is a machine type: what a machine has, and the zones in which there are any.
 type Type struct {
 	Name     string
-	Capacity pack.Vec
+	Capacity binpack.Vec
 	Zones    []string
 }
 
 // Config says what the rules are measured by.
 type Config struct {
 	Teams    []Team
-	Types    []Type      // none: jobs that fit no machine are not told apart
-	CancelIn unit.Micros // cancelled work must be gone after this
+	Types    []Type             // none: jobs that fit no machine are not told apart
+	CancelIn units.Microseconds // cancelled work must be gone after this
 }
 
 // Machine is where a task runs.
@@ -83,7 +83,7 @@
 
 // Break is a broken rule, with the part of the history that concerns it.
 type Break struct {
-	At      unit.Micros
+	At      units.Microseconds
 	Rule    string
 	Text    string
 	History []string
@@ -93,27 +93,27 @@
 
 type job struct {
 	id        string
-	spec      *ledger.Spec
+	spec      *jobs.Spec
 	accepted  bool
-	toldOn    unit.Micros   // when its user was first told that it is accepted
-	asked     bool          // to cancel
-	toldOff   unit.Micros   // when its user was told that it is cancelled; 0: never
-	final     ledger.Status // as told
-	finalAt   unit.Micros
-	began     unit.Micros // when a task was first on a machine; 0: none was
-	done      ledger.Set
-	on        map[int]Machine // tasks that are on a machine; nil while none is, as a long play has many jobs
-	zones     map[string]int  // how many of them by zone
-	lostSince unit.Micros     // the first of the polls that failed, one after another
-	pollsLost int             // how many these are
-	okBefore  int             // polls that were answered, of all jobs, before them
+	toldOn    units.Microseconds // when its user was first told that it is accepted
+	asked     bool               // to cancel
+	toldOff   units.Microseconds // when its user was told that it is cancelled; 0: never
+	final     jobs.Status        // as told
+	finalAt   units.Microseconds
+	began     units.Microseconds // when a task was first on a machine; 0: none was
+	done      jobs.Set
+	on        map[int]Machine    // tasks that are on a machine; nil while none is, as a long play has many jobs
+	zones     map[string]int     // how many of them by zone
+	lostSince units.Microseconds // the first of the polls that failed, one after another
+	pollsLost int                // how many these are
+	okBefore  int                // polls that were answered, of all jobs, before them
 	allBefore int
 	needs     []*job
-	needed    []*job      // by whom
-	lines     []int       // of the history
-	malformed bool        // its submission lacks a field
-	mistaken  bool        // its tasks fail on every machine
-	waits     unit.Micros // since when it is left waiting, see Look; 0: it is not
+	needed    []*job             // by whom
+	lines     []int              // of the history
+	malformed bool               // its submission lacks a field
+	mistaken  bool               // its tasks fail on every machine
+	waits     units.Microseconds // since when it is left waiting, see Look; 0: it is not
 }
 
 // Checker keeps the books.
@@ -121,28 +121,28 @@
 	cfg Config
 	// Versions of the configuration, the first that of the settings.
 	versions  []*limitsOf
-	ordered   map[ledger.TaskID]unit.Micros // tasks that have not come to a machine yet
-	lastOrder map[string]unit.Micros        // of each team's tasks that have
+	ordered   map[jobs.TaskID]units.Microseconds // tasks that have not come to a machine yet
+	lastOrder map[string]units.Microseconds      // of each team's tasks that have
 	jobs      map[string]*job
-	use       map[string]pack.Vec // of each team's tasks on machines
-	later     agenda.Agenda[*job] // cancelled jobs, by when their tasks must be gone
+	use       map[string]binpack.Vec // of each team's tasks on machines
+	later     agenda.Agenda[*job]    // cancelled jobs, by when their tasks must be gone
 	polls     int
 	polled    int // answered
 	starts    int
-	late      int         // starts after the cancellation was told
-	open      []*job      // accepted, and not known to be over when that was last looked at
-	kept      int         // how many were left of them then
-	next      int         // which of them is looked at next, see Look
-	calm      unit.Micros // when all troubles are over; Never: not known
+	late      int                // starts after the cancellation was told
+	open      []*job             // accepted, and not known to be over when that was last looked at
+	kept      int                // how many were left of them then
+	next      int                // which of them is looked at next, see Look
+	calm      units.Microseconds // when all troubles are over; Never: not known
 	broken    []Break
 	said      map[string]bool
 	history   []line
 	sum       hash.Hash
-	now       unit.Micros
+	now       units.Microseconds
 }
 
 type line struct {
-	at        unit.Micros
+	at        units.Microseconds
 	machine   string
 	text      string
 	important bool
@@ -153,8 +153,8 @@
 
 // New returns a checker that has seen nothing.
 func New(cfg Config) *Checker {
-	c := &Checker{cfg: cfg, ordered: map[ledger.TaskID]unit.Micros{}, lastOrder: map[string]unit.Micros{}, jobs: map[string]*job{}, use: map[string]pack.Vec{}, said: map[string]bool{}, sum: sha256.New(), calm: unit.Never}
-	first := &limitsOf{limits: map[string]pack.Vec{}}
+	c := &Checker{cfg: cfg, ordered: map[jobs.TaskID]units.Microseconds{}, lastOrder: map[string]units.Microseconds{}, jobs: map[string]*job{}, use: map[string]binpack.Vec{}, said: map[string]bool{}, sum: sha256.New(), calm: units.Never}
+	first := &limitsOf{limits: map[string]binpack.Vec{}}
 	for _, t := range cfg.Teams {
 		first.limits[t.Name] = t.Limit
 	}
@@ -164,7 +164,7 @@
 
 // note writes a line of the history: it goes into the digest, and explains what
 // breaks later.
-func (c *Checker) note(at unit.Micros, j *job, machine string, important bool, format string, args ...any) {
+func (c *Checker) note(at units.Microseconds, j *job, machine string, important bool, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	fmt.Fprintf(c.sum, "%d %s\n", at, text)
 	if len(c.history) >= keptLines {
@@ -177,7 +177,7 @@
 }
 
 // Note writes an event that is no fact of a job, such as a fault, into the history.
-func (c *Checker) Note(at unit.Micros, format string, args ...any) {
+func (c *Checker) Note(at units.Microseconds, format string, args ...any) {
 	c.note(at, nil, "", true, format, args...)
 }
 
@@ -188,10 +188,10 @@
 func (c *Checker) Broken() []Break { return c.broken }
 
 // Calm says when all troubles are over.
-func (c *Checker) Calm(at unit.Micros) { c.calm = at }
+func (c *Checker) Calm(at units.Microseconds) { c.calm = at }
 
 // FirstBegan returns when a task of a job was first on a machine, 0 if none was.
-func (c *Checker) FirstBegan(id string) unit.Micros {
+func (c *Checker) FirstBegan(id string) units.Microseconds {
 	if j := c.jobs[id]; j != nil {
 		return j.began
 	}
@@ -214,11 +214,11 @@
 func (c *Checker) StartsCancelled() int { return c.late }
 
 // Break records a broken rule that somebody else has found.
-func (c *Checker) Break(at unit.Micros, rule, format string, args ...any) {
+func (c *Checker) Break(at units.Microseconds, rule, format string, args ...any) {
 	c.breaks(at, rule, nil, "", format, args...)
 }
 
-func (c *Checker) breaks(at unit.Micros, rule string, j *job, machine, format string, args ...any) {
+func (c *Checker) breaks(at units.Microseconds, rule string, j *job, machine, format string, args ...any) {
 	b := Break{At: at, Rule: rule, Text: fmt.Sprintf(format, args...)}
 	// The same rule broken by the same job again adds nothing.
 	if key := rule + b.Text; j != nil {
@@ -239,7 +239,7 @@
 
 // explain returns the shortest useful part of the history: what concerns the job
 // and those that it needs, the machine's last events, and faults.
-func (c *Checker) explain(at unit.Micros, j *job, machine string) []string {
+func (c *Checker) explain(at units.Microseconds, j *job, machine string) []string {
 	const most = 40
 	pick := map[int]bool{}
 	if j != nil {
@@ -274,7 +274,7 @@
 }
 
 // Planned says that a user begins to submit a job.
-func (c *Checker) Planned(at unit.Micros, id string, spec *ledger.Spec) {
+func (c *Checker) Planned(at units.Microseconds, id string, spec *jobs.Spec) {
 	c.Advance(at)
 	j := &job{id: id, spec: spec}
 	for _, n := range spec.Awaits {
@@ -288,8 +288,8 @@
 }
 
 // Malformed says that a user submits what lacks a field.
-func (c *Checker) Malformed(at unit.Micros, id string) {
-	c.Planned(at, id, &ledger.Spec{})
+func (c *Checker) Malformed(at units.Microseconds, id string) {
+	c.Planned(at, id, &jobs.Spec{})
 	c.jobs[id].malformed = true
 }
 
@@ -322,7 +322,7 @@
 }
 
 // within reports whether a use keeps to a limit, where 0 means none.
-func within(use, limit pack.Vec) bool {
+func within(use, limit binpack.Vec) bool {
 	for r, most := range limit {
 		if most > 0 && use[r] > most {
 			return false
@@ -332,7 +332,7 @@
 }
 
 // accept notes that a user was told for the first time that a job is accepted.
-func (c *Checker) accept(at unit.Micros, j *job) {
+func (c *Checker) accept(at units.Microseconds, j *job) {
 	if j.accepted {
 		return
 	}
@@ -345,7 +345,7 @@
 
 // Earlier says that a job was accepted before this checker began to look, and which
 // of its tasks had completed. Whether it was cancelled since is not known.
-func (c *Checker) Earlier(at unit.Micros, id string, spec *ledger.Spec, finished func(task int) bool) {
+func (c *Checker) Earlier(at units.Microseconds, id string, spec *jobs.Spec, finished func(task int) bool) {
 	c.Planned(at, id, spec)
 	j := c.jobs[id]
 	j.accepted, j.asked = true, true
@@ -358,7 +358,7 @@
 }
 
 // CancelAsked says that a user has asked to cancel a job.
-func (c *Checker) CancelAsked(at unit.Micros, id string) {
+func (c *Checker) CancelAsked(at units.Microseconds, id string) {
 	c.Advance(at)
 	if j := c.jobs[id]; j != nil {
 		j.asked = true
@@ -368,7 +368,7 @@
 
 // Submitted says what a submission was answered, and how long that took; code 0:
 // nothing in time.
-func (c *Checker) Submitted(at, took unit.Micros, id string, code int, s ledger.Status) {
+func (c *Checker) Submitted(at, took units.Microseconds, id string, code int, s jobs.Status) {
 	c.Advance(at)
 	j := c.jobs[id]
 	if j == nil {
@@ -390,7 +390,7 @@
 }
 
 // Polled says what a poll was answered, and how long that took.
-func (c *Checker) Polled(at, took unit.Micros, id string, code int, s ledger.Status) {
+func (c *Checker) Polled(at, took units.Microseconds, id string, code int, s jobs.Status) {
 	c.Advance(at)
 	c.polls++
 	if code == http.StatusOK || code == http.StatusNotFound {
@@ -426,7 +426,7 @@
 }
 
 // Cancelled says what a request to cancel was answered, and how long that took.
-func (c *Checker) Cancelled(at, took unit.Micros, id string, code int, s ledger.Status) {
+func (c *Checker) Cancelled(at, took units.Microseconds, id string, code int, s jobs.Status) {
 	c.Advance(at)
 	j := c.jobs[id]
 	if j == nil {
@@ -435,7 +435,7 @@
 	c.note(at, j, "", false, "%s: request to cancel answered %d %s", id, code, s)
 	switch {
 	case code == http.StatusOK:
-		if s != ledger.Cancelled && s != ledger.Done {
+		if s != jobs.Cancelled && s != jobs.Done {
 			c.breaks(at, WentBack, j, "", "the request to cancel %s is answered %s", id, s)
 		}
 		c.told(at, at-took, j, s)
@@ -446,30 +446,30 @@
 
 // knownTo reports whether a call that was made at a time must find the job. One that was
 // under way when its user was told of the acceptance may have been answered before that.
-func (j *job) knownTo(made unit.Micros) bool { return j.accepted && made >= j.toldOn }
+func (j *job) knownTo(made units.Microseconds) bool { return j.accepted && made >= j.toldOn }
 
 // told holds a status against what was told before and against the truth. Of
 // calls that were under way together, the answers may come in any order: only one
 // that was made after its user had been told may not be answered with less.
-func (c *Checker) told(at, made unit.Micros, j *job, s ledger.Status) {
+func (c *Checker) told(at, made units.Microseconds, j *job, s jobs.Status) {
 	c.accept(at, j)
 	if j.final != "" && s != j.final && (s.Final() || made >= j.finalAt) {
 		c.breaks(at, WentBack, j, "", "%s was called %s, and now %s", j.id, j.final, s)
 	}
 	off, asked := c.off(j, nil)
 	switch s {
-	case ledger.Pending, ledger.Running:
+	case jobs.Pending, jobs.Running:
 		if off > 0 && made > off+c.cfg.CancelIn {
 			c.breaks(at, Orphaned, j, "", "%s is called %s, and what it needs was cancelled at %.1f", j.id, s, off.Seconds())
 		}
-	case ledger.Done:
+	case jobs.Done:
 		if j.final == "" {
 			j.final, j.finalAt = s, at
 		}
 		if j.spec.Service || j.done.Len() < j.spec.Tasks {
 			c.breaks(at, NotDone, j, "", "%s is called done with %d of %d tasks", j.id, j.done.Len(), j.spec.Tasks)
 		}
-	case ledger.Cancelled:
+	case jobs.Cancelled:
 		if !asked {
 			c.breaks(at, WentBack, j, "", "%s is called cancelled, and nobody has asked for it", j.id)
 		}
@@ -481,7 +481,7 @@
 }
 
 // offLater plans to look whether a cancelled job and all that need it are gone.
-func (c *Checker) offLater(at unit.Micros, j *job, seen map[*job]bool) {
+func (c *Checker) offLater(at units.Microseconds, j *job, seen map[*job]bool) {
 	if seen[j] {
 		return
 	}
@@ -494,7 +494,7 @@
 
 // off returns when a user was first told that a job or one that it needs is
 // cancelled, and whether any of their users has asked for it.
-func (c *Checker) off(j *job, seen map[*job]bool) (at unit.Micros, asked bool) {
+func (c *Checker) off(j *job, seen map[*job]bool) (at units.Microseconds, asked bool) {
 	at, asked = j.toldOff, j.asked
 	if len(j.needs) == 0 {
 		return at, asked
@@ -517,7 +517,7 @@
 }
 
 // Began says that a task is on a machine, with its image.
-func (c *Checker) Began(at unit.Micros, m Machine, id ledger.TaskID) {
+func (c *Checker) Began(at units.Microseconds, m Machine, id jobs.TaskID) {
 	c.Advance(at)
 	c.starts++
 	j := c.jobs[id.Job]
@@ -569,7 +569,7 @@
 }
 
 // Ended says that a task is no longer on a machine, and whether it completed.
-func (c *Checker) Ended(at unit.Micros, m Machine, id ledger.TaskID, completed bool) {
+func (c *Checker) Ended(at units.Microseconds, m Machine, id jobs.TaskID, completed bool) {
 	c.Advance(at)
 	j := c.jobs[id.Job]
 	if j == nil {
@@ -592,7 +592,7 @@
 }
 
 // Vanished says that all machines are gone at once, with all that was on them.
-func (c *Checker) Vanished(at unit.Micros) {
+func (c *Checker) Vanished(at units.Microseconds) {
 	c.Advance(at)
 	c.Note(at, "all machines are gone")
 	clear(c.use)
@@ -602,14 +602,14 @@
 }
 
 // Advance lets time pass: what was cancelled must be gone by its time.
-func (c *Checker) Advance(now unit.Micros) {
+func (c *Checker) Advance(now units.Microseconds) {
 	c.now = max(c.now, now)
 	for {
 		at, j, ok := c.later.Due(c.now)
 		if !ok {
 			return
 		}
-		if off, _ := c.off(j, nil); off == 0 || len(j.on) == 0 || j.final == ledger.Done {
+		if off, _ := c.off(j, nil); off == 0 || len(j.on) == 0 || j.final == jobs.Done {
 			continue
 		}
 		for _, t := range sortedTasks(j.on) {
@@ -629,7 +629,7 @@
 
 // Finish looks at the whole: whether anything ran, and, if all work should be
 // over by now, whether something that was accepted is not.
-func (c *Checker) Finish(at unit.Micros, over bool) {
+func (c *Checker) Finish(at units.Microseconds, over bool) {
 	c.Advance(at)
 	var left []*job
 	wanted := false
--- a/internal/emulator/check/limits.go
+++ b/internal/emulator/check/limits.go
@@ -3,9 +3,9 @@
 import (
 	"math"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Limits that change while the service runs. From when a change is stored controllers may go
@@ -16,14 +16,14 @@
 // limitsOf is a version of the configuration as it was stored.
 type limitsOf struct {
 	version   uint64
-	confirmed unit.Micros // Never: not yet
-	limits    map[string]pack.Vec
+	confirmed units.Microseconds // Never: not yet
+	limits    map[string]binpack.Vec
 	removed   map[string]bool // teams that take no new jobs
 }
 
 // keptFor is for how long versions count that others have replaced: an order may be that long
 // on its way, with an image.
-const keptFor = 600 * unit.Second
+const keptFor = 600 * units.Second
 
 // Limits is the content of a version, as far as rules depend on it.
 type Limits struct {
@@ -33,13 +33,13 @@
 
 // Configured says that a version of the configuration is stored. One that is stored again
 // counts once, unless it holds something else.
-func (c *Checker) Configured(at unit.Micros, version uint64, l Limits) {
+func (c *Checker) Configured(at units.Microseconds, version uint64, l Limits) {
 	c.Advance(at)
 	last := c.versions[len(c.versions)-1]
 	if last.version >= version && (last.version > version || sameLimits(last, l)) {
 		return
 	}
-	v := &limitsOf{version: version, confirmed: unit.Never, limits: map[string]pack.Vec{}, removed: map[string]bool{}}
+	v := &limitsOf{version: version, confirmed: units.Never, limits: map[string]binpack.Vec{}, removed: map[string]bool{}}
 	for _, t := range l.Teams {
 		v.limits[t.Name] = t.Limit
 	}
@@ -60,7 +60,7 @@
 }
 
 // Confirmed says that an operator was told that a version is confirmed.
-func (c *Checker) Confirmed(at unit.Micros, version uint64) {
+func (c *Checker) Confirmed(at units.Microseconds, version uint64) {
 	c.Advance(at)
 	for _, v := range c.versions {
 		if v.version <= version {
@@ -74,10 +74,10 @@
 }
 
 // Ordered says that a controller decided to start a task.
-func (c *Checker) Ordered(at unit.Micros, id ledger.TaskID) { c.ordered[id] = at }
+func (c *Checker) Ordered(at units.Microseconds, id jobs.TaskID) { c.ordered[id] = at }
 
 // counting calls f with the versions that a controller may have gone by at a time.
-func (c *Checker) counting(at unit.Micros, f func(*limitsOf)) {
+func (c *Checker) counting(at units.Microseconds, f func(*limitsOf)) {
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		f(c.versions[i])
 		if c.versions[i].confirmed <= at {
@@ -87,8 +87,8 @@
 }
 
 // limitAt returns the highest limit that a team may have had at a time; 0 is none.
-func (c *Checker) limitAt(team string, at unit.Micros) pack.Vec {
-	highest := pack.Vec{}
+func (c *Checker) limitAt(team string, at units.Microseconds) binpack.Vec {
+	highest := binpack.Vec{}
 	c.counting(at, func(v *limitsOf) {
 		lim, ok := v.limits[team]
 		for i := range lim {
@@ -107,8 +107,8 @@
 }
 
 // lowestLimit returns the lowest limit that a team may have at present; 0 is none.
-func (c *Checker) lowestLimit(team string) pack.Vec {
-	lowest := pack.Vec{}
+func (c *Checker) lowestLimit(team string) binpack.Vec {
+	lowest := binpack.Vec{}
 	c.counting(c.now, func(v *limitsOf) {
 		for i, lim := range v.limits[team] {
 			if lim > 0 && (lowest[i] == 0 || lim < lowest[i]) {
@@ -131,7 +131,7 @@
 
 // orderedAt returns when the last of a team's tasks that have come to a machine, this one
 // included, was ordered: whoever ordered it counted all that was ordered before.
-func (c *Checker) orderedAt(at unit.Micros, team string, id ledger.TaskID) unit.Micros {
+func (c *Checker) orderedAt(at units.Microseconds, team string, id jobs.TaskID) units.Microseconds {
 	if t, ok := c.ordered[id]; ok {
 		at = t
 		delete(c.ordered, id)
@@ -143,7 +143,7 @@
 
 // acceptedFor checks that a job that was submitted at a time, and accepted, is of a team that
 // took new jobs by some version that may have counted then or since.
-func (c *Checker) acceptedFor(at, made unit.Micros, j *job) {
+func (c *Checker) acceptedFor(at, made units.Microseconds, j *job) {
 	removed := true
 	c.counting(made, func(v *limitsOf) { removed = removed && v.removed[j.spec.Team] })
 	if removed {
--- a/internal/emulator/check/waiting.go
+++ b/internal/emulator/check/waiting.go
@@ -3,17 +3,17 @@
 import (
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 const (
 	// leftFor is for how long a job may wait, once all troubles are over, while a machine
 	// that fits has room and its team is under its limit.
-	leftFor = 90 * unit.Second
+	leftFor = 90 * units.Second
 	// LookEvery is the time between two looks at the room on machines, about.
-	LookEvery = 5 * unit.Second
+	LookEvery = 5 * units.Second
 	// lookJobs bounds how many jobs a look goes through.
 	lookJobs = 200
 )
@@ -22,12 +22,12 @@
 // on it, those that wait for their images too.
 type Room struct {
 	Machine
-	Free  pack.Vec
-	Taken []ledger.TaskID
+	Free  binpack.Vec
+	Taken []jobs.TaskID
 }
 
 // Settled reports whether all troubles are over.
-func (c *Checker) Settled(at unit.Micros) bool { return at >= c.calm }
+func (c *Checker) Settled(at units.Microseconds) bool { return at >= c.calm }
 
 // AtLimit reports whether a job's team has no room for one more task of it under its limit.
 func (c *Checker) AtLimit(id string) bool {
@@ -40,11 +40,11 @@
 // A job is left waiting if for 90 s none of its tasks is on a machine, though one is to run, and
 // at each look within that time a machine has room on which it may start. A job of which some
 // tasks run does not wait: those that failed on a machine go on with a few tasks.
-func (c *Checker) Look(at unit.Micros, rooms []Room) {
+func (c *Checker) Look(at units.Microseconds, rooms []Room) {
 	c.Advance(at)
 	c.closeOver()
 	placed := map[string]map[int]bool{} // tasks that are on a machine or wait there for an image, by job
-	use := map[string]pack.Vec{}
+	use := map[string]binpack.Vec{}
 	for _, r := range rooms {
 		for _, id := range r.Taken {
 			j := c.jobs[id.Job]
@@ -87,7 +87,7 @@
 
 // left returns a machine on which a waiting task of a job could start, -1 if there is none, or
 // none waits.
-func (c *Checker) left(j *job, rooms []Room, placed map[int]bool, use map[string]pack.Vec) int {
+func (c *Checker) left(j *job, rooms []Room, placed map[int]bool, use map[string]binpack.Vec) int {
 	if _, asked := c.off(j, nil); asked || j.final != "" || j.malformed || j.mistaken {
 		return -1
 	}
--- a/internal/emulator/direct/direct.go
+++ b/internal/emulator/direct/direct.go
@@ -11,7 +11,7 @@
 func Txn(t *store.Txn) kv.Txn {
 	var out kv.Txn
 	for _, g := range t.Guards {
-		out.Guards = append(out.Guards, kv.Guard{Key: g.Key, Stamp: g.Stamp})
+		out.Guards = append(out.Guards, kv.Guard{Key: g.Key, Stamp: g.Version})
 	}
 	for _, c := range t.Changes {
 		out.Changes = append(out.Changes, kv.Change{Key: c.Key, Value: c.Value, Lease: c.Lease})
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -12,8 +12,8 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/site"
@@ -23,8 +23,8 @@
 
 // Facts takes what happens on machines, for a checker.
 type Facts interface {
-	Began(m *rental.Machine, id ledger.TaskID)
-	Ended(m *rental.Machine, id ledger.TaskID, completed bool)
+	Began(m *rental.Machine, id jobs.TaskID)
+	Ended(m *rental.Machine, id jobs.TaskID, completed bool)
 }
 
 // Outside runs workers in processes of their own. Both methods return once it is done.
@@ -69,25 +69,25 @@
 func (c *Cloud) Run() { c.loop.run(c.ctx) }
 
 // Do runs a function on the model, for faults by command and uploads.
-func (c *Cloud) Do(f func(now unit.Micros, s *site.Site)) bool {
-	return c.loop.do(c.ctx, func(now unit.Micros) { f(now, c.site) })
+func (c *Cloud) Do(f func(now units.Microseconds, s *site.Site)) bool {
+	return c.loop.do(c.ctx, func(now units.Microseconds) { f(now, c.site) })
 }
 
 // Tell runs a function on the model some time, and before what is asked after this call.
 func (c *Cloud) Tell(f func(s *site.Site)) {
-	c.loop.tell(c.ctx, func(unit.Micros) { f(c.site) })
+	c.loop.tell(c.ctx, func(units.Microseconds) { f(c.site) })
 }
 
 // Upload makes a job's description known to the workers.
 func (c *Cloud) Upload(j *work.Job) bool {
-	return c.Do(func(_ unit.Micros, s *site.Site) {
+	return c.Do(func(_ units.Microseconds, s *site.Site) {
 		if s.Book[j.ID] == nil {
 			s.Book[j.ID] = j
 		}
 	})
 }
 
-func (c *Cloud) settle(now unit.Micros) error {
+func (c *Cloud) settle(now units.Microseconds) error {
 	c.site.Advance(now)
 	for _, e := range c.site.Drain() {
 		switch e := e.(type) {
@@ -142,7 +142,7 @@
 // send brings a report to a controller.
 func (c *Cloud) send(e site.Send) {
 	a := sendReport(c.client, c.nodes[e.Body.Zone][e.Node], e.Report)
-	c.loop.tell(c.ctx, func(now unit.Micros) { c.site.Answer(now, e.Machine, e.Number, a) })
+	c.loop.tell(c.ctx, func(now units.Microseconds) { c.site.Answer(now, e.Machine, e.Number, a) })
 }
 
 // Slow makes every answer of the cloud take longer by d.
@@ -159,7 +159,7 @@
 	r.Get(wire.TypesPath, func(w http.ResponseWriter, req *http.Request) {
 		var types []rental.Type
 		var code int
-		if !c.loop.do(req.Context(), func(now unit.Micros) { types, code = c.site.Cloud.Types(now) }) {
+		if !c.loop.do(req.Context(), func(now units.Microseconds) { types, code = c.site.Cloud.Types(now) }) {
 			return
 		}
 		c.pause()
@@ -182,7 +182,7 @@
 		var names []string
 		var noRoom bool
 		var code int
-		if !c.loop.do(req.Context(), func(now unit.Micros) {
+		if !c.loop.do(req.Context(), func(now units.Microseconds) {
 			names, noRoom, code = c.site.Cloud.Rent(now, b.Request, rental.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot}, b.Count)
 			for _, n := range names {
 				if m := c.site.Cloud.Machine(n); m != nil && m.Addr == "" {
@@ -208,7 +208,7 @@
 			return
 		}
 		var code int
-		if !c.loop.do(req.Context(), func(now unit.Micros) { code = c.site.Cloud.Return(now, b.Machines) }) {
+		if !c.loop.do(req.Context(), func(now units.Microseconds) { code = c.site.Cloud.Return(now, b.Machines) }) {
 			return
 		}
 		c.pause()
@@ -226,7 +226,7 @@
 		}
 		out := wire.Hosts{Machines: []wire.Host{}}
 		var code int
-		if !c.loop.do(req.Context(), func(now unit.Micros) {
+		if !c.loop.do(req.Context(), func(now units.Microseconds) {
 			var list []rental.Listed
 			list, out.More, code = c.site.Cloud.List(now, q.Get("after"), page)
 			for _, l := range list {
@@ -259,7 +259,7 @@
 // worker serves a machine's own address.
 func (c *Cloud) worker(name string) http.Handler {
 	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.MachineReport, taken, found bool) {
-		c.loop.do(ctx, func(now unit.Micros) {
+		c.loop.do(ctx, func(now units.Microseconds) {
 			r, saved, t, f := c.site.Direct(now, name, *o.Token, *o.Session, o.Commands)
 			if taken, found = t, f; f {
 				body = wire.EncodeReport(r, saved)
@@ -267,7 +267,7 @@
 		})
 		return body, taken, found
 	}, func(ctx context.Context) (body wire.MachineReport, found bool) {
-		c.loop.do(ctx, func(now unit.Micros) {
+		c.loop.do(ctx, func(now units.Microseconds) {
 			r, saved, f := c.site.Status(now, name)
 			if found = f; f {
 				body = wire.EncodeReport(r, saved)
--- a/internal/emulator/host/disk.go
+++ b/internal/emulator/host/disk.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
@@ -100,7 +100,7 @@
 			return err
 		}
 		return tx.Bucket(leaseBucket).ForEach(func(k, v []byte) error {
-			leases = append(leases, kv.Lease{ID: binary.BigEndian.Uint64(k), TTL: unit.Micros(binary.BigEndian.Uint64(v))})
+			leases = append(leases, kv.Lease{ID: binary.BigEndian.Uint64(k), TTL: units.Microseconds(binary.BigEndian.Uint64(v))})
 			return nil
 		})
 	})
--- a/internal/emulator/host/front.go
+++ b/internal/emulator/host/front.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/balance"
 	"shalestage.example/shalestage/internal/emulator/link"
 	"shalestage.example/shalestage/internal/wire"
@@ -41,7 +41,7 @@
 // Run probes until the context ends.
 func (f *Front) Run() { f.loop.run(f.ctx) }
 
-func (f *Front) settle(unit.Micros) error {
+func (f *Front) settle(units.Microseconds) error {
 	for _, e := range f.b.Drain() {
 		switch e := e.(type) {
 		case balance.Probe:
@@ -63,13 +63,13 @@
 	if err == nil {
 		_ = resp.Body.Close() // of no interest
 	}
-	f.loop.tell(f.ctx, func(now unit.Micros) { f.b.Probed(now, i, ok) })
+	f.loop.tell(f.ctx, func(now units.Microseconds) { f.b.Probed(now, i, ok) })
 }
 
 // Healthy returns how many controllers count as healthy.
 func (f *Front) Healthy() int {
 	n := 0
-	f.loop.do(f.ctx, func(unit.Micros) {
+	f.loop.do(f.ctx, func(units.Microseconds) {
 		for i := range f.nodes {
 			if f.b.Healthy(i) {
 				n++
@@ -96,7 +96,7 @@
 	var tried []int
 	for {
 		i := -1
-		f.loop.do(f.ctx, func(now unit.Micros) { i = f.b.Choose(now, tried) })
+		f.loop.do(f.ctx, func(now units.Microseconds) { i = f.b.Choose(now, tried) })
 		if i < 0 {
 			link.Cut(user)
 			return
@@ -104,13 +104,13 @@
 		tried = append(tried, i)
 		c, err := net.DialTimeout("tcp4", f.nodes[i], time.Duration(balance.AcceptWithin)*time.Microsecond)
 		if err != nil {
-			f.loop.do(f.ctx, func(now unit.Micros) { f.b.Failed(now, i) })
+			f.loop.do(f.ctx, func(now units.Microseconds) { f.b.Failed(now, i) })
 			continue
 		}
 		f.note(i, user, true)
-		f.loop.do(f.ctx, func(unit.Micros) { f.b.Opened(i) })
+		f.loop.do(f.ctx, func(units.Microseconds) { f.b.Opened(i) })
 		splice(user, c)
-		f.loop.do(f.ctx, func(unit.Micros) { f.b.Closed(i) })
+		f.loop.do(f.ctx, func(units.Microseconds) { f.b.Closed(i) })
 		f.note(i, user, false)
 		return
 	}
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"shalestage.example/shalestage/internal/cloud"
-	"shalestage.example/shalestage/internal/core/scale"
+	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/link"
 	"shalestage.example/shalestage/internal/emulator/rental"
@@ -56,7 +56,7 @@
 func TestStateOverHTTP(t *testing.T) {
 	s := newState(t, nil)
 	c := state.New(listen(t, s.Handler("node-0")), 1000, 1000, quiet)
-	o, id := c.OpenLease(5 * unit.Second)
+	o, id := c.OpenLease(5 * units.Second)
 	if o != store.OK || id == 0 {
 		t.Fatalf("lease: %v, %d", o, id)
 	}
@@ -77,7 +77,7 @@
 	}
 	waits := make(chan []store.Event)
 	go func() {
-		_, _, events, _ := c.Watch("p/", 1, 20*unit.Second)
+		_, _, events, _ := c.Watch("p/", 1, 20*units.Second)
 		waits <- events
 	}()
 	if o := c.RenewLease(id); o != store.OK {
@@ -102,7 +102,7 @@
 	if _, _, _, gone := c.Watch("p/", 0, 0); gone {
 		t.Error("two changes ago is called too old")
 	}
-	s.Do(func(now unit.Micros, m *kv.Service) { m.Refuse("node-0", now+unit.Second) })
+	s.Do(func(now units.Microseconds, m *kv.Service) { m.Refuse("node-0", now+units.Second) })
 	if o, _, _, _ := c.List("p/", "", 500); o != store.Refused {
 		t.Errorf("while this client is refused: %v", o)
 	}
@@ -126,7 +126,7 @@
 	}
 	s := newState(t, disk)
 	c := state.New(listen(t, s.Handler("x")), 1e6, 1e6, quiet)
-	_, lease := c.OpenLease(60 * unit.Second)
+	_, lease := c.OpenLease(60 * units.Second)
 	want := map[string]string{}
 	for i := range 30 {
 		key, value := fmt.Sprintf("k/%d", i%7), fmt.Sprintf(`{"n":%d}`, i)
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 		gotRev, lastLease, items, leases, err := d.Read()
-		if err != nil || gotRev != rev || lastLease != lease || len(leases) != 1 || leases[0].TTL != 60*unit.Second {
+		if err != nil || gotRev != rev || lastLease != lease || len(leases) != 1 || leases[0].TTL != 60*units.Second {
 			t.Fatalf("after %d: revision %d, want %d; leases %d, %+v; %v", i, gotRev, rev, lastLease, leases, err)
 		}
 		got := map[string]string{}
@@ -171,8 +171,8 @@
 // TestCloudOverHTTP has the controllers' own client talk to the emulated cloud.
 func TestCloudOverHTTP(t *testing.T) {
 	p := rental.Pool{Type: "big", Zone: "z"}
-	st := site.New(site.Config{ReportEvery: unit.Second, Lease: 10 * unit.Second, Cloud: rental.Config{Rate: 1000, Capacity: map[rental.Pool]int{p: 3},
-		Types: []rental.Type{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * unit.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
+	st := site.New(site.Config{ReportEvery: units.Second, Lease: 10 * units.Second, Cloud: rental.Config{Rate: 1000, Capacity: map[rental.Pool]int{p: 3},
+		Types: []rental.Type{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * units.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, quiet)
@@ -182,7 +182,7 @@
 	if o, types := cl.Types(); o != store.OK || len(types) != 1 || types[0].Name != "big" {
 		t.Fatalf("types: %v, %+v", o, types)
 	}
-	r := scale.Rent{Pool: scale.Pool{Type: "big", Zone: "z"}, Count: 2}
+	r := autoscaler.Rent{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: 2}
 	_, first := cl.Rent("r-1", r, yes)
 	_, again := cl.Rent("r-1", r, yes)
 	_, rest := cl.Rent("r-2", r, yes)
@@ -203,7 +203,7 @@
 	if _, hosts := cl.List(); len(hosts) != 1 {
 		t.Errorf("after the return: %+v", hosts)
 	}
-	c.Do(func(now unit.Micros, s *site.Site) { s.Cloud.Down(now + unit.Second) })
+	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.Down(now + units.Second) })
 	if o, _ := cl.Rent("r-4", r, yes); o != store.Refused {
 		t.Errorf("while the cloud is down: %v", o)
 	}
@@ -248,7 +248,7 @@
 // BenchmarkStateReads tells how many reads a second the state service answers.
 func BenchmarkStateReads(b *testing.B) {
 	s := newState(b, nil)
-	s.Do(func(now unit.Micros, m *kv.Service) {
+	s.Do(func(now units.Microseconds, m *kv.Service) {
 		m.SetLimits(kv.Limits{Rate: 1e9, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 12})
 		m.Commit(now, "x", kv.Txn{Changes: []kv.Change{{Key: "a/b", Value: json.RawMessage(`{"x":1}`)}}})
 	})
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
@@ -22,9 +22,9 @@
 // and checkpoints are stored outside of its machine.
 type Jobs interface {
 	// Fetch returns a task's job with what is stored of the task; nil: there is no such job.
-	Fetch(id ledger.TaskID) (*work.Job, error)
+	Fetch(id jobs.TaskID) (*work.Job, error)
 	// Store stores what is known of a task: whether it has completed, and its saved progress.
-	Store(id ledger.TaskID, finished bool, saved unit.Micros) error
+	Store(id jobs.TaskID, finished bool, saved units.Microseconds) error
 }
 
 // LoneWorker runs one machine's worker at a time, alone in its process: what a machine
@@ -104,15 +104,15 @@
 func (l *LoneWorker) Reports() uint64 { return l.calls.Load() }
 
 // Next implements model.
-func (l *LoneWorker) Next() unit.Micros {
+func (l *LoneWorker) Next() units.Microseconds {
 	if l.worker == nil {
-		return unit.Never
+		return units.Never
 	}
 	return l.worker.Next()
 }
 
 // Advance implements model.
-func (l *LoneWorker) Advance(now unit.Micros) {
+func (l *LoneWorker) Advance(now units.Microseconds) {
 	if l.worker != nil {
 		l.worker.Advance(now)
 	}
@@ -122,7 +122,7 @@
 
 // Begin lets the worker of a machine begin.
 func (l *LoneWorker) Begin(c machine.Config, f machine.Fault) (err error) {
-	l.loop.do(l.ctx, func(now unit.Micros) {
+	l.loop.do(l.ctx, func(now units.Microseconds) {
 		if l.worker != nil {
 			err = errHasMachine
 			return
@@ -136,7 +136,7 @@
 
 // End ends the machine with all that is on it. Another may begin after that.
 func (l *LoneWorker) End(name string) {
-	l.loop.do(l.ctx, func(now unit.Micros) {
+	l.loop.do(l.ctx, func(now units.Microseconds) {
 		if l.worker == nil || l.owner.Name != name {
 			return
 		}
@@ -148,7 +148,7 @@
 
 // Running returns how many tasks are on the machine with their image.
 func (l *LoneWorker) Running() (n int) {
-	l.loop.do(l.ctx, func(unit.Micros) {
+	l.loop.do(l.ctx, func(units.Microseconds) {
 		if l.worker != nil {
 			n = l.worker.Running()
 		}
@@ -157,7 +157,7 @@
 }
 
 // settle stores what has ended before a report can tell of it.
-func (l *LoneWorker) settle(unit.Micros) error {
+func (l *LoneWorker) settle(units.Microseconds) error {
 	if l.worker == nil {
 		return nil
 	}
@@ -185,7 +185,7 @@
 func (l *LoneWorker) send(w *machine.Worker, zone string, r machine.Report) {
 	a := sendReport(l.client, l.nodes[zone][r.Node], r)
 	jobs := l.fetch(a)
-	l.loop.tell(l.ctx, func(now unit.Micros) {
+	l.loop.tell(l.ctx, func(now units.Microseconds) {
 		if l.worker != w {
 			return // the machine is gone
 		}
@@ -200,7 +200,7 @@
 
 // fetched is what is stored of a task that is to start.
 type fetched struct {
-	id  ledger.TaskID
+	id  jobs.TaskID
 	job *work.Job
 }
 
@@ -255,7 +255,7 @@
 func (l *LoneWorker) Serve(in net.Listener) error {
 	h := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.MachineReport, taken, found bool) {
 		jobs := l.fetch(machine.Answer{Commands: o.Commands})
-		l.loop.do(ctx, func(now unit.Micros) {
+		l.loop.do(ctx, func(now units.Microseconds) {
 			if found = l.worker != nil; found {
 				l.learn(jobs)
 				taken = l.worker.Direct(now, *o.Token, *o.Session, o.Commands)
@@ -264,7 +264,7 @@
 		})
 		return body, taken, found
 	}, func(ctx context.Context) (body wire.MachineReport, found bool) {
-		l.loop.do(ctx, func(unit.Micros) {
+		l.loop.do(ctx, func(units.Microseconds) {
 			if found = l.worker != nil; found {
 				body = wire.EncodeReport(l.worker.List())
 			}
--- a/internal/emulator/host/lone_test.go
+++ b/internal/emulator/host/lone_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
@@ -23,7 +23,7 @@
 	mu    sync.Mutex
 	said  []string
 	job   *work.Job
-	saved unit.Micros
+	saved units.Microseconds
 }
 
 func (s *storedTasks) say(text string) {
@@ -38,9 +38,9 @@
 	return slices.Clone(s.said)
 }
 
-func (s *storedTasks) Fetch(ledger.TaskID) (*work.Job, error) { return s.job, nil }
+func (s *storedTasks) Fetch(jobs.TaskID) (*work.Job, error) { return s.job, nil }
 
-func (s *storedTasks) Store(id ledger.TaskID, finished bool, saved unit.Micros) error {
+func (s *storedTasks) Store(id jobs.TaskID, finished bool, saved units.Microseconds) error {
 	s.saved = saved
 	if finished {
 		s.say("stored done " + id.String())
@@ -50,9 +50,9 @@
 	return nil
 }
 
-func (s *storedTasks) Began(_ *rental.Machine, id ledger.TaskID) { s.say("began " + id.String()) }
+func (s *storedTasks) Began(_ *rental.Machine, id jobs.TaskID) { s.say("began " + id.String()) }
 
-func (s *storedTasks) Ended(_ *rental.Machine, id ledger.TaskID, _ bool) {
+func (s *storedTasks) Ended(_ *rental.Machine, id jobs.TaskID, _ bool) {
 	s.say("ended " + id.String())
 }
 
@@ -60,9 +60,9 @@
 // completes and is stored before it is reported, the other is stopped with its machine and
 // its progress is stored.
 func TestLoneWorker(t *testing.T) {
-	spec := &ledger.Spec{Tasks: 2, Demand: pack.Vec{1000, 0, 1000}, Image: "plain", Checkpoint: unit.Second / 1000}
-	store := &storedTasks{job: &work.Job{ID: "wk-000001", Spec: spec, Run: 50 * unit.Second / 1000}}
-	long := &work.Job{ID: "wk-000002", Spec: spec, Run: 3600 * unit.Second}
+	spec := &jobs.Spec{Tasks: 2, Demand: binpack.Vec{1000, 0, 1000}, Image: "plain", Checkpoint: units.Second / 1000}
+	store := &storedTasks{job: &work.Job{ID: "wk-000001", Spec: spec, Run: 50 * units.Second / 1000}}
+	long := &work.Job{ID: "wk-000002", Spec: spec, Run: 3600 * units.Second}
 	jobs := &twoJobs{store, long}
 	var mu sync.Mutex
 	var reports []wire.MachineReport
@@ -85,8 +85,8 @@
 	defer cancel()
 	w := NewLoneWorker(ctx, map[string]map[string]string{"a": {"node-0": node}}, jobs, store, rand.New(rand.NewPCG(1, 1)), quiet)
 	go w.Run()
-	c := machine.Config{Name: "n-1", Type: "big", Zone: "a", Capacity: pack.Vec{4000, 0, 8000}, FetchMBs: 1000,
-		ReportEvery: unit.Second / 2, Lease: 60 * unit.Second, Nodes: []string{"node-0"}}
+	c := machine.Config{Name: "n-1", Type: "big", Zone: "a", Capacity: binpack.Vec{4000, 0, 8000}, FetchMBs: 1000,
+		ReportEvery: units.Second / 2, Lease: 60 * units.Second, Nodes: []string{"node-0"}}
 	if err := w.Begin(c, machine.Fault{Speed: 1}); err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 	long *work.Job
 }
 
-func (s *twoJobs) Fetch(id ledger.TaskID) (*work.Job, error) {
+func (s *twoJobs) Fetch(id jobs.TaskID) (*work.Job, error) {
 	if id.Job == s.long.ID {
 		return s.long, nil
 	}
--- a/internal/emulator/host/loop.go
+++ b/internal/emulator/host/loop.go
@@ -11,14 +11,14 @@
 	"strconv"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/wire"
 )
 
 // model is what a loop drives.
 type model interface {
-	Next() unit.Micros
-	Advance(now unit.Micros)
+	Next() units.Microseconds
+	Advance(now units.Microseconds)
 }
 
 // loop owns a model. What is done to it is handed to the loop as a function;
@@ -27,12 +27,12 @@
 	m      model
 	began  time.Time
 	inbox  chan request
-	settle func(now unit.Micros) error
+	settle func(now units.Microseconds) error
 	failed func(error)
 }
 
 type request struct {
-	do   func(now unit.Micros)
+	do   func(now units.Microseconds)
 	done chan struct{}
 }
 
@@ -41,11 +41,13 @@
 	batchSize = 512 // requests that are settled together
 )
 
-func newLoop(m model, settle func(now unit.Micros) error, failed func(error)) *loop {
+func newLoop(m model, settle func(now units.Microseconds) error, failed func(error)) *loop {
 	return &loop{m: m, began: time.Now(), inbox: make(chan request, inboxSize), settle: settle, failed: failed}
 }
 
-func (l *loop) now() unit.Micros { return unit.Micros(time.Since(l.began).Microseconds()) }
+func (l *loop) now() units.Microseconds {
+	return units.Microseconds(time.Since(l.began).Microseconds())
+}
 
 // run drives the model until the context ends.
 func (l *loop) run(ctx context.Context) {
@@ -53,7 +55,7 @@
 	defer timer.Stop()
 	for {
 		wait := max(l.m.Next()-l.now(), 0)
-		timer.Reset(time.Duration(min(wait, 3600*unit.Second)) * time.Microsecond)
+		timer.Reset(time.Duration(min(wait, 3600*units.Second)) * time.Microsecond)
 		var batch []request
 		select {
 		case <-ctx.Done():
@@ -87,7 +89,7 @@
 
 // do runs a function on the model's goroutine and waits until it is settled; it
 // reports whether it was, before the context ended.
-func (l *loop) do(ctx context.Context, f func(now unit.Micros)) bool {
+func (l *loop) do(ctx context.Context, f func(now units.Microseconds)) bool {
 	r := request{f, make(chan struct{})}
 	select {
 	case l.inbox <- r:
@@ -103,7 +105,7 @@
 }
 
 // tell runs a function on the model's goroutine, some time.
-func (l *loop) tell(ctx context.Context, f func(now unit.Micros)) {
+func (l *loop) tell(ctx context.Context, f func(now units.Microseconds)) {
 	select {
 	case l.inbox <- request{f, make(chan struct{})}:
 	case <-ctx.Done():
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -15,7 +15,7 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/wire"
 )
@@ -56,7 +56,7 @@
 func (s *State) Run(ctx context.Context) { s.loop.run(ctx) }
 
 // settle stores what has changed, then hands watches their answers.
-func (s *State) settle(unit.Micros) error {
+func (s *State) settle(units.Microseconds) error {
 	if s.disk != nil {
 		if err := s.disk.Write(s.kv); err != nil {
 			return err
@@ -75,8 +75,8 @@
 func (s *State) Serve(l net.Listener, client string) error { return server(s.Handler(client)).Serve(l) }
 
 // Do runs a function on the model, for faults by command.
-func (s *State) Do(f func(now unit.Micros, m *kv.Service)) {
-	s.loop.do(context.Background(), func(now unit.Micros) { f(now, s.kv) })
+func (s *State) Do(f func(now units.Microseconds, m *kv.Service)) {
+	s.loop.do(context.Background(), func(now units.Microseconds) { f(now, s.kv) })
 }
 
 // Slow makes every answer take longer by d.
@@ -123,7 +123,7 @@
 		var it kv.Item
 		var rev uint64
 		var code int
-		if !s.loop.do(req.Context(), func(now unit.Micros) { it, rev, code = s.kv.Get(now, client, key) }) {
+		if !s.loop.do(req.Context(), func(now units.Microseconds) { it, rev, code = s.kv.Get(now, client, key) }) {
 			return
 		}
 		s.pause()
@@ -143,7 +143,7 @@
 			page = -1 // malformed, but counted
 		}
 		var l kv.Listing
-		if !s.loop.do(req.Context(), func(now unit.Micros) { l = s.kv.List(now, client, q.Get("starts"), q.Get("after"), page) }) {
+		if !s.loop.do(req.Context(), func(now units.Microseconds) { l = s.kv.List(now, client, q.Get("starts"), q.Get("after"), page) }) {
 			return
 		}
 		s.pause()
@@ -165,7 +165,7 @@
 		}
 		var id uint64
 		var code int
-		if !s.loop.do(req.Context(), func(now unit.Micros) { id, code = s.kv.Open(now, client, unit.Micros(b.TTLMillis)*1000) }) {
+		if !s.loop.do(req.Context(), func(now units.Microseconds) { id, code = s.kv.Open(now, client, units.Microseconds(b.TTLMillis)*1000) }) {
 			return
 		}
 		s.pause()
@@ -181,14 +181,14 @@
 	return r
 }
 
-func (s *State) lease(w http.ResponseWriter, req *http.Request, client string, f func(*kv.Service, unit.Micros, string, uint64) int) {
+func (s *State) lease(w http.ResponseWriter, req *http.Request, client string, f func(*kv.Service, units.Microseconds, string, uint64) int) {
 	id, err := strconv.ParseUint(chi.URLParam(req, "id"), 10, 64)
 	if err != nil {
 		problem(w, http.StatusBadRequest, "lease")
 		return
 	}
 	var code int
-	if !s.loop.do(req.Context(), func(now unit.Micros) { code = f(s.kv, now, client, id) }) {
+	if !s.loop.do(req.Context(), func(now units.Microseconds) { code = f(s.kv, now, client, id) }) {
 		return
 	}
 	s.pause()
@@ -217,13 +217,13 @@
 	}
 	if s.falls(&s.late) {
 		time.AfterFunc(s.lateBy(), func() {
-			s.loop.tell(context.Background(), func(now unit.Micros) { s.kv.Commit(now, client, t) })
+			s.loop.tell(context.Background(), func(now units.Microseconds) { s.kv.Commit(now, client, t) })
 		})
 		<-req.Context().Done()
 		return
 	}
 	var res kv.Result
-	if !s.loop.do(req.Context(), func(now unit.Micros) { res = s.kv.Commit(now, client, t) }) {
+	if !s.loop.do(req.Context(), func(now units.Microseconds) { res = s.kv.Commit(now, client, t) }) {
 		return
 	}
 	if s.falls(&s.unanswered) {
@@ -254,11 +254,11 @@
 	}
 	ch := make(chan kv.Changes, 1)
 	var id uint64
-	if !s.loop.do(req.Context(), func(now unit.Micros) {
+	if !s.loop.do(req.Context(), func(now units.Microseconds) {
 		s.next++
 		id = s.next
 		s.watches[id] = ch
-		s.kv.Watch(now, id, client, q.Get("starts"), after, unit.Micros(wait)*1000)
+		s.kv.Watch(now, id, client, q.Get("starts"), after, units.Microseconds(wait)*1000)
 	}) {
 		return
 	}
@@ -279,7 +279,7 @@
 		}
 		answer(w, http.StatusOK, out)
 	case <-req.Context().Done():
-		s.loop.tell(context.Background(), func(unit.Micros) {
+		s.loop.tell(context.Background(), func(units.Microseconds) {
 			delete(s.watches, id)
 			s.kv.Close(id)
 		})
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"shalestage.example/shalestage/internal/client"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
@@ -32,11 +32,11 @@
 func (u *Users) Run() { u.loop.run(u.ctx) }
 
 // Do runs a function on the model.
-func (u *Users) Do(f func(now unit.Micros, c *user.Crowd)) bool {
-	return u.loop.do(u.ctx, func(now unit.Micros) { f(now, u.crowd) })
+func (u *Users) Do(f func(now units.Microseconds, c *user.Crowd)) bool {
+	return u.loop.do(u.ctx, func(now units.Microseconds) { f(now, u.crowd) })
 }
 
-func (u *Users) settle(now unit.Micros) error {
+func (u *Users) settle(now units.Microseconds) error {
 	for _, e := range u.crowd.Drain() {
 		if call, ok := e.(user.Call); ok {
 			go u.call(call)
@@ -63,7 +63,7 @@
 	if err != nil {
 		r = client.Reply{}
 	}
-	u.loop.tell(u.ctx, func(now unit.Micros) {
+	u.loop.tell(u.ctx, func(now units.Microseconds) {
 		u.crowd.Answer(now, e.Number, user.Answer{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
 	})
 }
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -14,7 +14,7 @@
 
 	"github.com/google/btree"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 )
 
@@ -25,10 +25,10 @@
 	MaxPageBytes = 512 << 10 // bytes of a listing
 	MaxTxn       = 64 << 10  // bytes of a transaction
 	Kept         = 10_000    // changes that watches may look back on
-	maxWait      = 60 * unit.Second
-	minTTL       = unit.Second / 10
-	maxTTL       = 600 * unit.Second
-	maxLate      = unit.Second / 10 // by which a lease may end late
+	maxWait      = 60 * units.Second
+	minTTL       = units.Second / 10
+	maxTTL       = 600 * units.Second
+	maxLate      = units.Second / 10 // by which a lease may end late
 )
 
 // Limits of the service. Rates are a second and allow bursts of one second's worth.
@@ -101,12 +101,12 @@
 // Lease is what is kept of a lease, for who stores the service's data.
 type Lease struct {
 	ID  uint64
-	TTL unit.Micros
+	TTL units.Microseconds
 }
 
 type lease struct {
 	Lease
-	ends unit.Micros // when it ends unless it is renewed, lateness included
+	ends units.Microseconds // when it ends unless it is renewed, lateness included
 	keys map[string]bool
 }
 
@@ -115,7 +115,7 @@
 	from   string
 	prefix string
 	after  uint64
-	until  unit.Micros
+	until  units.Microseconds
 }
 
 // Service is the state service.
@@ -133,8 +133,8 @@
 	timeouts  agenda.Agenda[uint64] // watches, by when their time runs out
 	requests  bucket
 	changes   bucket
-	outage    unit.Micros            // until when nobody is served
-	refused   map[string]unit.Micros // until when one client is not
+	outage    units.Microseconds            // until when nobody is served
+	refused   map[string]units.Microseconds // until when one client is not
 	out       []Changes
 	undo      []undo // of the last transactions, for Lose
 
@@ -152,11 +152,11 @@
 // bucket counts what was used of a rate with a burst of one second's worth.
 type bucket struct {
 	used float64
-	at   unit.Micros
+	at   units.Microseconds
 }
 
 // take uses n of a rate unless that is more than there is.
-func (b *bucket) take(now unit.Micros, rate, n float64) bool {
+func (b *bucket) take(now units.Microseconds, rate, n float64) bool {
 	b.used = max(0, b.used-(now-b.at).Seconds()*rate)
 	b.at = now
 	if b.used+n > rate {
@@ -168,13 +168,13 @@
 
 // New returns an empty service.
 func New(l Limits, rng *rand.Rand) *Service {
-	return &Service{limits: l, rng: rng, leases: map[uint64]*lease{}, refused: map[string]unit.Micros{},
+	return &Service{limits: l, rng: rng, leases: map[uint64]*lease{}, refused: map[string]units.Microseconds{},
 		keys: btree.NewG(32, func(a, b Item) bool { return a.Key < b.Key })}
 }
 
 // Restore fills an empty service with stored data. Each lease has its full time
 // again, as after an outage.
-func (s *Service) Restore(now unit.Micros, rev, lastLease uint64, items []Item, leases []Lease) {
+func (s *Service) Restore(now units.Microseconds, rev, lastLease uint64, items []Item, leases []Lease) {
 	s.rev, s.oldest, s.nextLease = rev, rev, lastLease
 	for _, l := range leases {
 		s.addLease(now, l)
@@ -247,7 +247,7 @@
 
 // Down puts the service out of order until a time. Watches stay open, and no
 // lease ends: after it each has its full time again.
-func (s *Service) Down(now, until unit.Micros) {
+func (s *Service) Down(now, until units.Microseconds) {
 	s.Advance(now)
 	s.outage = max(s.outage, until)
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
@@ -258,15 +258,15 @@
 }
 
 // Refuse serves one client no more until a time. Its leases run out meanwhile.
-func (s *Service) Refuse(client string, until unit.Micros) { s.refused[client] = until }
+func (s *Service) Refuse(client string, until units.Microseconds) { s.refused[client] = until }
 
-func (s *Service) late() unit.Micros { return unit.Micros(s.rng.Int64N(int64(maxLate))) }
+func (s *Service) late() units.Microseconds { return units.Microseconds(s.rng.Int64N(int64(maxLate))) }
 
 // Refuses reports whether one client is not served at a time.
-func (s *Service) Refuses(now unit.Micros, client string) bool { return !s.serves(now, client) }
+func (s *Service) Refuses(now units.Microseconds, client string) bool { return !s.serves(now, client) }
 
 // admit counts a request and returns 200, or the status that refuses it.
-func (s *Service) admit(now unit.Micros, from string) int {
+func (s *Service) admit(now units.Microseconds, from string) int {
 	s.Advance(now)
 	switch {
 	case !s.serves(now, from):
@@ -277,7 +277,7 @@
 	return http.StatusOK
 }
 
-func (s *Service) serves(now unit.Micros, from string) bool {
+func (s *Service) serves(now units.Microseconds, from string) bool {
 	return now >= s.outage && now >= s.refused[from]
 }
 
@@ -285,7 +285,7 @@
 func ValidKey(k string) bool { return k != "" && len(k) <= MaxKey && !strings.Contains(k, " ") }
 
 // Get reads one key; the status is 200 or 404, or one that refuses.
-func (s *Service) Get(now unit.Micros, from, key string) (Item, uint64, int) {
+func (s *Service) Get(now units.Microseconds, from, key string) (Item, uint64, int) {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return Item{}, s.rev, code
 	}
@@ -298,7 +298,7 @@
 
 // List reads keys with a prefix in their order, beginning after a key. page 0
 // asks for as many as a response may hold.
-func (s *Service) List(now unit.Micros, from, prefix, after string, page int) Listing {
+func (s *Service) List(now units.Microseconds, from, prefix, after string, page int) Listing {
 	code := s.admit(now, from)
 	if code != http.StatusOK {
 		return Listing{Code: code}
@@ -330,7 +330,7 @@
 }
 
 // Commit carries a transaction out, or not at all.
-func (s *Service) Commit(now unit.Micros, from string, t Txn) Result {
+func (s *Service) Commit(now units.Microseconds, from string, t Txn) Result {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return Result{Code: code, Rev: s.rev}
 	}
@@ -381,7 +381,7 @@
 
 // apply makes changes at one new revision. Where all that is to be removed is gone
 // already, nothing changes.
-func (s *Service) apply(now unit.Micros, changes []Change) {
+func (s *Service) apply(now units.Microseconds, changes []Change) {
 	if !slices.ContainsFunc(changes, func(c Change) bool { return c.Value != nil || s.keys.Has(Item{Key: c.Key}) }) {
 		return
 	}
@@ -450,7 +450,7 @@
 
 // Watch asks for the changes with a prefix after a revision. Its one answer comes
 // out of Drain, at the latest when the wait is over and the service works.
-func (s *Service) Watch(now unit.Micros, id uint64, from, prefix string, after uint64, wait unit.Micros) {
+func (s *Service) Watch(now units.Microseconds, id uint64, from, prefix string, after uint64, wait units.Microseconds) {
 	if code := s.admit(now, from); code != http.StatusOK {
 		s.out = append(s.out, Changes{ID: id, Code: code})
 		return
@@ -473,7 +473,7 @@
 
 // answer answers a watch if it is time. During an outage, and for a client that
 // is refused, open watches wait.
-func (s *Service) answer(now unit.Micros, w *watch) bool {
+func (s *Service) answer(now units.Microseconds, w *watch) bool {
 	if !s.serves(now, w.from) {
 		return false
 	}
@@ -489,12 +489,12 @@
 	return true
 }
 
-func (s *Service) wake(now unit.Micros) {
+func (s *Service) wake(now units.Microseconds) {
 	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return s.answer(now, w) })
 }
 
 // Open makes a lease; 400 if the time is out of bounds.
-func (s *Service) Open(now unit.Micros, from string, ttl unit.Micros) (uint64, int) {
+func (s *Service) Open(now units.Microseconds, from string, ttl units.Microseconds) (uint64, int) {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return 0, code
 	}
@@ -506,7 +506,7 @@
 	return s.nextLease, http.StatusOK
 }
 
-func (s *Service) addLease(now unit.Micros, l Lease) {
+func (s *Service) addLease(now units.Microseconds, l Lease) {
 	n := &lease{Lease: l, ends: now + l.TTL + s.late(), keys: map[string]bool{}}
 	s.leases[l.ID] = n
 	s.touchLease(l.ID)
@@ -514,7 +514,7 @@
 }
 
 // Renew gives a lease its full time again; 404 if it has ended.
-func (s *Service) Renew(now unit.Micros, from string, id uint64) int {
+func (s *Service) Renew(now units.Microseconds, from string, id uint64) int {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return code
 	}
@@ -528,7 +528,7 @@
 }
 
 // End ends a lease at once; 404 if it has ended.
-func (s *Service) End(now unit.Micros, from string, id uint64) int {
+func (s *Service) End(now units.Microseconds, from string, id uint64) int {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return code
 	}
@@ -539,7 +539,7 @@
 	return http.StatusOK
 }
 
-func (s *Service) end(now unit.Micros, id uint64) {
+func (s *Service) end(now units.Microseconds, id uint64) {
 	l := s.leases[id]
 	delete(s.leases, id)
 	s.touchLease(id)
@@ -555,10 +555,10 @@
 }
 
 // Next returns when Advance is next of use.
-func (s *Service) Next() unit.Micros { return min(s.ending.Next(), s.timeouts.Next()) }
+func (s *Service) Next() units.Microseconds { return min(s.ending.Next(), s.timeouts.Next()) }
 
 // Advance lets time pass: leases end, and watches whose time is over are answered.
-func (s *Service) Advance(now unit.Micros) {
+func (s *Service) Advance(now units.Microseconds) {
 	for {
 		at, id, ok := s.ending.Due(now)
 		if !ok {
@@ -605,7 +605,7 @@
 // service would that was put back to an older copy of its data: beyond what the
 // protocol allows. The revision goes back with them, and later transactions that
 // the copy does not have are lost too. It returns how many were undone.
-func (s *Service) Lose(now unit.Micros, prefix string, n int) int {
+func (s *Service) Lose(now units.Microseconds, prefix string, n int) int {
 	s.Advance(now)
 	cut, found := len(s.undo), 0
 	for i := len(s.undo) - 1; i >= 0 && found < n; i-- {
--- a/internal/emulator/kv/kv_test.go
+++ b/internal/emulator/kv/kv_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
@@ -22,8 +22,8 @@
 	keys    map[string]Item
 	history []Event
 	rev     uint64
-	leases  map[uint64]unit.Micros // by when they would surely have ended
-	sure    map[uint64]unit.Micros // until when they surely have not
+	leases  map[uint64]units.Microseconds // by when they would surely have ended
+	sure    map[uint64]units.Microseconds // until when they surely have not
 }
 
 func (r *reference) drop(k string) {
@@ -39,10 +39,10 @@
 func TestAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 64, TxnOps: 4}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-		r := &reference{keys: map[string]Item{}, leases: map[uint64]unit.Micros{}, sure: map[uint64]unit.Micros{}}
-		now := unit.Micros(0)
-		ttl := map[uint64]unit.Micros{}
-		down := unit.Micros(0)
+		r := &reference{keys: map[string]Item{}, leases: map[uint64]units.Microseconds{}, sure: map[uint64]units.Microseconds{}}
+		now := units.Microseconds(0)
+		ttl := map[uint64]units.Microseconds{}
+		down := units.Microseconds(0)
 		key := rapid.Custom(func(t *rapid.T) string {
 			return fmt.Sprintf("%s/%d", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "p"), rapid.IntRange(0, 5).Draw(t, "n"))
 		})
@@ -80,12 +80,12 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
-				now += unit.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "d"))
+				now += units.Microseconds(rapid.Int64Range(0, 3_000_000).Draw(t, "d"))
 				s.Advance(now)
 				settle()
 			},
 			"outage": func(t *rapid.T) {
-				down = max(down, now+unit.Micros(rapid.Int64Range(0, 5_000_000).Draw(t, "for")))
+				down = max(down, now+units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "for")))
 				s.Down(now, down)
 				settle()
 				for id := range r.leases {
@@ -93,7 +93,7 @@
 				}
 			},
 			"open": func(t *rapid.T) {
-				d := unit.Micros(rapid.Int64Range(0, 5_000_000).Draw(t, "ttl"))
+				d := units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "ttl"))
 				id, code := s.Open(now, "x", d)
 				settle()
 				if ok := d >= minTTL && now >= down; ok != (code == http.StatusOK) {
@@ -255,14 +255,14 @@
 // their client alone: they stay open, and are answered after it.
 func TestWatchesOutliveOutages(t *testing.T) {
 	s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 100, TxnOps: 4}, rand.New(rand.NewPCG(1, 1)))
-	s.Watch(0, 1, "x", "", 0, 2*unit.Second)
-	s.Watch(0, 2, "y", "", 0, 2*unit.Second)
-	s.Refuse("x", 5*unit.Second)
-	s.Commit(unit.Second, "y", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}})
+	s.Watch(0, 1, "x", "", 0, 2*units.Second)
+	s.Watch(0, 2, "y", "", 0, 2*units.Second)
+	s.Refuse("x", 5*units.Second)
+	s.Commit(units.Second, "y", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}})
 	if out := s.Drain(); len(out) != 1 || out[0].ID != 2 || len(out[0].Events) != 1 {
 		t.Fatalf("while x is refused: %+v", out)
 	}
-	for s.Next() <= 20*unit.Second && len(s.watches) > 0 {
+	for s.Next() <= 20*units.Second && len(s.watches) > 0 {
 		s.Advance(s.Next())
 	}
 	if out := s.Drain(); len(out) != 1 || out[0].ID != 1 || len(out[0].Events) != 1 {
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -10,18 +10,18 @@
 	"slices"
 	"strings"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
 // Times of the protocol.
 const (
-	AnswerWithin = 4 * unit.Second
-	changeGap    = unit.Second / 2 // between reports of changes
-	retryPause   = unit.Second
+	AnswerWithin = 4 * units.Second
+	changeGap    = units.Second / 2 // between reports of changes
+	retryPause   = units.Second
 )
 
 // Config describes a machine.
@@ -29,11 +29,11 @@
 	Name, Addr  string
 	Type, Zone  string
 	Spot        bool
-	Capacity    pack.Vec
+	Capacity    binpack.Vec
 	CacheMB     int64
 	FetchMBs    int64 // megabytes a second, shared by all fetches
-	ReportEvery unit.Micros
-	Lease       unit.Micros
+	ReportEvery units.Microseconds
+	Lease       units.Microseconds
 	Nodes       []string // controllers, in the order in which they are tried
 	Clock       float64  // rate of its steady clock, about 1
 }
@@ -50,14 +50,14 @@
 	Report struct {
 		Node   string
 		Number int
-		Body   *fleet.Report
-		Saved  map[ledger.TaskID]bool // of the stopped tasks, whose progress was saved
+		Body   *fleet.Heartbeat
+		Saved  map[jobs.TaskID]bool // of the stopped tasks, whose progress was saved
 	}
 	// Began says that a task is on the machine with its image; Ended that it no
 	// longer is, and whether it completed.
-	Began struct{ Task ledger.TaskID }
+	Began struct{ Task jobs.TaskID }
 	Ended struct {
-		Task      ledger.TaskID
+		Task      jobs.TaskID
 		Completed bool
 	}
 )
@@ -78,7 +78,7 @@
 }
 
 // Starts returns the tasks that an answer starts, if it is acted on.
-func (a Answer) Starts() (out []ledger.TaskID) {
+func (a Answer) Starts() (out []jobs.TaskID) {
 	for _, c := range a.Commands {
 		if c.Op == fleet.Start {
 			out = append(out, c.ID)
@@ -88,7 +88,7 @@
 }
 
 type task struct {
-	id      ledger.TaskID
+	id      jobs.TaskID
 	attempt uint64
 	state   fleet.State
 	cause   fleet.Cause
@@ -96,9 +96,9 @@
 	job     *work.Job
 	// A running task has done progress by the time since, and ends at ends; a
 	// saving one has saved at ends.
-	progress unit.Micros
-	since    unit.Micros
-	ends     unit.Micros
+	progress units.Microseconds
+	since    units.Microseconds
+	ends     units.Microseconds
 }
 
 // Worker is a machine with its worker.
@@ -107,36 +107,36 @@
 	fault Fault
 	book  work.Book
 	rng   *rand.Rand
-	now   unit.Micros
+	now   units.Microseconds
 
 	node      int
 	session   uint64
 	seq       uint64
 	token     uint64
-	leaseFrom unit.Micros // when the last report that got an answer was sent
-	noticeAt  unit.Micros // when the cloud takes the machine, by its word; Never: no notice
-	hungTill  unit.Micros
+	leaseFrom units.Microseconds // when the last report that got an answer was sent
+	noticeAt  units.Microseconds // when the cloud takes the machine, by its word; Never: no notice
+	hungTill  units.Microseconds
 	unread    *unread // an answer that came while the machine stands still
-	deafTill  unit.Micros
-	muteTill  unit.Micros
+	deafTill  units.Microseconds
+	muteTill  units.Microseconds
 
-	reportAt   unit.Micros // the next report, unless something changes before
+	reportAt   units.Microseconds // the next report, unless something changes before
 	changed    bool
-	lastReport unit.Micros
-	notBefore  unit.Micros // pause after a failure
-	inFlight   int         // number of the report under way; 0: none
-	sentAt     unit.Micros
+	lastReport units.Microseconds
+	notBefore  units.Microseconds // pause after a failure
+	inFlight   int                // number of the report under way; 0: none
+	sentAt     units.Microseconds
 	sentIn     uint64 // session
 	reports    int
-	tokenTold  unit.Micros // when a higher token last counted as a change
+	tokenTold  units.Microseconds // when a higher token last counted as a change
 
-	tasks   map[ledger.TaskID]*task
+	tasks   map[jobs.TaskID]*task
 	refused []*task // refusals that stand beside an attempt of the same task
-	free    pack.Vec
+	free    binpack.Vec
 	cache   []string // images, the most recently used last
 	cached  map[string]int64
 	fetches map[string]*fetch
-	fetched unit.Micros // up to when fetches have gone on
+	fetched units.Microseconds // up to when fetches have gone on
 	out     []any
 }
 
@@ -147,9 +147,9 @@
 }
 
 // New returns a worker that has just begun.
-func New(cfg Config, f Fault, book work.Book, now unit.Micros, rng *rand.Rand) *Worker {
-	w := &Worker{cfg: cfg, fault: f, book: book, rng: rng, now: now, session: 1, leaseFrom: now, noticeAt: unit.Never,
-		free: cfg.Capacity, tasks: map[ledger.TaskID]*task{}, cached: map[string]int64{}, fetches: map[string]*fetch{},
+func New(cfg Config, f Fault, book work.Book, now units.Microseconds, rng *rand.Rand) *Worker {
+	w := &Worker{cfg: cfg, fault: f, book: book, rng: rng, now: now, session: 1, leaseFrom: now, noticeAt: units.Never,
+		free: cfg.Capacity, tasks: map[jobs.TaskID]*task{}, cached: map[string]int64{}, fetches: map[string]*fetch{},
 		fetched: now, reportAt: now, lastReport: now - changeGap, tokenTold: now - cfg.Lease}
 	if len(cfg.Nodes) > 0 {
 		w.node = rng.IntN(len(cfg.Nodes))
@@ -173,7 +173,7 @@
 
 // Use returns what the tasks take that are on the machine, and those that wait for their
 // image.
-func (w *Worker) Use() (running, fetching pack.Vec) {
+func (w *Worker) Use() (running, fetching binpack.Vec) {
 	for _, t := range w.tasks {
 		switch {
 		case t.on():
@@ -186,7 +186,7 @@
 }
 
 // Free returns the room that is left, and the tasks that take the rest.
-func (w *Worker) Free() (free pack.Vec, taken []ledger.TaskID) {
+func (w *Worker) Free() (free binpack.Vec, taken []jobs.TaskID) {
 	for _, id := range w.ids() {
 		if w.tasks[id].state != fleet.Exited {
 			taken = append(taken, id)
@@ -197,7 +197,7 @@
 
 // Left returns the tasks that are on the machine, in the order of their names, and how much
 // longer each is, while nothing stops it.
-func (w *Worker) Left(now unit.Micros) (out []Remaining) {
+func (w *Worker) Left(now units.Microseconds) (out []Remaining) {
 	for _, id := range w.ids() {
 		if t := w.tasks[id]; t.on() {
 			out = append(out, Remaining{id, t.ends - now})
@@ -208,20 +208,20 @@
 
 // Remaining is a task on a machine, and how much longer it takes.
 type Remaining struct {
-	Task ledger.TaskID
-	Time unit.Micros
+	Task jobs.TaskID
+	Time units.Microseconds
 }
 
 // Doubtful reports whether something is wrong with the machine, or the cloud is about to take
 // it away.
 func (w *Worker) Doubtful() bool {
-	return w.fault.Sick || w.noticeAt != unit.Never
+	return w.fault.Sick || w.noticeAt != units.Never
 }
 
 func (t *task) on() bool { return t.state == fleet.Running || t.state == fleet.Saving }
 
 // SetFault changes what is wrong with the machine.
-func (w *Worker) SetFault(now unit.Micros, f Fault) {
+func (w *Worker) SetFault(now units.Microseconds, f Fault) {
 	w.Advance(now)
 	for _, t := range w.tasks {
 		if t.state == fleet.Running {
@@ -238,7 +238,7 @@
 }
 
 // Notice tells the worker that the cloud takes the machine away.
-func (w *Worker) Notice(now, in unit.Micros) {
+func (w *Worker) Notice(now, in units.Microseconds) {
 	w.Advance(now)
 	w.noticeAt = now + in
 	w.changed = true
@@ -246,7 +246,7 @@
 
 // Hang lets the machine stand still until a time: it neither works nor speaks,
 // and it goes on where it was unless its lease has run out by then.
-func (w *Worker) Hang(now, until unit.Micros) {
+func (w *Worker) Hang(now, until units.Microseconds) {
 	w.Advance(now)
 	if until <= w.hungTill || until <= now {
 		return
@@ -263,22 +263,22 @@
 }
 
 // Deafen lets no answer and no command reach the worker until a time; its reports arrive.
-func (w *Worker) Deafen(until unit.Micros) { w.deafTill = max(w.deafTill, until) }
+func (w *Worker) Deafen(until units.Microseconds) { w.deafTill = max(w.deafTill, until) }
 
 // Deaf reports whether nothing reaches the worker.
-func (w *Worker) Deaf(now unit.Micros) bool { return now < w.deafTill }
+func (w *Worker) Deaf(now units.Microseconds) bool { return now < w.deafTill }
 
 // Silence lets no report reach a controller until a time; direct commands reach the worker.
-func (w *Worker) Silence(until unit.Micros) { w.muteTill = max(w.muteTill, until) }
+func (w *Worker) Silence(until units.Microseconds) { w.muteTill = max(w.muteTill, until) }
 
 // Mute reports whether the worker reaches no controller.
-func (w *Worker) Mute(now unit.Micros) bool { return now < w.muteTill }
+func (w *Worker) Mute(now units.Microseconds) bool { return now < w.muteTill }
 
 // Hangs reports whether the machine stands still.
-func (w *Worker) Hangs(now unit.Micros) bool { return now < w.hungTill }
+func (w *Worker) Hangs(now units.Microseconds) bool { return now < w.hungTill }
 
 // Stop ends all that is on a machine that is gone.
-func (w *Worker) Stop(now unit.Micros) {
+func (w *Worker) Stop(now units.Microseconds) {
 	w.Advance(now)
 	w.dropAll()
 }
@@ -292,19 +292,19 @@
 			w.out = append(w.out, Ended{Task: id})
 		}
 	}
-	w.tasks = map[ledger.TaskID]*task{}
+	w.tasks = map[jobs.TaskID]*task{}
 	w.refused = nil
 	w.fetches = map[string]*fetch{}
 	w.free = w.cfg.Capacity
 }
 
 // ids returns the tasks in the order of their names.
-func (w *Worker) ids() []ledger.TaskID {
-	ids := make([]ledger.TaskID, 0, len(w.tasks))
+func (w *Worker) ids() []jobs.TaskID {
+	ids := make([]jobs.TaskID, 0, len(w.tasks))
 	for id := range w.tasks {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b ledger.TaskID) int {
+	slices.SortFunc(ids, func(a, b jobs.TaskID) int {
 		if c := strings.Compare(a.Job, b.Job); c != 0 {
 			return c
 		}
@@ -314,8 +314,8 @@
 }
 
 // leaseEnds is when the lease runs out, by the world's clock.
-func (w *Worker) leaseEnds() unit.Micros {
-	return w.leaseFrom + unit.Micros(float64(w.cfg.Lease)/w.clock()) + 1
+func (w *Worker) leaseEnds() units.Microseconds {
+	return w.leaseFrom + units.Microseconds(float64(w.cfg.Lease)/w.clock()) + 1
 }
 
 func (w *Worker) clock() float64 {
@@ -326,9 +326,9 @@
 }
 
 // Next returns when Advance is next of use.
-func (w *Worker) Next() unit.Micros {
+func (w *Worker) Next() units.Microseconds {
 	lease := w.leaseEnds()
-	next := unit.Never
+	next := units.Never
 	switch {
 	case w.inFlight != 0:
 		next = min(next, w.sentAt+AnswerWithin)
@@ -352,18 +352,18 @@
 }
 
 // fetchTime is how long it takes until the first fetch is through.
-func (w *Worker) fetchTime() unit.Micros {
+func (w *Worker) fetchTime() units.Microseconds {
 	least := -1.0
 	for _, f := range w.fetches {
 		if least < 0 || f.left < least {
 			least = f.left
 		}
 	}
-	return unit.Seconds(least*float64(len(w.fetches))/float64(max(w.cfg.FetchMBs, 1))) + 1
+	return units.Seconds(least*float64(len(w.fetches))/float64(max(w.cfg.FetchMBs, 1))) + 1
 }
 
 // Advance lets time pass.
-func (w *Worker) Advance(now unit.Micros) {
+func (w *Worker) Advance(now units.Microseconds) {
 	w.now = max(w.now, now)
 	// A machine that stands still resumes within its lease or without its tasks:
 	// what counts the lease there is not what stands still.
@@ -400,7 +400,7 @@
 }
 
 // due returns the tasks whose run or saving is over, in the order of their names.
-func (w *Worker) due() []ledger.TaskID {
+func (w *Worker) due() []jobs.TaskID {
 	any := false
 	for _, t := range w.tasks {
 		any = any || t.on() && t.ends <= w.now
@@ -408,7 +408,7 @@
 	if !any {
 		return nil
 	}
-	return slices.DeleteFunc(w.ids(), func(id ledger.TaskID) bool {
+	return slices.DeleteFunc(w.ids(), func(id jobs.TaskID) bool {
 		t := w.tasks[id]
 		return !t.on() || t.ends > w.now
 	})
@@ -447,7 +447,7 @@
 	w.reports++
 	w.inFlight, w.sentAt, w.sentIn, w.lastReport = w.reports, w.now, w.session, w.now
 	w.changed = false
-	w.reportAt = w.now + unit.Micros(float64(w.cfg.ReportEvery)*(0.75+0.5*w.rng.Float64()))
+	w.reportAt = w.now + units.Microseconds(float64(w.cfg.ReportEvery)*(0.75+0.5*w.rng.Float64()))
 	body, saved := w.List()
 	if w.Mute(w.now) {
 		return // the connection does not come about: the worker gives up after AnswerWithin
@@ -456,14 +456,14 @@
 }
 
 // List is what a report tells; each counts as a message of its own.
-func (w *Worker) List() (*fleet.Report, map[ledger.TaskID]bool) {
+func (w *Worker) List() (*fleet.Heartbeat, map[jobs.TaskID]bool) {
 	w.seq++
-	r := &fleet.Report{Machine: w.cfg.Name, Addr: w.cfg.Addr, Type: w.cfg.Type, Zone: w.cfg.Zone, Spot: w.cfg.Spot,
-		Session: w.session, Seq: w.seq, Token: w.token, Notice: unit.Never}
-	if w.noticeAt != unit.Never {
+	r := &fleet.Heartbeat{Machine: w.cfg.Name, Addr: w.cfg.Addr, Type: w.cfg.Type, Zone: w.cfg.Zone, Spot: w.cfg.Spot,
+		Incarnation: w.session, Seq: w.seq, FencingToken: w.token, Notice: units.Never}
+	if w.noticeAt != units.Never {
 		r.Notice = max(w.noticeAt-w.now, 0)
 	}
-	saved := map[ledger.TaskID]bool{}
+	saved := map[jobs.TaskID]bool{}
 	add := func(t *task) {
 		r.Tasks = append(r.Tasks, fleet.Task{ID: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause})
 		if t.saved {
@@ -480,7 +480,7 @@
 }
 
 // Failed says that a report got no answer that counts.
-func (w *Worker) Failed(now unit.Micros, number int) {
+func (w *Worker) Failed(now units.Microseconds, number int) {
 	w.Advance(now)
 	if w.inFlight == number && number != 0 {
 		w.inFlight = 0
@@ -488,12 +488,12 @@
 	}
 }
 
-func (w *Worker) tryNext(pause unit.Micros) {
+func (w *Worker) tryNext(pause units.Microseconds) {
 	w.node = (w.node + 1) % len(w.cfg.Nodes)
 	w.again(pause)
 }
 
-func (w *Worker) again(pause unit.Micros) {
+func (w *Worker) again(pause units.Microseconds) {
 	w.notBefore = w.now + pause
 	w.reportAt = w.notBefore
 }
@@ -501,7 +501,7 @@
 // Answer takes a controller's answer to a report. One that comes after 4 s, or
 // while a later report is under way, is nobody's. A machine that stands still reads it
 // once it goes on, if that is soon enough.
-func (w *Worker) Answer(now unit.Micros, number int, a Answer) {
+func (w *Worker) Answer(now units.Microseconds, number int, a Answer) {
 	w.Advance(now)
 	if w.inFlight != number || number == 0 || w.Deaf(now) {
 		return
@@ -519,7 +519,7 @@
 	if a.Code == http.StatusMisdirectedRequest {
 		if i := slices.Index(w.cfg.Nodes, a.Node); i >= 0 && i != w.node {
 			w.node = i
-			w.again(unit.Micros(w.rng.Int64N(int64(unit.Second / 2))))
+			w.again(units.Microseconds(w.rng.Int64N(int64(units.Second / 2))))
 			return
 		}
 	}
@@ -547,7 +547,7 @@
 
 // Direct carries commands out that came straight to the machine, and reports
 // whether the token and the session allowed it. No lease is renewed.
-func (w *Worker) Direct(now unit.Micros, token, session uint64, commands []fleet.Command) bool {
+func (w *Worker) Direct(now units.Microseconds, token, session uint64, commands []fleet.Command) bool {
 	w.Advance(now)
 	if token < w.token || session != w.session {
 		return false
@@ -578,7 +578,7 @@
 }
 
 // stop lets a task that has checkpoints save, if the grace is long enough.
-func (w *Worker) stop(t *task, grace unit.Micros) {
+func (w *Worker) stop(t *task, grace units.Microseconds) {
 	s := t.job.Spec
 	if t.state == fleet.Running && s.Checkpoint > 0 && grace >= s.Save {
 		t.progress = w.progressOf(t)
@@ -603,8 +603,8 @@
 }
 
 // progressOf is how much of a running task is done, in time at speed 1.
-func (w *Worker) progressOf(t *task) unit.Micros {
-	return t.progress + unit.Micros(float64(max(w.now-t.since, 0))*w.fault.Speed)
+func (w *Worker) progressOf(t *task) units.Microseconds {
+	return t.progress + units.Microseconds(float64(max(w.now-t.since, 0))*w.fault.Speed)
 }
 
 func (w *Worker) start(c fleet.Command, old *task) {
@@ -628,7 +628,7 @@
 		n.cause = fleet.Unknown
 		return
 	case !j.Spec.Demand.Fits(w.free):
-		n.cause = fleet.NoRoom
+		n.cause = fleet.NoCapacity
 		return
 	}
 	n.job, n.state = j, fleet.Fetching
@@ -657,13 +657,13 @@
 	case t.job.Finished(t.id.Task):
 		t.ends = w.now
 	case t.job.Spec.Service && !t.job.Broken && !w.fault.Sick:
-		t.ends = unit.Never
+		t.ends = units.Never
 	default:
 		left := max(t.job.RunOf(t.id.Task)-t.progress, 0)
-		if (t.job.Broken || w.fault.Sick) && left > 2*unit.Second {
-			left = 2 * unit.Second // what fails does so soon
+		if (t.job.Broken || w.fault.Sick) && left > 2*units.Second {
+			left = 2 * units.Second // what fails does so soon
 		}
-		t.ends = w.now + unit.Micros(float64(left)/max(w.fault.Speed, 0.01))
+		t.ends = w.now + units.Microseconds(float64(left)/max(w.fault.Speed, 0.01))
 	}
 }
 
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
@@ -16,18 +16,18 @@
 // while the machine stands still: nothing is carried out until it goes on, and then only
 // within the 4 s in which a worker takes an answer.
 func TestAnswerWhileItHangs(t *testing.T) {
-	id := ledger.TaskID{Job: "wk-000001"}
+	id := jobs.TaskID{Job: "wk-000001"}
 	for _, c := range []struct {
-		hang unit.Micros
+		hang units.Microseconds
 		runs bool
-	}{{2 * unit.Second, false}, {6 * unit.Second, true}} {
-		book := work.Book{id.Job: {ID: id.Job, Spec: &ledger.Spec{Tasks: 1, Demand: pack.Vec{1, 0, 1}}, Run: 600 * unit.Second}}
-		w := New(Config{Name: "n-1", Capacity: pack.Vec{10, 0, 10}, FetchMBs: 1000, ReportEvery: 3 * unit.Second, Lease: 60 * unit.Second, Nodes: []string{"node-0"}},
+	}{{2 * units.Second, false}, {6 * units.Second, true}} {
+		book := work.Book{id.Job: {ID: id.Job, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{1, 0, 1}}, Run: 600 * units.Second}}
+		w := New(Config{Name: "n-1", Capacity: binpack.Vec{10, 0, 10}, FetchMBs: 1000, ReportEvery: 3 * units.Second, Lease: 60 * units.Second, Nodes: []string{"node-0"}},
 			Fault{Speed: 1}, book, 0, rand.New(rand.NewPCG(1, 1)))
 		// Reports go out until one is under way, which is not answered yet.
-		now, number := unit.Micros(0), 0
+		now, number := units.Microseconds(0), 0
 		next := func() {
-			for number = 0; number == 0; now += unit.Second / 20 {
+			for number = 0; number == 0; now += units.Second / 20 {
 				w.Advance(now)
 				for _, e := range w.Drain() {
 					if r, ok := e.(Report); ok {
@@ -38,7 +38,7 @@
 		}
 		next()
 		w.Answer(now, number, Answer{Code: http.StatusOK, Token: 1, Commands: []fleet.Command{{Op: fleet.Start, ID: id, Attempt: 1}}})
-		now += unit.Second
+		now += units.Second
 		next()
 		if w.Running() != 1 {
 			t.Fatalf("%d tasks run", w.Running())
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -10,9 +10,9 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
@@ -62,43 +62,43 @@
 
 type job struct {
 	*user.Job
-	began, ended unit.Micros // first task's start, last task's end; 0: not yet
-	ready        unit.Micros
+	began, ended units.Microseconds // first task's start, last task's end; 0: not yet
+	ready        units.Microseconds
 	done         int
 	asked        bool // to be cancelled, itself or one that it awaits
 }
 
 type place struct {
 	machine string
-	task    ledger.TaskID
+	task    jobs.TaskID
 }
 
 // Meter keeps what is measured. Its memory grows with the jobs.
 type Meter struct {
 	jobs    map[string]*job
 	order   []*job
-	on      map[place]unit.Micros // since when a task is on a machine
-	useful  float64               // CPU seconds
+	on      map[place]units.Microseconds // since when a task is on a machine
+	useful  float64                      // CPU seconds
 	wasted  float64
 	stops   int
 	submits []float64 // milliseconds
 	calls   int
 	refused int
-	first   unit.Micros
-	last    unit.Micros
+	first   units.Microseconds
+	last    units.Microseconds
 	waiting int
 	sums    Sample // integrals, in CPU seconds
-	at      unit.Micros
+	at      units.Microseconds
 	series  []Sample
 }
 
 // New returns a meter that has seen nothing.
 func New() *Meter {
-	return &Meter{jobs: map[string]*job{}, on: map[place]unit.Micros{}, first: -1}
+	return &Meter{jobs: map[string]*job{}, on: map[place]units.Microseconds{}, first: -1}
 }
 
 // Planned says that a job's user begins to submit it.
-func (m *Meter) Planned(at unit.Micros, j *user.Job) {
+func (m *Meter) Planned(at units.Microseconds, j *user.Job) {
 	k := &job{Job: j, ready: at}
 	m.jobs[j.ID] = k
 	m.order = append(m.order, k)
@@ -130,7 +130,7 @@
 }
 
 // Began says that a task is on a machine, with its image.
-func (m *Meter) Began(at unit.Micros, machine string, id ledger.TaskID) {
+func (m *Meter) Began(at units.Microseconds, machine string, id jobs.TaskID) {
 	m.on[place{machine, id}] = at
 	if j := m.jobs[id.Job]; j != nil && j.began == 0 {
 		j.began = max(at, 1)
@@ -146,7 +146,7 @@
 }
 
 // Ended says that a task is no longer on a machine, and whether it completed.
-func (m *Meter) Ended(at unit.Micros, machine string, id ledger.TaskID, completed bool) {
+func (m *Meter) Ended(at units.Microseconds, machine string, id jobs.TaskID, completed bool) {
 	p := place{machine, id}
 	since, there := m.on[p]
 	j := m.jobs[id.Job]
@@ -154,7 +154,7 @@
 		return
 	}
 	delete(m.on, p)
-	cpu := float64(j.Spec.Demand[pack.CPU]) / 1000
+	cpu := float64(j.Spec.Demand[binpack.CPU]) / 1000
 	if !completed {
 		if !j.Spec.Service {
 			m.stops++
@@ -172,7 +172,7 @@
 
 // Look takes what there is at a moment.
 func (m *Meter) Look(s Sample) {
-	at := unit.Seconds(s.AtS)
+	at := units.Seconds(s.AtS)
 	d := (at - m.at).Seconds()
 	m.at = at
 	m.sums.Rented += s.Rented * d
@@ -215,7 +215,7 @@
 
 // Times returns each job's time to its first task and to its end, in seconds, sorted. What
 // has not begun, or ended, counts up to the end of the play.
-func (m *Meter) Times(end unit.Micros) (waits, dones []float64) {
+func (m *Meter) Times(end units.Microseconds) (waits, dones []float64) {
 	for _, j := range m.order {
 		if !m.counts(j) {
 			continue
@@ -241,7 +241,7 @@
 
 // Figures returns what was measured by the end: money that was spent, and the cheapest
 // price of a CPU for an hour that there is.
-func (m *Meter) Figures(end unit.Micros, money, cheapest float64) Figures {
+func (m *Meter) Figures(end units.Microseconds, money, cheapest float64) Figures {
 	waits, dones := m.Times(end)
 	kept, due, unfinished := 0, 0, 0
 	for _, j := range m.order {
--- a/internal/emulator/rental/rental.go
+++ b/internal/emulator/rental/rental.go
@@ -12,7 +12,7 @@
 	"sort"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 )
 
@@ -22,10 +22,10 @@
 	MaxReturn = 100 // names of one return
 	MaxPage   = 500 // machines of one page of the list
 
-	LeastCharge = 60 * unit.Second // that a deleted machine is charged for
-	deathShows  = 30 * unit.Second // for which a machine that died is still listed as running
-	priceMoves  = 20 * unit.Second // how often spot prices move
-	quickBoot   = 2 * unit.Second  // within which machines are up while they boot quickly
+	LeastCharge = 60 * units.Second // that a deleted machine is charged for
+	deathShows  = 30 * units.Second // for which a machine that died is still listed as running
+	priceMoves  = 20 * units.Second // how often spot prices move
+	quickBoot   = 2 * units.Second  // within which machines are up while they boot quickly
 )
 
 // Type is a machine type on the price list. Prices are an hour.
@@ -38,7 +38,7 @@
 	FetchGBs  float64
 	Price     float64
 	SpotPrice float64
-	Boot      unit.Micros
+	Boot      units.Microseconds
 	BootFail  float64 // share of machines that never come up
 	Zones     []string
 }
@@ -55,9 +55,9 @@
 	Types     []Type
 	Capacity  map[Pool]int
 	Rate      float64 // requests a second, with a burst of two seconds' worth
-	ListLag   unit.Micros
+	ListLag   units.Microseconds
 	SpotRate  float64 // spot machines taken back, as a share an hour
-	Notice    unit.Micros
+	Notice    units.Microseconds
 	Silent    float64 // share of those taken without a notice
 	SlowShare float64 // of machines that are several times slower
 	SickShare float64 // of machines on which every task fails
@@ -69,14 +69,14 @@
 	Name string
 	Addr string
 	Pool
-	Rented unit.Micros
-	Up     unit.Micros // when its worker began
-	Died   unit.Micros // when it stopped of its own accord, or was taken back
-	Gone   unit.Micros // when it was deleted or taken
-	Taken  bool        // taken, and not deleted
-	Speed  float64     // of its processors, about 1
-	Fetch  float64     // of its image fetches, about 1
-	Sick   bool        // every task fails
+	Rented units.Microseconds
+	Up     units.Microseconds // when its worker began
+	Died   units.Microseconds // when it stopped of its own accord, or was taken back
+	Gone   units.Microseconds // when it was deleted or taken
+	Taken  bool               // taken, and not deleted
+	Speed  float64            // of its processors, about 1
+	Fetch  float64            // of its image fetches, about 1
+	Sick   bool               // every task fails
 
 	listed bool
 	priced float64 // the type's price integral at its rental
@@ -88,7 +88,7 @@
 type Listed struct {
 	*Machine
 	State string // Booting, Running or Failed
-	Age   unit.Micros
+	Age   units.Microseconds
 }
 
 // States of a listed machine.
@@ -107,7 +107,7 @@
 	// Noticed says that a machine's worker learns that the cloud takes it away.
 	Noticed struct {
 		*Machine
-		In unit.Micros // the notice's word; it may be off by half
+		In units.Microseconds // the notice's word; it may be off by half
 	}
 )
 
@@ -137,13 +137,13 @@
 	answers  map[string][]string // of bookings
 	count    int
 	plans    agenda.Agenda[step]
-	down     unit.Micros
-	refuse   map[Pool]unit.Micros // until when a pool has no capacity
-	quick    unit.Micros          // until when rented machines are up within quickBoot
-	spent    float64              // of machines that are gone
+	down     units.Microseconds
+	refuse   map[Pool]units.Microseconds // until when a pool has no capacity
+	quick    units.Microseconds          // until when rented machines are up within quickBoot
+	spent    float64                     // of machines that are gone
 	bucket   struct {
 		used float64
-		at   unit.Micros
+		at   units.Microseconds
 	}
 	out []any
 }
@@ -153,10 +153,10 @@
 	Type
 	spot float64
 	sum  float64 // of the spot price up to at, in price seconds
-	at   unit.Micros
+	at   units.Microseconds
 }
 
-func (p *priced) integral(now unit.Micros) float64 {
+func (p *priced) integral(now units.Microseconds) float64 {
 	p.sum += p.spot * max(0, (now-p.at).Seconds())
 	p.at = max(p.at, now)
 	return p.sum
@@ -165,7 +165,7 @@
 // New returns a cloud with nothing rented.
 func New(cfg Config, rng *rand.Rand) *Service {
 	s := &Service{cfg: cfg, rng: rng, types: map[string]*priced{}, byName: map[string]*Machine{}, used: map[Pool]int{},
-		answers: map[string][]string{}, count: cfg.First, refuse: map[Pool]unit.Micros{}}
+		answers: map[string][]string{}, count: cfg.First, refuse: map[Pool]units.Microseconds{}}
 	for _, t := range cfg.Types {
 		s.types[t.Name] = &priced{Type: t, spot: t.SpotPrice}
 	}
@@ -177,11 +177,11 @@
 func (s *Service) Config() Config { return s.cfg }
 
 // Down puts the cloud's interface out of order until a time; machines go on.
-func (s *Service) Down(until unit.Micros) { s.down = max(s.down, until) }
+func (s *Service) Down(until units.Microseconds) { s.down = max(s.down, until) }
 
 // RefuseCapacity rents out nothing of the pools that match until a time; an
 // empty type or zone matches any.
-func (s *Service) RefuseCapacity(typ, zone string, until unit.Micros) {
+func (s *Service) RefuseCapacity(typ, zone string, until units.Microseconds) {
 	for _, t := range s.cfg.Types {
 		for _, z := range t.Zones {
 			if (typ == "" || typ == t.Name) && (zone == "" || zone == z) {
@@ -192,21 +192,21 @@
 }
 
 // BootQuickly has every machine that is rented until a time be up within two seconds.
-func (s *Service) BootQuickly(until unit.Micros) { s.quick = max(s.quick, until) }
+func (s *Service) BootQuickly(until units.Microseconds) { s.quick = max(s.quick, until) }
 
 // SetSpotRate changes how often spot machines are taken back from now on, as a
 // share an hour. Draws are made anew for every machine.
-func (s *Service) SetSpotRate(now unit.Micros, perHour float64) {
+func (s *Service) SetSpotRate(now units.Microseconds, perHour float64) {
 	s.cfg.SpotRate = perHour
 	for _, m := range s.machines {
-		if m.Spot && m.Gone == unit.Never {
+		if m.Spot && m.Gone == units.Never {
 			s.planTaking(now, m)
 		}
 	}
 }
 
 // admit counts a request and returns 200, or the status that refuses it.
-func (s *Service) admit(now unit.Micros) int {
+func (s *Service) admit(now units.Microseconds) int {
 	s.Advance(now)
 	if now < s.down {
 		return http.StatusServiceUnavailable
@@ -222,7 +222,7 @@
 }
 
 // Types returns the price list with the present spot prices.
-func (s *Service) Types(now unit.Micros) ([]Type, int) {
+func (s *Service) Types(now units.Microseconds) ([]Type, int) {
 	code := s.admit(now)
 	if code != http.StatusOK {
 		return nil, code
@@ -237,7 +237,7 @@
 // Rent rents up to count machines. A booking that was answered once gets the same
 // answer again. 503 with noRoom says that there are none, 503 without that the
 // request was not carried out.
-func (s *Service) Rent(now unit.Micros, booking string, p Pool, count int) (names []string, noRoom bool, code int) {
+func (s *Service) Rent(now units.Microseconds, booking string, p Pool, count int) (names []string, noRoom bool, code int) {
 	if code = s.admit(now); code != http.StatusOK {
 		return nil, false, code
 	}
@@ -259,8 +259,8 @@
 	return names, false, http.StatusOK
 }
 
-func (s *Service) add(now unit.Micros, p Pool, t *priced) *Machine {
-	m := &Machine{Name: fmt.Sprintf("n-%06d", s.count), Pool: p, Rented: now, Up: unit.Never, Died: unit.Never, Gone: unit.Never,
+func (s *Service) add(now units.Microseconds, p Pool, t *priced) *Machine {
+	m := &Machine{Name: fmt.Sprintf("n-%06d", s.count), Pool: p, Rented: now, Up: units.Never, Died: units.Never, Gone: units.Never,
 		Speed: 0.9 + 0.2*s.rng.Float64(), Fetch: 0.67 + 0.66*s.rng.Float64(), priced: t.integral(now)}
 	switch d := s.rng.Float64(); {
 	case d < s.cfg.SickShare:
@@ -279,13 +279,13 @@
 	case d < t.BootFail+0.02:
 		boot = float64(t.Boot) * (2 + 4*s.rng.Float64())
 	case d < t.BootFail+0.04:
-		boot = (1 + s.rng.Float64()) * float64(unit.Second)
+		boot = (1 + s.rng.Float64()) * float64(units.Second)
 	}
 	if now < s.quick {
 		boot = (0.1 + 0.9*s.rng.Float64()) * float64(quickBoot)
 	}
 	if !math.IsInf(boot, 1) {
-		s.plans.Add(now+unit.Micros(boot), step{plan: boots, m: m})
+		s.plans.Add(now+units.Microseconds(boot), step{plan: boots, m: m})
 	}
 	if p.Spot {
 		s.planTaking(now, m)
@@ -294,21 +294,21 @@
 }
 
 // planTaking draws when a spot machine is taken back at the present rate.
-func (s *Service) planTaking(now unit.Micros, m *Machine) {
+func (s *Service) planTaking(now units.Microseconds, m *Machine) {
 	m.draws++
 	if s.cfg.SpotRate <= 0 {
 		return
 	}
-	at := now + unit.Micros(s.rng.ExpFloat64()/s.cfg.SpotRate*3600*float64(unit.Second))
-	if at < now+24*3600*unit.Second {
+	at := now + units.Microseconds(s.rng.ExpFloat64()/s.cfg.SpotRate*3600*float64(units.Second))
+	if at < now+24*3600*units.Second {
 		s.plans.Add(at, step{notices, m, m.draws})
 	}
 }
 
 // Take begins to take a machine back, with a notice or, in a share of cases, none.
 // The notice is right to within half.
-func (s *Service) Take(now unit.Micros, m *Machine, notice unit.Micros, silent float64) {
-	if m.Gone != unit.Never || m.Died != unit.Never {
+func (s *Service) Take(now units.Microseconds, m *Machine, notice units.Microseconds, silent float64) {
+	if m.Gone != units.Never || m.Died != units.Never {
 		return
 	}
 	if s.rng.Float64() < silent {
@@ -316,25 +316,25 @@
 		return
 	}
 	s.out = append(s.out, Noticed{m, notice})
-	s.plans.Add(now+unit.Micros(float64(notice)*(0.5+s.rng.Float64())), step{plan: taken, m: m})
+	s.plans.Add(now+units.Microseconds(float64(notice)*(0.5+s.rng.Float64())), step{plan: taken, m: m})
 }
 
-func (s *Service) take(now unit.Micros, m *Machine) {
-	if m.Gone != unit.Never {
+func (s *Service) take(now units.Microseconds, m *Machine) {
+	if m.Gone != units.Never {
 		return
 	}
 	died := m.Died
 	m.Taken = true
 	s.remove(now, m, 0)
-	if died == unit.Never {
+	if died == units.Never {
 		s.out = append(s.out, Ended{m})
 	}
 }
 
 // Kill stops a machine of its own accord: it is no longer charged, is listed as
 // running for some time and then as failed, until it is deleted.
-func (s *Service) Kill(now unit.Micros, m *Machine) {
-	if m.Died != unit.Never || m.Gone != unit.Never {
+func (s *Service) Kill(now units.Microseconds, m *Machine) {
+	if m.Died != units.Never || m.Gone != units.Never {
 		return
 	}
 	m.cost = s.charge(now, m, 0)
@@ -343,15 +343,15 @@
 }
 
 // remove takes a machine out of the cloud's books.
-func (s *Service) remove(now unit.Micros, m *Machine, least unit.Micros) {
+func (s *Service) remove(now units.Microseconds, m *Machine, least units.Microseconds) {
 	m.Gone = now
 	s.used[m.Pool]--
 	s.spent += s.charge(now, m, least)
 }
 
 // charge is what a machine has cost by a time.
-func (s *Service) charge(now unit.Micros, m *Machine, least unit.Micros) float64 {
-	if m.Died != unit.Never {
+func (s *Service) charge(now units.Microseconds, m *Machine, least units.Microseconds) float64 {
+	if m.Died != units.Never {
 		return m.cost
 	}
 	t := s.types[m.Type]
@@ -364,7 +364,7 @@
 }
 
 // Return deletes machines. Unknown names are ignored.
-func (s *Service) Return(now unit.Micros, names []string) int {
+func (s *Service) Return(now units.Microseconds, names []string) int {
 	if code := s.admit(now); code != http.StatusOK {
 		return code
 	}
@@ -373,10 +373,10 @@
 	}
 	for _, n := range names {
 		m := s.byName[n]
-		if m == nil || m.Gone != unit.Never {
+		if m == nil || m.Gone != units.Never {
 			continue
 		}
-		alive := m.Died == unit.Never
+		alive := m.Died == units.Never
 		s.remove(now, m, LeastCharge)
 		if alive {
 			s.out = append(s.out, Ended{m})
@@ -387,7 +387,7 @@
 
 // List returns a page of the machine list, as it was some time ago. A list may be
 // older than the one before it; what was listed once stays until it is gone.
-func (s *Service) List(now unit.Micros, after string, page int) (out []Listed, more bool, code int) {
+func (s *Service) List(now units.Microseconds, after string, page int) (out []Listed, more bool, code int) {
 	if code = s.admit(now); code != http.StatusOK {
 		return nil, false, code
 	}
@@ -398,7 +398,7 @@
 	if s.rng.Float64() < 0.1 {
 		lag = float64(s.cfg.ListLag) * 2
 	}
-	then := now - unit.Micros(lag)
+	then := now - units.Microseconds(lag)
 	s.forget(now)
 	i := sort.Search(len(s.machines), func(i int) bool { return strings.Compare(s.machines[i].Name, after) > 0 })
 	for ; i < len(s.machines); i++ {
@@ -423,9 +423,9 @@
 }
 
 // forget drops machines that no list can show any more.
-func (s *Service) forget(now unit.Micros) {
+func (s *Service) forget(now units.Microseconds) {
 	s.machines = slices.DeleteFunc(s.machines, func(m *Machine) bool {
-		if m.Gone != unit.Never && m.Gone+2*s.cfg.ListLag+unit.Second < now {
+		if m.Gone != units.Never && m.Gone+2*s.cfg.ListLag+units.Second < now {
 			delete(s.byName, m.Name)
 			return true
 		}
@@ -440,7 +440,7 @@
 func (s *Service) Alive() []*Machine {
 	var out []*Machine
 	for _, m := range s.machines {
-		if m.Up != unit.Never && m.Died == unit.Never && m.Gone == unit.Never {
+		if m.Up != units.Never && m.Died == units.Never && m.Gone == units.Never {
 			out = append(out, m)
 		}
 	}
@@ -452,7 +452,7 @@
 func (s *Service) Charged() []*Machine {
 	var out []*Machine
 	for _, m := range s.machines {
-		if m.Died == unit.Never && m.Gone == unit.Never {
+		if m.Died == units.Never && m.Gone == units.Never {
 			out = append(out, m)
 		}
 	}
@@ -468,10 +468,10 @@
 }
 
 // Spent returns the money spent by now.
-func (s *Service) Spent(now unit.Micros) float64 {
+func (s *Service) Spent(now units.Microseconds) float64 {
 	sum := s.spent
 	for _, m := range s.machines {
-		if m.Gone == unit.Never {
+		if m.Gone == units.Never {
 			sum += s.charge(now, m, 0)
 		}
 	}
@@ -482,10 +482,10 @@
 func (s *Service) Rented() int { return s.count - s.cfg.First }
 
 // Next returns when Advance is next of use.
-func (s *Service) Next() unit.Micros { return s.plans.Next() }
+func (s *Service) Next() units.Microseconds { return s.plans.Next() }
 
 // Advance lets time pass.
-func (s *Service) Advance(now unit.Micros) {
+func (s *Service) Advance(now units.Microseconds) {
 	for {
 		at, st, ok := s.plans.Due(now)
 		if !ok {
@@ -493,7 +493,7 @@
 		}
 		switch m := st.m; st.plan {
 		case boots:
-			if m.Gone == unit.Never && m.Died == unit.Never {
+			if m.Gone == units.Never && m.Died == units.Never {
 				m.Up = at
 				s.out = append(s.out, Began{m})
 			}
--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -5,24 +5,24 @@
 	"slices"
 	"testing"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
 // waits are the times that users waited, by what for.
-type waits struct{ accepted, cancelled, ended []unit.Micros }
+type waits struct{ accepted, cancelled, ended []units.Microseconds }
 
 // storedDone returns the jobs whose records say that they are done.
 func (w *World) storedDone() map[string]bool {
 	done := map[string]bool{}
 	w.State.Each(func(it kv.Item) {
-		var r struct{ Status ledger.Status }
+		var r struct{ Status jobs.Status }
 		const prefix = "shalestage/job/"
-		if len(it.Key) > len(prefix) && it.Key[:len(prefix)] == prefix && json.Unmarshal(it.Value, &r) == nil && r.Status == ledger.Done {
+		if len(it.Key) > len(prefix) && it.Key[:len(prefix)] == prefix && json.Unmarshal(it.Value, &r) == nil && r.Status == jobs.Done {
 			done[it.Key[len(prefix):]] = true
 		}
 	})
@@ -32,10 +32,10 @@
 // waitsFor plays until a time and looks every 10 ms at what became of the jobs. A cancelled
 // job's user asks some time after the job was accepted; an end counts from the last task's
 // completion to its record.
-func (w *World) waitsFor(until unit.Micros, jobs []*user.Job) waits {
+func (w *World) waitsFor(until units.Microseconds, submitted []*user.Job) waits {
 	const step = 10 * millis
 	var out waits
-	accepted, over, complete := map[string]unit.Micros{}, map[string]bool{}, map[string]unit.Micros{}
+	accepted, over, complete := map[string]units.Microseconds{}, map[string]bool{}, map[string]units.Microseconds{}
 	var done map[string]bool
 	var rev uint64
 	for t := step; t <= until; t += step {
@@ -43,7 +43,7 @@
 		if now := w.State.Rev(); now != rev {
 			rev, done = now, w.storedDone()
 		}
-		for _, j := range jobs {
+		for _, j := range submitted {
 			if accepted[j.ID] == 0 && j.Accepted {
 				accepted[j.ID] = t
 				out.accepted = append(out.accepted, t-j.At)
@@ -53,7 +53,7 @@
 			}
 			switch {
 			case over[j.ID]:
-			case j.CancelAfter > 0 && j.Final == ledger.Cancelled:
+			case j.CancelAfter > 0 && j.Final == jobs.Cancelled:
 				over[j.ID] = true
 				out.cancelled = append(out.cancelled, j.Over-accepted[j.ID]-j.CancelAfter)
 			case j.CancelAfter == 0 && done[j.ID]:
@@ -75,16 +75,16 @@
 			s.Faults = []scenario.Fault{{Kind: scenario.StateUnanswered, AtS: 20, ForS: 90, Share: share}}
 		}
 		w := New(s, Options{Seed: seed})
-		var jobs []*user.Job
+		var submitted []*user.Job
 		for i := range 200 {
-			cancel := unit.Micros(0)
+			cancel := units.Microseconds(0)
 			if i%3 == 0 {
-				cancel = 2*second + unit.Micros(i)*17*millis
+				cancel = 2*second + units.Microseconds(i)*17*millis
 			}
-			jobs = append(jobs, w.submit(30*second+unit.Micros(i)*second/4, &ledger.Spec{Class: "x", Team: "green", Tasks: 1, Demand: pack.Vec{500, 0, 500},
+			submitted = append(submitted, w.submit(30*second+units.Microseconds(i)*second/4, &jobs.Spec{Class: "x", Team: "green", Tasks: 1, Demand: binpack.Vec{500, 0, 500},
 				AnyType: true, Spot: true, Image: "i", Estimate: 2 * second}, 2*second+cancel*2, cancel))
 		}
-		x := w.waitsFor(110*second, jobs)
+		x := w.waitsFor(110*second, submitted)
 		for _, b := range w.Check.Broken() {
 			t.Errorf("seed %d: %v", seed, b)
 		}
@@ -103,7 +103,7 @@
 func TestAnswersLost(t *testing.T) {
 	const late = 200 * millis
 	usual, lost := lostAnswers(t, 0), lostAnswers(t, 0.3)
-	p95 := func(times []unit.Micros) unit.Micros {
+	p95 := func(times []units.Microseconds) units.Microseconds {
 		slices.Sort(times)
 		return times[len(times)*95/100]
 	}
--- a/internal/emulator/sim/broken_test.go
+++ b/internal/emulator/sim/broken_test.go
@@ -8,17 +8,17 @@
 
 	"shalestage.example/shalestage/internal/config"
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
 // says returns a program that answers calls of a kind without doing anything.
-func says(k user.Kind, code int, s ledger.Status) Broken {
+func says(k user.Kind, code int, s jobs.Status) Broken {
 	return Broken{Answer: func(e user.Call) *core.Reply {
 		if e.Kind != k {
 			return nil
@@ -28,8 +28,8 @@
 }
 
 // withoutStarts returns a program that never starts the tasks of a job.
-func withoutStarts(job string) func(node string, o *core.Orders) {
-	return func(_ string, o *core.Orders) {
+func withoutStarts(job string) func(node string, o *core.HeartbeatResponse) {
+	return func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Start && c.ID.Job == job })
 	}
 }
@@ -42,22 +42,22 @@
 		b     Broken
 		fault scenario.Fault
 	}{
-		check.RanTwice: {b: Broken{Report: func(r *fleet.Report) {
+		check.RanTwice: {b: Broken{Report: func(r *fleet.Heartbeat) {
 			r.Tasks = slices.DeleteFunc(r.Tasks, func(x fleet.Task) bool { return x.State != fleet.Exited })
 		}}},
 		check.Quota:        {b: Broken{Settings: func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }}},
-		check.WrongPlace:   {b: Broken{Spec: func(s *ledger.Spec) { s.Zone, s.Spread = "", false }}},
-		check.RanCancelled: {b: says(user.Cancel, http.StatusOK, ledger.Cancelled)},
+		check.WrongPlace:   {b: Broken{Spec: func(s *jobs.Spec) { s.Zone, s.Spread = "", false }}},
+		check.RanCancelled: {b: says(user.Cancel, http.StatusOK, jobs.Cancelled)},
 		check.Forgotten:    {b: says(user.Poll, http.StatusNotFound, "")},
-		check.Invented:     {b: says(user.Poll, http.StatusOK, ledger.Pending)},
-		check.NotDone:      {b: says(user.Poll, http.StatusOK, ledger.Done)},
-		check.WentBack:     {b: says(user.Poll, http.StatusOK, ledger.Cancelled)},
-		check.NothingRan:   {b: says(user.Submit, http.StatusCreated, ledger.Pending)},
-		check.Lost:         {b: says(user.Submit, http.StatusCreated, ledger.Pending)},
-		check.TooEarly:     {b: Broken{Spec: func(s *ledger.Spec) { s.Awaits = nil }}},
+		check.Invented:     {b: says(user.Poll, http.StatusOK, jobs.Pending)},
+		check.NotDone:      {b: says(user.Poll, http.StatusOK, jobs.Done)},
+		check.WentBack:     {b: says(user.Poll, http.StatusOK, jobs.Cancelled)},
+		check.NothingRan:   {b: says(user.Submit, http.StatusCreated, jobs.Pending)},
+		check.Lost:         {b: says(user.Submit, http.StatusCreated, jobs.Pending)},
+		check.TooEarly:     {b: Broken{Spec: func(s *jobs.Spec) { s.Awaits = nil }}},
 		check.Orphaned: {b: Broken{Answer: func(e user.Call) *core.Reply {
 			if e.Kind == user.Poll && e.ID == "wk-000005" {
-				return &core.Reply{Code: http.StatusOK, Body: core.JobAnswer{ID: e.ID, Status: ledger.Pending}}
+				return &core.Reply{Code: http.StatusOK, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 			}
 			return nil
 		}}},
@@ -69,12 +69,12 @@
 		check.TooLarge: {fault: scenario.Fault{Kind: scenario.StateLimits, ValueKB: 0.1}},
 		check.Impossible: {fault: scenario.Fault{Kind: scenario.OddRequests, AtS: 5, ForS: 60}, b: Broken{Answer: func(e user.Call) *core.Reply {
 			if e.Kind == user.Submit && (e.Spec == nil || strings.HasPrefix(e.ID, "wk-8")) {
-				return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: ledger.Pending}}
+				return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 			}
 			return nil
 		}}},
 		check.LeftWaiting: {b: Broken{Orders: withoutStarts("wk-000002")}},
-		check.Outdated:    {fault: scenario.Fault{Kind: scenario.ConfigSet, Team: "red", Remove: true, AtS: 25}, b: says(user.Submit, http.StatusCreated, ledger.Pending)},
+		check.Outdated:    {fault: scenario.Fault{Kind: scenario.ConfigSet, Team: "red", Remove: true, AtS: 25}, b: says(user.Submit, http.StatusCreated, jobs.Pending)},
 	}
 	for _, rule := range check.Rules {
 		c, ok := cases[rule]
@@ -91,8 +91,8 @@
 				sc.Faults = []scenario.Fault{crash}
 			}
 			w := New(sc, Options{Seed: seed, Break: c.b})
-			spec := func(team string, tasks int) *ledger.Spec {
-				return &ledger.Spec{Class: "x", Team: team, Priority: ledger.Normal, Tasks: tasks, Demand: pack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
+			spec := func(team string, tasks int) *jobs.Spec {
+				return &jobs.Spec{Class: "x", Team: team, Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
 					Image: "i", Estimate: 10 * second}
 			}
 			for range 3 {
@@ -105,8 +105,8 @@
 			spread.Spread = true
 			second4 := w.submit(second, spread, 30*second, 0)
 			last := spec("blue", 2)
-			w.submit(second, last, unit.Second, 0, first, second4)
-			w.submit(60*second, spec("red", 1), unit.Second, 0)
+			w.submit(second, last, units.Second, 0, first, second4)
+			w.submit(60*second, spec("red", 1), units.Second, 0)
 			w.Run(200 * second)
 			w.Check.Finish(w.now, true)
 			for _, b := range w.Check.Broken() {
@@ -139,7 +139,7 @@
 			}
 			return nil
 		}}})
-		w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 10*second, 0)
+		w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 10*second, 0)
 		w.Run(230 * second)
 		if got := slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.Forgotten }); got != c.want {
 			t.Errorf("outage of %g s: forgotten %v, want %v", c.outage, got, c.want)
@@ -156,7 +156,7 @@
 		sc.Draw = scenario.Draw{FromS: 3, ToS: 100, GapS: 4}
 		w := New(sc, Options{Seed: seed})
 		for i := range 10 {
-			w.submit(unit.Micros(i)*5*second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: pack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
+			w.submit(units.Microseconds(i)*5*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
 				Image: "i", Estimate: 10 * second, Checkpoint: second}, 10*second, 0)
 		}
 		return w.Play().Digest
--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -5,13 +5,13 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
 // Census is what there is at a time: what a long play is looked at for.
 type Census struct {
-	At     unit.Micros
+	At     units.Microseconds
 	Keys   map[string]int // in the state service, by folder
 	Nodes  []core.Stats   // of the controllers that run
 	HeapMB float64        // of the whole play, models included
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -5,9 +5,9 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/scenario"
@@ -16,17 +16,17 @@
 // combinations notes which faults come about together, for scenario.CountedEvents. It draws
 // nothing and changes nothing of a play.
 type combinations struct {
-	allDown  unit.Micros              // since when no controller has run; 0: one runs
-	endedAt  map[string]unit.Micros   // when each controller last ended
-	holders  map[int]blockHolders     // who was granted each block
-	granted  map[string]bool          // controllers that were ever granted a block
-	changes  int                      // of the holder of any block
-	fewTasks map[string]fewTasks      // jobs of two or three tasks of which some have ended
-	refused  map[string]refusal       // controllers that the state service refuses alone
-	cancels  int                      // cancellations told
-	stored   map[string]int           // transactions of each controller that were stored
-	newest   map[string]messageNumber // last report of each machine that has arrived anywhere
-	heardAt  map[string]unit.Micros   // when a report last arrived at each controller
+	allDown  units.Microseconds            // since when no controller has run; 0: one runs
+	endedAt  map[string]units.Microseconds // when each controller last ended
+	holders  map[int]blockHolders          // who was granted each block
+	granted  map[string]bool               // controllers that were ever granted a block
+	changes  int                           // of the holder of any block
+	fewTasks map[string]fewTasks           // jobs of two or three tasks of which some have ended
+	refused  map[string]refusal            // controllers that the state service refuses alone
+	cancels  int                           // cancellations told
+	stored   map[string]int                // transactions of each controller that were stored
+	newest   map[string]messageNumber      // last report of each machine that has arrived anywhere
+	heardAt  map[string]units.Microseconds // when a report last arrived at each controller
 }
 
 // blockHolders are the controllers that were granted a block, and the last of them.
@@ -44,7 +44,7 @@
 
 // refusal is a controller that holds or leads and is refused.
 type refusal struct {
-	until   unit.Micros
+	until   units.Microseconds
 	cancels int // told before
 }
 
@@ -61,16 +61,16 @@
 )
 
 func newCombinations() combinations {
-	return combinations{endedAt: map[string]unit.Micros{}, holders: map[int]blockHolders{}, granted: map[string]bool{},
+	return combinations{endedAt: map[string]units.Microseconds{}, holders: map[int]blockHolders{}, granted: map[string]bool{},
 		fewTasks: map[string]fewTasks{}, refused: map[string]refusal{}, stored: map[string]int{},
-		newest: map[string]messageNumber{}, heardAt: map[string]unit.Micros{}}
+		newest: map[string]messageNumber{}, heardAt: map[string]units.Microseconds{}}
 }
 
 // nodeEnds notes that a controller's process is about to end.
 func (w *World) nodeEnds(n *Node) {
 	c := &w.combined
 	c.endedAt[n.Name] = w.now
-	if n.core.Holds(n.local(), 0) && w.anyOutOfReach(n) {
+	if n.core.Owns(n.local(), 0) && w.anyOutOfReach(n) {
 		w.happened(scenario.HolderEndedUnheard)
 	}
 	for _, o := range w.Nodes {
@@ -106,7 +106,7 @@
 	if w.now-c.endedAt[n.Name] <= atOnce {
 		w.happened(scenario.ReturnedAtOnce)
 	}
-	if c.allDown != 0 && w.now-c.allDown > unit.Seconds(w.S.Workers.LeaseS) {
+	if c.allDown != 0 && w.now-c.allDown > units.Seconds(w.S.Workers.LeaseS) {
 		w.happened(scenario.AllAway)
 	}
 	c.allDown = 0
@@ -119,7 +119,7 @@
 	if err != nil || ch.Value == nil {
 		return
 	}
-	b, err := lead.DecodeBlock(ch.Value)
+	b, err := authority.DecodeAssignment(ch.Value)
 	if err != nil || b.Node == "" {
 		return
 	}
@@ -168,7 +168,7 @@
 	switch f.Kind {
 	case scenario.StateRefuse:
 		for _, n := range w.nodesRefused(f) {
-			c.refused[n.Name] = refusal{w.now + unit.Seconds(f.ForS), c.cancels}
+			c.refused[n.Name] = refusal{w.now + units.Seconds(f.ForS), c.cancels}
 		}
 	case scenario.StateOutage:
 		for _, r := range c.refused {
@@ -239,10 +239,10 @@
 }
 
 // reportArrives notes a report that arrives at a controller.
-func (w *World) reportArrives(n *Node, r *fleet.Report) {
+func (w *World) reportArrives(n *Node, r *fleet.Heartbeat) {
 	c := &w.combined
 	c.heardAt[n.Name] = w.now
-	last, now := c.newest[r.Machine], messageNumber{r.Session, r.Seq}
+	last, now := c.newest[r.Machine], messageNumber{r.Incarnation, r.Seq}
 	if now.session < last.session {
 		w.happened(scenario.OldSessionReport)
 	}
@@ -254,14 +254,14 @@
 }
 
 // answerArrives notes an answer with commands that reaches its machine, by when it was sent.
-func (w *World) answerArrives(sent unit.Micros, r core.Reply) {
-	if o, ok := r.Body.(core.Orders); ok && len(o.Commands) > 0 && w.now-sent >= heldFor {
+func (w *World) answerArrives(sent units.Microseconds, r core.Reply) {
+	if o, ok := r.Body.(core.HeartbeatResponse); ok && len(o.Commands) > 0 && w.now-sent >= heldFor {
 		w.happened(scenario.HeldAnswer)
 	}
 }
 
 // requestArrives notes a direct request that reaches its machine, by when it was sent.
-func (w *World) requestArrives(sent unit.Micros) {
+func (w *World) requestArrives(sent units.Microseconds) {
 	if w.now-sent >= heldFor {
 		w.happened(scenario.HeldRequest)
 	}
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/user"
@@ -22,7 +22,7 @@
 	opt.Seed = seed
 	w := New(deployment(nodes, blockMachines), opt)
 	for i := range 4 {
-		w.submit(unit.Micros(1+i)*second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 30, Demand: pack.Vec{1000, 0, 2000},
+		w.submit(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 30, Demand: binpack.Vec{1000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 10 * second}, 12*second, 0)
 	}
 	return w
@@ -136,7 +136,7 @@
 	w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
 	w.Run(22 * second)
 	known := len(w.Crowd.Jobs())
-	late := w.submit(23*second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 1, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	late := w.submit(23*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(30 * second)
 	for _, n := range w.Nodes {
 		n.Crash() // all that a new process knows is stored
@@ -148,7 +148,7 @@
 		t.Errorf("%+v; the later job was not refused: %+v", x, late)
 	}
 	for _, j := range w.Crowd.Jobs()[:known] {
-		if j.Final != ledger.Done {
+		if j.Final != jobs.Done {
 			t.Errorf("%s is %q", j.ID, j.Final)
 		}
 	}
@@ -179,7 +179,7 @@
 	caught := 0
 	for seed := range uint64(6) {
 		w := loaded(seed+1, 3, 0, Options{Break: Broken{Told: deaf}})
-		w.Run(unit.Micros(40+seed) * second / 2) // tasks end, and others start
+		w.Run(units.Microseconds(40+seed) * second / 2) // tasks end, and others start
 		n := w.Holder(0)
 		w.State.Refuse(n.Name, w.now+60*second)
 		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
@@ -193,13 +193,13 @@
 	}
 	w := loaded(1, 3, 0, Options{Break: Broken{Answer: func(e user.Call) *core.Reply {
 		if e.Kind == user.Submit && e.Spec.Class == "late" {
-			return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: ledger.Pending}}
+			return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 		}
 		return nil
 	}}})
 	w.Run(20 * second)
 	w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
-	w.submit(30*second, &ledger.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	w.submit(30*second, &jobs.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(40 * second)
 	if !slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.Outdated }) {
 		t.Errorf("a job of a removed team is accepted, and nobody noticed: %v", w.Check.Broken())
@@ -242,8 +242,8 @@
 		w.Run(10 * second)
 		before := w.State.Rev()
 		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "team-7", CPUsMax: 20, Count: c.count, EveryS: c.every})
-		w.Run(w.now + unit.Seconds(float64(c.count)*c.every) + 10*second)
-		var took []unit.Micros
+		w.Run(w.now + units.Seconds(float64(c.count)*c.every) + 10*second)
+		var took []units.Microseconds
 		refused, last := 0, uint64(0)
 		for _, x := range w.Changes {
 			refused += x.Refused
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -22,7 +22,7 @@
 func (w *World) sending(e core.Effect) {
 	switch e := e.(type) {
 	case core.Reply:
-		if o, ok := e.Body.(core.Orders); ok {
+		if o, ok := e.Body.(core.HeartbeatResponse); ok {
 			for _, c := range o.Commands {
 				if c.Op == fleet.Start {
 					w.happened(scenario.StartSent)
@@ -36,7 +36,7 @@
 		}
 	case core.List:
 		w.happened(scenario.ListingSent)
-	case core.Contact:
+	case core.Probe:
 		w.happened(scenario.TokenShown)
 	}
 }
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"math/rand/v2"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
@@ -34,7 +34,7 @@
 // Fault lets something go wrong now.
 func (w *World) Fault(f scenario.Fault) {
 	w.Check.Note(w.now, "fault: %s", f)
-	last := unit.Seconds(f.ForS)
+	last := units.Seconds(f.ForS)
 	until := w.now + last
 	w.faultComes(f)
 	switch f.Kind {
@@ -48,7 +48,7 @@
 		}
 	case scenario.ControllerRoll:
 		for i, n := range w.Nodes {
-			w.after(unit.Micros(i)*unit.Seconds(f.EveryS), n.Crash)
+			w.after(units.Microseconds(i)*units.Seconds(f.EveryS), n.Crash)
 		}
 	case scenario.ControllerFreeze:
 		for _, n := range w.nodesOf(f.Node) {
@@ -56,7 +56,7 @@
 		}
 	case scenario.ControllerSlow:
 		for _, n := range w.nodesOf(f.Node) {
-			n.slow, n.cost = until, unit.Micros(f.Times*float64(millis))
+			n.slow, n.cost = until, units.Microseconds(f.Times*float64(millis))
 		}
 	case scenario.ClockJump:
 		for _, n := range w.nodesOf(f.Node) {
@@ -74,7 +74,7 @@
 			w.State.Refuse(n.Name, until)
 		}
 	case scenario.StateSlow:
-		w.slow.until, w.slow.delay = until, unit.Micros(f.DelayMS*1000)
+		w.slow.until, w.slow.delay = until, units.Microseconds(f.DelayMS*1000)
 	case scenario.StateLimits:
 		w.State.SetLimits(w.S.State.Fallen(f).KV())
 	case scenario.StateLate:
@@ -114,7 +114,7 @@
 }
 
 func (w *World) cut(f scenario.Fault) {
-	t := trouble{w.now + unit.Seconds(f.ForS), f.Mode, unit.Micros(f.DelayMS * 1000)}
+	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
 	for _, a := range w.nodesOf(f.Between[0]) {
 		for _, b := range w.parties(a, f.Between[1]) {
 			if f.Direction != "back" {
@@ -155,7 +155,7 @@
 
 // apart cuts a zone off; there is the way out of it.
 func (w *World) apart(f scenario.Fault) {
-	t := trouble{w.now + unit.Seconds(f.ForS), f.Mode, unit.Micros(f.DelayMS * 1000)}
+	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
 	w.zoneCut[f.Zone] = t.until
 	for _, p := range w.S.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
 		if f.Direction != "back" {
@@ -180,12 +180,12 @@
 }
 
 // calm is when all troubles are over. What is done late by them has had its time, too.
-func calm(faults []scenario.Fault) unit.Micros {
+func calm(faults []scenario.Fault) units.Microseconds {
 	last := 0.0
 	for _, f := range faults {
 		last = max(last, f.AtS+f.ForS)
 	}
-	return unit.Seconds(last) + 60*unit.Second
+	return units.Seconds(last) + 60*units.Second
 }
 
 // Drawn draws faults of every kind that the protocol allows. With pairs, two kinds
--- a/internal/emulator/sim/follow_test.go
+++ b/internal/emulator/sim/follow_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
@@ -25,7 +25,7 @@
 		known := 0
 		for range 6 {
 			old := w.Holder(0)
-			next := old.core.Follower(0)
+			next := old.core.Standby(0)
 			w.Fault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
 			for until := w.now + 8*second; w.now < until && (w.Holder(0) == nil || w.Holder(0) == old); {
 				w.Run(w.now + 20*millis)
@@ -36,11 +36,11 @@
 			}
 			if next != "" && n.Name == next {
 				known++
-				if u := n.core.Unaccounted(0); u > 0 {
+				if u := n.core.Unreconciled(0); u > 0 {
 					t.Errorf("seed %d: %s followed, and %d machines are unaccounted for", seed, next, u)
 				}
 			}
-			w.Run(w.now + unit.Micros(6+w.rng.IntN(6))*second)
+			w.Run(w.now + units.Microseconds(6+w.rng.IntN(6))*second)
 		}
 		if b := w.Check.Broken(); len(b) > 0 {
 			t.Errorf("seed %d: %v", seed, b)
