--- a/internal/emulator/sim/handover_test.go
+++ b/internal/emulator/sim/handover_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
@@ -15,7 +15,7 @@
 	s.Teams = []scenario.Team{{Name: "green"}}
 	w := New(s, Options{Seed: seed})
 	for range 4 {
-		j := w.submit(0, &ledger.Spec{Team: "green", Tasks: 6000, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 3 * second}, 3*second, 0)
+		j := w.submit(0, &jobs.Spec{Team: "green", Tasks: 6000, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 3 * second}, 3*second, 0)
 		j.Vary = 0.5
 	}
 	return w
@@ -23,7 +23,7 @@
 
 // standstill plays a fault at the holder, and returns the longest time without a start in
 // the ten seconds from then on, and for how long nobody could have started anything.
-func standstill(t *testing.T, seed uint64, kind string) (longest, nobody unit.Micros) {
+func standstill(t *testing.T, seed uint64, kind string) (longest, nobody units.Microseconds) {
 	t.Helper()
 	w := churning(seed)
 	w.Run(80 * second)
@@ -70,7 +70,7 @@
 		s.Cloud.SpotPerHour = 3
 		w := New(s, Options{Seed: seed, Noise: true})
 		for i := range 40 {
-			w.submit(unit.Micros(i)*2*second, &ledger.Spec{Team: "green", Tasks: 8, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i", Estimate: 4 * second}, 4*second, 0)
+			w.submit(units.Microseconds(i)*2*second, &jobs.Spec{Team: "green", Tasks: 8, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i", Estimate: 4 * second}, 4*second, 0)
 		}
 		for at := 5 * second; at < 110*second; at += w.span(1, 6) {
 			kind := scenario.ControllerRetire
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -1,7 +1,7 @@
 package sim
 
 import (
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/emulator/account"
 	"shalestage.example/shalestage/internal/emulator/meter"
 	"shalestage.example/shalestage/internal/emulator/user"
@@ -54,7 +54,7 @@
 	})
 }
 
-func cpus(v pack.Vec) float64 { return float64(v[pack.CPU]) / 1000 }
+func cpus(v binpack.Vec) float64 { return float64(v[binpack.CPU]) / 1000 }
 
 // look counts the CPUs that are rented, and what they do.
 func (w *World) look() meter.Sample {
--- a/internal/emulator/sim/meet_test.go
+++ b/internal/emulator/sim/meet_test.go
@@ -7,11 +7,11 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/config"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/scenario"
@@ -41,7 +41,7 @@
 // their tasks end with it, while direct commands still reach them.
 func TestMuteMachines(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
-	w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 300*second, 0)
+	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 300*second, 0)
 	w.Run(60 * second)
 	if w.Site.Running() == 0 {
 		t.Fatal("nothing runs")
@@ -63,7 +63,7 @@
 func TestQuickBoots(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
 	w.Fault(scenario.Fault{Kind: scenario.QuickBoots, ForS: 60})
-	w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
+	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
 	w.Run(60 * second)
 	for _, m := range w.Site.Cloud.Charged() {
 		if up := m.Up - m.Rented; up > 2*second {
@@ -90,12 +90,12 @@
 // it has its grant, and none of them before.
 func TestKeptReports(t *testing.T) {
 	count := 0
-	w := New(deployment(3, 0), Options{Seed: 1, Event: func(_ unit.Micros, event string) {
+	w := New(deployment(3, 0), Options{Seed: 1, Event: func(_ units.Microseconds, event string) {
 		if event == scenario.ReportToNext {
 			count++
 		}
 	}})
-	w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
+	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
 	w.Run(40 * second)
 	w.Fault(scenario.Fault{Kind: scenario.LateReports, Share: 1, ForS: 20, ForNext: true})
 	w.Run(w.now + 10*second)
@@ -120,8 +120,8 @@
 
 // TestMeetingsWithoutTheirGuards takes out what guards a meeting: the rehearsal must notice.
 func TestMeetingsWithoutTheirGuards(t *testing.T) {
-	reportAs := func(change func(w *World, r *fleet.Report)) func(*World) {
-		return func(w *World) { w.opt.Break.Report = func(r *fleet.Report) { change(w, r) } }
+	reportAs := func(change func(w *World, r *fleet.Heartbeat)) func(*World) {
+		return func(w *World) { w.opt.Break.Report = func(r *fleet.Heartbeat) { change(w, r) } }
 	}
 	number := uint64(0)
 	for _, c := range []unguarded{
@@ -143,12 +143,12 @@
 				})
 			}
 		}, check.RanTwice, 3},
-		{"meet-report-to-next", "a report under an older token proves nothing", reportAs(func(w *World, r *fleet.Report) {
-			r.Token = w.meetings.latest
+		{"meet-report-to-next", "a report under an older token proves nothing", reportAs(func(w *World, r *fleet.Heartbeat) {
+			r.FencingToken = w.meetings.latest
 		}), check.RanTwice, 12},
-		{"meet-held-reports", "the token, and the order of a machine's messages", reportAs(func(w *World, r *fleet.Report) {
+		{"meet-held-reports", "the token, and the order of a machine's messages", reportAs(func(w *World, r *fleet.Heartbeat) {
 			number++
-			r.Session, r.Seq, r.Token = 1, number, w.meetings.latest
+			r.Incarnation, r.Seq, r.FencingToken = 1, number, w.meetings.latest
 		}), check.RanTwice, 3},
 		{"meet-mute-machines", "tasks may run until their lease must have run out", func(w *World) {
 			w.opt.Break.Settings = func(s *config.Settings) { s.Deployment.Workers.LeaseS *= 0.3 }
@@ -183,7 +183,7 @@
 	breaks(first) // settings and clocks matter from the beginning
 	w := New(s, Options{Seed: seed, Break: first.opt.Break})
 	breaks(w)
-	for at := 10 * second; at <= unit.Seconds(s.DurationS); at += 10 * second {
+	for at := 10 * second; at <= units.Seconds(s.DurationS); at += 10 * second {
 		w.Run(at)
 		if slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == rule }) {
 			return true
--- a/internal/emulator/sim/meetings.go
+++ b/internal/emulator/sim/meetings.go
@@ -6,10 +6,10 @@
 	"slices"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/lead"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -32,12 +32,12 @@
 
 // keptReport is a copy of a report that waits for the next leader.
 type keptReport struct {
-	body   *fleet.Report
+	body   *fleet.Heartbeat
 	grants int // that had been stored when it was sent
 }
 
 // keepReport keeps a copy for the next leader.
-func (w *World) keepReport(body *fleet.Report) {
+func (w *World) keepReport(body *fleet.Heartbeat) {
 	m := &w.meetings
 	if len(m.kept) == maxKept {
 		m.kept = slices.Delete(m.kept, 0, 1)
@@ -56,7 +56,7 @@
 				if w.meetings.grants > k.grants {
 					w.happened(scenario.ReportToNext)
 				}
-				n.ask(func(req core.ReqID) { n.report(req, k.body) }, 0, func(core.Reply) {})
+				n.ask(func(req core.RequestID) { n.report(req, k.body) }, 0, func(core.Reply) {})
 			})
 		}
 	}
@@ -65,9 +65,9 @@
 // granted notes that a block's record was stored: a controller is about to hold it, or has
 // released it.
 func (w *World) granted(value json.RawMessage) {
-	if g, err := lead.DecodeBlock(value); err == nil && g.Node != "" {
+	if g, err := authority.DecodeAssignment(value); err == nil && g.Node != "" {
 		w.meetings.grants++
-		w.meetings.latest = lead.Token(g.Term, g.Number)
+		w.meetings.latest = authority.FencingToken(g.Term, g.Number)
 		w.deliverKept()
 	}
 }
@@ -93,7 +93,7 @@
 
 // lateBy draws how late a transaction is carried out that gets no answer: 2 to 12 s where
 // others of the same controller go through meanwhile, else up to a minute.
-func (w *World) lateBy() unit.Micros {
+func (w *World) lateBy() units.Microseconds {
 	if w.now < w.late && w.lateShare < 1 {
 		return w.span(2, 12)
 	}
--- a/internal/emulator/sim/net.go
+++ b/internal/emulator/sim/net.go
@@ -1,7 +1,7 @@
 package sim
 
 import (
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
@@ -10,16 +10,16 @@
 
 // trouble is what happens to messages on a way.
 type trouble struct {
-	until unit.Micros
-	mode  string      // "hold" (or ""), "drop", "reset", "delay" or "trickle"
-	delay unit.Micros // of a message, or of each byte that trickles
+	until units.Microseconds
+	mode  string             // "hold" (or ""), "drop", "reset", "delay" or "trickle"
+	delay units.Microseconds // of a message, or of each byte that trickles
 }
 
 // messageBytes is about how long a message is that trickles.
 const messageBytes = 400
 
 // lost reports whether nothing comes through for now.
-func (t trouble) lost(now unit.Micros) bool {
+func (t trouble) lost(now units.Microseconds) bool {
 	return now < t.until && t.mode != "delay" && t.mode != "trickle"
 }
 
@@ -61,7 +61,7 @@
 			w.after(min(t.delay*messageBytes, t.until-w.now)+w.span(0.0003, 0.002), f)
 			return carried
 		}
-		w.after(t.until-w.now+unit.Second/1000, f)
+		w.after(t.until-w.now+units.Second/1000, f)
 		return carried
 	}
 	if w.noise && w.chance(0.0005) { // lost, and delivered by a later try
@@ -88,7 +88,7 @@
 // request sends a question and brings its answer back. serve gets a function to
 // answer with; done is called exactly once: with what the answer does, or with nil
 // when none has come in time, or none can come.
-func (n *network) request(from, to string, wait unit.Micros, serve func(answer func(f func())), done func(f func())) {
+func (n *network) request(from, to string, wait units.Microseconds, serve func(answer func(f func())), done func(f func())) {
 	w := n.w
 	settled := false
 	finish := func(f func()) {
@@ -101,11 +101,11 @@
 	sent := n.send(from, to, func() {
 		serve(func(f func()) {
 			if n.send(to, from, func() { finish(f) }) == refused {
-				w.after(unit.Second/1000, func() { finish(nil) })
+				w.after(units.Second/1000, func() { finish(nil) })
 			}
 		})
 	})
 	if sent == refused {
-		w.after(unit.Second/1000, func() { finish(nil) })
+		w.after(units.Second/1000, func() { finish(nil) })
 	}
 }
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -11,7 +11,7 @@
 	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/direct"
 	"shalestage.example/shalestage/internal/emulator/kv"
@@ -39,16 +39,16 @@
 	zone   string
 	life   int // which start of the process this is; 0 while down
 	lives  int
-	born   unit.Micros
-	rate   float64     // of its steady clock
-	off    unit.Micros // of its time of day
+	born   units.Microseconds
+	rate   float64            // of its steady clock
+	off    units.Microseconds // of its time of day
 	core   *core.Core
-	frozen unit.Micros // stands still until then; its clocks run on
-	slow   unit.Micros // computes slowly until then
-	cost   unit.Micros // of each message meanwhile
-	busy   unit.Micros
-	next   core.ReqID
-	asked  map[core.ReqID]func(core.Reply)
+	frozen units.Microseconds // stands still until then; its clocks run on
+	slow   units.Microseconds // computes slowly until then
+	cost   units.Microseconds // of each message meanwhile
+	busy   units.Microseconds
+	next   core.RequestID
+	asked  map[core.RequestID]func(core.Reply)
 	state  *rate.Limiter
 	cloud  *rate.Limiter
 	txns   int // transactions so far, in all lives
@@ -56,7 +56,7 @@
 }
 
 // stamp turns simulated time into what rate limits are counted by.
-func stamp(t unit.Micros) time.Time { return time.UnixMicro(int64(t)) }
+func stamp(t units.Microseconds) time.Time { return time.UnixMicro(int64(t)) }
 
 func (n *Node) start() {
 	w := n.w
@@ -65,7 +65,7 @@
 	n.life, n.born = n.lives, w.now
 	n.rate = 1 + (2*w.rng.Float64()-1)*scenario.MaxDrift
 	n.jump()
-	n.asked = map[core.ReqID]func(core.Reply){}
+	n.asked = map[core.RequestID]func(core.Reply){}
 	n.frozen, n.slow, n.busy = 0, 0, 0
 	peers := map[string]string{}
 	for _, o := range w.S.Nodes() {
@@ -80,7 +80,7 @@
 	}
 	cfg := set.Core(nil)
 	if w.opt.Log != nil {
-		cfg = set.Core(w.opt.Log(n.Name, func() unit.Micros { return w.now }))
+		cfg = set.Core(w.opt.Log(n.Name, func() units.Microseconds { return w.now }))
 	}
 	if f := w.opt.Break.Core; f != nil {
 		f(&cfg)
@@ -90,32 +90,34 @@
 	n.state = rate.NewLimiter(rate.Limit(share), max(4, int(share)))
 	n.cloud = rate.NewLimiter(rate.Limit(w.S.Cloud.RPS*cloudMargin), max(1, int(w.S.Cloud.RPS)))
 	life := n.life
-	w.after(unit.Micros(w.rng.Int64N(int64(core.TickEvery))), func() { n.tick(life) })
+	w.after(units.Microseconds(w.rng.Int64N(int64(core.TickEvery))), func() { n.tick(life) })
 }
 
 // jump lets the time of day jump within its bound.
 func (n *Node) jump() {
-	n.off = unit.Micros(n.w.S.Controllers.ClockErrorMS * 1000 * (2*n.w.rng.Float64() - 1))
+	n.off = units.Microseconds(n.w.S.Controllers.ClockErrorMS * 1000 * (2*n.w.rng.Float64() - 1))
 }
 
 // local is the steady clock.
-func (n *Node) local() unit.Micros { return unit.Micros(float64(n.w.now-n.born) * n.rate) }
+func (n *Node) local() units.Microseconds {
+	return units.Microseconds(float64(n.w.now-n.born) * n.rate)
+}
 
 // wall is the time of day.
-func (n *Node) wall() unit.Micros { return n.w.now + 1_000_000*second + n.off }
+func (n *Node) wall() units.Microseconds { return n.w.now + 1_000_000*second + n.off }
 
 // Crash ends the process; it comes back.
 func (n *Node) Crash() { n.crash(0) }
 
 // crash ends the process; it comes back after a time, 0: as long as that usually takes.
-func (n *Node) crash(down unit.Micros) {
+func (n *Node) crash(down units.Microseconds) {
 	if n.life == 0 {
 		return
 	}
 	n.w.nodeEnds(n)
 	n.life = 0
 	if down == 0 {
-		down = unit.Seconds(n.w.S.Controllers.RestartS * (0.7 + 0.6*n.w.rng.Float64()))
+		down = units.Seconds(n.w.S.Controllers.RestartS * (0.7 + 0.6*n.w.rng.Float64()))
 	}
 	n.w.after(down, n.start)
 }
@@ -149,7 +151,7 @@
 }
 
 // Freeze lets the process stand still until a time.
-func (n *Node) Freeze(until unit.Micros) { n.frozen = max(n.frozen, until) }
+func (n *Node) Freeze(until units.Microseconds) { n.frozen = max(n.frozen, until) }
 
 // awake does something in the process once it does not stand still, and, where it
 // computes slowly, once it has come to it.
@@ -202,7 +204,7 @@
 
 // ask brings a request into the core; done gets the answer, or a 503 when there is
 // none within a time (0: any), unless the process ends.
-func (n *Node) ask(f func(req core.ReqID), within unit.Micros, done func(core.Reply)) {
+func (n *Node) ask(f func(req core.RequestID), within units.Microseconds, done func(core.Reply)) {
 	if n.life == 0 {
 		return
 	}
@@ -253,13 +255,13 @@
 	n.countEffect(e)
 	switch e := e.(type) {
 	case core.Reply:
-		if o, ok := e.Body.(core.Orders); ok && w.opt.Break.Orders != nil {
+		if o, ok := e.Body.(core.HeartbeatResponse); ok && w.opt.Break.Orders != nil {
 			w.opt.Break.Orders(n.Name, &o)
 			e.Body = o
 		}
 		w.ordered(e)
-		if f := n.asked[e.Req]; f != nil {
-			delete(n.asked, e.Req)
+		if f := n.asked[e.Request]; f != nil {
+			delete(n.asked, e.Request)
 			n.sent(func() { f(e) })
 		}
 	case core.SendPeer:
@@ -317,12 +319,12 @@
 		n.cloudCall(false, func() int {
 			list, code := w.Site.Cloud.Types(w.now)
 			for _, t := range list {
-				types = append(types, fleet.Type{Name: t.Name, Capacity: site.Capacity(t), CacheMB: unit.MilliDown(t.CacheGB), FetchMBs: unit.MilliDown(t.FetchGBs),
+				types = append(types, fleet.Type{Name: t.Name, Capacity: site.Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: units.MilliDown(t.FetchGBs),
 					Boot: t.Boot, Zones: t.Zones, Price: t.Price, SpotPrice: t.SpotPrice})
 			}
 			return code
 		}, func(o store.Outcome) { n.back(life, func() { n.core.OnTypes(n.local(), o, types) }) })
-	case core.RentHosts:
+	case core.ScaleOut:
 		var names []string
 		none := false
 		n.cloudCall(true, func() int {
@@ -340,19 +342,19 @@
 				w.happened(scenario.NoRoom)
 				o = store.Failed
 			}
-			n.back(life, func() { n.core.OnRent(n.local(), e, o, names) })
+			n.back(life, func() { n.core.OnScaleOut(n.local(), e, o, names) })
 		})
-	case core.ReturnHosts:
+	case core.ScaleIn:
 		n.cloudCall(true, func() int { return w.Site.Cloud.Return(w.now, e.Names) }, func(o store.Outcome) {
-			n.back(life, func() { n.core.OnReturn(n.local(), e, o) })
+			n.back(life, func() { n.core.OnScaleIn(n.local(), e, o) })
 		})
-	case core.ListHosts:
+	case core.ListMachines:
 		n.hosts(life, e, "", nil)
-	case core.Contact:
+	case core.Probe:
 		n.contact(life, e)
-	case core.CloudShare:
-		n.cloud.SetLimitAt(stamp(w.now), rate.Limit(w.S.Cloud.RPS*cloudMargin*e.Part))
-		n.cloud.SetBurstAt(stamp(w.now), max(1, int(w.S.Cloud.RPS*e.Part)))
+	case core.CloudBudget:
+		n.cloud.SetLimitAt(stamp(w.now), rate.Limit(w.S.Cloud.RPS*cloudMargin*e.Fraction))
+		n.cloud.SetBurstAt(stamp(w.now), max(1, int(w.S.Cloud.RPS*e.Fraction)))
 	default:
 		panic(fmt.Sprintf("effect %T", e))
 	}
@@ -373,7 +375,7 @@
 
 // call does one request of the state service, on which any of the protocol's
 // misfortunes may fall. done gets what the client would make of it, and the status.
-func (n *Node) call(wait unit.Micros, free bool, apply func() int, done func(store.Outcome, int)) {
+func (n *Node) call(wait units.Microseconds, free bool, apply func() int, done func(store.Outcome, int)) {
 	w := n.w
 	if !free && !n.state.AllowN(stamp(w.now), 1) {
 		w.after(0, func() { done(store.Refused, 0) })
@@ -413,13 +415,13 @@
 }
 
 // stateTime is how long the state service takes.
-func (w *World) stateTime() unit.Micros {
-	t := unit.Seconds(w.S.State.LatencyMS / 1000 * (0.6 + 0.8*w.rng.Float64()))
+func (w *World) stateTime() units.Microseconds {
+	t := units.Seconds(w.S.State.LatencyMS / 1000 * (0.6 + 0.8*w.rng.Float64()))
 	if w.chance(0.002) {
 		t += w.span(0.1, 0.4) // now and then
 	}
 	if w.now < w.slow.until {
-		t += unit.Micros(float64(w.slow.delay) * (0.6 + 0.8*w.rng.Float64()))
+		t += units.Microseconds(float64(w.slow.delay) * (0.6 + 0.8*w.rng.Float64()))
 	}
 	return t
 }
@@ -545,7 +547,7 @@
 		if f := w.opt.Break.Outcome; f != nil {
 			o = f(*e.Txn, o)
 		}
-		n.back(life, func() { n.core.OnCommit(n.local(), e.Lane, e.Txn, o, res.Rev, res.Failed) })
+		n.back(life, func() { n.core.OnCommit(n.local(), e.Queue, e.Txn, o, res.Rev, res.Failed) })
 	}
 	switch {
 	case w.now < w.late && w.chance(w.lateShare) || w.noise && w.chance(0.002): // carried out late
@@ -580,7 +582,7 @@
 func (n *Node) cloudCall(guarded bool, apply func() int, done func(store.Outcome)) {
 	w, life := n.w, n.life
 	r := n.cloud.ReserveN(stamp(w.now), 1)
-	wait := unit.Micros(r.DelayFrom(stamp(w.now)).Microseconds())
+	wait := units.Microseconds(r.DelayFrom(stamp(w.now)).Microseconds())
 	if wait > cloudWait {
 		r.CancelAt(stamp(w.now))
 		w.after(0, func() { done(store.Refused) })
@@ -601,7 +603,7 @@
 					code := apply()
 					w.Site.Advance(w.now)
 					w.takeSite()
-					w.after(unit.Seconds(w.S.Cloud.LatencyMS/1000), func() {
+					w.after(units.Seconds(w.S.Cloud.LatencyMS/1000), func() {
 						answer(func() {
 							if code == http.StatusOK {
 								done(store.OK)
@@ -628,7 +630,7 @@
 }
 
 // hosts reads the machine list, page by page.
-func (n *Node) hosts(life int, e core.ListHosts, after string, got []core.Host) {
+func (n *Node) hosts(life int, e core.ListMachines, after string, got []core.ListedMachine) {
 	w := n.w
 	var list []rental.Listed
 	var more bool
@@ -638,11 +640,11 @@
 		return code
 	}, func(o store.Outcome) {
 		if o != store.OK {
-			n.back(life, func() { n.core.OnHosts(n.local(), e, o, nil) })
+			n.back(life, func() { n.core.OnListMachines(n.local(), e, o, nil) })
 			return
 		}
 		for _, l := range list {
-			got = append(got, core.Host{Name: l.Name, Addr: l.Addr, Failed: l.State == rental.Failed, Age: l.Age,
+			got = append(got, core.ListedMachine{Name: l.Name, Addr: l.Addr, Failed: l.State == rental.Failed, Age: l.Age,
 				Record: fleet.Record{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
 		}
 		if more && len(list) > 0 {
@@ -651,19 +653,19 @@
 			}
 			return
 		}
-		n.back(life, func() { n.core.OnHosts(n.local(), e, store.OK, got) })
+		n.back(life, func() { n.core.OnListMachines(n.local(), e, store.OK, got) })
 	})
 }
 
 // contact shows a token to a worker.
-func (n *Node) contact(life int, e core.Contact) {
+func (n *Node) contact(life int, e core.Probe) {
 	w := n.w
 	zone := ""
 	if m := w.Site.Cloud.Machine(e.Machine); m != nil {
 		zone = scenario.ZoneParty(m.Zone)
 	}
-	done := func(o store.Outcome, r *fleet.Report) {
-		n.back(life, func() { n.core.OnContact(n.local(), e, o, r) })
+	done := func(o store.Outcome, r *fleet.Heartbeat) {
+		n.back(life, func() { n.core.OnProbe(n.local(), e, o, r) })
 	}
 	n.sent(func() {
 		if n.local() >= n.core.ValidUntil() {
@@ -673,7 +675,7 @@
 		sent := w.now
 		w.net.request(n.Name, zone, second, func(answer func(func())) {
 			w.requestArrives(sent)
-			r, _, taken, found := w.Site.Direct(w.now, e.Machine, e.Token, e.Session, nil)
+			r, _, taken, found := w.Site.Direct(w.now, e.Machine, e.FencingToken, e.Incarnation, nil)
 			w.takeSite()
 			if !found || w.noise && w.chance(0.02) {
 				return
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -8,7 +8,7 @@
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/scenario"
@@ -24,9 +24,9 @@
 
 // ConfigChange is what became of an operator's change of the configuration.
 type ConfigChange struct {
-	Asked     unit.Micros
-	Stored    unit.Micros // when its operator was told; 0: never
-	Confirmed unit.Micros // when the operator was told; 0: never
+	Asked     units.Microseconds
+	Stored    units.Microseconds // when its operator was told; 0: never
+	Confirmed units.Microseconds // when the operator was told; 0: never
 	Version   uint64
 	Refused   int // tries that were refused or not answered
 }
@@ -38,7 +38,7 @@
 	for i := range count {
 		last := i == count-1
 		change := configuration.TeamChange{Name: f.Team, Remove: f.Remove && last}
-		cpus := unit.MilliDown(f.CPUsMax)
+		cpus := units.MilliDown(f.CPUsMax)
 		if !last {
 			cpus = max(1000, int64(float64(cpus)*(0.5+w.rng.Float64())))
 		}
@@ -46,7 +46,7 @@
 		if !change.Remove {
 			change.LimitCPU, change.GuaranteeCPU = &cpus, &none
 		}
-		w.after(unit.Seconds(f.EveryS)*unit.Micros(i), func() {
+		w.after(units.Seconds(f.EveryS)*units.Microseconds(i), func() {
 			x := &ConfigChange{Asked: w.now}
 			w.Changes = append(w.Changes, x)
 			w.configure(f.Node, configuration.Request{By: "operator", Teams: []configuration.TeamChange{change}}, x, last)
@@ -69,7 +69,7 @@
 	}
 	w.after(operatorWait, retry) // also where the process ends meanwhile
 	for _, n := range w.nodesOf(node) {
-		n.ask(func(req core.ReqID) { n.core.Configure(n.local(), req, r) }, 0, func(reply core.Reply) {
+		n.ask(func(req core.RequestID) { n.core.Configure(n.local(), req, r) }, 0, func(reply core.Reply) {
 			s, ok := reply.Body.(core.ConfigStored)
 			switch {
 			case answered:
@@ -94,7 +94,7 @@
 		return
 	}
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
-	n.ask(func(req core.ReqID) { n.core.ConfigStatus(n.local(), req, x.Version) }, 0, func(reply core.Reply) {
+	n.ask(func(req core.RequestID) { n.core.ConfigStatus(n.local(), req, x.Version) }, 0, func(reply core.Reply) {
 		if s, ok := reply.Body.(core.ConfigStatus); ok && s.Confirmed && x.Confirmed == 0 {
 			x.Confirmed = w.now
 			w.Check.Confirmed(w.now, x.Version)
@@ -135,7 +135,7 @@
 
 // ordered tells the checker which tasks a controller has decided to start.
 func (w *World) ordered(r core.Reply) {
-	o, ok := r.Body.(core.Orders)
+	o, ok := r.Body.(core.HeartbeatResponse)
 	if !ok {
 		return
 	}
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/scenario"
@@ -25,16 +25,16 @@
 		s.Users.LateRetries = 0.3
 		w := New(s, Options{Seed: seed + 1})
 		var first []*user.Job
-		spec := &ledger.Spec{Team: "green", Tasks: 1, Demand: [3]int64{500, 0, 500}, AnyType: true, Image: "i", Estimate: second}
+		spec := &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{500, 0, 500}, AnyType: true, Image: "i", Estimate: second}
 		for i := range 700 {
-			first = append(first, w.submit(unit.Micros(i)*second/20, spec, second, 0))
+			first = append(first, w.submit(units.Microseconds(i)*second/20, spec, second, 0))
 		}
 		for i := range 40 {
-			w.submit(80*second+unit.Micros(i)*second, spec, second, 0, first...)
+			w.submit(80*second+units.Microseconds(i)*second, spec, second, 0, first...)
 		}
 		for at := 80.0; at < 130; at += 1 + w.rng.Float64() {
-			w.after(unit.Seconds(at+w.rng.Float64()), func() { w.Nodes[w.rng.IntN(3)].Crash() })
-			w.after(unit.Seconds(at), func() { w.Fault(scenario.Fault{Kind: scenario.StateLate, ForS: 0.3}) })
+			w.after(units.Seconds(at+w.rng.Float64()), func() { w.Nodes[w.rng.IntN(3)].Crash() })
+			w.after(units.Seconds(at), func() { w.Fault(scenario.Fault{Kind: scenario.StateLate, ForS: 0.3}) })
 		}
 		for at := 80 * second; at < 300*second; at += second {
 			w.Run(at)
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -14,9 +14,9 @@
 	"shalestage.example/shalestage/internal/backup"
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/archive"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/direct"
 	"shalestage.example/shalestage/internal/emulator/kv"
@@ -39,7 +39,7 @@
 func TestOlderReleasesAreKeptOut(t *testing.T) {
 	w := New(packing(), Options{Seed: 1})
 	for i := range 12 {
-		w.submit(unit.Micros(i)*second, &ledger.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+		w.submit(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	}
 	w.Run(200 * second)
 	l := w.State.List(w.now, "x", "", "", 0)
@@ -87,7 +87,7 @@
 func TestNothingIsPackedBesideOlder(t *testing.T) {
 	w := New(packing(), Options{Seed: 1})
 	for i := range 30 {
-		w.submit(unit.Micros(i)*second, &ledger.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+		w.submit(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	}
 	for at := second / 10; at < 200*second; at += second / 10 {
 		w.Run(at)
@@ -112,17 +112,17 @@
 	preload(w, 20_000)
 	w.Run(30 * second)
 	asked, ok, shed := 0, 0, 0
-	var took []unit.Micros
+	var took []units.Microseconds
 	for i := range 3000 {
-		w.after(unit.Micros(i)*second/100, func() {
+		w.after(units.Microseconds(i)*second/100, func() {
 			n := w.Nodes[i%3]
 			id := fmt.Sprintf("wk-%06d", 1_000_000+i*6)
 			asked++
 			sent := w.now
-			n.ask(func(req core.ReqID) { n.core.Query(n.local(), req, id) }, 2*second, func(r core.Reply) {
+			n.ask(func(req core.RequestID) { n.core.Query(n.local(), req, id) }, 2*second, func(r core.Reply) {
 				a, told := r.Body.(core.JobAnswer)
 				switch {
-				case told && a.Status == ledger.Done && a.Done == 2:
+				case told && a.Status == jobs.Done && a.Done == 2:
 					ok++
 					took = append(took, w.now-sent)
 				case r.Code == 503 && r.RetryAfter > 0:
@@ -135,7 +135,7 @@
 	}
 	var fresh []*user.Job
 	for i := range 10 {
-		fresh = append(fresh, w.submit(w.now+unit.Micros(i)*3*second, &ledger.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true,
+		fresh = append(fresh, w.submit(w.now+units.Microseconds(i)*3*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true,
 			Image: "i", Estimate: second}, second, 0))
 	}
 	w.Run(100 * second)
@@ -146,7 +146,7 @@
 	t.Logf("of %d in 30 s: %d right, %d sent away; half within %.3f s, 95%% within %.3f s, 99%% within %.3f s", asked, ok, shed,
 		took[len(took)/2].Seconds(), took[len(took)*95/100].Seconds(), took[len(took)*99/100].Seconds())
 	for _, j := range fresh {
-		if j.Final != ledger.Done || j.Over-j.At > 30*second {
+		if j.Final != jobs.Done || j.Over-j.At > 30*second {
 			t.Errorf("%s: %q after %.1f s", j.ID, j.Final, (j.Over - j.At).Seconds())
 		}
 	}
@@ -156,11 +156,11 @@
 }
 
 // preload stores packed jobs wk-1000000, wk-1000001 and so on, with two tasks each.
-func preload(w *World, jobs int) {
+func preload(w *World, submitted int) {
 	var items []kv.Item
 	rev := uint64(0)
-	for _, e := range packed.Buckets(jobs, func(i uint64) (uint64, archive.Answer) {
-		return 1_000_000 + i, archive.Answer{Status: ledger.Done, Tasks: 2, Ended: second}
+	for _, e := range packed.Buckets(submitted, func(i uint64) (uint64, archive.Answer) {
+		return 1_000_000 + i, archive.Answer{Status: jobs.Done, Tasks: 2, FinishedAt: second}
 	}) {
 		rev++
 		items = append(items, kv.Item{Key: e.Key, Value: e.Value, Stamp: rev})
@@ -183,17 +183,17 @@
 	}
 	w := New(packing(), Options{Seed: 1})
 	preload(w, *history)
-	j := w.submit(second/100, &ledger.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	j := w.submit(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	began := time.Now()
-	seated, whole := unit.Micros(0), unit.Micros(0)
+	seated, whole := units.Microseconds(0), units.Microseconds(0)
 	for at := second / 20; at < 600*second && (whole == 0 || j.Final == ""); at += second / 20 {
 		w.Run(at)
 		all := true
 		for _, n := range w.census().Nodes {
-			if n.Seated && seated == 0 {
+			if n.Member && seated == 0 {
 				seated = at
 			}
-			all = all && n.PackedIDs >= *history*9/10 // some are taken for others
+			all = all && n.ArchivedIDs >= *history*9/10 // some are taken for others
 		}
 		if all && whole == 0 {
 			whole = at
@@ -211,7 +211,7 @@
 	return outcomeOf(l.Code), l.Rev, direct.Items(l.Items), l.More
 }
 
-func (d service) Watch(_ string, after uint64, _ unit.Micros) (store.Outcome, uint64, []store.Event, bool) {
+func (d service) Watch(_ string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
 	return store.OK, after, nil, false // nothing happens meanwhile
 }
 
@@ -227,12 +227,12 @@
 func TestRestoredBackup(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := New(packing(), Options{Seed: seed})
-		job := func(team string) *ledger.Spec {
-			return &ledger.Spec{Team: team, Tasks: 4, Demand: [3]int64{2000, 0, 1000}, AnyType: true, Image: "i", Estimate: 15 * second}
+		job := func(team string) *jobs.Spec {
+			return &jobs.Spec{Team: team, Tasks: 4, Demand: [3]int64{2000, 0, 1000}, AnyType: true, Image: "i", Estimate: 15 * second}
 		}
 		var before, after []*user.Job
 		for i := range 20 {
-			before = append(before, w.submit(unit.Micros(i)*8*second, job("red"), 15*second, 0))
+			before = append(before, w.submit(units.Microseconds(i)*8*second, job("red"), 15*second, 0))
 		}
 		w.Run(165 * second)
 		var file bytes.Buffer
@@ -241,7 +241,7 @@
 			t.Fatal(err)
 		}
 		for i := range 6 {
-			after = append(after, w.submit(w.now+unit.Micros(i)*3*second, job("blue"), 60*second, 0))
+			after = append(after, w.submit(w.now+units.Microseconds(i)*3*second, job("blue"), 60*second, 0))
 		}
 		w.Nodes[0].Crash() // so that terms rise after the backup
 		w.Run(185 * second)
@@ -261,7 +261,7 @@
 			}
 		}
 		for _, j := range before {
-			if j.Job.DoneTasks() != 4 || j.Final != ledger.Done {
+			if j.Job.DoneTasks() != 4 || j.Final != jobs.Done {
 				t.Errorf("seed %d: %s is %q, %d tasks done", seed, j.ID, j.Final, j.Job.DoneTasks())
 			}
 		}
@@ -293,7 +293,7 @@
 	w.State.Restore(0, 30_000, 1, items, nil)
 	changes := 0
 	for i := range 30_000 { // 1,500 a second
-		w.after(unit.Micros(i)*second/1500, func() {
+		w.after(units.Microseconds(i)*second/1500, func() {
 			c := kv.Change{Key: "shalestage/type/x", Value: json.RawMessage(`{}`)}
 			if i%3 == 0 { // also removes what was listed, or is going to be
 				c = kv.Change{Key: fmt.Sprintf("shalestage/job/wk-%06d", i)}
@@ -305,14 +305,14 @@
 	}
 	// The others' changes are no part of what the controller was told of the limits.
 	l := s.State.KV()
-	limit := func(at unit.Micros, rate float64) { w.after(at, func() { l.Rate = rate; w.State.SetLimits(l) }) }
+	limit := func(at units.Microseconds, rate float64) { w.after(at, func() { l.Rate = rate; w.State.SetLimits(l) }) }
 	limit(0, 1e6)
 	limit(4*second, 1)
 	limit(7*second, 1e6)
-	loaded := unit.Micros(0)
+	loaded := units.Microseconds(0)
 	for at := second / 2; at < 60*second && loaded == 0; at += second / 2 {
 		w.Run(at)
-		if w.census().Nodes[0].Seated {
+		if w.census().Nodes[0].Member {
 			loaded = at
 		}
 	}
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/rental"
@@ -53,7 +53,7 @@
 }
 
 // submit plans a job.
-func (w *World) submit(at unit.Micros, spec *ledger.Spec, length, cancelAfter unit.Micros, needs ...*user.Job) *user.Job {
+func (w *World) submit(at units.Microseconds, spec *jobs.Spec, length, cancelAfter units.Microseconds, needs ...*user.Job) *user.Job {
 	if spec.ImageMB == 0 {
 		spec.ImageMB = 1000
 	}
@@ -66,13 +66,13 @@
 func (w *World) upNow() []*rental.Machine { return w.Site.Cloud.Alive() }
 
 // drawJob draws a job of any kind that the worlds' machines can run.
-func drawJob(t *rapid.T) *ledger.Spec {
-	s := &ledger.Spec{
+func drawJob(t *rapid.T) *jobs.Spec {
+	s := &jobs.Spec{
 		Class:    rapid.SampledFrom([]string{"x", "y"}).Draw(t, "class"),
 		Team:     rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(t, "team"),
-		Priority: ledger.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
+		Priority: jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 		Tasks:    rapid.IntRange(1, 12).Draw(t, "tasks"),
-		Demand:   pack.Vec{int64(rapid.IntRange(500, 8000).Draw(t, "cpu")), 0, int64(rapid.IntRange(500, 16000).Draw(t, "memory"))},
+		Demand:   binpack.Vec{int64(rapid.IntRange(500, 8000).Draw(t, "cpu")), 0, int64(rapid.IntRange(500, 16000).Draw(t, "memory"))},
 		AnyType:  true,
 		Spot:     rapid.Bool().Draw(t, "spot"),
 		OneZone:  rapid.IntRange(0, 4).Draw(t, "one") == 0,
@@ -106,25 +106,25 @@
 		sc.Faults = []scenario.Fault{{Kind: scenario.StateLimits, AtS: float64(rapid.IntRange(1, 100).Draw(t, "limits_fall_at"))}}
 	}
 	w := New(sc, Options{Seed: rapid.Uint64Min(1).Draw(t, "seed")})
-	var jobs []*user.Job
+	var submitted []*user.Job
 	for range rapid.IntRange(3, 14).Draw(t, "jobs") {
-		at := unit.Seconds(float64(rapid.IntRange(0, 60).Draw(t, "at")))
-		length := unit.Seconds(float64(rapid.IntRange(1, 20).Draw(t, "length")))
-		var cancel unit.Micros
+		at := units.Seconds(float64(rapid.IntRange(0, 60).Draw(t, "at")))
+		length := units.Seconds(float64(rapid.IntRange(1, 20).Draw(t, "length")))
+		var cancel units.Microseconds
 		if rapid.IntRange(0, 4).Draw(t, "cancels") == 0 {
-			cancel = unit.Seconds(float64(rapid.IntRange(1, 30).Draw(t, "cancel")))
+			cancel = units.Seconds(float64(rapid.IntRange(1, 30).Draw(t, "cancel")))
 		}
 		broken := rapid.IntRange(0, 5).Draw(t, "broken") == 0
 		if broken {
-			cancel = unit.Seconds(float64(rapid.IntRange(20, 100).Draw(t, "give_up")))
+			cancel = units.Seconds(float64(rapid.IntRange(20, 100).Draw(t, "give_up")))
 		}
 		var needs []*user.Job
-		if len(jobs) > 0 && rapid.Bool().Draw(t, "awaits") {
-			needs = rapid.SliceOfNDistinct(rapid.SampledFrom(jobs), 1, min(len(jobs), 3), rapid.ID).Draw(t, "needs")
+		if len(submitted) > 0 && rapid.Bool().Draw(t, "awaits") {
+			needs = rapid.SliceOfNDistinct(rapid.SampledFrom(submitted), 1, min(len(submitted), 3), rapid.ID).Draw(t, "needs")
 		}
 		j := w.submit(at, drawJob(t), length, cancel, needs...)
 		j.Broken = broken
-		jobs = append(jobs, j)
+		submitted = append(submitted, j)
 	}
 	w.Run(420 * second)
 	w.Check.Finish(w.now, true)
@@ -163,7 +163,7 @@
 		}
 		led := 0
 		for _, n := range w.Nodes {
-			if n.core.Holds(n.local(), 0) {
+			if n.core.Owns(n.local(), 0) {
 				led++
 			}
 		}
@@ -180,7 +180,7 @@
 func busyWith(seed uint64, nodes int, b Broken) *World {
 	w := New(deployment(nodes, 0), Options{Seed: seed + 1, Break: b})
 	for range 4 {
-		w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: pack.Vec{1000, 0, 2000},
+		w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 60 * second}, 100*second, 0)
 	}
 	w.Run(40 * second)
@@ -224,7 +224,7 @@
 	w := busy(2, 3)
 	var old *Node
 	for _, n := range w.Nodes {
-		if n.core.Holds(n.local(), 0) {
+		if n.core.Owns(n.local(), 0) {
 			old = n
 		}
 	}
@@ -235,7 +235,7 @@
 	w.Run(w.now + 10*second)
 	led := 0
 	for _, n := range w.Nodes {
-		if n.core.Holds(n.local(), 0) && n != old {
+		if n.core.Owns(n.local(), 0) && n != old {
 			led++
 		}
 	}
@@ -287,7 +287,7 @@
 	for seed := range uint64(10) {
 		w, _, old := busyUnder(t, seed)
 		w.opt.Break.Peer = func(m any) bool { _, starts := m.(core.PeerStarts); return !starts }
-		old.core.Unfollow(old.local())
+		old.core.StopReplication(old.local())
 		w.Run(w.now + 3*second)
 		before := w.Site.Running()
 		old.frozen = w.now + 60*second
@@ -295,11 +295,11 @@
 			w.Run(w.now + 50*millis)
 		}
 		n := w.Holder(0)
-		if n == nil || n == old || n.core.Unaccounted(0) == 0 {
+		if n == nil || n == old || n.core.Unreconciled(0) == 0 {
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
 		w.Run(w.now + 2*second)
-		if left := n.core.Unaccounted(0); left > 0 || w.Holder(0) != n {
+		if left := n.core.Unreconciled(0); left > 0 || w.Holder(0) != n {
 			t.Fatalf("seed %d: %d machines are not accounted for", seed, left)
 		}
 		w.Run(w.now + 20*second)
@@ -314,8 +314,8 @@
 // given up for it, and the next holder does not try all of them again.
 func TestBrokenJob(t *testing.T) {
 	w := world(11, 3, 0)
-	spec := func(tasks int, cpu int64) *ledger.Spec {
-		return &ledger.Spec{Class: "x", Team: "green", Priority: ledger.Normal, Tasks: tasks, Demand: pack.Vec{cpu, 0, 2000}, AnyType: true, Spot: true,
+	spec := func(tasks int, cpu int64) *jobs.Spec {
+		return &jobs.Spec{Class: "x", Team: "green", Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{cpu, 0, 2000}, AnyType: true, Spot: true,
 			Image: "i", Estimate: 20 * second}
 	}
 	w.submit(second, spec(20, 4000), 40*second, 0)
@@ -332,7 +332,7 @@
 		t.Fatalf("%d tasks of a job known to fail were tried again, %d before", again, wave)
 	}
 	for _, n := range w.Nodes {
-		if s := n.core.Sick(0); s > 0 {
+		if s := n.core.Quarantined(0); s > 0 {
 			t.Fatalf("%d machines blamed", s)
 		}
 	}
@@ -346,14 +346,14 @@
 // starts within seconds all the same, and the idle-time work is done in the end.
 func TestIdleTimeMakesRoom(t *testing.T) {
 	w := world(12, 1, 0)
-	w.submit(second, &ledger.Spec{Class: "idle", Team: "green", Tasks: 70, Demand: pack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
+	w.submit(second, &jobs.Spec{Class: "idle", Team: "green", Tasks: 70, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
 		Image: "i", Estimate: 60 * second, Checkpoint: 5 * second, Save: second}, 60*second, 0)
 	w.Run(50 * second)
 	if w.Site.Running() == 0 {
 		t.Fatal("nothing runs")
 	}
 	starts := w.starts
-	w.submit(w.now, &ledger.Spec{Class: "x", Team: "blue", Priority: ledger.Normal, Tasks: 8, Demand: pack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
+	w.submit(w.now, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 8, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
 		Image: "i", Estimate: 10 * second}, 30*second, 0)
 	w.Run(w.now + 15*second)
 	if got := w.starts - starts; got < 8 {
@@ -371,7 +371,7 @@
 	w := busy(3, 3)
 	total := w.Site.Running()
 	for _, n := range w.Nodes {
-		if n.core.Holds(n.local(), 0) {
+		if n.core.Owns(n.local(), 0) {
 			n.Crash()
 		}
 	}
@@ -411,7 +411,7 @@
 		if broken := lateReports(t, seed, Broken{Peer: unfollowed}); len(broken) > 0 {
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
 		}
-		b := Broken{Peer: unfollowed, Core: func(c *core.Config) { c.LeftOut = guard.ReportToken }}
+		b := Broken{Peer: unfollowed, Core: func(c *core.Config) { c.SkippedGuard = guard.ReportToken }}
 		if slices.ContainsFunc(lateReports(t, seed, b), func(b check.Break) bool { return b.Rule == check.RanTwice }) {
 			return
 		}
@@ -428,7 +428,7 @@
 		t.Fatal("nothing runs")
 	}
 	for _, n := range w.Nodes {
-		if n.core.Holds(n.local(), 0) {
+		if n.core.Owns(n.local(), 0) {
 			n.Crash()
 		}
 	}
@@ -437,13 +437,13 @@
 	for !delivered && w.now < until {
 		w.Run(w.now + 5*millis)
 		for _, n := range w.Nodes {
-			if n.life == 0 || !n.core.Holds(n.local(), 0) {
+			if n.life == 0 || !n.core.Owns(n.local(), 0) {
 				continue
 			}
 			delivered = true
 			for _, m := range w.upNow() {
-				r := &fleet.Report{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: 1, Seq: 1, Notice: unit.Never}
-				n.ask(func(req core.ReqID) { n.core.Report(n.local(), req, r) }, 0, func(core.Reply) {})
+				r := &fleet.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Seq: 1, Notice: units.Never}
+				n.ask(func(req core.RequestID) { n.core.Heartbeat(n.local(), req, r) }, 0, func(core.Reply) {})
 			}
 		}
 	}
@@ -458,11 +458,11 @@
 // the end of its leader.
 func TestManyTasks(t *testing.T) {
 	w := world(4, 2, 0)
-	w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 5000, Demand: pack.Vec{100, 0, 100},
+	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 5000, Demand: binpack.Vec{100, 0, 100},
 		AnyType: true, Spot: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(30 * second)
 	for _, n := range w.Nodes {
-		if n.core.Holds(n.local(), 0) {
+		if n.core.Owns(n.local(), 0) {
 			n.Crash()
 		}
 	}
@@ -477,7 +477,7 @@
 func spread(seed uint64) *World {
 	w := world(seed, 3, 2)
 	for i := range 40 {
-		w.submit(unit.Micros(i)*2*second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 12, Demand: pack.Vec{2000, 0, 2000},
+		w.submit(units.Microseconds(i)*2*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 12, Demand: binpack.Vec{2000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 2 * second}, 2*second, 0)
 	}
 	w.Run(40 * second)
@@ -548,7 +548,7 @@
 	} {
 		w.State.Commit(0, "", kv.Txn{Changes: []kv.Change{{Key: k, Value: json.RawMessage(v)}}})
 	}
-	w.submit(second, &ledger.Spec{Class: "x", Team: "blue", Tasks: 4, Demand: pack.Vec{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i",
+	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 4, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i",
 		Estimate: second}, second, 0)
 	w.Run(cancelIn - lease - 3*second)
 	if n := w.Holder(0); n != nil {
@@ -618,7 +618,7 @@
 			_, _, code := w.State.Get(w.now, "", "shalestage/seat/"+old.Name)
 			stands = code == http.StatusOK
 		}
-		w.Run(w.now + unit.Micros(seed)*second/8)
+		w.Run(w.now + units.Microseconds(seed)*second/8)
 		w.Fault(scenario.Fault{Kind: scenario.StateOutage, ForS: 60})
 		if n := w.Holder(0); n != old && n != nil {
 			t.Fatalf("seed %d: %s holds the block already", seed, n.Name)
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -13,7 +13,7 @@
 )
 
 // gotReport counts a worker's report.
-func (w *World) gotReport(n *Node, r *fleet.Report) {
+func (w *World) gotReport(n *Node, r *fleet.Heartbeat) {
 	if t := w.opt.Traffic; t.At(w.now) {
 		t.JSON(n.Name, "in report", wire.EncodeReport(r, nil))
 	}
@@ -66,9 +66,9 @@
 		t.Message(n.Name, "out read", 0)
 	case core.OpenLease, core.RenewLease, core.CloseLease:
 		t.Message(n.Name, "out lease", 0)
-	case core.FetchTypes, core.RentHosts, core.ReturnHosts, core.ListHosts:
+	case core.FetchTypes, core.ScaleOut, core.ScaleIn, core.ListMachines:
 		t.Message(n.Name, "out cloud", 0)
-	case core.Contact:
+	case core.Probe:
 		t.Message(n.Name, "out contact", 0)
 	}
 }
@@ -76,7 +76,7 @@
 // countReply counts an answer to a worker or a user.
 func (n *Node) countReply(r core.Reply) {
 	t := n.w.opt.Traffic
-	o, toWorker := r.Body.(core.Orders)
+	o, toWorker := r.Body.(core.HeartbeatResponse)
 	if !toWorker {
 		t.Message(n.Name, "out answer", 0)
 		return
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
@@ -24,15 +24,15 @@
 
 // userTroubles are what users do beyond their usual ways.
 type userTroubles struct {
-	endUntil unit.Micros // until when jobs are cancelled as they end
-	endShare float64     // of those that do
-	granted  unit.Micros // when a block was last granted or released
+	endUntil units.Microseconds // until when jobs are cancelled as they end
+	endShare float64            // of those that do
+	granted  units.Microseconds // when a block was last granted or released
 }
 
 // runningJob is a job that runs, and how much longer its longest task on a machine takes.
 type runningJob struct {
 	job      *user.Job
-	left     unit.Micros
+	left     units.Microseconds
 	machines []*rental.Machine
 }
 
@@ -72,19 +72,19 @@
 		return boolOrder(a.left < longToGo) - boolOrder(b.left < longToGo)
 	})
 	all = all[:min(len(all), max(f.Count, 1))]
-	var jobs []*user.Job
+	var submitted []*user.Job
 	hanging := map[string]bool{}
 	for _, r := range all {
-		jobs = append(jobs, r.job)
+		submitted = append(submitted, r.job)
 		for _, m := range r.machines {
 			if f.HangS > 0 && len(hanging) < mostHanging && !hanging[m.Name] {
 				hanging[m.Name] = true
-				w.Site.Hang(w.now, m, w.now+unit.Seconds(f.HangS))
+				w.Site.Hang(w.now, m, w.now+units.Seconds(f.HangS))
 			}
 		}
 	}
 	w.takeSite()
-	w.Crowd.CancelSoon(w.now, jobs)
+	w.Crowd.CancelSoon(w.now, submitted)
 }
 
 // boolOrder puts what is not so first.
@@ -96,7 +96,7 @@
 }
 
 // oddRequests lets users send requests that make no sense, or none any more, until a time.
-func (w *World) oddRequests(until unit.Micros) {
+func (w *World) oddRequests(until units.Microseconds) {
 	if w.now >= until {
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // began notes that a task is on a machine.
-func (w *World) began(m check.Machine, id ledger.TaskID) {
+func (w *World) began(m check.Machine, id jobs.TaskID) {
 	before := w.Check.StartsCancelled()
 	w.Check.Began(w.now, m, id)
 	if w.Check.StartsCancelled() > before {
@@ -192,7 +192,7 @@
 }
 
 // unusable is the room on a machine that cannot be used.
-var unusable = pack.Vec{-1, -1, -1}
+var unusable = binpack.Vec{-1, -1, -1}
 
 // rooms lists the machines that are up, with the room that they have.
 func (w *World) rooms() (out []check.Room) {
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -6,10 +6,10 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/scenario"
@@ -26,7 +26,7 @@
 		if i%3 == 0 {
 			length = 150 * second
 		}
-		w.submit(unit.Micros(1+i)*second, &ledger.Spec{Class: "x", Team: "blue", Priority: ledger.Normal, Tasks: 1 + i%3, Demand: pack.Vec{1000, 0, 1000}, AnyType: true,
+		w.submit(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 1 + i%3, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true,
 			Spot: true, Image: "i", Estimate: length}, length, 0)
 	}
 	w.Run(240 * second)
@@ -44,7 +44,7 @@
 }
 
 // answers returns a program that answers one kind of calls wrongly after so many.
-func answers(k user.Kind, after, code int, s ledger.Status) Broken {
+func answers(k user.Kind, after, code int, s jobs.Status) Broken {
 	n := 0
 	return Broken{Answer: func(e user.Call) *core.Reply {
 		if e.Kind != k {
@@ -89,13 +89,13 @@
 		rule string
 		b    Broken
 	}{
-		"submission repeated, new":     {check.WentBack, answers(user.Submit, 0, http.StatusCreated, ledger.Pending)},
-		"submission repeated, older":   {check.WentBack, answers(user.Submit, 30, http.StatusOK, ledger.Pending)},
+		"submission repeated, new":     {check.WentBack, answers(user.Submit, 0, http.StatusCreated, jobs.Pending)},
+		"submission repeated, older":   {check.WentBack, answers(user.Submit, 30, http.StatusOK, jobs.Pending)},
 		"submission repeated, refused": {check.Forgotten, answers(user.Submit, 30, http.StatusUnprocessableEntity, "")},
 		"cancellation, unknown":        {check.Forgotten, answers(user.Cancel, 0, http.StatusNotFound, "")},
-		"cancellation, older":          {check.WentBack, answers(user.Cancel, 0, http.StatusOK, ledger.Running)},
+		"cancellation, older":          {check.WentBack, answers(user.Cancel, 0, http.StatusOK, jobs.Running)},
 		"question, unknown":            {check.Forgotten, answers(user.Poll, 30, http.StatusNotFound, "")},
-		"question, older":              {check.WentBack, answers(user.Poll, 100, http.StatusOK, ledger.Pending)},
+		"question, older":              {check.WentBack, answers(user.Poll, 100, http.StatusOK, jobs.Pending)},
 		"reads that bring nothing new": {check.Forgotten, Broken{Stale: true}},
 	} {
 		if !broke(c.rule, 3, looks, c.b) {
@@ -108,7 +108,7 @@
 // within their leases and are told no stop: the checker must notice.
 func TestCancelledOnHangingMachine(t *testing.T) {
 	hang := scenario.Fault{Kind: scenario.CancelNow, AtS: 40, Count: 8, HangS: 6}
-	noStops := Broken{Orders: func(_ string, o *core.Orders) {
+	noStops := Broken{Orders: func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 	}}
 	if !broke(check.RanCancelled, 3, hang, noStops) {
@@ -120,7 +120,7 @@
 // are counted.
 func TestStartsAfterCancelCounted(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := crowded(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, says(user.Cancel, http.StatusOK, ledger.Cancelled))
+		w := crowded(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, says(user.Cancel, http.StatusOK, jobs.Cancelled))
 		if w.Check.StartsCancelled() > 0 && w.EventCount(scenario.StartCancelled) == w.Check.StartsCancelled() {
 			return
 		}
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -15,9 +15,9 @@
 	"shalestage.example/shalestage/internal/config"
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/account"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 	"shalestage.example/shalestage/internal/emulator/balance"
@@ -33,8 +33,8 @@
 )
 
 const (
-	second = unit.Second
-	millis = unit.Second / 1000
+	second = units.Second
+	millis = units.Second / 1000
 )
 
 // Options say how a scenario is played, beyond what its file says.
@@ -44,15 +44,15 @@
 	Noise bool
 	Break Broken
 	// Log returns a controller's log; nil: none.
-	Log func(node string, now func() unit.Micros) *slog.Logger
+	Log func(node string, now func() units.Microseconds) *slog.Logger
 	// Event, if set, is told of scenario.Events.
-	Event func(at unit.Micros, event string)
+	Event func(at units.Microseconds, event string)
 	// Census, if set, is told what there is, again and again.
 	Census      func(Census)
-	CensusEvery unit.Micros
+	CensusEvery units.Microseconds
 	// Meter, if set, measures the play, and looks at it again and again.
 	Meter      *meter.Meter
-	MeterEvery unit.Micros
+	MeterEvery units.Microseconds
 	// Account, if set, is told what the rented machines do.
 	Account *account.Account
 	// Traffic, if set, counts what controllers are asked, ask and take of a processor.
@@ -62,8 +62,8 @@
 // Broken programs, for showing that the checker notices them. Each field, if set,
 // breaks something.
 type Broken struct {
-	Report   func(*fleet.Report)         // what a controller sees of a report
-	Spec     func(*ledger.Spec)          // what it reads of a submission
+	Report   func(*fleet.Heartbeat)      // what a controller sees of a report
+	Spec     func(*jobs.Spec)            // what it reads of a submission
 	Answer   func(user.Call) *core.Reply // what it answers a user without doing anything; nil: as it should
 	Settings func(*config.Settings)      // what it is told
 	Clock    func(node int) float64      // rate of its steady clock
@@ -71,7 +71,7 @@
 	Told     func(m any) any             // what another controller is told in place of a message
 	Commit   func(*kv.Txn)               // what it sends to the state service of a transaction
 	Stale    bool                        // its reads of the state service's keys bring nothing new, though they are answered
-	Orders   func(node string, o *core.Orders)
+	Orders   func(node string, o *core.HeartbeatResponse)
 	// Outcome is what a controller makes of a transaction's outcome.
 	Outcome func(t store.Txn, o store.Outcome) store.Outcome
 	// Read reports whether the state service is really asked what has changed when a
@@ -91,7 +91,7 @@
 	Faults  []scenario.Fault // all that happen, drawn ones included
 	opt     Options
 	rng     *rand.Rand
-	now     unit.Micros
+	now     units.Microseconds
 	plans   agenda.Agenda[func()]
 	net     network
 	front   *balance.Balancer
@@ -100,19 +100,19 @@
 	watch   uint64
 	starts  int
 	slow    struct {
-		until, delay unit.Micros
+		until, delay units.Microseconds
 	}
-	late, unanswered unit.Micros // until when transactions are
-	lateShare        float64     // of those that are late
-	unansweredShare  float64     // of those whose answer is lost
-	copies           struct {    // of reports that arrive again
-		until   unit.Micros
+	late, unanswered units.Microseconds // until when transactions are
+	lateShare        float64            // of those that are late
+	unansweredShare  float64            // of those whose answer is lost
+	copies           struct {           // of reports that arrive again
+		until   units.Microseconds
 		share   float64
 		forNext bool // when a new leader begins
 	}
 	meetings    meetings
-	zoneCut     map[string]unit.Micros // until when zones are cut off
-	eventCounts map[string]int         // how often each of scenario.CountedEvents has happened
+	zoneCut     map[string]units.Microseconds // until when zones are cut off
+	eventCounts map[string]int                // how often each of scenario.CountedEvents has happened
 	users       userTroubles
 	combined    combinations
 	// Changes are the operators' changes of the configuration so far.
@@ -123,7 +123,7 @@
 func New(s *scenario.Scenario, opt Options) *World {
 	seed := cmp.Or(opt.Seed, s.Seed)
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
-	w := &World{zoneCut: map[string]unit.Micros{}, eventCounts: map[string]int{}, combined: newCombinations(), S: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
+	w := &World{zoneCut: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combined: newCombinations(), S: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
 		Crowd: user.New(s.UserOptions(), stream(14)),
 		opt:   opt, rng: stream(16), noise: opt.Noise, answers: map[uint64]func(kv.Changes){}, meetings: meetings{unread: map[string]string{}}}
 	w.net = network{w: w, ways: map[way]trouble{}}
@@ -152,7 +152,7 @@
 	}
 	w.Check.Calm(calm(w.Faults))
 	for _, f := range w.Faults {
-		w.after(unit.Seconds(f.AtS), func() { w.Fault(f) })
+		w.after(units.Seconds(f.AtS), func() { w.Fault(f) })
 	}
 	return w
 }
@@ -163,15 +163,17 @@
 	w.Crowd.Add(j)
 }
 
-func (w *World) after(d unit.Micros, f func()) { w.plans.Add(w.now+max(d, 0), f) }
+func (w *World) after(d units.Microseconds, f func()) { w.plans.Add(w.now+max(d, 0), f) }
 
 // span draws a time between a and b seconds.
-func (w *World) span(a, b float64) unit.Micros { return unit.Seconds(a + (b-a)*w.rng.Float64()) }
+func (w *World) span(a, b float64) units.Microseconds {
+	return units.Seconds(a + (b-a)*w.rng.Float64())
+}
 
 func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
 
 // Run plays until a time.
-func (w *World) Run(until unit.Micros) {
+func (w *World) Run(until units.Microseconds) {
 	for {
 		next := min(w.plans.Next(), w.State.Next(), w.Site.Next(), w.Crowd.Next(), w.front.Next())
 		if next > until {
@@ -255,7 +257,7 @@
 // report brings a worker's report to a controller and its answer back.
 func (w *World) report(e site.Send) {
 	n := w.node(e.Node)
-	arrives := func(req core.ReqID) { n.report(req, e.Body) }
+	arrives := func(req core.RequestID) { n.report(req, e.Body) }
 	zone := scenario.ZoneParty(e.Body.Zone)
 	failed := func() {
 		w.Site.Answer(w.now, e.Machine, e.Number, machine.Answer{})
@@ -287,9 +289,9 @@
 			}
 			a := machine.Answer{Code: r.Code, NoToken: true}
 			switch b := r.Body.(type) {
-			case core.Orders:
-				a.Token, a.NoToken, a.Commands = b.Token, false, b.Commands
-				w.acted(b.Token)
+			case core.HeartbeatResponse:
+				a.Token, a.NoToken, a.Commands = b.FencingToken, false, b.Commands
+				w.acted(b.FencingToken)
 			case core.Redirect:
 				a.Node = b.Node
 			}
@@ -311,7 +313,7 @@
 }
 
 // report hands a worker's report to the core.
-func (n *Node) report(req core.ReqID, body *fleet.Report) {
+func (n *Node) report(req core.RequestID, body *fleet.Heartbeat) {
 	n.w.reportArrives(n, body)
 	if f := n.w.opt.Break.Report; f != nil {
 		seen := *body
@@ -320,7 +322,7 @@
 		body = &seen
 	}
 	n.w.opt.Traffic.As("do report")
-	n.core.Report(n.local(), req, body)
+	n.core.Heartbeat(n.local(), req, body)
 }
 
 func (w *World) node(name string) *Node {
@@ -341,7 +343,7 @@
 			user.Tell(w.Check, w.now, e)
 			if t, ok := e.(user.Told); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
 				w.cancelToldPastCut()
-				if t.Status == ledger.Cancelled {
+				if t.Status == jobs.Cancelled {
 					w.cancelTold(t.ID)
 				}
 			}
@@ -407,10 +409,10 @@
 			within = 1900 * millis
 		}
 		w.gotCall(n, e)
-		n.ask(func(req core.ReqID) {
+		n.ask(func(req core.RequestID) {
 			if f := w.opt.Break.Answer; f != nil {
 				if r := f(e); r != nil {
-					r.Req = req
+					r.Request = req
 					n.effect(*r)
 					return
 				}
@@ -480,7 +482,7 @@
 // Holder returns the controller that holds a block, if any does.
 func (w *World) Holder(k int) *Node {
 	for _, n := range w.Nodes {
-		if n.life != 0 && n.core.Holds(n.local(), k) {
+		if n.life != 0 && n.core.Owns(n.local(), k) {
 			return n
 		}
 	}
@@ -493,7 +495,7 @@
 	for k := range w.Nodes {
 		first := ""
 		for _, n := range w.Nodes {
-			if n.life == 0 || !n.core.Holds(n.local(), k) {
+			if n.life == 0 || !n.core.Owns(n.local(), k) {
 				continue
 			}
 			if first != "" {
@@ -515,14 +517,14 @@
 	Over            int
 	Rented          int
 	Money           float64
-	MaxWait         unit.Micros // from a submission to the answer that the job is over
-	Missed          []string    // expectations that are no rules
+	MaxWait         units.Microseconds // from a submission to the answer that the job is over
+	Missed          []string           // expectations that are no rules
 	Faults          []scenario.Fault
 }
 
 // Play plays the whole scenario.
 func (w *World) Play() Result {
-	w.Run(unit.Seconds(w.S.DurationS))
+	w.Run(units.Seconds(w.S.DurationS))
 	w.Check.Finish(w.now, w.S.Expect.AllOver)
 	r := Result{Broken: w.Check.Broken(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.Rented(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
 	r.Jobs = len(w.Crowd.Jobs())
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -10,7 +10,7 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -31,7 +31,7 @@
 	s.DurationS, s.Expect = 240, scenario.Expect{}
 	s.Faults = faults
 	var logs bytes.Buffer
-	w := New(s, Options{Seed: seed, Break: broken, Log: func(node string, now func() unit.Micros) *slog.Logger {
+	w := New(s, Options{Seed: seed, Break: broken, Log: func(node string, now func() units.Microseconds) *slog.Logger {
 		at := func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
 				return slog.Float64("t", now().Seconds())
@@ -131,7 +131,7 @@
 // then tasks are called back. No rule breaks all the same, as a task that is known to be
 // somewhere else is stopped where it shows as well.
 func TestHeldBackReportsTakenForTrue(t *testing.T) {
-	b := Broken{Core: func(c *core.Config) { c.LeftOut = guard.VoidAttempts }}
+	b := Broken{Core: func(c *core.Config) { c.SkippedGuard = guard.VoidAttempts }}
 	for seed := uint64(1); seed <= 2; seed++ {
 		_, logs := lostZoneWith(t, seed, b, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
 		if strings.Contains(logs, "task is on two machines") {
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 	"slices"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
@@ -20,8 +20,8 @@
 // Config says what the site is like.
 type Config struct {
 	Cloud       rental.Config
-	ReportEvery unit.Micros
-	Lease       unit.Micros
+	ReportEvery units.Microseconds
+	Lease       units.Microseconds
 	Nodes       []string // controllers
 	MaxDrift    float64  // of workers' clocks, as a share
 	Apart       int      // machines at a time whose worker runs in a process of its own
@@ -47,11 +47,11 @@
 	// Began and Ended say what is on a machine with its image.
 	Began struct {
 		*rental.Machine
-		Task ledger.TaskID
+		Task jobs.TaskID
 	}
 	Ended struct {
 		*rental.Machine
-		Task      ledger.TaskID
+		Task      jobs.TaskID
 		Completed bool
 	}
 )
@@ -73,7 +73,7 @@
 type member struct {
 	*machine.Worker
 	m    *rental.Machine
-	plan unit.Micros // when it is next looked at
+	plan units.Microseconds // when it is next looked at
 }
 
 // New returns a site with nothing rented.
@@ -87,10 +87,10 @@
 }
 
 // Next returns when Advance is next of use.
-func (s *Site) Next() unit.Micros { return min(s.Cloud.Next(), s.due.Next()) }
+func (s *Site) Next() units.Microseconds { return min(s.Cloud.Next(), s.due.Next()) }
 
 // Advance lets time pass.
-func (s *Site) Advance(now unit.Micros) {
+func (s *Site) Advance(now units.Microseconds) {
 	s.Cloud.Advance(now)
 	s.sync(now)
 	for {
@@ -106,7 +106,7 @@
 }
 
 // sync takes up what the cloud did.
-func (s *Site) sync(now unit.Micros) {
+func (s *Site) sync(now units.Microseconds) {
 	for _, e := range s.Cloud.Drain() {
 		switch e := e.(type) {
 		case rental.Began:
@@ -128,10 +128,10 @@
 	}
 }
 
-func (s *Site) begin(now unit.Micros, m *rental.Machine) {
+func (s *Site) begin(now units.Microseconds, m *rental.Machine) {
 	t := s.types[m.Type]
 	cfg := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Capacity: Capacity(t), CacheMB: unit.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(unit.MilliDown(t.FetchGBs))*m.Fetch)),
+		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.Fetch)),
 		ReportEvery: s.cfg.ReportEvery, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, Clock: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
 	fault := machine.Fault{Speed: m.Speed, Sick: m.Sick}
 	if len(s.apart) < s.cfg.Apart {
@@ -147,15 +147,15 @@
 }
 
 // Capacity is what a machine of a type has, in thousandths.
-func Capacity(t rental.Type) pack.Vec {
-	return pack.Vec{unit.MilliDown(t.CPUs), unit.MilliDown(t.GPUs), unit.MilliDown(t.MemoryGB)}
+func Capacity(t rental.Type) binpack.Vec {
+	return binpack.Vec{units.MilliDown(t.CPUs), units.MilliDown(t.GPUs), units.MilliDown(t.MemoryGB)}
 }
 
 // CPUs is how many a machine has.
 func (s *Site) CPUs(m *rental.Machine) float64 { return s.types[m.Type].CPUs }
 
 // settle takes up what a worker did and plans its next look.
-func (s *Site) settle(now unit.Micros, k *member) {
+func (s *Site) settle(now units.Microseconds, k *member) {
 	s.collect(k)
 	if next := max(k.Next(), now+1); next != k.plan {
 		k.plan = next
@@ -177,7 +177,7 @@
 }
 
 // Answer takes the answer to a report; Code 0: it failed.
-func (s *Site) Answer(now unit.Micros, name string, number int, a machine.Answer) {
+func (s *Site) Answer(now units.Microseconds, name string, number int, a machine.Answer) {
 	s.Advance(now)
 	k := s.workers[name]
 	if k == nil {
@@ -193,7 +193,7 @@
 
 // Direct carries commands out that came straight to a machine, and returns its
 // report; found is false where there is no such machine, or it does not speak.
-func (s *Site) Direct(now unit.Micros, name string, token, session uint64, commands []fleet.Command) (r *fleet.Report, saved map[ledger.TaskID]bool, taken, found bool) {
+func (s *Site) Direct(now units.Microseconds, name string, token, session uint64, commands []fleet.Command) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, taken, found bool) {
 	s.Advance(now)
 	k := s.workers[name]
 	if k == nil || k.Hangs(now) || k.Deaf(now) {
@@ -206,7 +206,7 @@
 }
 
 // Status returns a machine's report.
-func (s *Site) Status(now unit.Micros, name string) (r *fleet.Report, saved map[ledger.TaskID]bool, found bool) {
+func (s *Site) Status(now units.Microseconds, name string) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, found bool) {
 	s.Advance(now)
 	k := s.workers[name]
 	if k == nil || k.Hangs(now) {
@@ -246,21 +246,21 @@
 }
 
 // Kill stops a machine with all that is on it.
-func (s *Site) Kill(now unit.Micros, m *rental.Machine) {
+func (s *Site) Kill(now units.Microseconds, m *rental.Machine) {
 	s.Advance(now)
 	s.Cloud.Kill(now, m)
 	s.sync(now)
 }
 
 // Take lets the cloud take a spot machine back.
-func (s *Site) Take(now unit.Micros, m *rental.Machine, notice unit.Micros, silent float64) {
+func (s *Site) Take(now units.Microseconds, m *rental.Machine, notice units.Microseconds, silent float64) {
 	s.Advance(now)
 	s.Cloud.Take(now, m, notice, silent)
 	s.sync(now)
 }
 
 // Hang lets a machine stand still until a time.
-func (s *Site) Hang(now unit.Micros, m *rental.Machine, until unit.Micros) {
+func (s *Site) Hang(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.Hang(now, until)
@@ -269,7 +269,7 @@
 }
 
 // Deafen lets no answer and no command reach a machine until a time.
-func (s *Site) Deafen(now unit.Micros, m *rental.Machine, until unit.Micros) {
+func (s *Site) Deafen(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.Deafen(until)
@@ -277,7 +277,7 @@
 }
 
 // Mute lets no report of a machine reach a controller until a time; direct commands reach it.
-func (s *Site) Mute(now unit.Micros, m *rental.Machine, until unit.Micros) {
+func (s *Site) Mute(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.Silence(until)
@@ -285,7 +285,7 @@
 }
 
 // Spoil changes what is wrong with a machine.
-func (s *Site) Spoil(now unit.Micros, m *rental.Machine, f machine.Fault) {
+func (s *Site) Spoil(now units.Microseconds, m *rental.Machine, f machine.Fault) {
 	s.Advance(now)
 	m.Speed, m.Sick = f.Speed, f.Sick
 	if k := s.workers[m.Name]; k != nil {
--- a/internal/emulator/site/site_test.go
+++ b/internal/emulator/site/site_test.go
@@ -10,10 +10,10 @@
 
 	"pgregory.net/rapid"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
@@ -23,11 +23,11 @@
 var pools = []rental.Pool{{Type: "big", Zone: "a"}, {Type: "big", Zone: "a", Spot: true}, {Type: "small", Zone: "b"}}
 
 func newSite(seed uint64) *Site {
-	return New(Config{ReportEvery: 3 * unit.Second, Lease: 12 * unit.Second, Nodes: []string{"n0", "n1"}, MaxDrift: 0.0005,
-		Cloud: rental.Config{Rate: 1e6, ListLag: 3 * unit.Second, SpotRate: 60, Notice: 5 * unit.Second, Silent: 0.3, SickShare: 0.1,
+	return New(Config{ReportEvery: 3 * units.Second, Lease: 12 * units.Second, Nodes: []string{"n0", "n1"}, MaxDrift: 0.0005,
+		Cloud: rental.Config{Rate: 1e6, ListLag: 3 * units.Second, SpotRate: 60, Notice: 5 * units.Second, Silent: 0.3, SickShare: 0.1,
 			Capacity: map[rental.Pool]int{pools[0]: 2, pools[1]: 2, pools[2]: 3},
-			Types: []rental.Type{{Name: "big", CPUs: 8, MemoryGB: 32, CacheGB: 3, FetchGBs: 0.5, Price: 3600, SpotPrice: 1200, Boot: 5 * unit.Second, Zones: []string{"a"}},
-				{Name: "small", CPUs: 2, MemoryGB: 8, CacheGB: 3, FetchGBs: 0.5, Price: 900, Boot: 2 * unit.Second, BootFail: 0.1, Zones: []string{"b"}}}}},
+			Types: []rental.Type{{Name: "big", CPUs: 8, MemoryGB: 32, CacheGB: 3, FetchGBs: 0.5, Price: 3600, SpotPrice: 1200, Boot: 5 * units.Second, Zones: []string{"a"}},
+				{Name: "small", CPUs: 2, MemoryGB: 8, CacheGB: 3, FetchGBs: 0.5, Price: 900, Boot: 2 * units.Second, BootFail: 0.1, Zones: []string{"b"}}}}},
 		rand.New(rand.NewPCG(seed, 1)))
 }
 
@@ -38,18 +38,18 @@
 		s := newSite(rapid.Uint64().Draw(t, "seed"))
 		for i := range 6 {
 			id := fmt.Sprintf("wk-%06d", i)
-			s.Book[id] = &work.Job{ID: id, Run: unit.Micros(i+1) * 3 * unit.Second, Vary: 0.3, Broken: i == 5,
-				Spec: &ledger.Spec{Tasks: 4, Demand: pack.Vec{int64(i+1) * 1000, 0, 1000}, Image: fmt.Sprint("i", i%3), ImageMB: 1500,
-					Service: i == 4, Checkpoint: unit.Micros(i%2) * unit.Second, Save: unit.Second / 2}}
+			s.Book[id] = &work.Job{ID: id, Run: units.Microseconds(i+1) * 3 * units.Second, Vary: 0.3, Broken: i == 5,
+				Spec: &jobs.Spec{Tasks: 4, Demand: binpack.Vec{int64(i+1) * 1000, 0, 1000}, Image: fmt.Sprint("i", i%3), ImageMB: 1500,
+					Service: i == 4, Checkpoint: units.Microseconds(i%2) * units.Second, Save: units.Second / 2}}
 		}
-		now := unit.Micros(0)
-		on := map[string]map[ledger.TaskID]bool{} // by machine
+		now := units.Microseconds(0)
+		on := map[string]map[jobs.TaskID]bool{} // by machine
 		sent := map[string]Send{}
-		sentAt := map[string]unit.Micros{}
+		sentAt := map[string]units.Microseconds{}
 		tokens := map[string]uint64{}
-		answers := map[string]map[int]bool{} // of reports, by number
-		answered := map[string]unit.Micros{} // when the last answered report was sent
-		upAt := map[string]unit.Micros{}
+		answers := map[string]map[int]bool{}        // of reports, by number
+		answered := map[string]units.Microseconds{} // when the last answered report was sent
+		upAt := map[string]units.Microseconds{}
 		rented := map[string]*rental.Machine{}
 		bookings := map[string][]string{}
 		listed := map[string]bool{}
@@ -59,7 +59,7 @@
 				switch e := e.(type) {
 				case Up:
 					upAt[e.Name] = now
-					on[e.Name] = map[ledger.TaskID]bool{}
+					on[e.Name] = map[jobs.TaskID]bool{}
 				case Gone:
 					if len(on[e.Name]) > 0 {
 						t.Fatalf("%s is gone with %v on it", e.Name, on[e.Name])
@@ -70,7 +70,7 @@
 						t.Fatalf("%v begins twice on %s", e.Task, e.Name)
 					}
 					on[e.Name][e.Task] = true
-					var sum pack.Vec
+					var sum binpack.Vec
 					for id := range on[e.Name] {
 						sum = sum.Add(s.Book[id.Job].Spec.Demand)
 					}
@@ -86,8 +86,8 @@
 						t.Fatalf("%v completes on %s", e.Task, e.Name)
 					}
 				case Send:
-					if e.Body.Token < tokens[e.Machine] {
-						t.Fatalf("%s reports token %d after %d", e.Machine, e.Body.Token, tokens[e.Machine])
+					if e.Body.FencingToken < tokens[e.Machine] {
+						t.Fatalf("%s reports token %d after %d", e.Machine, e.Body.FencingToken, tokens[e.Machine])
 					}
 					if last, ok := sent[e.Machine]; ok && last.Number >= e.Number {
 						t.Fatalf("report %d after %d", e.Number, last.Number)
@@ -98,15 +98,15 @@
 			// A lease that has run out leaves nothing on its machine.
 			for name, tasks := range on {
 				from := max(answered[name], upAt[name])
-				if now > from+12*unit.Second+unit.Second/10 && len(tasks) > 0 {
+				if now > from+12*units.Second+units.Second/10 && len(tasks) > 0 {
 					t.Fatalf("%v are on %s, whose last report that was answered was sent at %d", tasks, name, from)
 				}
 			}
 		}
 		commands := rapid.Custom(func(t *rapid.T) fleet.Command {
 			return fleet.Command{Op: rapid.SampledFrom([]fleet.Op{fleet.Start, fleet.Start, fleet.Stop, fleet.Forget}).Draw(t, "op"),
-				ID:      ledger.TaskID{Job: fmt.Sprintf("wk-%06d", rapid.IntRange(0, 6).Draw(t, "job")), Task: rapid.IntRange(0, 4).Draw(t, "task")},
-				Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt"), Grace: unit.Micros(rapid.IntRange(0, 1).Draw(t, "grace")) * unit.Second}
+				ID:      jobs.TaskID{Job: fmt.Sprintf("wk-%06d", rapid.IntRange(0, 6).Draw(t, "job")), Task: rapid.IntRange(0, 4).Draw(t, "task")},
+				Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt"), Grace: units.Microseconds(rapid.IntRange(0, 1).Draw(t, "grace")) * units.Second}
 		})
 		someone := func(t *rapid.T) string {
 			names := slices.Sorted(maps.Keys(sent))
@@ -117,7 +117,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
-				for until := now + unit.Micros(rapid.Int64Range(0, 4_000_000).Draw(t, "d")); now < until; {
+				for until := now + units.Microseconds(rapid.Int64Range(0, 4_000_000).Draw(t, "d")); now < until; {
 					now = min(until, max(now, s.Next()))
 					s.Advance(now)
 					take()
@@ -142,7 +142,7 @@
 				}
 				have := map[rental.Pool]int{}
 				for _, m := range rented {
-					if m.Gone == unit.Never {
+					if m.Gone == units.Never {
 						have[m.Pool]++
 					}
 				}
@@ -165,7 +165,7 @@
 					case 0:
 						s.Kill(now, ms[0])
 					case 1:
-						s.Hang(now, ms[0], now+unit.Micros(rapid.Int64Range(0, 20_000_000).Draw(t, "for")))
+						s.Hang(now, ms[0], now+units.Microseconds(rapid.Int64Range(0, 20_000_000).Draw(t, "for")))
 					case 2:
 						s.Spoil(now, ms[0], machine.Fault{Speed: 0.2, Sick: ms[0].Sick})
 					}
@@ -190,7 +190,7 @@
 					answers[name] = map[int]bool{}
 				}
 				answers[name][e.Number] = true
-				counts := first && a.Code == 200 && a.Token >= max(tokens[name], e.Body.Token) && e.Body.Session == session && now < sentAt[name]+machine.AnswerWithin
+				counts := first && a.Code == 200 && a.Token >= max(tokens[name], e.Body.FencingToken) && e.Body.Incarnation == session && now < sentAt[name]+machine.AnswerWithin
 				s.Answer(now, name, e.Number, a)
 				if counts {
 					tokens[name] = a.Token
@@ -207,10 +207,10 @@
 				r, _, taken, found := s.Direct(now, name, token, session, rapid.SliceOfN(commands, 0, 3).Draw(t, "commands"))
 				take() // a report that was due went first
 				if found {
-					if taken != (token >= tokens[name]) && taken != (token >= r.Token) {
-						t.Fatalf("token %d taken: %v; the highest seen is %d", token, taken, r.Token)
+					if taken != (token >= tokens[name]) && taken != (token >= r.FencingToken) {
+						t.Fatalf("token %d taken: %v; the highest seen is %d", token, taken, r.FencingToken)
 					}
-					tokens[name] = max(tokens[name], r.Token)
+					tokens[name] = max(tokens[name], r.FencingToken)
 				}
 				take()
 			},
@@ -227,7 +227,7 @@
 					}
 				}
 				for n := range listed {
-					if m := rented[n]; m != nil && m.Gone == unit.Never && !shown[n] {
+					if m := rented[n]; m != nil && m.Gone == units.Never && !shown[n] {
 						t.Fatalf("%s was listed once, is not gone, and is not listed", n)
 					}
 				}
@@ -245,8 +245,8 @@
 func TestLeastCharge(t *testing.T) {
 	s := newSite(1)
 	names, _, _ := s.Cloud.Rent(0, "r", pools[0], 1)
-	s.Cloud.Return(unit.Second, names)
-	if got := s.Cloud.Spent(unit.Second); got != 60 {
+	s.Cloud.Return(units.Second, names)
+	if got := s.Cloud.Spent(units.Second); got != 60 {
 		t.Errorf("a machine of 1 a second costs %g after a second", got)
 	}
 }
--- a/internal/emulator/traffic/traffic.go
+++ b/internal/emulator/traffic/traffic.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // key names what is counted together.
@@ -28,8 +28,8 @@
 // Tally counts from a time on. A nil one counts nothing. It belongs to one goroutine, which must
 // stay on its thread for processor time to be right.
 type Tally struct {
-	from    unit.Micros
-	now     unit.Micros
+	from    units.Microseconds
+	now     units.Microseconds
 	counts  map[key]*count
 	running key
 	began   time.Duration
@@ -37,10 +37,10 @@
 }
 
 // New returns a tally that leaves out what happens before a time of the play.
-func New(from unit.Micros) *Tally { return &Tally{from: from, counts: map[key]*count{}} }
+func New(from units.Microseconds) *Tally { return &Tally{from: from, counts: map[key]*count{}} }
 
 // At moves time on, and reports whether anything is counted.
-func (t *Tally) At(now unit.Micros) bool {
+func (t *Tally) At(now units.Microseconds) bool {
 	if t == nil {
 		return false
 	}
@@ -74,7 +74,7 @@
 }
 
 // Start begins to measure what a controller does with a message.
-func (t *Tally) Start(now unit.Micros, node, kind string) {
+func (t *Tally) Start(now units.Microseconds, node, kind string) {
 	if t.At(now) {
 		t.running, t.began, t.timed = key{node, kind}, threadTime(), true
 	}
--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -5,14 +5,14 @@
 	"maps"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 )
 
 // Tell hands what a user did or was told to a checker; e is an effect other than Call.
-func Tell(c *check.Checker, at unit.Micros, e any) {
+func Tell(c *check.Checker, at units.Microseconds, e any) {
 	switch e := e.(type) {
 	case Planned:
 		c.Planned(at, e.Job.ID, e.Job.Spec)
@@ -42,8 +42,8 @@
 // Summary says how many jobs are over, as their users were told, and the longest
 // time from a submission to that answer; one that was accepted and is not over
 // counts up to the end.
-func Summary(jobs []*Job, end unit.Micros) (over int, longest unit.Micros) {
-	for _, j := range jobs {
+func Summary(submitted []*Job, end units.Microseconds) (over int, longest units.Microseconds) {
+	for _, j := range submitted {
 		if j.Final != "" {
 			over++
 			longest = max(longest, j.Over-j.At)
@@ -68,12 +68,12 @@
 	// One in so many of a class's jobs is among its largest.
 	largest = 5
 	// beginWithin is how soon one of these should begin.
-	beginWithin = 240 * unit.Second
+	beginWithin = 240 * units.Second
 )
 
 // amount is how much work a job is.
 func amount(j *Job) float64 {
-	return float64(j.Spec.Tasks) * float64(j.Spec.Demand[pack.CPU]) * j.Run.Seconds()
+	return float64(j.Spec.Tasks) * float64(j.Spec.Demand[binpack.CPU]) * j.Run.Seconds()
 }
 
 // Floor counts, by class and by team, the accepted arrays that nobody cancelled, and of
@@ -81,7 +81,7 @@
 // then, or at their first poll after it. Of each class's largest jobs, a fifth of them, it
 // counts those that began soon enough; began tells when a job's first task was on a machine,
 // 0 if none was.
-func Floor(jobs []*Job, opt Options, began func(id string) unit.Micros) []Served {
+func Floor(submitted []*Job, opt Options, began func(id string) units.Microseconds) []Served {
 	all := map[string]*Served{}
 	count := func(what string, good bool) {
 		s := all[what]
@@ -95,16 +95,16 @@
 		}
 	}
 	classes := map[string][]*Job{}
-	for _, j := range jobs {
-		if !j.Accepted || j.Spec.Service || j.CancelAfter > 0 || j.Final == ledger.Cancelled || j.Broken {
+	for _, j := range submitted {
+		if !j.Accepted || j.Spec.Service || j.CancelAfter > 0 || j.Final == jobs.Cancelled || j.Broken {
 			continue
 		}
-		done := j.Final == ledger.Done
+		done := j.Final == jobs.Done
 		classes[j.Spec.Class] = append(classes[j.Spec.Class], j)
 		for _, who := range []string{"class " + j.Spec.Class, "team " + j.Spec.Team} {
 			count(who+" done", done)
 			if j.Spec.Deadline > 0 {
-				count(who+" in time", done && j.Over-j.At <= j.Spec.Deadline+max(opt.PollEvery, 5*unit.Second))
+				count(who+" in time", done && j.Over-j.At <= j.Spec.Deadline+max(opt.PollEvery, 5*units.Second))
 			}
 		}
 	}
--- a/internal/emulator/user/trouble.go
+++ b/internal/emulator/user/trouble.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
@@ -13,30 +13,30 @@
 	// lookRounds is how often each controller is asked in a close look, and lookWithin
 	// the time between two rounds at most.
 	lookRounds = 4
-	lookWithin = 8 * unit.Second / 1000
+	lookWithin = 8 * units.Second / 1000
 	// cancelsAtOnce is the share of accepted jobs that are cancelled in a close look.
 	cancelsAtOnce = 0.1
 	// cancelWithin is the time in which CancelNow's users cancel.
-	cancelWithin = unit.Second / 5
+	cancelWithin = units.Second / 5
 	// atEndWithin is how close to the end a job is cancelled at its end: a part of the users
 	// within atEndClosely, the others by then, so that they meet the report of the end and the
 	// write of the job's record as well.
-	atEndClosely = 20 * unit.Second / 1000
-	atEndWithin  = unit.Second
+	atEndClosely = 20 * units.Second / 1000
+	atEndWithin  = units.Second
 	// oddEvery is the time between two odd requests, half of it at least.
-	oddEvery = unit.Second / 2
+	oddEvery = units.Second / 2
 )
 
 // lookingClosely says until when users look closely.
 type lookingClosely struct {
-	until unit.Micros
+	until units.Microseconds
 }
 
 // Odd says that a user submits a job that no controller may accept; Spec is nil where it
 // lacks a field.
 type Odd struct {
 	ID   string
-	Spec *ledger.Spec
+	Spec *jobs.Spec
 }
 
 // Looked says that a user asks one controller in a close look.
@@ -44,10 +44,10 @@
 
 // LookClosely makes users ask all controllers within milliseconds, again and again, whenever
 // a job was accepted, has ended or was confirmed as cancelled, until a time.
-func (c *Crowd) LookClosely(until unit.Micros) { c.close.until = max(c.close.until, until) }
+func (c *Crowd) LookClosely(until units.Microseconds) { c.close.until = max(c.close.until, until) }
 
 // LooksClosely reports whether users look closely at a time.
-func (c *Crowd) LooksClosely(now unit.Micros) bool { return now < c.close.until }
+func (c *Crowd) LooksClosely(now units.Microseconds) bool { return now < c.close.until }
 
 // Job returns a job by its id, or nil.
 func (c *Crowd) Job(id string) *Job {
@@ -61,11 +61,11 @@
 }
 
 // Ended says that a job's last task has ended, which no controller may know yet.
-func (c *Crowd) Ended(now unit.Micros, j *Job) { c.lookAfter(now, j, false) }
+func (c *Crowd) Ended(now units.Microseconds, j *Job) { c.lookAfter(now, j, false) }
 
 // lookAfter plans a close look at a job, if users look closely at present; accepted says that
 // the job was accepted just now.
-func (c *Crowd) lookAfter(now unit.Micros, j *Job, accepted bool) {
+func (c *Crowd) lookAfter(now units.Microseconds, j *Job, accepted bool) {
 	if now >= c.close.until || !j.Accepted {
 		return
 	}
@@ -76,17 +76,17 @@
 			if round%2 == 1 {
 				kind = Submit
 			}
-			c.plans.Add(at+unit.Micros(c.rng.Int64N(int64(lookWithin))), step{job: j, kind: kind, node: node})
+			c.plans.Add(at+units.Microseconds(c.rng.Int64N(int64(lookWithin))), step{job: j, kind: kind, node: node})
 		}
-		at += unit.Micros(c.rng.Int64N(int64(lookWithin)))
+		at += units.Microseconds(c.rng.Int64N(int64(lookWithin)))
 	}
 	if accepted && j.CancelAfter == 0 && !j.Spec.Service && c.rng.Float64() < cancelsAtOnce {
-		c.CancelAt(now+unit.Micros(c.rng.Int64N(int64(lookWithin))), j)
+		c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(lookWithin))), j)
 	}
 }
 
 // look asks one controller for a job in a close look.
-func (c *Crowd) look(now unit.Micros, s step) {
+func (c *Crowd) look(now units.Microseconds, s step) {
 	if s.kind == Submit && s.job.GaveUp {
 		return
 	}
@@ -95,34 +95,34 @@
 }
 
 // CancelAt lets a job's user cancel it at a time.
-func (c *Crowd) CancelAt(at unit.Micros, j *Job) { c.plans.Add(at, step{job: j, kind: Cancel}) }
+func (c *Crowd) CancelAt(at units.Microseconds, j *Job) { c.plans.Add(at, step{job: j, kind: Cancel}) }
 
 // CancelSoon lets the users of jobs cancel them within a fifth of a second.
-func (c *Crowd) CancelSoon(now unit.Micros, jobs []*Job) {
-	for _, j := range jobs {
-		c.CancelAt(now+unit.Micros(c.rng.Int64N(int64(cancelWithin))), j)
+func (c *Crowd) CancelSoon(now units.Microseconds, submitted []*Job) {
+	for _, j := range submitted {
+		c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(cancelWithin))), j)
 	}
 }
 
 // CancelAtEnd lets a job's user cancel it as its last task ends: at that moment, or, for half
 // of them, up to a second later.
-func (c *Crowd) CancelAtEnd(now unit.Micros, j *Job) {
+func (c *Crowd) CancelAtEnd(now units.Microseconds, j *Job) {
 	within := atEndClosely
 	if c.rng.IntN(2) == 0 {
 		within = atEndWithin
 	}
-	c.CancelAt(now+unit.Micros(c.rng.Int64N(int64(within))), j)
+	c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(within))), j)
 }
 
 // OddPause draws the time until the next odd request.
-func (c *Crowd) OddPause() unit.Micros {
-	return oddEvery/2 + unit.Micros(c.rng.Int64N(int64(oddEvery)))
+func (c *Crowd) OddPause() units.Microseconds {
+	return oddEvery/2 + units.Microseconds(c.rng.Int64N(int64(oddEvery)))
 }
 
 // OddRequest makes one request that makes no sense, or none any more: it repeats the
 // submission of an unfinished job, cancels one that is done, or submits one that fits no
 // machine or lacks a field. It reports whether it did so.
-func (c *Crowd) OddRequest(now unit.Micros) bool {
+func (c *Crowd) OddRequest(now units.Microseconds) bool {
 	if len(c.begun) == 0 {
 		return false
 	}
@@ -132,7 +132,7 @@
 		return true
 	}
 	switch {
-	case !j.Accepted || j.GaveUp || j.Final == ledger.Cancelled:
+	case !j.Accepted || j.GaveUp || j.Final == jobs.Cancelled:
 		return false
 	case j.Final == "":
 		c.once(now, j, Submit)
@@ -144,16 +144,16 @@
 }
 
 // submitOdd submits a job that no controller may accept, like another but for one thing.
-func (c *Crowd) submitOdd(now unit.Micros, like *Job) {
+func (c *Crowd) submitOdd(now units.Microseconds, like *Job) {
 	const tooMuch = 1 << 40 // thousandths, more than any machine has
 	spec := *like.Spec
 	spec.Awaits = nil
 	odd := &spec
 	switch c.rng.IntN(6) {
 	case 0:
-		spec.Demand[pack.CPU] = tooMuch
+		spec.Demand[binpack.CPU] = tooMuch
 	case 1:
-		spec.Demand[pack.Memory] = tooMuch
+		spec.Demand[binpack.Memory] = tooMuch
 	case 2:
 		spec.Team = "nobody"
 	case 3:
--- a/internal/emulator/user/user.go
+++ b/internal/emulator/user/user.go
@@ -8,18 +8,18 @@
 	"math/rand/v2"
 	"net/http"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
 // Times of the protocol.
 const (
-	submitWait = 5 * unit.Second
-	pollWait   = 2 * unit.Second
-	submitFor  = 60 * unit.Second // for which a submission is retried
-	maxRetry   = 30 * unit.Second // of a Retry-After that is followed
+	submitWait = 5 * units.Second
+	pollWait   = 2 * units.Second
+	submitFor  = 60 * units.Second // for which a submission is retried
+	maxRetry   = 30 * units.Second // of a Retry-After that is followed
 )
 
 // Kind of a call.
@@ -41,9 +41,9 @@
 		Number uint64
 		Kind   Kind
 		ID     string
-		Spec   *ledger.Spec // of a submission; nil: it lacks a field
-		Wait   unit.Micros  // for an answer
-		Node   string       // the controller that is asked; "": the one that the load balancer chooses
+		Spec   *jobs.Spec         // of a submission; nil: it lacks a field
+		Wait   units.Microseconds // for an answer
+		Node   string             // the controller that is asked; "": the one that the load balancer chooses
 	}
 	// Planned says that a job is submitted from now on; CancelAsked that its user
 	// has asked to cancel it.
@@ -53,7 +53,7 @@
 	Told struct {
 		Kind Kind
 		ID   string
-		Took unit.Micros // since the call was made
+		Took units.Microseconds // since the call was made
 		Answer
 	}
 )
@@ -61,32 +61,32 @@
 // Answer is a controller's answer.
 type Answer struct {
 	Code       int
-	Status     ledger.Status
-	RetryAfter unit.Micros
+	Status     jobs.Status
+	RetryAfter units.Microseconds
 }
 
 // Job is a job and how its user goes about it.
 type Job struct {
 	*work.Job
 	Awaits      []*Job
-	At          unit.Micros // of the first attempt to submit
-	CancelAfter unit.Micros // from then on; 0: never
+	At          units.Microseconds // of the first attempt to submit
+	CancelAfter units.Microseconds // from then on; 0: never
 
 	Accepted bool
 	GaveUp   bool
-	Final    ledger.Status // as told; "" so far
-	Over     unit.Micros   // when that was
-	first    unit.Micros
+	Final    jobs.Status        // as told; "" so far
+	Over     units.Microseconds // when that was
+	first    units.Microseconds
 	cancels  bool
 }
 
 // Options say how users behave beyond what the protocol fixes.
 type Options struct {
-	PollEvery   unit.Micros // about; 5 s by default
-	LateRetries float64     // share of accepted submissions that are sent again later
-	Strangers   float64     // share of polls that are followed by one for a job that nobody submitted
-	Revisits    float64     // and by a call for any earlier job
-	Nodes       []string    // controllers that can be asked without the load balancer, see LookClosely
+	PollEvery   units.Microseconds // about; 5 s by default
+	LateRetries float64            // share of accepted submissions that are sent again later
+	Strangers   float64            // share of polls that are followed by one for a job that nobody submitted
+	Revisits    float64            // and by a call for any earlier job
+	Nodes       []string           // controllers that can be asked without the load balancer, see LookClosely
 }
 
 type step struct {
@@ -101,7 +101,7 @@
 	job  *Job
 	kind Kind
 	id   string
-	sent unit.Micros
+	sent units.Microseconds
 	once bool
 }
 
@@ -125,7 +125,7 @@
 // New returns a crowd without jobs.
 func New(opt Options, rng *rand.Rand) *Crowd {
 	if opt.PollEvery == 0 {
-		opt.PollEvery = 5 * unit.Second
+		opt.PollEvery = 5 * units.Second
 	}
 	return &Crowd{opt: opt, rng: rng, open: map[uint64]call{}, storm: 1}
 }
@@ -146,13 +146,13 @@
 
 // Adopt takes up a job that was accepted in an earlier time of the same service: its
 // user polls until it is over.
-func (c *Crowd) Adopt(now unit.Micros, j *Job) {
+func (c *Crowd) Adopt(now units.Microseconds, j *Job) {
 	j.Accepted, j.At, j.first = true, now, max(now, 1)
 	c.jobs = append(c.jobs, j)
 	if !j.Spec.Service {
 		c.left++
 	}
-	c.plans.Add(now+unit.Micros(c.rng.Int64N(int64(c.opt.PollEvery))), step{job: j, kind: Poll})
+	c.plans.Add(now+units.Microseconds(c.rng.Int64N(int64(c.opt.PollEvery))), step{job: j, kind: Poll})
 }
 
 // Jobs returns all jobs in the order in which they were added.
@@ -166,10 +166,10 @@
 func (c *Crowd) Storm(n float64) { c.storm = max(n, 1) }
 
 // Next returns when Advance is next of use.
-func (c *Crowd) Next() unit.Micros { return c.plans.Next() }
+func (c *Crowd) Next() units.Microseconds { return c.plans.Next() }
 
 // Advance lets time pass.
-func (c *Crowd) Advance(now unit.Micros) {
+func (c *Crowd) Advance(now units.Microseconds) {
 	for {
 		at, s, ok := c.plans.Due(now)
 		if !ok {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *Crowd) due(now unit.Micros, s step) {
+func (c *Crowd) due(now units.Microseconds, s step) {
 	j := s.job
 	if s.node != "" {
 		c.look(now, s)
@@ -200,7 +200,7 @@
 					return
 				}
 				if !a.Accepted {
-					c.plans.Add(now+unit.Second/50, s)
+					c.plans.Add(now+units.Second/50, s)
 					return
 				}
 			}
@@ -230,7 +230,7 @@
 
 // revisit asks for any job that was submitted before, as one who comes back to it long
 // after does: what became of it, the same submission, or that it be cancelled.
-func (c *Crowd) revisit(now unit.Micros) {
+func (c *Crowd) revisit(now units.Microseconds) {
 	j := c.begun[c.rng.IntN(len(c.begun))]
 	switch n := c.rng.IntN(10); {
 	case !j.Accepted || j.GaveUp:
@@ -246,10 +246,10 @@
 }
 
 // once makes a call whose answer leads to nothing further.
-func (c *Crowd) once(now unit.Micros, j *Job, k Kind) { c.onceAt(now, j, k, "") }
+func (c *Crowd) once(now units.Microseconds, j *Job, k Kind) { c.onceAt(now, j, k, "") }
 
 // onceAt does so at one controller, or at any where node is "".
-func (c *Crowd) onceAt(now unit.Micros, j *Job, k Kind, node string) {
+func (c *Crowd) onceAt(now units.Microseconds, j *Job, k Kind, node string) {
 	c.callAt(now, j, k, j.ID, node)
 	o := c.open[c.next]
 	o.once = true
@@ -257,7 +257,7 @@
 }
 
 // begin is a job's first attempt. What it awaits is known by now.
-func (c *Crowd) begin(now unit.Micros, j *Job) {
+func (c *Crowd) begin(now units.Microseconds, j *Job) {
 	j.first = max(now, 1)
 	c.begun = append(c.begun, j)
 	c.out = append(c.out, Planned{j})
@@ -269,9 +269,9 @@
 	}
 }
 
-func (c *Crowd) call(now unit.Micros, j *Job, k Kind, id string) { c.callAt(now, j, k, id, "") }
+func (c *Crowd) call(now units.Microseconds, j *Job, k Kind, id string) { c.callAt(now, j, k, id, "") }
 
-func (c *Crowd) callAt(now unit.Micros, j *Job, k Kind, id, node string) {
+func (c *Crowd) callAt(now units.Microseconds, j *Job, k Kind, id, node string) {
 	c.next++
 	c.open[c.next] = call{job: j, kind: k, id: id, sent: now}
 	e := Call{Number: c.next, Kind: k, ID: id, Wait: submitWait, Node: node}
@@ -286,10 +286,10 @@
 }
 
 // Failed says that a call got no answer.
-func (c *Crowd) Failed(now unit.Micros, number uint64) { c.Answer(now, number, Answer{}) }
+func (c *Crowd) Failed(now units.Microseconds, number uint64) { c.Answer(now, number, Answer{}) }
 
 // Answer takes the answer to a call; one that comes too late is nobody's.
-func (c *Crowd) Answer(now unit.Micros, number uint64, a Answer) {
+func (c *Crowd) Answer(now units.Microseconds, number uint64, a Answer) {
 	o, ok := c.open[number]
 	if !ok {
 		return
@@ -320,7 +320,7 @@
 	}
 }
 
-func (c *Crowd) submitted(now unit.Micros, j *Job, a Answer) {
+func (c *Crowd) submitted(now units.Microseconds, j *Job, a Answer) {
 	switch a.Code {
 	case http.StatusOK, http.StatusCreated:
 		if !j.Accepted {
@@ -328,7 +328,7 @@
 			c.lookAfter(now, j, true)
 			c.pollLater(now, j)
 			if c.rng.Float64() < c.opt.LateRetries {
-				c.plans.Add(now+unit.Micros(c.rng.Int64N(int64(80*unit.Second))), step{job: j, kind: Submit, late: true})
+				c.plans.Add(now+units.Microseconds(c.rng.Int64N(int64(80*units.Second))), step{job: j, kind: Submit, late: true})
 			}
 		}
 		c.heard(now, j, a.Status)
@@ -358,12 +358,12 @@
 }
 
 // pause is how long a user waits before the next try.
-func (c *Crowd) pause(a Answer) unit.Micros {
-	return max(unit.Second+unit.Micros(c.rng.Int64N(int64(unit.Second))), min(a.RetryAfter, maxRetry))
+func (c *Crowd) pause(a Answer) units.Microseconds {
+	return max(units.Second+units.Microseconds(c.rng.Int64N(int64(units.Second))), min(a.RetryAfter, maxRetry))
 }
 
 // pollLater polls again after some seconds, and now and then once all is over.
-func (c *Crowd) pollLater(now unit.Micros, j *Job) {
+func (c *Crowd) pollLater(now units.Microseconds, j *Job) {
 	every := float64(c.opt.PollEvery) * (0.6 + 0.8*c.rng.Float64()) / c.storm
 	if j.Final != "" {
 		if c.rng.Float64() > 0.2 && c.storm == 1 {
@@ -371,10 +371,10 @@
 		}
 		every *= 3
 	}
-	c.plans.Add(now+unit.Micros(every), step{job: j, kind: Poll})
+	c.plans.Add(now+units.Microseconds(every), step{job: j, kind: Poll})
 }
 
-func (c *Crowd) heard(now unit.Micros, j *Job, s ledger.Status) {
+func (c *Crowd) heard(now units.Microseconds, j *Job, s jobs.Status) {
 	if s.Final() && j.Final == "" {
 		j.Final, j.Over = s, now
 		c.lookAfter(now, j, false)
--- a/internal/emulator/user/user_test.go
+++ b/internal/emulator/user/user_test.go
@@ -8,9 +8,9 @@
 
 	"pgregory.net/rapid"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/balance"
 	"shalestage.example/shalestage/internal/emulator/work"
 	_ "shalestage.example/shalestage/internal/fixedseed"
@@ -22,43 +22,43 @@
 func TestUsersDoAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(Options{}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-		var jobs []*Job
+		var submitted []*Job
 		for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
-			j := &Job{Job: &work.Job{ID: []string{"wk-000000", "wk-000001", "wk-000002", "wk-000003"}[i], Spec: &ledger.Spec{Tasks: 1}}}
+			j := &Job{Job: &work.Job{ID: []string{"wk-000000", "wk-000001", "wk-000002", "wk-000003"}[i], Spec: &jobs.Spec{Tasks: 1}}}
 			if i > 0 && rapid.Bool().Draw(t, "awaits") {
-				j.Awaits = jobs[:1]
+				j.Awaits = submitted[:1]
 			}
 			if rapid.Bool().Draw(t, "cancels") {
-				j.CancelAfter = 20 * unit.Second
+				j.CancelAfter = 20 * units.Second
 			}
 			c.Add(j)
-			jobs = append(jobs, j)
+			submitted = append(submitted, j)
 		}
-		tried := map[string]unit.Micros{} // when the last answer to a submission was
-		pause := map[string]unit.Micros{} // that it asked for
-		began := map[string]unit.Micros{} // the first submission
+		tried := map[string]units.Microseconds{} // when the last answer to a submission was
+		pause := map[string]units.Microseconds{} // that it asked for
+		began := map[string]units.Microseconds{} // the first submission
 		accepted := map[string]bool{}
 		known := map[string]bool{} // by the answer to a request to cancel
-		for now := unit.Micros(0); now < 200*unit.Second; now = max(now+1, min(c.Next(), 200*unit.Second)) {
+		for now := units.Microseconds(0); now < 200*units.Second; now = max(now+1, min(c.Next(), 200*units.Second)) {
 			c.Advance(now)
 			for _, e := range c.Drain() {
 				call, ok := e.(Call)
 				if !ok {
 					continue
 				}
-				if want := map[Kind]unit.Micros{Submit: 5 * unit.Second, Cancel: 5 * unit.Second, Poll: 2 * unit.Second}[call.Kind]; call.Wait != want {
+				if want := map[Kind]units.Microseconds{Submit: 5 * units.Second, Cancel: 5 * units.Second, Poll: 2 * units.Second}[call.Kind]; call.Wait != want {
 					t.Fatalf("%v waits %d", call.Kind, call.Wait)
 				}
-				a := Answer{Code: rapid.SampledFrom([]int{0, 503, 429, 500, 201}).Draw(t, "code"), Status: ledger.Pending,
-					RetryAfter: unit.Micros(rapid.IntRange(0, 40).Draw(t, "after")) * unit.Second}
+				a := Answer{Code: rapid.SampledFrom([]int{0, 503, 429, 500, 201}).Draw(t, "code"), Status: jobs.Pending,
+					RetryAfter: units.Microseconds(rapid.IntRange(0, 40).Draw(t, "after")) * units.Second}
 				if call.Kind == Submit {
-					if at, again := tried[call.ID]; again && (accepted[call.ID] || now-at < max(unit.Second, min(pause[call.ID], 30*unit.Second))) {
+					if at, again := tried[call.ID]; again && (accepted[call.ID] || now-at < max(units.Second, min(pause[call.ID], 30*units.Second))) {
 						t.Fatalf("%s is submitted again %d after an answer; accepted: %v", call.ID, now-at, accepted[call.ID])
 					}
 					if _, again := began[call.ID]; !again {
 						began[call.ID] = now
 					}
-					if now-began[call.ID] > 60*unit.Second {
+					if now-began[call.ID] > 60*units.Second {
 						t.Fatalf("%s is submitted after %d", call.ID, now-began[call.ID])
 					}
 					for _, n := range call.Spec.Awaits {
@@ -71,14 +71,14 @@
 				} else if a.Code == http.StatusCreated {
 					a.Code = http.StatusOK
 					if call.Kind == Cancel {
-						a.Status, known[call.ID] = ledger.Cancelled, true
+						a.Status, known[call.ID] = jobs.Cancelled, true
 					}
 				}
 				c.Answer(now, call.Number, a)
 				c.Answer(now, call.Number, Answer{Code: 422}) // a second answer is nobody's
 			}
 		}
-		for _, j := range jobs {
+		for _, j := range submitted {
 			if j.Accepted == j.GaveUp {
 				t.Fatalf("%s: accepted %v, given up %v", j.ID, j.Accepted, j.GaveUp)
 			}
@@ -92,7 +92,7 @@
 	b := balance.New(2, 0, rand.New(rand.NewPCG(1, 1)))
 	probe := func(at float64, ok ...bool) {
 		for i, o := range ok {
-			b.Probed(unit.Seconds(at+float64(i)), 0, o)
+			b.Probed(units.Seconds(at+float64(i)), 0, o)
 		}
 	}
 	healthy := func(want bool, when string) {
@@ -118,29 +118,29 @@
 	healthy(false, "the second pause is twice as long")
 	probe(18.1, true)
 	healthy(true, "after it")
-	b.Probed(unit.Seconds(1), 1, true)
-	if got := b.Choose(unit.Seconds(19), []int{0}); got != 1 {
+	b.Probed(units.Seconds(1), 1, true)
+	if got := b.Choose(units.Seconds(19), []int{0}); got != 1 {
 		t.Errorf("chosen: %d, though 0 was tried", got)
 	}
 	for range 3 {
-		b.Failed(unit.Seconds(20), 1)
+		b.Failed(units.Seconds(20), 1)
 	}
-	if got := b.Choose(unit.Seconds(21), []int{0}); got != -1 {
+	if got := b.Choose(units.Seconds(21), []int{0}); got != -1 {
 		t.Errorf("chosen: %d, though it has failed three times", got)
 	}
-	if got := b.Choose(unit.Seconds(23.1), []int{0}); got != 1 {
+	if got := b.Choose(units.Seconds(23.1), []int{0}); got != 1 {
 		t.Errorf("chosen: %d after the pause", got)
 	}
 }
 
 // TestFloor counts of a class's largest jobs those that began within four minutes.
 func TestFloor(t *testing.T) {
-	var jobs []*Job
+	var submitted []*Job
 	for i := range 10 {
-		jobs = append(jobs, &Job{Job: &work.Job{ID: fmt.Sprint("j", i), Run: unit.Second, Spec: &ledger.Spec{Class: "c", Team: "t", Tasks: i + 1, Demand: pack.Vec{1000, 0, 0}}}, At: unit.Second, Accepted: true, Final: ledger.Done})
+		submitted = append(submitted, &Job{Job: &work.Job{ID: fmt.Sprint("j", i), Run: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t", Tasks: i + 1, Demand: binpack.Vec{1000, 0, 0}}}, At: units.Second, Accepted: true, Final: jobs.Done})
 	}
-	began := map[string]unit.Micros{"j9": 242 * unit.Second, "j8": 200 * unit.Second, "j0": 2 * unit.Second}
-	for _, s := range Floor(jobs, Options{}, func(id string) unit.Micros { return began[id] }) {
+	began := map[string]units.Microseconds{"j9": 242 * units.Second, "j8": 200 * units.Second, "j0": 2 * units.Second}
+	for _, s := range Floor(submitted, Options{}, func(id string) units.Microseconds { return began[id] }) {
 		if s.What == "class c largest begun" {
 			if s.Good != 1 || s.Of != 2 {
 				t.Errorf("%d of %d", s.Good, s.Of)
--- a/internal/emulator/work/work.go
+++ b/internal/emulator/work/work.go
@@ -6,32 +6,32 @@
 	"hash/fnv"
 	"math"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Job is a job as its user uploaded it.
 type Job struct {
 	ID     string
-	Spec   *ledger.Spec
-	Run    unit.Micros // of a task on a machine of speed 1, without the image
-	Vary   float64     // tasks run up to this share shorter or longer
-	Broken bool        // submitted with a mistake: fails on every machine
+	Spec   *jobs.Spec
+	Run    units.Microseconds // of a task on a machine of speed 1, without the image
+	Vary   float64            // tasks run up to this share shorter or longer
+	Broken bool               // submitted with a mistake: fails on every machine
 
-	done  ledger.Set
-	saved map[int]unit.Micros
+	done  jobs.Set
+	saved map[int]units.Microseconds
 }
 
 // RunOf returns how long a task runs on a machine of speed 1. The draw is by the
 // task's name, so that every run of it takes as long.
-func (j *Job) RunOf(task int) unit.Micros {
+func (j *Job) RunOf(task int) units.Microseconds {
 	if j.Vary == 0 {
 		return j.Run
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(ledger.TaskID{Job: j.ID, Task: task}.String()))
+	_, _ = h.Write([]byte(jobs.TaskID{Job: j.ID, Task: task}.String()))
 	u := float64(h.Sum64()>>11) / (1 << 53)
-	return unit.Micros(math.Round(float64(j.Run) * (1 + j.Vary*(2*u-1))))
+	return units.Microseconds(math.Round(float64(j.Run) * (1 + j.Vary*(2*u-1))))
 }
 
 // Finish records that a task has completed; it stays so.
@@ -50,15 +50,15 @@
 func (j *Job) DoneTasks() int { return j.done.Len() }
 
 // Save keeps a task's progress, in run time on a machine of speed 1.
-func (j *Job) Save(task int, p unit.Micros) {
+func (j *Job) Save(task int, p units.Microseconds) {
 	if j.saved == nil {
-		j.saved = map[int]unit.Micros{}
+		j.saved = map[int]units.Microseconds{}
 	}
 	j.saved[task] = max(p, j.saved[task])
 }
 
 // Saved returns a task's saved progress.
-func (j *Job) Saved(task int) unit.Micros { return j.saved[task] }
+func (j *Job) Saved(task int) units.Microseconds { return j.saved[task] }
 
 // Book holds all jobs that were uploaded, by id.
 type Book map[string]*Job
--- a/internal/experiment/paper/cluster.go
+++ b/internal/experiment/paper/cluster.go
@@ -7,8 +7,8 @@
 import (
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 )
 
@@ -23,13 +23,13 @@
 // Stage is one stage of a job: tasks that need the same. It starts when the stage before
 // it is done.
 type Stage struct {
-	Demand pack.Vec
-	Runs   []unit.Micros // of each task, where nothing that it needs is over-allocated
+	Demand binpack.Vec
+	Runs   []units.Microseconds // of each task, where nothing that it needs is over-allocated
 }
 
 // Job is a job of the workload.
 type Job struct {
-	Arrives  unit.Micros
+	Arrives  units.Microseconds
 	Stages   []Stage
 	Estimate float64 // what its owner takes its tasks' run times for, as a factor
 }
@@ -37,11 +37,11 @@
 // Policy is a scheduler.
 type Policy struct {
 	Name   string
-	Fill   func(capacity, free pack.Vec, jobs []pack.Job, p pack.Params, take func(int) bool)
-	Params pack.Params
+	Fill   func(capacity, free binpack.Vec, jobs []binpack.Job, p binpack.Params, take func(int) bool)
+	Params binpack.Params
 	// See returns what it sees of a demand or a capacity: what it does not see it
 	// over-allocates.
-	See func(v pack.Vec, capacity bool) pack.Vec
+	See func(v binpack.Vec, capacity bool) binpack.Vec
 	// Barrier is the share of a stage's tasks after which the rest is preferred (3.5); 0: never.
 	Barrier float64
 	OneBin  bool // sees the cluster as one machine: the paper's simple upper bound (2.2.3)
@@ -49,21 +49,21 @@
 
 // Outcome is how a play ended.
 type Outcome struct {
-	Done     []unit.Micros // of each job, from its arrival to its end
-	Makespan unit.Micros   // from the first arrival to the last end
+	Done     []units.Microseconds // of each job, from its arrival to its end
+	Makespan units.Microseconds   // from the first arrival to the last end
 }
 
 type running struct {
 	job   *jobState
 	left  float64 // microseconds of undisturbed run time
 	rate  float64 // at which these pass
-	since unit.Micros
+	since units.Microseconds
 	plan  int // of the end that counts
 }
 
 type machine struct {
-	capacity, used pack.Vec // as they are
-	room, held     pack.Vec // as the policy sees them: capacity, and what is taken of it
+	capacity, used binpack.Vec // as they are
+	room, held     binpack.Vec // as the policy sees them: capacity, and what is taken of it
 	tasks          []*running
 	tight          bool // something is over-allocated
 	freed          bool // a task has ended
@@ -75,9 +75,9 @@
 	stage int
 	next  int // task of the stage
 	done  int // of the stage
-	held  pack.Vec
+	held  binpack.Vec
 	size  float64 // of a task of the stage, as the paper sums it up
-	seen  pack.Vec
+	seen  binpack.Vec
 	work  []float64 // normalised demand times seconds, of all tasks of the stages from each on
 	per   []float64 // the same of a task
 	left  float64   // of this stage
@@ -94,12 +94,12 @@
 type cluster struct {
 	policy   Policy
 	machines []*machine
-	total    pack.Vec // as the policy sees it
-	unit     pack.Vec // a machine's capacity
+	total    binpack.Vec // as the policy sees it
+	unit     binpack.Vec // a machine's capacity
 	plans    agenda.Agenda[event]
 	active   []*jobState
 	out      Outcome
-	now      unit.Micros
+	now      units.Microseconds
 	left     int
 	anew     bool // tasks that were not there before may start on any machine
 }
@@ -107,7 +107,7 @@
 // Run plays a workload under a policy.
 func Run(p Policy, l Load) Outcome {
 	n, capacity, jobs := l.Machines, l.Capacity, l.Jobs
-	c := &cluster{policy: p, unit: capacity, left: len(jobs), out: Outcome{Done: make([]unit.Micros, len(jobs))}}
+	c := &cluster{policy: p, unit: capacity, left: len(jobs), out: Outcome{Done: make([]units.Microseconds, len(jobs))}}
 	if p.OneBin {
 		capacity, n = capacity.Times(int64(n)), 1
 	}
@@ -115,13 +115,13 @@
 		c.machines = append(c.machines, &machine{capacity: capacity, room: p.See(capacity, true)})
 		c.total = c.total.Add(p.See(capacity, true))
 	}
-	first := unit.Never
+	first := units.Never
 	for i := range jobs {
 		c.plans.Add(jobs[i].Arrives, event{job: c.state(i, &jobs[i])})
 		first = min(first, jobs[i].Arrives)
 	}
 	for c.left > 0 {
-		if c.now = c.plans.Next(); c.now == unit.Never {
+		if c.now = c.plans.Next(); c.now == units.Never {
 			panic("paper: nothing is planned and jobs are left: a task fits no machine")
 		}
 		// What happens at one moment is seen together, as a machine reports all that has
@@ -155,11 +155,11 @@
 	s := &jobState{Job: j, index: i, work: make([]float64, len(j.Stages)+1), per: make([]float64, len(j.Stages))}
 	for k := len(j.Stages) - 1; k >= 0; k-- {
 		st := j.Stages[k]
-		var sum unit.Micros
+		var sum units.Microseconds
 		for _, r := range st.Runs {
 			sum += r
 		}
-		w := pack.Size(c.unit, st.Demand) * sum.Seconds() * j.Estimate
+		w := binpack.Size(c.unit, st.Demand) * sum.Seconds() * j.Estimate
 		s.work[k] = s.work[k+1] + w
 		s.per[k] = w / float64(len(st.Runs))
 	}
@@ -172,7 +172,7 @@
 	j.next, j.done = 0, 0
 	j.left = j.work[j.stage] - j.work[j.stage+1]
 	j.seen = c.policy.See(st.Demand, false)
-	j.size = pack.Size(c.unit, st.Demand)
+	j.size = binpack.Size(c.unit, st.Demand)
 	c.anew = true
 }
 
@@ -180,7 +180,7 @@
 func (c *cluster) fill(m *machine) {
 	for {
 		free := m.room.Sub(m.held)
-		var views []pack.Job
+		var views []binpack.Job
 		var jobs []*jobState
 		for _, j := range c.active {
 			st := &j.Stages[j.stage]
@@ -191,10 +191,10 @@
 			if b := c.policy.Barrier; b > 0 && float64(j.done) >= b*float64(len(st.Runs)) {
 				tier = 1
 			}
-			views = append(views, pack.Job{Demand: j.seen, Pending: len(st.Runs) - j.next, Tier: tier, Cached: true,
+			views = append(views, binpack.Job{Demand: j.seen, Pending: len(st.Runs) - j.next, Tier: tier, Cached: true,
 				// The packer multiplies it by the size of a task.
 				Work:    (j.left + j.work[j.stage+1]) / max(j.size, 1e-9),
-				Deficit: 1/float64(len(c.active)) - pack.Dominant(c.total, j.held)})
+				Deficit: 1/float64(len(c.active)) - binpack.Dominant(c.total, j.held)})
 			jobs = append(jobs, j)
 		}
 		took := false
@@ -223,7 +223,7 @@
 // pace has tasks of a machine run as fast as what they need is shared out: one that
 // needs what is over-allocated gets its part of it. last began just now.
 func (c *cluster) pace(m *machine, last *running) {
-	var rates pack.Vec // thousandths of what each asks for
+	var rates binpack.Vec // thousandths of what each asks for
 	tight := false
 	for r := range rates {
 		rates[r] = 1000
@@ -254,7 +254,7 @@
 
 func (c *cluster) plan(m *machine, t *running) {
 	t.plan++
-	c.plans.Add(c.now+unit.Micros(t.left/t.rate)+1, event{m: m, task: t, plan: t.plan})
+	c.plans.Add(c.now+units.Microseconds(t.left/t.rate)+1, event{m: m, task: t, plan: t.plan})
 }
 
 // end ends a task.
--- a/internal/experiment/paper/paper_test.go
+++ b/internal/experiment/paper/paper_test.go
@@ -7,13 +7,13 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
-const long = 100 * unit.Second
+const long = 100 * units.Second
 
-func same(n int, d pack.Vec) Stage {
+func same(n int, d binpack.Vec) Stage {
 	s := Stage{Demand: d}
 	for range n {
 		s.Runs = append(s.Runs, long)
@@ -24,13 +24,13 @@
 // TestMotivation plays the paper's example (2.1, Figure 1): DRF ends all three jobs at 6t,
 // packing ends them at 2t, 3t and 4t.
 func TestMotivation(t *testing.T) {
-	reduce := pack.Vec{0, 1000, 0}
+	reduce := binpack.Vec{0, 1000, 0}
 	jobs := []Job{
-		{Stages: []Stage{same(18, pack.Vec{1000, 0, 2000}), same(3, reduce)}, Estimate: 1},
-		{Stages: []Stage{same(6, pack.Vec{3000, 0, 1000}), same(3, reduce)}, Estimate: 1},
-		{Stages: []Stage{same(6, pack.Vec{3000, 0, 1000}), same(3, reduce)}, Estimate: 1},
+		{Stages: []Stage{same(18, binpack.Vec{1000, 0, 2000}), same(3, reduce)}, Estimate: 1},
+		{Stages: []Stage{same(6, binpack.Vec{3000, 0, 1000}), same(3, reduce)}, Estimate: 1},
+		{Stages: []Stage{same(6, binpack.Vec{3000, 0, 1000}), same(3, reduce)}, Estimate: 1},
 	}
-	l := Load{Machines: 1, Capacity: pack.Vec{18_000, 3000, 36_000}, Jobs: jobs}
+	l := Load{Machines: 1, Capacity: binpack.Vec{18_000, 3000, 36_000}, Jobs: jobs}
 	drf := DRF()
 	drf.See = all // the example extends it to the network
 	for _, c := range []struct {
@@ -47,7 +47,7 @@
 // TestOrder has one machine take single tasks of three jobs: those of the least work first,
 // those that came first, or those whose job holds least, as theory says of each scheduler.
 func TestOrder(t *testing.T) {
-	d := pack.Vec{1000, 0, 1000}
+	d := binpack.Vec{1000, 0, 1000}
 	jobs := []Job{{Stages: []Stage{same(4, d)}, Estimate: 1}, {Stages: []Stage{same(1, d)}, Estimate: 1}, {Stages: []Stage{same(2, d)}, Estimate: 1}}
 	l := Load{Machines: 1, Capacity: d, Jobs: jobs}
 	drf := DRF()
@@ -72,8 +72,8 @@
 // TestOverAllocation has two tasks that each need all of a machine's disk and network: seen,
 // they run one after the other; unseen, both at once for twice as long.
 func TestOverAllocation(t *testing.T) {
-	d := pack.Vec{1000, 1000, 1000}
-	l := Load{Machines: 1, Capacity: pack.Vec{4000, 1000, 4000}, Jobs: []Job{{Stages: []Stage{same(1, d)}, Estimate: 1}, {Stages: []Stage{same(1, d)}, Estimate: 1}}}
+	d := binpack.Vec{1000, 1000, 1000}
+	l := Load{Machines: 1, Capacity: binpack.Vec{4000, 1000, 4000}, Jobs: []Job{{Stages: []Stage{same(1, d)}, Estimate: 1}, {Stages: []Stage{same(1, d)}, Estimate: 1}}}
 	if o := Run(Tetris(), l); math.Abs(meanDone(o)-1.5*long.Seconds()) > 1 {
 		t.Errorf("seen: %v", o.Done)
 	}
@@ -81,7 +81,7 @@
 		t.Errorf("unseen: %v", o.Done)
 	}
 	// Slots: of 2 GB, a task of 1 GB takes one and one of 3 GB two of the two.
-	l.Jobs[1].Stages[0].Demand = pack.Vec{0, 0, 3000}
+	l.Jobs[1].Stages[0].Demand = binpack.Vec{0, 0, 3000}
 	if o := Run(SlotFair(), l); math.Abs(o.Makespan.Seconds()-2*long.Seconds()) > 1 {
 		t.Errorf("slots: %v", o.Done)
 	}
--- a/internal/experiment/paper/policy.go
+++ b/internal/experiment/paper/policy.go
@@ -3,14 +3,14 @@
 import (
 	"math"
 
-	"shalestage.example/shalestage/internal/core/pack"
+	"shalestage.example/shalestage/internal/core/binpack"
 )
 
 // all sees everything.
-func all(v pack.Vec, _ bool) pack.Vec { return v }
+func all(v binpack.Vec, _ bool) binpack.Vec { return v }
 
 // noIO sees processors and memory only.
-func noIO(v pack.Vec, _ bool) pack.Vec {
+func noIO(v binpack.Vec, _ bool) binpack.Vec {
 	v[io] = 0
 	return v
 }
@@ -20,18 +20,18 @@
 
 // slots sees memory only, in whole slots: a machine has as many as fit, a task takes as
 // many as hold it.
-func slots(v pack.Vec, capacity bool) pack.Vec {
+func slots(v binpack.Vec, capacity bool) binpack.Vec {
 	n := v[memory]
 	if !capacity {
 		n += slot - 1
 	}
-	return pack.Vec{memory: n / slot * slot}
+	return binpack.Vec{memory: n / slot * slot}
 }
 
 // inOrder fills a machine with the task of the lowest key that fits, again and again.
 // once: only one, as the key changes with what is taken.
-func inOrder(once bool, key func(capacity pack.Vec, i int, j pack.Job) float64) func(pack.Vec, pack.Vec, []pack.Job, pack.Params, func(int) bool) {
-	return func(capacity, free pack.Vec, jobs []pack.Job, _ pack.Params, take func(int) bool) {
+func inOrder(once bool, key func(capacity binpack.Vec, i int, j binpack.Job) float64) func(binpack.Vec, binpack.Vec, []binpack.Job, binpack.Params, func(int) bool) {
+	return func(capacity, free binpack.Vec, jobs []binpack.Job, _ binpack.Params, take func(int) bool) {
 		taken := make([]int, len(jobs))
 		for {
 			best, least := -1, math.Inf(1)
@@ -56,11 +56,11 @@
 }
 
 // furthest serves the job that is furthest from its fair share.
-var furthest = inOrder(true, func(_ pack.Vec, _ int, j pack.Job) float64 { return -j.Deficit })
+var furthest = inOrder(true, func(_ binpack.Vec, _ int, j binpack.Job) float64 { return -j.Deficit })
 
 // Tetris is the packer with the paper's knobs.
 func Tetris() Policy {
-	return Policy{Name: "Tetris", Fill: pack.Fill, Params: pack.Params{Fairness: 0.25, EpsilonScale: 1}, See: all, Barrier: 0.9}
+	return Policy{Name: "Tetris", Fill: binpack.Fill, Params: binpack.Params{Fairness: 0.25, EpsilonScale: 1}, See: all, Barrier: 0.9}
 }
 
 // Ours is the packer with this service's defaults.
@@ -73,7 +73,7 @@
 // PackOnly goes by alignment alone, and is not fair at all.
 func PackOnly() Policy {
 	p := Tetris()
-	p.Name, p.Params = "packing only", pack.Params{}
+	p.Name, p.Params = "packing only", binpack.Params{}
 	return p
 }
 
@@ -92,12 +92,14 @@
 
 // SRTF serves the job with the least remaining work.
 func SRTF() Policy {
-	return Policy{Name: "SRTF", See: all, Fill: inOrder(false, func(capacity pack.Vec, _ int, j pack.Job) float64 { return pack.Size(capacity, j.Demand) * j.Work })}
+	return Policy{Name: "SRTF", See: all, Fill: inOrder(false, func(capacity binpack.Vec, _ int, j binpack.Job) float64 {
+		return binpack.Size(capacity, j.Demand) * j.Work
+	})}
 }
 
 // FirstFit serves jobs as they came.
 func FirstFit() Policy {
-	return Policy{Name: "first fit", See: all, Fill: inOrder(false, func(_ pack.Vec, i int, _ pack.Job) float64 { return float64(i) })}
+	return Policy{Name: "first fit", See: all, Fill: inOrder(false, func(_ binpack.Vec, i int, _ binpack.Job) float64 { return float64(i) })}
 }
 
 // Bound is the paper's simple upper bound: Tetris on one bin of the whole cluster.
--- a/internal/experiment/paper/work.go
+++ b/internal/experiment/paper/work.go
@@ -9,14 +9,14 @@
 	"gonum.org/v1/gonum/mat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Load is a cluster with its workload.
 type Load struct {
 	Machines int
-	Capacity pack.Vec
+	Capacity binpack.Vec
 	Jobs     []Job
 }
 
@@ -26,10 +26,10 @@
 	return math.Exp(math.Log(mean) - s2/2 + math.Sqrt(s2)*rng.NormFloat64())
 }
 
-func runs(rng *rand.Rand, n int, meanS, cov float64) []unit.Micros {
-	out := make([]unit.Micros, n)
+func runs(rng *rand.Rand, n int, meanS, cov float64) []units.Microseconds {
+	out := make([]units.Microseconds, n)
 	for i := range out {
-		out[i] = unit.Seconds(max(1, logNormal(rng, meanS, cov)))
+		out[i] = units.Seconds(max(1, logNormal(rng, meanS, cov)))
 	}
 	return out
 }
@@ -46,13 +46,13 @@
 		maps  int
 		ratio float64 // of output to input
 	}{{2000, 0.2}, {1000, 2}, {1000, 0.5}, {300, 0.2}}
-	l := Load{Machines: max(4, int(250*scale)), Capacity: pack.Vec{32_000, 1000, 96_000}}
+	l := Load{Machines: max(4, int(250*scale)), Capacity: binpack.Vec{32_000, 1000, 96_000}}
 	for range 100 {
 		k := kinds[rng.IntN(len(kinds))]
 		maps := max(2, int(float64(k.maps)*scale))
-		j := Job{Arrives: unit.Seconds(3600 * rng.Float64()), Estimate: 1}
+		j := Job{Arrives: units.Seconds(3600 * rng.Float64()), Estimate: 1}
 		for _, n := range []int{maps, max(1, int(float64(maps)*k.ratio))} {
-			d := pack.Vec{500, 62, 2000}
+			d := binpack.Vec{500, 62, 2000}
 			if rng.IntN(2) == 0 {
 				d[cpu], d[io] = 2000, 10
 			}
@@ -88,7 +88,7 @@
 // load; load 0: all at the beginning, for makespans. The numbers of tasks and run times are
 // ours, as the paper gives none.
 func Trace(rng *rand.Rand, machines, jobs int, load float64) Load {
-	l := Load{Machines: machines, Capacity: pack.Vec{12_000, 1000, 32_000}}
+	l := Load{Machines: machines, Capacity: binpack.Vec{12_000, 1000, 32_000}}
 	var chol mat.Cholesky
 	if !chol.Factorize(demandCorr) {
 		panic("paper: the correlations are none")
@@ -106,7 +106,7 @@
 	if load > 0 {
 		within := l.least() / load
 		for i := range l.Jobs {
-			l.Jobs[i].Arrives = unit.Seconds(within * rng.Float64())
+			l.Jobs[i].Arrives = units.Seconds(within * rng.Float64())
 		}
 		slices.SortStableFunc(l.Jobs, func(a, b Job) int { return cmp.Compare(a.Arrives, b.Arrives) })
 	}
@@ -135,12 +135,12 @@
 
 // demand draws what a stage's tasks need: log-normal amounts whose logarithms are
 // correlated, within the bounds that the paper gives.
-func demand(rng *rand.Rand, lower *mat.TriDense) pack.Vec {
+func demand(rng *rand.Rand, lower *mat.TriDense) binpack.Vec {
 	var z, d [3]float64
 	for i := range z {
 		z[i] = rng.NormFloat64()
 	}
-	var v pack.Vec
+	var v binpack.Vec
 	for i := range d {
 		for k := range i + 1 {
 			d[i] += lower.At(i, k) * z[k]
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/meter"
 	"shalestage.example/shalestage/internal/emulator/sim"
 	"shalestage.example/shalestage/internal/rehearse"
@@ -106,9 +106,9 @@
 func (f *File) play(r Run, s *scenario.Scenario) Run {
 	began := time.Now()
 	m := meter.New()
-	w := sim.New(s, sim.Options{Seed: r.Seed, Meter: m, MeterEvery: unit.Seconds(f.EveryS)})
+	w := sim.New(s, sim.Options{Seed: r.Seed, Meter: m, MeterEvery: units.Seconds(f.EveryS)})
 	res := w.Play()
-	end := unit.Seconds(s.DurationS)
+	end := units.Seconds(s.DurationS)
 	r.Figures = m.Figures(end, res.Money, w.Cheapest())
 	for _, b := range res.Broken {
 		r.Broken = append(r.Broken, b.String())
--- a/internal/explore/authority/authority.go
+++ b/internal/explore/authority/authority.go
@@ -17,10 +17,10 @@
 	"strconv"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/lead"
-	"shalestage.example/shalestage/internal/core/seats"
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/membership"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/explore"
 )
 
@@ -59,7 +59,7 @@
 }
 
 // times are a lease's, and for how long promises of all and of a majority carry it.
-func (o Options) times() (ttl, extend, short unit.Micros) {
+func (o Options) times() (ttl, extend, short units.Microseconds) {
 	if o.Alone {
 		return second, 8 * second, second
 	}
@@ -68,7 +68,7 @@
 
 const (
 	count   = 3
-	second  = unit.Second
+	second  = units.Second
 	started = 10 * second // of the processes that are there at the beginning
 )
 
@@ -119,7 +119,7 @@
 	from, to int8
 	life     int // of the process that is to get the answer
 	seat     uint64
-	sent     unit.Micros
+	sent     units.Microseconds
 	node     int8
 	stamp    uint64
 	ok       bool
@@ -139,9 +139,9 @@
 	w     *World
 	i     int8
 	life  int
-	born  unit.Micros
+	born  units.Microseconds
 	rate  float64
-	s     *seats.Seats
+	s     *membership.Registry
 	block block // as it knows it
 	seen  [count]record
 	out   []any
@@ -151,11 +151,11 @@
 // World is the state of everything.
 type World struct {
 	o      Options
-	ttl    unit.Micros
-	now    unit.Micros
+	ttl    units.Microseconds
+	now    units.Microseconds
 	rev    uint64
 	seats  [count]record
-	leases map[uint64]unit.Micros // when each was last renewed
+	leases map[uint64]units.Microseconds // when each was last renewed
 	block  block
 	nodes  [count]*process
 	mail   []mail
@@ -170,7 +170,7 @@
 // values are the records of seats as they are stored.
 var values = func() (out [count]json.RawMessage) {
 	for i := range out {
-		out[i] = store.Value(lead.Seat{Node: name(int8(i))})
+		out[i] = store.Value(authority.Member{Node: name(int8(i))})
 	}
 	return out
 }()
@@ -179,7 +179,7 @@
 
 // New returns a world in which all controllers have seats, and the first holds the block.
 func New(o Options) *World {
-	w := &World{o: o, now: started, leases: map[uint64]unit.Micros{}}
+	w := &World{o: o, now: started, leases: map[uint64]units.Microseconds{}}
 	w.ttl, _, _ = o.times()
 	for i := range int8(count) {
 		w.start(i, 0)
@@ -206,7 +206,7 @@
 	return w
 }
 
-func (w *World) start(i int8, born unit.Micros) {
+func (w *World) start(i int8, born units.Microseconds) {
 	life := 0
 	if p := w.nodes[i]; p != nil {
 		life = p.life + 1
@@ -232,11 +232,13 @@
 	if w.o.Fault == Forgetful {
 		p.born -= 10 * second
 	}
-	p.s = seats.New(seats.Config{Node: name(i), Size: size, TTL: lease, Extend: extend, Short: carries, Log: slog.New(slog.DiscardHandler)}, p)
+	p.s = membership.New(membership.Config{Node: name(i), Size: size, TTL: lease, Extend: extend, Short: carries, Log: slog.New(slog.DiscardHandler)}, p)
 	w.nodes[i] = p
 }
 
-func (p *process) local() unit.Micros { return unit.Micros(float64(p.w.now-p.born) * p.rate) }
+func (p *process) local() units.Microseconds {
+	return units.Microseconds(float64(p.w.now-p.born) * p.rate)
+}
 
 // Emit implements seats.Host.
 func (p *process) Emit(e any) { p.out = append(p.out, e) }
@@ -244,31 +246,31 @@
 // Store implements seats.Host.
 func (p *process) Store(w *store.Write) { p.write = w }
 
-// Stamp implements seats.Host.
-func (p *process) Stamp(string) uint64 { return p.seen[p.i].stamp }
+// Version implements seats.Host.
+func (p *process) Version(string) uint64 { return p.seen[p.i].stamp }
 
-// Copy implements seats.Host.
-func (p *process) Copy() (since, age unit.Micros, ok bool) {
+// CacheAge implements seats.Host.
+func (p *process) CacheAge() (since, age units.Microseconds, ok bool) {
 	if p.w.o.Unserved && p.w.promising {
-		return 0, unit.Never, true
+		return 0, units.Never, true
 	}
 	return 0, 0, true
 }
 
-// Reread implements seats.Host.
-func (p *process) Reread() {}
+// Refresh implements seats.Host.
+func (p *process) Refresh() {}
 
-// Seated implements seats.Host.
-func (p *process) Seated() {}
+// Joined implements seats.Host.
+func (p *process) Joined() {}
 
 // Lost implements seats.Host.
 func (p *process) Lost() {}
 
-// Release implements seats.Host.
-func (p *process) Release(string, int) {}
+// PeerRelease implements seats.Host.
+func (p *process) PeerRelease(string, int) {}
 
-// AskPermits implements seats.Host.
-func (p *process) AskPermits(node string, seat uint64) {
+// RequestVotes implements seats.Host.
+func (p *process) RequestVotes(node string, seat uint64) {
 	for j := range int8(count) {
 		if j != p.i {
 			p.w.post(mail{kind: askPermit, from: p.i, to: j, life: p.life, node: index(node), seat: seat})
@@ -294,11 +296,11 @@
 func (p *process) flush() {
 	for _, e := range p.out {
 		switch e := e.(type) {
-		case seats.RenewLease:
+		case membership.RenewLease:
 			p.w.post(mail{kind: renewal, from: p.i, life: p.life, stamp: e.ID})
-		case seats.OpenLease:
+		case membership.OpenLease:
 			p.w.post(mail{kind: opening, from: p.i, life: p.life})
-		case seats.CloseLease:
+		case membership.CloseLease:
 			p.w.drop(e.ID)
 		}
 	}
@@ -321,7 +323,7 @@
 
 func (p *process) learn(j int8) {
 	p.seen[j] = p.w.seats[j]
-	e := store.Event{Key: seats.Prefix + name(j), Stamp: p.seen[j].stamp}
+	e := store.Event{Key: membership.Prefix + name(j), Stamp: p.seen[j].stamp}
 	if e.Stamp > 0 {
 		e.Value = values[j]
 	}
@@ -494,7 +496,7 @@
 // govern gives the block to this controller where that is safe.
 func (p *process) govern() {
 	b := p.block
-	if b.seat == p.s.ID() || !p.s.Ended(p.local(), name(b.node), b.seat) {
+	if b.seat == p.s.ID() || !p.s.Expired(p.local(), name(b.node), b.seat) {
 		return
 	}
 	p.w.post(mail{kind: granting, from: p.i, life: p.life, seat: p.s.ID(), stamp: b.stamp})
@@ -520,7 +522,7 @@
 	case seating:
 		g, ch := m.write.Guards[0], m.write.Changes[0]
 		_, lives := w.leases[ch.Lease]
-		ok := lives && w.seats[m.from].stamp == g.Stamp
+		ok := lives && w.seats[m.from].stamp == g.Version
 		if ok {
 			w.rev++
 			w.seats[m.from] = record{w.rev, ch.Lease}
@@ -558,7 +560,7 @@
 	case askPromise:
 		to := w.nodes[m.to]
 		w.promising = true
-		promised := to.s.Promise(to.local(), name(m.from), m.seat)
+		promised := to.s.GrantPeerLease(to.local(), name(m.from), m.seat)
 		w.promising = false
 		if promised || w.o.Fault == TwoFaced {
 			w.post(mail{kind: promise, from: m.from, to: m.to, life: m.life, seat: m.seat, sent: m.sent})
@@ -569,17 +571,17 @@
 			if w.o.Fault == FromAnswer {
 				sent = back.local()
 			}
-			back.s.Promised(back.local(), name(m.to), m.seat, sent)
+			back.s.PeerLeaseGranted(back.local(), name(m.to), m.seat, sent)
 		}
 	case askPermit:
 		to := w.nodes[m.to]
-		if to.s.PermitAsked(to.local(), name(m.node), m.seat) {
+		if to.s.VoteRequested(to.local(), name(m.node), m.seat) {
 			w.post(mail{kind: permit, from: m.from, to: m.to, life: m.life, node: m.node, seat: m.seat})
 		}
 		to.flush()
 	case permit:
 		if back != nil {
-			back.s.Permitted(name(m.to), name(m.node), m.seat)
+			back.s.VoteReceived(name(m.to), name(m.node), m.seat)
 		}
 	}
 }
@@ -597,7 +599,7 @@
 		for _, r := range p.seen {
 			add(r.stamp)
 		}
-		b = append(b, p.s.Trace(p.local())...)
+		b = append(b, p.s.Describe(p.local())...)
 	}
 	for _, r := range w.seats {
 		add(r.stamp, r.lease)
--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -15,7 +15,7 @@
 
 	"shalestage.example/shalestage/internal/core/cancellations"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/explore"
 )
 
@@ -48,7 +48,7 @@
 
 const (
 	count  = 3
-	second = unit.Second
+	second = units.Second
 	// extension is for how long the holder may answer past the time up to which it knows all.
 	extension = second
 	begins    = 10 * second
@@ -81,13 +81,13 @@
 type letter struct {
 	kind kind // reads, asks, or their answers: learns, stores
 	from int8 // whom it is from or to
-	sent unit.Micros
+	sent units.Microseconds
 	rev  uint64
 	told cancellations.Told
 }
 
 type process struct {
-	book   *cancellations.Book
+	book   *cancellations.Tracker
 	rate   float64
 	rev    uint64          // up to which its copy is complete
 	begun  uint64          // revision at which that was begun
@@ -98,19 +98,19 @@
 // World is the state of everything.
 type World struct {
 	o       Options
-	now     unit.Micros
+	now     units.Microseconds
 	rev     uint64
-	stored  []uint64               // cancellations
-	told    map[uint64]unit.Micros // when a user was first told of each
+	stored  []uint64                      // cancellations
+	told    map[uint64]units.Microseconds // when a user was first told of each
 	nodes   [count]*process
-	read    unit.Micros // when the holder's last read was sent that was answered
+	read    units.Microseconds // when the holder's last read was sent that was answered
 	mail    []letter
 	crashes int
 }
 
 // New returns a world in which nothing is cancelled and all know that.
 func New(o Options) *World {
-	w := &World{o: o, now: begins, rev: 1, told: map[uint64]unit.Micros{}}
+	w := &World{o: o, now: begins, rev: 1, told: map[uint64]units.Microseconds{}}
 	for i := range w.nodes {
 		w.nodes[i] = w.process(i)
 		w.nodes[i].loaded, w.nodes[i].rev, w.nodes[i].begun = true, w.rev, w.rev
@@ -130,7 +130,7 @@
 	return &process{book: cancellations.New(cfg), rate: drift[i], knows: map[uint64]bool{}}
 }
 
-func (w *World) local(i int) unit.Micros { return unit.Micros(float64(w.now) * drift[i]) }
+func (w *World) local(i int) units.Microseconds { return units.Microseconds(float64(w.now) * drift[i]) }
 
 func event(rev uint64) store.Event {
 	return store.Event{Key: fmt.Sprintf("j%d", rev), Value: []byte("{}"), Stamp: rev}
@@ -253,7 +253,7 @@
 				rev = max(rev, s)
 			}
 		}
-		l.kind, l.told = stores, p.book.Tell(w.local(int(l.from)), l.rev, begun, rev, loaded)
+		l.kind, l.told = stores, p.book.ListFor(w.local(int(l.from)), l.rev, begun, rev, loaded)
 		l.told.Whole = l.told.Whole || w.o.Fault == Dropped && p.loaded
 		w.mail = append(w.mail, l)
 	case stores:
@@ -268,12 +268,12 @@
 			sent = w.local(0)
 		}
 		l.told.Whole = l.told.Whole || w.o.Fault == Cut
-		a.book.Take(w.local(0), fmt.Sprint(l.from), sent, l.told, a.rev)
+		a.book.Receive(w.local(0), fmt.Sprint(l.from), sent, l.told, a.rev)
 	}
 }
 
-func (w *World) answersUntil() unit.Micros {
-	return w.nodes[0].book.AsOf(w.local(0), w.read) + unit.Shortest(extension)
+func (w *World) answersUntil() units.Microseconds {
+	return w.nodes[0].book.KnownUntil(w.local(0), w.read) + units.Shortest(extension)
 }
 
 // Broken implements explore.World.
@@ -292,7 +292,7 @@
 // State implements explore.World.
 func (w *World) State() string {
 	var b strings.Builder
-	ago := func(t unit.Micros) unit.Micros { return min(w.local(0)-t, extension+second) }
+	ago := func(t units.Microseconds) units.Microseconds { return min(w.local(0)-t, extension+second) }
 	fmt.Fprintf(&b, "%d %v %d|", w.rev, w.stored, w.crashes)
 	for _, s := range w.stored {
 		if at, ok := w.told[s]; ok {
@@ -301,7 +301,7 @@
 	}
 	fmt.Fprintf(&b, "%d|", ago(w.read))
 	for i, p := range w.nodes {
-		fmt.Fprintf(&b, "%d %d %v %v %s|", p.rev, p.begun, p.loaded, p.knows, p.book.Trace(w.local(i), extension+second))
+		fmt.Fprintf(&b, "%d %d %v %v %s|", p.rev, p.begun, p.loaded, p.knows, p.book.Describe(w.local(i), extension+second))
 	}
 	mail := make([]string, len(w.mail))
 	for i, l := range w.mail {
--- a/internal/explore/following/following.go
+++ b/internal/explore/following/following.go
@@ -12,9 +12,9 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/follow"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/replication"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/explore"
 )
 
@@ -65,12 +65,12 @@
 )
 
 type letter struct {
-	m   *follow.Message
-	ack *follow.Ack
+	m   *replication.Message
+	ack *replication.Ack
 }
 
 type write struct {
-	r     follow.Record
+	r     replication.Record
 	guard uint64 // version of the record that it replaces; 0: any
 	done  func(bool)
 }
@@ -78,17 +78,17 @@
 // World is the state of everything.
 type World struct {
 	o       Options
-	now     unit.Micros
-	source  *follow.Source
-	sink    *follow.Sink
+	now     units.Microseconds
+	source  *replication.Primary
+	sink    *replication.Standby
 	on      [2][]fleet.Task // what may be on each machine, as the holder knows
-	out     map[ledger.TaskID]int
+	out     map[jobs.TaskID]int
 	next    int
 	mail    []letter
 	writes  []write
 	late    []write
 	version uint64
-	record  follow.Record
+	record  replication.Record
 	seen    uint64 // version that the holder knows
 	lost    int
 }
@@ -97,8 +97,8 @@
 
 // New returns a world in which one task is on the first machine and nobody follows.
 func New(o Options) *World {
-	w := &World{o: o, sink: follow.NewSink(), out: map[ledger.TaskID]int{}, version: 1, seen: 1, now: 10 * unit.Second}
-	w.source = follow.NewSource(0, token, w)
+	w := &World{o: o, sink: replication.NewStandby(), out: map[jobs.TaskID]int{}, version: 1, seen: 1, now: 10 * units.Second}
+	w.source = replication.NewPrimary(0, token, w)
 	w.start(0)
 	w.source.Tick(w.now, true)
 	return w
@@ -107,22 +107,22 @@
 // Candidate implements follow.Host.
 func (w *World) Candidate() string { return "f" }
 
-// Fit implements follow.Host.
-func (w *World) Fit(string) bool { return true }
+// Eligible implements follow.Host.
+func (w *World) Eligible(string) bool { return true }
 
 // Machines implements follow.Host.
 func (w *World) Machines() []string { return names }
 
-// Undone implements follow.Host.
-func (w *World) Undone() []follow.TasksDone { return nil }
+// UnstoredTasks implements follow.Host.
+func (w *World) UnstoredTasks() []replication.TasksDone { return nil }
 
-// Draw implements follow.Host.
-func (w *World) Draw(name string) follow.MachinePicture {
-	return follow.MachinePicture{Name: name, Tasks: slices.Clone(w.on[slices.Index(names, name)])}
+// SnapshotMachine implements follow.Host.
+func (w *World) SnapshotMachine(name string) replication.MachinePicture {
+	return replication.MachinePicture{Name: name, Tasks: slices.Clone(w.on[slices.Index(names, name)])}
 }
 
 // Send implements follow.Host.
-func (w *World) Send(_ string, m follow.Message) { w.post(letter{m: &m}) }
+func (w *World) Send(_ string, m replication.Message) { w.post(letter{m: &m}) }
 
 func (w *World) post(l letter) {
 	if len(w.mail) < w.o.Mail {
@@ -131,7 +131,7 @@
 }
 
 // Store implements follow.Host.
-func (w *World) Store(r follow.Record, done func(bool)) {
+func (w *World) Store(r replication.Record, done func(bool)) {
 	x := write{r: r, done: done}
 	if r.Node != "" && w.o.Fault != Unguarded {
 		x.guard = w.seen
@@ -150,15 +150,15 @@
 }
 
 type start struct {
-	id      ledger.TaskID
+	id      jobs.TaskID
 	machine int
 }
 
 func (w *World) start(machine int) {
 	w.next++
-	s := start{ledger.TaskID{Job: "j", Task: w.next}, machine}
+	s := start{jobs.TaskID{Job: "j", Task: w.next}, machine}
 	w.on[machine] = append(w.on[machine], fleet.Task{ID: s.id, Attempt: uint64(w.next), State: fleet.Running})
-	if !w.source.Started(w.now, names[machine], s) || w.o.Fault == Impatient {
+	if !w.source.DeferAnswer(w.now, names[machine], s) || w.o.Fault == Impatient {
 		w.out[s.id] = machine
 	}
 }
@@ -217,7 +217,7 @@
 func (w *World) Do(m Move) {
 	switch m.Kind {
 	case passes:
-		w.now += unit.Second / 4
+		w.now += units.Second / 4
 	case starts:
 		w.start(int(m.A))
 	case gone:
@@ -257,16 +257,16 @@
 			w.apply(x)
 		}
 	}
-	w.now += follow.FlushEvery
+	w.now += replication.FlushEvery
 	w.source.Tick(w.now, true)
 }
 
 func (w *World) carry(l letter) {
 	if l.ack != nil {
-		w.source.Acked(w.now, "f", *l.ack)
+		w.source.OnAck(w.now, "f", *l.ack)
 		return
 	}
-	a := w.sink.Take(*l.m, func(string, int) bool { return false })
+	a := w.sink.Receive(*l.m, func(string, int) bool { return false })
 	if w.o.Fault == Skipping {
 		a.N = max(a.N, l.m.N)
 	}
@@ -278,9 +278,9 @@
 func (w *World) Broken() string {
 	r := w.record
 	if w.o.Fault == Unnamed {
-		r = follow.Record{Node: "f", Token: token, Run: w.sink.Run(0)}
+		r = replication.Record{Node: "f", Token: token, Run: w.sink.StreamID(0)}
 	}
-	machines, _, ok := w.sink.Picture(0, "f", r)
+	machines, _, ok := w.sink.Snapshot(0, "f", r)
 	if !ok {
 		return ""
 	}
--- a/internal/launch/book.go
+++ b/internal/launch/book.go
@@ -9,13 +9,13 @@
 	"strings"
 	"sync"
 
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/emulator/host"
 	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-type workSpec = ledger.Spec
+type workSpec = jobs.Spec
 
 // bookFile holds, line by line, the descriptions that users have uploaded and the
 // tasks that have completed: what lies outside of machines and of the service.
@@ -58,7 +58,7 @@
 			b.jobs = append(b.jobs, j)
 			b.byID[j.ID] = j
 		case e.Done != "":
-			if id, err := ledger.ParseTaskID(e.Done); err == nil && b.byID[id.Job] != nil {
+			if id, err := jobs.ParseTaskID(e.Done); err == nil && b.byID[id.Job] != nil {
 				b.byID[id.Job].Finish(id.Task)
 			}
 		}
@@ -94,7 +94,7 @@
 func (k *keeper) add(u upload) error { return k.write(entry{Job: &u}) }
 
 // Ended implements host.Facts.
-func (k *keeper) Ended(m *rental.Machine, id ledger.TaskID, completed bool) {
+func (k *keeper) Ended(m *rental.Machine, id jobs.TaskID, completed bool) {
 	if completed {
 		// A line that is lost costs a second run of the task at the most.
 		_ = k.write(entry{Done: id.String()})
--- a/internal/launch/deployment.go
+++ b/internal/launch/deployment.go
@@ -22,8 +22,8 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/host"
 	"shalestage.example/shalestage/internal/emulator/link"
@@ -50,10 +50,10 @@
 // Observer is told what happens in a deployment. It is called from several goroutines.
 type Observer interface {
 	// Began and Ended say that a task is on a machine, and that it no longer is.
-	Began(at unit.Micros, m check.Machine, id ledger.TaskID)
-	Ended(at unit.Micros, m check.Machine, id ledger.TaskID, completed bool)
+	Began(at units.Microseconds, m check.Machine, id jobs.TaskID)
+	Ended(at units.Microseconds, m check.Machine, id jobs.TaskID, completed bool)
 	// User tells what a user did or was told: an effect of user.Crowd other than Call.
-	User(at unit.Micros, e any)
+	User(at units.Microseconds, e any)
 }
 
 // Deployment is a running deployment.
@@ -183,7 +183,7 @@
 		return err
 	}
 	d.First = b.next()
-	at := unit.Micros(time.Now().UnixMicro())
+	at := units.Microseconds(time.Now().UnixMicro())
 	for _, j := range b.jobs {
 		d.earlier = append(d.earlier, j)
 		d.checker.Earlier(at, j.ID, j.Spec, j.Finished)
@@ -246,14 +246,14 @@
 	}
 }
 
-func (d *Deployment) now() unit.Micros { return unit.Micros(time.Now().UnixMicro()) }
+func (d *Deployment) now() units.Microseconds { return units.Microseconds(time.Now().UnixMicro()) }
 
 func (d *Deployment) note(format string, args ...any) {
-	d.facts.add(d.now(), func(at unit.Micros) { d.checker.Note(at, format, args...) })
+	d.facts.add(d.now(), func(at units.Microseconds) { d.checker.Note(at, format, args...) })
 }
 
 func (d *Deployment) heardFact(f fact) {
-	id, err := ledger.ParseTaskID(f.Task)
+	id, err := jobs.ParseTaskID(f.Task)
 	if err != nil {
 		return
 	}
@@ -262,7 +262,7 @@
 	} else if o != nil {
 		o.Ended(f.At, f.Machine, id, f.Completed)
 	}
-	d.facts.add(f.At, func(at unit.Micros) {
+	d.facts.add(f.At, func(at units.Microseconds) {
 		if f.Began {
 			d.checker.Began(at, f.Machine, id)
 		} else {
@@ -275,11 +275,11 @@
 	if o := d.opt.Observer; o != nil {
 		o.User(d.now(), e)
 	}
-	d.facts.add(d.now(), func(at unit.Micros) { user.Tell(d.checker, at, e) })
+	d.facts.add(d.now(), func(at units.Microseconds) { user.Tell(d.checker, at, e) })
 }
 
 // checkUpTo hands the checker what must have come by now.
-func (d *Deployment) checkUpTo(before unit.Micros) {
+func (d *Deployment) checkUpTo(before units.Microseconds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.facts.flush(before)
@@ -382,7 +382,7 @@
 // job that somebody else submits.
 func (d *Deployment) takeUpload(w http.ResponseWriter, r *http.Request) {
 	var u upload
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControl)).Decode(&u); err != nil || u.Spec == nil || !ledger.ValidID(u.ID) {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControl)).Decode(&u); err != nil || u.Spec == nil || !jobs.ValidID(u.ID) {
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
@@ -390,7 +390,7 @@
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	d.facts.add(d.now(), func(at unit.Micros) {
+	d.facts.add(d.now(), func(at units.Microseconds) {
 		// Somebody else's job: when its user asks to cancel it is not seen here.
 		d.checker.Planned(at, u.ID, u.Spec)
 		d.checker.CancelAsked(at, u.ID)
@@ -463,10 +463,10 @@
 		if u == nil {
 			continue // Run has not been called
 		}
-		u.Do(func(_ unit.Micros, c *user.Crowd) { p.Jobs, p.Left = p.Jobs+len(c.Jobs()), p.Left+c.Left() })
+		u.Do(func(_ units.Microseconds, c *user.Crowd) { p.Jobs, p.Left = p.Jobs+len(c.Jobs()), p.Left+c.Left() })
 	}
 	p.Figures, _ = d.Figures() // zero while the cloud's process is away
-	d.checkUpTo(d.now() - unit.Micros(settleTime.Microseconds()))
+	d.checkUpTo(d.now() - units.Microseconds(settleTime.Microseconds()))
 	d.mu.Lock()
 	p.Broken = slices.Clone(d.checker.Broken())
 	d.mu.Unlock()
@@ -485,7 +485,7 @@
 }
 
 // FirstBegan returns when a task of a job was first on a machine, 0 if none was.
-func (d *Deployment) FirstBegan(id string) unit.Micros {
+func (d *Deployment) FirstBegan(id string) units.Microseconds {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.checker.FirstBegan(id)
@@ -571,8 +571,8 @@
 		if d.users == nil {
 			return errors.New("there are no users yet")
 		}
-		d.users.Do(func(_ unit.Micros, c *user.Crowd) { c.Storm(f.Times) })
-		time.AfterFunc(seconds(f.ForS), func() { d.users.Do(func(_ unit.Micros, c *user.Crowd) { c.Storm(1) }) })
+		d.users.Do(func(_ units.Microseconds, c *user.Crowd) { c.Storm(f.Times) })
+		time.AfterFunc(seconds(f.ForS), func() { d.users.Do(func(_ units.Microseconds, c *user.Crowd) { c.Storm(1) }) })
 		return nil
 	case scenario.Surge, scenario.ClockJump, scenario.LateReports, scenario.CancelNow, scenario.CancelAtEnd, scenario.OddRequests, scenario.CloseLooks,
 		scenario.ConfigSet:
--- a/internal/launch/fact.go
+++ b/internal/launch/fact.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/rental"
 )
@@ -16,11 +16,11 @@
 // fact is what a process tells the checker, one JSON line each. At is the time of
 // day in microseconds; all processes share one machine's clock.
 type fact struct {
-	At        unit.Micros   `json:"at"`
-	Began     bool          `json:"began,omitempty"`
-	Completed bool          `json:"completed,omitempty"`
-	Task      string        `json:"task"`
-	Machine   check.Machine `json:"machine"`
+	At        units.Microseconds `json:"at"`
+	Began     bool               `json:"began,omitempty"`
+	Completed bool               `json:"completed,omitempty"`
+	Task      string             `json:"task"`
+	Machine   check.Machine      `json:"machine"`
 }
 
 // factWriter writes facts as they happen.
@@ -31,16 +31,16 @@
 func newFactWriter(w io.Writer) *factWriter { return &factWriter{json.NewEncoder(w)} }
 
 // Began implements host.Facts.
-func (f *factWriter) Began(m *rental.Machine, id ledger.TaskID) { f.put(m, id, true, false) }
+func (f *factWriter) Began(m *rental.Machine, id jobs.TaskID) { f.put(m, id, true, false) }
 
 // Ended implements host.Facts.
-func (f *factWriter) Ended(m *rental.Machine, id ledger.TaskID, completed bool) {
+func (f *factWriter) Ended(m *rental.Machine, id jobs.TaskID, completed bool) {
 	f.put(m, id, false, completed)
 }
 
-func (f *factWriter) put(m *rental.Machine, id ledger.TaskID, began, completed bool) {
+func (f *factWriter) put(m *rental.Machine, id jobs.TaskID, began, completed bool) {
 	// A launching process that is gone hears nothing more, and ends this one.
-	_ = f.enc.Encode(fact{At: unit.Micros(time.Now().UnixMicro()), Began: began, Completed: completed, Task: id.String(),
+	_ = f.enc.Encode(fact{At: units.Microseconds(time.Now().UnixMicro()), Began: began, Completed: completed, Task: id.String(),
 		Machine: check.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}})
 }
 
@@ -52,21 +52,21 @@
 }
 
 type timed struct {
-	at unit.Micros
-	f  func(at unit.Micros)
+	at units.Microseconds
+	f  func(at units.Microseconds)
 }
 
 // settleTime is how long a fact may take from one process to another.
 const settleTime = 300 * time.Millisecond
 
-func (m *merger) add(at unit.Micros, f func(at unit.Micros)) {
+func (m *merger) add(at units.Microseconds, f func(at units.Microseconds)) {
 	m.mu.Lock()
 	m.waiting = append(m.waiting, timed{at, f})
 	m.mu.Unlock()
 }
 
 // flush hands on what happened before a time.
-func (m *merger) flush(before unit.Micros) {
+func (m *merger) flush(before units.Microseconds) {
 	m.mu.Lock()
 	slices.SortStableFunc(m.waiting, func(a, b timed) int {
 		switch {
--- a/internal/launch/role.go
+++ b/internal/launch/role.go
@@ -20,7 +20,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/host"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/site"
@@ -122,9 +122,9 @@
 		}
 	}
 	faults(control, func(f scenario.Fault) error {
-		for_ := unit.Seconds(f.ForS)
+		for_ := units.Seconds(f.ForS)
 		var lost int
-		st.Do(func(now unit.Micros, m *kv.Service) {
+		st.Do(func(now units.Microseconds, m *kv.Service) {
 			switch f.Kind {
 			case scenario.StateOutage:
 				m.Down(now, now+for_)
@@ -153,7 +153,7 @@
 	})
 	figures(control, func() any {
 		var f StateFigures
-		st.Do(func(_ unit.Micros, m *kv.Service) { f = StateFigures{m.Len(), m.Rev(), st.Answers()} })
+		st.Do(func(_ units.Microseconds, m *kv.Service) { f = StateFigures{m.Len(), m.Rev(), st.Answers()} })
 		return f
 	}, map[string]func(f any) float64{
 		"state_keys":           func(f any) float64 { return float64(f.(StateFigures).Keys) },
@@ -244,17 +244,17 @@
 		c.Upload(j)
 	})
 	faults(control, func(f scenario.Fault) (err error) {
-		c.Do(func(now unit.Micros, st *site.Site) { err = s.SiteFault(now, st, f) })
+		c.Do(func(now units.Microseconds, st *site.Site) { err = s.SiteFault(now, st, f) })
 		if f.Kind == scenario.SpotRate {
 			time.AfterFunc(seconds(f.ForS), func() {
-				c.Do(func(now unit.Micros, st *site.Site) { st.Cloud.SetSpotRate(now, s.Cloud.SpotPerHour) })
+				c.Do(func(now units.Microseconds, st *site.Site) { st.Cloud.SetSpotRate(now, s.Cloud.SpotPerHour) })
 			})
 		}
 		return err
 	})
 	figures(control, func() any {
 		var f Figures
-		c.Do(func(now unit.Micros, st *site.Site) {
+		c.Do(func(now units.Microseconds, st *site.Site) {
 			f = Figures{st.Workers(), st.Cloud.Rented(), st.Running(), st.Cloud.Spent(now)}
 		})
 		return f
@@ -302,11 +302,11 @@
 // upload is a job's description as its user uploads it: what it does, and how
 // long its tasks really run.
 type upload struct {
-	ID     string      `json:"id"`
-	Spec   *workSpec   `json:"spec"`
-	Run    unit.Micros `json:"run"` // µs
-	Vary   float64     `json:"vary,omitempty"`
-	Broken bool        `json:"broken,omitempty"`
+	ID     string             `json:"id"`
+	Spec   *workSpec          `json:"spec"`
+	Run    units.Microseconds `json:"run"` // µs
+	Vary   float64            `json:"vary,omitempty"`
+	Broken bool               `json:"broken,omitempty"`
 }
 
 func (u upload) job() *work.Job {
--- a/internal/launch/worker.go
+++ b/internal/launch/worker.go
@@ -16,8 +16,8 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/host"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/site"
@@ -39,10 +39,10 @@
 
 // taskState is what is stored of a task outside of machines.
 type taskState struct {
-	Job      *upload     `json:"job,omitempty"`
-	Task     string      `json:"task,omitempty"`
-	Finished bool        `json:"finished,omitempty"`
-	Saved    unit.Micros `json:"saved,omitempty"` // µs of progress
+	Job      *upload            `json:"job,omitempty"`
+	Task     string             `json:"task,omitempty"`
+	Finished bool               `json:"finished,omitempty"`
+	Saved    units.Microseconds `json:"saved,omitempty"` // µs of progress
 }
 
 // runWorker runs the worker of one machine at a time, as the cloud hands it over.
@@ -69,7 +69,7 @@
 type jobClient struct{ addr string }
 
 // Fetch implements host.Jobs.
-func (c jobClient) Fetch(id ledger.TaskID) (*work.Job, error) {
+func (c jobClient) Fetch(id jobs.TaskID) (*work.Job, error) {
 	resp, err := controlClient.Get("http://" + c.addr + "/tasks/" + id.String())
 	if err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 const storeTries = 3
 
 // Store implements host.Jobs.
-func (c jobClient) Store(id ledger.TaskID, finished bool, saved unit.Micros) (err error) {
+func (c jobClient) Store(id jobs.TaskID, finished bool, saved units.Microseconds) (err error) {
 	for range storeTries {
 		if err = post(http.MethodPut, c.addr, "/tasks", taskState{Task: id.String(), Finished: finished, Saved: saved}); err == nil {
 			return nil
@@ -107,13 +107,13 @@
 // serveJobs serves what is stored outside of machines to workers in processes of their own.
 func serveJobs(control chi.Router, c *host.Cloud) {
 	control.Get("/tasks/{job}/{task}", func(w http.ResponseWriter, r *http.Request) {
-		id, err := ledger.ParseTaskID(chi.URLParam(r, "job") + "/" + chi.URLParam(r, "task"))
+		id, err := jobs.ParseTaskID(chi.URLParam(r, "job") + "/" + chi.URLParam(r, "task"))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		var t taskState
-		c.Do(func(_ unit.Micros, s *site.Site) {
+		c.Do(func(_ units.Microseconds, s *site.Site) {
 			if j := s.Book[id.Job]; j != nil {
 				t = taskState{Job: &upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.Vary, Broken: j.Broken}, Finished: j.Finished(id.Task), Saved: j.Saved(id.Task)}
 			}
@@ -127,7 +127,7 @@
 	control.Put("/tasks", func(w http.ResponseWriter, r *http.Request) {
 		var t taskState
 		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControl)).Decode(&t)
-		id, err2 := ledger.ParseTaskID(t.Task)
+		id, err2 := jobs.ParseTaskID(t.Task)
 		if err = errors.Join(err, err2); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/internal/load/engine.go
+++ b/internal/load/engine.go
@@ -11,14 +11,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"shalestage.example/shalestage/internal/client"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/agenda"
 )
 
 // Target is whom the load asks.
 type Target interface {
-	Submit(ctx context.Context, id string, spec *ledger.Spec) (client.Reply, error)
+	Submit(ctx context.Context, id string, spec *jobs.Spec) (client.Reply, error)
 	Poll(ctx context.Context, id string) (client.Reply, error)
 	Cancel(ctx context.Context, id string) (client.Reply, error)
 }
@@ -27,8 +27,8 @@
 const (
 	submitWait = 5 * time.Second
 	pollWait   = 2 * time.Second
-	retryFor   = 60 * unit.Second
-	maxPause   = 30 * unit.Second
+	retryFor   = 60 * units.Second
+	maxPause   = 30 * units.Second
 )
 
 // Cell counts the calls of a kind in a phase. Of those that were answered as they should
@@ -63,13 +63,13 @@
 type call struct {
 	due
 	id    string
-	spec  *ledger.Spec
-	first unit.Micros // of a submission's first attempt
+	spec  *jobs.Spec
+	first units.Microseconds // of a submission's first attempt
 }
 
 type answer struct {
 	call
-	at    unit.Micros
+	at    units.Microseconds
 	reply client.Reply
 	err   error
 }
@@ -86,7 +86,7 @@
 	target  Target
 	rng     *rand.Rand
 	began   time.Time
-	now     unit.Micros
+	now     units.Microseconds
 	later   agenda.Agenda[call]
 	answers chan answer
 	open    int
@@ -98,7 +98,7 @@
 	reasons map[string]int
 	ids     func(n int) string
 	n       int
-	specs   []*ledger.Spec
+	specs   []*jobs.Spec
 }
 
 // newHist holds up to two minutes with three digits.
@@ -150,13 +150,15 @@
 	return r, err
 }
 
-func (e *engine) clock() unit.Micros { return unit.Micros(time.Since(e.began).Microseconds()) }
+func (e *engine) clock() units.Microseconds {
+	return units.Microseconds(time.Since(e.began).Microseconds())
+}
 
 func (e *engine) run(ctx context.Context) error {
 	plan := e.f.plan()
-	end := unit.Micros(0)
+	end := units.Microseconds(0)
 	for _, p := range e.f.Phases {
-		end += unit.Seconds(p.ForS)
+		end += units.Seconds(p.ForS)
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -178,7 +180,7 @@
 		if e.now >= end && i == len(plan) && e.open == 0 {
 			return nil
 		}
-		next := e.now + unit.Second - e.now%unit.Second // for the figures of each second
+		next := e.now + units.Second - e.now%units.Second // for the figures of each second
 		if i < len(plan) {
 			next = min(next, plan[i].at)
 		}
@@ -343,7 +345,7 @@
 		}
 	case code == http.StatusBadRequest || code == http.StatusUnprocessableEntity:
 	default:
-		pause := max(unit.Second+unit.Micros(e.rng.Int64N(int64(unit.Second))), min(a.reply.RetryAfter, maxPause))
+		pause := max(units.Second+units.Microseconds(e.rng.Int64N(int64(units.Second))), min(a.reply.RetryAfter, maxPause))
 		if at := a.at + pause; at-a.first <= retryFor {
 			e.later.Add(at, call{due: due{at: at, phase: a.phase, kind: Retry, class: a.class}, id: a.id, spec: a.spec, first: a.first})
 		} else {
@@ -357,7 +359,7 @@
 // follow plans a user's next poll of its own job.
 func (e *engine) follow(a answer, j *job) {
 	if e.f.ThinkS > 0 && !j.final {
-		at := a.at + unit.Seconds(e.f.ThinkS*(0.6+0.8*e.rng.Float64()))
+		at := a.at + units.Seconds(e.f.ThinkS*(0.6+0.8*e.rng.Float64()))
 		e.later.Add(at, call{due: due{at: at, phase: a.phase, kind: Follow}, id: j.id})
 	}
 }
@@ -377,7 +379,7 @@
 
 // tick begins the figures of the seconds that have begun.
 func (e *engine) tick() {
-	for len(e.seconds) <= int(e.now/unit.Second) {
+	for len(e.seconds) <= int(e.now/units.Second) {
 		if n := len(e.seconds); n > 0 {
 			e.seconds[n-1].P50 = float64(e.second.ValueAtQuantile(50)) / 1000
 			e.seconds[n-1].P99 = float64(e.second.ValueAtQuantile(99)) / 1000
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -11,7 +11,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
@@ -161,7 +161,7 @@
 
 // due is a call that is to be made.
 type due struct {
-	at    unit.Micros // since the load began
+	at    units.Microseconds // since the load began
 	phase int
 	kind  Kind
 	class int // of a submission
@@ -187,7 +187,7 @@
 				if rng.Float64()*top >= p.at(k, t) {
 					continue // thinned out
 				}
-				d := due{at: unit.Seconds(begin + t), phase: i, kind: k}
+				d := due{at: units.Seconds(begin + t), phase: i, kind: k}
 				if k == Submit {
 					n := rng.IntN(sum)
 					for n >= f.weights[d.class] {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"shalestage.example/shalestage/internal/client"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -30,7 +30,7 @@
 	return r, ctx.Err()
 }
 
-func (t *target) Submit(ctx context.Context, id string, _ *ledger.Spec) (client.Reply, error) {
+func (t *target) Submit(ctx context.Context, id string, _ *jobs.Spec) (client.Reply, error) {
 	return t.ask(ctx, Submit, id)
 }
 func (t *target) Poll(ctx context.Context, id string) (client.Reply, error) {
@@ -88,7 +88,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if tried[id]++; tried[id] == 1 {
-			return client.Reply{Code: 503, RetryAfter: 3 * unit.Second, Error: "busy"}
+			return client.Reply{Code: 503, RetryAfter: 3 * units.Second, Error: "busy"}
 		}
 		return client.Reply{Code: 201}
 	})
@@ -96,7 +96,7 @@
 		t.Errorf("%+v, %+v, %+v", a, s, r)
 	}
 	cells = play(t, "think_s = 0\n"+head1+phase, func(time.Duration, Kind, string) client.Reply {
-		return client.Reply{Code: 503, RetryAfter: 300 * unit.Second}
+		return client.Reply{Code: 503, RetryAfter: 300 * units.Second}
 	})
 	// Thirty seconds at most are waited: two retries in a minute.
 	if a, s, r := cells[Accepted], cells[Submit], cells[Retry]; a.OK != 0 || a.None == 0 || r.Sent > 2*s.Sent || r.Sent < s.Sent {
@@ -191,7 +191,7 @@
 			t.Fatalf("%g calls, want about %g", n, want)
 		}
 		for i, d := range plan {
-			if d.at < unit.Second || d.at > unit.Seconds(1+p.ForS) || i > 0 && d.at < plan[i-1].at {
+			if d.at < units.Second || d.at > units.Seconds(1+p.ForS) || i > 0 && d.at < plan[i-1].at {
 				t.Fatalf("call %d is due at %v", i, d.at)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,9 +14,9 @@
 	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/peer"
 	"shalestage.example/shalestage/internal/state"
 	"shalestage.example/shalestage/internal/wire"
@@ -35,7 +35,7 @@
 )
 
 // message is handled by the goroutine that owns the core.
-type message func(c *core.Core, now unit.Micros)
+type message func(c *core.Core, now units.Microseconds)
 
 // Node is a running controller.
 type Node struct {
@@ -56,8 +56,8 @@
 
 	full func() bool // memory is nearly full; nil: never
 
-	next    core.ReqID
-	waiting map[core.ReqID]chan core.Reply
+	next    core.RequestID
+	waiting map[core.RequestID]chan core.Reply
 	commits map[*store.Txn]context.CancelFunc // transactions that wait for their answers
 }
 
@@ -65,7 +65,7 @@
 func New(c *core.Core, s *state.Client, cl *cloud.Client, w *worker.Client, p *peer.Link, log *slog.Logger) *Node {
 	return &Node{core: c, state: s, cloud: cl, workers: w, peers: p, log: log, began: time.Now(),
 		control: make(chan message, controlQueue), reports: make(chan message, reportQueue), users: make(chan message, userQueue),
-		waiting: map[core.ReqID]chan core.Reply{}, commits: map[*store.Txn]context.CancelFunc{}}
+		waiting: map[core.RequestID]chan core.Reply{}, commits: map[*store.Txn]context.CancelFunc{}}
 }
 
 // WatchMemory has the core refuse new jobs while memory is nearly full. It is called before
@@ -73,7 +73,9 @@
 func (n *Node) WatchMemory(full func() bool) { n.full = full }
 
 // now is the steady clock.
-func (n *Node) now() unit.Micros { return unit.Micros(time.Since(n.began).Microseconds()) }
+func (n *Node) now() units.Microseconds {
+	return units.Microseconds(time.Since(n.began).Microseconds())
+}
 
 // Run owns the core until the context ends. Time goes first, then what keeps
 // authority and what other controllers say, then workers, then users: no number
@@ -88,7 +90,7 @@
 			if n.full != nil {
 				n.core.SetFull(n.full())
 			}
-			n.core.Tick(now, unit.Micros(time.Now().UnixMicro()))
+			n.core.Tick(now, units.Microseconds(time.Now().UnixMicro()))
 		} else if m := n.nextMessage(ctx, tick.C); m != nil {
 			m(n.core, n.now())
 		}
@@ -138,8 +140,8 @@
 func (n *Node) carryOut(e core.Effect) {
 	switch e := e.(type) {
 	case core.Reply:
-		if ch, ok := n.waiting[e.Req]; ok {
-			delete(n.waiting, e.Req)
+		if ch, ok := n.waiting[e.Request]; ok {
+			delete(n.waiting, e.Request)
 			ch <- e
 		}
 	case core.SendPeer:
@@ -147,22 +149,22 @@
 	case core.List:
 		go func() {
 			o, rev, items, more := n.state.List(core.Root, e.After, core.ListPage)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnList(now, e, o, rev, items, more) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnList(now, e, o, rev, items, more) })
 		}()
 	case core.Watch:
 		go func() {
 			o, rev, events, gone := n.state.Watch(core.Root, e.After, e.Wait)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnChanges(now, e, o, rev, events, gone) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnChanges(now, e, o, rev, events, gone) })
 		}()
 	case core.ReadKey:
 		go func() {
 			o, value, stamp, rev := n.state.Get(e.Key)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnKey(now, e, o, value, stamp, rev) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnKey(now, e, o, value, stamp, rev) })
 		}()
 	case core.ScanKeys:
 		go func() {
 			o, _, items, more := n.state.List(archive.Prefix, e.After, e.Page)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnScan(now, e, o, items, more) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScan(now, e, o, items, more) })
 		}()
 	case core.Commit:
 		n.commit(e)
@@ -173,46 +175,46 @@
 	case core.OpenLease:
 		go func() {
 			o, id := n.state.OpenLease(e.TTL)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnLease(now, o, id) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnLease(now, o, id) })
 		}()
 	case core.RenewLease:
 		go func() {
 			o := n.state.RenewLease(e.ID)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnRenew(now, e.ID, o) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnRenew(now, e.ID, o) })
 		}()
 	case core.CloseLease:
 		go n.state.CloseLease(e.ID)
 	case core.FetchTypes:
 		go func() {
 			o, types := n.cloud.Types()
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnTypes(now, o, types) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnTypes(now, o, types) })
 		}()
-	case core.RentHosts:
+	case core.ScaleOut:
 		go func() {
 			o, names := n.cloud.Rent(e.Request, e.Rent, n.holdsAuthority)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnRent(now, e, o, names) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleOut(now, e, o, names) })
 		}()
-	case core.ReturnHosts:
+	case core.ScaleIn:
 		go func() {
 			o := n.cloud.Return(e.Names, n.holdsAuthority)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnReturn(now, e, o) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleIn(now, e, o) })
 		}()
-	case core.Contact:
+	case core.Probe:
 		go func() {
-			o, r := n.workers.ShowToken(e.Addr, e.Token, e.Session, n.holdsAuthority)
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnContact(now, e, o, r) })
+			o, r := n.workers.ShowToken(e.Addr, e.FencingToken, e.Incarnation, n.holdsAuthority)
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnProbe(now, e, o, r) })
 		}()
-	case core.CloudShare:
-		n.cloud.SetPart(e.Part)
-	case core.ListHosts:
+	case core.CloudBudget:
+		n.cloud.SetPart(e.Fraction)
+	case core.ListMachines:
 		go func() {
 			o, hosts := n.cloud.List()
-			list := make([]core.Host, 0, len(hosts))
+			list := make([]core.ListedMachine, 0, len(hosts))
 			for _, h := range hosts {
-				list = append(list, core.Host{Name: h.ID, Addr: h.Addr, Failed: h.State == wire.HostFailed, Age: unit.Seconds(h.AgeS),
+				list = append(list, core.ListedMachine{Name: h.ID, Addr: h.Addr, Failed: h.State == wire.HostFailed, Age: units.Seconds(h.AgeS),
 					Record: fleet.Record{Type: h.Type, Zone: h.Zone, Spot: h.Spot}})
 			}
-			n.tell(func(c *core.Core, now unit.Micros) { c.OnHosts(now, e, o, list) })
+			n.tell(func(c *core.Core, now units.Microseconds) { c.OnListMachines(now, e, o, list) })
 		}()
 	}
 }
@@ -223,10 +225,10 @@
 	n.commits[e.Txn] = stop
 	go func() {
 		o, rev, failed := n.state.CommitIn(ctx, e.Txn)
-		n.tell(func(c *core.Core, now unit.Micros) {
+		n.tell(func(c *core.Core, now units.Microseconds) {
 			stop()
 			delete(n.commits, e.Txn)
-			c.OnCommit(now, e.Lane, e.Txn, o, rev, failed)
+			c.OnCommit(now, e.Queue, e.Txn, o, rev, failed)
 		})
 	}()
 }
@@ -235,7 +237,7 @@
 // much to do.
 func (n *Node) Hear(from string, msg any) {
 	select {
-	case n.control <- func(c *core.Core, now unit.Micros) { c.OnPeer(now, from, msg) }:
+	case n.control <- func(c *core.Core, now units.Microseconds) { c.OnPeer(now, from, msg) }:
 	default:
 	}
 }
@@ -243,11 +245,11 @@
 // ask sends a request to the core and waits for its answer. A full inbox
 // answers at once, and what has waited there until nobody waits for the answer
 // any more is dropped.
-func (n *Node) ask(ctx context.Context, box chan message, within time.Duration, f func(c *core.Core, now unit.Micros, req core.ReqID)) core.Reply {
+func (n *Node) ask(ctx context.Context, box chan message, within time.Duration, f func(c *core.Core, now units.Microseconds, req core.RequestID)) core.Reply {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	ch := make(chan core.Reply, 1)
-	m := func(c *core.Core, now unit.Micros) {
+	m := func(c *core.Core, now units.Microseconds) {
 		if ctx.Err() != nil {
 			return
 		}
@@ -255,7 +257,7 @@
 		n.waiting[n.next] = ch
 		f(c, now, n.next)
 	}
-	busy := core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "busy"}, RetryAfter: unit.Second}
+	busy := core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "busy"}, RetryAfter: units.Second}
 	select {
 	case box <- m:
 	default:
@@ -270,28 +272,28 @@
 }
 
 // Submit takes a submission.
-func (n *Node) Submit(ctx context.Context, id string, spec *ledger.Spec, bad string) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.Submit(now, req, id, spec, bad) })
+func (n *Node) Submit(ctx context.Context, id string, spec *jobs.Spec, bad string) core.Reply {
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Submit(now, req, id, spec, bad) })
 }
 
 // Query takes a poll.
 func (n *Node) Query(ctx context.Context, id string) core.Reply {
-	return n.ask(ctx, n.users, pollWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.Query(now, req, id) })
+	return n.ask(ctx, n.users, pollWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Query(now, req, id) })
 }
 
 // Abort takes a cancellation.
 func (n *Node) Abort(ctx context.Context, id string) core.Reply {
-	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.Abort(now, req, id) })
+	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Abort(now, req, id) })
 }
 
 // Report takes a worker's report.
-func (n *Node) Report(ctx context.Context, r *fleet.Report) core.Reply {
-	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.Report(now, req, r) })
+func (n *Node) Report(ctx context.Context, r *fleet.Heartbeat) core.Reply {
+	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Heartbeat(now, req, r) })
 }
 
 // Ready answers a health check.
 func (n *Node) Ready(ctx context.Context) bool {
-	r := n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) {
+	r := n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) {
 		c.Answer(req, c.Ready(now))
 	})
 	return r.Code == http.StatusOK
@@ -301,13 +303,13 @@
 // returns once that is done or has taken too long.
 func (n *Node) Retire(ctx context.Context) {
 	for done := false; !done && ctx.Err() == nil; {
-		n.tell(func(c *core.Core, now unit.Micros) { c.Retire(now) })
-		r := n.ask(ctx, n.control, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.Answer(req, c.Retired(now)) })
+		n.tell(func(c *core.Core, now units.Microseconds) { c.Retire(now) })
+		r := n.ask(ctx, n.control, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Answer(req, c.Retired(now)) })
 		if done = r.Code == http.StatusOK; !done {
 			time.Sleep(tickEvery)
 		}
 	}
-	n.tell(func(c *core.Core, now unit.Micros) { c.Leave(now) })
+	n.tell(func(c *core.Core, now units.Microseconds) { c.Leave(now) })
 	time.Sleep(leaveTime)
 }
 
@@ -316,27 +318,27 @@
 
 // Configure asks for a change of the configuration.
 func (n *Node) Configure(ctx context.Context, r configuration.Request) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.Configure(now, req, r) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Configure(now, req, r) })
 }
 
 // ConfigContent asks for the configuration in force.
 func (n *Node) ConfigContent(ctx context.Context) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.ConfigContent(now, req) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.ConfigContent(now, req) })
 }
 
 // ConfigHistory asks for the last versions.
 func (n *Node) ConfigHistory(ctx context.Context) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.ConfigHistory(now, req) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.ConfigHistory(now, req) })
 }
 
 // ConfigStatus asks how far a version of the configuration has come.
 func (n *Node) ConfigStatus(ctx context.Context, version uint64) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now unit.Micros, req core.ReqID) { c.ConfigStatus(now, req, version) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.ConfigStatus(now, req, version) })
 }
 
 // Stats returns the present figures; ok is false where there is too much to do.
 func (n *Node) Stats(ctx context.Context) (core.Stats, bool) {
-	r := n.ask(ctx, n.users, answerWithin, func(c *core.Core, _ unit.Micros, req core.ReqID) { c.Stats(req) })
+	r := n.ask(ctx, n.users, answerWithin, func(c *core.Core, _ units.Microseconds, req core.RequestID) { c.Stats(req) })
 	s, ok := r.Body.(core.Stats)
 	return s, ok
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,7 +11,7 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/state"
 )
 
@@ -21,14 +21,14 @@
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
 	var got []string
 	put := func(box chan message, name string) {
-		box <- func(*core.Core, unit.Micros) { got = append(got, name) }
+		box <- func(*core.Core, units.Microseconds) { got = append(got, name) }
 	}
 	for range 3 {
 		put(n.users, "user")
 		put(n.reports, "worker")
 	}
 	n.Hear("peer", core.PeerStatus{})
-	n.tell(func(*core.Core, unit.Micros) { got = append(got, "state") })
+	n.tell(func(*core.Core, units.Microseconds) { got = append(got, "state") })
 	<-n.control // the peer's message needs a core; that it comes first is enough
 	for m := n.waitingMessage(); m != nil; m = n.waitingMessage() {
 		m(nil, 0)
@@ -80,7 +80,7 @@
 	log := slog.New(slog.DiscardHandler)
 	n := New(nil, state.New(strings.TrimPrefix(silent.URL, "http://"), 100, 100, log), nil, nil, nil, log)
 	txn := &store.Txn{Changes: []store.Change{{Key: "k", Value: []byte("1")}}}
-	n.carryOut(core.Commit{Lane: core.UserLane, Txn: txn})
+	n.carryOut(core.Commit{Queue: core.UserQueue, Txn: txn})
 	<-reached
 	began := time.Now()
 	n.carryOut(core.Abandon{Txn: txn})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -12,7 +12,6 @@
 	"log/slog"
 	"net"
 	"reflect"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -42,12 +41,28 @@
 	Message any
 }
 
-// messages are all that controllers tell each other.
-var messages = []any{core.PeerStatus{}, core.PeerPromise{}, core.PeerPermitAsk{}, core.PeerPermit{}, core.PeerRelease{}, core.PeerAsk{}, core.PeerAnswer{}, core.PeerPicture{}, core.PeerStarts{}, core.PeerKnown{}}
+// messages are all that controllers tell each other, with the names under which gob sends
+// their types. A name never changes, whatever the type is called here: controllers of older
+// releases know it.
+var messages = []struct {
+	name  string
+	value any
+}{
+	{"shalestage.example/shalestage/internal/core.PeerStatus", core.PeerStatus{}},
+	{"shalestage.example/shalestage/internal/core.PeerPromise", core.PeerPromise{}},
+	{"shalestage.example/shalestage/internal/core.PeerPermitAsk", core.PeerPermitAsk{}},
+	{"shalestage.example/shalestage/internal/core.PeerPermit", core.PeerPermit{}},
+	{"shalestage.example/shalestage/internal/core.PeerRelease", core.PeerRelease{}},
+	{"shalestage.example/shalestage/internal/core.PeerAsk", core.PeerAsk{}},
+	{"shalestage.example/shalestage/internal/core.PeerAnswer", core.PeerAnswer{}},
+	{"shalestage.example/shalestage/internal/core.PeerPicture", core.PeerPicture{}},
+	{"shalestage.example/shalestage/internal/core/follow.Message", core.PeerStarts{}},
+	{"shalestage.example/shalestage/internal/core/follow.Ack", core.PeerKnown{}},
+}
 
 func init() {
 	for _, m := range messages {
-		gob.Register(m)
+		gob.RegisterName(m.name, m.value)
 	}
 }
 
@@ -88,8 +103,11 @@
 	if f.Format != format {
 		return "", nil, fmt.Errorf("%w: format %d", errFrame, f.Format)
 	}
-	if slices.ContainsFunc(messages, func(m any) bool { return reflect.TypeOf(m) == reflect.TypeOf(f.Message) }) {
-		return f.From, f.Message, nil
+	known := reflect.TypeOf(f.Message)
+	for _, m := range messages {
+		if reflect.TypeOf(m.value) == known {
+			return f.From, f.Message, nil
+		}
 	}
 	return "", nil, fmt.Errorf("%w: message %T", errFrame, f.Message) // gob knows plain types too
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,16 +14,16 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ask := core.PeerAsk{ID: rapid.Uint64().Draw(t, "id"), Kind: core.AskSubmit, Job: "wk-000001",
-			Spec: &ledger.Spec{Class: rapid.String().Draw(t, "class"), Tasks: rapid.Int().Draw(t, "tasks")}}
-		status := core.PeerStatus{StateAge: unit.Micros(rapid.Int64().Draw(t, "age")), Seat: rapid.Uint64().Draw(t, "seat"),
+			Spec: &jobs.Spec{Class: rapid.String().Draw(t, "class"), Tasks: rapid.Int().Draw(t, "tasks")}}
+		status := core.PeerStatus{StateAge: units.Microseconds(rapid.Int64().Draw(t, "age")), Seat: rapid.Uint64().Draw(t, "seat"),
 			Blocks: []core.BlockStatus{{Block: 1, Share: 2, Use: rapid.Float64().Draw(t, "use")}}}
 		var b bytes.Buffer
 		for _, m := range []any{ask, status} {
@@ -50,12 +50,16 @@
 	for n := 0; len(picture.Machines) < core.PictureTasks/8; n++ {
 		m := core.MachinePicture{Name: fmt.Sprintf("n-%020d", n), Addr: "100.100.100.100:10000", Session: 1 << 60, Seq: 1 << 60}
 		for k := range 8 {
-			m.Tasks = append(m.Tasks, fleet.Task{ID: ledger.TaskID{Job: fmt.Sprintf("wk-%040d", n), Task: 90_000 + k}, Attempt: 1 << 62, State: fleet.Running})
+			m.Tasks = append(m.Tasks, fleet.Task{ID: jobs.TaskID{Job: fmt.Sprintf("wk-%040d", n), Task: 90_000 + k}, Attempt: 1 << 62, State: fleet.Running})
 		}
 		picture.Machines = append(picture.Machines, m)
 	}
 	done := core.PeerPicture{Done: []core.TasksDone{{Job: "wk-1", Tasks: []int{0, 99_999}}}}
-	for _, m := range append([]any{picture, done}, messages...) {
+	all := []any{picture, done}
+	for _, m := range messages {
+		all = append(all, m.value)
+	}
+	for _, m := range all {
 		b, err := Encode("me", m)
 		if err != nil {
 			t.Fatalf("%T: %v", m, err)
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -10,9 +10,9 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // TestProductionFrames reads frames as controllers of the version before awaited
@@ -26,7 +26,7 @@
 	if err := json.Unmarshal(b, &frames); err != nil {
 		t.Fatal(err)
 	}
-	spec := &ledger.Spec{Class: "train", Team: "vision", Priority: ledger.High, Tasks: 1500, Demand: pack.Vec{4000, 0, 16000}, Types: []string{"g8"},
+	spec := &jobs.Spec{Class: "train", Team: "vision", Priority: jobs.High, Tasks: 1500, Demand: binpack.Vec{4000, 0, 16000}, Types: []string{"g8"},
 		Zone: "a", OneZone: true, Spot: true, Image: "img-07", ImageMB: 6200, Estimate: 240e6, Checkpoint: 30e6, Save: 4e6, Deadline: 900e6}
 	for name, want := range map[string]any{
 		"status":     core.PeerStatus{StateAge: 7, Seat: 41, Sent: 12345678, Blocks: []core.BlockStatus{{Block: 1, Share: 9, Use: 0.25}, {Block: 0, Share: 3, Use: -1}}},
@@ -36,7 +36,7 @@
 		"permit":     core.PeerPermit{Node: "stagehand-2", Seat: 17},
 		"release":    core.PeerRelease{Block: 2, Grant: 77},
 		"ask":        core.PeerAsk{ID: 5, Kind: core.AskSubmit, Job: "wk-000412", Spec: spec},
-		"answer":     core.PeerAnswer{ID: 5, Code: 201, Body: &core.JobAnswer{ID: "wk-000412", Status: ledger.Pending, Counts: true, Done: 3, Running: 2}},
+		"answer":     core.PeerAnswer{ID: 5, Code: 201, Body: &core.JobAnswer{ID: "wk-000412", Status: jobs.Pending, Counts: true, Done: 3, Running: 2}},
 		"refusal":    core.PeerAnswer{ID: 6, Code: 503, Text: "try again", RetryAfter: 1e6},
 	} {
 		raw, err := hex.DecodeString(frames[name])
@@ -57,17 +57,17 @@
 // What that version knows of the messages that have gained fields.
 type (
 	oldStatus struct {
-		StateAge unit.Micros
+		StateAge units.Microseconds
 		Seat     uint64
-		Sent     unit.Micros
+		Sent     units.Microseconds
 		Deaf     bool
 		Blocks   []core.BlockStatus
 	}
 	oldSpec struct {
 		Class    string
 		Tasks    int
-		Demand   pack.Vec
-		Deadline unit.Micros
+		Demand   binpack.Vec
+		Deadline units.Microseconds
 	}
 	oldAsk struct {
 		ID   uint64
@@ -89,7 +89,7 @@
 	if err := dec.Decode(&s); err != nil || s.Seat != 4 || s.Sent != 5 || len(s.Blocks) != 1 || s.Blocks[0].Use != 0.5 {
 		t.Fatalf("%+v %v", s, err)
 	}
-	if err := enc.Encode(core.PeerAsk{ID: 6, Job: "wk-000001", Spec: &ledger.Spec{Class: "x", Tasks: 3, Awaits: []string{"wk-000002"}}}); err != nil {
+	if err := enc.Encode(core.PeerAsk{ID: 6, Job: "wk-000001", Spec: &jobs.Spec{Class: "x", Tasks: 3, Awaits: []string{"wk-000002"}}}); err != nil {
 		t.Fatal(err)
 	}
 	var a oldAsk
--- a/internal/rehearse/census.go
+++ b/internal/rehearse/census.go
@@ -28,8 +28,8 @@
 		var jobs, keys, kept, packed int
 		var read, shed uint64
 		for _, n := range c.Nodes {
-			jobs, keys, kept, packed = max(jobs, n.KnownJobs), max(keys, n.Keys), max(kept, n.KeptDone), max(packed, n.PackedIDs)
-			read, shed = max(read, n.Looked), max(shed, n.Shed)
+			jobs, keys, kept, packed = max(jobs, n.KnownJobs), max(keys, n.Keys), max(kept, n.FinishedJobs), max(packed, n.ArchivedIDs)
+			read, shed = max(read, n.ArchiveReads), max(shed, n.ArchiveShed)
 		}
 		for _, n := range []int{jobs, keys, kept, packed, int(read), int(shed)} {
 			line = append(line, strconv.Itoa(n))
@@ -48,7 +48,7 @@
 func fleetOf(c sim.Census) [4]int {
 	var sum [4]int
 	for _, n := range c.Nodes {
-		for _, b := range n.Blocks {
+		for _, b := range n.Shards {
 			sum[0] += b.Ordinary.Machines - b.Ordinary.Booting + b.Spot.Machines - b.Spot.Booting
 			sum[1] += b.Waiting
 			sum[2] += b.Placed
--- a/internal/rehearse/meet.go
+++ b/internal/rehearse/meet.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/sim"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -44,14 +44,14 @@
 	for range s.Draw.Meet - 1 {
 		from, to := last.AtS, last.AtS+last.ForS+linger
 		moments := map[string][]float64{}
-		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Break: opt.Break, Event: func(at unit.Micros, event string) {
+		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Break: opt.Break, Event: func(at units.Microseconds, event string) {
 			t := at.Seconds()
 			if t < from || t > to || len(moments[event]) >= keptMoments || len(s.Draw.Events) > 0 && !slices.Contains(s.Draw.Events, event) {
 				return
 			}
 			moments[event] = append(moments[event], t)
 		}})
-		w.Run(unit.Seconds(to))
+		w.Run(units.Seconds(to))
 		var events []string
 		for _, e := range scenario.Events {
 			if len(moments[e]) > 0 {
--- a/internal/rehearse/meet_test.go
+++ b/internal/rehearse/meet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/sim"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -31,12 +31,12 @@
 			before.Faults = fixed.Faults[:i+1]
 			at := fixed.Faults[i+1].AtS
 			var moments []float64
-			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, Event: func(at unit.Micros, event string) {
+			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, Event: func(at units.Microseconds, event string) {
 				if event == m.Event {
 					moments = append(moments, at.Seconds())
 				}
 			}})
-			w.Run(unit.Seconds(at + 1))
+			w.Run(units.Seconds(at + 1))
 			if !slices.ContainsFunc(moments, func(x float64) bool { return x > at-offBy-0.002 && x < at+offBy+0.002 }) {
 				t.Errorf("seed %d: %s at %g, and there is no %s near", seed, m.Kind, at, m.Event)
 			}
@@ -69,9 +69,9 @@
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
 		n := uint64(0)
-		v := Play("meet-old-reports.toml", s, sim.Options{Seed: seed, Break: sim.Broken{Report: func(r *fleet.Report) {
+		v := Play("meet-old-reports.toml", s, sim.Options{Seed: seed, Break: sim.Broken{Report: func(r *fleet.Heartbeat) {
 			n++
-			r.Session, r.Seq = 1, n
+			r.Incarnation, r.Seq = 1, n
 		}}})
 		if len(v.Broken) > 0 {
 			return
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -8,8 +8,8 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/guard"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/sim"
@@ -27,7 +27,7 @@
 
 // without leaves one check of the core out.
 func without(g guard.Guard) sim.Broken {
-	return sim.Broken{Core: func(c *core.Config) { c.LeftOut = g }}
+	return sim.Broken{Core: func(c *core.Config) { c.SkippedGuard = g }}
 }
 
 // unguarded takes the guards off transactions that match.
@@ -56,13 +56,13 @@
 }
 
 // unguardedJob takes off the guard of the version where a job gets a status.
-func unguardedJob(s ledger.Status) sim.Broken {
+func unguardedJob(s jobs.Status) sim.Broken {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
 		if c == nil || !strings.HasPrefix(g.Key, "shalestage/job/") || c.Value == nil {
 			return false
 		}
-		r, err := ledger.DecodeRecord(c.Value)
+		r, err := jobs.DecodeRecord(c.Value)
 		return err == nil && r.Status == s
 	})
 }
@@ -95,9 +95,9 @@
 	{"permits are given while a promise runs", without(guard.PermitPromise), "gap.toml", check.TwoHolders, 10},
 	{"a seat is over without a majority's permits", without(guard.Majority), "meet-zone-cut.toml", check.TwoHolders, 5},
 	// Writes that come late.
-	{"a new job is stored whatever is there", unguardedJob(ledger.Pending), "meet-late-ends.toml", check.WentBack, 10},
-	{"a cancellation is stored whatever is there", unguardedJob(ledger.Cancelled), "meet-late-ends.toml", check.WentBack, 10},
-	{"an end is stored whatever is there", unguardedJob(ledger.Done), "meet-late-ends.toml", check.WentBack, 10},
+	{"a new job is stored whatever is there", unguardedJob(jobs.Pending), "meet-late-ends.toml", check.WentBack, 10},
+	{"a cancellation is stored whatever is there", unguardedJob(jobs.Cancelled), "meet-late-ends.toml", check.WentBack, 10},
+	{"an end is stored whatever is there", unguardedJob(jobs.Done), "meet-late-ends.toml", check.WentBack, 10},
 	{"a machine group is stored whatever is there", unguardedKey("machine/"), "meet-late-writes.toml", check.RanTwice, 10},
 	{"a block is released whoever holds it", unguardedRelease(), "meet-late-grants.toml", check.TwoHolders, 20},
 }
@@ -130,7 +130,7 @@
 		return slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == rule })
 	}
 	for at := 10.0; at < s.DurationS; at += 10 {
-		if w.Run(unit.Seconds(at)); broken() {
+		if w.Run(units.Seconds(at)); broken() {
 			return true
 		}
 	}
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/launch"
 	"shalestage.example/shalestage/internal/scenario"
@@ -48,9 +48,9 @@
 		return v, fmt.Errorf("the cloud tells no figures: %w", err)
 	}
 	v.Money = figures.Money
-	var longest unit.Micros
+	var longest units.Microseconds
 	v.Jobs = len(jobs)
-	v.Over, longest = user.Summary(jobs, unit.Seconds(s.DurationS))
+	v.Over, longest = user.Summary(jobs, units.Seconds(s.DurationS))
 	v.Wait = longest.Seconds()
 	v.Missed = s.Expect.Missed(longest, v.Money, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
 	v.Kept = len(v.Broken) == 0 && len(v.Missed) == 0
