--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/cancellations"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/sim"
@@ -25,17 +25,17 @@
 }
 
 // withoutStops drops all commands to stop tasks.
-func withoutStops(_ string, o *core.Orders) {
+func withoutStops(_ string, o *core.HeartbeatResponse) {
 	o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 }
 
 // onlyOwnStops lets each controller stop only the tasks that it has started itself, not those
 // that an earlier holder of the block has.
-func onlyOwnStops() func(node string, o *core.Orders) {
-	started := map[string]map[ledger.TaskID]bool{}
-	return func(node string, o *core.Orders) {
+func onlyOwnStops() func(node string, o *core.HeartbeatResponse) {
+	started := map[string]map[jobs.TaskID]bool{}
+	return func(node string, o *core.HeartbeatResponse) {
 		if started[node] == nil {
-			started[node] = map[ledger.TaskID]bool{}
+			started[node] = map[jobs.TaskID]bool{}
 		}
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool {
 			if c.Op == fleet.Start {
--- a/internal/scalerun/observe.go
+++ b/internal/scalerun/observe.go
@@ -6,8 +6,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/user"
 )
@@ -17,7 +17,7 @@
 
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, 3) }
 
-func record(h *hdrhistogram.Histogram, took unit.Micros) {
+func record(h *hdrhistogram.Histogram, took units.Microseconds) {
 	_ = h.RecordValue(min(max(int64(took), 1), longest)) // within what it holds
 }
 
@@ -74,7 +74,7 @@
 type waiting struct {
 	class    string
 	phase    int
-	first    unit.Micros // of the first attempt to submit
+	first    units.Microseconds // of the first attempt to submit
 	began    bool
 	accepted bool
 }
@@ -85,11 +85,11 @@
 	phase   int
 	counts  []*Counts // by phase
 	jobs    map[string]*waiting
-	running map[ledger.TaskID]string // machines
+	running map[jobs.TaskID]string // machines
 }
 
 func newObserver(phases int) *observer {
-	o := &observer{jobs: map[string]*waiting{}, running: map[ledger.TaskID]string{}}
+	o := &observer{jobs: map[string]*waiting{}, running: map[jobs.TaskID]string{}}
 	for range phases {
 		o.counts = append(o.counts, newCounts())
 	}
@@ -115,7 +115,7 @@
 }
 
 // Began implements launch.Observer.
-func (o *observer) Began(at unit.Micros, m check.Machine, id ledger.TaskID) {
+func (o *observer) Began(at units.Microseconds, m check.Machine, id jobs.TaskID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.counts[o.phase].Starts++
@@ -132,7 +132,7 @@
 }
 
 // Ended implements launch.Observer.
-func (o *observer) Ended(_ unit.Micros, m check.Machine, id ledger.TaskID, completed bool) {
+func (o *observer) Ended(_ units.Microseconds, m check.Machine, id jobs.TaskID, completed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if completed {
@@ -144,7 +144,7 @@
 }
 
 // User implements launch.Observer.
-func (o *observer) User(at unit.Micros, e any) {
+func (o *observer) User(at units.Microseconds, e any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch e := e.(type) {
@@ -156,7 +156,7 @@
 	}
 }
 
-func (o *observer) told(at unit.Micros, e user.Told) {
+func (o *observer) told(at units.Microseconds, e user.Told) {
 	c := o.counts[o.phase]
 	if isAbroad(e.ID) {
 		c.Abroad.add(e.Code)
@@ -172,7 +172,7 @@
 	}
 }
 
-func (o *observer) accepted(at unit.Micros, e user.Told) {
+func (o *observer) accepted(at units.Microseconds, e user.Told) {
 	j := o.jobs[e.ID]
 	if j == nil || j.accepted {
 		return
--- a/internal/scalerun/scalerun_test.go
+++ b/internal/scalerun/scalerun_test.go
@@ -8,12 +8,12 @@
 	"testing"
 
 	"shalestage.example/shalestage/examples"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/emulator/work"
 
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 )
 
 // TestMistakes reads files that cannot be worked with: each mistake is told with file,
@@ -148,12 +148,12 @@
 func TestObserver(t *testing.T) {
 	o := newObserver(2)
 	job := func(id, class string) *user.Job {
-		return &user.Job{Job: &work.Job{ID: id, Spec: &ledger.Spec{Class: class, Tasks: 2}}}
+		return &user.Job{Job: &work.Job{ID: id, Spec: &jobs.Spec{Class: class, Tasks: 2}}}
 	}
 	told := func(k user.Kind, id string, code int) user.Told {
-		return user.Told{Kind: k, ID: id, Took: unit.Second / 4, Answer: user.Answer{Code: code}}
+		return user.Told{Kind: k, ID: id, Took: units.Second / 4, Answer: user.Answer{Code: code}}
 	}
-	at := unit.Second
+	at := units.Second
 	o.User(at, user.Planned{Job: job("wk-000001", ClassUrgent)})
 	o.User(at, told(user.Submit, "wk-000001", 503))
 	o.User(2*at, told(user.Submit, "wk-000001", 201))
@@ -162,7 +162,7 @@
 	o.User(at, told(user.Poll, "wk-9123451234", 404)) // of a job that nobody submitted, asked at home
 	o.enter(1)
 	m := check.Machine{Name: "n-1"}
-	first, second := ledger.TaskID{Job: "wk-000001", Task: 0}, ledger.TaskID{Job: "wk-000001", Task: 1}
+	first, second := jobs.TaskID{Job: "wk-000001", Task: 0}, jobs.TaskID{Job: "wk-000001", Task: 1}
 	o.Began(3*at, m, first)
 	o.Began(5*at, m, second)
 	o.Ended(6*at, m, first, true)
--- a/internal/scalerun/size.go
+++ b/internal/scalerun/size.go
@@ -7,7 +7,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -253,7 +253,7 @@
 	arrivals(rng, rate, s.submitUntil(), func(at float64) {
 		j := s.urgent(rng, at, ClassAbroad)
 		id := fmt.Sprintf("wk-%06d", firstAbroad+from*abroadPart+len(out))
-		out = append(out, &user.Job{Job: j.Work(id, j.Spec()), At: unit.Seconds(at)})
+		out = append(out, &user.Job{Job: j.Work(id, j.Spec()), At: units.Seconds(at)})
 	})
 	return out
 }
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -10,9 +10,9 @@
 	"slices"
 
 	"shalestage.example/shalestage/internal/config"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/machine"
@@ -38,13 +38,13 @@
 
 // Site returns the cloud and its machines.
 func (s *Scenario) Site() site.Config {
-	c := site.Config{ReportEvery: unit.Seconds(s.Workers.ReportS), Lease: unit.Seconds(s.Workers.LeaseS), Nodes: s.Nodes(), MaxDrift: MaxDrift,
-		Cloud: rental.Config{Capacity: map[rental.Pool]int{}, Rate: s.Cloud.RPS, ListLag: unit.Seconds(s.Cloud.ListLagS),
-			SpotRate: s.Cloud.SpotPerHour, Notice: unit.Seconds(s.Cloud.NoticeS), Silent: s.Cloud.Silent,
+	c := site.Config{ReportEvery: units.Seconds(s.Workers.ReportS), Lease: units.Seconds(s.Workers.LeaseS), Nodes: s.Nodes(), MaxDrift: MaxDrift,
+		Cloud: rental.Config{Capacity: map[rental.Pool]int{}, Rate: s.Cloud.RPS, ListLag: units.Seconds(s.Cloud.ListLagS),
+			SpotRate: s.Cloud.SpotPerHour, Notice: units.Seconds(s.Cloud.NoticeS), Silent: s.Cloud.Silent,
 			SickShare: s.Cloud.SickShare, SlowShare: s.Cloud.SlowShare}}
 	for _, t := range s.Types {
 		rt := rental.Type{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
-			Price: t.Price, SpotPrice: t.SpotPrice, Boot: unit.Seconds(t.BootS), BootFail: t.BootFail}
+			Price: t.Price, SpotPrice: t.SpotPrice, Boot: units.Seconds(t.BootS), BootFail: t.BootFail}
 		for _, z := range s.Controllers.Zones {
 			for _, p := range s.Capacity {
 				if p.Type == t.Name && p.Zone == z && p.Count+p.Spot > 0 {
@@ -71,9 +71,9 @@
 
 // Check returns what the rules are measured by.
 func (s *Scenario) Check() check.Config {
-	c := check.Config{CancelIn: unit.Seconds(s.Workers.CancelS)}
+	c := check.Config{CancelIn: units.Seconds(s.Workers.CancelS)}
 	for _, t := range s.Teams {
-		c.Teams = append(c.Teams, check.Team{Name: t.Name, Limit: pack.Vec{unit.MilliDown(t.CPUsMax), unit.MilliDown(t.GPUsMax)}})
+		c.Teams = append(c.Teams, check.Team{Name: t.Name, Limit: binpack.Vec{units.MilliDown(t.CPUsMax), units.MilliDown(t.GPUsMax)}})
 	}
 	for _, t := range s.Site().Cloud.Types {
 		c.Types = append(c.Types, check.Type{Name: t.Name, Capacity: site.Capacity(t), Zones: t.Zones})
@@ -135,12 +135,12 @@
 
 // UserOptions says how the users behave.
 func (s *Scenario) UserOptions() user.Options {
-	return user.Options{PollEvery: unit.Seconds(s.Users.PollS), LateRetries: s.Users.LateRetries, Strangers: s.Users.Strangers, Revisits: s.Users.Revisits, Nodes: s.Nodes()}
+	return user.Options{PollEvery: units.Seconds(s.Users.PollS), LateRetries: s.Users.LateRetries, Strangers: s.Users.Strangers, Revisits: s.Users.Revisits, Nodes: s.Nodes()}
 }
 
 // Work returns what is true of a job.
-func (j Job) Work(id string, spec *ledger.Spec) *work.Job {
-	return &work.Job{ID: id, Spec: spec, Run: unit.Seconds(j.RunS), Vary: j.Vary, Broken: j.Broken}
+func (j Job) Work(id string, spec *jobs.Spec) *work.Job {
+	return &work.Job{ID: id, Spec: spec, Run: units.Seconds(j.RunS), Vary: j.Vary, Broken: j.Broken}
 }
 
 // Plan returns the file's jobs as their users go about them, in the order in
@@ -149,9 +149,9 @@
 func (s *Scenario) Plan(first int, rng *rand.Rand) []*user.Job {
 	byName := map[string]*user.Job{}
 	var out []*user.Job
-	add := func(j Job, spec *ledger.Spec, at unit.Micros) *user.Job {
+	add := func(j Job, spec *jobs.Spec, at units.Microseconds) *user.Job {
 		u := &user.Job{Job: j.Work(fmt.Sprintf("wk-%06d", first+len(out)), spec),
-			At: at, CancelAfter: unit.Seconds(j.CancelAfterS)}
+			At: at, CancelAfter: units.Seconds(j.CancelAfterS)}
 		for _, a := range j.Awaits {
 			u.Awaits = append(u.Awaits, byName[a])
 		}
@@ -159,21 +159,21 @@
 		return u
 	}
 	for _, j := range s.Jobs {
-		at := unit.Seconds(j.AtS)
+		at := units.Seconds(j.AtS)
 		spec := j.Spec() // one for all: nobody writes to it, and a long play has millions of jobs
 		for k := range max(j.Count, 1) {
 			u := add(j, spec, at)
 			if k == 0 {
 				byName[j.Name] = u
 			}
-			at += unit.Seconds(s.gap(j, at, rng))
+			at += units.Seconds(s.gap(j, at, rng))
 		}
 	}
 	return out
 }
 
 // gap draws the time until the next job of an entry; surges shorten it.
-func (s *Scenario) gap(j Job, at unit.Micros, rng *rand.Rand) float64 {
+func (s *Scenario) gap(j Job, at units.Microseconds, rng *rand.Rand) float64 {
 	g := j.EveryS * rng.ExpFloat64()
 	for _, f := range s.Faults {
 		t := at.Seconds()
@@ -185,8 +185,8 @@
 }
 
 // SiteFault does a fault of the cloud or of its machines. Rates are put back by the caller.
-func (s *Scenario) SiteFault(now unit.Micros, st *site.Site, f Fault) error {
-	until := now + unit.Seconds(f.ForS)
+func (s *Scenario) SiteFault(now units.Microseconds, st *site.Site, f Fault) error {
+	until := now + units.Seconds(f.ForS)
 	match := func(m *rental.Machine) bool {
 		return (f.Type == "" || f.Type == m.Type) && (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != SpotWave || m.Spot)
 	}
@@ -234,7 +234,7 @@
 			notice = s.Cloud.NoticeS
 		}
 		for _, m := range pick() {
-			st.Take(now, m, unit.Seconds(notice), s.Cloud.Silent)
+			st.Take(now, m, units.Seconds(notice), s.Cloud.Silent)
 		}
 	case SpotRate:
 		st.Cloud.SetSpotRate(now, f.PerHour)
@@ -256,8 +256,8 @@
 }
 
 // Missed says which expectations were not met, beside the rules.
-func (e Expect) Missed(longest unit.Micros, money float64, served []user.Served) (out []string) {
-	if e.MaxWaitS > 0 && longest > unit.Seconds(e.MaxWaitS) {
+func (e Expect) Missed(longest units.Microseconds, money float64, served []user.Served) (out []string) {
+	if e.MaxWaitS > 0 && longest > units.Seconds(e.MaxWaitS) {
 		out = append(out, fmt.Sprintf("max_wait_s: a job took %.1f s, %g are expected at most", longest.Seconds(), e.MaxWaitS))
 	}
 	if e.MaxMoney > 0 && money > e.MaxMoney {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -14,9 +14,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Scenario is a whole file.
@@ -199,8 +199,8 @@
 	Events map[string]int `toml:"events"`
 }
 
-var priorities = map[string]ledger.Priority{
-	"": ledger.Normal, "low": ledger.Low, "normal": ledger.Normal, "high": ledger.High, "production": ledger.Production,
+var priorities = map[string]jobs.Priority{
+	"": jobs.Normal, "low": jobs.Low, "normal": jobs.Normal, "high": jobs.High, "production": jobs.Production,
 }
 
 // Mistake is something wrong in a file.
@@ -500,7 +500,7 @@
 		if j.Team == "" {
 			c.fail(at+".team", "missing")
 		}
-		c.within(at+".tasks", float64(j.Tasks), 1, ledger.MaxTasks)
+		c.within(at+".tasks", float64(j.Tasks), 1, jobs.MaxTasks)
 		c.within(at+".cpus", j.CPUs, 0, maxAmount)
 		c.within(at+".gpus", j.GPUs, 0, maxAmount)
 		c.within(at+".memory_gb", j.MemoryGB, 0, maxAmount)
@@ -527,7 +527,7 @@
 }
 
 // Spec returns what a job's user submits, but for what it awaits.
-func (j Job) Spec() *ledger.Spec {
+func (j Job) Spec() *jobs.Spec {
 	estimate := j.EstimateS
 	if estimate == 0 && j.Kind != "service" {
 		estimate = j.RunS
@@ -540,8 +540,8 @@
 	if class == "" {
 		class = j.Name
 	}
-	return &ledger.Spec{Class: class, Team: j.Team, Service: j.Kind == "service", Priority: priorities[j.Priority], Tasks: j.Tasks,
-		Demand: pack.Vec{unit.Milli(j.CPUs), unit.Milli(j.GPUs), unit.Milli(j.MemoryGB)}, AnyType: len(j.Types) == 0, Types: j.Types,
-		Zone: j.Zone, OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: image, ImageMB: unit.Milli(j.ImageGB),
-		Estimate: unit.Seconds(estimate), Checkpoint: unit.Seconds(j.CheckpointS), Save: unit.Seconds(j.SaveS), Deadline: unit.Seconds(j.DeadlineS)}
+	return &jobs.Spec{Class: class, Team: j.Team, Service: j.Kind == "service", Priority: priorities[j.Priority], Tasks: j.Tasks,
+		Demand: binpack.Vec{units.Milli(j.CPUs), units.Milli(j.GPUs), units.Milli(j.MemoryGB)}, AnyType: len(j.Types) == 0, Types: j.Types,
+		Zone: j.Zone, OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, Image: image, ImageMB: units.Milli(j.ImageGB),
+		Estimate: units.Seconds(estimate), Checkpoint: units.Seconds(j.CheckpointS), Save: units.Seconds(j.SaveS), Deadline: units.Seconds(j.DeadlineS)}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -14,7 +14,7 @@
 	"golang.org/x/time/rate"
 
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/rest"
 	"shalestage.example/shalestage/internal/wire"
 )
@@ -124,7 +124,7 @@
 
 // Watch reads the changes after a revision, waiting for one if there is none.
 // gone means that the service no longer has them all.
-func (c *Client) Watch(prefix string, after uint64, wait unit.Micros) (o store.Outcome, rev uint64, events []store.Event, gone bool) {
+func (c *Client) Watch(prefix string, after uint64, wait units.Microseconds) (o store.Outcome, rev uint64, events []store.Event, gone bool) {
 	if !c.limit.Allow() {
 		return store.Refused, 0, nil, false
 	}
@@ -163,7 +163,7 @@
 	}
 	body := wire.Commit{If: []wire.Guard{}, Then: []wire.Change{}}
 	for _, g := range t.Guards {
-		body.If = append(body.If, wire.Guard{Key: g.Key, Stamp: g.Stamp})
+		body.If = append(body.If, wire.Guard{Key: g.Key, Stamp: g.Version})
 	}
 	for _, ch := range t.Changes {
 		if ch.Value == nil {
@@ -185,7 +185,7 @@
 }
 
 // OpenLease obtains a lease.
-func (c *Client) OpenLease(ttl unit.Micros) (store.Outcome, uint64) {
+func (c *Client) OpenLease(ttl units.Microseconds) (store.Outcome, uint64) {
 	var l wire.Lease
 	_, o := c.call(http.MethodPost, wire.HoldsPath, callTimeout, wire.LeaseRequest{TTLMillis: int64(ttl / 1000)}, &l)
 	return o, l.ID
--- a/internal/wire/neighbours.go
+++ b/internal/wire/neighbours.go
@@ -6,8 +6,8 @@
 	"fmt"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // What users, workers and the outside services say and read: the other ends of the
@@ -24,9 +24,9 @@
 }
 
 // EncodeSubmission writes a submission.
-func EncodeSubmission(id string, s *ledger.Spec) ([]byte, error) {
+func EncodeSubmission(id string, s *jobs.Spec) ([]byte, error) {
 	num := func(milli int64) *float64 { v := float64(milli) / 1000; return &v }
-	sec := func(m unit.Micros) *float64 { v := m.Seconds(); return &v }
+	sec := func(m units.Microseconds) *float64 { v := m.Seconds(); return &v }
 	shape, urgency, tasks := "sweep", nameOf(priorities, s.Priority), int64(s.Tasks)
 	if s.Service {
 		shape = "daemon"
@@ -50,17 +50,17 @@
 }
 
 // DecodeJobStatus reads the answer to a user's call.
-func DecodeJobStatus(body []byte) (JobStatus, ledger.Status, error) {
+func DecodeJobStatus(body []byte) (JobStatus, jobs.Status, error) {
 	var s JobStatus
 	if err := json.Unmarshal(body, &s); err != nil {
 		return s, "", err
 	}
-	st := ledger.Status(s.Status)
-	if s.Status == Status(ledger.Cancelled) {
-		st = ledger.Cancelled
+	st := jobs.Status(s.Status)
+	if s.Status == Status(jobs.Cancelled) {
+		st = jobs.Cancelled
 	}
 	switch st {
-	case ledger.Pending, ledger.Running, ledger.Done, ledger.Cancelled:
+	case jobs.Pending, jobs.Running, jobs.Done, jobs.Cancelled:
 		return s, st, nil
 	}
 	return s, "", fmt.Errorf("status %q", s.Status)
@@ -90,10 +90,10 @@
 }
 
 // EncodeReport writes a report; saved names the stopped tasks whose progress was saved.
-func EncodeReport(r *fleet.Report, saved map[ledger.TaskID]bool) MachineReport {
+func EncodeReport(r *fleet.Heartbeat, saved map[jobs.TaskID]bool) MachineReport {
 	out := MachineReport{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, Seq: r.Seq, Token: r.Token, Tasks: []ReportedTask{}}
-	if r.Notice != unit.Never {
+		Session: r.Incarnation, Seq: r.Seq, Token: r.FencingToken, Tasks: []ReportedTask{}}
+	if r.Notice != units.Never {
 		v := r.Notice.Seconds()
 		out.Notice = &v
 	}
@@ -131,7 +131,7 @@
 	}
 	out := ReceivedOrders{Node: b.Redirect.Node, Token: b.Token, Session: b.Session}
 	for _, c := range b.Commands {
-		id, err := ledger.ParseTaskID(c.Task)
+		id, err := jobs.ParseTaskID(c.Task)
 		if err != nil {
 			return ReceivedOrders{}, err
 		}
@@ -146,7 +146,7 @@
 				if err != nil {
 					return ReceivedOrders{}, err
 				}
-				cmd.Grace = unit.Seconds(v)
+				cmd.Grace = units.Seconds(v)
 			}
 		case "forget":
 			cmd.Op = fleet.Forget
--- a/internal/wire/neighbours_test.go
+++ b/internal/wire/neighbours_test.go
@@ -7,10 +7,10 @@
 
 	"pgregory.net/rapid"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // TestBothEnds writes drawn submissions, reports and orders as one end does, and
@@ -18,9 +18,9 @@
 func TestBothEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := func(name string) int64 { return rapid.Int64Range(0, 1e6).Draw(t, name) }
-		micros := func(name string) unit.Micros { return unit.Micros(amount(name)) }
-		s := &ledger.Spec{Class: "c", Team: "t", Image: "i", Service: rapid.Bool().Draw(t, "service"), Priority: ledger.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
-			Tasks: rapid.IntRange(1, ledger.MaxTasks).Draw(t, "tasks"), Demand: pack.Vec{amount("cpus"), amount("gpus"), amount("memory")}, ImageMB: amount("image"),
+		micros := func(name string) units.Microseconds { return units.Microseconds(amount(name)) }
+		s := &jobs.Spec{Class: "c", Team: "t", Image: "i", Service: rapid.Bool().Draw(t, "service"), Priority: jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
+			Tasks: rapid.IntRange(1, jobs.MaxTasks).Draw(t, "tasks"), Demand: binpack.Vec{amount("cpus"), amount("gpus"), amount("memory")}, ImageMB: amount("image"),
 			AnyType: true, OneZone: rapid.Bool().Draw(t, "one"), Spread: rapid.Bool().Draw(t, "spread"), Spot: rapid.Bool().Draw(t, "spot"),
 			Estimate: micros("estimate"), Checkpoint: micros("checkpoint"), Save: micros("save"), Deadline: micros("deadline")}
 		if rapid.Bool().Draw(t, "bound") {
@@ -36,15 +36,15 @@
 		}
 
 		task := rapid.Custom(func(t *rapid.T) fleet.Task {
-			x := fleet.Task{ID: ledger.TaskID{Job: "wk-000003", Task: rapid.IntRange(0, 9).Draw(t, "n")}, Attempt: rapid.Uint64().Draw(t, "attempt"),
+			x := fleet.Task{ID: jobs.TaskID{Job: "wk-000003", Task: rapid.IntRange(0, 9).Draw(t, "n")}, Attempt: rapid.Uint64().Draw(t, "attempt"),
 				State: fleet.State(rapid.IntRange(0, 3).Draw(t, "state"))}
 			if x.State == fleet.Exited {
 				x.Cause = fleet.Cause(rapid.IntRange(1, 6).Draw(t, "cause"))
 			}
 			return x
 		})
-		r := &fleet.Report{Machine: "n-1", Addr: "127.0.0.1:1", Type: "a", Zone: "z", Session: rapid.Uint64().Draw(t, "session"), Seq: 3, Token: rapid.Uint64().Draw(t, "token"),
-			Notice: rapid.SampledFrom([]unit.Micros{0, 5, unit.Never}).Draw(t, "notice"), Tasks: rapid.SliceOfN(task, 1, 5).Draw(t, "list")}
+		r := &fleet.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "a", Zone: "z", Incarnation: rapid.Uint64().Draw(t, "session"), Seq: 3, FencingToken: rapid.Uint64().Draw(t, "token"),
+			Notice: rapid.SampledFrom([]units.Microseconds{0, 5, units.Never}).Draw(t, "notice"), Tasks: rapid.SliceOfN(task, 1, 5).Draw(t, "list")}
 		if b, err = json.Marshal(EncodeReport(r, nil)); err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 		}
 
 		var want []fleet.Command
-		o := Orders{Token: r.Token, Session: &r.Session}
+		o := Orders{Token: r.FencingToken, Session: &r.Incarnation}
 		for _, x := range r.Tasks {
 			c := fleet.Command{Op: rapid.SampledFrom([]fleet.Op{fleet.Start, fleet.Stop, fleet.Forget}).Draw(t, "op"), ID: x.ID, Attempt: x.Attempt}
 			if c.Op == fleet.Stop {
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 		back, err := DecodeOrders(b)
-		if err != nil || *back.Token != r.Token || *back.Session != r.Session || fmt.Sprint(back.Commands) != fmt.Sprint(want) {
+		if err != nil || *back.Token != r.FencingToken || *back.Session != r.Incarnation || fmt.Sprint(back.Commands) != fmt.Sprint(want) {
 			t.Fatalf("%s: %+v, want %v; %v", b, back, want, err)
 		}
 	})
@@ -82,7 +82,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if o, err := DecodeOrders(b); err == nil {
 			for _, c := range o.Commands {
-				if !ledger.ValidID(c.ID.Job) || c.Grace < 0 {
+				if !jobs.ValidID(c.ID.Job) || c.Grace < 0 {
 					t.Errorf("command %+v", c)
 				}
 			}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"fmt"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Guard is a condition of a transaction: the key has this version (0: absent).
@@ -108,9 +108,9 @@
 	}
 	return fleet.Type{
 		Name:     t.Name,
-		Capacity: pack.Vec{unit.MilliDown(t.Cores), unit.MilliDown(t.Cards), unit.MilliDown(t.MemoryGB)},
-		CacheMB:  unit.MilliDown(t.CacheGB), FetchMBs: unit.MilliDown(t.FetchGBs),
-		Boot: unit.Seconds(t.BootS), Zones: t.Zones, Price: t.Price, SpotPrice: t.SpotPrice,
+		Capacity: binpack.Vec{units.MilliDown(t.Cores), units.MilliDown(t.Cards), units.MilliDown(t.MemoryGB)},
+		CacheMB:  units.MilliDown(t.CacheGB), FetchMBs: units.MilliDown(t.FetchGBs),
+		Boot: units.Seconds(t.BootS), Zones: t.Zones, Price: t.Price, SpotPrice: t.SpotPrice,
 	}, nil
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,10 +9,10 @@
 	"fmt"
 	"math"
 
+	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
-	"shalestage.example/shalestage/internal/core/pack"
-	"shalestage.example/shalestage/internal/core/unit"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Paths of the interfaces.
@@ -62,8 +62,8 @@
 	Awaits     []*string `json:"awaits"`
 }
 
-var priorities = map[string]ledger.Priority{
-	"prod": ledger.Production, "urgent": ledger.High, "standard": ledger.Normal, "best_effort": ledger.Low,
+var priorities = map[string]jobs.Priority{
+	"prod": jobs.Production, "urgent": jobs.High, "standard": jobs.Normal, "best_effort": jobs.Low,
 }
 
 // SubmissionID returns the job id of a submission whose other fields may be
@@ -76,7 +76,7 @@
 		return ""
 	}
 	id, _ := v.ID.(string)
-	if !ledger.ValidID(id) {
+	if !jobs.ValidID(id) {
 		return ""
 	}
 	return id
@@ -106,7 +106,7 @@
 }
 
 // DecodeSubmission reads and checks a submission.
-func DecodeSubmission(body []byte) (string, *ledger.Spec, error) {
+func DecodeSubmission(body []byte) (string, *jobs.Spec, error) {
 	var s submission
 	if !isObject(body) {
 		return "", nil, errors.New("not an object")
@@ -114,11 +114,11 @@
 	if err := json.Unmarshal(body, &s); err != nil {
 		return "", nil, err
 	}
-	if s.ID == nil || !ledger.ValidID(*s.ID) {
+	if s.ID == nil || !jobs.ValidID(*s.ID) {
 		return "", nil, errors.New("name_id: missing or wrongly formed")
 	}
-	spec := &ledger.Spec{}
-	for _, read := range []func(*ledger.Spec) error{s.readNames, s.readKind, s.readAmounts, s.readDeadline, s.readPlaces} {
+	spec := &jobs.Spec{}
+	for _, read := range []func(*jobs.Spec) error{s.readNames, s.readKind, s.readAmounts, s.readDeadline, s.readPlaces} {
 		if err := read(spec); err != nil {
 			return "", nil, err
 		}
@@ -140,7 +140,7 @@
 )
 
 // readNames reads the class, the team and the image.
-func (s *submission) readNames(spec *ledger.Spec) error {
+func (s *submission) readNames(spec *jobs.Spec) error {
 	for _, f := range []struct {
 		name string
 		from *string
@@ -155,7 +155,7 @@
 }
 
 // readKind reads whether it is a service, its priority and how many tasks it has.
-func (s *submission) readKind(spec *ledger.Spec) error {
+func (s *submission) readKind(spec *jobs.Spec) error {
 	switch {
 	case s.Shape == nil:
 		return errors.New("shape: missing")
@@ -172,7 +172,7 @@
 		return errors.New("urgency: unknown")
 	}
 	spec.Priority = p
-	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > ledger.MaxTasks {
+	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > jobs.MaxTasks {
 		return errors.New("cues: missing or out of range")
 	}
 	spec.Tasks = int(*s.Tasks)
@@ -180,19 +180,19 @@
 }
 
 // readAmounts reads what a task takes, and its times.
-func (s *submission) readAmounts(spec *ledger.Spec) error {
+func (s *submission) readAmounts(spec *jobs.Spec) error {
 	for _, f := range []struct {
 		name string
 		from *float64
 		to   func(float64)
 	}{
-		{"cores", s.Cores, func(v float64) { spec.Demand[pack.CPU] = unit.Milli(v) }},
-		{"cards", s.Cards, func(v float64) { spec.Demand[pack.GPU] = unit.Milli(v) }},
-		{"memory_gb", s.MemoryGB, func(v float64) { spec.Demand[pack.Memory] = unit.Milli(v) }},
-		{"image_gb", s.ImageGB, func(v float64) { spec.ImageMB = unit.Milli(v) }},
-		{"runtime_s", s.Estimate, func(v float64) { spec.Estimate = unit.Seconds(v) }},
-		{"bookmark_s", s.Checkpoint, func(v float64) { spec.Checkpoint = unit.Seconds(v) }},
-		{"stow_s", s.Save, func(v float64) { spec.Save = unit.Seconds(v) }},
+		{"cores", s.Cores, func(v float64) { spec.Demand[binpack.CPU] = units.Milli(v) }},
+		{"cards", s.Cards, func(v float64) { spec.Demand[binpack.GPU] = units.Milli(v) }},
+		{"memory_gb", s.MemoryGB, func(v float64) { spec.Demand[binpack.Memory] = units.Milli(v) }},
+		{"image_gb", s.ImageGB, func(v float64) { spec.ImageMB = units.Milli(v) }},
+		{"runtime_s", s.Estimate, func(v float64) { spec.Estimate = units.Seconds(v) }},
+		{"bookmark_s", s.Checkpoint, func(v float64) { spec.Checkpoint = units.Seconds(v) }},
+		{"stow_s", s.Save, func(v float64) { spec.Save = units.Seconds(v) }},
 	} {
 		v, err := amount(f.name, f.from)
 		if err != nil {
@@ -204,7 +204,7 @@
 }
 
 // readDeadline reads the deadline, if there is one.
-func (s *submission) readDeadline(spec *ledger.Spec) error {
+func (s *submission) readDeadline(spec *jobs.Spec) error {
 	if s.Deadline == nil {
 		return nil
 	}
@@ -212,12 +212,12 @@
 	if err != nil {
 		return err
 	}
-	spec.Deadline = max(unit.Seconds(v), 1)
+	spec.Deadline = max(units.Seconds(v), 1)
 	return nil
 }
 
 // readPlaces reads on which machines and in which zones tasks may run.
-func (s *submission) readPlaces(spec *ledger.Spec) error {
+func (s *submission) readPlaces(spec *jobs.Spec) error {
 	if s.OneZone == nil || s.Spread == nil || s.Spot == nil {
 		return errors.New("same_place, apart or standby: missing")
 	}
@@ -244,10 +244,10 @@
 }
 
 // readAwaits reads which jobs it awaits, each once.
-func (s *submission) readAwaits(spec *ledger.Spec) error {
+func (s *submission) readAwaits(spec *jobs.Spec) error {
 	seen := map[string]bool{}
 	for _, id := range s.Awaits {
-		if id == nil || !ledger.ValidID(*id) {
+		if id == nil || !jobs.ValidID(*id) {
 			return errors.New("awaits: not the form of a job's id")
 		}
 		if !seen[*id] {
@@ -267,8 +267,8 @@
 }
 
 // Status returns the protocol's name for a job's status.
-func Status(s ledger.Status) string {
-	if s == ledger.Cancelled {
+func Status(s jobs.Status) string {
+	if s == jobs.Cancelled {
 		return "aborted"
 	}
 	return string(s)
@@ -310,12 +310,12 @@
 
 var causes = map[string]fleet.Cause{
 	"done": fleet.Completed, "stopped": fleet.Stopped, "error": fleet.Failed,
-	"full": fleet.NoRoom, "busy": fleet.Busy, "unknown": fleet.Unknown,
+	"full": fleet.NoCapacity, "busy": fleet.Busy, "unknown": fleet.Unknown,
 }
 
 // DecodeReport reads and checks a worker's report. One bad task makes the
 // whole report bad: acting on half a list would lose track of the other half.
-func DecodeReport(body []byte) (*fleet.Report, error) {
+func DecodeReport(body []byte) (*fleet.Heartbeat, error) {
 	var r report
 	if !isObject(body) {
 		return nil, errors.New("not an object")
@@ -337,17 +337,17 @@
 	if r.Session == nil || r.Seq == nil || r.Token == nil || r.Spot == nil || r.Tasks == nil {
 		return nil, errors.New("shift, tally, baton, standby or cues: missing")
 	}
-	out := &fleet.Report{Machine: *r.Machine, Addr: r.Addr, Type: *r.Type, Zone: *r.Zone, Spot: *r.Spot,
-		Session: *r.Session, Seq: *r.Seq, Token: *r.Token, Notice: unit.Never}
+	out := &fleet.Heartbeat{Machine: *r.Machine, Addr: r.Addr, Type: *r.Type, Zone: *r.Zone, Spot: *r.Spot,
+		Incarnation: *r.Session, Seq: *r.Seq, FencingToken: *r.Token, Notice: units.Never}
 	if r.Notice != nil {
 		v, err := amount("warning_s", r.Notice)
 		if err != nil {
 			return nil, err
 		}
-		out.Notice = unit.Seconds(v)
+		out.Notice = units.Seconds(v)
 	}
 	for _, t := range *r.Tasks {
-		id, err := ledger.ParseTaskID(t.Task)
+		id, err := jobs.ParseTaskID(t.Task)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/ledger"
+	"shalestage.example/shalestage/internal/core/jobs"
 )
 
 const good = `{"name_id":"wk-000412","jobline":"train","crew":"vision","shape":"sweep","urgency":"urgent","cues":16,
@@ -32,7 +32,7 @@
 
 func TestSubmission(t *testing.T) {
 	id, s, err := DecodeSubmission([]byte(good))
-	if err != nil || id != "wk-000412" || s.Tasks != 16 || s.Demand[0] != 8000 || s.Priority != ledger.High || !s.OneZone || s.Deadline.Seconds() != 900 {
+	if err != nil || id != "wk-000412" || s.Tasks != 16 || s.Demand[0] != 8000 || s.Priority != jobs.High || !s.OneZone || s.Deadline.Seconds() != 900 {
 		t.Fatalf("%q %+v %v", id, s, err)
 	}
 	for _, name := range []string{"rigs", "hall", "curtain_s"} {
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Machine != "n-000231" || r.Token != 41 || r.Notice.Seconds() != 2.5 || len(r.Tasks) != 2 ||
+	if r.Machine != "n-000231" || r.FencingToken != 41 || r.Notice.Seconds() != 2.5 || len(r.Tasks) != 2 ||
 		r.Tasks[0].State != fleet.Running || r.Tasks[1].Cause != fleet.Completed {
 		t.Fatalf("%+v", r)
 	}
@@ -118,14 +118,14 @@
 		if err != nil {
 			return
 		}
-		if !ledger.ValidID(id) || s.Tasks < 1 || s.Demand[0] < 0 || s.Estimate < 0 {
+		if !jobs.ValidID(id) || s.Tasks < 1 || s.Demand[0] < 0 || s.Estimate < 0 {
 			t.Fatalf("%q %+v", id, s)
 		}
-		rec, err := json.Marshal(ledger.Record{Status: ledger.Pending, Tasks: s.Tasks, Spec: s})
+		rec, err := json.Marshal(jobs.Record{Status: jobs.Pending, Tasks: s.Tasks, Spec: s})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ledger.DecodeRecord(rec); err != nil {
+		if _, err := jobs.DecodeRecord(rec); err != nil {
 			t.Fatalf("accepted, but its record cannot be read: %v", err)
 		}
 	})
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -35,7 +35,7 @@
 // ShowToken shows a token to a worker, without any command, and returns the
 // worker's report after that. Failed means that it has not taken the token: the
 // session is another, or it has seen a higher one; the report tells.
-func (c *Client) ShowToken(addr string, token, session uint64, may func() bool) (store.Outcome, *fleet.Report) {
+func (c *Client) ShowToken(addr string, token, session uint64, may func() bool) (store.Outcome, *fleet.Heartbeat) {
 	if _, err := netip.ParseAddrPort(addr); err != nil || !may() {
 		return store.Refused, nil
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -38,10 +38,10 @@
 	addr := strings.TrimPrefix(s.URL, "http://")
 	c := New(slog.New(slog.DiscardHandler))
 	yes := func() bool { return true }
-	if o, r := c.ShowToken(addr, 9, 1, yes); o != store.Failed || r == nil || r.Session != 3 {
+	if o, r := c.ShowToken(addr, 9, 1, yes); o != store.Failed || r == nil || r.Incarnation != 3 {
 		t.Errorf("other session: %v %+v", o, r)
 	}
-	if o, r := c.ShowToken(addr, 9, 3, yes); o != store.OK || r == nil || r.Token != 9 || r.Seq != 8 {
+	if o, r := c.ShowToken(addr, 9, 3, yes); o != store.OK || r == nil || r.FencingToken != 9 || r.Seq != 8 {
 		t.Errorf("own session: %v %+v", o, r)
 	}
 	before := calls
