--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -14,12 +14,13 @@
 	"github.com/cespare/xxhash/v2"
 
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is that of all buckets. It lies outside of what controllers list and watch.
-const Prefix = "shalestage-past/"
+const Prefix = keys.ArchivePrefix
 
 // MaxBits bounds the depth of a bucket: 2^28 of them hold more answers than the
 // state service could ever be given.
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -9,6 +9,7 @@
 	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
@@ -40,15 +41,15 @@
 
 const (
 	// archiveKey holds the mark that jobs are packed.
-	archiveKey = root + "past"
+	archiveKey = keys.ArchiveMark
 	// leaderKeyArchived holds the leader's claim once that is there. The key of before then
 	// says, for good, that another leads: a controller of an older release that is
 	// started afterwards never leads, holds nothing and learns no machine types from
 	// anybody, so that it is never ready and accepts nothing. It would not find what
 	// is packed.
-	leaderKeyArchived  = root + "lead"
-	kindPrefix         = root + "kind/" // machine types since then
-	excludedLeaderName = "release-4"    // the name in that claim
+	leaderKeyArchived  = keys.LeaderSinceArchive
+	kindPrefix         = keys.TypePrefixWithArchive // machine types since then
+	excludedLeaderName = "release-4"                // the name in that claim
 
 	// markEvery is the least time between two marks, each of which fails the
 	// submissions under way; they are tried again at once.
--- a/internal/core/chunks/chunks.go
+++ b/internal/core/chunks/chunks.go
@@ -11,12 +11,13 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is where parts are stored: JOB/SUM/N.
-const Prefix = "shalestage/part/"
+const Prefix = keys.ChunkPrefix
 
 // Key is where one part of a job's description is stored.
 func Key(id, sum string, n int) string { return fmt.Sprintf("%s%s/%s/%d", Prefix, id, sum, n) }
--- a/internal/core/configuration/record.go
+++ b/internal/core/configuration/record.go
@@ -11,12 +11,13 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is where configurations are stored.
-const Prefix = "shalestage/config/"
+const Prefix = keys.ConfigPrefix
 
 const (
 	HeadKey     = Prefix + "head" // names the stored version
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -8,6 +8,7 @@
 
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -15,7 +16,7 @@
 // Teams, their limits and the objectives may change while the service runs: package
 // configuration keeps the versions, and this file connects it with the rest of the core.
 
-const configPrefix = configuration.Prefix
+const configPrefix = keys.ConfigPrefix
 
 // maxOver bounds the bytes that a status spends on teams above their share of a block, far
 // below a frame between controllers: without statuses a controller loses its authority.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,6 +16,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/membership"
 	"shalestage.example/shalestage/internal/core/provisioner"
@@ -305,20 +306,21 @@
 	}
 }
 
-// Keys of the state service.
+// Keys of the state service, see package keys.
 const (
-	root             = "shalestage/"
-	jobPrefix        = root + "job/"
-	chunkPrefix      = chunks.Prefix      // of a description that does not fit one value; listed after the jobs
-	progressPrefix   = root + "progress/" // JOB/CHUNK; listed after the jobs and their parts
-	machinePrefix    = root + "machine/"
-	typePrefix       = root + "type/"
-	memberPrefix     = membership.Prefix
-	assignmentPrefix = root + "block/"
-	allocationPrefix = root + "share/"
-	leaderKeyFirst   = root + "leader"
-	termKey          = root + "term"
+	root             = keys.Root
+	jobPrefix        = keys.JobPrefix
+	chunkPrefix      = keys.ChunkPrefix
+	progressPrefix   = keys.ProgressPrefix
+	machinePrefix    = keys.MachinePrefix
+	typePrefix       = keys.TypePrefix
+	memberPrefix     = keys.MemberPrefix
+	assignmentPrefix = keys.AssignmentPrefix
+	allocationPrefix = keys.AllocationPrefix
+	standbyPrefix    = keys.StandbyPrefix
+	leaderKeyFirst   = keys.Leader
+	termKey          = keys.Term
 )
 
 // Root is the prefix of every key that the service uses.
-const Root = root
+const Root = keys.Root
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"net/http"
 	"slices"
-	"strconv"
 
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
 )
@@ -152,9 +152,7 @@
 	}
 }
 
-const standbyPrefix = root + "follow/"
-
-func standbyKey(k int) string { return standbyPrefix + strconv.Itoa(k) }
+func standbyKey(k int) string { return keys.Standby(k) }
 
 // learnFollow takes who follows a block. A stream of a holder that has somebody else follow
 // it, or nobody, is of no use any more.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -3,15 +3,14 @@
 import (
 	"cmp"
 	"encoding/json"
-	"errors"
 	"maps"
 	"math"
 	"slices"
-	"strconv"
 
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -115,16 +114,10 @@
 	return err
 }
 
-// maxShards bounds the numbers of blocks, far above any number of controllers.
-const maxShards = 1024
+// maxShards bounds the numbers of shards.
+const maxShards = keys.MaxShards
 
-func shardNumber(key, prefix string) (int, error) {
-	n, err := strconv.Atoi(key[len(prefix):])
-	if err == nil && (n < 0 || n >= maxShards) {
-		err = errors.New("no such block")
-	}
-	return n, err
-}
+func shardNumber(key, prefix string) (int, error) { return keys.Shard(key, prefix) }
 
 // shardCount is the number of blocks there may be: one for each controller, and
 // those of a time when there were more controllers.
@@ -203,8 +196,8 @@
 	})
 }
 
-func assignmentKey(k int) string { return assignmentPrefix + strconv.Itoa(k) }
-func allocationKey(k int) string { return allocationPrefix + strconv.Itoa(k) }
+func assignmentKey(k int) string { return keys.Assignment(k) }
+func allocationKey(k int) string { return keys.Allocation(k) }
 
 // plan does one thing that is due: blocks whose holder is gone go to another,
 // then shares follow the mode, then blocks are moved.
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -1,11 +1,10 @@
 package core
 
 import (
-	"strings"
-
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
@@ -29,11 +28,9 @@
 const adoptAfter = 10 * units.Second
 
 // orphanKey is where a machine is stored that no request is known to have rented.
-func orphanKey(name string) string { return machinePrefix + orphanMark + name }
-
-const orphanMark = "x-"
+func orphanKey(name string) string { return keys.OrphanMachine(name) }
 
-func isOrphanKey(key string) bool { return strings.HasPrefix(key, machinePrefix+orphanMark) }
+func isOrphanKey(key string) bool { return keys.IsOrphanMachine(key) }
 
 // lost notes that a machine's lease has run out: nothing runs there any more.
 func (c *Core) lost(shard *ownedShard, m *fleet.Machine) {
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -17,12 +17,13 @@
 
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/guard"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
 // Prefix is where seats are stored, by the controllers' names.
-const Prefix = "shalestage/seat/"
+const Prefix = keys.MemberPrefix
 
 // Effects.
 type (
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/zones"
 )
@@ -14,7 +15,7 @@
 // Operators say what they know of a zone by a record, so that every controller knows it and
 // the next holder too.
 
-const overridePrefix = root + "zone/"
+const overridePrefix = keys.OverridePrefix
 
 // OverridePrefixes are the prefixes of the keys that ZoneWords and SayZone look at.
 var OverridePrefixes = []string{typePrefix, kindPrefix, overridePrefix}
