--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -6,7 +6,6 @@
 	"net/http"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
@@ -192,7 +191,7 @@
 		if b.Use < 0 {
 			continue
 		}
-		over := c.overShare(c.owned[b.Block])
+		over := c.owned[b.Block].quota.Exceeded()
 		if complete {
 			c.config.SetOverQuota(b.Block, s.Config, over)
 		}
@@ -210,27 +209,6 @@
 	}
 }
 
-// overShare returns the teams that use more of their limit in a block than its share.
-func (c *Core) overShare(shard *ownedShard) []string {
-	var out []string
-	for _, name := range sortedKeys(c.teams) {
-		if !withinLimit(c.quotaPart(shard, c.teams[name].Limit), shard.usage[name]) {
-			out = append(out, name)
-		}
-	}
-	return out
-}
-
-// quotaPart is a block's share of a limit.
-func (c *Core) quotaPart(shard *ownedShard, limit binpack.Vec) binpack.Vec {
-	for i := range limit {
-		if part := int64(float64(limit[i]) * c.allocations[shard.number].fraction); limit[i] > 0 {
-			limit[i] = max(part, 1) // 0 would mean no limit
-		}
-	}
-	return limit
-}
-
 // mayAccept reports whether this controller surely knows the configuration well enough to
 // accept jobs: it knows of no later one, and its copy is recent.
 func (c *Core) mayAccept() bool {
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -29,18 +29,18 @@
 		c.peers = newPeers([]string{"b"})
 		shard := c.owned[0]
 		c.allocations[0] = quotaAllocation{fraction: 1}
-		if !c.withinQuota(shard, spec) || !c.mayAccept() {
+		if !shard.quota.Allows(spec.Team, spec.Demand) || !c.mayAccept() {
 			t.Fatalf("%s: the settings file's team may not start", name)
 		}
 		c.OnPeer(c.now, "b", m)
-		if c.withinQuota(shard, spec) || c.mayAccept() {
+		if shard.quota.Allows(spec.Team, spec.Demand) || c.mayAccept() {
 			t.Errorf("%s: starts or accepts by an older version than it knows of", name)
 		}
 		rev := uint64(200)
 		for k, v := range configRecords(3, 2000) {
 			c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: rev})
 		}
-		if !c.withinQuota(shard, spec) || !c.mayAccept() || c.teams["t"].Limit[binpack.CPU] != 2000 {
+		if !shard.quota.Allows(spec.Team, spec.Demand) || !c.mayAccept() || c.teams["t"].Limit[binpack.CPU] != 2000 {
 			t.Errorf("%s: starts nothing once it has it", name)
 		}
 	}
@@ -56,11 +56,11 @@
 	c.allocations[0] = quotaAllocation{fraction: 1}
 	c.reconfigure(configuration.Content{Teams: []Team{{Name: "t"}, {Name: "u", Limit: binpack.Vec{3000}, Removed: 1}}, Objectives: []Objective{{Kind: "wait"}}})
 	spec := &jobs.Spec{Team: "u", Tasks: 1, Demand: binpack.Vec{3000}, AnyType: true}
-	if c.infeasible(spec, nil) != "unknown team" || !c.withinQuota(c.owned[0], spec) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
+	if c.infeasible(spec, nil) != "unknown team" || !c.owned[0].quota.Allows(spec.Team, spec.Demand) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
 		t.Errorf("%q, %+v", c.infeasible(spec, nil), c.cfg.Teams)
 	}
 	spec.Demand[binpack.CPU]++
-	if c.withinQuota(c.owned[0], spec) {
+	if c.owned[0].quota.Allows(spec.Team, spec.Demand) {
 		t.Error("a removed team has no limit")
 	}
 }
@@ -71,17 +71,17 @@
 	c := holding(t, configRecords(1, 40_000))
 	shard := c.owned[0]
 	c.allocations[0] = quotaAllocation{fraction: 0.25}
-	shard.usage["t"] = binpack.Vec{8000}
-	if p := c.quotaPart(shard, c.teams["t"].Limit); p[binpack.CPU] != 10_000 || len(c.overShare(shard)) != 0 || c.quotaUseOf(shard) != 0.2 {
-		t.Errorf("part %v, use %g, over %v", p, c.quotaUseOf(shard), c.overShare(shard))
+	shard.quota.Charge("t", binpack.Vec{8000})
+	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 10_000 || len(shard.quota.Exceeded()) != 0 || shard.quota.LargestUse() != 0.2 {
+		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
 	}
 	for k, v := range configRecords(2, 20_000) {
 		c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: 200})
 	}
-	if p := c.quotaPart(shard, c.teams["t"].Limit); p[binpack.CPU] != 5000 || !slices.Equal(c.overShare(shard), []string{"t"}) || c.quotaUseOf(shard) != 0.4 {
-		t.Errorf("part %v, use %g, over %v", p, c.quotaUseOf(shard), c.overShare(shard))
+	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 5000 || !slices.Equal(shard.quota.Exceeded(), []string{"t"}) || shard.quota.LargestUse() != 0.4 {
+		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
 	}
-	if c.withinQuota(shard, &jobs.Spec{Team: "t", Demand: binpack.Vec{1}}) {
+	if shard.quota.Allows("t", binpack.Vec{1}) {
 		t.Error("starts above its share")
 	}
 }
@@ -115,7 +115,7 @@
 	for i := range 1000 {
 		name := fmt.Sprintf("a-team-whose-name-is-about-as-long-as-names-may-be-at-all-%04d", i)
 		content.Teams = append(content.Teams, Team{Name: name, Limit: binpack.Vec{1000}})
-		shard.usage[name] = binpack.Vec{2000}
+		shard.quota.Charge(name, binpack.Vec{2000})
 	}
 	c.reconfigure(content)
 	s := PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -31,7 +31,7 @@
 		return b.String()
 	}
 	if s := j.Spec(); s != nil {
-		fmt.Fprintf(&b, "; team %s uses %v", s.Team, shard.usage[s.Team])
+		fmt.Fprintf(&b, "; team %s uses %v", s.Team, shard.quota.Usage(s.Team))
 	}
 	fmt.Fprintf(&b, "; block %d share %.2f token %d free %v moving %v, unaccounted %d, renting %d, cloud may be called %v", shard.number, c.allocations[shard.number].fraction,
 		shard.fencingToken, shard.releasing, j.Migrating, len(shard.unreconciled), shard.provisioner.Open(), shard.provisioner.Ready(c.now))
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -514,7 +514,7 @@
 	binpack.Fill(m.Type.Capacity, free, views, c.cfg.Pack, func(i int) bool {
 		j := candidates[i]
 		s := j.Spec()
-		if len(out) == MaxStarts || m.Listed+len(out) >= MaxListed || !c.demandWithinQuota(shard, s.Team, c.limitNeed(shard, j)) || !j.ZoneAllows(m.Record.Zone) && c.guarded(guard.ZoneOfJob) {
+		if len(out) == MaxStarts || m.Listed+len(out) >= MaxListed || !shard.quota.Allows(s.Team, c.limitNeed(shard, j)) || !j.ZoneAllows(m.Record.Zone) && c.guarded(guard.ZoneOfJob) {
 			return false
 		}
 		if c.overdue(j) {
@@ -530,35 +530,6 @@
 	return out
 }
 
-// withinQuota reports whether a team's limit leaves room for one more task.
-func (c *Core) withinQuota(shard *ownedShard, s *jobs.Spec) bool {
-	return c.demandWithinQuota(shard, s.Team, s.Demand)
-}
-
-// demandWithinQuota reports whether a team's limit leaves room for a demand. Until all machines
-// are accounted for, those that are not may be full of its tasks.
-func (c *Core) demandWithinQuota(shard *ownedShard, team string, demand binpack.Vec) bool {
-	t := c.teams[team]
-	if t == nil || !c.config.MayStart(team, shard.number) {
-		return false
-	}
-	if shard.unreconciledStale {
-		shard.unreconciledCapacity, shard.unknownCapacity, shard.unreconciledStale = binpack.Vec{}, false, false
-		for name := range shard.unreconciled {
-			if m := shard.machines[name]; m != nil && m.Type != nil {
-				shard.unreconciledCapacity = shard.unreconciledCapacity.Add(m.Type.Capacity)
-			} else {
-				shard.unknownCapacity = true
-			}
-		}
-	}
-	if shard.unknownCapacity && t.Limit != (binpack.Vec{}) {
-		return false
-	}
-	use := shard.usage[team].Add(demand).Add(shard.unreconciledCapacity)
-	return withinLimit(c.quotaPart(shard, t.Limit), use)
-}
-
 // headroom is free room on machines that are preferred to the one at hand.
 type headroom struct {
 	machines []*fleet.Machine
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -11,6 +11,7 @@
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/quota"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -265,7 +266,7 @@
 			if s.Service {
 				d = d.Times(int64(s.Tasks))
 			}
-			if !withinLimit(t.Limit, d.Times(int64(c.cfg.Size))) {
+			if !quota.WithinLimit(t.Limit, d.Times(int64(c.cfg.Size))) {
 				return false
 			}
 		}
@@ -343,7 +344,7 @@
 func (c *Core) allocateQuota(l *leaderState, open int) bool {
 	for k, shard := range c.owned {
 		if shard.ready && len(shard.unreconciled) == 0 {
-			l.noteUse(c, k, c.allocations[k].version, c.quotaUseOf(shard))
+			l.noteUse(c, k, c.allocations[k].version, shard.quota.LargestUse())
 		}
 	}
 	targets := l.targetFractions(c, open)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -57,7 +57,7 @@
 		return
 	}
 	delete(shard.unreconciled, m.Name)
-	shard.unreconciledStale = true
+	shard.quota.UnreconciledChanged()
 	if len(shard.unreconciled) == 0 {
 		c.log.Info("all machines accounted for", "block", shard.number, "after_s", (c.now - shard.ownedSince).Seconds())
 		for _, j := range shard.active {
@@ -74,7 +74,7 @@
 		return
 	}
 	m.Drop(id)
-	shard.usage[a.Team] = shard.usage[a.Team].Sub(a.Demand)
+	shard.quota.Release(a.Team, a.Demand)
 	if j := c.jobs[id.Job]; j != nil {
 		if p, ok := j.Place(id.Task); ok && p.Machine == m.Name && p.Attempt == a.Number {
 			before := j.Ready()
@@ -91,8 +91,8 @@
 // taskPlaced notes that an attempt may be on a machine.
 func (c *Core) taskPlaced(shard *ownedShard, m *fleet.Machine, id jobs.TaskID, a fleet.Attempt) {
 	if old, ok := m.Tasks[id]; ok {
-		shard.usage[old.Team] = shard.usage[old.Team].Sub(old.Demand)
+		shard.quota.Release(old.Team, old.Demand)
 	}
 	m.Put(id, a)
-	shard.usage[a.Team] = shard.usage[a.Team].Add(a.Demand)
+	shard.quota.Charge(a.Team, a.Demand)
 }
--- a/internal/core/overdue_test.go
+++ b/internal/core/overdue_test.go
@@ -31,7 +31,8 @@
 	c.allocations[0] = quotaAllocation{fraction: 1}
 	c.teams["t"].Limit = binpack.Vec{8000, 0, 0}
 	shard := c.owned[0]
-	shard.unreconciled, shard.unreconciledStale = map[string]bool{}, true
+	shard.unreconciled = map[string]bool{}
+	shard.quota.UnreconciledChanged()
 	m := shard.machines["n-1"]
 	m.Type = c.types["big"]
 	for _, j := range c.active {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -163,7 +163,7 @@
 		for _, k := range sortedShards(c.owned) {
 			st := BlockStatus{Block: k, Share: c.allocations[k].version, Use: -1}
 			if shard := c.owned[k]; shard.ready && len(shard.unreconciled) == 0 {
-				st.Use = c.quotaUseOf(shard)
+				st.Use = shard.quota.LargestUse()
 			}
 			s.Blocks = append(s.Blocks, st)
 		}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -124,7 +124,7 @@
 	shard.queue.Each(suits, func(cand ranking.Candidate, _ int) bool {
 		j := cand.Job
 		s := j.Spec()
-		if s == nil || c.wall-j.Since < after || j.Suspect() || !c.startable(shard, j) || !c.withinQuota(shard, s) || !j.ZoneAllows(m.Record.Zone) {
+		if s == nil || c.wall-j.Since < after || j.Suspect() || !c.startable(shard, j) || !shard.quota.Allows(s.Team, s.Demand) || !j.ZoneAllows(m.Record.Zone) {
 			return true
 		}
 		p := shard.preempted[j.ID]
@@ -190,7 +190,7 @@
 	if shard.rights.Within[j.ID] {
 		t += int(jobs.Production) + 1
 	}
-	if s := j.Spec(); (len(shard.shortfall) > 0 || s.Demand[binpack.CPU] == 0) && shard.usage[s.Team][binpack.CPU]+s.Demand[binpack.CPU] <= shard.shortfall[s.Team] {
+	if s := j.Spec(); (len(shard.shortfall) > 0 || s.Demand[binpack.CPU] == 0) && shard.quota.Usage(s.Team)[binpack.CPU]+s.Demand[binpack.CPU] <= shard.shortfall[s.Team] {
 		t += 2 * (int(jobs.Production) + 1)
 	}
 	return t
@@ -221,21 +221,13 @@
 // mayPreempt reports whether a task of victim may be stopped for a task of j.
 func (c *Core) mayPreempt(shard *ownedShard, j, victim *jobs.Job) bool {
 	s, v := j.Spec(), victim.Spec()
-	if s.Team != v.Team && shard.usage[v.Team][binpack.CPU] <= shard.shortfall[v.Team] {
+	if s.Team != v.Team && shard.quota.Usage(v.Team)[binpack.CPU] <= shard.shortfall[v.Team] {
 		return false
 	}
 	if victim.Objectives.Priority < j.Objectives.Priority && !(shard.rights.Within[victim.ID] && !shard.rights.Within[j.ID]) {
 		return true
 	}
-	return shard.rights.Within[j.ID] && s.Team != v.Team && !shard.rights.Within[victim.ID] && c.overGuarantee(shard, v.Team)
-}
-
-// overGuarantee reports whether a team uses more than its guarantee.
-func (c *Core) overGuarantee(shard *ownedShard, team string) bool {
-	t := c.teams[team]
-	part := c.allocations[shard.number].fraction
-	return t == nil || float64(shard.usage[team][binpack.CPU]) > part*float64(t.Guarantee[binpack.CPU]) ||
-		float64(shard.usage[team][binpack.GPU]) > part*float64(t.Guarantee[binpack.GPU])
+	return shard.rights.Within[j.ID] && s.Team != v.Team && !shard.rights.Within[victim.ID] && shard.quota.BeyondNominal(v.Team)
 }
 
 // lostWork is the run time that is lost when an attempt is stopped now.
--- /dev/null
+++ b/internal/core/quota.go
@@ -0,0 +1,27 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/configuration"
+	"shalestage.example/shalestage/internal/core/fleet"
+)
+
+// quotaHost is what a shard's quotas depend on.
+type quotaHost struct {
+	core  *Core
+	shard *ownedShard
+}
+
+// Teams implements quota.Host.
+func (h quotaHost) Teams() map[string]*configuration.Team { return h.core.teams }
+
+// Allocation implements quota.Host.
+func (h quotaHost) Allocation() float64 { return h.core.allocations[h.shard.number].fraction }
+
+// MayStart implements quota.Host.
+func (h quotaHost) MayStart(team string) bool { return h.core.config.MayStart(team, h.shard.number) }
+
+// Machines implements quota.Host.
+func (h quotaHost) Machines() map[string]*fleet.Machine { return h.shard.machines }
+
+// Unreconciled implements quota.Host.
+func (h quotaHost) Unreconciled() map[string]bool { return h.shard.unreconciled }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -12,6 +12,7 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/provisioner"
+	"shalestage.example/shalestage/internal/core/quota"
 	"shalestage.example/shalestage/internal/core/ranking"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
@@ -30,32 +31,29 @@
 	ownedSince     units.Microseconds
 	attempts       uint64
 
-	machines             map[string]*fleet.Machine
-	machineGroups        map[string]*machineGroup // stored machines, by key
-	changedGroups        []*machineGroup          // to be stored
-	unreconciled         map[string]bool          // machines on which earlier holders' tasks may run
-	probeQueue           []string                 // those that are to be asked directly
-	nextProbeAt          units.Microseconds
-	probesInFlight       int         // requests under way
-	unreconciledCapacity binpack.Vec // capacity of the machines that are unaccounted for
-	unknownCapacity      bool        // the capacity of some of them is not known
-	unreconciledStale    bool
-	active               map[string]*jobs.Job
-	queue                ranking.Queue          // active jobs, and the order in which they are served
-	rights               ranking.Rights         // of theirs, by their teams' guarantees
-	shortfall            map[string]int64       // CPU of teams that have waited for long for their part of the guarantees
-	reserved             map[string]binpack.Vec // demand of the first task of a job that is overdue, by team
-	orderStale           bool
-	usage                map[string]binpack.Vec
-	capacity             binpack.Vec      // capacity of all machines
-	readyTasks           int              // ready tasks of the ranked jobs
-	finishRate           float64          // tasks of all jobs that end in a second, by their run times
-	withHeadroom         []*fleet.Machine // machines with free room, preferred ones first
-	rankedAt             units.Microseconds
-	viewed               []*jobs.Job // for one machine, kept for their memory
-	views                []binpack.Job
-	nextWritesAt         units.Microseconds // when late writes are next made
-	unstoredJobs         []*jobs.Job        // with finished tasks to be stored, the longest first
+	machines       map[string]*fleet.Machine
+	machineGroups  map[string]*machineGroup // stored machines, by key
+	changedGroups  []*machineGroup          // to be stored
+	unreconciled   map[string]bool          // machines on which earlier holders' tasks may run
+	probeQueue     []string                 // those that are to be asked directly
+	nextProbeAt    units.Microseconds
+	probesInFlight int // requests under way
+	active         map[string]*jobs.Job
+	queue          ranking.Queue          // active jobs, and the order in which they are served
+	rights         ranking.Rights         // of theirs, by their teams' guarantees
+	shortfall      map[string]int64       // CPU of teams that have waited for long for their part of the guarantees
+	reserved       map[string]binpack.Vec // demand of the first task of a job that is overdue, by team
+	orderStale     bool
+	quota          *quota.Tracker
+	capacity       binpack.Vec      // capacity of all machines
+	readyTasks     int              // ready tasks of the ranked jobs
+	finishRate     float64          // tasks of all jobs that end in a second, by their run times
+	withHeadroom   []*fleet.Machine // machines with free room, preferred ones first
+	rankedAt       units.Microseconds
+	viewed         []*jobs.Job // for one machine, kept for their memory
+	views          []binpack.Job
+	nextWritesAt   units.Microseconds // when late writes are next made
+	unstoredJobs   []*jobs.Job        // with finished tasks to be stored, the longest first
 
 	demand            *demand.Estimator
 	provisioner       *provisioner.Provisioner
@@ -82,9 +80,10 @@
 func (c *Core) own(k int, g shardAssignment) {
 	shard := &ownedShard{number: k, assignment: g.version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
 		machines: map[string]*fleet.Machine{}, machineGroups: map[string]*machineGroup{},
-		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{}, usage: map[string]binpack.Vec{},
+		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), preempted: map[string]preemption{}, unknownMachines: map[string]units.Microseconds{}}
 	host := shardHost{c, shard}
+	shard.quota = quota.New(quotaHost{c, shard})
 	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: adoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
 	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, host, shard.provisioner, c.zones)
 	shard.replication = replication.NewPrimary(k, shard.fencingToken, replicationHost{c, shard})
@@ -124,7 +123,7 @@
 				m.LeaseEnd = c.now + c.leaseBound()
 				if _, handed := picture.machines[name]; !handed && !picture.covers(key) && c.guarded(guard.Unaccounted) {
 					shard.unreconciled[name] = true
-					shard.unreconciledStale = true
+					shard.quota.UnreconciledChanged()
 				}
 			}
 			for _, name := range g.Booting {
@@ -328,16 +327,3 @@
 		c.emit(CloudBudget{part})
 	}
 }
-
-// quotaUseOf is the largest part of a team's limit that is in use in a block.
-func (c *Core) quotaUseOf(shard *ownedShard) float64 {
-	most := 0.0
-	for name, t := range c.teams {
-		for i, lim := range t.Limit {
-			if lim > 0 {
-				most = max(most, float64(shard.usage[name][i])/float64(lim))
-			}
-		}
-	}
-	return most
-}
--- a/internal/core/shortfall_test.go
+++ b/internal/core/shortfall_test.go
@@ -40,10 +40,15 @@
 	if got := first(); got != "rich" {
 		t.Errorf("%s goes first though nothing has waited", got)
 	}
+	setUsage := func(team string, cpu int64) {
+		shard.quota.Release(team, shard.quota.Usage(team))
+		shard.quota.Charge(team, binpack.Vec{cpu, 0, 0})
+	}
 	c.wall += preemptAfter + units.Second
 	poor, rich := c.jobs["wk-000002"], c.jobs["wk-000001"]
 	for k, want := range []int64{0, 4000, 8000} {
-		shard.usage["poor"], shard.usage["rich"] = binpack.Vec{want, 0, 0}, binpack.Vec{12_000, 0, 0}
+		setUsage("poor", want)
+		setUsage("rich", 12_000)
 		if got := first(); (got == "poor") != (k == 0) {
 			t.Errorf("with %d in use %s goes first", want, got)
 		}
@@ -52,7 +57,7 @@
 		}
 	}
 	shard.machines["n-2"] = &fleet.Machine{Name: "n-2", Type: &fleet.Type{Capacity: binpack.Vec{30_000, 0, 0}}, Tasks: map[jobs.TaskID]fleet.Attempt{}}
-	if shard.usage["poor"] = (binpack.Vec{}); first() != "rich" {
+	if setUsage("poor", 0); first() != "rich" {
 		t.Error("there is room for all guarantees, and priority does not count")
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -34,7 +34,7 @@
 		for _, m := range shard.machines {
 			if m.Type == nil {
 				m.Type = c.types[m.Record.Type]
-				shard.unreconciledStale = true
+				shard.quota.UnreconciledChanged()
 			}
 		}
 	}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/quota"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -117,22 +117,12 @@
 	if s.Service {
 		d = d.Times(int64(s.Tasks))
 	}
-	if !withinLimit(t.Limit, d) {
+	if !quota.WithinLimit(t.Limit, d) {
 		return "needs more than the team's limit"
 	}
 	return c.unmetDependency(s, absent)
 }
 
-// withinLimit reports whether use stays within a limit, where 0 means none.
-func withinLimit(limit, use binpack.Vec) bool {
-	for i, l := range limit {
-		if l > 0 && use[i] > l {
-			return false
-		}
-	}
-	return true
-}
-
 // compatibleTypes returns the names of the machine types on which a job's tasks can run.
 func (c *Core) compatibleTypes(s *jobs.Spec) []string {
 	var out []string
