--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -2,9 +2,12 @@
 package fleet
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
+	"maps"
 	"slices"
+	"strings"
 
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
@@ -258,6 +261,41 @@
 	return true
 }
 
+// AcceptHeartbeat takes in what a heartbeat says of the machine itself; its tasks are reconciled
+// by package reconcile. leaseEnd is when the worker, which is about to be answered, must have
+// stopped everything unless it is answered once more.
+func (m *Machine) AcceptHeartbeat(now, leaseEnd units.Microseconds, heartbeat *Heartbeat) {
+	m.Incarnation, m.Seq = heartbeat.Incarnation, heartbeat.Seq
+	m.Addr = heartbeat.Addr
+	m.LastSeen, m.LeaseEnd = now, leaseEnd
+	m.Lost = false
+	m.Listed = len(heartbeat.Tasks)
+	m.Notice = units.Never
+	if heartbeat.Notice != units.Never {
+		m.Notice = now + heartbeat.Notice
+	}
+}
+
+// ExpireLease notes that nothing runs on the machine any more, as its lease ran out.
+// lastAttempt is the last attempt that can have been started there: heartbeats that a cut has
+// held back may still show it.
+func (m *Machine) ExpireLease(now units.Microseconds, lastAttempt uint64) {
+	m.LeaseEnd, m.LastSeen = 0, 0
+	m.Lost = true
+	m.ExpiredAttempt = lastAttempt
+	m.IdleSince = now
+}
+
+// Expired reports whether a heartbeat shows a task as not exited whose lease had run out before.
+func (m *Machine) Expired(t Task) bool { return t.State != Exited && t.Attempt <= m.ExpiredAttempt }
+
+// TaskIDs returns the tasks that may be on the machine, by job and number.
+func (m *Machine) TaskIDs() []jobs.TaskID {
+	return slices.SortedFunc(maps.Keys(m.Tasks), func(a, b jobs.TaskID) int {
+		return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+	})
+}
+
 // Schedulable reports whether tasks may start here: everything on the machine is
 // known, a new holder would know of the machine, and it is meant to stay.
 func (m *Machine) Schedulable() bool {
@@ -281,3 +319,18 @@
 	Attempt uint64
 	Grace   units.Microseconds // of a Stop; 0 stops at once
 }
+
+// Bounds on the commands of one heartbeat response, which may not be longer than 64 KiB
+// (TestLongestAnswer in internal/api). A machine can hold hundreds of small tasks; what is left out
+// follows with its next heartbeat.
+const (
+	MaxForgets = 200
+	MaxStops   = 100
+	MaxStarts  = 250
+	// MaxListed bounds the tasks that a machine lists, as a heartbeat may not be longer than
+	// 64 KiB either: while nothing can be stored, what has exited there stays listed.
+	MaxListed = 500
+)
+
+// AtMost returns the first n of some commands.
+func AtMost(commands []Command, n int) []Command { return commands[:min(len(commands), n)] }
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -87,7 +87,7 @@
 
 func drawMachine(m *fleet.Machine) MachinePicture {
 	p := MachinePicture{Name: m.Name, Addr: m.Addr, Session: m.Incarnation, Seq: m.Seq}
-	for _, id := range sortedTasks(m.Tasks) {
+	for _, id := range m.TaskIDs() {
 		p.Tasks = append(p.Tasks, fleet.Task{ID: id, Attempt: m.Tasks[id].Number, State: m.Tasks[id].State})
 	}
 	return p
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -1,13 +1,10 @@
 package core
 
 import (
-	"cmp"
-	"maps"
 	"math"
 	"net/http"
 	"slices"
 	"sort"
-	"strings"
 
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/binpack"
@@ -47,7 +44,7 @@
 		}
 		c.log.Info("machine up", "machine", m.Name, "type", r.Type, "spot", r.Spot, "after_s", (now - m.ProvisionedAt).Seconds())
 	}
-	if void := func(t fleet.Task) bool { return t.State != fleet.Exited && t.Attempt <= m.ExpiredAttempt }; slices.ContainsFunc(r.Tasks, void) && c.guarded(guard.VoidAttempts) {
+	if void := m.Expired; slices.ContainsFunc(r.Tasks, void) && c.guarded(guard.VoidAttempts) {
 		// The machine's lease ran out after these were started, and they ended with it: the
 		// report was sent before, and a cut held it back. Taken for true it would call tasks
 		// back that have been started elsewhere since (docs/incidents/2026-12-01-held-back.md).
@@ -56,13 +53,7 @@
 		late.Tasks = slices.DeleteFunc(slices.Clone(r.Tasks), void)
 		r = &late
 	}
-	m.Incarnation, m.Seq, m.LastSeen, m.Lost, m.Addr = r.Incarnation, r.Seq, now, false, r.Addr
-	m.LeaseEnd, m.Listed = now+c.leaseBound(), len(r.Tasks)
-	if r.Notice != units.Never {
-		m.Notice = now + r.Notice
-	} else {
-		m.Notice = units.Never
-	}
+	m.AcceptHeartbeat(now, now+c.leaseBound(), r)
 	if r.FencingToken == shard.fencingToken || !c.guarded(guard.ReportToken) {
 		// The worker has taken an answer of this term, so that it drops every
 		// answer of earlier ones: its list shows all that can be there. A report
@@ -187,7 +178,7 @@
 			out = append(out, fleet.Command{Op: fleet.Stop, ID: t.ID, Attempt: t.Attempt})
 		}
 	}
-	return atMost(out, MaxStops)
+	return fleet.AtMost(out, MaxStops)
 }
 
 // answerPending gives new work to machines whose reports are held, the cheapest
@@ -227,7 +218,7 @@
 func (c *Core) evictBeforeNotice(shard *ownedShard, m *fleet.Machine) []fleet.Command {
 	left := m.Notice - c.now
 	var out []fleet.Command
-	for _, id := range sortedTasks(m.Tasks) {
+	for _, id := range m.TaskIDs() {
 		a := m.Tasks[id]
 		j := c.jobs[id.Job]
 		if j == nil || !j.Active() || j.IsFinished(id.Task) || a.State == fleet.Saving {
@@ -243,13 +234,7 @@
 		}
 		out = append(out, fleet.Command{Op: fleet.Stop, ID: id, Attempt: a.Number, Grace: grace})
 	}
-	return atMost(out, MaxStops)
-}
-
-func sortedTasks(m map[jobs.TaskID]fleet.Attempt) []jobs.TaskID {
-	return slices.SortedFunc(maps.Keys(m), func(a, b jobs.TaskID) int {
-		return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
-	})
+	return fleet.AtMost(out, MaxStops)
 }
 
 // reconcile brings what is known of a machine in line with its report.
@@ -276,28 +261,22 @@
 			forget = append(forget, fleet.Command{Op: fleet.Forget, ID: t.ID, Attempt: t.Attempt})
 		}
 	}
-	for _, id := range sortedTasks(m.Tasks) {
+	for _, id := range m.TaskIDs() {
 		if !seen[id] {
 			c.taskRemoved(shard, m, id)
 		}
 	}
-	return append(atMost(forget, MaxForgets), atMost(stop, MaxStops)...)
+	return append(fleet.AtMost(forget, MaxForgets), fleet.AtMost(stop, MaxStops)...)
 }
 
-// Bounds on the orders in one answer, which may not be longer than 64 KiB. A
-// machine can hold hundreds of small tasks; what is left out is told with the
-// next report.
+// Bounds on the commands of one response; the wire's tests read them here.
 const (
-	MaxForgets = 200
-	MaxStops   = 100
-	MaxStarts  = 250
-	// MaxListed bounds the tasks that a machine lists, as a report may not be longer than
-	// 64 KiB either: while nothing can be stored, what has ended there stays listed.
-	MaxListed = 500
+	MaxForgets = fleet.MaxForgets
+	MaxStops   = fleet.MaxStops
+	MaxStarts  = fleet.MaxStarts
+	MaxListed  = fleet.MaxListed
 )
 
-func atMost(cmds []fleet.Command, n int) []fleet.Command { return cmds[:min(len(cmds), n)] }
-
 // taskReported takes in a task that is on a machine, and reports whether it must stop.
 func (c *Core) taskReported(shard *ownedShard, m *fleet.Machine, t fleet.Task) bool {
 	j := c.jobs[t.ID.Job]
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -66,7 +66,7 @@
 
 // Deprovisioned implements renting.Host.
 func (t shardHost) Deprovisioned(m *fleet.Machine) {
-	for _, id := range sortedTasks(m.Tasks) {
+	for _, id := range m.TaskIDs() {
 		t.taskRemoved(t.bl, m, id)
 	}
 	t.bl.reconciled(t.Core, m)
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -33,7 +33,7 @@
 	}
 	var out []fleet.Command
 	roomy := 2*m.Used()[binpack.CPU] <= m.Type.Capacity[binpack.CPU]
-	for _, id := range sortedTasks(m.Tasks) {
+	for _, id := range m.TaskIDs() {
 		a, j := m.Tasks[id], c.jobs[id.Job]
 		if j == nil || !j.Active() || !isPreemptible(j) || !shard.demand.Idle(c.wall, j) || a.Ran(c.now) < vacateRun ||
 			!roomy && !c.expensive(m, j.Spec()) {
@@ -43,7 +43,7 @@
 			out = append(out, fleet.Command{Op: fleet.Stop, ID: id, Attempt: a.Number, Grace: j.Spec().Save})
 		}
 	}
-	return atMost(out, MaxStops)
+	return fleet.AtMost(out, MaxStops)
 }
 
 // expensive reports whether a machine costs too much for idle-time work.
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -35,12 +35,8 @@
 // lost notes that a machine's lease has run out: nothing runs there any more.
 func (c *Core) lost(shard *ownedShard, m *fleet.Machine) {
 	c.log.Info("machine lost", "machine", m.Name, "tasks", len(m.Tasks))
-	m.LeaseEnd = 0
-	m.LastSeen = 0
-	m.Lost = true // until it reports again
-	m.ExpiredAttempt = authority.AttemptNumber(shard.fencingToken, shard.attempts)
-	m.IdleSince = c.now
-	for _, id := range sortedTasks(m.Tasks) {
+	m.ExpireLease(c.now, authority.AttemptNumber(shard.fencingToken, shard.attempts))
+	for _, id := range m.TaskIDs() {
 		c.taskRemoved(shard, m, id)
 	}
 	shard.reconciled(c, m)
--- a/internal/core/overdue_test.go
+++ b/internal/core/overdue_test.go
@@ -51,7 +51,7 @@
 	}
 	// end ends n of the small tasks on the machine.
 	end := func(n int) {
-		for _, id := range sortedTasks(m.Tasks) {
+		for _, id := range m.TaskIDs() {
 			if n > 0 && id.Job != "wk-000000" {
 				c.taskRemoved(shard, m, id)
 				n--
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -63,7 +63,7 @@
 	}
 	var victims []victim
 	yielding := true
-	for _, id := range sortedTasks(m.Tasks) {
+	for _, id := range m.TaskIDs() {
 		a := m.Tasks[id]
 		v := c.jobs[id.Job]
 		if v == nil || !v.Active() || a.State == fleet.Saving || !may(v) || !c.mayPreempt(shard, j, v) {
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -86,7 +86,7 @@
 	f.reports++
 	m := shard.machines[f.names[f.reports%len(f.names)]]
 	m.LastSeen = c.now
-	if tasks := sortedTasks(m.Tasks); len(tasks) > 0 {
+	if tasks := m.TaskIDs(); len(tasks) > 0 {
 		id := tasks[f.reports%len(tasks)]
 		j := c.jobs[id.Job]
 		j.Finish(id.Task, c.progressLayout)
