--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -1,13 +1,12 @@
 package core
 
 import (
-	"encoding/json"
 	"net/http"
 	"slices"
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/archive"
-	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/election"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
@@ -25,7 +24,6 @@
 	markAt  units.Microseconds // the mark is not written before
 	doubts  []string           // jobs of which it is not sure that the service still has them
 	asked   int                // of those, being looked up
-	leads   map[string]store.Event
 }
 
 // Effects of lookups.
@@ -47,9 +45,8 @@
 	// started afterwards never leads, holds nothing and learns no machine types from
 	// anybody, so that it is never ready and accepts nothing. It would not find what
 	// is packed.
-	leaderKeyArchived  = keys.LeaderSinceArchive
-	kindPrefix         = keys.TypePrefixWithArchive // machine types since then
-	excludedLeaderName = "release-4"                // the name in that claim
+	leaderKeyArchived = keys.LeaderSinceArchive
+	kindPrefix        = keys.TypePrefixWithArchive // machine types since then
 
 	// markEvery is the least time between two marks, each of which fails the
 	// submissions under way; they are tried again at once.
@@ -78,26 +75,12 @@
 // IsLeased reports whether a key and its value belong to a controller's lease: with
 // that they are gone.
 func IsLeased(e store.Event) bool {
-	return strings.HasPrefix(e.Key, memberPrefix) || e.Key == leaderKeyArchived || e.Key == leaderKeyFirst && !excludesOlderReleases(e.Value)
-}
-
-// excludesOlderReleases reports whether a claim is the one that keeps older releases out.
-func excludesOlderReleases(claim []byte) bool {
-	var c authority.LeaderRecord
-	return json.Unmarshal(claim, &c) == nil && c.Node == excludedLeaderName
+	return strings.HasPrefix(e.Key, memberPrefix) || e.Key == leaderKeyArchived || e.Key == leaderKeyFirst && !election.Excludes(e.Value)
 }
 
 func newArchivedJobs() archivedJobs {
 	p := archive.New()
-	return archivedJobs{history: p, packer: archive.NewArchiver(p), leads: map[string]store.Event{}}
-}
-
-// leaderKey is where the leader's claim is stored.
-func (c *Core) leaderKey() string {
-	if c.archived.history.On() {
-		return leaderKeyArchived
-	}
-	return leaderKeyFirst
+	return archivedJobs{history: p, packer: archive.NewArchiver(p)}
 }
 
 // typeKey is where a machine type is stored.
@@ -108,15 +91,6 @@
 	return typePrefix + name
 }
 
-// learnLead takes a claim, if it is at the key that counts.
-func (c *Core) learnLead(e store.Event) error {
-	c.archived.leads[e.Key] = e
-	if e.Key != c.leaderKey() {
-		return nil
-	}
-	return c.learnLeaderRecord(e)
-}
-
 // learnMark takes the mark. From the first one on the lead is at another key.
 func (c *Core) learnMark(e store.Event) error {
 	was := c.archived.history.On()
@@ -125,8 +99,7 @@
 	}
 	if now := c.archived.history.On(); now && !was {
 		c.log.Info("jobs that are over are packed from now on")
-		// Also where nobody claims it: what keeps older releases out is no claim.
-		return c.learnLeaderRecord(c.archived.leads[leaderKeyArchived])
+		return c.election.ArchivingStarted()
 	}
 	return nil
 }
@@ -203,11 +176,11 @@
 	if s := o.history.NextScan(c.now, units.Seconds(1/rate)); s != nil {
 		c.emit(ScanKeys{*s})
 	}
-	l := c.leader
+	l := c.election.Leadership()
 	if l == nil || c.cfg.KeepFinished == 0 || c.cache.Refused(c.now, calmAfter) || c.queues[ControlQueue].Len() > 0 || c.queues[UserQueue].Len() > 0 {
 		return // packing takes only what nobody else needs
 	}
-	if l.writing || c.now >= o.markAt && c.excludeOlderReleases(l) {
+	if l.Writing() || c.now >= o.markAt && c.excludeOlderReleases(l) {
 		return
 	}
 	_, stamp := o.history.Mark()
@@ -221,48 +194,48 @@
 	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * share
 	lim := archive.Limits{Value: archive.Limit(c.cfg.ValueMax), Ops: c.cfg.TxnOps, Size: c.queues[ArchiveQueue].MaxBytes}
 	o.packer.Step(c.now, c.packAge(), c, lim, func(w *store.Write) bool {
-		if c.leader != l {
+		if c.election.Leadership() != l {
 			return false
 		}
-		w.Guards = append(w.Guards, store.Guard{Key: c.leaderKey(), Version: l.version})
+		w.Guards = append(w.Guards, l.Guard())
 		return c.queues[ArchiveQueue].Add(w)
 	})
 }
 
 // excludeOlderReleases writes the mark when it is due, and what keeps older releases out. It
 // reports whether there was anything to write.
-func (c *Core) excludeOlderReleases(l *leaderState) bool {
+func (c *Core) excludeOlderReleases(l *election.Leadership) bool {
 	o := &c.archived
 	mark, stamp := o.history.Mark()
-	nobodys := store.Change{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: l.term, Node: excludedLeaderName})}
+	nobodys := store.Change{Key: leaderKeyFirst, Value: store.Value(l.ExclusionRecord())}
 	if !o.history.On() {
 		if o.packer.Len() <= c.cfg.KeepFinished || !c.allRunSince(releaseArchive) {
 			return false
 		}
 		for _, name := range sortedKeys(c.types) {
 			if key := kindPrefix + name; c.cache.Version(key) == 0 {
-				l.write(c, []store.Guard{{Key: key}}, store.Change{Key: key, Value: store.Value(c.types[name])})
+				l.Write([]store.Guard{{Key: key}}, store.Change{Key: key, Value: store.Value(c.types[name])})
 				return true
 			}
 		}
 		mark = archive.Mark{Release: releaseArchive, Cut: c.cache.Revision + 1}
-		l.write(c, []store.Guard{{Key: archiveKey}, {Key: leaderKeyArchived, Version: c.cache.Version(leaderKeyArchived)}, {Key: memberPrefix + c.cfg.Node, Version: c.membership.ID()}},
-			store.Change{Key: leaderKeyArchived, Value: store.Value(authority.LeaderRecord{Term: l.term, Node: c.cfg.Node, MemberID: c.membership.ID()}), Lease: c.membership.LeaseID()},
+		l.Write([]store.Guard{{Key: archiveKey}, {Key: leaderKeyArchived, Version: c.cache.Version(leaderKeyArchived)}, {Key: memberPrefix + c.cfg.Node, Version: c.membership.ID()}},
+			store.Change{Key: leaderKeyArchived, Value: store.Value(l.Record(c.membership.ID())), Lease: c.membership.LeaseID()},
 			nobodys,
 			store.Change{Key: archiveKey, Value: store.Value(mark)})
 		o.markAt = c.now + units.Second
 		return true
 	}
 	o.markAt = c.now + units.Second/2
-	if e := o.leads[leaderKeyFirst]; !excludesOlderReleases(e.Value) {
-		l.write(c, []store.Guard{{Key: leaderKeyFirst, Version: c.cache.Version(leaderKeyFirst)}},
+	if c.election.ExclusionNeeded() {
+		l.Write([]store.Guard{{Key: leaderKeyFirst, Version: c.cache.Version(leaderKeyFirst)}},
 			nobodys)
 		o.markAt = c.now
 		return true
 	}
 	for _, name := range sortedKeys(c.types) {
 		if key := typePrefix + name; c.cache.Version(key) != 0 {
-			l.write(c, []store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key})
+			l.Write([]store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key})
 			o.markAt = c.now
 			return true
 		}
@@ -274,7 +247,7 @@
 	mark.Release, mark.Cut, mark.Jobs = releaseArchive, max(mark.Cut, c.cache.Revision+1), mark.Jobs+o.packer.Done
 	o.packer.Done = 0
 	o.markAt = c.now + markEvery
-	l.write(c, []store.Guard{{Key: archiveKey, Version: stamp}}, store.Change{Key: archiveKey, Value: store.Value(mark)})
+	l.Write([]store.Guard{{Key: archiveKey, Version: stamp}}, store.Change{Key: archiveKey, Value: store.Value(mark)})
 	return true
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,13 +6,13 @@
 import (
 	"log/slog"
 
-	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/cancellations"
 	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/demand"
+	"shalestage.example/shalestage/internal/core/election"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
@@ -176,8 +176,6 @@
 	pendingDeletion map[string]bool      // jobs that are over and of which something is to be cleaned up in the state service
 	flowAt          units.Microseconds   // when aims next pass back along the graph
 	types           map[string]*fleet.Type
-	leaderRecord    authority.LeaderRecord // of the present leader; Node "" if none
-	highestTerm     authority.Term
 	assignments     map[int]shardAssignment
 	allocations     map[int]quotaAllocation
 	machineGroups   map[string]fleet.Group // stored machines, by key
@@ -192,8 +190,8 @@
 	membership     *membership.Registry
 	releases       map[string]int             // of the other controllers, as last heard or read
 	olderReleaseAt map[int]units.Microseconds // by release: when another controller was last not known to run it or a later one
-	leader         *leaderState               // nil unless this node leads
-	campaigning    bool
+	election       *election.Election
+	plans          leaderState                // of use only while this node leads
 	owned          map[int]*ownedShard        // blocks that this node holds
 	snapshots      map[int]*shardSnapshot     // of blocks, as their last holders have handed them on
 	standbys       map[int]replication.Record // who follows the holder of each block, as stored
@@ -228,6 +226,7 @@
 	}
 	c.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, c.extension()/4), Log: cfg.Log}, cacheHost{c})
 	c.archived = newArchivedJobs()
+	c.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{c})
 	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
 	c.replayLog = replaylog.New(replayLogBytes)
 	c.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
@@ -296,7 +295,7 @@
 	c.tickPeers()
 	c.membership.Tick(c.now)
 	c.tickLead()
-	c.config.Tick(c.now, c.wall, c.leader != nil)
+	c.config.Tick(c.now, c.wall, c.election.Leads())
 	c.tickTypes()
 	c.tickArchive()
 	for _, k := range sortedShards(c.owned) {
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -26,7 +26,7 @@
 	shard := c.owned[j.Record.Shard]
 	if shard == nil {
 		fmt.Fprintf(&b, "; block %d held by %+v; led by %q; %s; %s; lane %d",
-			j.Record.Shard, c.assignments[j.Record.Shard], c.leaderRecord.Node, c.membership.Describe(c.now),
+			j.Record.Shard, c.assignments[j.Record.Shard], c.election.Record().Node, c.membership.Describe(c.now),
 			c.cache.Describe(), c.queues[ControlQueue].Len())
 		return b.String()
 	}
@@ -60,7 +60,7 @@
 }
 
 // Leads reports whether this node leases blocks to the controllers.
-func (c *Core) Leads() bool { return c.leader != nil }
+func (c *Core) Leads() bool { return c.election.Leads() }
 
 // Placed counts the tasks that may be running on a held block's machines.
 func (c *Core) Placed(k int) int {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -9,6 +9,7 @@
 
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/election"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/quota"
@@ -20,10 +21,7 @@
 // controllers and divides the teams' limits among them. It needs no authority
 // in time, as all it does is to write, and every write is guarded by its claim.
 type leaderState struct {
-	term           uint64
-	version        uint64 // version of the leader's record; guards every write
-	number         uint64 // lease numbers given in this term
-	writing        bool
+	lead           *election.Leadership
 	nextCheckAt    units.Microseconds
 	sharded        bool
 	unshardedSince units.Microseconds // since when one block would do
@@ -60,59 +58,47 @@
 	moveEvery = 10 * units.Second
 )
 
-// leaderless reports whether nobody leads, as far as this node knows. A claim of
-// this node's own was left by its last process, which has surely ended.
-func (c *Core) leaderless() bool {
-	return c.leaderRecord.Node == "" || c.leaderRecord.Node == c.cfg.Node
+// electionHost is what this controller does as a candidate for leadership.
+type electionHost struct{ *Core }
+
+// Now implements election.Host.
+func (c electionHost) Now() units.Microseconds { return c.now }
+
+// Store implements election.Host.
+func (c electionHost) Store(w *store.Write) { c.queues[ControlQueue].Add(w) }
+
+// Version implements election.Host.
+func (c electionHost) Version(key string) uint64 { return c.cache.Version(key) }
+
+// CacheAge implements election.Host.
+func (c electionHost) CacheAge() units.Microseconds { return c.stateAge() }
+
+// Member implements election.Host.
+func (c electionHost) Member() (id, leaseID uint64) {
+	return c.membership.ID(), c.membership.LeaseID()
 }
 
-// tickLead claims the lead where nobody has it.
-func (c *Core) tickLead() {
-	if l := c.leader; l != nil {
-		// While the copy is taken anew it shows blocks as of another time than seats: one
-		// that was just granted would seem to be a dead seat's.
-		if c.now >= l.nextCheckAt && !l.writing && c.cache.Loaded() && c.stateAge() < units.Second {
-			l.nextCheckAt = c.now + governEvery
-			c.plan(l)
-		}
-		return
-	}
-	if c.membership.ID() == 0 || c.campaigning || !c.leaderless() || c.stateAge() > units.Second {
-		return
-	}
-	c.campaigning = true
-	term := c.highestTerm.Term + 1
-	me, key := c.cfg.Node, c.leaderKey()
-	c.queues[ControlQueue].Add(&store.Write{
-		Guards: []store.Guard{{Key: key, Version: c.cache.Version(key)}, {Key: termKey, Version: c.cache.Version(termKey)},
-			{Key: memberPrefix + me, Version: c.membership.ID()}},
-		Changes: []store.Change{
-			{Key: key, Value: store.Value(authority.LeaderRecord{Term: term, Node: me, MemberID: c.membership.ID()}), Lease: c.membership.LeaseID()},
-			{Key: termKey, Value: store.Value(authority.Term{Term: term, Node: me})},
-		},
-		Done: func(o store.Outcome, rev uint64) {
-			c.campaigning = false
-			if o == store.OK && c.membership.ID() != 0 && key == c.leaderKey() {
-				c.leader = &leaderState{term: term, version: rev, quotaUses: map[int]quotaUse{}, nextTransferAt: c.now + moveEvery}
-				c.log.Info("leading", "term", term)
-			}
-		},
-	})
+// Archiving implements election.Host.
+func (c electionHost) Archiving() bool { return c.archived.history.On() }
+
+// Elected implements election.Host.
+func (c electionHost) Elected(lead *election.Leadership) {
+	c.plans = leaderState{lead: lead, quotaUses: map[int]quotaUse{}, nextTransferAt: c.now + moveEvery}
 }
 
-func (c *Core) learnLeaderRecord(e store.Event) error {
-	c.leaderRecord = authority.LeaderRecord{}
-	var err error
-	if e.Value != nil {
-		err = json.Unmarshal(e.Value, &c.leaderRecord)
+// tickLead plans where this controller leads, and else campaigns where nobody does.
+func (c *Core) tickLead() {
+	if !c.election.Leads() {
+		c.election.Tick()
+		return
 	}
-	if l := c.leader; l != nil && c.leaderRecord.Term != l.term {
-		c.log.Warn("no longer leading", "term", l.term)
-		c.leader = nil
-	} else if l != nil {
-		l.version = e.Stamp
+	// While the copy is taken anew it shows assignments as of another time than memberships:
+	// a shard that was just assigned would seem to be an expired member's.
+	l := &c.plans
+	if c.now >= l.nextCheckAt && l.lead.MayPlan(c.now) && c.cache.Loaded() && c.stateAge() < units.Second {
+		l.nextCheckAt = c.now + governEvery
+		c.plan(l)
 	}
-	return err
 }
 
 // maxShards bounds the numbers of shards.
@@ -182,21 +168,6 @@
 	return nil
 }
 
-// write queues a change that only the leader of this term may make.
-func (l *leaderState) write(c *Core, guards []store.Guard, changes ...store.Change) {
-	l.writing = true
-	c.queues[ControlQueue].Add(&store.Write{
-		Guards:  append(guards, store.Guard{Key: c.leaderKey(), Version: l.version}),
-		Changes: changes,
-		Done: func(o store.Outcome, _ uint64) {
-			l.writing = false
-			if o == store.TooLarge {
-				l.nextCheckAt = c.now + 5*units.Second // the same would come again
-			}
-		},
-	})
-}
-
 func assignmentKey(k int) string { return keys.Assignment(k) }
 func allocationKey(k int) string { return keys.Allocation(k) }
 
@@ -222,8 +193,7 @@
 			continue
 		}
 		extra[to]++
-		l.number++
-		b := authority.Assignment{Term: l.term, Number: l.number, Node: to, MemberID: c.membership.Current(to)}
+		b := authority.Assignment{Term: l.lead.Term(), Number: l.lead.NextAssignment(), Node: to, MemberID: c.membership.Current(to)}
 		if known {
 			b.PreviousToken = authority.FencingToken(g.Term, g.Number)
 			if g.Node == "" && g.ReleasedBy != "" {
@@ -240,10 +210,10 @@
 			guards = append(guards, store.Guard{Key: allocationKey(k)})
 			changes = append(changes, store.Change{Key: allocationKey(k), Value: store.Value(authority.QuotaAllocation{Fraction: share})})
 		}
-		c.log.Info("block granted", "block", k, "to", to, "term", l.term, "number", l.number)
+		c.log.Info("block granted", "block", k, "to", to, "term", b.Term, "number", b.Number)
 	}
 	if len(changes) > 0 {
-		l.write(c, guards, changes...)
+		l.lead.Write(guards, changes...)
 		return
 	}
 	if !c.allocateQuota(l, open) {
@@ -372,11 +342,11 @@
 	}
 	switch {
 	case len(lower) > 0: // each by itself is safe
-		l.write(c, guards, lower[:min(len(lower), c.cfg.TxnOps)]...)
+		l.lead.Write(guards, lower[:min(len(lower), c.cfg.TxnOps)]...)
 		return true
 	case len(raise) > 0 && certain && sum <= 1+1e-6:
 		c.log.Info("limits divided", "blocks", open)
-		l.write(c, guards, raise[:min(len(raise), c.cfg.TxnOps)]...)
+		l.lead.Write(guards, raise[:min(len(raise), c.cfg.TxnOps)]...)
 		return true
 	}
 	return len(raise) > 0
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -6,7 +6,6 @@
 	"strconv"
 	"strings"
 
-	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
@@ -83,7 +82,7 @@
 	var err error
 	switch {
 	case e.Key == leaderKeyFirst || e.Key == leaderKeyArchived:
-		err = c.learnLead(e)
+		err = c.election.Learn(e)
 	case e.Key == archiveKey:
 		err = c.learnMark(e)
 	case strings.HasPrefix(e.Key, memberPrefix):
@@ -99,7 +98,7 @@
 	case strings.HasPrefix(e.Key, allocationPrefix):
 		err = c.learnAllocation(e)
 	case e.Key == termKey:
-		err = c.learnTerm(e)
+		err = c.election.LearnTerm(e)
 	case strings.HasPrefix(e.Key, jobPrefix):
 		err = c.learnJob(e.Key[len(jobPrefix):], e)
 	case strings.HasPrefix(e.Key, chunkPrefix):
@@ -116,22 +115,6 @@
 	}
 }
 
-// learnTerm takes the highest term. It never falls, whatever is stored: tokens that
-// workers have seen must not be given out again.
-func (c *Core) learnTerm(e store.Event) error {
-	var t authority.Term
-	if e.Value == nil {
-		return nil
-	}
-	if err := json.Unmarshal(e.Value, &t); err != nil {
-		return err
-	}
-	if t.Term >= c.highestTerm.Term {
-		c.highestTerm = t
-	}
-	return nil
-}
-
 func (c *Core) learnJob(id string, e store.Event) error {
 	if e.Value == nil {
 		if j := c.jobs[id]; j != nil {
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -4,7 +4,6 @@
 	"maps"
 	"slices"
 
-	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -47,10 +46,7 @@
 
 // Lost implements seats.Host.
 func (c membershipHost) Lost() {
-	c.leader = nil
-	if c.leaderRecord.Node == c.cfg.Node {
-		c.leaderRecord = authority.LeaderRecord{} // the record goes with the lease
-	}
+	c.election.MembershipLost()
 	for _, k := range sortedShards(c.owned) {
 		c.drop(c.owned[k])
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -273,7 +273,7 @@
 		if c.membership.GrantPeerLease(now, from, m.Seat) {
 			c.emit(SendPeer{from, PeerPromise{Seat: m.Seat, Sent: m.Sent, Told: c.cancellationsFor(m), ConfigKnown: c.config.Known()}})
 		}
-		if l := c.leader; l != nil {
+		if l := &c.plans; c.election.Leads() {
 			for _, b := range m.Blocks {
 				if g, ok := c.assignments[b.Block]; ok && g.Node == from && b.Use >= 0 {
 					l.noteUse(c, b.Block, b.Share, b.Use)
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -253,7 +253,7 @@
 	j := c.jobs["wk-000412"]
 	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.OpenDependencies != 0 || j.Spec().Deadline != 900*units.Second ||
 		c.jobs["wk-000398"].Record.Status != jobs.Done || c.jobs["wk-000405"].Record.Demand[0] != 1000 ||
-		c.leaderRecord.Term != 3 || c.assignments[1].ReleasedBy != "stagehand-0" || c.allocations[0].fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
+		c.election.Record().Term != 3 || c.assignments[1].ReleasedBy != "stagehand-0" || c.allocations[0].fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
 		t.Fatalf("%+v", j)
 	}
 	type oldRecord struct {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -386,7 +386,7 @@
 func TestTornCopy(t *testing.T) {
 	c := holding(t, nil)
 	serve(t, c, map[string]store.Event{})
-	if c.leader == nil {
+	if !c.election.Leads() {
 		t.Fatal("nobody leads")
 	}
 	c.cfg.Size, c.cfg.LeaderTTL = 3, 2*units.Second
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -8,7 +8,7 @@
 
 // tickTypes reads the price list, on every controller that needs it.
 func (c *Core) tickTypes() {
-	if (c.leader != nil || len(c.owned) > 0) && c.now >= c.typesAt {
+	if (c.election.Leads() || len(c.owned) > 0) && c.now >= c.typesAt {
 		c.typesAt = c.now + 20*units.Second
 		c.emit(FetchTypes{})
 	}
@@ -26,8 +26,8 @@
 		key := c.typeKey(t.Name)
 		old := c.types[t.Name]
 		c.setType(t)
-		if l := c.leader; l != nil && (old == nil || c.cache.Version(key) == 0) {
-			l.write(c, []store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key, Value: store.Value(t)})
+		if l := c.election.Leadership(); l != nil && (old == nil || c.cache.Version(key) == 0) {
+			l.Write([]store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key, Value: store.Value(t)})
 		}
 	}
 	for _, shard := range c.owned {
