--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -110,31 +110,6 @@
 	return node != c.cfg.Node && (c.archived.history.On() && c.releases[node] < releaseArchive || c.config.Changed() && c.releases[node] < releaseConfig)
 }
 
-// jobOver notes that a job is over, so that it is packed some day.
-func (c *Core) jobOver(j *jobs.Job) { c.archived.packer.JobOver(c.now, j.ID) }
-
-// jobArchived takes in that the record of a job is not there any more.
-func (c *Core) jobArchived(j *jobs.Job) {
-	if j.Active() || j.CancelledBy != "" {
-		return // not packed: nobody removes these
-	}
-	c.archived.history.Packed(j.ID)
-	c.archived.history.Remember(j.ID, answerOf(j))
-	c.archived.packer.RecordRemoved(j.ID)
-	if j.Placed() > 0 {
-		j.Archived = true // its tasks count until their machines report them gone
-		return
-	}
-	delete(c.jobs, j.ID)
-}
-
-// dropArchived drops a packed job once nothing of it may be running any more.
-func (c *Core) dropArchived(j *jobs.Job) {
-	if j.Archived && j.Placed() == 0 {
-		delete(c.jobs, j.ID)
-	}
-}
-
 func answerOf(j *jobs.Job) archive.Answer {
 	return archive.Answer{Status: j.Record.Status, Tasks: j.Record.Tasks, FinishedAt: j.Record.FinishedAt / units.Second * units.Second}
 }
@@ -143,16 +118,16 @@
 // job awaits stays, as whoever learns of that one has to learn how it ended; so does
 // one of which something is left to clean up.
 func (c *Core) Packable(id string, cut uint64) (archive.Job, bool) {
-	j := c.jobs[id]
+	j := c.jobs.Get(id)
 	if j == nil {
 		return archive.Job{}, false
 	}
 	out := archive.Job{Answer: answerOf(j), Key: jobPrefix + id, Stamp: j.Version}
-	if j.Active() || j.CancelledBy != "" || j.Version >= cut || j.Placed() > 0 || c.dependencies.Named(id) || c.chunkStore.Any(id) || c.pendingDeletion[id] {
+	if j.Active() || j.CancelledBy != "" || j.Version >= cut || j.Placed() > 0 || c.jobs.Retained(id) {
 		return out, false
 	}
 	// A cancelled job's finished tasks are still stored.
-	for _, name := range c.progressLayout.Names(j.Record.Tasks) {
+	for _, name := range c.jobs.Layout().Names(j.Record.Tasks) {
 		if k := progressKey(id, name); c.cache.Version(k) != 0 {
 			out.Clear = append(out.Clear, k)
 		}
@@ -338,7 +313,7 @@
 		}
 	}
 	for _, id := range ids {
-		if c.jobs[id] != nil {
+		if c.jobs.Get(id) != nil {
 			continue
 		}
 		left++
@@ -365,7 +340,7 @@
 	out.Awaits = nil
 	for _, id := range s.Awaits {
 		var a archive.Answer
-		j := c.jobs[id]
+		j := c.jobs.Get(id)
 		switch {
 		case j == nil:
 			if a, ok = c.archived.history.Known(id); !ok {
@@ -389,7 +364,7 @@
 	var again []store.Event
 	for i, e := range items {
 		id, isJob := strings.CutPrefix(e.Key, jobPrefix)
-		if !isJob || c.jobs[id] != nil {
+		if !isJob || c.jobs.Get(id) != nil {
 			continue
 		}
 		a, known := c.archived.history.Known(id)
@@ -415,7 +390,7 @@
 		id := o.doubts[0]
 		o.doubts = o.doubts[1:]
 		a, known := o.history.Known(id)
-		if c.jobs[id] != nil || !known {
+		if c.jobs.Get(id) != nil || !known {
 			continue
 		}
 		o.asked++
@@ -425,7 +400,7 @@
 				o.doubts = append(o.doubts, id)
 				return
 			}
-			if _, stored := b.Find(id); stored || c.jobs[id] != nil || slices.Contains(o.doubts, id) {
+			if _, stored := b.Find(id); stored || c.jobs.Get(id) != nil || slices.Contains(o.doubts, id) {
 				return
 			}
 			c.log.Warn("written again", "job", id)
--- a/internal/core/cancelling.go
+++ b/internal/core/cancelling.go
@@ -44,7 +44,7 @@
 		c.log.Warn("what another controller calls a cancellation is none", "controller", from, "key", e.Key)
 		return false
 	}
-	if j := c.jobs[id]; j != nil && j.Record.Status == jobs.Done {
+	if j := c.jobs.Get(id); j != nil && j.Record.Status == jobs.Done {
 		c.log.Warn("another controller calls a job cancelled that is done", "controller", from, "job", id)
 		return true
 	}
--- a/internal/core/cancelling_test.go
+++ b/internal/core/cancelling_test.go
@@ -35,7 +35,7 @@
 	for _, e := range []store.Event{{}, {Key: jobPrefix + "wk-000001", Value: json.RawMessage(`{"status"`), Stamp: 150}, cancelled("../x", 150),
 		cancelled("wk-000001", 0), {Key: machinePrefix + "r-1", Value: cancelled("wk-000001", 150).Value, Stamp: 150}} {
 		tell(e)
-		if !c.jobs["wk-000001"].Active() || c.cancellations.Known(c.cache.Revision) != c.cache.Revision || len(c.machineGroups) != 1 {
+		if !c.jobs.Get("wk-000001").Active() || c.cancellations.Known(c.cache.Revision) != c.cache.Revision || len(c.machineGroups) != 1 {
 			t.Fatalf("%+v is taken for a cancellation", e)
 		}
 	}
@@ -47,7 +47,7 @@
 	}
 	seat = c.membership.ID()
 	tell(cancelled("wk-000003", 150), cancelled("wk-000002", 160), cancelled("wk-000004", 170))
-	if c.jobs["wk-000003"].Record.Status != jobs.Done || c.jobs["wk-000002"].Active() || c.cancellations.Known(c.cache.Revision) != 190 {
+	if c.jobs.Get("wk-000003").Record.Status != jobs.Done || c.jobs.Get("wk-000002").Active() || c.cancellations.Known(c.cache.Revision) != 190 {
 		t.Fatal("the done job is not done, or the other not cancelled")
 	}
 	c.Drain()
@@ -60,7 +60,7 @@
 	// The acceptance of one that was cancelled before comes with a watch that was held up.
 	rev := c.cache.Revision
 	c.OnChanges(c.now, Watch{After: rev}, store.OK, 165, []store.Event{{Key: jobPrefix + "wk-000004", Value: record.Encode(), Stamp: 165}}, false)
-	if j := c.jobs["wk-000004"]; j == nil || j.Active() || len(shard.active) != 1 {
+	if j := c.jobs.Get("wk-000004"); j == nil || j.Active() || len(shard.active) != 1 {
 		t.Fatalf("%+v may start", j)
 	}
 }
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -133,7 +133,7 @@
 				if got := s.replies[1].Code; got != code {
 					t.Errorf("%s, watch answers %v: answered %d", name, watches, got)
 				}
-				j := c.jobs[key[len(jobPrefix):]]
+				j := c.jobs.Get(key[len(jobPrefix):])
 				if j == nil || name != "submission" && j.Active() {
 					t.Fatalf("%s, watch answers %v: job %+v", name, watches, j)
 				}
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -56,7 +56,7 @@
 
 // Busy implements configuration.Host.
 func (c configurationHost) Busy(team string) bool {
-	for _, j := range c.active {
+	for j := range c.jobs.Active() {
 		if j.Spec().Team == team {
 			return true
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,18 +9,17 @@
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/cancellations"
-	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/election"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/jobs/registry"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/membership"
 	"shalestage.example/shalestage/internal/core/provisioner"
-	"shalestage.example/shalestage/internal/core/ranking"
 	"shalestage.example/shalestage/internal/core/replaylog"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
@@ -168,21 +167,14 @@
 	cache   *watchcache.Cache       // the copy of the state service's keys
 	queues  [queueCount]*store.WriteQueue
 
-	jobs            map[string]*jobs.Job // those that are not packed
-	active          map[string]*jobs.Job // those that are not final
-	runnable        ranking.Order        // those of them that await no others
-	dependencies    jobs.DependencyGraph // which of them wait for which
-	chunkStore      *chunks.Store        // descriptions that are stored in parts
-	pendingDeletion map[string]bool      // jobs that are over and of which something is to be cleaned up in the state service
-	flowAt          units.Microseconds   // when aims next pass back along the graph
-	types           map[string]*fleet.Type
-	assignments     map[int]shardAssignment
-	allocations     map[int]quotaAllocation
-	machineGroups   map[string]fleet.Group // stored machines, by key
-	machineShard    map[string]int         // block of each stored machine
-	progressLayout  jobs.Layout            // of records of finished tasks
-	shardLoads      []shardLoad            // unfinished work of each block
-	shardLoadsAt    units.Microseconds
+	jobs          *registry.Registry
+	types         map[string]*fleet.Type
+	assignments   map[int]shardAssignment
+	allocations   map[int]quotaAllocation
+	machineGroups map[string]fleet.Group // stored machines, by key
+	machineShard  map[string]int         // block of each stored machine
+	shardLoads    []shardLoad            // unfinished work of each block
+	shardLoadsAt  units.Microseconds
 
 	archived       archivedJobs
 	replayLog      *replaylog.Memory      // what may have to be written again
@@ -211,16 +203,18 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	c := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{}, jobs: map[string]*jobs.Job{}, active: map[string]*jobs.Job{},
+	c := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{},
 		types: map[string]*fleet.Type{}, assignments: map[int]shardAssignment{}, allocations: map[int]quotaAllocation{},
 		machineGroups: map[string]fleet.Group{}, machineShard: map[string]int{},
-		chunkStore: chunks.New(), pendingDeletion: map[string]bool{}, releases: map[string]int{}, olderReleaseAt: map[int]units.Microseconds{}, snapshots: map[int]*shardSnapshot{},
+		releases: map[string]int{}, olderReleaseAt: map[int]units.Microseconds{}, snapshots: map[int]*shardSnapshot{},
 		standbys: map[int]replication.Record{}, standby: replication.NewStandby(),
-		owned: map[int]*ownedShard{}, shardLoads: make([]shardLoad, cfg.Size), progressLayout: jobs.Layout{Chunk: jobs.ChunkTasks(cfg.ValueKB)}}
+		owned: map[int]*ownedShard{}, shardLoads: make([]shardLoad, cfg.Size)}
 	if c.cfg.ValueMax == 0 {
 		c.cfg.ValueMax = int(cfg.ValueKB * 1024)
 	}
-	c.progressLayout.Split = jobs.ChunkTasks(float64(c.cfg.ValueMax)/1024) < c.progressLayout.Chunk
+	layout := jobs.Layout{Chunk: jobs.ChunkTasks(cfg.ValueKB)}
+	layout.Split = jobs.ChunkTasks(float64(c.cfg.ValueMax)/1024) < layout.Chunk
+	c.jobs = registry.New(registry.Config{Layout: layout, TxnOps: cfg.TxnOps, OrphanAge: cfg.ArchiveSettleTime, Log: cfg.Log}, jobsHost{c})
 	for i := range cfg.Teams {
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -10,7 +10,7 @@
 // Explain says in a few lines why a job is where it is, for operators' logs
 // and for failed tests.
 func (c *Core) Explain(id string) string {
-	j := c.jobs[id]
+	j := c.jobs.Get(id)
 	if j == nil {
 		return id + ": not known"
 	}
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -201,7 +201,7 @@
 		return
 	}
 	a := c.standby.Receive(m, func(job string, task int) bool {
-		j := c.jobs[job]
+		j := c.jobs.Get(job)
 		return j == nil || !j.Active() || j.IsStored(task)
 	})
 	c.emit(SendPeer{from, a})
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -174,7 +174,7 @@
 func (c *Core) stopUnknown(shard *ownedShard, r *fleet.Heartbeat) []fleet.Command {
 	var out []fleet.Command
 	for _, t := range r.Tasks {
-		if j := c.jobs[t.ID.Job]; t.State != fleet.Exited && (j == nil || j.Record.Shard != shard.number) {
+		if j := c.jobs.Get(t.ID.Job); t.State != fleet.Exited && (j == nil || j.Record.Shard != shard.number) {
 			out = append(out, fleet.Command{Op: fleet.Stop, ID: t.ID, Attempt: t.Attempt})
 		}
 	}
@@ -220,7 +220,7 @@
 	var out []fleet.Command
 	for _, id := range m.TaskIDs() {
 		a := m.Tasks[id]
-		j := c.jobs[id.Job]
+		j := c.jobs.Get(id.Job)
 		if j == nil || !j.Active() || j.IsFinished(id.Task) || a.State == fleet.Saving {
 			continue
 		}
@@ -279,7 +279,7 @@
 
 // taskReported takes in a task that is on a machine, and reports whether it must stop.
 func (c *Core) taskReported(shard *ownedShard, m *fleet.Machine, t fleet.Task) bool {
-	j := c.jobs[t.ID.Job]
+	j := c.jobs.Get(t.ID.Job)
 	a, known := m.Tasks[t.ID]
 	if !known || a.Number != t.Attempt {
 		a = fleet.Attempt{Number: t.Attempt, Started: c.now, Adopted: true}
@@ -324,7 +324,7 @@
 // taskExited takes in a task that has exited, and reports whether its machine may
 // forget it. A finished task is kept there until it is stored that it is done.
 func (c *Core) taskExited(shard *ownedShard, m *fleet.Machine, t fleet.Task) bool {
-	j := c.jobs[t.ID.Job]
+	j := c.jobs.Get(t.ID.Job)
 	if a, ok := m.Tasks[t.ID]; ok && a.Number == t.Attempt && j != nil && j.Active() && !j.IsFinished(t.ID.Task) {
 		switch t.Cause {
 		case fleet.Failed:
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -34,7 +34,7 @@
 	var out []fleet.Command
 	roomy := 2*m.Used()[binpack.CPU] <= m.Type.Capacity[binpack.CPU]
 	for _, id := range m.TaskIDs() {
-		a, j := m.Tasks[id], c.jobs[id.Job]
+		a, j := m.Tasks[id], c.jobs.Get(id.Job)
 		if j == nil || !j.Active() || !isPreemptible(j) || !shard.demand.Idle(c.wall, j) || a.Ran(c.now) < vacateRun ||
 			!roomy && !c.expensive(m, j.Spec()) {
 			return nil
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -79,7 +79,7 @@
 	case strings.HasPrefix(e.Key, progressPrefix):
 		id, _, _ := strings.Cut(rest, "/")
 		s.done[id] = append(s.done[id], store.Event{Key: e.Key, Stamp: e.Stamp})
-		err = json.Unmarshal(e.Value, &finishedRecord{})
+		err = json.Unmarshal(e.Value, &jobs.Progress{})
 	case strings.HasPrefix(e.Key, machinePrefix):
 		s.groups = append(s.groups, e)
 	case strings.HasPrefix(e.Key, memberPrefix):
--- /dev/null
+++ b/internal/core/jobs.go
@@ -0,0 +1,83 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/demand"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/jobs/registry"
+	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// jobsHost is what the registry of jobs tells this controller, and asks of it.
+type jobsHost struct{ *Core }
+
+var _ registry.Host = jobsHost{}
+
+// Now implements registry.Host.
+func (c jobsHost) Now() units.Microseconds { return c.now }
+
+// WallClock implements registry.Host.
+func (c jobsHost) WallClock() units.Microseconds { return c.wall }
+
+// Objectives implements registry.Host.
+func (c jobsHost) Objectives() []demand.Objective { return c.cfg.Objectives }
+
+// JobRunnable implements registry.Host.
+func (c jobsHost) JobRunnable(job *jobs.Job) {
+	if shard := c.owned[job.Record.Shard]; shard != nil && shard.ready {
+		job.Reset()
+		shard.addJob(job)
+	}
+}
+
+// JobLeavesShard implements registry.Host.
+func (c jobsHost) JobLeavesShard(job *jobs.Job) {
+	if shard := c.owned[job.Record.Shard]; shard != nil {
+		shard.dropJob(job)
+	}
+}
+
+// JobCompleting implements registry.Host.
+func (c jobsHost) JobCompleting(job *jobs.Job, status jobs.Status) {
+	if shard := c.owned[job.Record.Shard]; shard != nil {
+		shard.jobOver(c.Core, job, status)
+	}
+}
+
+// JobOver implements registry.Host: the job is archived some day.
+func (c jobsHost) JobOver(id string) { c.archived.packer.JobOver(c.now, id) }
+
+// JobArchived implements registry.Host.
+func (c jobsHost) JobArchived(job *jobs.Job) {
+	c.archived.history.Packed(job.ID)
+	c.archived.history.Remember(job.ID, answerOf(job))
+	c.archived.packer.RecordRemoved(job.ID)
+}
+
+// CancellationLearnt implements registry.Host. What the copy of the state service's keys already had
+// is known to every controller that has read as far.
+func (c jobsHost) CancellationLearnt(record store.Event) {
+	if record.Stamp > c.cache.Revision {
+		c.cancellations.Note(record)
+	}
+}
+
+// collectOrphanedChunks has the owner of the first shard delete chunks of abandoned submissions.
+// Releases before 0.6 guard nothing, so that nothing is deleted beside one of them.
+func (c *Core) collectOrphanedChunks(shard *ownedShard) {
+	if shard.number != 0 || !shard.orphans.Due(c.now) || c.queues[ControlQueue].Len() > 0 || !c.allRunSince(releaseChunks) {
+		return
+	}
+	c.jobs.CollectOrphans(&shard.orphans, shardWriter{c, shard})
+}
+
+// shardWriter queues what garbage collection changes under a shard's assignment.
+type shardWriter struct {
+	core  *Core
+	shard *ownedShard
+}
+
+// Write implements registry.Writer.
+func (w shardWriter) Write(done func(store.Outcome), guarded []string, changes ...store.Change) {
+	w.core.shardWrite(w.shard, true, done, guarded, changes...)
+}
--- a/internal/core/jobs/progress.go
+++ b/internal/core/jobs/progress.go
@@ -73,6 +73,12 @@
 	return out
 }
 
+// Progress is the stored form of one record of finished tasks.
+type Progress struct {
+	Tasks   string `json:"tasks"`             // see Set.Ranges
+	Failing bool   `json:"failing,omitempty"` // of the first chunk: nothing has worked, on several machines
+}
+
 // LoadFinished reads a stored record of finished tasks, by its number.
 func (j *Job) LoadFinished(chunk int, l Layout, ranges string) error {
 	lo := chunk * l.Chunk
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -229,7 +229,7 @@
 		return false
 	}
 	machines, elsewhere := c.machines(), false
-	for _, j := range c.active {
+	for j := range c.jobs.Active() {
 		s := j.Spec()
 		if t := c.teams[s.Team]; t != nil {
 			d := s.Demand
@@ -445,7 +445,7 @@
 	}
 	c.shardLoadsAt = c.now + units.Second/4
 	c.shardLoads = make([]shardLoad, c.shardCount())
-	for _, j := range c.active {
+	for j := range c.jobs.Active() {
 		if k := j.Record.Shard; k < len(c.shardLoads) && j.OpenDependencies == 0 {
 			c.shardLoads[k].work += workOf(j)
 		}
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -3,11 +3,9 @@
 import (
 	"encoding/json"
 	"slices"
-	"strconv"
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
@@ -100,11 +98,11 @@
 	case e.Key == termKey:
 		err = c.election.LearnTerm(e)
 	case strings.HasPrefix(e.Key, jobPrefix):
-		err = c.learnJob(e.Key[len(jobPrefix):], e)
+		err = c.jobs.LearnRecord(e.Key[len(jobPrefix):], e)
 	case strings.HasPrefix(e.Key, chunkPrefix):
-		err = c.learnPart(e)
+		err = c.jobs.LearnChunk(e)
 	case strings.HasPrefix(e.Key, progressPrefix):
-		err = c.learnFinished(e.Key[len(progressPrefix):], e)
+		err = c.jobs.LearnProgress(e.Key[len(progressPrefix):], e)
 	case strings.HasPrefix(e.Key, machinePrefix):
 		err = c.learnMachines(e.Key, e)
 	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, kindPrefix):
@@ -115,98 +113,6 @@
 	}
 }
 
-func (c *Core) learnJob(id string, e store.Event) error {
-	if e.Value == nil {
-		if j := c.jobs[id]; j != nil {
-			c.jobArchived(j)
-		}
-		return nil
-	}
-	r, err := jobs.DecodeRecord(e.Value)
-	if err != nil {
-		return err
-	}
-	j := c.jobs[id]
-	if r.Parts > 0 && j == nil {
-		if complete, err := c.chunkStore.Join(id, &r, e); err != nil || !complete {
-			return err
-		}
-	}
-	c.chunkStore.Read(id)
-	if j == nil {
-		j = &jobs.Job{ID: id, Version: e.Stamp, Record: r}
-		c.jobs[id] = j
-		j.Clear()
-		if !r.Status.Final() {
-			c.active[id] = j
-			c.linkJob(j)
-		}
-	}
-	if r.Status == jobs.Cancelled && e.Stamp > c.cache.Revision {
-		c.cancellations.Note(e)
-	}
-	if r.Status.Final() {
-		if shard := c.owned[j.Record.Shard]; shard != nil && j.Active() {
-			shard.jobOver(c, j, r.Status)
-		}
-		j.Settle(r, e.Stamp)
-		j.CancelledBy = "" // its own record says so now, whoever has cleaned up
-		delete(c.pendingDeletion, id)
-		c.jobFinal(j)
-		return nil
-	}
-	j.Version = e.Stamp
-	if !j.Active() {
-		return nil // cancelled through another: whatever its record says
-	}
-	if r.Shard != j.Record.Shard {
-		if shard := c.owned[j.Record.Shard]; shard != nil {
-			shard.dropJob(j)
-		}
-		j.Record.Shard = r.Shard
-		j.Clear()
-		c.joinShard(j)
-	}
-	return nil
-}
-
-// joinShard gives a job to its block, if this node holds that.
-func (c *Core) joinShard(j *jobs.Job) {
-	if j.OpenDependencies == 0 {
-		c.runnable.Add(j)
-	}
-	if shard := c.owned[j.Record.Shard]; shard != nil && shard.ready && j.OpenDependencies == 0 {
-		j.Reset()
-		shard.addJob(j)
-	}
-}
-
-// finishedRecord is the stored form of one chunk of finished tasks.
-type finishedRecord struct {
-	Tasks   string `json:"tasks"`
-	Failing bool   `json:"failing,omitempty"` // of the first chunk: nothing has worked, on several machines
-}
-
-func (c *Core) learnFinished(key string, e store.Event) error {
-	id, num, ok := strings.Cut(key, "/")
-	j := c.jobs[id]
-	n, err := strconv.Atoi(num)
-	if e.Value == nil || j == nil || !j.Active() || !ok {
-		return nil
-	}
-	if err != nil || n < 0 || n > jobs.MaxTasks {
-		return err
-	}
-	var f finishedRecord
-	if err := json.Unmarshal(e.Value, &f); err != nil {
-		return err
-	}
-	if n == 0 {
-		j.Failing = f.Failing
-	}
-	return j.LoadFinished(n, c.progressLayout, f.Tasks)
-}
-
 func (c *Core) learnMachines(key string, e store.Event) error {
 	if old, ok := c.machineGroups[key]; ok {
 		delete(c.machineGroups, key)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -71,11 +71,11 @@
 	}
 	m.Drop(id)
 	shard.quota.Release(a.Team, a.Demand)
-	if j := c.jobs[id.Job]; j != nil {
+	if j := c.jobs.Get(id.Job); j != nil {
 		if p, ok := j.Place(id.Task); ok && p.Machine == m.Name && p.Attempt == a.Number {
 			before := j.Ready()
 			j.Release(id.Task)
-			c.dropArchived(j)
+			c.jobs.TaskGone(j)
 			shard.newWork = shard.newWork || j.Ready() > before
 		}
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -96,16 +96,16 @@
 	shard.replication.Close(c.now)
 	c.log.Info("block given up", "block", shard.number)
 	c.redirectPending(shard)
-	for _, j := range c.active {
+	for j := range c.jobs.Active() {
 		if j.Record.Shard == shard.number {
 			j.Clear()
 		}
 	}
 	for _, m := range shard.machines { // what runs there of jobs that are over is the next holder's to count
 		for id := range m.Tasks {
-			if j := c.jobs[id.Job]; j != nil && !j.Active() {
+			if j := c.jobs.Get(id.Job); j != nil && !j.Active() {
 				j.Release(id.Task)
-				c.dropArchived(j)
+				c.jobs.TaskGone(j)
 			}
 		}
 	}
--- a/internal/core/overdue_test.go
+++ b/internal/core/overdue_test.go
@@ -35,7 +35,7 @@
 	shard.quota.UnreconciledChanged()
 	m := shard.machines["n-1"]
 	m.Type = c.types["big"]
-	for _, j := range c.active {
+	for j := range c.jobs.Active() {
 		j.AwaitsReconciliation = false
 	}
 	// fill gives the machine work and returns how many tasks are of the large job.
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -103,7 +103,7 @@
 			c.OnChanges(c.now, w, store.OK, c.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pending(job()).Encode(), Stamp: c.cache.Revision + 1}}, false)
 		}
 	}
-	if r := serve(t, c, map[string]store.Event{})[5]; r.Code != http.StatusCreated || c.jobs["wk-000009"].OpenDependencies != 1 {
+	if r := serve(t, c, map[string]store.Event{})[5]; r.Code != http.StatusCreated || c.jobs.Get("wk-000009").OpenDependencies != 1 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -115,7 +115,7 @@
 		jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(job("wk-000001")), jobPrefix + "wk-000003": pending(job("wk-000002")),
 	})
 	keys := map[string]store.Event{}
-	first, second, third := c.jobs["wk-000001"], c.jobs["wk-000002"], c.jobs["wk-000003"]
+	first, second, third := c.jobs.Get("wk-000001"), c.jobs.Get("wk-000002"), c.jobs.Get("wk-000003")
 	c.finished(c.owned[0], first, 0)
 	if !first.AllFinished() || second.OpenDependencies != 1 || c.owned[0].active[second.ID] != nil {
 		t.Fatal("released before that is stored")
@@ -129,12 +129,12 @@
 	replies := serve(t, c, keys)
 	for _, id := range []string{"wk-000002", "wk-000003", "wk-000004"} {
 		var r jobs.Record
-		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || c.jobs[id].Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
-			t.Errorf("%s: %s, stored %s, %v", id, c.jobs[id].Record.Status, r.Status, err)
+		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || c.jobs.Get(id).Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
+			t.Errorf("%s: %s, stored %s, %v", id, c.jobs.Get(id).Record.Status, r.Status, err)
 		}
 	}
-	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || len(c.active) != 0 || len(c.pendingDeletion) != 0 {
-		t.Fatalf("%+v, %d active, untidy %v", replies, len(c.active), c.pendingDeletion)
+	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || c.jobs.ActiveLen() != 0 || c.jobs.GarbagePending() {
+		t.Fatalf("%+v, %d active, garbage pending %v", replies, c.jobs.ActiveLen(), c.jobs.GarbagePending())
 	}
 }
 
@@ -202,12 +202,12 @@
 		}
 	}
 	again := holding(t, all)
-	j := again.jobs["wk-900000"]
+	j := again.jobs.Get("wk-900000")
 	if j == nil || j.OpenDependencies != 1 || len(j.Spec().Awaits) != 2500 || j.Since != 1010*units.Second {
 		t.Fatalf("read anew: %+v", j)
 	}
 	delete(all, chunks.Key("wk-900000", j.Record.Sum, 1))
-	if j := holding(t, all).jobs["wk-900000"]; j != nil {
+	if j := holding(t, all).jobs.Get("wk-900000"); j != nil {
 		t.Fatal("a job whose awaited names cannot be read is taken for one that may start")
 	}
 	c.Abort(c.now, 6, "wk-000007")
@@ -217,8 +217,8 @@
 			t.Fatalf("%s is left", k)
 		}
 	}
-	if c.jobs["wk-900000"].Record.Status != jobs.Cancelled {
-		t.Fatal(c.jobs["wk-900000"].Record.Status)
+	if c.jobs.Get("wk-900000").Record.Status != jobs.Cancelled {
+		t.Fatal(c.jobs.Get("wk-900000").Record.Status)
 	}
 }
 
@@ -250,9 +250,9 @@
 		items = append(items, store.Event{Key: k, Value: store.Value(values[k]), Stamp: uint64(len(items) + 1)})
 	}
 	c.OnList(1, List{}, store.OK, 100, items, false)
-	j := c.jobs["wk-000412"]
+	j := c.jobs.Get("wk-000412")
 	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.OpenDependencies != 0 || j.Spec().Deadline != 900*units.Second ||
-		c.jobs["wk-000398"].Record.Status != jobs.Done || c.jobs["wk-000405"].Record.Demand[0] != 1000 ||
+		c.jobs.Get("wk-000398").Record.Status != jobs.Done || c.jobs.Get("wk-000405").Record.Demand[0] != 1000 ||
 		c.election.Record().Term != 3 || c.assignments[1].ReleasedBy != "stagehand-0" || c.allocations[0].fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
 		t.Fatalf("%+v", j)
 	}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	for id := range m.Tasks {
-		if j := c.jobs[id.Job]; j != nil && j.Active() && isPreemptible(j) {
+		if j := c.jobs.Get(id.Job); j != nil && j.Active() && isPreemptible(j) {
 			if out := c.preemptFor(shard, m, displaceAfter, isPreemptible); out != nil {
 				return out
 			}
@@ -65,7 +65,7 @@
 	yielding := true
 	for _, id := range m.TaskIDs() {
 		a := m.Tasks[id]
-		v := c.jobs[id.Job]
+		v := c.jobs.Get(id.Job)
 		if v == nil || !v.Active() || a.State == fleet.Saving || !may(v) || !c.mayPreempt(shard, j, v) {
 			continue
 		}
@@ -87,7 +87,7 @@
 			break
 		}
 		free = free.Add(v.a.Demand)
-		stops = append(stops, fleet.Command{Op: fleet.Stop, ID: v.id, Attempt: v.a.Number, Grace: c.jobs[v.id.Job].Spec().Save})
+		stops = append(stops, fleet.Command{Op: fleet.Stop, ID: v.id, Attempt: v.a.Number, Grace: c.jobs.Get(v.id.Job).Spec().Save})
 		for places < most && s.Demand.Fits(free) {
 			free = free.Sub(s.Demand)
 			places++
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -51,7 +51,7 @@
 	m.Failed[j.ID] = true
 	open := 0
 	for id := range m.Failed {
-		if x := c.jobs[id]; x != nil && x.Active() && !x.Worked && !x.FailsEverywhere() {
+		if x := c.jobs.Get(id); x != nil && x.Active() && !x.Worked && !x.FailsEverywhere() {
 			open++
 		}
 	}
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -71,7 +71,7 @@
 		shard.replication.Stop(c.now)
 		for _, id := range sortedKeys(shard.active) {
 			j := shard.active[id]
-			for lo := 0; lo < j.Record.Tasks && j.Finished() > 0; lo = c.progressLayout.Of(lo, j.Record.Tasks).Hi {
+			for lo := 0; lo < j.Record.Tasks && j.Finished() > 0; lo = c.jobs.Layout().Of(lo, j.Record.Tasks).Hi {
 				j.MarkDirty(lo)
 			}
 			if j.Finished() > 0 {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -10,6 +10,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/jobs/registry"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/provisioner"
 	"shalestage.example/shalestage/internal/core/quota"
@@ -68,8 +69,7 @@
 	nextSweepAt       units.Microseconds
 	nextMigrationAt   units.Microseconds
 	nextLogAt         units.Microseconds
-	orphanedJob       string                        // job whose parts are being cleared, as it has no record
-	nextOrphanAt      units.Microseconds            // when that goes on
+	orphans           registry.OrphanCollection     // chunks without a record, where the shard is the first
 	unknownMachines   map[string]units.Microseconds // unknown machines that report, since when
 }
 
@@ -130,8 +130,8 @@
 				c.newMachine(shard, name, key, g.Record(false), age)
 			}
 		}
-		for _, id := range sortedKeys(c.active) {
-			if j := c.active[id]; j.Record.Shard == shard.number && j.OpenDependencies == 0 {
+		for _, j := range c.jobs.ActiveByID() {
+			if j.Record.Shard == shard.number && j.OpenDependencies == 0 {
 				j.Reset()
 				shard.addJob(j)
 				// Whether any of its tasks were ever started only the last holder knew.
@@ -221,12 +221,11 @@
 	shard.orderStale = false
 	shard.queue.Settle()
 	// A guarantee covers the earliest of a team's jobs in all blocks.
-	all := &shard.queue.Order
-	if len(c.active) > len(shard.active) {
-		all = &c.runnable
-		all.Settle()
+	all := shard.queue.Jobs()
+	if c.jobs.ActiveLen() > len(shard.active) {
+		all = c.jobs.Runnable()
 	}
-	shard.rights = ranking.Weigh(shard.queue.Jobs(), all.Jobs(), quotaSource{c})
+	shard.rights = ranking.Weigh(shard.queue.Jobs(), all, quotaSource{c})
 	shard.capacity = binpack.Vec{}
 	for _, m := range shard.machines {
 		if m.Type != nil && !m.Deprovisioning {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -41,12 +41,12 @@
 	if code != 421 {
 		t.Fatalf("answered %d", code)
 	}
-	if j, m := c.jobs["wk-000001"], c.owned[0].machines["n-1"]; m != nil || j.Placed() != 0 {
+	if j, m := c.jobs.Get("wk-000001"), c.owned[0].machines["n-1"]; m != nil || j.Placed() != 0 {
 		t.Fatalf("machine %v, %d tasks placed", m, j.Placed())
 	}
 	// Without the check the task would wait for the lease of a machine that is gone.
 	c, code = reportOfReturned(t, guard.ReturnedMachine)
-	if j := c.jobs["wk-000001"]; code != 200 || j.Placed() != 1 {
+	if j := c.jobs.Get("wk-000001"); code != 200 || j.Placed() != 1 {
 		t.Errorf("with the check left out: answered %d, %d tasks placed", code, j.Placed())
 	}
 }
@@ -79,7 +79,7 @@
 		shard := c.owned[0]
 		r := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never}
 		c.Heartbeat(c.now, 9, &r)
-		j := c.jobs["wk-000001"]
+		j := c.jobs.Get("wk-000001")
 		if j.Placed() != 1 {
 			t.Fatalf("%d tasks are started", j.Placed())
 		}
@@ -307,7 +307,7 @@
 		{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a"}), Stamp: 1},
 		{Key: jobPrefix + "wk-000001", Value: store.Value(early), Stamp: 1},
 		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), Stamp: 2}}, false)
-	if c.jobs["wk-000001"].Active() || c.jobs["wk-000002"] == nil || c.owned[0] == nil {
+	if c.jobs.Get("wk-000001").Active() || c.jobs.Get("wk-000002") == nil || c.owned[0] == nil {
 		t.Fatal("what was lost is forgotten")
 	}
 	written, rev := map[string]uint64{}, uint64(108)
--- a/internal/core/shortfall_test.go
+++ b/internal/core/shortfall_test.go
@@ -29,7 +29,7 @@
 	}
 	shard := c.owned[0]
 	shard.machines["n-1"].Type = c.types["big"] // 16 CPUs: 12 for the one, 4 for the other
-	for _, j := range c.active {
+	for j := range c.jobs.Active() {
 		j.AwaitsReconciliation = false
 	}
 	first := func() string {
@@ -45,7 +45,7 @@
 		shard.quota.Charge(team, binpack.Vec{cpu, 0, 0})
 	}
 	c.wall += preemptAfter + units.Second
-	poor, rich := c.jobs["wk-000002"], c.jobs["wk-000001"]
+	poor, rich := c.jobs.Get("wk-000002"), c.jobs.Get("wk-000001")
 	for k, want := range []int64{0, 4000, 8000} {
 		setUsage("poor", want)
 		setUsage("rich", 12_000)
--- a/internal/core/storing.go
+++ b/internal/core/storing.go
@@ -104,7 +104,7 @@
 // first, and what is only cleaned up.
 func (c *Core) writePending(shard *ownedShard) {
 	c.collectOrphanedChunks(shard)
-	tidies := shard.number == 0 && len(c.pendingDeletion) > 0
+	tidies := shard.number == 0 && c.jobs.GarbagePending()
 	if c.now < shard.nextWritesAt || len(shard.changedGroups) == 0 && len(shard.unstoredJobs) == 0 && !tidies {
 		return
 	}
@@ -141,13 +141,13 @@
 		c.writeGroup(shard, g)
 	}
 	if tidies {
-		c.collectGarbage(shard, room)
+		c.jobs.CollectGarbage(room, shardWriter{c, shard})
 	}
 }
 
 // finished notes that a task is done.
 func (c *Core) finished(shard *ownedShard, j *jobs.Job, task int) {
-	j.Finish(task, c.progressLayout)
+	j.Finish(task, c.jobs.Layout())
 	shard.replication.TaskDone(j.ID, task)
 	if j.AllFinished() {
 		c.closeJob(shard, j) // users wait for it
@@ -168,7 +168,7 @@
 // It covers all that is finished now; what is added before it is sent goes into
 // the next one.
 func (c *Core) writeFinished(shard *ownedShard, j *jobs.Job, lo int) {
-	p := c.progressLayout.Of(lo, j.Record.Tasks)
+	p := c.jobs.Layout().Of(lo, j.Record.Tasks)
 	k := progressKey(j.ID, p.Name)
 	// The job's record is guarded as well: once that is final, the others are gone.
 	guarded := []string{k, jobPrefix + j.ID}
@@ -177,7 +177,7 @@
 			j.MarkDirty(lo)
 			c.markDirty(shard, j)
 		}
-	}, guarded, store.Change{Key: k, Value: store.Value(finishedRecord{j.FinishedIn(p), p.Base == 0 && j.FailsEverywhere()})})
+	}, guarded, store.Change{Key: k, Value: store.Value(jobs.Progress{Tasks: j.FinishedIn(p), Failing: p.Base == 0 && j.FailsEverywhere()})})
 }
 
 // closeJob stores that a job is done, and drops its records of finished tasks.
@@ -188,14 +188,14 @@
 	key := jobPrefix + j.ID
 	rec := jobs.Record{Status: jobs.Done, Tasks: j.Record.Tasks, FinishedAt: c.wall}
 	changes := []store.Change{{Key: key, Value: rec.Encode()}}
-	for _, name := range c.progressLayout.Names(j.Record.Tasks) {
+	for _, name := range c.jobs.Layout().Names(j.Record.Tasks) {
 		if k := progressKey(j.ID, name); c.cache.Version(k) != 0 && len(changes) < c.cfg.TxnOps {
 			changes = append(changes, store.Change{Key: k})
 		}
 	}
 	j.Closing = true
 	w := c.guardedWrite(shard, []string{key}, changes)
-	w.First = c.dependencies.Awaited(j.ID) // others wait for that to be stored
+	w.First = c.jobs.Awaited(j.ID) // others wait for that to be stored
 	w.Done = func(store.Outcome, uint64) { j.Closing = false }
 	c.queues[ControlQueue].Add(w)
 }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -45,7 +45,7 @@
 // its state.
 func (c *Core) Submit(now units.Microseconds, req RequestID, id string, spec *jobs.Spec, bad string) {
 	c.advance(now)
-	if j := c.jobs[id]; j != nil {
+	if j := c.jobs.Get(id); j != nil {
 		c.Query(now, req, id)
 		return
 	}
@@ -60,7 +60,7 @@
 // copy is newer than the submission.
 func (c *Core) admit(n submission, fresh bool) {
 	c.resolveArchived(n, func(n submission, ok bool) {
-		j := c.jobs[n.id]
+		j := c.jobs.Get(n.id)
 		old, packed := c.archived.history.Known(n.id)
 		why := ""
 		switch {
@@ -142,7 +142,7 @@
 func (c *Core) SetFull(full bool) {
 	if full != c.memoryFull {
 		c.memoryFull = full
-		c.log.Warn("memory", "nearly_full", full, "jobs", len(c.jobs))
+		c.log.Warn("memory", "nearly_full", full, "jobs", c.jobs.Len())
 	}
 }
 
@@ -253,7 +253,7 @@
 			c.store(n)
 		case o == store.OK:
 			status := n.record.Status
-			if j := c.jobs[n.id]; j != nil && !j.Active() {
+			if j := c.jobs.Get(n.id); j != nil && !j.Active() {
 				status = j.Record.Status // it awaits a cancelled one
 			}
 			c.reply(n.req, http.StatusCreated, JobAnswer{ID: n.id, Status: status})
@@ -289,7 +289,7 @@
 // any other must be at least as new as the poll.
 func (c *Core) Query(now units.Microseconds, req RequestID, id string) {
 	c.advance(now)
-	if j := c.jobs[id]; j != nil && !j.Active() {
+	if j := c.jobs.Get(id); j != nil && !j.Active() {
 		c.answer(req, http.StatusOK, j, true)
 		return
 	}
@@ -302,7 +302,7 @@
 		return
 	}
 	c.readBeforeAnswer(func(ok bool) {
-		j := c.jobs[id]
+		j := c.jobs.Get(id)
 		switch {
 		case !ok:
 			c.forward(req, AskQuery, id, nil, "")
@@ -326,7 +326,7 @@
 // Abort cancels a job and answers once that is stored.
 func (c *Core) Abort(now units.Microseconds, req RequestID, id string) {
 	c.advance(now)
-	j := c.jobs[id]
+	j := c.jobs.Get(id)
 	if (j == nil || j.Active()) && c.shouldForward(req) {
 		c.forward(req, AskAbort, id, nil, "")
 		return
@@ -336,7 +336,7 @@
 			switch {
 			case !ok:
 				c.forward(req, AskAbort, id, nil, "")
-			case c.jobs[id] == nil:
+			case c.jobs.Get(id) == nil:
 				c.findArchived(req, id, false)
 			default:
 				c.Abort(c.now, req, id)
@@ -374,3 +374,18 @@
 		c.unavailable(req, "too many requests")
 	}
 }
+
+// unmetDependency says why a job cannot wait for those that it awaits, or "": one is not
+// known, or never ends.
+func (c *Core) unmetDependency(s *jobs.Spec, absent map[string]bool) string {
+	for _, id := range s.Awaits {
+		switch j := c.jobs.Get(id); {
+		case j == nil && c.archived.history.On() && !absent[id]: // packed, or to be looked up again
+		case j == nil:
+			return "awaits " + id + ", which was never accepted"
+		case j.Active() && j.Spec().Service:
+			return "awaits " + id + ", a service, which is never done"
+		}
+	}
+	return ""
+}
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -55,8 +55,8 @@
 		m.Type, m.LastSeen = f.c.types["big"], f.c.now
 		f.bl.reconciled(f.c, m)
 	}
-	for len(f.c.active) < waiting+machines { // so many are about to run
-		f.submit(f.jobs%2 == 0 || len(f.c.active) > waiting)
+	for f.c.jobs.ActiveLen() < waiting+machines { // so many are about to run
+		f.submit(f.jobs%2 == 0 || f.c.jobs.ActiveLen() > waiting)
 	}
 	for range machines {
 		f.report()
@@ -88,8 +88,8 @@
 	m.LastSeen = c.now
 	if tasks := m.TaskIDs(); len(tasks) > 0 {
 		id := tasks[f.reports%len(tasks)]
-		j := c.jobs[id.Job]
-		j.Finish(id.Task, c.progressLayout)
+		j := c.jobs.Get(id.Job)
+		j.Finish(id.Task, c.jobs.Layout())
 		c.taskRemoved(shard, m, id)
 		if j.AllFinished() {
 			c.learn(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
