--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -128,7 +128,7 @@
 	}
 	// A cancelled job's finished tasks are still stored.
 	for _, name := range c.jobs.Layout().Names(j.Record.Tasks) {
-		if k := progressKey(id, name); c.cache.Version(k) != 0 {
+		if k := keys.Progress(id, name); c.cache.Version(k) != 0 {
 			out.Clear = append(out.Clear, k)
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -261,7 +261,7 @@
 			c.answerPending(shard)
 		}
 		shard.replication.Tick(c.now, len(shard.unreconciled) == 0)
-		c.writePending(shard)
+		shard.writer.Flush()
 	}
 	for id, l := range c.queues {
 		if t := l.Next(c.now); t != nil {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -141,7 +141,7 @@
 	for _, d := range p.done {
 		for _, t := range d.Tasks {
 			if j := shard.active[d.Job]; j != nil && t >= 0 && t < j.Record.Tasks && !j.IsFinished(t) {
-				c.finished(shard, j, t)
+				shard.writer.TaskFinished(j, t)
 			}
 		}
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -40,7 +40,7 @@
 	if m.LastSeen == 0 {
 		m.IdleSince = now
 		if !m.Record.Up {
-			c.storeGroup(shard, m.Group, true)
+			shard.writer.StoreGroup(m.Group, true)
 		}
 		c.log.Info("machine up", "machine", m.Name, "type", r.Type, "spot", r.Spot, "after_s", (now - m.ProvisionedAt).Seconds())
 	}
@@ -360,7 +360,7 @@
 			j.Ran(took)
 		}
 		m.UseImage(j.Spec().Image)
-		c.finished(shard, j, t.ID.Task)
+		shard.writer.TaskFinished(j, t.ID.Task)
 	}
 	return false
 }
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -61,7 +61,7 @@
 			t.newMachine(t.bl, n, key, r, 0)
 		}
 	}
-	t.storeGroup(t.bl, key, true)
+	t.bl.writer.StoreGroup(key, true)
 }
 
 // Deprovisioned implements renting.Host.
@@ -71,13 +71,13 @@
 	}
 	t.bl.reconciled(t.Core, m)
 	delete(t.bl.machines, m.Name)
-	t.storeGroup(t.bl, m.Group, false)
+	t.bl.writer.StoreGroup(m.Group, false)
 }
 
 // Adopt implements renting.Host.
 func (t shardHost) Adopt(h ListedMachine) {
 	m := t.newMachine(t.bl, h.Name, orphanKey(h.Name), h.Record, h.Age)
-	t.storeGroup(t.bl, m.Group, false)
+	t.bl.writer.StoreGroup(m.Group, false)
 }
 
 // InAnotherShard implements renting.Host.
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -61,23 +61,3 @@
 		c.cancellations.Note(record)
 	}
 }
-
-// collectOrphanedChunks has the owner of the first shard delete chunks of abandoned submissions.
-// Releases before 0.6 guard nothing, so that nothing is deleted beside one of them.
-func (c *Core) collectOrphanedChunks(shard *ownedShard) {
-	if shard.number != 0 || !shard.orphans.Due(c.now) || c.queues[ControlQueue].Len() > 0 || !c.allRunSince(releaseChunks) {
-		return
-	}
-	c.jobs.CollectOrphans(&shard.orphans, shardWriter{c, shard})
-}
-
-// shardWriter queues what garbage collection changes under a shard's assignment.
-type shardWriter struct {
-	core  *Core
-	shard *ownedShard
-}
-
-// Write implements registry.Writer.
-func (w shardWriter) Write(done func(store.Outcome), guarded []string, changes ...store.Change) {
-	w.core.shardWrite(w.shard, true, done, guarded, changes...)
-}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -14,12 +14,7 @@
 	m := fleet.New(name, r, c.types[r.Type], c.now)
 	m.Group, m.ProvisionedAt = key, c.now-age
 	shard.machines[name] = m
-	g := shard.machineGroups[key]
-	if g == nil {
-		g = &machineGroup{key: key, kind: fleet.Group{Shard: shard.number, Type: r.Type, Zone: r.Zone, Spot: r.Spot, ProvisionedAt: c.wall - age}}
-		shard.machineGroups[key] = g
-	}
-	g.members = append(g.members, name)
+	shard.writer.AddMachine(key, name, fleet.Group{Shard: shard.number, Type: r.Type, Zone: r.Zone, Spot: r.Spot, ProvisionedAt: c.wall - age})
 	return m
 }
 
@@ -42,7 +37,7 @@
 	shard.reconciled(c, m)
 	if k, known := c.machineShard[m.Name]; known && k != shard.number {
 		delete(shard.machines, m.Name) // adopted before another block's record of it was known
-		c.storeGroup(shard, m.Group, false)
+		shard.writer.StoreGroup(m.Group, false)
 	}
 }
 
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -116,7 +116,7 @@
 	})
 	keys := map[string]store.Event{}
 	first, second, third := c.jobs.Get("wk-000001"), c.jobs.Get("wk-000002"), c.jobs.Get("wk-000003")
-	c.finished(c.owned[0], first, 0)
+	c.owned[0].writer.TaskFinished(first, 0)
 	if !first.AllFinished() || second.OpenDependencies != 1 || c.owned[0].active[second.ID] != nil {
 		t.Fatal("released before that is stored")
 	}
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -100,7 +100,7 @@
 // everywhere: the next holder need not find out by hundreds of tasks.
 func (c *Core) storeVerdict(shard *ownedShard, j *jobs.Job) {
 	j.MarkDirty(0)
-	c.markDirty(shard, j)
+	shard.writer.StoreProgress(j)
 }
 
 // trials is how many tasks of a suspect job may start on a machine.
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -70,17 +70,9 @@
 		shard := c.owned[k]
 		shard.replication.Stop(c.now)
 		for _, id := range sortedKeys(shard.active) {
-			j := shard.active[id]
-			for lo := 0; lo < j.Record.Tasks && j.Finished() > 0; lo = c.jobs.Layout().Of(lo, j.Record.Tasks).Hi {
-				j.MarkDirty(lo)
-			}
-			if j.Finished() > 0 {
-				c.markDirty(shard, j)
-			}
-		}
-		for _, key := range sortedKeys(shard.machineGroups) {
-			c.storeGroup(shard, key, true)
+			shard.writer.StoreProgressAgain(shard.active[id])
 		}
+		shard.writer.StoreAllGroups()
 	}
 }
 
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -10,12 +10,13 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
-	"shalestage.example/shalestage/internal/core/jobs/registry"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/provisioner"
 	"shalestage.example/shalestage/internal/core/quota"
 	"shalestage.example/shalestage/internal/core/ranking"
 	"shalestage.example/shalestage/internal/core/replication"
+	"shalestage.example/shalestage/internal/core/shardstore"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -23,20 +24,19 @@
 // ownedShard is what a controller knows and does while it holds a block: machines,
 // the jobs that run on them, and a share of the teams' limits.
 type ownedShard struct {
-	number         int
-	assignment     uint64 // version of the block's record; guards every write
-	fencingToken   uint64
-	ready          bool // the picture is complete enough to answer reports
-	releasing      bool // being given up: nothing is answered any more
-	storingRelease bool // and that is being stored
-	ownedSince     units.Microseconds
-	attempts       uint64
+	number       int
+	assignment   uint64 // version of the block's record; guards every write
+	fencingToken uint64
+	ready        bool // the picture is complete enough to answer reports
+	releasing    bool // being given up: nothing is answered any more
+	ownedSince   units.Microseconds
+	attempts     uint64
+
+	writer *shardstore.Writer // what is to be stored of it
 
 	machines       map[string]*fleet.Machine
-	machineGroups  map[string]*machineGroup // stored machines, by key
-	changedGroups  []*machineGroup          // to be stored
-	unreconciled   map[string]bool          // machines on which earlier holders' tasks may run
-	probeQueue     []string                 // those that are to be asked directly
+	unreconciled   map[string]bool // machines on which earlier holders' tasks may run
+	probeQueue     []string        // those that are to be asked directly
 	nextProbeAt    units.Microseconds
 	probesInFlight int // requests under way
 	active         map[string]*jobs.Job
@@ -53,8 +53,6 @@
 	rankedAt       units.Microseconds
 	viewed         []*jobs.Job // for one machine, kept for their memory
 	views          []binpack.Job
-	nextWritesAt   units.Microseconds // when late writes are next made
-	unstoredJobs   []*jobs.Job        // with finished tasks to be stored, the longest first
 
 	demand            *demand.Estimator
 	provisioner       *provisioner.Provisioner
@@ -69,7 +67,6 @@
 	nextSweepAt       units.Microseconds
 	nextMigrationAt   units.Microseconds
 	nextLogAt         units.Microseconds
-	orphans           registry.OrphanCollection     // chunks without a record, where the shard is the first
 	unknownMachines   map[string]units.Microseconds // unknown machines that report, since when
 }
 
@@ -79,13 +76,14 @@
 // after the grant was stored has shown everything that earlier holders stored.
 func (c *Core) own(k int, g shardAssignment) {
 	shard := &ownedShard{number: k, assignment: g.version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
-		machines: map[string]*fleet.Machine{}, machineGroups: map[string]*machineGroup{},
+		machines:     map[string]*fleet.Machine{},
 		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), preempted: map[string]preemption{}, unknownMachines: map[string]units.Microseconds{}}
 	host := shardHost{c, shard}
 	shard.quota = quota.New(quotaHost{c, shard})
 	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: adoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
 	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, host, shard.provisioner, c.zones)
+	shard.writer = c.newShardWriter(shard)
 	shard.replication = replication.NewPrimary(k, shard.fencingToken, replicationHost{c, shard})
 	c.owned[k] = shard
 	c.reachability.ShardAcquired()
@@ -159,16 +157,12 @@
 }
 
 func (c *Core) storeRelease(shard *ownedShard) {
-	g := c.assignments[shard.number]
-	if shard.storingRelease || g.version != shard.assignment {
+	current := c.assignments[shard.number]
+	if current.version != shard.assignment {
 		return
 	}
-	shard.storingRelease = true
-	c.queues[ControlQueue].Add(&store.Write{
-		Guards:  []store.Guard{{Key: assignmentKey(shard.number), Version: shard.assignment}},
-		Changes: []store.Change{{Key: assignmentKey(shard.number), Value: store.Value(authority.Assignment{Term: g.Term, Number: g.Number, ReleasedBy: c.cfg.Node})}},
-		Done:    func(store.Outcome, uint64) { shard.storingRelease = false }, // tried again until it is known to be so
-	})
+	released := authority.Assignment{Term: current.Term, Number: current.Number, ReleasedBy: c.cfg.Node}
+	shard.writer.StoreRelease(store.Change{Key: keys.Assignment(shard.number), Value: store.Value(released)})
 }
 
 // leaseBound is the time after which tasks of a machine that gets no answer
@@ -284,7 +278,7 @@
 			if j.AllFinished() && c.guarded(guard.CloseAgain) {
 				// Not only when its last task ends: an earlier holder may have
 				// stored that and ended before it could store the job's end.
-				c.closeJob(shard, j)
+				shard.writer.CloseJob(j)
 			}
 		}
 	}
