--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -99,7 +99,7 @@
 	c.cfg.Objectives = content.Objectives
 	for _, shard := range c.owned {
 		shard.demand.SetObjectives(content.Objectives)
-		shard.nextSortAt, shard.newWork = 0, true // a limit that rose is used at once
+		shard.scheduler.Reconfigured()
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -256,7 +256,7 @@
 		if !c.Owns(c.now, k) {
 			continue
 		}
-		if c.reorderDue(shard) || c.now >= shard.pendingCheckedAt {
+		if shard.scheduler.RankDue() || c.now >= shard.pendingCheckedAt {
 			shard.pendingCheckedAt = c.now + units.Second/20
 			c.answerPending(shard)
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -1,19 +1,14 @@
 package core
 
 import (
-	"math"
 	"net/http"
 	"slices"
 	"sort"
 
-	"shalestage.example/shalestage/internal/core/authority"
-	"shalestage.example/shalestage/internal/core/binpack"
-	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
-	"shalestage.example/shalestage/internal/core/liveness"
-	"shalestage.example/shalestage/internal/core/ranking"
+	"shalestage.example/shalestage/internal/core/scheduler"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
@@ -64,10 +59,10 @@
 		if m.Notice != units.Never {
 			orders.Commands = append(orders.Commands, c.evictBeforeNotice(shard, m)...)
 		} else if m.Schedulable() {
-			orders.Commands = append(orders.Commands, c.fill(shard, m)...)
-			orders.Commands = append(orders.Commands, c.preempt(shard, m)...)
+			orders.Commands = append(orders.Commands, shard.scheduler.Fill(m)...)
+			orders.Commands = append(orders.Commands, shard.scheduler.Preempt(m)...)
 			if len(orders.Commands) == 0 {
-				orders.Commands = c.evictIdle(shard, m)
+				orders.Commands = shard.scheduler.EvictIdle(m)
 			}
 			if len(m.Tasks) == 0 && len(r.Tasks) == 0 && len(orders.Commands) == 0 && len(shard.pendingHeartbeats) < maxPendingHeartbeats {
 				shard.pendingHeartbeats = append(shard.pendingHeartbeats, pendingHeartbeat{req, m, now + pendingTime})
@@ -78,7 +73,7 @@
 		orders.Commands = c.stopUnknown(shard, r)
 		if m.Transferred && m.Schedulable() && m.Notice == units.Never {
 			// What may be on it is known without its word, from who has held it last.
-			orders.Commands = append(orders.Commands, c.fill(shard, m)...)
+			orders.Commands = append(orders.Commands, shard.scheduler.Fill(m)...)
 		}
 	}
 	c.answerHeartbeat(shard, m, req, orders)
@@ -187,21 +182,17 @@
 	if len(shard.pendingHeartbeats) == 0 {
 		return
 	}
-	if shard.newWork && c.now >= shard.rankedAt+shard.queue.Gap() {
-		c.rank(shard)
-	}
-	fresh := shard.pendingStale && len(shard.queue.Ranked()) > 0
-	shard.pendingStale = false
-	if fresh {
+	offer := shard.scheduler.OfferIdle()
+	if offer {
 		sort.SliceStable(shard.pendingHeartbeats, func(a, b int) bool {
-			return preferred(shard.pendingHeartbeats[a].machine, shard.pendingHeartbeats[b].machine)
+			return scheduler.Preferred(shard.pendingHeartbeats[a].machine, shard.pendingHeartbeats[b].machine)
 		})
 	}
 	kept := shard.pendingHeartbeats[:0]
 	for _, h := range shard.pendingHeartbeats {
 		var cmds []fleet.Command
-		if fresh && h.machine.Schedulable() {
-			cmds = c.fill(shard, h.machine)
+		if offer && h.machine.Schedulable() {
+			cmds = shard.scheduler.Fill(h.machine)
 		}
 		if len(cmds) == 0 && c.now < h.until {
 			kept = append(kept, h)
@@ -328,7 +319,7 @@
 	if a, ok := m.Tasks[t.ID]; ok && a.Number == t.Attempt && j != nil && j.Active() && !j.IsFinished(t.ID.Task) {
 		switch t.Cause {
 		case fleet.Failed:
-			c.taskFailed(shard, m, j, a)
+			shard.attribution.TaskFailed(m, j, a)
 		case fleet.Unknown, fleet.NoCapacity, fleet.Busy:
 			c.log.Warn("start refused", "task", t.ID.String(), "machine", m.Name, "cause", int(t.Cause))
 			j.NotBefore = max(j.NotBefore, c.now+units.Second)
@@ -346,7 +337,7 @@
 			m.Failed, m.Quarantined = nil, false // what it started since then works
 		}
 		if j.Suspect() {
-			c.exonerate(shard, j)
+			shard.attribution.JobWorks(j)
 		}
 		// What an earlier holder started seems to have run for a shorter time than
 		// it has. Counted, it made the others of its job look slow, and their
@@ -364,224 +355,3 @@
 	}
 	return false
 }
-
-// maxViews bounds the jobs that are weighed for one machine. They are those
-// furthest from fair share in the highest tiers, of those that fit.
-const maxViews = 64
-
-// rankEvery is how often the order of jobs and the machines with free room are
-// looked at anew: a report looks only at the first few of each.
-const rankEvery = units.Second / 4
-
-// rankGap is the least time between, when tasks have become ready. Both are longer where there
-// are so many jobs that rankings would take more and more of the processor.
-const rankGap = units.Second / 40
-
-// rankDue reports whether jobs should be ranked anew.
-func (c *Core) rankDue(shard *ownedShard) bool {
-	return c.now >= shard.rankedAt+max(rankEvery, shard.queue.Gap()) || c.reorderDue(shard)
-}
-
-// reorderDue reports whether tasks have become ready that the ranking should have soon.
-func (c *Core) reorderDue(shard *ownedShard) bool {
-	return shard.newWork && c.now >= shard.rankedAt+max(rankGap, shard.queue.Gap())
-}
-
-// rank orders the jobs that have ready tasks by tier and distance from fair
-// share, and the machines that have free room by preference.
-func (c *Core) rank(shard *ownedShard) {
-	shard.rankedAt = c.now
-	shard.pendingStale = shard.pendingStale || shard.newWork
-	shard.newWork = false
-	if shard.orderStale || shard.rights.Within == nil {
-		c.sortJobs(shard)
-	}
-	shard.queue.Begin()
-	shard.reserved = map[string]binpack.Vec{}
-	shard.withHeadroom, shard.readyTasks, shard.finishRate = shard.withHeadroom[:0], 0, 0
-	for _, j := range shard.queue.Jobs() {
-		s := j.Spec()
-		if s == nil {
-			continue
-		}
-		if run := shard.demand.Runtime(s).Seconds(); run > 0 {
-			shard.finishRate += float64(j.Placed()) / run
-		}
-		if j.Ready() > 0 && c.startable(shard, j) {
-			shard.readyTasks += j.Trials()
-			if _, promised := shard.reserved[s.Team]; !promised && c.reservesQuota(j) {
-				shard.reserved[s.Team] = s.Demand
-			}
-			tier := c.tier(shard, j)*(demand.Urgencies+1) + c.urgency(shard, j)
-			shard.queue.Propose(ranking.Candidate{Job: j, Tier: tier, Deficit: c.deficit(shard, j)})
-		}
-	}
-	shard.queue.Finish()
-	if len(shard.queue.Ranked()) == 0 {
-		return
-	}
-	for _, m := range shard.machines {
-		if m.Schedulable() && m.Notice == units.Never && c.zones.Reachable(m.Record.Zone) && c.now-m.LastSeen <= liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval) && m.Free()[binpack.CPU] > 0 {
-			shard.withHeadroom = append(shard.withHeadroom, m)
-		}
-	}
-	sort.Slice(shard.withHeadroom, func(a, b int) bool { return preferred(shard.withHeadroom[a], shard.withHeadroom[b]) })
-}
-
-// startable reports whether a job's ready tasks may start in a block at present.
-func (c *Core) startable(shard *ownedShard, j *jobs.Job) bool {
-	return j.Record.Shard == shard.number && !j.AwaitsReconciliation && !j.Migrating && c.now >= j.NotBefore
-}
-
-// deficit is how far a job is from its fair share.
-func (c *Core) deficit(shard *ownedShard, j *jobs.Job) float64 {
-	s := j.Spec()
-	return shard.rights.Share[s.Team] - binpack.Dominant(shard.capacity, s.Demand)*float64(j.Placed())
-}
-
-// fill starts tasks on a machine that has reported free room.
-func (c *Core) fill(shard *ownedShard, m *fleet.Machine) []fleet.Command {
-	if c.rankDue(shard) {
-		c.rank(shard)
-	}
-	if len(shard.queue.Ranked()) == 0 || c.zones.DeclaredLost(m.Record.Zone) {
-		return nil
-	}
-	free := m.Free()
-	elsewhere := shard.preferredHeadroom(c, m)
-	candidates, views := shard.viewed[:0], shard.views[:0]
-	suits := func(s *jobs.Spec) bool {
-		return s.Demand.Fits(free) && s.Allows(m.Record.Type, m.Record.Zone, m.Record.Spot)
-	}
-	shard.queue.Each(suits, func(cand ranking.Candidate, alike int) bool {
-		j := cand.Job
-		s := j.Spec()
-		if s == nil || j.Ready() == 0 || !c.startable(shard, j) {
-			return true
-		}
-		if m.Spare != 0 && shard.demand.Idle(c.wall, j) {
-			return true // the machine would be kept for that alone
-		}
-		pending := j.Ready() - elsewhere.take(j, alike)
-		if j.Suspect() {
-			pending = c.trials(m, j)
-		}
-		if c.overdue(j) {
-			pending = min(pending, 1) // the others have no more right than before
-		}
-		if pending <= 0 {
-			return true
-		}
-		constrained := 0
-		if !m.Record.Spot && !s.Spot {
-			constrained = 1 // it can go nowhere else, other work can
-		}
-		views = append(views, binpack.Job{
-			Demand:   s.Demand,
-			Pending:  pending,
-			Work:     float64(j.Record.Tasks-j.Finished()) * shard.demand.Runtime(s).Seconds(),
-			Deficit:  c.deficit(shard, j),
-			Tier:     2*cand.Tier + constrained,
-			Cached:   m.HasImage(s.Image),
-			Deferred: j.Suspect(),
-		})
-		candidates = append(candidates, j)
-		return len(candidates) < maxViews
-	})
-	shard.viewed, shard.views = candidates, views
-	var out []fleet.Command
-	binpack.Fill(m.Type.Capacity, free, views, c.cfg.Pack, func(i int) bool {
-		j := candidates[i]
-		s := j.Spec()
-		if len(out) == MaxStarts || m.Listed+len(out) >= MaxListed || !shard.quota.Allows(s.Team, c.limitNeed(shard, j)) || !j.ZoneAllows(m.Record.Zone) && c.guarded(guard.ZoneOfJob) {
-			return false
-		}
-		if c.overdue(j) {
-			delete(shard.reserved, s.Team)
-		}
-		shard.attempts++
-		n := authority.AttemptNumber(shard.fencingToken, shard.attempts)
-		id := jobs.TaskID{Job: j.ID, Task: j.Take(jobs.Place{Machine: m.Name, Attempt: n, Zone: m.Record.Zone})}
-		c.taskPlaced(shard, m, id, fleet.Attempt{Number: n, Team: s.Team, Demand: s.Demand, Started: c.now})
-		out = append(out, fleet.Command{Op: fleet.Start, ID: id, Attempt: n})
-		return true
-	})
-	return out
-}
-
-// headroom is free room on machines that are preferred to the one at hand.
-type headroom struct {
-	machines []*fleet.Machine
-	free     []binpack.Vec
-	full     map[int]bool // for which tasks nothing is left: it only shrinks
-}
-
-// preferredHeadroom finds the free room that preferred machines are about to
-// report. Work that fits there waits for it, so that the others run empty and
-// can be returned.
-func (shard *ownedShard) preferredHeadroom(c *Core, m *fleet.Machine) *headroom {
-	r := &headroom{}
-	for _, x := range shard.withHeadroom {
-		if !preferred(x, m) || len(r.machines) == maxPreferred {
-			break
-		}
-		if x == m || !x.Schedulable() || x.Notice != units.Never {
-			continue
-		}
-		if f := x.Free(); f[binpack.CPU] > 0 {
-			r.machines = append(r.machines, x)
-			r.free = append(r.free, f)
-		}
-	}
-	return r
-}
-
-// maxPreferred bounds the machines that are looked at for room elsewhere.
-const maxPreferred = 48
-
-// preferred reports whether work should rather go to x than to m: to the
-// cheaper machine, else to the smaller one, which runs empty sooner, else to
-// the older one, so that room gathers on the youngest.
-func preferred(x, m *fleet.Machine) bool {
-	if a, b := costClass(x), costClass(m); a != b {
-		return a < b
-	}
-	if a, b := x.Type.Capacity[binpack.CPU], m.Type.Capacity[binpack.CPU]; a != b {
-		return a < b
-	}
-	return x.Name < m.Name
-}
-
-// take sets room aside for a job's ready tasks, and returns for how many. Jobs that are alike
-// in what machines can take their tasks have the same number.
-func (r *headroom) take(j *jobs.Job, alike int) int {
-	if r.full[alike] {
-		return 0
-	}
-	s := j.Spec()
-	left := j.Ready()
-	for i, x := range r.machines {
-		if !s.Allows(x.Record.Type, x.Record.Zone, x.Record.Spot) {
-			continue
-		}
-		for left > 0 && s.Demand.Fits(r.free[i]) {
-			r.free[i] = r.free[i].Sub(s.Demand)
-			left--
-		}
-	}
-	if left > 0 {
-		if r.full == nil {
-			r.full = map[int]bool{}
-		}
-		r.full[alike] = true
-	}
-	return j.Ready() - left
-}
-
-// costClass is what a machine costs by CPU, in steps of about a tenth.
-func costClass(m *fleet.Machine) int {
-	if m.Type == nil || m.Type.Capacity[binpack.CPU] == 0 {
-		return 0
-	}
-	return int(math.Round(10 * math.Log(m.Type.Rate(m.Record.Spot)/float64(m.Type.Capacity[binpack.CPU]))))
-}
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -44,7 +44,7 @@
 			return nil, false
 		}
 	}
-	return t.bl.demand.SlotsNeeded(t.now, t.wall, t.bl.queue.Jobs(), t), true
+	return t.bl.demand.SlotsNeeded(t.now, t.wall, t.bl.scheduler.Jobs(), t), true
 }
 
 // Types implements renting.Host.
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -54,7 +54,7 @@
 		for _, j := range shard.active {
 			j.AwaitsReconciliation = false
 		}
-		shard.newWork = true
+		shard.scheduler.TasksReady()
 	}
 }
 
@@ -71,7 +71,9 @@
 			before := j.Ready()
 			j.Release(id.Task)
 			c.jobs.TaskGone(j)
-			shard.newWork = shard.newWork || j.Ready() > before
+			if j.Ready() > before {
+				shard.scheduler.TasksReady()
+			}
 		}
 	}
 	if len(m.Tasks) == 0 {
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -27,7 +27,7 @@
 	}
 	closed := c.allocations[shard.number].fraction < 1e-9
 	moved := 0
-	ordered := shard.queue.Jobs()
+	ordered := shard.scheduler.Jobs()
 	for i := len(ordered) - 1; i >= 0 && moved < movesAtOnce; i-- {
 		j := ordered[i]
 		// The order may be from before a job went to another block: moved once more
--- /dev/null
+++ b/internal/core/scheduler.go
@@ -0,0 +1,87 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/authority"
+	"shalestage.example/shalestage/internal/core/autoscaler"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/provisioner"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// schedulerHost is what a shard's scheduler and failure attribution need of the rest.
+type schedulerHost struct {
+	core  *Core
+	shard *ownedShard
+}
+
+// Now implements scheduler.Host and quarantine.Host.
+func (h schedulerHost) Now() units.Microseconds { return h.core.now }
+
+// Wall implements scheduler.Host.
+func (h schedulerHost) Wall() units.Microseconds { return h.core.wall }
+
+// Job implements scheduler.Host and quarantine.Host.
+func (h schedulerHost) Job(id string) *jobs.Job { return h.core.jobs.Get(id) }
+
+// Machines implements scheduler.Host.
+func (h schedulerHost) Machines() map[string]*fleet.Machine { return h.shard.machines }
+
+// Machine implements quarantine.Host.
+func (h schedulerHost) Machine(name string) *fleet.Machine { return h.shard.machines[name] }
+
+// ActiveJobs implements quarantine.Host.
+func (h schedulerHost) ActiveJobs() map[string]*jobs.Job { return h.shard.active }
+
+// AllRunnable implements scheduler.Host.
+func (h schedulerHost) AllRunnable() []*jobs.Job {
+	if h.core.jobs.ActiveLen() <= len(h.shard.active) {
+		return nil
+	}
+	return h.core.jobs.Runnable()
+}
+
+// PropagateObjectives implements scheduler.Host.
+func (h schedulerHost) PropagateObjectives() { h.core.propagateObjectives(h.shard) }
+
+// Guarantee implements ranking.Quotas.
+func (h schedulerHost) Guarantee(team string) (binpack.Vec, bool) {
+	if t := h.core.teams[team]; t != nil {
+		return t.Guarantee, true
+	}
+	return binpack.Vec{}, false
+}
+
+// Total implements ranking.Quotas. Teams that are removed count no more.
+func (h schedulerHost) Total() (cpu int64, teams int) {
+	for _, t := range h.core.cfg.Teams {
+		cpu += t.Guarantee[binpack.CPU]
+	}
+	return cpu, len(h.core.cfg.Teams)
+}
+
+// TooExpensive implements scheduler.Host.
+func (h schedulerHost) TooExpensive(machine *fleet.Machine, spec *jobs.Spec) bool {
+	return autoscaler.Dear(provisioner.PoolOf(machine), h.core.compatibleTypes(spec), spec.Spot, h.core.types)
+}
+
+// NextAttempt implements scheduler.Host.
+func (h schedulerHost) NextAttempt() uint64 {
+	h.shard.attempts++
+	return authority.AttemptNumber(h.shard.fencingToken, h.shard.attempts)
+}
+
+// TaskPlaced implements scheduler.Host.
+func (h schedulerHost) TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt) {
+	h.core.taskPlaced(h.shard, machine, id, attempt)
+}
+
+// StoreFailing implements quarantine.Host.
+func (h schedulerHost) StoreFailing(job *jobs.Job) {
+	job.MarkDirty(0)
+	h.shard.writer.StoreProgress(job)
+}
+
+// TasksReady implements quarantine.Host.
+func (h schedulerHost) TasksReady() { h.shard.scheduler.TasksReady() }
--- /dev/null
+++ b/internal/core/scheduler/scheduler_test.go
@@ -0,0 +1,208 @@
+package scheduler
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+	"testing"
+
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/configuration"
+	"shalestage.example/shalestage/internal/core/demand"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/quota"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// big is the machine type of the tests: 16 CPUs, 64 GB.
+var big = &fleet.Type{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2}
+
+// fakeShard is a shard with all of every limit, whose machines all send heartbeats.
+type fakeShard struct {
+	scheduler *Scheduler
+	quota     *quota.Tracker
+	now, wall units.Microseconds
+	teams     map[string]*configuration.Team
+	machines  map[string]*fleet.Machine
+	jobs      map[string]*jobs.Job
+	attempts  uint64
+}
+
+// newShard returns a shard with teams, a machine n-1 and jobs, which were submitted at the present.
+func newShard(tb testing.TB, packing binpack.Params, teams []configuration.Team, records map[string]jobs.Record) *fakeShard {
+	tb.Helper()
+	f := &fakeShard{now: 10 * units.Second, wall: 1000 * units.Second, teams: map[string]*configuration.Team{},
+		machines: map[string]*fleet.Machine{}, jobs: map[string]*jobs.Job{}}
+	for i := range teams {
+		f.teams[teams[i].Name] = &teams[i]
+	}
+	f.quota = quota.New(f)
+	f.scheduler = New(Config{Packing: packing, HeartbeatDeadline: 10 * units.Second, Log: slog.New(slog.DiscardHandler)}, f, f.quota, demand.New(nil, 0), f)
+	f.addMachine("n-1", big)
+	for _, id := range slices.Sorted(maps.Keys(records)) {
+		job := &jobs.Job{ID: id, Record: records[id], Since: records[id].Submitted}
+		job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.Never, LastDue: units.Never}
+		job.Reset()
+		f.jobs[id] = job
+		f.scheduler.Add(job)
+	}
+	return f
+}
+
+func (f *fakeShard) addMachine(name string, machineType *fleet.Type) *fleet.Machine {
+	machine := fleet.New(name, fleet.Record{Type: machineType.Name, Zone: "z", Up: true}, machineType, f.now)
+	machine.LastSeen, machine.Reconciled = f.now, true
+	f.machines[name] = machine
+	return machine
+}
+
+// remove ends a task that is on a machine, unfinished.
+func (f *fakeShard) remove(machine *fleet.Machine, id jobs.TaskID) {
+	attempt := machine.Tasks[id]
+	machine.Drop(id)
+	f.quota.Release(attempt.Team, attempt.Demand)
+	f.jobs[id.Job].Release(id.Task)
+	f.scheduler.TasksReady()
+}
+
+// use sets the CPU that a team uses.
+func (f *fakeShard) use(team string, cpu int64) {
+	f.quota.Release(team, f.quota.Usage(team))
+	f.quota.Charge(team, binpack.Vec{cpu, 0, 0})
+}
+
+func (f *fakeShard) Now() units.Microseconds                    { return f.now }
+func (f *fakeShard) Wall() units.Microseconds                   { return f.wall }
+func (f *fakeShard) Job(id string) *jobs.Job                    { return f.jobs[id] }
+func (f *fakeShard) Teams() map[string]*configuration.Team      { return f.teams }
+func (*fakeShard) Allocation() float64                          { return 1 }
+func (*fakeShard) MayStart(string) bool                         { return true }
+func (f *fakeShard) Machines() map[string]*fleet.Machine        { return f.machines }
+func (*fakeShard) Unreconciled() map[string]bool                { return nil }
+func (*fakeShard) AllRunnable() []*jobs.Job                     { return nil }
+func (*fakeShard) PropagateObjectives()                         {}
+func (*fakeShard) TooExpensive(*fleet.Machine, *jobs.Spec) bool { return false }
+func (*fakeShard) Reachable(string) bool                        { return true }
+func (*fakeShard) DeclaredLost(string) bool                     { return false }
+func (f *fakeShard) Guarantee(team string) (_ binpack.Vec, _ bool) {
+	return f.teams[team].Guarantee, true
+}
+
+func (f *fakeShard) Total() (cpu int64, teams int) {
+	for _, team := range f.teams {
+		cpu += team.Guarantee[binpack.CPU]
+	}
+	return cpu, len(f.teams)
+}
+
+func (f *fakeShard) NextAttempt() uint64 {
+	f.attempts++
+	return f.attempts
+}
+
+func (f *fakeShard) TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt) {
+	machine.Put(id, attempt)
+	f.quota.Charge(attempt.Team, attempt.Demand)
+}
+
+// TestTeamInShortfall has two teams whose nominal quotas are more than the machines can give
+// together. The one with work of high priority used to get all of it for as long as it had any, as
+// all was within its quota, and nothing of the other's ever started. Now each has its part, once
+// its work has waited, and what runs of that is not stopped for the other.
+func TestTeamInShortfall(t *testing.T) {
+	record := func(team string, tasks int, priority jobs.Priority) jobs.Record {
+		return jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: 1000 * units.Second,
+			Spec: &jobs.Spec{Team: team, Priority: priority, Tasks: tasks, AnyType: true, Demand: binpack.Vec{1000, 0, 1}, Estimate: 20 * units.Second}}
+	}
+	f := newShard(t, binpack.Params{}, []configuration.Team{
+		{Name: "rich", Guarantee: binpack.Vec{30_000, 0, 0}}, {Name: "poor", Guarantee: binpack.Vec{10_000, 0, 0}},
+	}, map[string]jobs.Record{"wk-000001": record("rich", 30, jobs.High), "wk-000002": record("poor", 10, jobs.Low)})
+	// The machine has 16 CPUs: 12 for the one, 4 for the other.
+	first := func() string {
+		f.scheduler.sort()
+		f.scheduler.rank()
+		return f.scheduler.queue.Ranked()[0].Job.Spec().Team
+	}
+	if got := first(); got != "rich" {
+		t.Errorf("%s goes first though nothing has waited", got)
+	}
+	f.wall += preemptAfter + units.Second
+	poor, rich := f.jobs["wk-000002"], f.jobs["wk-000001"]
+	for k, want := range []int64{0, 4000, 8000} {
+		f.use("poor", want)
+		f.use("rich", 12_000)
+		if got := first(); (got == "poor") != (k == 0) {
+			t.Errorf("with %d in use %s goes first", want, got)
+		}
+		if got := f.scheduler.mayPreempt(rich, poor); got != (k == 2) {
+			t.Errorf("with %d in use, stopped for the other: %v", want, got)
+		}
+	}
+	f.addMachine("n-2", &fleet.Type{Capacity: binpack.Vec{30_000, 0, 0}})
+	f.use("poor", 0)
+	if first() != "rich" {
+		t.Error("there is room for all quotas, and priority does not count")
+	}
+}
+
+// TestLargestJobStarts has a team at its limit whose small jobs keep coming. The least remaining
+// work put the large one off for as long as they came, and what its tasks need was never free at
+// once. Once it has waited for long its first task goes ahead of all else, the limit is kept free
+// for it meanwhile, and then it has no more right than before.
+func TestLargestJobStarts(t *testing.T) {
+	record := func(tasks int, cpu int64) jobs.Record {
+		return jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: 1000 * units.Second,
+			Spec: &jobs.Spec{Team: "t", Tasks: tasks, AnyType: true, Demand: binpack.Vec{cpu, 0, 1}, Estimate: 20 * units.Second}}
+	}
+	const largest = "wk-000000"
+	records := map[string]jobs.Record{largest: record(200, 4000)}
+	for i := 1; i <= 24/(overdueTasks-1); i++ {
+		records[fmt.Sprintf("wk-%06d", i)] = record(overdueTasks-1, 1000)
+	}
+	f := newShard(t, binpack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}, []configuration.Team{{Name: "t", Limit: binpack.Vec{8000, 0, 0}}}, records)
+	machine := f.machines["n-1"]
+	// fill gives the machine work and returns how many tasks are of the large job.
+	fill := func() (large, all int) {
+		f.scheduler.sort()
+		f.scheduler.rank()
+		for _, command := range f.scheduler.Fill(machine) {
+			if all++; command.ID.Job == largest {
+				large++
+			}
+		}
+		return large, all
+	}
+	// end ends n of the small tasks on the machine.
+	end := func(n int) {
+		for _, id := range machine.TaskIDs() {
+			if n > 0 && id.Job != largest {
+				f.remove(machine, id)
+				n--
+			}
+		}
+	}
+	if large, all := fill(); large != 0 || all != 8 {
+		t.Fatalf("%d tasks of the large job among the first %d", large, all)
+	}
+	f.wall += overdueAfter + units.Second
+	end(3)
+	if _, all := fill(); all != 0 {
+		t.Errorf("%d small tasks take what is kept for the large job", all)
+	}
+	f.wall += reserveFor
+	if _, all := fill(); all != 3 {
+		t.Errorf("%d small tasks start, want 3: room was kept for long enough", all)
+	}
+	end(3)
+	f.wall -= reserveFor
+	end(5)
+	if large, all := fill(); large != 1 || all != 5 {
+		t.Errorf("%d tasks of the large job among %d, want its first alone beside small ones", large, all)
+	}
+	end(1)
+	if large, all := fill(); large != 0 || all != 1 {
+		t.Errorf("%d tasks of the large job among %d, though it has started", large, all)
+	}
+}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -1,11 +1,11 @@
 package core
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 
 	"shalestage.example/shalestage/internal/core/authority"
-	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
@@ -13,9 +13,10 @@
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/provisioner"
+	"shalestage.example/shalestage/internal/core/quarantine"
 	"shalestage.example/shalestage/internal/core/quota"
-	"shalestage.example/shalestage/internal/core/ranking"
 	"shalestage.example/shalestage/internal/core/replication"
+	"shalestage.example/shalestage/internal/core/scheduler"
 	"shalestage.example/shalestage/internal/core/shardstore"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -40,19 +41,9 @@
 	nextProbeAt    units.Microseconds
 	probesInFlight int // requests under way
 	active         map[string]*jobs.Job
-	queue          ranking.Queue          // active jobs, and the order in which they are served
-	rights         ranking.Rights         // of theirs, by their teams' guarantees
-	shortfall      map[string]int64       // CPU of teams that have waited for long for their part of the guarantees
-	reserved       map[string]binpack.Vec // demand of the first task of a job that is overdue, by team
-	orderStale     bool
 	quota          *quota.Tracker
-	capacity       binpack.Vec      // capacity of all machines
-	readyTasks     int              // ready tasks of the ranked jobs
-	finishRate     float64          // tasks of all jobs that end in a second, by their run times
-	withHeadroom   []*fleet.Machine // machines with free room, preferred ones first
-	rankedAt       units.Microseconds
-	viewed         []*jobs.Job // for one machine, kept for their memory
-	views          []binpack.Job
+	scheduler      *scheduler.Scheduler
+	attribution    *quarantine.Attribution
 
 	demand            *demand.Estimator
 	provisioner       *provisioner.Provisioner
@@ -60,10 +51,6 @@
 	replication       *replication.Primary
 	pendingHeartbeats []pendingHeartbeat // reports of idle machines that wait for work
 	pendingCheckedAt  units.Microseconds // when held reports are next looked at
-	newWork           bool               // tasks have become ready since jobs were ranked
-	pendingStale      bool               // or since held reports were looked at
-	preempted         map[string]preemption
-	nextSortAt        units.Microseconds
 	nextSweepAt       units.Microseconds
 	nextMigrationAt   units.Microseconds
 	nextLogAt         units.Microseconds
@@ -78,9 +65,12 @@
 	shard := &ownedShard{number: k, assignment: g.version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
 		machines:     map[string]*fleet.Machine{},
 		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{},
-		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), preempted: map[string]preemption{}, unknownMachines: map[string]units.Microseconds{}}
+		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), unknownMachines: map[string]units.Microseconds{}}
 	host := shardHost{c, shard}
 	shard.quota = quota.New(quotaHost{c, shard})
+	shard.scheduler = scheduler.New(scheduler.Config{Shard: k, Packing: c.cfg.Pack, HeartbeatDeadline: liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval),
+		Log: c.log, SkippedGuard: c.cfg.SkippedGuard}, schedulerHost{c, shard}, shard.quota, shard.demand, c.zones)
+	shard.attribution = quarantine.New(schedulerHost{c, shard}, c.log)
 	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: adoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
 	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, host, shard.provisioner, c.zones)
 	shard.writer = c.newShardWriter(shard)
@@ -182,11 +172,10 @@
 		return
 	}
 	if old := shard.active[j.ID]; old != nil {
-		shard.queue.Remove(old)
+		shard.scheduler.Remove(old)
 	}
 	shard.active[j.ID] = j
-	shard.queue.Add(j)
-	shard.orderStale, shard.newWork = true, true
+	shard.scheduler.Add(j)
 }
 
 // jobOver forgets a job that is done or cancelled. Its tasks on machines keep
@@ -200,52 +189,8 @@
 
 // dropJob forgets a job that is over or another block's now.
 func (shard *ownedShard) dropJob(j *jobs.Job) {
-	if old := shard.active[j.ID]; old != nil {
-		shard.queue.Remove(old)
-		delete(shard.active, j.ID)
-	}
-	shard.orderStale = true
-}
-
-// sortJobs keeps the active jobs in the order in which they could first start, and
-// notes which fit their team's guarantee together with the team's earlier jobs. Jobs
-// that wait for others count nowhere.
-func (c *Core) sortJobs(shard *ownedShard) {
-	c.propagateObjectives(shard)
-	shard.orderStale = false
-	shard.queue.Settle()
-	// A guarantee covers the earliest of a team's jobs in all blocks.
-	all := shard.queue.Jobs()
-	if c.jobs.ActiveLen() > len(shard.active) {
-		all = c.jobs.Runnable()
-	}
-	shard.rights = ranking.Weigh(shard.queue.Jobs(), all, quotaSource{c})
-	shard.capacity = binpack.Vec{}
-	for _, m := range shard.machines {
-		if m.Type != nil && !m.Deprovisioning {
-			shard.capacity = shard.capacity.Add(m.Type.Capacity)
-		}
-	}
-	c.computeShortfall(shard)
-}
-
-// quotaSource tells package ranking of the teams.
-type quotaSource struct{ c *Core }
-
-// Guarantee implements ranking.Guarantees.
-func (g quotaSource) Guarantee(team string) (binpack.Vec, bool) {
-	if t := g.c.teams[team]; t != nil {
-		return t.Guarantee, true
-	}
-	return binpack.Vec{}, false
-}
-
-// Total implements ranking.Guarantees.
-func (g quotaSource) Total() (cpu int64, teams int) {
-	for _, t := range g.c.cfg.Teams {
-		cpu += t.Guarantee[binpack.CPU]
-	}
-	return cpu, len(g.c.cfg.Teams)
+	shard.scheduler.Remove(cmp.Or(shard.active[j.ID], j))
+	delete(shard.active, j.ID)
 }
 
 // tickShard does what a holder does as time passes.
@@ -271,10 +216,8 @@
 		}
 		return
 	}
-	if c.now >= shard.nextSortAt {
-		shard.nextSortAt = c.now + units.Second
-		c.sortJobs(shard)
-		for _, j := range shard.queue.Jobs() {
+	if shard.scheduler.Tick() {
+		for _, j := range shard.scheduler.Jobs() {
 			if j.AllFinished() && c.guarded(guard.CloseAgain) {
 				// Not only when its last task ends: an earlier holder may have
 				// stored that and ended before it could store the job's end.
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -59,7 +59,7 @@
 }
 
 func (shard *ownedShard) shardStats() ShardStats {
-	s := ShardStats{Shard: shard.number, Jobs: len(shard.queue.Jobs()), Unreconciled: len(shard.unreconciled), Started: shard.attempts, Standby: shard.replication.Standby()}
+	s := ShardStats{Shard: shard.number, Jobs: len(shard.scheduler.Jobs()), Unreconciled: len(shard.unreconciled), Started: shard.attempts, Standby: shard.replication.Standby()}
 	for _, m := range shard.machines {
 		p := &s.Ordinary
 		if m.Record.Spot {
@@ -76,7 +76,7 @@
 			p.UsedCPUs += m.Used()[binpack.CPU] / 1000
 		}
 	}
-	for _, j := range shard.queue.Jobs() {
+	for _, j := range shard.scheduler.Jobs() {
 		s.Waiting += j.Ready()
 		s.Placed += j.Placed()
 	}
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -96,8 +96,8 @@
 			f.submit(true)
 		}
 	}
-	f.started += len(c.fill(shard, m))
-	c.preempt(shard, m)
+	f.started += len(shard.scheduler.Fill(m))
+	shard.scheduler.Preempt(m)
 }
 
 // processorTime is what this process has used so far; other processes' load does not count.
@@ -136,14 +136,14 @@
 	perReport := func(teams, waiting int) float64 {
 		f := newBusyFleet(t, 100, teams, waiting)
 		const reports = 3 * fleetReports
-		from := f.bl.queue.Steps()
+		from := f.bl.scheduler.Steps()
 		for range reports {
 			f.report()
 		}
 		if f.started < reports*9/10 {
 			t.Errorf("%d teams, %d jobs: %d starts in %d reports", teams, waiting, f.started, reports)
 		}
-		return float64(f.bl.queue.Steps()-from) / reports
+		return float64(f.bl.scheduler.Steps()-from) / reports
 	}
 	base := perReport(10, 1000)
 	for _, size := range []struct {
