--- /dev/null
+++ b/internal/core/admission.go
@@ -0,0 +1,123 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/admission"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// Submit takes a submission. malformed, if any, says why its body is: that matters only if the
+// job is not known, as a known job is always answered with its state.
+func (c *Core) Submit(now units.Microseconds, req RequestID, id string, spec *jobs.Spec, malformed string) {
+	c.advance(now)
+	c.admission.Submit(admission.Request{ID: req, Kind: admission.Submit, Job: id, Spec: spec, Malformed: malformed})
+}
+
+// Query answers with a job's state.
+func (c *Core) Query(now units.Microseconds, req RequestID, id string) {
+	c.advance(now)
+	c.admission.Query(req, id)
+}
+
+// Cancel cancels a job and answers once that is stored.
+func (c *Core) Cancel(now units.Microseconds, req RequestID, id string) {
+	c.advance(now)
+	c.admission.Cancel(req, id)
+}
+
+// SetFull says whether this process's memory is nearly full.
+func (c *Core) SetFull(full bool) { c.admission.SetMemoryFull(full, c.jobs.Len()) }
+
+func (c *Core) reply(req RequestID, code int, body any) {
+	c.send(Reply{Request: req, Code: code, Body: body})
+}
+
+// unavailable tells a user at once that the request could not be taken.
+func (c *Core) unavailable(req RequestID, why string) {
+	admissionHost{c}.Refuse(req, admission.NotNow(why))
+}
+
+// admissionHost is what admission needs of this controller.
+type admissionHost struct{ *Core }
+
+var _ admission.Host = admissionHost{}
+
+// Answer implements admission.Host.
+func (c admissionHost) Answer(req RequestID, accepted bool, answer JobAnswer) {
+	c.reply(req, admission.AnswerStatus(accepted), answer)
+}
+
+// Refuse implements admission.Host.
+func (c admissionHost) Refuse(req RequestID, refusal *admission.Refusal) {
+	c.send(Reply{Request: req, Code: refusal.Reason.HTTPStatus(), Body: Problem{refusal.Text}, RetryAfter: refusal.RetryAfter})
+}
+
+// ForwardFirst implements admission.Host.
+func (c admissionHost) ForwardFirst(req RequestID) bool { return c.shouldForward(req) }
+
+// Forward implements admission.Host.
+func (c admissionHost) Forward(r admission.Request) { c.forward(r) }
+
+// Job implements admission.Host.
+func (c admissionHost) Job(id string) *jobs.Job { return c.jobs.Get(id) }
+
+// OwnsShard implements admission.Host.
+func (c admissionHost) OwnsShard(shard int) bool { return c.owned[shard] != nil }
+
+// Archive implements admission.Host.
+func (c admissionHost) Archive() admission.Archive { return c.archived.history }
+
+// ReadFresh implements admission.Host.
+func (c admissionHost) ReadFresh(done func(ok bool)) { c.readFresh(done) }
+
+// Revision implements admission.Host.
+func (c admissionHost) Revision() uint64 { return c.cache.Revision }
+
+// Version implements admission.Host.
+func (c admissionHost) Version(key string) uint64 { return c.cache.Version(key) }
+
+// Queue implements admission.Host.
+func (c admissionHost) Queue(w *store.Write) bool { return c.queues[UserQueue].Add(w) }
+
+// WallClock implements admission.Host.
+func (c admissionHost) WallClock() units.Microseconds { return c.wall }
+
+// TeamLimit implements admission.Host. A team that was removed from the configuration keeps its
+// limit for the jobs that it has, and gets no others.
+func (c admissionHost) TeamLimit(name string) (binpack.Vec, bool) {
+	team := c.teams[name]
+	if team == nil || team.Removed != 0 {
+		return binpack.Vec{}, false
+	}
+	return team.Limit, true
+}
+
+// TypesKnown implements admission.Host.
+func (c admissionHost) TypesKnown() bool { return len(c.types) > 0 }
+
+// Placeable implements admission.Host.
+func (c admissionHost) Placeable(spec *jobs.Spec) bool { return len(c.compatibleTypes(spec)) > 0 }
+
+// PeerMemoryFull implements admission.Host.
+func (c admissionHost) PeerMemoryFull() bool {
+	for _, peer := range c.peers.views {
+		if c.alive(peer) && peer.status.Full {
+			return true
+		}
+	}
+	return false
+}
+
+// ConfigurationCurrent implements admission.Host.
+func (c admissionHost) ConfigurationCurrent() bool { return c.mayAccept() }
+
+// LeastLoadedShard implements admission.Host.
+func (c admissionHost) LeastLoadedShard() int {
+	c.measureLoads()
+	return c.leastLoaded()
+}
+
+// OlderPeer implements admission.Host.
+func (c admissionHost) OlderPeer() string { return c.olderPeer() }
--- /dev/null
+++ b/internal/core/admission/cancel.go
@@ -0,0 +1,71 @@
+package admission
+
+import (
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/store"
+)
+
+// Cancel cancels a job and answers once that is stored, or how the job ended before.
+func (h *Handler) Cancel(request RequestID, id string) {
+	job := h.host.Job(id)
+	switch {
+	case (job == nil || job.Active()) && h.host.ForwardFirst(request):
+		h.host.Forward(Request{ID: request, Kind: Cancel, Job: id})
+	case job == nil:
+		h.cancelUnknown(request, id)
+	case !job.Active():
+		h.answerJob(request, job, false)
+	default:
+		h.storeCancellation(request, job)
+	}
+}
+
+// cancelUnknown goes on once a read has shown whether the job was accepted by another controller.
+func (h *Handler) cancelUnknown(request RequestID, id string) {
+	h.host.ReadFresh(func(ok bool) {
+		switch {
+		case !ok:
+			h.host.Forward(Request{ID: request, Kind: Cancel, Job: id})
+		case h.host.Job(id) == nil:
+			h.findArchived(request, id, false)
+		default:
+			h.Cancel(request, id)
+		}
+	})
+}
+
+func (h *Handler) storeCancellation(request RequestID, job *jobs.Job) {
+	key := keys.Job(job.ID)
+	spec := job.Spec()
+	record := jobs.Record{Status: jobs.Cancelled, Tasks: job.Record.Tasks, Team: spec.Team, Demand: spec.Demand}
+	queued := h.host.Queue(&store.Write{
+		Guards:  []store.Guard{{Key: key, Version: job.Version}},
+		Changes: []store.Change{{Key: key, Value: record.Encode()}},
+		Done: func(outcome store.Outcome, _ uint64) {
+			switch outcome {
+			case store.OK:
+				h.host.Answer(request, false, JobAnswer{ID: job.ID, Status: jobs.Cancelled})
+			case store.Failed: // done, or cancelled by another controller, meanwhile
+				h.answerAfterConflict(request, job)
+			default:
+				h.host.Forward(Request{ID: request, Kind: Cancel, Job: job.ID})
+			}
+		},
+	})
+	if !queued {
+		h.host.Refuse(request, NotNow("too many requests"))
+	}
+}
+
+// answerAfterConflict tells how a job ended whose record has changed before its cancellation was
+// stored. Where it has not ended (it went to another shard) the user is to ask again.
+func (h *Handler) answerAfterConflict(request RequestID, job *jobs.Job) {
+	h.host.ReadFresh(func(ok bool) {
+		if !ok || job.Active() {
+			h.host.Refuse(request, NotNow("try again"))
+			return
+		}
+		h.answerJob(request, job, false)
+	})
+}
--- /dev/null
+++ b/internal/core/admission/storing.go
@@ -0,0 +1,114 @@
+package admission
+
+import (
+	"encoding/json"
+
+	"shalestage.example/shalestage/internal/core/chunks"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/store"
+)
+
+// storedForm is how a new job is stored: first the chunks of its description, where one value does
+// not take that, and then the record, which makes the job visible.
+type storedForm struct {
+	record       jobs.Record
+	value        json.RawMessage // of the record
+	chunks       []json.RawMessage
+	queued       int    // chunks that are stored, or need not be
+	firstVersion uint64 // of the first chunk's key; 0: none is stored
+	// present says that the first chunk was there before: another controller stores, or has stored,
+	// the same.
+	present bool
+}
+
+func newStoredForm(record jobs.Record, valueMax int) storedForm {
+	form := storedForm{record: record, value: record.Encode()}
+	if len(form.value) > valueMax {
+		form.record, form.chunks = record.Split(valueMax)
+		form.value = form.record.Encode()
+	}
+	return form
+}
+
+// complete reports whether all chunks are stored, so that the record may follow.
+func (f *storedForm) complete() bool { return f.queued == len(f.chunks) }
+
+// store stores what is next of a new job: chunks of its description, if there are any, and then the
+// record.
+func (h *Handler) store(s *submission) {
+	if s.form.complete() {
+		h.storeRecord(s)
+		return
+	}
+	h.storeChunks(s)
+}
+
+// guards are those of everything that is stored of a new job. The first also keeps late chunks
+// from an accepted job, and the second a late record from one that was over and archived meanwhile.
+func (s *submission) guards() []store.Guard {
+	return []store.Guard{{Key: keys.Job(s.Job)}, {Key: keys.ArchiveMark, Version: s.mark}}
+}
+
+func (h *Handler) storeRecord(s *submission) {
+	w := &store.Write{Guards: s.guards(), Changes: []store.Change{{Key: keys.Job(s.Job), Value: s.form.value}}}
+	if s.form.firstVersion != 0 { // who deletes chunks without a record begins with that one
+		w.Guards = append(w.Guards, store.Guard{Key: chunks.Key(s.Job, s.form.record.Sum, 0), Version: s.form.firstVersion})
+	}
+	h.queue(s, w, func(uint64) {
+		status := s.form.record.Status
+		if job := h.host.Job(s.Job); job != nil && !job.Active() {
+			status = job.Record.Status // it depends on a cancelled one
+		}
+		h.host.Answer(s.ID, true, JobAnswer{ID: s.Job, Status: status})
+	})
+}
+
+// storeChunks stores as many chunks as go into one transaction. Another controller may be storing
+// the same: written once more, the first chunk's version would change, and the two would keep
+// each other from storing the record. Others are passed over only where the first was there: else
+// they may be about to be deleted.
+func (h *Handler) storeChunks(s *submission) {
+	form := &s.form
+	first := form.queued == 0
+	if first {
+		form.firstVersion = h.host.Version(chunks.Key(s.Job, form.record.Sum, 0))
+		form.present = form.firstVersion != 0
+	}
+	w := &store.Write{Guards: s.guards()}
+	for ; len(w.Changes) < h.cfg.TxnOps && !form.complete(); form.queued++ {
+		key := chunks.Key(s.Job, form.record.Sum, form.queued)
+		if !form.present || h.host.Version(key) == 0 {
+			w.Changes = append(w.Changes, store.Change{Key: key, Value: form.chunks[form.queued]})
+		}
+	}
+	if len(w.Changes) == 0 {
+		h.store(s) // all are there
+		return
+	}
+	h.queue(s, w, func(revision uint64) {
+		if first && !form.present {
+			form.firstVersion = revision
+		}
+		h.store(s)
+	})
+}
+
+// queue has a part of a new job stored and goes on with stored, which is told the revision.
+func (h *Handler) queue(s *submission, w *store.Write, stored func(revision uint64)) {
+	w.Done = func(outcome store.Outcome, revision uint64) {
+		switch outcome {
+		case store.OK:
+			stored(revision)
+		case store.Failed: // another controller, or an earlier try, was first; or the mark is a new one
+			h.retry(s)
+		case store.TooLarge:
+			h.host.Refuse(s.ID, NotNow("the state service takes no value of that size"))
+		default:
+			h.host.Forward(s.Request)
+		}
+	}
+	if !h.host.Queue(w) {
+		h.host.Refuse(s.ID, NotNow("too many submissions"))
+	}
+}
--- /dev/null
+++ b/internal/core/admission/submit.go
@@ -0,0 +1,253 @@
+package admission
+
+import (
+	"shalestage.example/shalestage/internal/core/archive"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/quota"
+)
+
+// maxAttempts bounds how often a submission is judged again by itself.
+const maxAttempts = 4
+
+// submission is one on its way through the steps of this file and of storing.go.
+type submission struct {
+	Request
+	attempts int
+	fresh    bool            // the copy of the state service's keys is newer than the request
+	mark     uint64          // version of the archive's mark when the archive was asked
+	absent   map[string]bool // jobs that are proven not to be archived, as long as that is its version
+	form     storedForm
+}
+
+// Submit takes a submission. A known job is answered with its state, whatever the body is.
+func (h *Handler) Submit(r Request) {
+	if h.host.Job(r.Job) != nil {
+		h.Query(r.ID, r.Job)
+		return
+	}
+	if h.host.ForwardFirst(r.ID) {
+		h.host.Forward(r)
+		return
+	}
+	h.resolve(&submission{Request: r})
+}
+
+// resolve finds out which of the job and its dependencies are archived. From then on the
+// answers are at hand, or their absence is proven for whoever guards the mark of that time.
+func (h *Handler) resolve(s *submission) {
+	past := h.host.Archive()
+	_, s.mark = past.Mark()
+	if !past.On() {
+		h.judge(s, true)
+		return
+	}
+	if h.host.Revision() < s.mark { // the copy may lack what was accepted before the mark
+		h.host.ReadFresh(func(ok bool) {
+			if ok {
+				h.resolve(s)
+			} else {
+				h.judge(s, false)
+			}
+		})
+		return
+	}
+	names := []string{s.Job}
+	if s.Spec != nil {
+		names = append(names, s.Spec.Awaits...)
+	}
+	s.absent = map[string]bool{}
+	pending, resolved := 1, true // the one more is this function's own
+	finish := func() {
+		if pending--; pending == 0 {
+			h.judge(s, resolved)
+		}
+	}
+	for _, id := range names {
+		if h.host.Job(id) != nil {
+			continue
+		}
+		pending++
+		past.Find(id, true, func(verdict archive.Verdict, _ archive.Answer) {
+			resolved = resolved && verdict != archive.Unknown
+			if verdict == archive.Absent {
+				s.absent[id] = true
+			}
+			finish()
+		})
+	}
+	finish()
+}
+
+// judge answers a submission of a job that is known by now, and accepts or refuses a new one.
+func (h *Handler) judge(s *submission, resolved bool) {
+	job := h.host.Job(s.Job)
+	ended, archived := h.host.Archive().Known(s.Job)
+	switch {
+	case job != nil && (s.fresh || !job.Active()):
+		h.answerJob(s.ID, job, false)
+	case job != nil:
+		h.Query(s.ID, s.Job)
+	case archived:
+		h.answerArchived(s.ID, s.Job, ended, false)
+	case !resolved:
+		h.host.Forward(s.Request)
+	default:
+		h.judgeNew(s)
+	}
+}
+
+// judgeNew accepts or refuses a job that is not known. Before a refusal a read makes sure that
+// no other controller has accepted it, nor a job that it depends on.
+func (h *Handler) judgeNew(s *submission) {
+	refusal := h.refusal(s)
+	switch {
+	case refusal == nil:
+		h.accept(s)
+	case s.fresh:
+		h.host.Refuse(s.ID, refusal)
+	default:
+		h.resolveFresh(s)
+	}
+}
+
+// resolveFresh begins again after a read.
+func (h *Handler) resolveFresh(s *submission) {
+	h.host.ReadFresh(func(ok bool) {
+		if !ok {
+			h.host.Forward(s.Request)
+			return
+		}
+		s.fresh = true
+		h.resolve(s)
+	})
+}
+
+// retry begins again with a submission that was not stored for what others stored.
+func (h *Handler) retry(s *submission) {
+	if s.attempts++; s.attempts > maxAttempts {
+		h.host.Refuse(s.ID, NotNow("try again"))
+		return
+	}
+	h.resolveFresh(s)
+}
+
+// refusal says why a job cannot be accepted, for what it is; nil: it can.
+func (h *Handler) refusal(s *submission) *Refusal {
+	if s.Spec == nil {
+		return &Refusal{Reason: Malformed, Text: s.Malformed}
+	}
+	if !h.host.TypesKnown() {
+		return NotNow("machine types are not known yet")
+	}
+	if why := h.infeasible(s.Spec, s.absent); why != "" {
+		return &Refusal{Reason: Infeasible, Text: why}
+	}
+	return nil
+}
+
+// Infeasible says why a job can never run, whatever it depends on, or "".
+func (h *Handler) Infeasible(spec *jobs.Spec) string {
+	limit, known := h.host.TeamLimit(spec.Team)
+	if !known {
+		return "unknown team"
+	}
+	if !h.host.Placeable(spec) {
+		return "a task fits no allowed machine type"
+	}
+	demand := spec.Demand
+	if spec.Service {
+		demand = demand.Times(int64(spec.Tasks))
+	}
+	if !quota.WithinLimit(limit, demand) {
+		return "needs more than the team's limit"
+	}
+	return ""
+}
+
+// infeasible says why a job can never run, or "". Dependencies that are not proven absent may be
+// archived, or are to be looked up again.
+func (h *Handler) infeasible(spec *jobs.Spec, absent map[string]bool) string {
+	if why := h.Infeasible(spec); why != "" {
+		return why
+	}
+	for _, id := range spec.Awaits {
+		switch job := h.host.Job(id); {
+		case job == nil && h.host.Archive().On() && !absent[id]:
+		case job == nil:
+			return "awaits " + id + ", which was never accepted"
+		case job.Active() && job.Spec().Service:
+			return "awaits " + id + ", a service, which is never done"
+		}
+	}
+	return ""
+}
+
+// accept stores a new job unless this controller cannot take one at present. Where it is not sure
+// that the job is stored the user is told to ask again; asking again does no harm.
+func (h *Handler) accept(s *submission) {
+	if refusal := h.notNow(); refusal != nil {
+		h.host.Refuse(s.ID, refusal)
+		return
+	}
+	shard := h.host.LeastLoadedShard()
+	spec, cancelled, ok := h.dropFinishedDependencies(s.Spec)
+	// Nothing is accepted without a proof that it is not archived.
+	if !ok || h.host.Archive().On() && !s.absent[s.Job] {
+		h.host.Refuse(s.ID, NotNow("try again"))
+		return
+	}
+	record := jobs.Record{Status: jobs.Pending, Shard: shard, Tasks: spec.Tasks, Submitted: h.host.WallClock(), Spec: spec}
+	if cancelled {
+		record = jobs.Record{Status: jobs.Cancelled, Tasks: spec.Tasks, Team: spec.Team, Demand: spec.Demand}
+	}
+	s.form = newStoredForm(record, h.cfg.ValueMax)
+	if older := h.host.OlderPeer(); older != "" && (len(s.form.chunks) > 0 || len(spec.Awaits) > 0) {
+		// It would start the job at once, or could not read it.
+		h.host.Refuse(s.ID, NotNow("controller "+older+" still runs an older release"))
+		return
+	}
+	h.store(s)
+}
+
+// notNow says why no job can be accepted at present; nil: one can.
+func (h *Handler) notNow() *Refusal {
+	if h.AnyMemoryFull() {
+		return &Refusal{Reason: Unavailable, Text: "a controller's memory is nearly full", RetryAfter: LongRetryAfter}
+	}
+	if !h.host.ConfigurationCurrent() {
+		return NotNow("the present configuration is not known")
+	}
+	return nil
+}
+
+// dropFinishedDependencies takes out of a description the dependencies that are over for so long
+// that they may be archived at any moment: those that are done need not be waited for.
+// cancelled reports that one was cancelled, and the job with it; ok is false where it is not known
+// how one ended.
+func (h *Handler) dropFinishedDependencies(s *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
+	past := h.host.Archive()
+	if len(s.Awaits) == 0 || !past.On() {
+		return s, false, true
+	}
+	mark, _ := past.Mark()
+	remaining := *s
+	remaining.Awaits = nil
+	for _, id := range s.Awaits {
+		var status jobs.Status
+		job := h.host.Job(id)
+		switch {
+		case job == nil:
+			ended, known := past.Known(id)
+			if !known {
+				return nil, false, false
+			}
+			status = ended.Status
+		case !job.Active() && job.CancelledBy == "" && job.Version < mark.Cut:
+			status = job.Record.Status
+		default:
+			remaining.Awaits = append(remaining.Awaits, id)
+		}
+		cancelled = cancelled || status == jobs.Cancelled
+	}
+	return &remaining, cancelled, true
+}
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"net/http"
 	"slices"
 	"strings"
 
@@ -60,8 +59,6 @@
 	// lookShare is the part of a controller's reads that lookups take, and as much
 	// again is for filling the filter after a start.
 	lookShare = 1.0 / 6
-	// retryOld is when one should come back who asked for an old job while too many did.
-	retryOld = 5 * units.Second
 	// doubtsAtOnce bounds the lookups under way after the state service went back.
 	doubtsAtOnce = 16
 )
@@ -258,105 +255,6 @@
 	}
 }
 
-// answerArchived tells how a packed job ended.
-func (c *Core) answerArchived(req RequestID, id string, a archive.Answer, counts bool) {
-	out := JobAnswer{ID: id, Status: a.Status, Counts: counts}
-	if a.Status == jobs.Done {
-		out.Done = a.Tasks
-	}
-	c.reply(req, http.StatusOK, out)
-}
-
-// findArchived answers a poll or a cancellation of a job whose record is not there, as of
-// a read that began after the request came.
-func (c *Core) findArchived(req RequestID, id string, counts bool) {
-	c.archived.history.Find(id, false, func(v archive.Verdict, a archive.Answer) {
-		switch v {
-		case archive.Found:
-			c.answerArchived(req, id, a, counts)
-		case archive.Absent:
-			c.reply(req, http.StatusNotFound, Problem{"no such job"})
-		default:
-			c.send(Reply{Request: req, Code: http.StatusServiceUnavailable, Body: Problem{"too many requests for old jobs"}, RetryAfter: retryOld})
-		}
-	})
-}
-
-// resolveArchived finds out of a submission's own id, and of the jobs that it awaits, which
-// are those of packed jobs. From then on the answers are at hand, or their absence
-// is proven for whoever guards the mark of that time.
-func (c *Core) resolveArchived(n submission, then func(n submission, ok bool)) {
-	_, n.mark = c.archived.history.Mark()
-	if !c.archived.history.On() {
-		then(n, true)
-		return
-	}
-	if c.cache.Revision < n.mark { // the copy may lack what was accepted before the mark
-		c.readFresh(func(ok bool) {
-			if !ok {
-				then(n, false)
-				return
-			}
-			c.resolveArchived(n, then)
-		})
-		return
-	}
-	ids := []string{n.id}
-	if n.spec != nil {
-		ids = append(ids, n.spec.Awaits...)
-	}
-	n.absent = map[string]bool{}
-	left, all := 1, true
-	ended := func() {
-		if left--; left == 0 {
-			then(n, all)
-		}
-	}
-	for _, id := range ids {
-		if c.jobs.Get(id) != nil {
-			continue
-		}
-		left++
-		c.archived.history.Find(id, true, func(v archive.Verdict, _ archive.Answer) {
-			all = all && v != archive.Unknown
-			if v == archive.Absent {
-				n.absent[id] = true
-			}
-			ended()
-		})
-	}
-	ended()
-}
-
-// dropFinishedDependencies takes out of a description the awaited jobs that are over for so long
-// that they may be packed at any moment: those that are done need not be waited for.
-// cancelled reports that one was cancelled, and the job with it.
-func (c *Core) dropFinishedDependencies(s *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
-	mark, _ := c.archived.history.Mark()
-	if len(s.Awaits) == 0 || !c.archived.history.On() {
-		return s, false, true
-	}
-	out := *s
-	out.Awaits = nil
-	for _, id := range s.Awaits {
-		var a archive.Answer
-		j := c.jobs.Get(id)
-		switch {
-		case j == nil:
-			if a, ok = c.archived.history.Known(id); !ok {
-				return nil, false, false
-			}
-		case !j.Active() && j.CancelledBy == "" && j.Version < mark.Cut:
-			a = answerOf(j)
-		default:
-			out.Awaits = append(out.Awaits, id)
-			continue
-		}
-		cancelled = cancelled || a.Status == jobs.Cancelled
-	}
-	return &out, cancelled, true
-}
-
 // restoreFinished puts right what a service that went back lists as unfinished although it is
 // known here that it was over and packed: it must not start again. It returns what is
 // to be written.
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -105,7 +105,7 @@
 			return jobPrefix + "wk-000009", http.StatusCreated
 		},
 		"cancellation": func(c *Core) (string, int) {
-			c.Abort(c.now, 1, known)
+			c.Cancel(c.now, 1, known)
 			return jobPrefix + known, http.StatusOK
 		},
 		"end": func(c *Core) (string, int) {
@@ -128,7 +128,7 @@
 				if sent == nil {
 					t.Fatalf("%s: not sent", name)
 				}
-				c.Abort(c.now, 3, other) // it goes behind a user's, and beside the end
+				c.Cancel(c.now, 3, other) // it goes behind a user's, and beside the end
 				s.serve(c, 14*units.Second/100)
 				if got := s.replies[1].Code; got != code {
 					t.Errorf("%s, watch answers %v: answered %d", name, watches, got)
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"slices"
 
+	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
@@ -79,7 +80,7 @@
 	case errors.As(a.Err, &invalid):
 		r.Code, r.Body = http.StatusUnprocessableEntity, ConfigRefused{a.Err}
 	default:
-		r.Code, r.Body, r.RetryAfter = http.StatusServiceUnavailable, ConfigRefused{a.Err}, retryAfter
+		r.Code, r.Body, r.RetryAfter = http.StatusServiceUnavailable, ConfigRefused{a.Err}, admission.RetryAfter
 	}
 	c.emit(r)
 }
@@ -108,7 +109,7 @@
 func (c *Core) Configure(now units.Microseconds, req RequestID, r configuration.Request) {
 	c.advance(now)
 	if old := c.unaware(); old != "" {
-		c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: crowdedRetry,
+		c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: admission.LongRetryAfter,
 			Body: ConfigRefused{&configuration.Unavailable{Reason: "controller " + old + " still runs an older release, which goes by its settings file"}}})
 		return
 	}
@@ -140,7 +141,7 @@
 	c.advance(now)
 	c.readFresh(func(ok bool) {
 		if !ok || c.config.Behind() {
-			c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: retryAfter,
+			c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: admission.RetryAfter,
 				Body: ConfigRefused{&configuration.Unavailable{Reason: "the present configuration cannot be read"}}})
 			return
 		}
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -56,8 +56,8 @@
 	c.allocations[0] = quotaAllocation{fraction: 1}
 	c.reconfigure(configuration.Content{Teams: []Team{{Name: "t"}, {Name: "u", Limit: binpack.Vec{3000}, Removed: 1}}, Objectives: []Objective{{Kind: "wait"}}})
 	spec := &jobs.Spec{Team: "u", Tasks: 1, Demand: binpack.Vec{3000}, AnyType: true}
-	if c.infeasible(spec, nil) != "unknown team" || !c.owned[0].quota.Allows(spec.Team, spec.Demand) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
-		t.Errorf("%q, %+v", c.infeasible(spec, nil), c.cfg.Teams)
+	if c.admission.Infeasible(spec) != "unknown team" || !c.owned[0].quota.Allows(spec.Team, spec.Demand) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
+		t.Errorf("%q, %+v", c.admission.Infeasible(spec), c.cfg.Teams)
 	}
 	spec.Demand[binpack.CPU]++
 	if c.owned[0].quota.Allows(spec.Team, spec.Demand) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,6 +6,7 @@
 import (
 	"log/slog"
 
+	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/cancellations"
@@ -79,7 +80,7 @@
 }
 
 // RequestID names a request that waits for an answer.
-type RequestID uint64
+type RequestID = admission.RequestID
 
 // Effect is something for the outer layers to do.
 type Effect any
@@ -125,13 +126,8 @@
 
 // Bodies of replies.
 type (
-	// JobAnswer tells a job's state. Counts are given to polls only.
-	JobAnswer struct {
-		ID            string
-		Status        jobs.Status
-		Counts        bool
-		Done, Running int
-	}
+	// JobAnswer tells a job's state.
+	JobAnswer = admission.JobAnswer
 	// HeartbeatResponse answers a report.
 	HeartbeatResponse struct {
 		FencingToken uint64
@@ -168,6 +164,7 @@
 	queues  [queueCount]*store.WriteQueue
 
 	jobs          *registry.Registry
+	admission     *admission.Handler
 	types         map[string]*fleet.Type
 	assignments   map[int]shardAssignment
 	allocations   map[int]quotaAllocation
@@ -192,7 +189,6 @@
 	retiringSince  units.Microseconds         // since when this node's process is about to end on purpose; 0: it is not
 	reachability   liveness.Reachability      // whether workers reach this node
 	zones          *zones.View
-	memoryFull     bool // this process's memory is nearly full
 	typesAt        units.Microseconds
 	cloudPart      float64
 	peers          peerDirectory
@@ -215,6 +211,7 @@
 	layout := jobs.Layout{Chunk: jobs.ChunkTasks(cfg.ValueKB)}
 	layout.Split = jobs.ChunkTasks(float64(c.cfg.ValueMax)/1024) < layout.Chunk
 	c.jobs = registry.New(registry.Config{Layout: layout, TxnOps: cfg.TxnOps, OrphanAge: cfg.ArchiveSettleTime, Log: cfg.Log}, jobsHost{c})
+	c.admission = admission.New(admission.Config{ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, SkippedGuard: cfg.SkippedGuard, Log: cfg.Log}, admissionHost{c})
 	for i := range cfg.Teams {
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/cancellations"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
@@ -85,13 +86,13 @@
 )
 
 // AskKind is what a user wants.
-type AskKind int
+type AskKind = admission.Kind
 
 // Kinds of requests that are handed over.
 const (
-	AskSubmit AskKind = iota
-	AskQuery
-	AskAbort
+	AskSubmit = admission.Submit
+	AskQuery  = admission.Query
+	AskCancel = admission.Cancel
 )
 
 const (
@@ -151,7 +152,7 @@
 	p := &c.peers
 	if c.now >= p.statusAt {
 		p.statusAt = c.now + statusEvery
-		s := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: release, Full: c.memoryFull, Back: c.cache.RollbackMark()}
+		s := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: release, Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
 		// Also once authority has run out: what the others still promise then, nobody has taken.
 		if c.membership.ID() != 0 {
 			s.Seat, s.Sent, s.Known = c.membership.ID(), c.now, c.cancellations.Known(c.cache.Revision)
@@ -238,19 +239,19 @@
 
 // forward gives a request that the state service does not let this node
 // serve to a controller that it does, or tells the user to come back.
-func (c *Core) forward(req RequestID, kind AskKind, job string, spec *jobs.Spec, bad string) {
+func (c *Core) forward(r admission.Request) {
 	to := c.servedPeer()
-	if spec != nil && len(spec.Awaits) > 0 && c.releases[to] < releaseDependencies {
+	if r.Spec != nil && len(r.Spec.Awaits) > 0 && c.releases[to] < releaseDependencies {
 		to = "" // it would start the job at once
 	}
-	if _, foreign := c.peers.forwarded[req]; foreign || to == "" || len(c.peers.pendingForwards) >= maxAsks {
-		c.unavailable(req, "state service does not answer")
+	if _, foreign := c.peers.forwarded[r.ID]; foreign || to == "" || len(c.peers.pendingForwards) >= maxAsks {
+		c.unavailable(r.ID, "state service does not answer")
 		return
 	}
 	p := &c.peers
 	p.nextForward++
-	p.pendingForwards[p.nextForward] = forwardedRequest{req, c.now + askWithin}
-	c.emit(SendPeer{to, PeerAsk{ID: p.nextForward, Kind: kind, Job: job, Spec: spec, Bad: bad}})
+	p.pendingForwards[p.nextForward] = forwardedRequest{r.ID, c.now + askWithin}
+	c.emit(SendPeer{to, PeerAsk{ID: p.nextForward, Kind: r.Kind, Job: r.Job, Spec: r.Spec, Bad: r.Malformed}})
 }
 
 // OnPeer takes a message of another controller.
@@ -315,8 +316,8 @@
 			c.Submit(now, req, m.Job, m.Spec, m.Bad)
 		case AskQuery:
 			c.Query(now, req, m.Job)
-		case AskAbort:
-			c.Abort(now, req, m.Job)
+		case AskCancel:
+			c.Cancel(now, req, m.Job)
 		default:
 			delete(c.peers.forwarded, req)
 		}
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -124,7 +124,7 @@
 	if second.OpenDependencies != 0 || c.owned[0].active[second.ID] == nil || second.Since < 1000*units.Second || third.OpenDependencies != 1 {
 		t.Fatalf("awaiting %d and %d, since %d", second.OpenDependencies, third.OpenDependencies, second.Since)
 	}
-	c.Abort(c.now, 5, second.ID)
+	c.Cancel(c.now, 5, second.ID)
 	c.Submit(c.now, 6, "wk-000004", job("wk-000001", "wk-000003"), "")
 	replies := serve(t, c, keys)
 	for _, id := range []string{"wk-000002", "wk-000003", "wk-000004"} {
@@ -210,7 +210,7 @@
 	if j := holding(t, all).jobs.Get("wk-900000"); j != nil {
 		t.Fatal("a job whose awaited names cannot be read is taken for one that may start")
 	}
-	c.Abort(c.now, 6, "wk-000007")
+	c.Cancel(c.now, 6, "wk-000007")
 	serve(t, c, keys)
 	for k := range keys {
 		if strings.HasPrefix(k, chunkPrefix) {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/binpack"
@@ -178,7 +179,7 @@
 	for i, set := range []func(full bool){c.SetFull, func(full bool) { c.OnPeer(c.now, "b", PeerStatus{Full: full}) }} {
 		set(true)
 		submit(RequestID(10+i), "wk-000002")
-		if r := replyTo(t, c, RequestID(10+i)); r.Code != 503 || r.RetryAfter != crowdedRetry {
+		if r := replyTo(t, c, RequestID(10+i)); r.Code != 503 || r.RetryAfter != admission.LongRetryAfter {
 			t.Errorf("new job: %+v", r)
 		}
 		submit(RequestID(20+i), "wk-000001")
@@ -198,16 +199,16 @@
 			t.Errorf("known job: %d", code)
 		}
 		set(false)
-		if c.crowded() {
+		if c.admission.AnyMemoryFull() {
 			t.Error("crowded still")
 		}
 	}
 	c.OnPeer(c.now, "b", PeerStatus{Full: true})
-	if !c.crowded() {
+	if !c.admission.AnyMemoryFull() {
 		t.Error("not crowded while another is full")
 	}
 	c.advance(c.now + 2*peerFresh)
-	if c.crowded() {
+	if c.admission.AnyMemoryFull() {
 		t.Error("crowded by one that is heard no more")
 	}
 	submit(30, "wk-000002")
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -45,7 +45,7 @@
 
 // Stats answers a request for the present figures.
 func (c *Core) Stats(req RequestID) {
-	s := Stats{Member: c.membership.ID() != 0, Leading: c.election.Leads(), Full: c.memoryFull, KnownJobs: c.jobs.Len(), ActiveJobs: c.jobs.ActiveLen(), BlockedJobs: c.jobs.Blocked()}
+	s := Stats{Member: c.membership.ID() != 0, Leading: c.election.Leads(), Full: c.admission.MemoryFull(), KnownJobs: c.jobs.Len(), ActiveJobs: c.jobs.ActiveLen(), BlockedJobs: c.jobs.Blocked()}
 	s.Keys, s.FinishedJobs, s.ArchiveReads, s.ArchiveShed = c.cache.Keys(), c.archived.packer.Len(), c.archived.history.Looked, c.archived.history.Shed
 	_, s.ArchivedIDs = c.archived.history.Whole()
 	s.Zones = c.zones.Stats()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,7 +1,10 @@
 package core
 
 import (
+	"slices"
+
 	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -39,3 +42,15 @@
 		}
 	}
 }
+
+// compatibleTypes returns the names of the machine types on which a job's tasks can run.
+func (c *Core) compatibleTypes(s *jobs.Spec) []string {
+	var out []string
+	for _, t := range c.types {
+		if s.Demand.Fits(t.Capacity) && s.AllowsType(t.Name) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone)) {
+			out = append(out, t.Name)
+		}
+	}
+	slices.Sort(out)
+	return out
+}
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -432,7 +432,7 @@
 			case user.Poll:
 				n.core.Query(n.local(), req, e.ID)
 			case user.Cancel:
-				n.core.Abort(n.local(), req, e.ID)
+				n.core.Cancel(n.local(), req, e.ID)
 			}
 		}, within, func(r core.Reply) {
 			a := user.Answer{Code: r.Code, RetryAfter: r.RetryAfter}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -283,7 +283,7 @@
 
 // Abort takes a cancellation.
 func (n *Node) Abort(ctx context.Context, id string) core.Reply {
-	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Abort(now, req, id) })
+	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Cancel(now, req, id) })
 }
 
 // Report takes a worker's report.
