--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -163,7 +163,7 @@
 // GrantPeerLease is asked by the holder of a seat; seen is the seat that the holder
 // has in the state service as this node last saw it, 0 if there is none.
 func (v *Voter) GrantPeerLease(now units.Microseconds, seat, seen uint64) bool {
-	if seat != seen || seat <= v.takenOver && v.SkippedGuard != guard.PromiseRecord {
+	if seat != seen || seat <= v.takenOver && v.SkippedGuard != guard.MemberRecord {
 		return false
 	}
 	v.leasedUntil = max(v.leasedUntil, now+PeerLeaseTime)
@@ -173,7 +173,7 @@
 // Vote is asked by a controller that wants to give away what a seat holds
 // whose record is gone.
 func (v *Voter) Vote(now units.Microseconds, seat uint64) bool {
-	if now < v.leasedUntil && v.SkippedGuard != guard.PermitPromise || now < units.Longest(PeerLeaseTime) {
+	if now < v.leasedUntil && v.SkippedGuard != guard.VoteAfterPeerLease || now < units.Longest(PeerLeaseTime) {
 		return false
 	}
 	v.takenOver = max(v.takenOver, seat)
--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -1,5 +1,6 @@
-// Package guard names checks of the core that tests leave out one at a time, to see that
-// the rules of the protocol break without them. Nothing in the settings can leave one out.
+// Package guard names checks of the core that tests leave out one at a time, to see that the rules
+// of the protocol break without them (TestPlantedMistakes in internal/rehearse). Nothing in the
+// settings can leave one out.
 package guard
 
 // Guard is a check that is left out.
@@ -8,30 +9,30 @@
 // None leaves nothing out, as every deployment does.
 const None Guard = iota
 
-// Checks of what machines report.
+// Checks of what machines' heartbeats and probes say.
 const (
-	ReportToken     Guard = iota + 1 // a report tells what is on a machine only under its holder's token
-	ReportOrder                      // a report that is older than the last one changes nothing
-	VoidAttempts                     // attempts that ended with a lease are dropped from later reports
-	ReturnedMachine                  // a machine that the cloud calls gone is not taken in again
-	DirectAnswer                     // an answer to a direct request counts only before anything was started
+	HeartbeatToken       Guard = iota + 1 // a heartbeat tells what is on a machine only under its owner's fencing token
+	HeartbeatOrder                        // a heartbeat that is older than the last one changes nothing
+	ExpiredAttempts                       // attempts that ended with a lease are dropped from later heartbeats
+	DeprovisionedMachine                  // a machine that the cloud has confirmed as returned is not taken in again
+	ProbeAnswer                           // the answer to a probe counts only before anything was started
 )
 
 // Checks of what may still run.
 const (
-	Unaccounted   Guard = iota + 101 // machines of earlier holders are unknown until they report
-	ZoneOfJob                        // tasks of one job share a zone, or are spread
-	CloseAgain                       // a job whose tasks are all stored as done is closed by a next holder too
-	FollowerKnows                    // a start waits until the follower knows of it
+	UnreconciledMachines Guard = iota + 101 // what runs on earlier owners' machines is unknown until they are reconciled
+	JobZones                                // tasks of one job share a zone, or are spread
+	CompleteAgain                           // a job whose tasks are all stored as done is completed by a next owner too
+	StandbyKnows                            // a start waits until the standby knows of it
 )
 
 // Checks of authority and of freshness.
 const (
-	Authority     Guard = iota + 201 // a holder answers only while its seat surely stands
-	RenewalSent                      // a renewal counts from when it was sent
-	PromiseAsked                     // a promise counts from when it was asked for
-	PromiseRecord                    // a promise is given only for a seat whose record is there
-	PermitPromise                    // no permit while a promise runs
-	Majority                         // a seat is over only by permit of a majority
-	FreshRead                        // users are answered only after a read that began after the question
+	Authority          Guard = iota + 201 // an owner answers only while its membership surely stands
+	RenewalSent                           // a renewal of a lease counts from when it was sent
+	PeerLeaseSent                         // a peer lease counts from when it was asked for
+	MemberRecord                          // a peer lease is granted only to a member whose record is there
+	VoteAfterPeerLease                    // no takeover vote while a peer lease runs
+	TakeoverMajority                      // a membership is over only by the votes of a majority
+	FreshRead                             // users are answered only after a read that began after the request
 )
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -28,7 +28,7 @@
 		m = c.newMachine(shard, r.Machine, orphanKey(r.Machine), fleet.Record{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, 0)
 	}
 	orders := HeartbeatResponse{FencingToken: shard.fencingToken}
-	if !m.Newer(r) && c.guarded(guard.ReportOrder) {
+	if !m.Newer(r) && c.guarded(guard.HeartbeatOrder) {
 		c.reply(req, http.StatusOK, orders) // late: nobody waits for this answer
 		return
 	}
@@ -39,7 +39,7 @@
 		}
 		c.log.Info("machine up", "machine", m.Name, "type", r.Type, "spot", r.Spot, "after_s", (now - m.ProvisionedAt).Seconds())
 	}
-	if void := m.Expired; slices.ContainsFunc(r.Tasks, void) && c.guarded(guard.VoidAttempts) {
+	if void := m.Expired; slices.ContainsFunc(r.Tasks, void) && c.guarded(guard.ExpiredAttempts) {
 		// The machine's lease ran out after these were started, and they ended with it: the
 		// report was sent before, and a cut held it back. Taken for true it would call tasks
 		// back that have been started elsewhere since (docs/incidents/2026-12-01-held-back.md).
@@ -49,7 +49,7 @@
 		r = &late
 	}
 	m.AcceptHeartbeat(now, now+c.leaseBound(), r)
-	if r.FencingToken == shard.fencingToken || !c.guarded(guard.ReportToken) {
+	if r.FencingToken == shard.fencingToken || !c.guarded(guard.HeartbeatToken) {
 		// The worker has taken an answer of this term, so that it drops every
 		// answer of earlier ones: its list shows all that can be there. A report
 		// without our token proves nothing, as it may have been under way while
@@ -110,7 +110,7 @@
 		c.readFresh(nil)
 		return nil
 	}
-	if shard.provisioner.Deprovisioned(r.Machine) && c.guarded(guard.ReturnedMachine) {
+	if shard.provisioner.Deprovisioned(r.Machine) && c.guarded(guard.DeprovisionedMachine) {
 		// The cloud has said that it is gone: a cut held the report back. Taken for
 		// alive, it would keep the tasks that it shows from starting elsewhere.
 		c.log.Debug("late report of a returned machine", "machine", r.Machine)
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -284,7 +284,7 @@
 // forgotten whether it had.
 func (s *Registry) GrantPeerLease(now units.Microseconds, node string, seat uint64) bool {
 	seen := s.Current(node)
-	if s.cfg.SkippedGuard == guard.PromiseRecord {
+	if s.cfg.SkippedGuard == guard.MemberRecord {
 		seen = seat
 	}
 	if v := s.views[node]; v != nil && v.id == 0 && v.last == seat {
@@ -299,7 +299,7 @@
 // a time.
 func (s *Registry) PeerLeaseGranted(now units.Microseconds, from string, seat uint64, asked units.Microseconds) {
 	if s.id != 0 && s.id == seat && asked <= now {
-		if s.cfg.SkippedGuard == guard.PromiseAsked {
+		if s.cfg.SkippedGuard == guard.PeerLeaseSent {
 			asked = now
 		}
 		s.auth.PeerLeaseGranted(from, asked)
@@ -347,7 +347,7 @@
 	if !p.permits[s.cfg.Node] && s.voter(node).Vote(now, id) {
 		p.permits[s.cfg.Node] = true
 	}
-	return len(p.permits) > s.cfg.Size/2 || s.cfg.SkippedGuard == guard.Majority
+	return len(p.permits) > s.cfg.Size/2 || s.cfg.SkippedGuard == guard.TakeoverMajority
 }
 
 // VoteRequested answers a controller that wants to give away what a seat holds. The node is
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -77,7 +77,7 @@
 	}
 	shard.probesInFlight--
 	m := shard.machines[e.Machine]
-	if m == nil || m.Reconciled && c.guarded(guard.DirectAnswer) || r == nil || r.Machine != m.Name || !m.Newer(r) {
+	if m == nil || m.Reconciled && c.guarded(guard.ProbeAnswer) || r == nil || r.Machine != m.Name || !m.Newer(r) {
 		return
 	}
 	if o != store.OK || r.FencingToken != shard.fencingToken {
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -104,7 +104,7 @@
 	if !s.quota.Allows(job.Spec().Team, s.demandOnLimit(wall, job)) {
 		return false
 	}
-	return job.ZoneAllows(machine.Record.Zone) || s.config.SkippedGuard == guard.ZoneOfJob
+	return job.ZoneAllows(machine.Record.Zone) || s.config.SkippedGuard == guard.JobZones
 }
 
 // place starts the next ready task of a job on a machine.
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -109,7 +109,7 @@
 				// An earlier holder may have started tasks there, and its last
 				// answer may have been accepted just before this grant.
 				m.LeaseEnd = c.now + c.leaseBound()
-				if _, handed := picture.machines[name]; !handed && !picture.covers(key) && c.guarded(guard.Unaccounted) {
+				if _, handed := picture.machines[name]; !handed && !picture.covers(key) && c.guarded(guard.UnreconciledMachines) {
 					shard.unreconciled[name] = true
 					shard.quota.UnreconciledChanged()
 				}
@@ -218,7 +218,7 @@
 	}
 	if shard.scheduler.Tick() {
 		for _, j := range shard.scheduler.Jobs() {
-			if j.AllFinished() && c.guarded(guard.CloseAgain) {
+			if j.AllFinished() && c.guarded(guard.CompleteAgain) {
 				// Not only when its last task ends: an earlier holder may have
 				// stored that and ended before it could store the job's end.
 				shard.writer.CloseJob(j)
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -46,7 +46,7 @@
 		t.Fatalf("machine %v, %d tasks placed", m, j.Placed())
 	}
 	// Without the check the task would wait for the lease of a machine that is gone.
-	c, code = reportOfReturned(t, guard.ReturnedMachine)
+	c, code = reportOfReturned(t, guard.DeprovisionedMachine)
 	if j := c.jobs.Get("wk-000001"); code != 200 || j.Placed() != 1 {
 		t.Errorf("with the check left out: answered %d, %d tasks placed", code, j.Placed())
 	}
@@ -71,7 +71,7 @@
 // TestDirectAnswerBesideStart has a machine answer a direct request after it was given a start
 // that its answer does not show yet. Taken for true, it would free the task for another machine.
 func TestDirectAnswerBesideStart(t *testing.T) {
-	for leftOut, want := range map[guard.Guard]int{guard.None: 1, guard.DirectAnswer: 0} {
+	for leftOut, want := range map[guard.Guard]int{guard.None: 1, guard.ProbeAnswer: 0} {
 		c := holding(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Team: "t", Tasks: 1, AnyType: true}},
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -411,7 +411,7 @@
 		if broken := lateReports(t, seed, Broken{Peer: unfollowed}); len(broken) > 0 {
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
 		}
-		b := Broken{Peer: unfollowed, Core: func(c *core.Config) { c.SkippedGuard = guard.ReportToken }}
+		b := Broken{Peer: unfollowed, Core: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
 		if slices.ContainsFunc(lateReports(t, seed, b), func(b check.Break) bool { return b.Rule == check.RanTwice }) {
 			return
 		}
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -131,7 +131,7 @@
 // then tasks are called back. No rule breaks all the same, as a task that is known to be
 // somewhere else is stopped where it shows as well.
 func TestHeldBackReportsTakenForTrue(t *testing.T) {
-	b := Broken{Core: func(c *core.Config) { c.SkippedGuard = guard.VoidAttempts }}
+	b := Broken{Core: func(c *core.Config) { c.SkippedGuard = guard.ExpiredAttempts }}
 	for seed := uint64(1); seed <= 2; seed++ {
 		_, logs := lostZoneWith(t, seed, b, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
 		if strings.Contains(logs, "task is on two machines") {
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -79,21 +79,21 @@
 // seeds, from 1 on.
 var planted = []plantedMistake{
 	// What machines report.
-	{"older reports are taken for new", without(guard.ReportOrder), "meet-all-away.toml", check.RanTwice, 5},
+	{"older reports are taken for new", without(guard.HeartbeatOrder), "meet-all-away.toml", check.RanTwice, 5},
 	{"a silent machine's tasks are gone after a third of its lease", sim.Broken{Core: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
-	{"machines of earlier holders count as known", without(guard.Unaccounted), "meet-returns.toml", check.RanTwice, 5},
+	{"machines of earlier holders count as known", without(guard.UnreconciledMachines), "meet-returns.toml", check.RanTwice, 5},
 	// What a holder does.
-	{"tasks of a job start in any zone", without(guard.ZoneOfJob), "meet-one-zone.toml", check.WrongPlace, 5},
-	{"a start does not wait for the follower", without(guard.FollowerKnows), "meet-held-commands.toml", check.RanTwice, 5},
-	{"jobs are closed only with their last task", without(guard.CloseAgain), "meet-old-reports.toml", check.Lost, 5},
+	{"tasks of a job start in any zone", without(guard.JobZones), "meet-one-zone.toml", check.WrongPlace, 5},
+	{"a start does not wait for the follower", without(guard.StandbyKnows), "meet-held-commands.toml", check.RanTwice, 5},
+	{"jobs are closed only with their last task", without(guard.CompleteAgain), "meet-old-reports.toml", check.Lost, 5},
 	{"polls are answered from the copy as it is", without(guard.FreshRead), "meet-slow-state.toml", check.WentBack, 10},
 	// Authority.
 	{"a holder answers while it has not heard that its seat ended", without(guard.Authority), "meet-zone-cut.toml", check.TwoHolders, 5},
 	{"a renewal counts from its answer", without(guard.RenewalSent), "meet-cut-leader.toml", check.TwoHolders, 20},
-	{"a promise counts from its answer", without(guard.PromiseAsked), "meet-cut-leader.toml", check.TwoHolders, 5},
-	{"promises are given for seats that are gone", without(guard.PromiseRecord), "meet-zone-cut.toml", check.TwoHolders, 10},
-	{"permits are given while a promise runs", without(guard.PermitPromise), "gap.toml", check.TwoHolders, 10},
-	{"a seat is over without a majority's permits", without(guard.Majority), "meet-zone-cut.toml", check.TwoHolders, 5},
+	{"a promise counts from its answer", without(guard.PeerLeaseSent), "meet-cut-leader.toml", check.TwoHolders, 5},
+	{"promises are given for seats that are gone", without(guard.MemberRecord), "meet-zone-cut.toml", check.TwoHolders, 10},
+	{"permits are given while a promise runs", without(guard.VoteAfterPeerLease), "gap.toml", check.TwoHolders, 10},
+	{"a seat is over without a majority's permits", without(guard.TakeoverMajority), "meet-zone-cut.toml", check.TwoHolders, 5},
 	// Writes that come late.
 	{"a new job is stored whatever is there", unguardedJob(jobs.Pending), "meet-late-ends.toml", check.WentBack, 10},
 	{"a cancellation is stored whatever is there", unguardedJob(jobs.Cancelled), "meet-late-ends.toml", check.WentBack, 10},
