--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -114,10 +114,7 @@
 func (c admissionHost) ConfigurationCurrent() bool { return c.mayAccept() }
 
 // LeastLoadedShard implements admission.Host.
-func (c admissionHost) LeastLoadedShard() int {
-	c.measureLoads()
-	return c.leastLoaded()
-}
+func (c admissionHost) LeastLoadedShard() int { return c.planner.NewJobShard(c.now) }
 
 // OlderPeer implements admission.Host.
 func (c admissionHost) OlderPeer() string { return c.olderPeer() }
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"maps"
 	"net/http"
-	"slices"
 
 	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/configuration"
@@ -165,11 +163,11 @@
 		return
 	}
 	for _, b := range s.Blocks {
-		if b.Use >= 0 && c.assignments[b.Block].Node == from {
+		if b.Use >= 0 && c.shardRecords.Assignment(b.Block).Node == from {
 			c.config.SetOverQuota(b.Block, s.Config, b.Over)
 		}
 	}
-	c.config.SetShards(slices.Collect(maps.Keys(c.assignments)))
+	c.config.SetShards(c.shardRecords.Shards())
 }
 
 // configComplete reports whether the copy shows all that was stored before the configuration
@@ -206,7 +204,7 @@
 		b.Over = over
 	}
 	if complete {
-		c.config.SetShards(slices.Collect(maps.Keys(c.assignments)))
+		c.config.SetShards(c.shardRecords.Shards())
 	}
 }
 
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -5,12 +5,23 @@
 	"slices"
 	"testing"
 
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
+// allocate gives a shard a part of the quotas.
+func allocate(t *testing.T, c *Core, shard int, fraction float64) {
+	t.Helper()
+	event := store.Event{Key: keys.Allocation(shard), Value: store.Value(authority.QuotaAllocation{Fraction: fraction}), Stamp: 1}
+	if err := c.shardRecords.LearnAllocation(shard, event); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // configRecords returns the records of a version, as a controller of this release stores them.
 func configRecords(version int, limit int64) map[string]any {
 	name := fmt.Sprint("c", version)
@@ -28,7 +39,7 @@
 		c := holding(t, nil)
 		c.peers = newPeers([]string{"b"})
 		shard := c.owned[0]
-		c.allocations[0] = quotaAllocation{fraction: 1}
+		allocate(t, c, 0, 1)
 		if !shard.quota.Allows(spec.Team, spec.Demand) || !c.mayAccept() {
 			t.Fatalf("%s: the settings file's team may not start", name)
 		}
@@ -53,7 +64,7 @@
 	if c.config.Version() != 4 || c.config.Behind() || c.teams["t"].Limit[binpack.CPU] != 5000 {
 		t.Errorf("goes by %d: %+v", c.config.Version(), c.teams["t"])
 	}
-	c.allocations[0] = quotaAllocation{fraction: 1}
+	allocate(t, c, 0, 1)
 	c.reconfigure(configuration.Content{Teams: []Team{{Name: "t"}, {Name: "u", Limit: binpack.Vec{3000}, Removed: 1}}, Objectives: []Objective{{Kind: "wait"}}})
 	spec := &jobs.Spec{Team: "u", Tasks: 1, Demand: binpack.Vec{3000}, AnyType: true}
 	if c.admission.Infeasible(spec) != "unknown team" || !c.owned[0].quota.Allows(spec.Team, spec.Demand) || len(c.cfg.Teams) != 1 || len(c.cfg.Objectives) != 1 {
@@ -70,7 +81,7 @@
 func TestShareOfALowerLimit(t *testing.T) {
 	c := holding(t, configRecords(1, 40_000))
 	shard := c.owned[0]
-	c.allocations[0] = quotaAllocation{fraction: 0.25}
+	allocate(t, c, 0, 0.25)
 	shard.quota.Charge("t", binpack.Vec{8000})
 	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 10_000 || len(shard.quota.Exceeded()) != 0 || shard.quota.LargestUse() != 0.2 {
 		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,6 +23,7 @@
 	"shalestage.example/shalestage/internal/core/provisioner"
 	"shalestage.example/shalestage/internal/core/replaylog"
 	"shalestage.example/shalestage/internal/core/replication"
+	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
@@ -166,12 +167,9 @@
 	jobs          *registry.Registry
 	admission     *admission.Handler
 	types         map[string]*fleet.Type
-	assignments   map[int]shardAssignment
-	allocations   map[int]quotaAllocation
+	shardRecords  *shardplan.Records     // assignments and quota allocations as stored
 	machineGroups map[string]fleet.Group // stored machines, by key
 	machineShard  map[string]int         // block of each stored machine
-	shardLoads    []shardLoad            // unfinished work of each block
-	shardLoadsAt  units.Microseconds
 
 	archived       archivedJobs
 	replayLog      *replaylog.Memory      // what may have to be written again
@@ -180,7 +178,7 @@
 	releases       map[string]int             // of the other controllers, as last heard or read
 	olderReleaseAt map[int]units.Microseconds // by release: when another controller was last not known to run it or a later one
 	election       *election.Election
-	plans          leaderState                // of use only while this node leads
+	planner        *shardplan.Planner
 	owned          map[int]*ownedShard        // blocks that this node holds
 	snapshots      map[int]*shardSnapshot     // of blocks, as their last holders have handed them on
 	standbys       map[int]replication.Record // who follows the holder of each block, as stored
@@ -200,11 +198,11 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	c := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{},
-		types: map[string]*fleet.Type{}, assignments: map[int]shardAssignment{}, allocations: map[int]quotaAllocation{},
+		types: map[string]*fleet.Type{}, shardRecords: shardplan.NewRecords(),
 		machineGroups: map[string]fleet.Group{}, machineShard: map[string]int{},
 		releases: map[string]int{}, olderReleaseAt: map[int]units.Microseconds{}, snapshots: map[int]*shardSnapshot{},
 		standbys: map[int]replication.Record{}, standby: replication.NewStandby(),
-		owned: map[int]*ownedShard{}, shardLoads: make([]shardLoad, cfg.Size)}
+		owned: map[int]*ownedShard{}}
 	if c.cfg.ValueMax == 0 {
 		c.cfg.ValueMax = int(cfg.ValueKB * 1024)
 	}
@@ -218,6 +216,7 @@
 	c.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, c.extension()/4), Log: cfg.Log}, cacheHost{c})
 	c.archived = newArchivedJobs()
 	c.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{c})
+	c.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: c.cfg.ValueMax, Log: cfg.Log}, c.shardRecords, plannerHost{c})
 	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
 	c.replayLog = replaylog.New(replayLogBytes)
 	c.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -26,14 +26,14 @@
 	shard := c.owned[j.Record.Shard]
 	if shard == nil {
 		fmt.Fprintf(&b, "; block %d held by %+v; led by %q; %s; %s; lane %d",
-			j.Record.Shard, c.assignments[j.Record.Shard], c.election.Record().Node, c.membership.Describe(c.now),
+			j.Record.Shard, c.shardRecords.Assignment(j.Record.Shard), c.election.Record().Node, c.membership.Describe(c.now),
 			c.cache.Describe(), c.queues[ControlQueue].Len())
 		return b.String()
 	}
 	if s := j.Spec(); s != nil {
 		fmt.Fprintf(&b, "; team %s uses %v", s.Team, shard.quota.Usage(s.Team))
 	}
-	fmt.Fprintf(&b, "; block %d share %.2f token %d free %v moving %v, unaccounted %d, renting %d, cloud may be called %v", shard.number, c.allocations[shard.number].fraction,
+	fmt.Fprintf(&b, "; block %d share %.2f token %d free %v moving %v, unaccounted %d, renting %d, cloud may be called %v", shard.number, c.shardRecords.Allocation(shard.number).Fraction,
 		shard.fencingToken, shard.releasing, j.Migrating, len(shard.unreconciled), shard.provisioner.Open(), shard.provisioner.Ready(c.now))
 	for _, name := range sortedKeys(shard.machines) {
 		m := shard.machines[name]
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -174,7 +174,7 @@
 // standbyOf names who knows all that the last holder of a block has started; "" if nobody
 // is stored to.
 func (c *Core) standbyOf(k int) string {
-	if g, r := c.assignments[k], c.standbys[k]; r.Token == authority.FencingToken(g.Term, g.Number) {
+	if g, r := c.shardRecords.Assignment(k), c.standbys[k]; r.Token == authority.FencingToken(g.Term, g.Number) {
 		return r.Node
 	}
 	return ""
@@ -185,7 +185,7 @@
 func (c *Core) takeReplicated(shard *ownedShard) *shardSnapshot {
 	defer c.standby.Forget(shard.number)
 	r := c.standbys[shard.number]
-	if after := c.assignments[shard.number].PreviousToken; after == 0 || after != r.Token {
+	if after := c.shardRecords.Assignment(shard.number).PreviousToken; after == 0 || after != r.Token {
 		return nil // somebody else has held it since, or an older release granted it
 	}
 	machines, done, ok := c.standby.Snapshot(shard.number, c.cfg.Node, r)
@@ -197,7 +197,7 @@
 
 // receiveStarts takes what a holder has started.
 func (c *Core) receiveStarts(from string, m PeerStarts) {
-	if m.Block < 0 || m.Block >= maxShards || c.assignments[m.Block].Node != from {
+	if m.Block < 0 || m.Block >= maxShards || c.shardRecords.Assignment(m.Block).Node != from {
 		return
 	}
 	a := c.standby.Receive(m, func(job string, task int) bool {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -118,7 +118,7 @@
 	if f := c.takeReplicated(shard); f != nil {
 		return f
 	}
-	if from := c.assignments[shard.number].TransferredFrom; p == nil || from == 0 || p.fencingToken != from {
+	if from := c.shardRecords.Assignment(shard.number).TransferredFrom; p == nil || from == 0 || p.fencingToken != from {
 		return &shardSnapshot{}
 	}
 	return p
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -139,7 +139,7 @@
 // ownerOf returns the controller that workers of a block should report to. One
 // that seems dead is not named: the workers would wait for it.
 func (c *Core) ownerOf(k int) string {
-	g := c.assignments[k]
+	g := c.shardRecords.Assignment(k)
 	v := c.peers.views[g.Node]
 	if g.Node == "" || v == nil || c.membership.Current(g.Node) != g.MemberID || !c.alive(v) && c.anyPeer() {
 		return ""
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -1,9 +1,6 @@
 package core
 
 import (
-	"maps"
-	"slices"
-
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -39,7 +36,7 @@
 // where that is slow, a leader may have granted a block to the seat meanwhile, and nobody
 // would hold it for as long as the seat stands.
 func (c membershipHost) Joined() {
-	for _, k := range slices.Sorted(maps.Keys(c.assignments)) {
+	for _, k := range c.shardRecords.Shards() {
 		c.take(k)
 	}
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -162,7 +162,7 @@
 			s.Zones = c.zones.Report()
 		}
 		for _, k := range sortedShards(c.owned) {
-			st := BlockStatus{Block: k, Share: c.allocations[k].version, Use: -1}
+			st := BlockStatus{Block: k, Share: c.shardRecords.Allocation(k).Version, Use: -1}
 			if shard := c.owned[k]; shard.ready && len(shard.unreconciled) == 0 {
 				st.Use = shard.quota.LargestUse()
 			}
@@ -265,7 +265,7 @@
 	case PeerStatus:
 		v.status, v.lastHeartbeat = m, now
 		// In an outage one that was cut off may go on beside the one that holds the block now.
-		if len(c.owned) == 0 && slices.ContainsFunc(m.Blocks, func(b BlockStatus) bool { return c.assignments[b.Block].Node == from }) {
+		if len(c.owned) == 0 && slices.ContainsFunc(m.Blocks, func(b BlockStatus) bool { return c.shardRecords.Assignment(b.Block).Node == from }) {
 			c.zones.PeerView(m.Zones)
 		}
 		c.noteRelease(from, m.Release)
@@ -274,11 +274,9 @@
 		if c.membership.GrantPeerLease(now, from, m.Seat) {
 			c.emit(SendPeer{from, PeerPromise{Seat: m.Seat, Sent: m.Sent, Told: c.cancellationsFor(m), ConfigKnown: c.config.Known()}})
 		}
-		if l := &c.plans; c.election.Leads() {
+		if c.election.Leads() {
 			for _, b := range m.Blocks {
-				if g, ok := c.assignments[b.Block]; ok && g.Node == from && b.Use >= 0 {
-					l.noteUse(c, b.Block, b.Share, b.Use)
-				}
+				c.planner.ObserveQuotaUse(from, b.Block, b.Share, b.Use)
 			}
 		}
 	case PeerPromise:
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -12,6 +12,7 @@
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -253,7 +254,7 @@
 	j := c.jobs.Get("wk-000412")
 	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.OpenDependencies != 0 || j.Spec().Deadline != 900*units.Second ||
 		c.jobs.Get("wk-000398").Record.Status != jobs.Done || c.jobs.Get("wk-000405").Record.Demand[0] != 1000 ||
-		c.election.Record().Term != 3 || c.assignments[1].ReleasedBy != "stagehand-0" || c.allocations[0].fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
+		c.election.Record().Term != 3 || c.shardRecords.Assignment(1).ReleasedBy != "stagehand-0" || c.shardRecords.Allocation(0).Fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
 		t.Fatalf("%+v", j)
 	}
 	type oldRecord struct {
@@ -285,11 +286,11 @@
 		node := string(rune('a' + i))
 		c.learn(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: r}), Stamp: uint64(i + 1)})
 	}
-	if to := c.chooseOwner(0, shardAssignment{Assignment: authority.Assignment{Node: "a"}}, nil); to == "a" || to == "" {
+	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to == "a" || to == "" {
 		t.Fatalf("goes to %q", to)
 	}
 	c.learn(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: release}), Stamp: 9})
-	if to := c.chooseOwner(0, shardAssignment{Assignment: authority.Assignment{Node: "a"}}, nil); to != "a" {
+	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to != "a" {
 		t.Fatalf("goes to %q, and not to the last holder", to)
 	}
 }
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -15,7 +15,9 @@
 func (h quotaHost) Teams() map[string]*configuration.Team { return h.core.teams }
 
 // Allocation implements quota.Host.
-func (h quotaHost) Allocation() float64 { return h.core.allocations[h.shard.number].fraction }
+func (h quotaHost) Allocation() float64 {
+	return h.core.shardRecords.Allocation(h.shard.number).Fraction
+}
 
 // MayStart implements quota.Host.
 func (h quotaHost) MayStart(team string) bool { return h.core.config.MayStart(team, h.shard.number) }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -17,6 +17,7 @@
 	"shalestage.example/shalestage/internal/core/quota"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/scheduler"
+	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/shardstore"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -61,8 +62,8 @@
 
 // own begins to hold a block. Reports are answered once a read that began
 // after the grant was stored has shown everything that earlier holders stored.
-func (c *Core) own(k int, g shardAssignment) {
-	shard := &ownedShard{number: k, assignment: g.version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
+func (c *Core) own(k int, g shardplan.Assignment) {
+	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
 		machines:     map[string]*fleet.Machine{},
 		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), unknownMachines: map[string]units.Microseconds{}}
@@ -147,8 +148,8 @@
 }
 
 func (c *Core) storeRelease(shard *ownedShard) {
-	current := c.assignments[shard.number]
-	if current.version != shard.assignment {
+	current := c.shardRecords.Assignment(shard.number)
+	if current.Version != shard.assignment {
 		return
 	}
 	released := authority.Assignment{Term: current.Term, Number: current.Number, ReleasedBy: c.cfg.Node}
@@ -231,7 +232,9 @@
 	}
 	if c.now >= shard.nextMigrationAt {
 		shard.nextMigrationAt = c.now + units.Second/2
-		c.migrateJobs(shard)
+		if len(shard.unreconciled) == 0 {
+			c.planner.Migrate(c.now, migratingShard{c, shard}, shard.scheduler.Jobs())
+		}
 	}
 	c.probe(shard)
 	c.tickCloud(shard)
@@ -241,12 +244,10 @@
 // this node holds.
 func (c *Core) setRates() {
 	open, mine := 0, 0
-	for k, s := range c.allocations {
-		if s.fraction > 1e-9 {
-			open++
-			if c.owned[k] != nil {
-				mine++
-			}
+	for _, k := range c.shardRecords.Open() {
+		open++
+		if c.owned[k] != nil {
+			mine++
 		}
 	}
 	part := 1.0
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -11,6 +11,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -25,7 +26,7 @@
 	c.Tick(now, wall)
 	g := fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}, ProvisionedAt: wall - 400*units.Second}
 	c.OnList(now, List{}, store.OK, 5, []store.Event{{Key: machinePrefix + "r-1", Value: store.Value(g), Stamp: 3}}, false)
-	c.own(0, shardAssignment{version: 4})
+	c.own(0, shardplan.Assignment{Version: 4})
 	c.Drain()
 	c.OnChanges(now, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
 	m := c.owned[0].machines["n-1"]
@@ -337,7 +338,7 @@
 			t.Errorf("%s: written %v, guarded by version %d, want %d", key, ok, got, guard)
 		}
 	}
-	if shard := c.owned[0]; shard == nil || shard.assignment != c.assignments[0].version {
+	if shard := c.owned[0]; shard == nil || shard.assignment != c.shardRecords.Assignment(0).Version {
 		t.Error("the block is not held under the version that it has now")
 	}
 }
