--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -1,10 +1,13 @@
-// Package binpack holds the Tetris packer: which tasks go to a machine that has
-// free room. Section numbers in comments are the paper's.
+// Package binpack is the Tetris packer: which tasks go to a machine that has free capacity. It filters
+// jobs by distance from fair share and by what fits, and scores a task by its alignment with what
+// is free, blended with the work that remains of its job. Section numbers in comments are the
+// paper's. The package knows nothing but amounts; package scheduler decides what it is shown.
 package binpack
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 )
 
 // Resources, in the order of a Vec.
@@ -34,7 +37,7 @@
 	return v
 }
 
-// Fits reports whether a demand of v fits into free room.
+// Fits reports whether a demand of v fits into what is free.
 func (v Vec) Fits(free Vec) bool {
 	for i := range v {
 		if v[i] > free[i] {
@@ -52,16 +55,16 @@
 	return v
 }
 
-// Alignment is the dot product of free room and demand, each divided by the
+// Alignment is the dot product of what is free and a demand, each divided by the
 // machine's capacity, all resources weighed equally (3.2).
 func Alignment(capacity, free, demand Vec) float64 {
-	var a float64
+	var sum float64
 	for i, c := range capacity {
 		if c > 0 {
-			a += float64(free[i]) / float64(c) * float64(demand[i]) / float64(c)
+			sum += float64(free[i]) / float64(c) * float64(demand[i]) / float64(c)
 		}
 	}
-	return a
+	return sum
 }
 
 // Size is the sum of a demand's shares of a capacity (3.3.1).
@@ -86,7 +89,7 @@
 	return s
 }
 
-// Params are the packer's knobs.
+// Params are the settings of the packer.
 type Params struct {
 	Fairness     float64 // f (3.4)
 	EpsilonScale float64 // factor on epsilon (3.3.2)
@@ -99,114 +102,146 @@
 	Pending  int     // tasks that may start now
 	Work     float64 // seconds of estimated run time left, over all unfinished tasks
 	Deficit  float64 // fair share less what it holds: larger is further from fair share
-	Tier     int     // larger is served first: guarantee and priority, before any score
+	Tier     int     // larger is served first, before any score
 	Cached   bool    // the machine has the image
 	Deferred bool    // served only when nothing else of its tier fits (it fails wherever it runs)
 }
 
-// Fill gives one machine tasks until nothing fits. It names the job of each
-// task to take, best first; take reports whether rules outside the machine
-// (team limit, zones) let the task go there, and a job refused once is left out.
-func Fill(capacity, free Vec, jobs []Job, p Params, take func(job int) bool) {
-	taken := make([]int, len(jobs))
-	shut := make([]bool, len(jobs))
-	order := make([]int, len(jobs))
+// Fill gives one machine tasks until nothing fits. It names the job of each task to take, best first;
+// take reports whether rules outside the machine (the team's limit, zones) let the task go there, and
+// a job refused once is left out.
+func Fill(capacity, free Vec, jobs []Job, params Params, take func(job int) bool) {
+	p := packer{capacity: capacity, free: free, jobs: jobs, params: params, pending: make([]int, len(jobs))}
+	for i := range jobs {
+		p.pending[i] = jobs[i].Pending
+	}
+	for order := p.order(); len(order) > 0; {
+		group := p.firstGroup(order)
+		order = order[len(group):]
+		for chosen := p.best(group); chosen >= 0; chosen = p.best(group) {
+			if !take(chosen) {
+				p.pending[chosen] = 0
+				continue
+			}
+			p.pending[chosen]--
+			p.free = p.free.Sub(jobs[chosen].Demand)
+		}
+	}
+}
+
+// packer is one call of Fill.
+type packer struct {
+	capacity, free Vec
+	jobs           []Job
+	params         Params
+	pending        []int       // tasks that may still start, by job; 0 once one was refused
+	scored         []candidate // kept for its memory
+}
+
+// candidate is a job whose next task fits, and what is scored of it.
+type candidate struct {
+	job       int
+	alignment float64 // less the image penalty
+	work      float64 // remaining run time times the size of a task (3.3.1)
+}
+
+// order returns the jobs by tier, the deferred last in theirs, then by distance from fair share.
+func (p *packer) order() []int {
+	order := make([]int, len(p.jobs))
 	for i := range order {
 		order[i] = i
 	}
-	sort.SliceStable(order, func(a, b int) bool {
-		x, y := &jobs[order[a]], &jobs[order[b]]
-		if x.Tier != y.Tier {
-			return x.Tier > y.Tier
-		}
-		if x.Deferred != y.Deferred {
-			return y.Deferred
-		}
-		return x.Deficit > y.Deficit
-	})
-	for lo := 0; lo < len(order); {
-		hi := lo
-		for hi < len(order) && jobs[order[hi]].Tier == jobs[order[lo]].Tier && jobs[order[hi]].Deferred == jobs[order[lo]].Deferred {
-			hi++
-		}
-		group := order[lo:hi]
-		for {
-			i := best(capacity, free, jobs, group, taken, shut, p)
-			if i < 0 {
-				break
-			}
-			if !take(i) {
-				shut[i] = true
-				continue
+	slices.SortStableFunc(order, func(a, b int) int {
+		x, y := &p.jobs[a], &p.jobs[b]
+		switch {
+		case x.Tier != y.Tier:
+			return cmp.Compare(y.Tier, x.Tier)
+		case x.Deferred != y.Deferred:
+			if y.Deferred {
+				return -1
 			}
-			taken[i]++
-			free = free.Sub(jobs[i].Demand)
+			return 1
 		}
-		lo = hi
+		return cmp.Compare(y.Deficit, x.Deficit)
+	})
+	return order
+}
+
+// firstGroup returns the first jobs of an order that are scored against each other: those of one
+// tier that are alike deferred or not.
+func (p *packer) firstGroup(order []int) []int {
+	first := &p.jobs[order[0]]
+	n := 1
+	for n < len(order) && p.jobs[order[n]].Tier == first.Tier && p.jobs[order[n]].Deferred == first.Deferred {
+		n++
 	}
+	return order[:n]
 }
 
-// best returns the job whose task scores highest among the jobs furthest from
-// fair share, or -1. The cut counts the jobs that still have pending tasks
-// (3.4). Where none of those within the cut fits, the rest are looked at, so
-// that room is not left empty beside work that could use it.
-func best(capacity, free Vec, jobs []Job, group, taken []int, shut []bool, p Params) int {
-	runnable := 0
-	for _, i := range group {
-		if taken[i] < jobs[i].Pending && !shut[i] {
-			runnable++
+// best returns the job whose task scores highest among the jobs furthest from fair share, or -1. The
+// cut counts the jobs that still have pending tasks (3.4). Where none of those within the cut fits,
+// the rest are looked at, so that capacity is not left free beside work that could use it.
+func (p *packer) best(group []int) int {
+	pending := 0
+	for _, job := range group {
+		if p.pending[job] > 0 {
+			pending++
 		}
 	}
-	cut := int(math.Ceil((1 - p.Fairness) * float64(runnable)))
-	for from := 0; from < runnable; from, cut = cut, runnable {
-		if i := bestOf(capacity, free, jobs, group, taken, shut, p, from, cut); i >= 0 {
-			return i
+	cut := int(math.Ceil((1 - p.params.Fairness) * float64(pending)))
+	for from := 0; from < pending; from, cut = cut, pending {
+		if job := p.bestWithin(group, from, cut); job >= 0 {
+			return job
 		}
 	}
 	return -1
 }
 
-func bestOf(capacity, free Vec, jobs []Job, group, taken []int, shut []bool, p Params, from, to int) int {
-	var sumA, sumP float64
+// bestWithin returns the job whose task scores highest among the from-th up to the to-th job of a
+// group that still have pending tasks, of those whose task fits; or -1. The score is alignment less
+// remaining work weighed by epsilon (3.3.2).
+func (p *packer) bestWithin(group []int, from, to int) int {
+	var sumAlignment, sumWork float64
 	seen := 0
-	type cand struct {
-		i    int
-		a, p float64
-	}
-	var cands []cand
-	for _, i := range group {
-		j := &jobs[i]
-		if taken[i] >= j.Pending || shut[i] {
+	p.scored = p.scored[:0]
+	for _, job := range group {
+		if p.pending[job] <= 0 {
 			continue
 		}
 		seen++
-		if seen <= from || seen > to || !j.Demand.Fits(free) {
+		if seen <= from || seen > to || !p.jobs[job].Demand.Fits(p.free) {
 			continue
 		}
-		a := Alignment(capacity, free, j.Demand)
-		if !j.Cached {
-			a *= 1 - p.ImagePenalty
-		}
-		w := Size(capacity, j.Demand) * j.Work
-		cands = append(cands, cand{i, a, w})
-		sumA += a
-		sumP += w
-	}
-	eps := Epsilon(sumA, sumP) * p.EpsilonScale
-	best, top := -1, math.Inf(-1)
-	for _, c := range cands {
-		if s := c.a - eps*c.p; s > top {
-			best, top = c.i, s
+		c := p.score(job)
+		p.scored = append(p.scored, c)
+		sumAlignment += c.alignment
+		sumWork += c.work
+	}
+	epsilon := Epsilon(sumAlignment, sumWork) * p.params.EpsilonScale
+	best, highest := -1, math.Inf(-1)
+	for _, c := range p.scored {
+		if score := c.alignment - epsilon*c.work; score > highest {
+			best, highest = c.job, score
 		}
 	}
 	return best
 }
 
-// Epsilon is average alignment over average remaining work, or 0 without work
-// (3.3.2). Both averages are over the same tasks, so their sums serve.
-func Epsilon(sumAlign, sumWork float64) float64 {
+// score returns what a job's next task is scored by.
+func (p *packer) score(job int) candidate {
+	view := &p.jobs[job]
+	alignment := Alignment(p.capacity, p.free, view.Demand)
+	if !view.Cached {
+		alignment *= 1 - p.params.ImagePenalty
+	}
+	return candidate{job, alignment, Size(p.capacity, view.Demand) * view.Work}
+}
+
+// Epsilon is average alignment over average remaining work, or 0 without work (3.3.2). Both averages
+// are over the same tasks, so their sums serve.
+func Epsilon(sumAlignment, sumWork float64) float64 {
 	if sumWork <= 0 {
 		return 0
 	}
-	return sumAlign / sumWork
+	return sumAlignment / sumWork
 }
--- /dev/null
+++ b/internal/core/ranking/entitlements_test.go
@@ -0,0 +1,57 @@
+package ranking
+
+import (
+	"fmt"
+	"testing"
+
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+)
+
+// nominal are teams' nominal quotas of CPU.
+type nominal map[string]int64
+
+func (n nominal) Nominal(team string) (binpack.Vec, bool) {
+	cpu, known := n[team]
+	return binpack.Vec{cpu}, known
+}
+
+func (n nominal) TotalNominal() (cpu int64, teams int) {
+	for _, quota := range n {
+		cpu += quota
+	}
+	return cpu, len(n)
+}
+
+// TestEntitle has the jobs of three teams, of 2 CPUs a task: the earliest of a team are within its
+// nominal quota, no later one is once one was not, and the jobs of other shards count too.
+func TestEntitle(t *testing.T) {
+	job := func(number int, team string, tasks int) *jobs.Job {
+		j := &jobs.Job{ID: fmt.Sprint(number), Record: jobs.Record{Status: jobs.Pending, Tasks: tasks,
+			Spec: &jobs.Spec{Team: team, Tasks: tasks, Demand: binpack.Vec{2000}}}}
+		j.Reset()
+		return j
+	}
+	own := []*jobs.Job{job(1, "a", 2), job(2, "b", 1), job(3, "a", 4), job(4, "a", 1), job(5, "none", 1)}
+	elsewhere := append([]*jobs.Job{job(0, "a", 3)}, own...)
+	for _, c := range []struct {
+		name   string
+		all    []*jobs.Job
+		within map[string]bool
+	}{
+		{"the shard alone", own, map[string]bool{"1": true, "2": true}},
+		{"an earlier job in another shard", elsewhere, map[string]bool{"0": true, "2": true}},
+	} {
+		got := Entitle(own, c.all, nominal{"a": 6000, "b": 2000})
+		for _, j := range c.all {
+			if got.WithinNominal[j.ID] != c.within[j.ID] {
+				t.Errorf("%s: job %s within: %v", c.name, j.ID, got.WithinNominal[j.ID])
+			}
+		}
+		for team, want := range map[string]float64{"a": 0.75 / 3, "b": 0.25, "none": 0.5} {
+			if got.FairShare[team] != want {
+				t.Errorf("%s: fair share of %s is %g, want %g", c.name, team, got.FairShare[team], want)
+			}
+		}
+	}
+}
--- a/internal/core/ranking/order.go
+++ b/internal/core/ranking/order.go
@@ -8,14 +8,14 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 )
 
-// Order keeps jobs by when they could first start, which must not change while they are in it.
-// Jobs that come and go are sorted in by Settle; the others are not sorted again. The zero value
-// is empty.
+// Order keeps jobs sorted by when they could first start, which must not change while they are in
+// it. Settle sorts in the jobs that were added; the others are not sorted again. The zero value is
+// empty.
 type Order struct {
-	in     map[*jobs.Job]struct{}
-	sorted []*jobs.Job            // as of the last Settle
-	added  []*jobs.Job            // since then
-	gone   map[*jobs.Job]struct{} // since then, from sorted or added
+	members map[*jobs.Job]struct{}
+	sorted  []*jobs.Job            // as of the last Settle
+	added   []*jobs.Job            // since then
+	removed map[*jobs.Job]struct{} // since then, still in sorted or added
 }
 
 // byStart compares jobs by when they could first start.
@@ -24,67 +24,66 @@
 }
 
 // Add puts a job in, if it is not there.
-func (o *Order) Add(j *jobs.Job) {
-	if _, there := o.in[j]; there {
+func (o *Order) Add(job *jobs.Job) {
+	if _, member := o.members[job]; member {
 		return
 	}
-	if o.in == nil {
-		o.in, o.gone = map[*jobs.Job]struct{}{}, map[*jobs.Job]struct{}{}
+	if o.members == nil {
+		o.members, o.removed = map[*jobs.Job]struct{}{}, map[*jobs.Job]struct{}{}
 	}
-	o.in[j] = struct{}{}
-	if _, left := o.gone[j]; left {
-		delete(o.gone, j)
+	o.members[job] = struct{}{}
+	if _, removed := o.removed[job]; removed {
+		delete(o.removed, job)
 		return
 	}
-	o.added = append(o.added, j)
+	o.added = append(o.added, job)
 }
 
 // Remove takes a job out, if it is there.
-func (o *Order) Remove(j *jobs.Job) {
-	if _, there := o.in[j]; !there {
+func (o *Order) Remove(job *jobs.Job) {
+	if _, member := o.members[job]; !member {
 		return
 	}
-	delete(o.in, j)
-	o.gone[j] = struct{}{}
-	if len(o.gone) > minGone+len(o.in) {
-		o.Settle() // nobody asks for the jobs: what left must not gather
+	delete(o.members, job)
+	o.removed[job] = struct{}{}
+	if len(o.removed) > minRemoved+len(o.members) {
+		o.Settle() // nobody asks for the jobs: what was removed must not pile up
 	}
 }
 
-// minGone is how many jobs may have left before they are dropped unasked.
-const minGone = 64
+// minRemoved is how many removed jobs are kept for the next Settle at least.
+const minRemoved = 64
 
 // Len returns how many jobs there are.
-func (o *Order) Len() int { return len(o.in) }
+func (o *Order) Len() int { return len(o.members) }
 
-// Jobs returns the jobs as of the last Settle, the first to have come first. The list is the
-// order's own.
+// Jobs returns the jobs as of the last Settle, the earliest first. The list is the order's own.
 func (o *Order) Jobs() []*jobs.Job { return o.sorted }
 
-// Settle sorts in what came and drops what left.
+// Settle sorts in what was added and drops what was removed.
 func (o *Order) Settle() {
-	if len(o.gone) > 0 {
-		left := func(j *jobs.Job) bool {
-			_, gone := o.gone[j]
-			return gone
+	if len(o.removed) > 0 {
+		isRemoved := func(job *jobs.Job) bool {
+			_, removed := o.removed[job]
+			return removed
 		}
-		o.sorted = slices.DeleteFunc(o.sorted, left)
-		o.added = slices.DeleteFunc(o.added, left)
-		clear(o.gone)
+		o.sorted = slices.DeleteFunc(o.sorted, isRemoved)
+		o.added = slices.DeleteFunc(o.added, isRemoved)
+		clear(o.removed)
 	}
 	if len(o.added) == 0 {
 		return
 	}
 	slices.SortFunc(o.added, byStart)
-	n := len(o.sorted)
+	before := len(o.sorted)
 	o.sorted = append(o.sorted, o.added...)
-	mergeFromEnd(o.sorted, n, o.added)
+	mergeFromEnd(o.sorted, before, o.added)
 	clear(o.added)
 	o.added = o.added[:0]
 }
 
-// mergeFromEnd merges the first n jobs of a list with added, for which there is room behind
-// them. It stops where the rest is in its place, which is soon where what comes is the latest.
+// mergeFromEnd merges the first n jobs of a list with added, for which there is room behind them.
+// It stops where the rest is in its place, which is soon where the added jobs are the latest.
 func mergeFromEnd(list []*jobs.Job, n int, added []*jobs.Job) {
 	at := len(list) - 1
 	for i, k := n-1, len(added)-1; k >= 0; at-- {
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -11,9 +11,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestAgainstSorting lets jobs come and go, and compares the order with one that is sorted anew,
+// TestOrderAgainstSorting lets jobs come and go, and compares the order with one that is sorted anew,
 // and what a machine is offered with a look at all jobs.
-func TestAgainstSorting(t *testing.T) {
+func TestOrderAgainstSorting(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var q Queue
 	there := map[*jobs.Job]bool{}
@@ -62,13 +62,13 @@
 		tier, deficit int
 	}
 	var all []offer
-	q.Begin()
+	q.BeginRanking()
 	for _, j := range ranked {
 		o := offer{j, rng.IntN(3), rng.IntN(3)}
 		all = append(all, o)
 		q.Propose(Candidate{Job: j, Tier: o.tier, Deficit: float64(o.deficit)})
 	}
-	q.Finish()
+	q.FinishRanking()
 	slices.SortStableFunc(all, func(a, b offer) int { return (b.tier-a.tier)*10 + b.deficit - a.deficit })
 	free := binpack.Vec{int64(rng.IntN(6))}
 	suits := func(s *jobs.Spec) bool { return s.Demand.Fits(free) && s.Allows("a", "z", true) }
@@ -89,24 +89,24 @@
 	}
 }
 
-// TestSpentJobsAreSkipped has jobs give out their last task: where many wait, they are not looked
+// TestExhaustedJobsAreSkipped has jobs give out their last task: where many wait, they are not looked
 // at again and again, and a job behind them is found.
-func TestSpentJobsAreSkipped(t *testing.T) {
+func TestExhaustedJobsAreSkipped(t *testing.T) {
 	var q Queue
-	for i := range 2 * fewJobs {
+	for i := range 2 * smallQueue {
 		j := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1}}}
 		j.Reset()
 		q.Add(j)
 	}
 	q.Settle()
-	q.Begin()
+	q.BeginRanking()
 	for _, j := range q.Jobs() {
 		q.Propose(Candidate{Job: j})
 	}
-	q.Finish()
+	q.FinishRanking()
 	any := func(*jobs.Spec) bool { return true }
 	from := q.Steps()
-	for i := range fewJobs {
+	for i := range smallQueue {
 		q.Each(any, func(c Candidate, _ int) bool {
 			if c.Job != q.Jobs()[i] {
 				t.Fatalf("offered %s at %d", c.Job.ID, i)
@@ -115,7 +115,7 @@
 			return false
 		})
 	}
-	if steps := q.Steps() - from; steps > 4*fewJobs {
-		t.Errorf("%d steps for %d tasks", steps, fewJobs)
+	if steps := q.Steps() - from; steps > 4*smallQueue {
+		t.Errorf("%d steps for %d tasks", steps, smallQueue)
 	}
 }
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -45,16 +45,16 @@
 // PropagateObjectives implements scheduler.Host.
 func (h schedulerHost) PropagateObjectives() { h.core.propagateObjectives(h.shard) }
 
-// Guarantee implements ranking.Quotas.
-func (h schedulerHost) Guarantee(team string) (binpack.Vec, bool) {
+// Nominal implements ranking.Quotas.
+func (h schedulerHost) Nominal(team string) (binpack.Vec, bool) {
 	if t := h.core.teams[team]; t != nil {
 		return t.Guarantee, true
 	}
 	return binpack.Vec{}, false
 }
 
-// Total implements ranking.Quotas. Teams that are removed count no more.
-func (h schedulerHost) Total() (cpu int64, teams int) {
+// TotalNominal implements ranking.Quotas. Teams that are removed count no more.
+func (h schedulerHost) TotalNominal() (cpu int64, teams int) {
 	for _, t := range h.core.cfg.Teams {
 		cpu += t.Guarantee[binpack.CPU]
 	}
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -47,8 +47,8 @@
 	suits := func(spec *jobs.Spec) bool {
 		return spec.Demand.Fits(free) && spec.Allows(machine.Record.Type, machine.Record.Zone, machine.Record.Spot)
 	}
-	s.queue.Each(suits, func(candidate ranking.Candidate, alike int) bool {
-		if pending := s.pending(now, wall, machine, candidate.Job, alike); pending > 0 {
+	s.queue.Each(suits, func(candidate ranking.Candidate, class int) bool {
+		if pending := s.pending(now, wall, machine, candidate.Job, class); pending > 0 {
 			s.candidates = append(s.candidates, candidate.Job)
 			s.views = append(s.views, s.view(machine, candidate, pending))
 		}
@@ -58,14 +58,14 @@
 
 // pending is how many tasks of a job may start on a machine now. What fits on preferred machines
 // that are about to ask for work is left to them.
-func (s *Scheduler) pending(now, wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, alike int) int {
+func (s *Scheduler) pending(now, wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, class int) int {
 	if job.Spec() == nil || job.Ready() == 0 || !s.startable(now, job) {
 		return 0
 	}
 	if machine.Spare != 0 && s.demand.Idle(wall, job) {
 		return 0 // the machine would be kept for that alone
 	}
-	pending := job.Ready() - s.headroom.take(job, alike)
+	pending := job.Ready() - s.headroom.take(job, class)
 	if job.Suspect() {
 		pending = quarantine.Trials(now, machine, job)
 	}
--- a/internal/core/scheduler/headroom.go
+++ b/internal/core/scheduler/headroom.go
@@ -18,7 +18,7 @@
 type headroom struct {
 	machines  []*fleet.Machine
 	free      []binpack.Vec
-	exhausted map[int]bool // by number of alike jobs: no task of theirs fits any more, as free only shrinks
+	exhausted map[int]bool // by equivalence class: no task of theirs fits any more, as free only shrinks
 }
 
 // collect finds the headroom on the machines that are preferred to one; ranked are machines with
@@ -40,10 +40,10 @@
 	}
 }
 
-// take sets headroom aside for a job's ready tasks, and returns for how many. Jobs that are alike
-// in what machines can take their tasks have the same number.
-func (h *headroom) take(job *jobs.Job, alike int) int {
-	if h.exhausted[alike] {
+// take sets headroom aside for a job's ready tasks, and returns for how many. class is the number of
+// the job's equivalence class: the same machines can take the tasks of all its jobs.
+func (h *headroom) take(job *jobs.Job, class int) int {
+	if h.exhausted[class] {
 		return 0
 	}
 	spec := job.Spec()
@@ -61,7 +61,7 @@
 		if h.exhausted == nil {
 			h.exhausted = map[int]bool{}
 		}
-		h.exhausted[alike] = true
+		h.exhausted[class] = true
 	}
 	return job.Ready() - waiting
 }
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -174,7 +174,7 @@
 	if !sameTeam && s.quota.Usage(team)[binpack.CPU] <= s.shortfall[team] {
 		return false // all that it has is what it may use before all others
 	}
-	within, victimWithin := s.rights.Within[job.ID], s.rights.Within[victim.ID]
+	within, victimWithin := s.entitled.WithinNominal[job.ID], s.entitled.WithinNominal[victim.ID]
 	if victim.Objectives.Priority < job.Objectives.Priority && (within || !victimWithin) {
 		return true
 	}
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -31,7 +31,7 @@
 	if all == nil {
 		all = own
 	}
-	s.rights = ranking.Weigh(own, all, s.host)
+	s.entitled = ranking.Entitle(own, all, s.host)
 	s.capacity = binpack.Vec{}
 	for _, machine := range s.host.Machines() {
 		if machine.Type != nil && !machine.Deprovisioning {
@@ -43,13 +43,13 @@
 
 // RankDue reports whether tasks have become ready that the ranking should have soon.
 func (s *Scheduler) RankDue() bool {
-	return s.readyUnranked && s.host.Now() >= s.rankedAt+max(rankGap, s.queue.Gap())
+	return s.readyUnranked && s.host.Now() >= s.rankedAt+max(rankGap, s.queue.MinInterval())
 }
 
 // OfferIdle ranks the jobs if tasks have become ready, and reports whether machines that are
 // waiting for work should be filled: there are ranked jobs that they were not offered yet.
 func (s *Scheduler) OfferIdle() bool {
-	if s.readyUnranked && s.host.Now() >= s.rankedAt+s.queue.Gap() {
+	if s.readyUnranked && s.host.Now() >= s.rankedAt+s.queue.MinInterval() {
 		s.rank()
 	}
 	offer := s.rankedUnserved && len(s.queue.Ranked()) > 0
@@ -59,7 +59,7 @@
 
 // rankExpired reports whether the ranking is too old to fill a machine by it.
 func (s *Scheduler) rankExpired() bool {
-	return s.host.Now() >= s.rankedAt+max(rankEvery, s.queue.Gap()) || s.RankDue()
+	return s.host.Now() >= s.rankedAt+max(rankEvery, s.queue.MinInterval()) || s.RankDue()
 }
 
 // rank orders the jobs that have ready tasks by tier and distance from fair share, and the machines
@@ -69,7 +69,7 @@
 	s.rankedAt = now
 	s.rankedUnserved = s.rankedUnserved || s.readyUnranked
 	s.readyUnranked = false
-	if s.orderStale || s.rights.Within == nil {
+	if s.orderStale || s.entitled.WithinNominal == nil {
 		s.sort()
 	}
 	s.rankJobs(now, wall)
@@ -81,7 +81,7 @@
 
 // rankJobs ranks the jobs whose ready tasks may start.
 func (s *Scheduler) rankJobs(now, wall units.Microseconds) {
-	s.queue.Begin()
+	s.queue.BeginRanking()
 	s.reserved = map[string]binpack.Vec{}
 	s.readyTasks, s.completionRate = 0, 0
 	for _, job := range s.queue.Jobs() {
@@ -103,7 +103,7 @@
 			Deficit: s.deficit(job),
 		})
 	}
-	s.queue.Finish()
+	s.queue.FinishRanking()
 }
 
 // rankMachines collects the machines that are about to ask for work, the most preferred first.
@@ -129,7 +129,7 @@
 // quota, then by priority.
 func (s *Scheduler) tier(job *jobs.Job) int {
 	tier := int(job.Objectives.Priority)
-	if s.rights.Within[job.ID] {
+	if s.entitled.WithinNominal[job.ID] {
 		tier += priorities
 	}
 	if s.inShortfall(job.Spec()) {
@@ -160,7 +160,7 @@
 // deficit is how far a job is from its fair share (the paper's 3.4).
 func (s *Scheduler) deficit(job *jobs.Job) float64 {
 	spec := job.Spec()
-	return s.rights.Share[spec.Team] - binpack.Dominant(s.capacity, spec.Demand)*float64(job.Placed())
+	return s.entitled.FairShare[spec.Team] - binpack.Dominant(s.capacity, spec.Demand)*float64(job.Placed())
 }
 
 // computeShortfall finds the teams that have waited for long for their nominal quota, and how much
@@ -170,7 +170,7 @@
 // (TestTeamInShortfall).
 func (s *Scheduler) computeShortfall() {
 	s.shortfall = map[string]int64{}
-	nominal, _ := s.host.Total()
+	nominal, _ := s.host.TotalNominal()
 	present := s.capacity[binpack.CPU]
 	if nominal <= present {
 		return
@@ -181,7 +181,7 @@
 		if job.Ready() == 0 || wall-job.Since <= preemptAfter || job.FailsEverywhere() || s.shortfall[team] > 0 {
 			continue
 		}
-		if quota, known := s.host.Guarantee(team); known {
+		if quota, known := s.host.Nominal(team); known {
 			s.shortfall[team] = int64(float64(quota[binpack.CPU]) * float64(present) / float64(nominal))
 		}
 	}
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -58,7 +58,7 @@
 // and PropagateObjectives change anything; neither may call the Scheduler, whose decision is half
 // made then.
 type Host interface {
-	// Guarantee and Total are of the teams in force.
+	// Nominal and TotalNominal are of the teams in force.
 	ranking.Quotas
 	// Now is the steady time at which the decision is made.
 	Now() units.Microseconds
@@ -90,9 +90,9 @@
 	demand *demand.Estimator
 	zones  Zones
 
-	queue      ranking.Queue  // active jobs, and the order in which they are served
-	rights     ranking.Rights // of the jobs, by their teams' nominal quotas
-	orderStale bool           // jobs have come or gone since they were sorted
+	queue      ranking.Queue        // active jobs, and the order in which they are served
+	entitled   ranking.Entitlements // of the jobs, by their teams' nominal quotas
+	orderStale bool                 // jobs have come or gone since they were sorted
 	nextSortAt units.Microseconds
 	capacity   binpack.Vec      // of all machines that are to stay
 	shortfall  map[string]int64 // CPU that teams in shortfall may use before all others
@@ -133,8 +133,8 @@
 // scheduler's own.
 func (s *Scheduler) Jobs() []*jobs.Job { return s.queue.Jobs() }
 
-// Steps returns how many jobs and groups of alike jobs were looked at so far: what scheduling
-// costs, in a measure that does not depend on the machine (TestReportSteps in internal/core).
+// Steps returns how many jobs and equivalence classes were looked at so far: what scheduling costs,
+// in a measure that does not depend on the machine (TestReportSteps in internal/core).
 func (s *Scheduler) Steps() uint64 { return s.queue.Steps() }
 
 // TasksReady notes that there are ready tasks that the ranking does not know of.
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -86,11 +86,11 @@
 func (*fakeShard) TooExpensive(*fleet.Machine, *jobs.Spec) bool { return false }
 func (*fakeShard) Reachable(string) bool                        { return true }
 func (*fakeShard) DeclaredLost(string) bool                     { return false }
-func (f *fakeShard) Guarantee(team string) (_ binpack.Vec, _ bool) {
+func (f *fakeShard) Nominal(team string) (_ binpack.Vec, _ bool) {
 	return f.teams[team].Guarantee, true
 }
 
-func (f *fakeShard) Total() (cpu int64, teams int) {
+func (f *fakeShard) TotalNominal() (cpu int64, teams int) {
 	for _, team := range f.teams {
 		cpu += team.Guarantee[binpack.CPU]
 	}
