--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -252,11 +252,8 @@
 		if !c.Owns(c.now, k) {
 			continue
 		}
-		if shard.scheduler.RankDue() || c.now >= shard.pendingCheckedAt {
-			shard.pendingCheckedAt = c.now + units.Second/20
-			c.answerPending(shard)
-		}
-		shard.replication.Tick(c.now, len(shard.unreconciled) == 0)
+		shard.reconciler.OfferWork(c.now, shard.scheduler.RankDue())
+		shard.replication.Tick(c.now, len(shard.reconciler.Unreconciled()) == 0)
 		shard.writer.Flush()
 	}
 	for id, l := range c.queues {
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -34,9 +34,9 @@
 		fmt.Fprintf(&b, "; team %s uses %v", s.Team, shard.quota.Usage(s.Team))
 	}
 	fmt.Fprintf(&b, "; block %d share %.2f token %d free %v moving %v, unaccounted %d, renting %d, cloud may be called %v", shard.number, c.shardRecords.Allocation(shard.number).Fraction,
-		shard.fencingToken, shard.releasing, j.Migrating, len(shard.unreconciled), shard.provisioner.Open(), shard.provisioner.Ready(c.now))
-	for _, name := range sortedKeys(shard.machines) {
-		m := shard.machines[name]
+		shard.fencingToken, shard.releasing, j.Migrating, len(shard.reconciler.Unreconciled()), shard.provisioner.Open(), shard.provisioner.Ready(c.now))
+	for _, name := range sortedKeys(shard.reconciler.Machines()) {
+		m := shard.reconciler.Machine(name)
 		fmt.Fprintf(&b, "\n  %s %s/%s spot %v: up %v, tasks %d, settled %v (accounted %v stored %v lost %v sick %v leaving %v)",
 			name, m.Record.Type, m.Record.Zone, m.Record.Spot, m.LastSeen != 0, len(m.Tasks), m.Schedulable(), m.Reconciled, m.Record.Up, m.Lost, m.Quarantined, m.Deprovisioning)
 	}
@@ -66,7 +66,7 @@
 func (c *Core) Placed(k int) int {
 	n := 0
 	if shard := c.owned[k]; shard != nil {
-		for _, m := range shard.machines {
+		for _, m := range shard.reconciler.Machines() {
 			n += len(m.Tasks)
 		}
 	}
@@ -77,7 +77,7 @@
 func (c *Core) Quarantined(k int) int {
 	n := 0
 	if shard := c.owned[k]; shard != nil {
-		for _, m := range shard.machines {
+		for _, m := range shard.reconciler.Machines() {
 			if m.Quarantined {
 				n++
 			}
@@ -90,7 +90,7 @@
 // may run.
 func (c *Core) Unreconciled(k int) int {
 	if shard := c.owned[k]; shard != nil {
-		return len(shard.unreconciled)
+		return len(shard.reconciler.Unreconciled())
 	}
 	return 0
 }
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -69,8 +69,8 @@
 // cloud has answered.
 func (f replicationHost) Machines() []string {
 	var out []string
-	for _, name := range sortedKeys(f.bl.machines) {
-		if len(f.bl.machines[name].Tasks) > 0 {
+	for _, name := range sortedKeys(f.bl.reconciler.Machines()) {
+		if len(f.bl.reconciler.Machine(name).Tasks) > 0 {
 			out = append(out, name)
 		}
 	}
@@ -79,7 +79,7 @@
 
 // SnapshotMachine implements follow.Host. A machine that is not there was returned: nothing is on it.
 func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
-	if m := f.bl.machines[name]; m != nil {
+	if m := f.bl.reconciler.Machine(name); m != nil {
 		return drawMachine(m)
 	}
 	return replication.MachinePicture{Name: name}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -5,6 +5,7 @@
 
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/liveness"
+	"shalestage.example/shalestage/internal/core/reconcile"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -47,7 +48,7 @@
 // sendSnapshot sends the picture of a block that is being given up to all that can use it: who
 // gets the block is the leader's to decide.
 func (c *Core) sendSnapshot(shard *ownedShard) {
-	if !shard.ready || len(shard.unreconciled) > 0 {
+	if !shard.ready || len(shard.reconciler.Unreconciled()) > 0 {
 		return
 	}
 	var to []string
@@ -76,8 +77,8 @@
 			tasks = tasks[n:]
 		}
 	}
-	for _, name := range sortedKeys(shard.machines) {
-		m := shard.machines[name]
+	for _, name := range sortedKeys(shard.reconciler.Machines()) {
+		m := shard.reconciler.Machine(name)
 		// One that has just come up has not shown the token yet; as all that earlier holders
 		// left is accounted for, nothing can be on it, unless nobody knows who rented it.
 		if m.Deprovisioning || m.Lost || !m.Record.Up || !m.Reconciled && isOrphanKey(m.Group) {
@@ -131,8 +132,8 @@
 // restore takes in a whole picture, and returns of how many machines it tells.
 func (c *Core) restore(shard *ownedShard, p *shardSnapshot) int {
 	n := 0
-	for _, name := range sortedKeys(shard.machines) {
-		m := shard.machines[name]
+	for _, name := range sortedKeys(shard.reconciler.Machines()) {
+		m := shard.reconciler.Machine(name)
 		if x, ok := p.machines[name]; m.Record.Up && (ok || p.covers(m.Group)) {
 			c.restoreMachine(shard, m, x)
 			n++
@@ -150,13 +151,7 @@
 
 // restoreMachine takes in what may be on a machine by the last holder's word.
 func (c *Core) restoreMachine(shard *ownedShard, m *fleet.Machine, p MachinePicture) {
-	m.Reconciled, m.Transferred = true, true
-	m.Addr, m.Incarnation, m.Seq = p.Addr, p.Session, p.Seq
-	for _, t := range p.Tasks {
-		if t.State != fleet.Exited {
-			c.taskReported(shard, m, t) // what should stop is told when it reports
-		}
-	}
+	shard.reconciler.Restore(c.now, m, reconcile.Snapshot{Addr: p.Addr, Incarnation: p.Session, Seq: p.Seq, Tasks: p.Tasks})
 }
 
 // retireWithin is how long a controller that ends on purpose may take to hand on what it
@@ -205,12 +200,11 @@
 // holder, once that is known.
 func (c *Core) redirectPending(shard *ownedShard) {
 	to := c.ownerOf(shard.number)
-	for _, h := range shard.pendingHeartbeats {
+	for _, request := range shard.reconciler.TakePending() {
 		if to == "" {
-			c.reply(h.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
+			c.reply(RequestID(request), http.StatusServiceUnavailable, Problem{"no authority at present"})
 		} else {
-			c.reply(h.request, http.StatusMisdirectedRequest, Redirect{to})
+			c.reply(RequestID(request), http.StatusMisdirectedRequest, Redirect{to})
 		}
 	}
-	shard.pendingHeartbeats = nil
 }
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -16,7 +16,7 @@
 			f := newBusyFleet(b, machines, 10, 300)
 			heartbeats := make([]fleet.Heartbeat, len(f.names))
 			for i, name := range f.names {
-				m := f.bl.machines[name]
+				m := f.bl.reconciler.Machine(name)
 				heartbeats[i] = fleet.Heartbeat{Machine: name, Type: "big", Zone: "z", Incarnation: 1, FencingToken: f.bl.fencingToken, Notice: units.Never}
 				for _, id := range m.TaskIDs() {
 					heartbeats[i].Tasks = append(heartbeats[i].Tasks, fleet.Task{ID: id, Attempt: m.Tasks[id].Number, State: fleet.Running})
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -24,23 +24,23 @@
 func (t shardHost) Assignment() uint64 { return t.bl.assignment }
 
 // Machines implements renting.Host and watch.Host.
-func (t shardHost) Machines() map[string]*fleet.Machine { return t.bl.machines }
+func (t shardHost) Machines() map[string]*fleet.Machine { return t.bl.reconciler.Machines() }
 
 // Unreconciled implements renting.Host and watch.Host.
-func (t shardHost) Unreconciled() map[string]bool { return t.bl.unreconciled }
+func (t shardHost) Unreconciled() map[string]bool { return t.bl.reconciler.Unreconciled() }
 
 // SlotsNeeded implements renting.Host. While what earlier holders left is not known, neither is
 // what is needed.
 func (t shardHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
 	// What is in a zone that is lost may run on there, and has to be done elsewhere.
-	if len(t.bl.unreconciled) > provisioner.FewOf(len(t.bl.machines)) && t.now < t.bl.ownedSince+t.leaseBound() {
+	if len(t.bl.reconciler.Unreconciled()) > provisioner.FewOf(len(t.bl.reconciler.Machines())) && t.now < t.bl.ownedSince+t.leaseBound() {
 		unknown := 0
-		for name := range t.bl.unreconciled {
-			if m := t.bl.machines[name]; m != nil && !t.zones.Lost(m.Record.Zone) {
+		for name := range t.bl.reconciler.Unreconciled() {
+			if m := t.bl.reconciler.Machine(name); m != nil && !t.zones.Lost(m.Record.Zone) {
 				unknown++
 			}
 		}
-		if unknown > provisioner.FewOf(len(t.bl.machines)) {
+		if unknown > provisioner.FewOf(len(t.bl.reconciler.Machines())) {
 			return nil, false
 		}
 	}
@@ -57,7 +57,7 @@
 func (t shardHost) Provisioned(request string, r fleet.Record, names []string) {
 	key := machinePrefix + request
 	for _, n := range names {
-		if t.bl.machines[n] == nil {
+		if t.bl.reconciler.Machines()[n] == nil {
 			t.newMachine(t.bl, n, key, r, 0)
 		}
 	}
@@ -66,11 +66,7 @@
 
 // Deprovisioned implements renting.Host.
 func (t shardHost) Deprovisioned(m *fleet.Machine) {
-	for _, id := range m.TaskIDs() {
-		t.taskRemoved(t.bl, m, id)
-	}
-	t.bl.reconciled(t.Core, m)
-	delete(t.bl.machines, m.Name)
+	t.bl.reconciler.Deprovision(t.now, m)
 	t.bl.writer.StoreGroup(m.Group, false)
 }
 
@@ -87,10 +83,10 @@
 }
 
 // ProbesExhausted implements watch.Host.
-func (t shardHost) ProbesExhausted() bool { return t.bl.noneReachable() }
+func (t shardHost) ProbesExhausted() bool { return t.bl.reconciler.ProbesExhausted() }
 
 // Lost implements watch.Host.
-func (t shardHost) Lost(m *fleet.Machine) { t.lost(t.bl, m) }
+func (t shardHost) Lost(m *fleet.Machine) { t.bl.reconciler.ExpireLease(t.now, m) }
 
 // Limit implements demand.Host.
 func (t shardHost) Limit(team string) binpack.Vec {
@@ -176,13 +172,7 @@
 	if c.cfg.Size == 1 || c.zones.Explains() {
 		return false
 	}
-	up := 0
-	for _, m := range shard.machines {
-		if m.LastSeen != 0 || m.LeaseEnd != 0 {
-			up++
-		}
-	}
-	return c.reachability.Unreachable(c.now, up, c.reachablePeer)
+	return c.reachability.Unreachable(c.now, shard.reconciler.Up(), c.reachablePeer)
 }
 
 // peerUnreachable reports whether a controller is known to be out of the workers' reach.
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -3,8 +3,12 @@
 import (
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/reconcile"
+	"shalestage.example/shalestage/internal/core/scheduler"
+	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
@@ -13,79 +17,121 @@
 func (c *Core) newMachine(shard *ownedShard, name, key string, r fleet.Record, age units.Microseconds) *fleet.Machine {
 	m := fleet.New(name, r, c.types[r.Type], c.now)
 	m.Group, m.ProvisionedAt = key, c.now-age
-	shard.machines[name] = m
+	shard.reconciler.Add(m)
 	shard.writer.AddMachine(key, name, fleet.Group{Shard: shard.number, Type: r.Type, Zone: r.Zone, Spot: r.Spot, ProvisionedAt: c.wall - age})
 	return m
 }
 
-// adoptAfter is how long a machine must be unknown to all before it is adopted:
-// whoever has rented it needs a moment to store that.
-const adoptAfter = 10 * units.Second
-
 // orphanKey is where a machine is stored that no request is known to have rented.
 func orphanKey(name string) string { return keys.OrphanMachine(name) }
 
 func isOrphanKey(key string) bool { return keys.IsOrphanMachine(key) }
 
-// lost notes that a machine's lease has run out: nothing runs there any more.
-func (c *Core) lost(shard *ownedShard, m *fleet.Machine) {
-	c.log.Info("machine lost", "machine", m.Name, "tasks", len(m.Tasks))
-	m.ExpireLease(c.now, authority.AttemptNumber(shard.fencingToken, shard.attempts))
-	for _, id := range m.TaskIDs() {
-		c.taskRemoved(shard, m, id)
-	}
-	shard.reconciled(c, m)
-	if k, known := c.machineShard[m.Name]; known && k != shard.number {
-		delete(shard.machines, m.Name) // adopted before another block's record of it was known
-		shard.writer.StoreGroup(m.Group, false)
-	}
+// reconcileHost is what the owner of a shard does for its machines (package reconcile).
+type reconcileHost struct {
+	*Core
+	shard *ownedShard
 }
 
-// reconciled notes that all that runs on a machine is known.
-func (shard *ownedShard) reconciled(c *Core, m *fleet.Machine) {
-	m.Reconciled = true
-	if !shard.unreconciled[m.Name] {
-		return
-	}
-	delete(shard.unreconciled, m.Name)
-	shard.quota.UnreconciledChanged()
-	if len(shard.unreconciled) == 0 {
-		c.log.Info("all machines accounted for", "block", shard.number, "after_s", (c.now - shard.ownedSince).Seconds())
-		for _, j := range shard.active {
-			j.AwaitsReconciliation = false
-		}
-		shard.scheduler.TasksReady()
-	}
+// Guarded implements reconcile.Host.
+func (h reconcileHost) Guarded(check guard.Guard) bool { return h.guarded(check) }
+
+// Assignment implements reconcile.Host.
+func (h reconcileHost) Assignment() uint64 { return h.shard.assignment }
+
+// LeaseBound implements reconcile.Host.
+func (h reconcileHost) LeaseBound() units.Microseconds { return h.leaseBound() }
+
+// LastAttempt implements reconcile.Host.
+func (h reconcileHost) LastAttempt() uint64 {
+	return authority.AttemptNumber(h.shard.fencingToken, h.shard.attempts)
 }
 
-// taskRemoved notes that an attempt is on its machine no more.
-func (c *Core) taskRemoved(shard *ownedShard, m *fleet.Machine, id jobs.TaskID) {
-	a, ok := m.Tasks[id]
-	if !ok {
-		return
-	}
-	m.Drop(id)
-	shard.quota.Release(a.Team, a.Demand)
-	if j := c.jobs.Get(id.Job); j != nil {
-		if p, ok := j.Place(id.Task); ok && p.Machine == m.Name && p.Attempt == a.Number {
-			before := j.Ready()
-			j.Release(id.Task)
-			c.jobs.TaskGone(j)
-			if j.Ready() > before {
-				shard.scheduler.TasksReady()
-			}
-		}
+// Deprovisioned implements reconcile.Host.
+func (h reconcileHost) Deprovisioned(machine string) bool {
+	return h.shard.provisioner.Deprovisioned(machine)
+}
+
+// InAnotherShard implements reconcile.Host.
+func (h reconcileHost) InAnotherShard(machine string) bool {
+	number, stored := h.machineShard[machine]
+	return stored && number != h.shard.number
+}
+
+// Adopt implements reconcile.Host.
+func (h reconcileHost) Adopt(heartbeat *fleet.Heartbeat) *fleet.Machine {
+	record := fleet.Record{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
+	return h.newMachine(h.shard, heartbeat.Machine, orphanKey(heartbeat.Machine), record, 0)
+}
+
+// StoreGroup implements reconcile.Host.
+func (h reconcileHost) StoreGroup(group string, urgent bool) {
+	h.shard.writer.StoreGroup(group, urgent)
+}
+
+// SendProbe implements reconcile.Host.
+func (h reconcileHost) SendProbe(probe reconcile.Probe) { h.emit(probe) }
+
+// AllReconciled implements reconcile.Host.
+func (h reconcileHost) AllReconciled() {
+	for _, job := range h.shard.active {
+		job.AwaitsReconciliation = false
 	}
-	if len(m.Tasks) == 0 {
-		m.IdleSince = c.now
+	h.shard.scheduler.TasksReady()
+}
+
+// Job implements reconcile.JobHost.
+func (h reconcileHost) Job(id string) *jobs.Job { return h.jobs.Get(id) }
+
+// AttemptRemoved implements reconcile.JobHost.
+func (h reconcileHost) AttemptRemoved(job *jobs.Job, moreReady bool) {
+	h.jobs.TaskGone(job)
+	if moreReady {
+		h.shard.scheduler.TasksReady()
 	}
 }
 
-// taskPlaced notes that an attempt may be on a machine.
-func (c *Core) taskPlaced(shard *ownedShard, m *fleet.Machine, id jobs.TaskID, a fleet.Attempt) {
-	if old, ok := m.Tasks[id]; ok {
-		shard.quota.Release(old.Team, old.Demand)
+// TaskFailed implements reconcile.JobHost.
+func (h reconcileHost) TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
+	h.shard.attribution.TaskFailed(machine, job, attempt)
+}
+
+// Exonerate implements reconcile.JobHost.
+func (h reconcileHost) Exonerate(job *jobs.Job) { h.shard.attribution.JobWorks(job) }
+
+// LearnRuntime implements reconcile.JobHost.
+func (h reconcileHost) LearnRuntime(job *jobs.Job, took units.Microseconds) {
+	h.shard.demand.Learn(job.Spec(), took)
+}
+
+// TaskCompleted implements reconcile.JobHost.
+func (h reconcileHost) TaskCompleted(job *jobs.Job, task int) { h.shard.writer.TaskFinished(job, task) }
+
+// NewWork implements reconcile.IdleHost.
+func (h reconcileHost) NewWork() bool { return h.shard.scheduler.OfferIdle() }
+
+// Preferred implements reconcile.IdleHost.
+func (h reconcileHost) Preferred(machine, other *fleet.Machine) bool {
+	return scheduler.Preferred(machine, other)
+}
+
+// Fill implements reconcile.IdleHost.
+func (h reconcileHost) Fill(machine *fleet.Machine) []fleet.Command {
+	return h.shard.scheduler.Fill(machine)
+}
+
+// Respond implements reconcile.IdleHost.
+func (h reconcileHost) Respond(request reconcile.RequestID, machine *fleet.Machine, commands []fleet.Command) {
+	h.answerHeartbeat(h.shard, machine, RequestID(request), HeartbeatResponse{FencingToken: h.shard.fencingToken, Commands: commands})
+}
+
+// Probe shows this owner's fencing token to a machine (OnProbe).
+type Probe = reconcile.Probe
+
+// OnProbe takes a machine's answer to a probe.
+func (c *Core) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
+	c.advance(now)
+	if shard := c.ownedUnder(probe.Shard, probe.Assignment); shard != nil {
+		shard.reconciler.OnProbe(c.now, probe, outcome, answer)
 	}
-	m.Put(id, a)
-	shard.quota.Charge(a.Team, a.Demand)
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -98,7 +98,7 @@
 			j.Clear()
 		}
 	}
-	for _, m := range shard.machines { // what runs there of jobs that are over is the next holder's to count
+	for _, m := range shard.reconciler.Machines() { // what runs there of jobs that are over is the next holder's to count
 		for id := range m.Tasks {
 			if j := c.jobs.Get(id.Job); j != nil && !j.Active() {
 				j.Release(id.Task)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -163,7 +163,7 @@
 		}
 		for _, k := range sortedShards(c.owned) {
 			st := BlockStatus{Block: k, Share: c.shardRecords.Allocation(k).Version, Use: -1}
-			if shard := c.owned[k]; shard.ready && len(shard.unreconciled) == 0 {
+			if shard := c.owned[k]; shard.ready && len(shard.reconciler.Unreconciled()) == 0 {
 				st.Use = shard.quota.LargestUse()
 			}
 			s.Blocks = append(s.Blocks, st)
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -23,7 +23,7 @@
 func (h quotaHost) MayStart(team string) bool { return h.core.config.MayStart(team, h.shard.number) }
 
 // Machines implements quota.Host.
-func (h quotaHost) Machines() map[string]*fleet.Machine { return h.shard.machines }
+func (h quotaHost) Machines() map[string]*fleet.Machine { return h.shard.reconciler.Machines() }
 
 // Unreconciled implements quota.Host.
-func (h quotaHost) Unreconciled() map[string]bool { return h.shard.unreconciled }
+func (h quotaHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
--- /dev/null
+++ b/internal/core/reconcile/pending.go
@@ -0,0 +1,116 @@
+package reconcile
+
+import (
+	"sort"
+
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+const (
+	// pendingTime is how long a heartbeat is kept unanswered. A worker waits longer than that, and
+	// drops a response that comes later still.
+	pendingTime = 2 * units.Second
+	// maxPending bounds the heartbeats that are kept unanswered.
+	maxPending = 500
+	// offerEvery is the time between two looks at pending heartbeats while there is no new work.
+	offerEvery = units.Second / 20
+)
+
+// RequestID names a worker's request that waits for a response.
+type RequestID uint64
+
+// IdleHost finds work for idle machines and answers them.
+type IdleHost interface {
+	// NewWork reports whether idle machines may find work that was not there when this was last
+	// called; it may rank jobs.
+	NewWork() bool
+	// Preferred reports whether work should rather go to one machine than to another.
+	Preferred(machine, other *fleet.Machine) bool
+	// Fill returns the starts for a machine, which it has noted by Place.
+	Fill(machine *fleet.Machine) []fleet.Command
+	// Respond answers a pending heartbeat of a machine.
+	Respond(request RequestID, machine *fleet.Machine, commands []fleet.Command)
+}
+
+// pending keeps heartbeats unanswered for a moment: those of idle machines, so that work which
+// comes meanwhile starts at once, or those of a shard that is being released. Nothing can change on
+// an idle machine, and its lease counts from when the heartbeat was sent.
+type pending struct {
+	heartbeats []pendingHeartbeat
+	checkedAt  units.Microseconds // when they are next looked at
+}
+
+type pendingHeartbeat struct {
+	request RequestID
+	machine *fleet.Machine // nil while the shard is being released
+	until   units.Microseconds
+}
+
+// KeepIdle keeps the heartbeat of a machine unanswered that is idle and may get work, and reports
+// whether it does.
+func (r *Reconciler) KeepIdle(now units.Microseconds, request RequestID, machine *fleet.Machine) bool {
+	idle := len(machine.Tasks) == 0 && machine.Listed == 0 && machine.Schedulable() && machine.Notice == units.Never
+	if !idle || len(r.pending.heartbeats) >= maxPending {
+		return false
+	}
+	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request, machine, now + pendingTime})
+	return true
+}
+
+// MayPostpone reports whether one more heartbeat may be postponed.
+func (r *Reconciler) MayPostpone() bool { return len(r.pending.heartbeats) < maxPending }
+
+// Postpone keeps a heartbeat unanswered while the shard is being released. In a moment its next
+// owner is known; told to try elsewhere, the worker would not get there for a second.
+func (r *Reconciler) Postpone(now units.Microseconds, request RequestID) {
+	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, until: now + pendingTime})
+}
+
+// PendingOverdue reports whether the oldest pending heartbeat has waited for long enough.
+func (r *Reconciler) PendingOverdue(now units.Microseconds) bool {
+	return len(r.pending.heartbeats) > 0 && now >= r.pending.heartbeats[0].until
+}
+
+// TakePending returns the requests of all pending heartbeats, which the caller answers.
+func (r *Reconciler) TakePending() []RequestID {
+	var requests []RequestID
+	for _, heartbeat := range r.pending.heartbeats {
+		requests = append(requests, heartbeat.request)
+	}
+	r.pending.heartbeats = nil
+	return requests
+}
+
+// OfferWork gives new work to machines whose heartbeats are pending, preferred ones first, and
+// answers those that have waited for long enough. It looks a few times a second, and at once where
+// the caller knows of new work.
+func (r *Reconciler) OfferWork(now units.Microseconds, newWork bool) {
+	if !newWork && now < r.pending.checkedAt {
+		return
+	}
+	r.pending.checkedAt = now + offerEvery
+	if len(r.pending.heartbeats) == 0 {
+		return
+	}
+	offer := r.host.NewWork()
+	if offer {
+		sort.SliceStable(r.pending.heartbeats, func(a, b int) bool {
+			return r.host.Preferred(r.pending.heartbeats[a].machine, r.pending.heartbeats[b].machine)
+		})
+	}
+	unanswered := r.pending.heartbeats[:0]
+	for _, heartbeat := range r.pending.heartbeats {
+		var commands []fleet.Command
+		if offer && heartbeat.machine.Schedulable() {
+			commands = r.host.Fill(heartbeat.machine)
+		}
+		if len(commands) == 0 && now < heartbeat.until {
+			unanswered = append(unanswered, heartbeat)
+			continue
+		}
+		heartbeat.machine.LeaseEnd = now + r.host.LeaseBound()
+		r.host.Respond(heartbeat.request, heartbeat.machine, commands)
+	}
+	r.pending.heartbeats = unanswered
+}
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -26,10 +26,10 @@
 func (h schedulerHost) Job(id string) *jobs.Job { return h.core.jobs.Get(id) }
 
 // Machines implements scheduler.Host.
-func (h schedulerHost) Machines() map[string]*fleet.Machine { return h.shard.machines }
+func (h schedulerHost) Machines() map[string]*fleet.Machine { return h.shard.reconciler.Machines() }
 
 // Machine implements quarantine.Host.
-func (h schedulerHost) Machine(name string) *fleet.Machine { return h.shard.machines[name] }
+func (h schedulerHost) Machine(name string) *fleet.Machine { return h.shard.reconciler.Machine(name) }
 
 // ActiveJobs implements quarantine.Host.
 func (h schedulerHost) ActiveJobs() map[string]*jobs.Job { return h.shard.active }
@@ -74,7 +74,7 @@
 
 // TaskPlaced implements scheduler.Host.
 func (h schedulerHost) TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt) {
-	h.core.taskPlaced(h.shard, machine, id, attempt)
+	h.shard.reconciler.Place(machine, id, attempt)
 }
 
 // StoreFailing implements quarantine.Host.
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -7,7 +7,6 @@
 
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/demand"
-	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
@@ -15,6 +14,7 @@
 	"shalestage.example/shalestage/internal/core/provisioner"
 	"shalestage.example/shalestage/internal/core/quarantine"
 	"shalestage.example/shalestage/internal/core/quota"
+	"shalestage.example/shalestage/internal/core/reconcile"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/scheduler"
 	"shalestage.example/shalestage/internal/core/shardplan"
@@ -36,26 +36,19 @@
 
 	writer *shardstore.Writer // what is to be stored of it
 
-	machines       map[string]*fleet.Machine
-	unreconciled   map[string]bool // machines on which earlier holders' tasks may run
-	probeQueue     []string        // those that are to be asked directly
-	nextProbeAt    units.Microseconds
-	probesInFlight int // requests under way
-	active         map[string]*jobs.Job
-	quota          *quota.Tracker
-	scheduler      *scheduler.Scheduler
-	attribution    *quarantine.Attribution
-
-	demand            *demand.Estimator
-	provisioner       *provisioner.Provisioner
-	liveness          *liveness.Detector
-	replication       *replication.Primary
-	pendingHeartbeats []pendingHeartbeat // reports of idle machines that wait for work
-	pendingCheckedAt  units.Microseconds // when held reports are next looked at
-	nextSweepAt       units.Microseconds
-	nextMigrationAt   units.Microseconds
-	nextLogAt         units.Microseconds
-	unknownMachines   map[string]units.Microseconds // unknown machines that report, since when
+	active      map[string]*jobs.Job
+	reconciler  *reconcile.Reconciler
+	quota       *quota.Tracker
+	scheduler   *scheduler.Scheduler
+	attribution *quarantine.Attribution
+
+	demand          *demand.Estimator
+	provisioner     *provisioner.Provisioner
+	liveness        *liveness.Detector
+	replication     *replication.Primary
+	nextSweepAt     units.Microseconds
+	nextMigrationAt units.Microseconds
+	nextLogAt       units.Microseconds
 }
 
 func sortedShards(m map[int]*ownedShard) []int { return slices.Sorted(maps.Keys(m)) }
@@ -63,16 +56,15 @@
 // own begins to hold a block. Reports are answered once a read that began
 // after the grant was stored has shown everything that earlier holders stored.
 func (c *Core) own(k int, g shardplan.Assignment) {
-	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now,
-		machines:     map[string]*fleet.Machine{},
-		unreconciled: map[string]bool{}, active: map[string]*jobs.Job{},
-		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction), unknownMachines: map[string]units.Microseconds{}}
+	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now, active: map[string]*jobs.Job{},
+		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction)}
 	host := shardHost{c, shard}
 	shard.quota = quota.New(quotaHost{c, shard})
+	shard.reconciler = reconcile.New(reconcile.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, Log: c.log}, reconcileHost{c, shard}, shard.quota)
 	shard.scheduler = scheduler.New(scheduler.Config{Shard: k, Packing: c.cfg.Pack, HeartbeatDeadline: liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval),
 		Log: c.log, SkippedGuard: c.cfg.SkippedGuard}, schedulerHost{c, shard}, shard.quota, shard.demand, c.zones)
 	shard.attribution = quarantine.New(schedulerHost{c, shard}, c.log)
-	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: adoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
+	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: reconcile.AdoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
 	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, host, shard.provisioner, c.zones)
 	shard.writer = c.newShardWriter(shard)
 	shard.replication = replication.NewPrimary(k, shard.fencingToken, replicationHost{c, shard})
@@ -109,11 +101,8 @@
 				m := c.newMachine(shard, name, key, g.Record(true), age)
 				// An earlier holder may have started tasks there, and its last
 				// answer may have been accepted just before this grant.
-				m.LeaseEnd = c.now + c.leaseBound()
-				if _, handed := picture.machines[name]; !handed && !picture.covers(key) && c.guarded(guard.UnreconciledMachines) {
-					shard.unreconciled[name] = true
-					shard.quota.UnreconciledChanged()
-				}
+				_, transferred := picture.machines[name]
+				shard.reconciler.Inherit(c.now, m, transferred || picture.covers(key))
 			}
 			for _, name := range g.Booting {
 				c.newMachine(shard, name, key, g.Record(false), age)
@@ -124,12 +113,12 @@
 				j.Reset()
 				shard.addJob(j)
 				// Whether any of its tasks were ever started only the last holder knew.
-				j.AwaitsReconciliation = len(shard.unreconciled) > 0
+				j.AwaitsReconciliation = len(shard.reconciler.Unreconciled()) > 0
 			}
 		}
 		handed := c.restore(shard, picture)
 		shard.ready = true
-		c.log.Info("picture read", "block", shard.number, "jobs", len(shard.active), "machines", len(shard.machines), "handed_on", handed, "followed", picture.whole)
+		c.log.Info("picture read", "block", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "handed_on", handed, "followed", picture.whole)
 	})
 }
 
@@ -197,7 +186,7 @@
 // tickShard does what a holder does as time passes.
 func (c *Core) tickShard(shard *ownedShard) {
 	if shard.releasing {
-		if len(shard.pendingHeartbeats) > 0 && c.now >= shard.pendingHeartbeats[0].until {
+		if shard.reconciler.PendingOverdue(c.now) {
 			c.redirectPending(shard) // it takes longer than it should
 		}
 		c.storeRelease(shard)
@@ -232,11 +221,11 @@
 	}
 	if c.now >= shard.nextMigrationAt {
 		shard.nextMigrationAt = c.now + units.Second/2
-		if len(shard.unreconciled) == 0 {
+		if len(shard.reconciler.Unreconciled()) == 0 {
 			c.planner.Migrate(c.now, migratingShard{c, shard}, shard.scheduler.Jobs())
 		}
 	}
-	c.probe(shard)
+	shard.reconciler.Probe(c.now)
 	c.tickCloud(shard)
 }
 
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -29,7 +29,7 @@
 	c.own(0, shardplan.Assignment{Version: 4})
 	c.Drain()
 	c.OnChanges(now, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
-	m := c.owned[0].machines["n-1"]
+	m := c.owned[0].reconciler.Machine("n-1")
 	if m == nil || now-m.ProvisionedAt != 400*units.Second {
 		t.Fatalf("machine %+v", m)
 	}
@@ -43,7 +43,7 @@
 	if code != 421 {
 		t.Fatalf("answered %d", code)
 	}
-	if j, m := c.jobs.Get("wk-000001"), c.owned[0].machines["n-1"]; m != nil || j.Placed() != 0 {
+	if j, m := c.jobs.Get("wk-000001"), c.owned[0].reconciler.Machine("n-1"); m != nil || j.Placed() != 0 {
 		t.Fatalf("machine %v, %d tasks placed", m, j.Placed())
 	}
 	// Without the check the task would wait for the lease of a machine that is gone.
@@ -163,8 +163,8 @@
 				}
 			}
 		}
-		if returned != c.want || len(shard.unreconciled) != c.gone {
-			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", c.gone, c.rented.Seconds(), returned, len(shard.unreconciled))
+		if returned != c.want || len(shard.reconciler.Unreconciled()) != c.gone {
+			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", c.gone, c.rented.Seconds(), returned, len(shard.reconciler.Unreconciled()))
 		}
 	}
 }
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -46,7 +46,7 @@
 func (h writerHost) Capacity() int { return h.queues[ControlQueue].Capacity(h.now) }
 
 // Machine implements shardstore.Host.
-func (h writerHost) Machine(name string) *fleet.Machine { return h.shard.machines[name] }
+func (h writerHost) Machine(name string) *fleet.Machine { return h.shard.reconciler.Machine(name) }
 
 // GroupDeleted implements shardstore.Host. The copy follows with the next read.
 func (h writerHost) GroupDeleted(key string) { delete(h.machineGroups, key) }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -59,8 +59,8 @@
 }
 
 func (shard *ownedShard) shardStats() ShardStats {
-	s := ShardStats{Shard: shard.number, Jobs: len(shard.scheduler.Jobs()), Unreconciled: len(shard.unreconciled), Started: shard.attempts, Standby: shard.replication.Standby()}
-	for _, m := range shard.machines {
+	s := ShardStats{Shard: shard.number, Jobs: len(shard.scheduler.Jobs()), Unreconciled: len(shard.reconciler.Unreconciled()), Started: shard.attempts, Standby: shard.replication.Standby()}
+	for _, m := range shard.reconciler.Machines() {
 		p := &s.Ordinary
 		if m.Record.Spot {
 			p = &s.Spot
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -34,12 +34,7 @@
 		}
 	}
 	for _, shard := range c.owned {
-		for _, m := range shard.machines {
-			if m.Type == nil {
-				m.Type = c.types[m.Record.Type]
-				shard.quota.UnreconciledChanged()
-			}
-		}
+		shard.reconciler.SetTypes(c.types)
 	}
 }
 
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -51,9 +51,9 @@
 	for i := range f.c.cfg.Teams {
 		f.c.teams[f.c.cfg.Teams[i].Name] = &f.c.cfg.Teams[i]
 	}
-	for _, m := range f.bl.machines {
+	for _, m := range f.bl.reconciler.Machines() {
 		m.Type, m.LastSeen = f.c.types["big"], f.c.now
-		f.bl.reconciled(f.c, m)
+		f.bl.reconciler.MarkReconciled(f.c.now, m)
 	}
 	for f.c.jobs.ActiveLen() < waiting+machines { // so many are about to run
 		f.submit(f.jobs%2 == 0 || f.c.jobs.ActiveLen() > waiting)
@@ -84,13 +84,13 @@
 	c.advance(c.now + units.Second/fleetReports)
 	c.wall += units.Second / fleetReports
 	f.reports++
-	m := shard.machines[f.names[f.reports%len(f.names)]]
+	m := shard.reconciler.Machine(f.names[f.reports%len(f.names)])
 	m.LastSeen = c.now
 	if tasks := m.TaskIDs(); len(tasks) > 0 {
 		id := tasks[f.reports%len(tasks)]
 		j := c.jobs.Get(id.Job)
 		j.Finish(id.Task, c.jobs.Layout())
-		c.taskRemoved(shard, m, id)
+		shard.reconciler.Remove(c.now, m, id)
 		if j.AllFinished() {
 			c.learn(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
 			f.submit(true)
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -117,7 +117,7 @@
 	late := 0
 	for seed := uint64(1); seed <= 4; seed++ {
 		_, logs := lostZone(t, seed, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
-		late += strings.Count(logs, "late report of a machine whose lease")
+		late += strings.Count(logs, "heartbeat shows attempts whose lease expired")
 		if n := strings.Count(logs, "task is on two machines"); n > 0 {
 			t.Errorf("seed %d: %d tasks were called back to where they are not", seed, n)
 		}
