--- a/cmd/shalestage/backup.go
+++ b/cmd/shalestage/backup.go
@@ -69,7 +69,9 @@
 		}
 	}
 	c, opt := o.client()
-	foot, err := backup.Save(c, f, from, opt)
+	ctx, stop := interruptible()
+	defer stop()
+	foot, err := backup.Save(ctx, c, f, from, opt)
 	if err := errors.Join(err, f.Sync()); err != nil {
 		return exit{exitFailed, fmt.Errorf("%s: %w", o.Out, err)}
 	}
@@ -142,7 +144,9 @@
 		return exit{exitFailed, err}
 	}
 	c, opt := o.client()
-	done, err := backup.Restore(c, f, backup.RestoreOptions{Options: opt, Force: o.Force, Ops: o.Ops, Above: o.Above})
+	ctx, stop := interruptible()
+	defer stop()
+	done, err := backup.Restore(ctx, c, f, backup.RestoreOptions{Options: opt, Force: o.Force, Ops: o.Ops, Above: o.Above})
 	if err != nil {
 		return exit{exitFailed, fmt.Errorf("%s: %w", o.State, err)}
 	}
@@ -179,12 +183,14 @@
 	} else {
 		f := stateFlags{State: o.State, Rate: o.Rate, Quiet: true}
 		c, opt := f.client()
+		ctx, stop := interruptible()
+		defer stop()
 		var hosts backup.Hosts
 		if o.Cloud != "" {
 			hosts = cloud.New(o.Cloud, 1, slog.New(slog.DiscardHandler))
 		}
-		if rep, err = backup.AuditLive(c, hosts, o.Lag, opt); err == nil && o.Fix {
-			cleared, err = backup.Fix(c, rep.Findings, max(o.Ops, 1), opt)
+		if rep, err = backup.AuditLive(ctx, c, hosts, o.Lag, opt); err == nil && o.Fix {
+			cleared, err = backup.Fix(ctx, c, rep.Findings, max(o.Ops, 1), opt)
 		}
 	}
 	if err != nil {
--- a/cmd/shalestage/zone.go
+++ b/cmd/shalestage/zone.go
@@ -30,10 +30,12 @@
 // Run stores an operator's word.
 func (o *zoneCmd) Run() error {
 	c, opt := o.client()
+	ctx, stop := interruptible()
+	defer stop()
 	items := map[string]store.Event{}
 	for _, prefix := range core.OverridePrefixes { // not the jobs
 		for after, more := "", true; more; {
-			out, _, page, again := c.List(prefix, after, core.ListPage)
+			out, _, page, again := c.List(ctx, prefix, after, core.ListPage)
 			if out != store.OK {
 				return exit{exitFailed, errors.New("the state service does not answer")}
 			}
@@ -60,7 +62,7 @@
 	if err != nil {
 		return unusable(err)
 	}
-	switch out, _, _ := c.Commit(&store.Txn{Guards: w.Guards, Changes: w.Changes}); out {
+	switch out, _, _ := c.Commit(ctx, &store.Txn{Guards: w.Guards, Changes: w.Changes}); out {
 	case store.OK:
 	case store.Failed:
 		return exit{exitFailed, errors.New("somebody else has just said something of that zone; look again")}
--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -1,6 +1,7 @@
 package backup
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -31,16 +32,16 @@
 // meanwhile does not belong together: only what both have found counts. Machines are held
 // against the cloud's list, if there is one; as that lags, the second look waits for the
 // given time.
-func AuditLive(s Service, cloud Hosts, lag time.Duration, o Options) (Report, error) {
+func AuditLive(ctx context.Context, s Service, cloud Hosts, lag time.Duration, o Options) (Report, error) {
 	o.fill()
-	first, err := look(s, cloud, o)
+	first, err := look(ctx, s, cloud, o)
 	if err != nil || len(first.Findings) == 0 {
 		return first, err
 	}
 	if cloud != nil {
 		o.Sleep(lag)
 	}
-	second, err := look(s, cloud, o)
+	second, err := look(ctx, s, cloud, o)
 	if err != nil {
 		return second, err
 	}
@@ -50,7 +51,7 @@
 	return second, nil
 }
 
-func look(s Service, cloud Hosts, o Options) (Report, error) {
+func look(ctx context.Context, s Service, cloud Hosts, o Options) (Report, error) {
 	in := core.NewInspector()
 	for _, part := range []struct {
 		prefix string
@@ -60,7 +61,7 @@
 		for after, more := "", true; more; {
 			var items []store.Event
 			var err error
-			if _, items, more, err = o.list(s, part.prefix, after, part.page); err != nil {
+			if _, items, more, err = o.list(ctx, s, part.prefix, after, part.page); err != nil {
 				return Report{}, err
 			}
 			for _, e := range items {
@@ -74,7 +75,7 @@
 		return rep, nil
 	}
 	var hosts []wire.Host
-	err := o.again("the machine list", func() (out store.Outcome) {
+	err := o.again(ctx, "the machine list", func() (out store.Outcome) {
 		out, hosts = cloud.List()
 		return out
 	})
@@ -163,7 +164,7 @@
 
 // Fix clears what is safe to clear, and returns how many findings that were. Each is
 // guarded by the versions that were seen: what has changed since is left alone.
-func Fix(s Service, list []core.Finding, ops int, o Options) (int, error) {
+func Fix(ctx context.Context, s Service, list []core.Finding, ops int, o Options) (int, error) {
 	o.fill()
 	cleared := 0
 	for _, f := range list {
@@ -173,8 +174,8 @@
 		failed := false
 		for left := f.Clear.Changes; len(left) > 0 && !failed; {
 			n := min(len(left), ops)
-			err := o.again("clearing", func() store.Outcome {
-				o, _, _ := s.Commit(&store.Txn{Guards: f.Clear.Guards, Changes: left[:n]})
+			err := o.again(ctx, "clearing", func() store.Outcome {
+				o, _, _ := s.Commit(ctx, &store.Txn{Guards: f.Clear.Guards, Changes: left[:n]})
 				if failed = o == store.Failed; failed {
 					return store.OK // no longer so
 				}
--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -59,20 +60,20 @@
 	return store.Refused
 }
 
-func (s *service) List(prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
+func (s *service) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
 	s.ask()
 	l := s.m.List(s.now, "x", prefix, after, min(page, 3))
 	return s.outcome(l.Code), l.Rev, direct.Items(l.Items), l.More
 }
 
-func (s *service) Watch(prefix string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
+func (s *service) Watch(_ context.Context, prefix string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
 	s.ask()
 	s.m.Watch(s.now, 1, "x", prefix, after, 0)
 	c := s.m.Drain()[0]
 	return s.outcome(c.Code), c.Rev, direct.Events(c.Events), c.Code == 410
 }
 
-func (s *service) Commit(t *store.Txn) (store.Outcome, uint64, []string) {
+func (s *service) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
 	s.ask()
 	r := s.commit(t)
 	return s.outcome(r.Code), r.Rev, r.Failed
@@ -141,7 +142,7 @@
 		}
 		s.before = change
 		file := &cut{left: rapid.IntRange(0, 4000).Draw(t, "cut")}
-		foot, err := backup.Save(s, file, nil, options())
+		foot, err := backup.Save(t.Context(), s, file, nil, options())
 		if err != nil {
 			from, err := backup.Resume(bytes.NewReader(file.Bytes()))
 			end := int64(0)
@@ -150,7 +151,7 @@
 			}
 			file.Truncate(int(end))
 			file.left = 1 << 30
-			if foot, err = backup.Save(s, file, from, options()); err != nil {
+			if foot, err = backup.Save(t.Context(), s, file, from, options()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -166,7 +167,7 @@
 		}
 		to := newService()
 		to.lost = func() bool { return rapid.IntRange(0, 9).Draw(t, "answer lost") == 0 }
-		done, err := backup.Restore(to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: rapid.IntRange(3, 12).Draw(t, "ops")})
+		done, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: rapid.IntRange(3, 12).Draw(t, "ops")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -181,10 +182,10 @@
 			t.Fatalf("term %d; restored\n%v\nwant\n%v", done.Term, got, want)
 		}
 		to.lost = nil
-		if _, err := backup.Restore(to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3}); !errors.Is(err, backup.ErrNotEmpty) {
+		if _, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3}); !errors.Is(err, backup.ErrNotEmpty) {
 			t.Fatalf("into a service that is not empty: %v", err)
 		}
-		if _, err := backup.Restore(to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3, Force: true}); err != nil || !maps.Equal(to.all(), want) {
+		if _, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3, Force: true}); err != nil || !maps.Equal(to.all(), want) {
 			t.Fatalf("forced: %v", err)
 		}
 	})
@@ -226,7 +227,7 @@
 		s.commit(&store.Txn{Changes: []store.Change{{Key: c.key, Value: json.RawMessage(c.value)}}})
 	}
 	looks := listed{{{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-8"}, {ID: "n-9"}}, {{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-9"}}}
-	rep, err := backup.AuditLive(s, &looks, 30*time.Second, options())
+	rep, err := backup.AuditLive(t.Context(), s, &looks, 30*time.Second, options())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +245,7 @@
 	}
 	// The same of a backup; nothing there is to be cleared, no seat stands, and no cloud is asked.
 	var file bytes.Buffer
-	if _, err := backup.Save(s, &file, nil, options()); err != nil {
+	if _, err := backup.Save(t.Context(), s, &file, nil, options()); err != nil {
 		t.Fatal(err)
 	}
 	saved, err := backup.AuditFile(func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(file.Bytes())), nil })
@@ -253,7 +254,7 @@
 	}
 	// One of them gets its record before it is cleared: it stays.
 	s.commit(&store.Txn{Changes: []store.Change{{Key: "shalestage/job/wk-000078", Value: json.RawMessage(`{"status":"pending","tasks":1}`)}}})
-	if n, err := backup.Fix(s, rep.Findings, 3, options()); err != nil || n != 3 {
+	if n, err := backup.Fix(t.Context(), s, rep.Findings, 3, options()); err != nil || n != 3 {
 		t.Errorf("%d cleared, %v", n, err)
 	}
 	left := s.all()
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -1,6 +1,7 @@
 package backup
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -51,10 +52,10 @@
 
 // Restore puts a backup back that was verified before. Every token that is given out
 // afterwards is above all that workers can have seen, also after the backup.
-func Restore(s Service, r io.Reader, o RestoreOptions) (Restored, error) {
+func Restore(ctx context.Context, s Service, r io.Reader, o RestoreOptions) (Restored, error) {
 	o.fill()
 	w := &restoring{s: s, o: o}
-	if err := w.clear(); err != nil {
+	if err := w.clear(ctx); err != nil {
 		return w.out, err
 	}
 	var sum Summary
@@ -80,7 +81,7 @@
 			m.Cut = 0 // revisions begin anew
 			e.Value = store.Value(m)
 		}
-		return w.add(store.Change{Key: e.Key, Value: e.Value})
+		return w.add(ctx, store.Change{Key: e.Key, Value: e.Value})
 	})
 	if err != nil {
 		return w.out, err
@@ -95,21 +96,21 @@
 		return w.out, fmt.Errorf("term %d: there are no more than %d", term.Term, uint64(authority.MaxTerm))
 	}
 	w.out.Term = term.Term
-	if err := w.add(store.Change{Key: core.TermKey, Value: store.Value(term)}); err != nil {
+	if err := w.add(ctx, store.Change{Key: core.TermKey, Value: store.Value(term)}); err != nil {
 		return w.out, err
 	}
-	if err := w.flush(); err != nil {
+	if err := w.flush(ctx); err != nil {
 		return w.out, err
 	}
-	return w.out, w.end()
+	return w.out, w.end(ctx)
 }
 
 // clear begins: into an empty service only, unless forced.
-func (w *restoring) clear() error {
+func (w *restoring) clear(ctx context.Context) error {
 	var items []store.Event
 	more := true
 	list := func() (err error) {
-		_, items, more, err = w.o.list(w.s, Prefix, "", pageKeys)
+		_, items, more, err = w.o.list(ctx, w.s, Prefix, "", pageKeys)
 		return err
 	}
 	if err := list(); err != nil {
@@ -128,11 +129,11 @@
 			if e.Key == restoreKey {
 				continue
 			}
-			if err := w.add(store.Change{Key: e.Key}); err != nil {
+			if err := w.add(ctx, store.Change{Key: e.Key}); err != nil {
 				return err
 			}
 		}
-		if err := w.flush(); err != nil {
+		if err := w.flush(ctx); err != nil {
 			return err
 		}
 		if !more {
@@ -146,9 +147,9 @@
 	return nil
 }
 
-func (w *restoring) add(c store.Change) error {
+func (w *restoring) add(ctx context.Context, c store.Change) error {
 	if len(w.batch)+2 > w.o.Ops || w.size+c.Size() > store.TxnBytes {
-		if err := w.flush(); err != nil {
+		if err := w.flush(ctx); err != nil {
 			return err
 		}
 	}
@@ -158,15 +159,15 @@
 }
 
 // flush writes what waits.
-func (w *restoring) flush() error {
+func (w *restoring) flush(ctx context.Context) error {
 	if len(w.batch) == 0 {
 		return nil
 	}
 	unsure := false
-	err := w.o.again("writing", func() store.Outcome {
+	err := w.o.again(ctx, "writing", func() store.Outcome {
 		t := &store.Txn{Guards: []store.Guard{{Key: restoreKey, Version: w.stamp}},
 			Changes: append([]store.Change{{Key: restoreKey, Value: store.Value(w.out)}}, w.batch...)}
-		o, rev, _ := w.s.Commit(t)
+		o, rev, _ := w.s.Commit(ctx, t)
 		if o == store.OK {
 			w.stamp = rev
 		}
@@ -174,7 +175,7 @@
 			// It may have been carried out: then the key has a new version, under which
 			// the same is written once more.
 			unsure = true
-			if lo, _, items, _ := w.s.List(restoreKey, "", 1); lo == store.OK && len(items) == 1 {
+			if lo, _, items, _ := w.s.List(ctx, restoreKey, "", 1); lo == store.OK && len(items) == 1 {
 				w.stamp = items[0].Stamp
 			}
 		}
@@ -189,9 +190,9 @@
 }
 
 // end removes what said that the restore was under way.
-func (w *restoring) end() error {
-	return w.o.again("writing", func() store.Outcome {
-		o, _, _ := w.s.Commit(&store.Txn{Changes: []store.Change{{Key: restoreKey}}})
+func (w *restoring) end(ctx context.Context) error {
+	return w.o.again(ctx, "writing", func() store.Outcome {
+		o, _, _ := w.s.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}})
 		return o
 	})
 }
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -1,6 +1,7 @@
 package backup
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -12,9 +13,9 @@
 
 // Service is what is needed of a state service's client.
 type Service interface {
-	List(prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool)
-	Watch(prefix string, after uint64, wait units.Microseconds) (store.Outcome, uint64, []store.Event, bool)
-	Commit(t *store.Txn) (store.Outcome, uint64, []string)
+	List(ctx context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool)
+	Watch(ctx context.Context, prefix string, after uint64, wait units.Microseconds) (store.Outcome, uint64, []store.Event, bool)
+	Commit(ctx context.Context, t *store.Txn) (store.Outcome, uint64, []string)
 }
 
 // Prefix is that of every key that belongs to the service, packed jobs included.
@@ -54,8 +55,11 @@
 func (o *Options) pause() { o.Sleep(time.Duration(float64(time.Second) / max(o.Rate, 0.1))) }
 
 // again asks until the service answers.
-func (o *Options) again(what string, ask func() store.Outcome) error {
+func (o *Options) again(ctx context.Context, what string, ask func() store.Outcome) error {
 	for range tries {
+		if err := ctx.Err(); err != nil {
+			return fmt.Errorf("%s: %w", what, err)
+		}
 		o.pause()
 		switch ask() {
 		case store.OK:
@@ -68,9 +72,9 @@
 }
 
 // list reads a page of keys; more says that others follow.
-func (o *Options) list(s Service, prefix, after string, page int) (rev uint64, items []store.Event, more bool, err error) {
-	err = o.again("listing", func() (out store.Outcome) {
-		out, rev, items, more = s.List(prefix, after, page)
+func (o *Options) list(ctx context.Context, s Service, prefix, after string, page int) (rev uint64, items []store.Event, more bool, err error) {
+	err = o.again(ctx, "listing", func() (out store.Outcome) {
+		out, rev, items, more = s.List(ctx, prefix, after, page)
 		return out
 	})
 	return rev, items, more && len(items) > 0, err
@@ -94,7 +98,7 @@
 
 // Save writes a backup. from, if any, is where an earlier one was cut short: the
 // writer stands after its last whole chunk.
-func Save(s Service, w io.Writer, from *Progress, o Options) (Foot, error) {
+func Save(ctx context.Context, s Service, w io.Writer, from *Progress, o Options) (Foot, error) {
 	o.fill()
 	out, err := newWriter(w, from == nil, o.Chunk)
 	if err != nil {
@@ -103,21 +107,21 @@
 	b := &saving{s: s, o: o, w: out, lists: true}
 	if from != nil {
 		b.after, b.rev, b.lists, b.lines = from.page.After, from.page.Rev, from.page.Lists, from.lines
-	} else if err := b.begin(); err != nil {
+	} else if err := b.begin(ctx); err != nil {
 		return Foot{}, err
 	}
 	for b.lists {
-		if err := b.list(); err != nil {
+		if err := b.list(ctx); err != nil {
 			return Foot{}, err
 		}
-		if err := b.changes(); err != nil {
+		if err := b.changes(ctx); err != nil {
 			return Foot{}, err
 		}
 		if err := b.mark(); err != nil {
 			return Foot{}, err
 		}
 	}
-	if err := b.changes(); err != nil {
+	if err := b.changes(ctx); err != nil {
 		return Foot{}, err
 	}
 	foot := Foot{Rev: b.rev, Lines: b.lines, Ended: o.Now().UTC().Format(time.RFC3339)}
@@ -126,14 +130,14 @@
 }
 
 // begin notes the revision from which on changes are followed.
-func (b *saving) begin() (err error) {
-	b.rev, _, _, err = b.o.list(b.s, Prefix, "", 1)
+func (b *saving) begin(ctx context.Context) (err error) {
+	b.rev, _, _, err = b.o.list(ctx, b.s, Prefix, "", 1)
 	b.w.add(record{Head: &Head{Format: 1, Release: b.o.Release, Began: b.o.Now().UTC().Format(time.RFC3339), Rev: b.rev}})
 	return err
 }
 
-func (b *saving) list() error {
-	_, items, more, err := b.o.list(b.s, Prefix, b.after, pageKeys)
+func (b *saving) list(ctx context.Context) error {
+	_, items, more, err := b.o.list(ctx, b.s, Prefix, b.after, pageKeys)
 	for _, e := range items {
 		b.put(e)
 		b.after = e.Key
@@ -148,10 +152,10 @@
 }
 
 // changes takes what has changed since the last look.
-func (b *saving) changes() error {
+func (b *saving) changes(ctx context.Context) error {
 	gone := false
-	err := b.o.again("changes", func() store.Outcome {
-		o, rev, events, old := b.s.Watch(Prefix, b.rev, 0)
+	err := b.o.again(ctx, "changes", func() store.Outcome {
+		o, rev, events, old := b.s.Watch(ctx, Prefix, b.rev, 0)
 		if old {
 			gone = true
 			return store.OK
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -48,19 +48,19 @@
 	var file bytes.Buffer
 	base := heap()
 	began := time.Now()
-	foot, err := backup.Save(from, &file, nil, o)
+	foot, err := backup.Save(t.Context(), from, &file, nil, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("backup: %d jobs in %d keys, %.1f s, %d bytes, heap %d MB more", *scaleJobs, foot.Lines, time.Since(began).Seconds(), file.Len(), heap()-base)
 	began = time.Now()
-	done, err := backup.Restore(to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: o, Ops: 12})
+	done, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: o, Ops: 12})
 	if err != nil || keys(second) != keys(first)+1 { // and the term
 		t.Fatalf("%d keys of %d: %v", keys(second), keys(first), err)
 	}
 	t.Logf("restore: %d keys, %.1f s", done.Keys, time.Since(began).Seconds())
 	began = time.Now()
-	rep, err := backup.AuditLive(to, nil, 0, o)
+	rep, err := backup.AuditLive(t.Context(), to, nil, 0, o)
 	if err != nil || rep.Packed != *scaleJobs {
 		t.Fatalf("audit: %d jobs, %v", rep.Packed, err)
 	}
@@ -112,7 +112,7 @@
 	c := state.New(*scaleInto, 1e9, 1e9, slog.New(slog.DiscardHandler))
 	for _, e := range history(*scaleJobs) {
 		for {
-			o, _, _ := c.Commit(&store.Txn{Changes: []store.Change{{Key: e.Key, Value: e.Value}}})
+			o, _, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: e.Key, Value: e.Value}}})
 			if o == store.OK {
 				break
 			}
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -56,58 +56,58 @@
 func TestStateOverHTTP(t *testing.T) {
 	s := newState(t, nil)
 	c := state.New(listen(t, s.Handler("node-0")), 1000, 1000, quiet)
-	o, id := c.OpenLease(5 * units.Second)
+	o, id := c.OpenLease(t.Context(), 5*units.Second)
 	if o != store.OK || id == 0 {
 		t.Fatalf("lease: %v, %d", o, id)
 	}
 	txn := &store.Txn{Guards: []store.Guard{{Key: "p/a b"}}}
-	if o, _, _ := c.Commit(txn); o != store.TooLarge {
+	if o, _, _ := c.Commit(t.Context(), txn); o != store.TooLarge {
 		t.Errorf("a key with a space: %v", o)
 	}
 	txn = &store.Txn{Guards: []store.Guard{{Key: "p/a"}}, Changes: []store.Change{{Key: "p/a", Value: []byte(`{"x":1}`), Lease: id}, {Key: "p/b/c", Value: []byte("null")}}}
-	o, rev, _ := c.Commit(txn)
+	o, rev, _ := c.Commit(t.Context(), txn)
 	if o != store.OK || rev != 1 {
 		t.Fatalf("commit: %v at %d", o, rev)
 	}
-	if o, _, failed := c.Commit(txn); o != store.Failed || len(failed) != 1 || failed[0] != "p/a" {
+	if o, _, failed := c.Commit(t.Context(), txn); o != store.Failed || len(failed) != 1 || failed[0] != "p/a" {
 		t.Errorf("the same again: %v, %v", o, failed)
 	}
-	if o, _, _ := c.Commit(&store.Txn{Changes: []store.Change{{Key: "p/d", Value: []byte("1"), Lease: 99}}}); o != store.Failed {
+	if o, _, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: "p/d", Value: []byte("1"), Lease: 99}}}); o != store.Failed {
 		t.Errorf("with a lease that has ended: %v", o)
 	}
 	waits := make(chan []store.Event)
 	go func() {
-		_, _, events, _ := c.Watch("p/", 1, 20*units.Second)
+		_, _, events, _ := c.Watch(t.Context(), "p/", 1, 20*units.Second)
 		waits <- events
 	}()
-	if o := c.RenewLease(id); o != store.OK {
+	if o := c.RenewLease(t.Context(), id); o != store.OK {
 		t.Errorf("renewal: %v", o)
 	}
-	c.CloseLease(id)
+	c.CloseLease(t.Context(), id)
 	if events := <-waits; len(events) != 1 || events[0].Key != "p/a" || events[0].Value != nil {
 		t.Errorf("the end of a lease: %+v", events)
 	}
-	if o := c.RenewLease(id); o != store.Failed {
+	if o := c.RenewLease(t.Context(), id); o != store.Failed {
 		t.Errorf("renewal of an ended lease: %v", o)
 	}
-	if o, rev, items, more := c.List("p/", "", 500); o != store.OK || rev != 2 || more || len(items) != 1 || items[0].Key != "p/b/c" {
+	if o, rev, items, more := c.List(t.Context(), "p/", "", 500); o != store.OK || rev != 2 || more || len(items) != 1 || items[0].Key != "p/b/c" {
 		t.Errorf("listing: %v at %d: %+v", o, rev, items)
 	}
-	if o, value, stamp, _ := c.Get("p/b/c"); o != store.OK || value == nil || stamp != 1 {
+	if o, value, stamp, _ := c.Get(t.Context(), "p/b/c"); o != store.OK || value == nil || stamp != 1 {
 		t.Errorf("a key: %v, %s at %d", o, value, stamp)
 	}
-	if o, value, _, rev := c.Get("p/none"); o != store.OK || value != nil || rev != 2 {
+	if o, value, _, rev := c.Get(t.Context(), "p/none"); o != store.OK || value != nil || rev != 2 {
 		t.Errorf("a key that is not there: %v, %s, revision %d", o, value, rev)
 	}
-	if _, _, _, gone := c.Watch("p/", 0, 0); gone {
+	if _, _, _, gone := c.Watch(t.Context(), "p/", 0, 0); gone {
 		t.Error("two changes ago is called too old")
 	}
 	s.Do(func(now units.Microseconds, m *kv.Service) { m.Refuse("node-0", now+units.Second) })
-	if o, _, _, _ := c.List("p/", "", 500); o != store.Refused {
+	if o, _, _, _ := c.List(t.Context(), "p/", "", 500); o != store.Refused {
 		t.Errorf("while this client is refused: %v", o)
 	}
 	other := state.New(listen(t, s.Handler("node-1")), 1000, 1000, quiet)
-	if o, _, _, _ := other.List("p/", "", 500); o != store.OK {
+	if o, _, _, _ := other.List(t.Context(), "p/", "", 500); o != store.OK {
 		t.Errorf("another client meanwhile: %v", o)
 	}
 }
@@ -126,7 +126,7 @@
 	}
 	s := newState(t, disk)
 	c := state.New(listen(t, s.Handler("x")), 1e6, 1e6, quiet)
-	_, lease := c.OpenLease(60 * units.Second)
+	_, lease := c.OpenLease(t.Context(), 60*units.Second)
 	want := map[string]string{}
 	for i := range 30 {
 		key, value := fmt.Sprintf("k/%d", i%7), fmt.Sprintf(`{"n":%d}`, i)
@@ -135,7 +135,7 @@
 			ch.Value = nil
 			delete(want, key)
 		}
-		o, rev, _ := c.Commit(&store.Txn{Changes: []store.Change{ch}})
+		o, rev, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{ch}})
 		if o != store.OK {
 			t.Fatalf("commit %d: %v", i, o)
 		}
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -206,16 +207,16 @@
 // service is the state service as backup's commands see it, without a network.
 type service struct{ w *World }
 
-func (d service) List(prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
+func (d service) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
 	l := d.w.State.List(d.w.now, "backup", prefix, after, page)
 	return outcomeOf(l.Code), l.Rev, direct.Items(l.Items), l.More
 }
 
-func (d service) Watch(_ string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
+func (d service) Watch(_ context.Context, _ string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
 	return store.OK, after, nil, false // nothing happens meanwhile
 }
 
-func (d service) Commit(t *store.Txn) (store.Outcome, uint64, []string) {
+func (d service) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
 	r := d.w.State.Commit(d.w.now, "backup", direct.Txn(t))
 	return outcomeOf(r.Code), r.Rev, r.Failed
 }
@@ -237,7 +238,7 @@
 		w.Run(165 * second)
 		var file bytes.Buffer
 		opt := backup.Options{Rate: 1e9, Sleep: func(time.Duration) {}, Now: func() time.Time { return time.UnixMicro(int64(w.now)) }}
-		if _, err := backup.Save(service{w}, &file, nil, opt); err != nil {
+		if _, err := backup.Save(t.Context(), service{w}, &file, nil, opt); err != nil {
 			t.Fatal(err)
 		}
 		for i := range 6 {
@@ -249,7 +250,7 @@
 			n.Crash()
 		}
 		w.State = kv.New(w.S.State.KV(), rand.New(rand.NewPCG(seed, 3)))
-		done, err := backup.Restore(service{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, Ops: 4})
+		done, err := backup.Restore(t.Context(), service{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, Ops: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,7 @@
 			m(n.core, n.now())
 		}
 		for _, e := range n.core.Drain() {
-			n.carryOut(e)
+			n.carryOut(ctx, e)
 		}
 		n.until.Store(int64(n.core.ValidUntil()))
 	}
@@ -137,7 +137,7 @@
 
 // carryOut does what the core asks for. Nothing here waits: whatever takes
 // time runs in a goroutine of its own, of which the core has few under way.
-func (n *Node) carryOut(e core.Effect) {
+func (n *Node) carryOut(ctx context.Context, e core.Effect) {
 	switch e := e.(type) {
 	case core.Reply:
 		if ch, ok := n.waiting[e.Request]; ok {
@@ -148,42 +148,42 @@
 		n.peers.Send(e.Node, e.Message)
 	case core.List:
 		go func() {
-			o, rev, items, more := n.state.List(core.Root, e.After, core.ListPage)
+			o, rev, items, more := n.state.List(ctx, core.Root, e.After, core.ListPage)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnList(now, e, o, rev, items, more) })
 		}()
 	case core.Watch:
 		go func() {
-			o, rev, events, gone := n.state.Watch(core.Root, e.After, e.Wait)
+			o, rev, events, gone := n.state.Watch(ctx, core.Root, e.After, e.Wait)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnChanges(now, e, o, rev, events, gone) })
 		}()
 	case core.ReadKey:
 		go func() {
-			o, value, stamp, rev := n.state.Get(e.Key)
+			o, value, stamp, rev := n.state.Get(ctx, e.Key)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnKey(now, e, o, value, stamp, rev) })
 		}()
 	case core.ScanKeys:
 		go func() {
-			o, _, items, more := n.state.List(archive.Prefix, e.After, e.Page)
+			o, _, items, more := n.state.List(ctx, archive.Prefix, e.After, e.Page)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScan(now, e, o, items, more) })
 		}()
 	case core.Commit:
-		n.commit(e)
+		n.commit(ctx, e)
 	case core.Abandon:
 		if stop := n.commits[e.Txn]; stop != nil {
 			stop()
 		}
 	case core.OpenLease:
 		go func() {
-			o, id := n.state.OpenLease(e.TTL)
+			o, id := n.state.OpenLease(ctx, e.TTL)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnLease(now, o, id) })
 		}()
 	case core.RenewLease:
 		go func() {
-			o := n.state.RenewLease(e.ID)
+			o := n.state.RenewLease(ctx, e.ID)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnRenew(now, e.ID, o) })
 		}()
 	case core.CloseLease:
-		go n.state.CloseLease(e.ID)
+		go n.state.CloseLease(ctx, e.ID)
 	case core.FetchTypes:
 		go func() {
 			o, types := n.cloud.Types()
@@ -220,11 +220,11 @@
 }
 
 // commit sends a transaction, whose answer is waited for until it is abandoned.
-func (n *Node) commit(e core.Commit) {
-	ctx, stop := context.WithCancel(context.Background())
+func (n *Node) commit(ctx context.Context, e core.Commit) {
+	ctx, stop := context.WithCancel(ctx)
 	n.commits[e.Txn] = stop
 	go func() {
-		o, rev, failed := n.state.CommitIn(ctx, e.Txn)
+		o, rev, failed := n.state.Commit(ctx, e.Txn)
 		n.tell(func(c *core.Core, now units.Microseconds) {
 			stop()
 			delete(n.commits, e.Txn)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -80,17 +80,17 @@
 	log := slog.New(slog.DiscardHandler)
 	n := New(nil, state.New(strings.TrimPrefix(silent.URL, "http://"), 100, 100, log), nil, nil, nil, log)
 	txn := &store.Txn{Changes: []store.Change{{Key: "k", Value: []byte("1")}}}
-	n.carryOut(core.Commit{Queue: core.UserQueue, Txn: txn})
+	n.carryOut(t.Context(), core.Commit{Queue: core.UserQueue, Txn: txn})
 	<-reached
 	began := time.Now()
-	n.carryOut(core.Abandon{Txn: txn})
-	n.carryOut(core.Abandon{Txn: txn})
+	n.carryOut(t.Context(), core.Abandon{Txn: txn})
+	n.carryOut(t.Context(), core.Abandon{Txn: txn})
 	m := <-n.control
 	if took := time.Since(began); took > time.Second/2 {
 		t.Errorf("waited for %v", took)
 	}
 	m(core.New(core.Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50}), 0)
-	n.carryOut(core.Abandon{Txn: txn}) // too late: nobody waits any more
+	n.carryOut(t.Context(), core.Abandon{Txn: txn}) // too late: nobody waits any more
 	if len(n.commits) != 0 || len(n.control) != 0 {
 		t.Errorf("%d transactions wait, %d messages", len(n.commits), len(n.control))
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,4 +1,5 @@
-// Package state is the client of the state service.
+// Package state is the client of the state service, the consensus-backed key-value store in
+// which controllers keep what must outlive them.
 package state
 
 import (
@@ -19,7 +20,7 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// deadlines of requests: the service answers within a few hundred
+// Timeouts of requests: the service answers within a few hundred
 // milliseconds, so that a lost request is noticed soon.
 const (
 	callTimeout = 1000 * time.Millisecond
@@ -27,181 +28,176 @@
 	listTimeout = 10 * time.Second
 )
 
-// Client talks to the state service.
+// maxConns bounds the connections to the service.
+const maxConns = 8
+
+// Client talks to the state service. Every method returns an outcome instead of an error:
+// Refused also where this node's share of the request budget is used up and nothing was
+// sent, Unknown where the context or the request's timeout ended before the answer came.
 type Client struct {
-	base  string
-	http  *http.Client
-	limit *rate.Limiter
-	next  rate.Limit // once the service has refused a request as one too many
-	log   *slog.Logger
+	baseURL  string
+	http     *http.Client
+	limiter  *rate.Limiter
+	nextRate rate.Limit // once the service has refused a request as one too many
+	log      *slog.Logger
 }
 
-// New returns a client. rps is this node's share of the request budget, and next
-// its share once the service's limits have fallen.
-func New(addr string, rps, next float64, log *slog.Logger) *Client {
+// New returns a client of the service at an address, HOST:PORT. rps is this node's share of
+// the request budget, in requests a second, and nextRPS its share once the service's limits
+// have fallen.
+func New(addr string, rps, nextRPS float64, log *slog.Logger) *Client {
 	return &Client{
-		base:  "http://" + addr,
-		http:  rest.NewClient(8),
-		limit: rate.NewLimiter(rate.Limit(rps), max(4, int(rps))),
-		next:  rate.Limit(next),
-		log:   log,
+		baseURL:  "http://" + addr,
+		http:     rest.NewClient(maxConns),
+		limiter:  rate.NewLimiter(rate.Limit(rps), max(4, int(rps))),
+		nextRate: rate.Limit(nextRPS),
+		log:      log,
 	}
 }
 
-// call does one request. The outcome is Unknown where the request may have
-// been carried out; a status other than 200 is returned for the caller to judge.
-func (c *Client) call(method, path string, timeout time.Duration, body, into any) (int, store.Outcome) {
-	return c.callIn(context.Background(), method, path, timeout, body, into)
-}
-
-// callIn is call within a context: once that ends, nobody waits for the answer.
-func (c *Client) callIn(ctx context.Context, method, path string, timeout time.Duration, body, into any) (int, store.Outcome) {
+// do sends one request and decodes the answer into response. The status is 0 where there was
+// no answer. Failed stands for every status that the caller is to judge.
+func (c *Client) do(ctx context.Context, method, path string, timeout time.Duration, request, response any) (status int, outcome store.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	code, err := rest.Do(ctx, c.http, method, c.base+path, body, into)
+	status, err := rest.Do(ctx, c.http, method, c.baseURL+path, request, response)
 	if err != nil {
 		c.log.Debug("state service", "method", method, "path", path, "err", err)
-		return code, store.Unknown
+		return status, store.Unknown
 	}
-	switch code {
+	switch status {
 	case http.StatusOK:
-		return code, store.OK
+		return status, store.OK
 	case http.StatusServiceUnavailable:
-		c.log.Debug("state service", "method", method, "path", path, "code", code)
-		return code, store.Refused
+		c.log.Debug("state service", "method", method, "path", path, "code", status)
+		return status, store.Refused
 	case http.StatusTooManyRequests:
-		c.log.Debug("state service", "method", method, "path", path, "code", code)
-		c.limit.SetLimit(min(c.limit.Limit(), c.next))
-		return code, store.Limited
+		c.log.Debug("state service", "method", method, "path", path, "code", status)
+		c.limiter.SetLimit(min(c.limiter.Limit(), c.nextRate))
+		return status, store.Limited
 	}
-	if code >= http.StatusInternalServerError {
-		return code, store.Unknown // none of the service's own answers
+	if status >= http.StatusInternalServerError {
+		return status, store.Unknown // none of the service's own answers
 	}
-	return code, store.Failed
+	return status, store.Failed
 }
 
-// List reads keys with a prefix that come after a key, as many as a page holds, and
-// the revision at which it read them. more says that there are others.
-func (c *Client) List(prefix, after string, page int) (o store.Outcome, rev uint64, items []store.Event, more bool) {
-	if !c.limit.Allow() {
+// List reads the keys with a prefix that come after a key, pageSize of them at most, and
+// the revision as of which it read them. more says that there are others.
+func (c *Client) List(ctx context.Context, prefix, after string, pageSize int) (outcome store.Outcome, revision uint64, items []store.Event, more bool) {
+	if !c.limiter.Allow() {
 		return store.Refused, 0, nil, false
 	}
-	q := url.Values{"starts": {prefix}, "page": {strconv.Itoa(page)}}
+	query := url.Values{"starts": {prefix}, "page": {strconv.Itoa(pageSize)}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set("after", after)
 	}
-	var l wire.Listing
-	if _, o = c.call(http.MethodGet, wire.KeysPath+"?"+q.Encode(), listTimeout, nil, &l); o != store.OK {
-		return o, 0, nil, false
+	var listing wire.Listing
+	if _, outcome = c.do(ctx, http.MethodGet, wire.KeysPath+"?"+query.Encode(), listTimeout, nil, &listing); outcome != store.OK {
+		return outcome, 0, nil, false
 	}
-	for _, it := range l.Items {
-		items = append(items, store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+	for _, item := range listing.Items {
+		items = append(items, store.Event{Key: item.Key, Value: item.Value, Stamp: item.Stamp})
 	}
-	return store.OK, l.Revision, items, l.More
+	return store.OK, listing.Revision, items, listing.More
 }
 
-// Get reads one key. A key that does not exist has no value; rev is then the revision
-// of the service, which tells none otherwise.
-func (c *Client) Get(key string) (o store.Outcome, value json.RawMessage, stamp, rev uint64) {
-	if !c.limit.Allow() {
+// Get reads one key. A key that does not exist has no value; only then revision is set, to
+// that of the service.
+func (c *Client) Get(ctx context.Context, key string) (outcome store.Outcome, value json.RawMessage, version, revision uint64) {
+	if !c.limiter.Allow() {
 		return store.Refused, nil, 0, 0
 	}
-	var it struct {
+	var entry struct {
 		wire.Entry
 		wire.Revision
 	}
-	code, o := c.call(http.MethodGet, wire.KeysPath+"/"+key, callTimeout, nil, &it)
+	status, outcome := c.do(ctx, http.MethodGet, wire.KeysPath+"/"+key, callTimeout, nil, &entry)
 	switch {
-	case o == store.OK:
-		return o, it.Value, it.Stamp, 0
-	case code == http.StatusNotFound:
-		return store.OK, nil, 0, it.Revision.Revision
-	case o == store.Failed:
+	case outcome == store.OK:
+		return outcome, entry.Value, entry.Stamp, 0
+	case status == http.StatusNotFound:
+		return store.OK, nil, 0, entry.Revision.Revision
+	case outcome == store.Failed:
 		return store.Unknown, nil, 0, 0
 	}
-	return o, nil, 0, 0
+	return outcome, nil, 0, 0
 }
 
-// Watch reads the changes after a revision, waiting for one if there is none.
-// gone means that the service no longer has them all.
-func (c *Client) Watch(prefix string, after uint64, wait units.Microseconds) (o store.Outcome, rev uint64, events []store.Event, gone bool) {
-	if !c.limit.Allow() {
+// Watch reads the changes of keys with a prefix after a revision. If there is none it waits
+// for one. compacted means that the service no longer has them all.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait units.Microseconds) (outcome store.Outcome, revision uint64, events []store.Event, compacted bool) {
+	if !c.limiter.Allow() {
 		return store.Refused, 0, nil, false
 	}
-	q := fmt.Sprintf("%s?starts=%s&after=%d&wait_ms=%d", wire.WatchPath, url.QueryEscape(prefix), after, wait/1000)
-	timeout := callTimeout
+	path := fmt.Sprintf("%s?starts=%s&after=%d&wait_ms=%d", wire.WatchPath, url.QueryEscape(prefix), after, wait/1000)
+	timeout := readTimeout
 	if wait > 0 {
-		timeout += time.Duration(wait) * time.Microsecond
-	} else {
-		timeout = readTimeout
+		timeout = callTimeout + time.Duration(wait)*time.Microsecond
 	}
-	var ch wire.Changes
-	code, o := c.call(http.MethodGet, q, timeout, nil, &ch)
-	if o != store.OK {
-		return o, 0, nil, code == http.StatusGone
+	var changes wire.Changes
+	status, outcome := c.do(ctx, http.MethodGet, path, timeout, nil, &changes)
+	if outcome != store.OK {
+		return outcome, 0, nil, status == http.StatusGone
 	}
-	for _, e := range ch.Events {
+	for _, e := range changes.Events {
 		if e.Put != "" {
 			events = append(events, store.Event{Key: e.Put, Value: e.Value, Stamp: e.Stamp})
 		} else {
 			events = append(events, store.Event{Key: e.Delete, Stamp: e.Stamp})
 		}
 	}
-	return store.OK, ch.Revision, events, false
-}
-
-// Commit sends a transaction.
-func (c *Client) Commit(t *store.Txn) (store.Outcome, uint64, []string) {
-	return c.CommitIn(context.Background(), t)
+	return store.OK, changes.Revision, events, false
 }
 
-// CommitIn sends a transaction and waits for the answer until the context ends. Then the
-// outcome is Unknown.
-func (c *Client) CommitIn(ctx context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
-	if !c.limit.Allow() {
+// Commit sends a transaction: its changes are made together if every guard holds. Failed
+// comes with the keys whose guards did not hold; OK with the revision of the changes.
+func (c *Client) Commit(ctx context.Context, txn *store.Txn) (outcome store.Outcome, revision uint64, failed []string) {
+	if !c.limiter.Allow() {
 		return store.Refused, 0, nil
 	}
-	body := wire.Commit{If: []wire.Guard{}, Then: []wire.Change{}}
-	for _, g := range t.Guards {
-		body.If = append(body.If, wire.Guard{Key: g.Key, Stamp: g.Version})
+	request := wire.Commit{If: []wire.Guard{}, Then: []wire.Change{}}
+	for _, g := range txn.Guards {
+		request.If = append(request.If, wire.Guard{Key: g.Key, Stamp: g.Version})
 	}
-	for _, ch := range t.Changes {
-		if ch.Value == nil {
-			body.Then = append(body.Then, wire.Change{Delete: ch.Key})
+	for _, change := range txn.Changes {
+		if change.Value == nil {
+			request.Then = append(request.Then, wire.Change{Delete: change.Key})
 		} else {
-			body.Then = append(body.Then, wire.Change{Put: ch.Key, Value: ch.Value, Lease: ch.Lease})
+			request.Then = append(request.Then, wire.Change{Put: change.Key, Value: change.Value, Lease: change.Lease})
 		}
 	}
-	var r wire.CommitResult
-	code, o := c.callIn(ctx, http.MethodPost, wire.CommitPath, callTimeout, body, &r)
-	if o == store.Failed && code != http.StatusConflict {
-		c.log.Error("state service refused a transaction", "code", code, "err", r.Error)
-		// A lease that has ended is the other reason, and an ordinary one.
-		if r.Error != wire.NoSuchLease && (code == http.StatusBadRequest || code == http.StatusRequestEntityTooLarge) {
-			o = store.TooLarge
+	var result wire.CommitResult
+	status, outcome := c.do(ctx, http.MethodPost, wire.CommitPath, callTimeout, request, &result)
+	if outcome == store.Failed && status != http.StatusConflict {
+		c.log.Error("state service refused a transaction", "code", status, "err", result.Error)
+		// An expired lease is the other reason, and an ordinary one.
+		if result.Error != wire.NoSuchLease && (status == http.StatusBadRequest || status == http.StatusRequestEntityTooLarge) {
+			outcome = store.TooLarge
 		}
 	}
-	return o, r.Revision, r.Failed
+	return outcome, result.Revision, result.Failed
 }
 
-// OpenLease obtains a lease.
-func (c *Client) OpenLease(ttl units.Microseconds) (store.Outcome, uint64) {
-	var l wire.Lease
-	_, o := c.call(http.MethodPost, wire.HoldsPath, callTimeout, wire.LeaseRequest{TTLMillis: int64(ttl / 1000)}, &l)
-	return o, l.ID
+// OpenLease obtains a lease that expires ttl after its last renewal. It is not held against
+// the request budget, nor are renewal and revocation: nothing may delay them.
+func (c *Client) OpenLease(ctx context.Context, ttl units.Microseconds) (outcome store.Outcome, id uint64) {
+	var lease wire.Lease
+	_, outcome = c.do(ctx, http.MethodPost, wire.HoldsPath, callTimeout, wire.LeaseRequest{TTLMillis: int64(ttl / 1000)}, &lease)
+	return outcome, lease.ID
 }
 
-// RenewLease extends a lease. Failed means that it has ended. Renewals go
-// ahead of the budget: nothing may delay them.
-func (c *Client) RenewLease(id uint64) store.Outcome {
-	code, o := c.call(http.MethodPost, fmt.Sprintf("%s/%d/extend", wire.HoldsPath, id), time.Second, nil, nil)
-	if o == store.Failed && code != http.StatusNotFound {
+// RenewLease extends a lease. Failed means that it has expired.
+func (c *Client) RenewLease(ctx context.Context, id uint64) store.Outcome {
+	status, outcome := c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/extend", wire.HoldsPath, id), callTimeout, nil, nil)
+	if outcome == store.Failed && status != http.StatusNotFound {
 		return store.Unknown
 	}
-	return o
+	return outcome
 }
 
-// CloseLease ends a lease.
-func (c *Client) CloseLease(id uint64) {
-	c.call(http.MethodDelete, fmt.Sprintf("%s/%d", wire.HoldsPath, id), callTimeout, nil, nil)
+// CloseLease revokes a lease. The outcome is of no use to the caller: a lease that could not
+// be revoked expires.
+func (c *Client) CloseLease(ctx context.Context, id uint64) {
+	c.do(ctx, http.MethodDelete, fmt.Sprintf("%s/%d", wire.HoldsPath, id), callTimeout, nil, nil)
 }
