--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -25,7 +25,7 @@
 
 // Hosts lists the cloud's machines.
 type Hosts interface {
-	List() (store.Outcome, []wire.Host)
+	List(ctx context.Context) (store.Outcome, []wire.Host)
 }
 
 // AuditLive looks at a state service twice, as what one look shows of keys that change
@@ -76,7 +76,7 @@
 	}
 	var hosts []wire.Host
 	err := o.again(ctx, "the machine list", func() (out store.Outcome) {
-		out, hosts = cloud.List()
+		out, hosts = cloud.List(ctx)
 		return out
 	})
 	rep.Findings = append(rep.Findings, machines(in.Machines(), hosts)...)
--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -194,7 +194,7 @@
 // listed is a cloud whose list differs from look to look.
 type listed [][]wire.Host
 
-func (l *listed) List() (store.Outcome, []wire.Host) {
+func (l *listed) List(context.Context) (store.Outcome, []wire.Host) {
 	h := (*l)[0]
 	*l = (*l)[1:]
 	return store.OK, h
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud's interface.
+// Package cloud is the client of the cloud's interface, from which machines are rented.
 package cloud
 
 import (
@@ -6,6 +6,7 @@
 	"log/slog"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -17,107 +18,122 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-const callTimeout = 5 * time.Second
+const (
+	// callTimeout bounds a request together with its wait for the budget.
+	callTimeout = 5 * time.Second
+	maxConns    = 4
+	// hostPageSize is how many machines one request of the machine list returns at most.
+	hostPageSize = 500
+	// budgetShare leaves some of the request budget for a controller that takes over.
+	budgetShare = 0.7
+)
 
-// Client talks to the cloud.
+// Client talks to the cloud. Outcomes stand in for errors: Refused also where nothing was
+// sent, Unknown where a request may have been carried out.
 type Client struct {
-	base  string
-	http  *http.Client
-	rps   float64
-	limit *rate.Limiter
-	log   *slog.Logger
+	baseURL string
+	http    *http.Client
+	rps     float64
+	limiter *rate.Limiter
+	log     *slog.Logger
 }
 
-// New returns a client for a budget of requests that all controllers share.
+// New returns a client of the cloud at an address, HOST:PORT. rps is the budget that all
+// controllers share, in requests a second.
 func New(addr string, rps float64, log *slog.Logger) *Client {
-	return &Client{base: "http://" + addr, http: rest.NewClient(4), rps: rps,
-		limit: rate.NewLimiter(rate.Limit(rps*margin), max(1, int(rps))), log: log}
+	return &Client{
+		baseURL: "http://" + addr,
+		http:    rest.NewClient(maxConns),
+		rps:     rps,
+		limiter: rate.NewLimiter(rate.Limit(rps*budgetShare), max(1, int(rps))),
+		log:     log,
+	}
 }
 
-// margin leaves some of the budget for a controller that takes over.
-const margin = 0.7
-
-// SetPart sets this controller's part of the budget.
-func (c *Client) SetPart(part float64) {
-	c.limit.SetLimit(rate.Limit(c.rps * margin * part))
-	c.limit.SetBurst(max(1, int(c.rps*part)))
+// SetBudgetFraction sets the part of the budget that is this controller's, in (0, 1].
+func (c *Client) SetBudgetFraction(fraction float64) {
+	c.limiter.SetLimit(rate.Limit(c.rps * budgetShare * fraction))
+	c.limiter.SetBurst(max(1, int(c.rps*fraction)))
 }
 
-// call does one request, unless it may no more by the time it would be sent:
-// its turn may come late, and a process may stand still before that.
-func (c *Client) call(method, path string, body, into any, may func() bool) (int, store.Outcome) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+// do sends one request and decodes the answer into response, unless authorized is false by
+// the time it would be sent: the request may have waited for the budget, and a process may
+// stand still before that. The status is 0 where there was no answer.
+func (c *Client) do(ctx context.Context, method, path string, request, response any, authorized func() bool) (status int, outcome store.Outcome) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := c.limit.Wait(ctx); err != nil || !may() {
+	if err := c.limiter.Wait(ctx); err != nil || !authorized() {
 		return 0, store.Refused
 	}
-	code, err := rest.Do(ctx, c.http, method, c.base+path, body, into)
+	status, err := rest.Do(ctx, c.http, method, c.baseURL+path, request, response)
 	switch {
 	case err != nil:
 		c.log.Info("cloud", "path", path, "err", err)
-		return code, store.Unknown
-	case code == http.StatusOK:
-		return code, store.OK
+		return status, store.Unknown
+	case status == http.StatusOK:
+		return status, store.OK
 	}
-	c.log.Debug("cloud", "path", path, "code", code)
-	return code, store.Refused
+	c.log.Debug("cloud", "path", path, "code", status)
+	return status, store.Refused
 }
 
+// always authorizes requests that only read.
 func always() bool { return true }
 
-// Types reads the price list. Entries that make no sense are left out.
-func (c *Client) Types() (store.Outcome, []fleet.Type) {
-	var b wire.MachineTypes
-	_, o := c.call(http.MethodGet, wire.TypesPath, nil, &b, always)
-	var out []fleet.Type
-	for _, t := range b.Types {
-		ty, err := t.Type()
+// Types reads the price list. Entries that make no sense are logged and left out.
+func (c *Client) Types(ctx context.Context) (store.Outcome, []fleet.Type) {
+	var priceList wire.MachineTypes
+	_, outcome := c.do(ctx, http.MethodGet, wire.TypesPath, nil, &priceList, always)
+	var types []fleet.Type
+	for _, entry := range priceList.Types {
+		machineType, err := entry.Type()
 		if err != nil {
 			c.log.Error("cloud", "err", err)
 			continue
 		}
-		out = append(out, ty)
+		types = append(types, machineType)
 	}
-	return o, out
+	return outcome, types
 }
 
-// Rent asks for machines. Failed means that none are to be had.
-func (c *Client) Rent(request string, r autoscaler.Rent, may func() bool) (store.Outcome, []string) {
-	var b struct {
+// ScaleOut asks for machines and returns the names of those granted. The cloud grants the
+// same machines to a repeated request of the same id. Failed means that none are to be had.
+func (c *Client) ScaleOut(ctx context.Context, requestID string, order autoscaler.Rent, authorized func() bool) (store.Outcome, []string) {
+	var response struct {
 		wire.Names
 		wire.Problem
 	}
-	code, o := c.call(http.MethodPost, wire.HostsPath,
-		wire.RentRequest{Request: request, Type: r.Pool.Type, Zone: r.Pool.Zone, Spot: r.Pool.Spot, Count: r.Count}, &b, may)
-	if code == http.StatusServiceUnavailable && b.Error == "no capacity" {
+	status, outcome := c.do(ctx, http.MethodPost, wire.HostsPath,
+		wire.ScaleOutRequest{Request: requestID, Type: order.Pool.Type, Zone: order.Pool.Zone, Spot: order.Pool.Spot, Count: order.Count}, &response, authorized)
+	if status == http.StatusServiceUnavailable && response.Error == wire.NoCapacity {
 		return store.Failed, nil
 	}
-	return o, b.Machines
+	return outcome, response.Machines
 }
 
-// Return gives machines back.
-func (c *Client) Return(names []string, may func() bool) store.Outcome {
-	_, o := c.call(http.MethodPost, wire.ReturnPath, wire.Names{Machines: names}, nil, may)
-	return o
+// ScaleIn gives machines back.
+func (c *Client) ScaleIn(ctx context.Context, names []string, authorized func() bool) store.Outcome {
+	_, outcome := c.do(ctx, http.MethodPost, wire.ReturnPath, wire.Names{Machines: names}, nil, authorized)
+	return outcome
 }
 
 // List reads the machine list.
-func (c *Client) List() (store.Outcome, []wire.Host) {
-	var out []wire.Host
+func (c *Client) List(ctx context.Context) (store.Outcome, []wire.Host) {
+	var hosts []wire.Host
 	after := ""
 	for {
-		var h wire.Hosts
-		q := url.Values{"page": {"500"}}
+		var page wire.Hosts
+		query := url.Values{"page": {strconv.Itoa(hostPageSize)}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set("after", after)
 		}
-		if _, o := c.call(http.MethodGet, wire.HostsPath+"?"+q.Encode(), nil, &h, always); o != store.OK {
-			return o, nil
+		if _, outcome := c.do(ctx, http.MethodGet, wire.HostsPath+"?"+query.Encode(), nil, &page, always); outcome != store.OK {
+			return outcome, nil
 		}
-		out = append(out, h.Machines...)
-		if !h.More || len(h.Machines) == 0 {
-			return store.OK, out
+		hosts = append(hosts, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
+			return store.OK, hosts
 		}
-		after = h.Machines[len(h.Machines)-1].ID
+		after = page.Machines[len(page.Machines)-1].ID
 	}
 }
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -175,7 +175,7 @@
 		answer(w, code, out)
 	})
 	r.Post(wire.HostsPath, func(w http.ResponseWriter, req *http.Request) {
-		var b wire.RentRequest
+		var b wire.ScaleOutRequest
 		if !read(w, req, &b) {
 			return
 		}
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -179,32 +179,32 @@
 	go c.Run()
 	cl := cloud.New(listen(t, c.Handler()), 1000, quiet)
 	yes := func() bool { return true }
-	if o, types := cl.Types(); o != store.OK || len(types) != 1 || types[0].Name != "big" {
+	if o, types := cl.Types(t.Context()); o != store.OK || len(types) != 1 || types[0].Name != "big" {
 		t.Fatalf("types: %v, %+v", o, types)
 	}
 	r := autoscaler.Rent{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: 2}
-	_, first := cl.Rent("r-1", r, yes)
-	_, again := cl.Rent("r-1", r, yes)
-	_, rest := cl.Rent("r-2", r, yes)
+	_, first := cl.ScaleOut(t.Context(), "r-1", r, yes)
+	_, again := cl.ScaleOut(t.Context(), "r-1", r, yes)
+	_, rest := cl.ScaleOut(t.Context(), "r-2", r, yes)
 	if len(first) != 2 || fmt.Sprint(first) != fmt.Sprint(again) || len(rest) != 1 {
 		t.Errorf("rented %v, the same booking %v, then %v", first, again, rest)
 	}
-	if o, _ := cl.Rent("r-3", r, yes); o != store.Failed {
+	if o, _ := cl.ScaleOut(t.Context(), "r-3", r, yes); o != store.Failed {
 		t.Errorf("beyond the capacity: %v", o)
 	}
-	if o, hosts := cl.List(); o != store.OK || len(hosts) != 3 {
+	if o, hosts := cl.List(t.Context()); o != store.OK || len(hosts) != 3 {
 		t.Errorf("list: %v, %+v", o, hosts)
 	} else if _, err := net.ResolveTCPAddr("tcp4", hosts[0].Addr); err != nil || hosts[0].Addr == "" {
 		t.Errorf("address %q", hosts[0].Addr)
 	}
-	if o := cl.Return(first, yes); o != store.OK {
+	if o := cl.ScaleIn(t.Context(), first, yes); o != store.OK {
 		t.Errorf("return: %v", o)
 	}
-	if _, hosts := cl.List(); len(hosts) != 1 {
+	if _, hosts := cl.List(t.Context()); len(hosts) != 1 {
 		t.Errorf("after the return: %+v", hosts)
 	}
 	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.Down(now + units.Second) })
-	if o, _ := cl.Rent("r-4", r, yes); o != store.Refused {
+	if o, _ := cl.ScaleOut(t.Context(), "r-4", r, yes); o != store.Refused {
 		t.Errorf("while the cloud is down: %v", o)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -186,29 +186,29 @@
 		go n.state.CloseLease(ctx, e.ID)
 	case core.FetchTypes:
 		go func() {
-			o, types := n.cloud.Types()
+			o, types := n.cloud.Types(ctx)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnTypes(now, o, types) })
 		}()
 	case core.ScaleOut:
 		go func() {
-			o, names := n.cloud.Rent(e.Request, e.Rent, n.holdsAuthority)
+			o, names := n.cloud.ScaleOut(ctx, e.Request, e.Rent, n.holdsAuthority)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleOut(now, e, o, names) })
 		}()
 	case core.ScaleIn:
 		go func() {
-			o := n.cloud.Return(e.Names, n.holdsAuthority)
+			o := n.cloud.ScaleIn(ctx, e.Names, n.holdsAuthority)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleIn(now, e, o) })
 		}()
 	case core.Probe:
 		go func() {
-			o, r := n.workers.ShowToken(e.Addr, e.FencingToken, e.Incarnation, n.holdsAuthority)
+			o, r := n.workers.Probe(ctx, e.Addr, e.FencingToken, e.Incarnation, n.holdsAuthority)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnProbe(now, e, o, r) })
 		}()
 	case core.CloudBudget:
-		n.cloud.SetPart(e.Fraction)
+		n.cloud.SetBudgetFraction(e.Fraction)
 	case core.ListMachines:
 		go func() {
-			o, hosts := n.cloud.List()
+			o, hosts := n.cloud.List(ctx)
 			list := make([]core.ListedMachine, 0, len(hosts))
 			for _, h := range hosts {
 				list = append(list, core.ListedMachine{Name: h.ID, Addr: h.Addr, Failed: h.State == wire.HostFailed, Age: units.Seconds(h.AgeS),
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -18,14 +18,26 @@
 // NewClient returns a client for a service on the same network: few
 // connections, and none waited for long.
 func NewClient(conns int) *http.Client {
+	return &http.Client{Transport: newTransport(conns)}
+}
+
+func newTransport(conns int) *http.Transport {
 	d := net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	return &http.Client{Transport: &http.Transport{
+	return &http.Transport{
 		DialContext:         d.DialContext,
 		MaxIdleConnsPerHost: conns,
 		MaxConnsPerHost:     conns,
 		IdleConnTimeout:     90 * time.Second,
 		DisableCompression:  true,
-	}}
+	}
+}
+
+// NewOneShotClient returns a client that closes each connection after its answer: for many
+// services of which each is asked once.
+func NewOneShotClient() *http.Client {
+	transport := newTransport(1)
+	transport.DisableKeepAlives = true
+	return &http.Client{Transport: transport}
 }
 
 // Do sends a JSON request and reads a JSON answer. Answers that cannot be read are errors.
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -114,8 +114,8 @@
 	}, nil
 }
 
-// RentRequest asks the cloud for machines.
-type RentRequest struct {
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
 	Request string `json:"booking"`
 	Type    string `json:"rig"`
 	Zone    string `json:"hall"`
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,4 +1,5 @@
-// Package worker asks workers directly for their reports.
+// Package worker is the client of workers' own interface: it probes a worker without waiting
+// for its next heartbeat.
 package worker
 
 import (
@@ -15,8 +16,8 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// callTimeout bounds a request: a machine that does not answer by then is heard
-// by its own report, or not at all.
+// callTimeout bounds a probe: a machine that does not answer by then is known by its own
+// heartbeat, or not at all.
 const callTimeout = time.Second
 
 // Client talks to workers.
@@ -25,41 +26,41 @@
 	log  *slog.Logger
 }
 
-// New returns a client that keeps no connections: each worker is asked once.
+// New returns a client that keeps no connections: each worker is probed once.
 func New(log *slog.Logger) *Client {
-	hc := rest.NewClient(1)
-	hc.Transport.(*http.Transport).DisableKeepAlives = true
-	return &Client{http: hc, log: log}
+	return &Client{http: rest.NewOneShotClient(), log: log}
 }
 
-// ShowToken shows a token to a worker, without any command, and returns the
-// worker's report after that. Failed means that it has not taken the token: the
-// session is another, or it has seen a higher one; the report tells.
-func (c *Client) ShowToken(addr string, token, session uint64, may func() bool) (store.Outcome, *fleet.Heartbeat) {
-	if _, err := netip.ParseAddrPort(addr); err != nil || !may() {
+// Probe presents a fencing token to the worker at an address, HOST:PORT, without any command,
+// and returns the worker's status after that. The outcome is Failed where the worker did not
+// take the token, as the status tells: its incarnation is another, or it has seen a higher token.
+// Refused means that nothing was sent, as the address is unusable or authorized is false;
+// Unknown that there was no answer that can be read.
+func (c *Client) Probe(ctx context.Context, addr string, fencingToken, incarnation uint64, authorized func() bool) (store.Outcome, *fleet.Heartbeat) {
+	if _, err := netip.ParseAddrPort(addr); err != nil || !authorized() {
 		return store.Refused, nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var body json.RawMessage
-	code, err := rest.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
-		wire.Orders{Token: token, Session: &session, Commands: []wire.Command{}}, &body)
+	status, err := rest.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
+		wire.Orders{Token: fencingToken, Session: &incarnation, Commands: []wire.Command{}}, &body)
 	if err != nil {
 		c.log.Debug("worker", "addr", addr, "err", err)
 		return store.Unknown, nil
 	}
-	o := store.Failed
-	switch code {
+	outcome := store.OK
+	switch status {
 	case http.StatusOK:
-		o = store.OK
 	case http.StatusConflict:
+		outcome = store.Failed
 	default:
 		return store.Unknown, nil
 	}
-	r, err := wire.DecodeReport(body)
+	heartbeat, err := wire.DecodeReport(body)
 	if err != nil {
 		c.log.Debug("worker", "addr", addr, "err", err)
 		return store.Unknown, nil
 	}
-	return o, r
+	return outcome, heartbeat
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -11,12 +11,12 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// TestShowToken asks a worker of the protocol's form: it takes a token with its
-// own session, and tells its session where another is named. Nothing is sent
-// without authority, and nothing but an address is called.
-func TestShowToken(t *testing.T) {
+// TestProbe probes a worker of the protocol's form: it takes a fencing token with its own
+// incarnation, and tells its incarnation where another is named. Nothing is sent without authority, and
+// nothing but an address is called.
+func TestProbe(t *testing.T) {
 	calls := 0
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		calls++
 		var b struct {
 			Baton, Shift *uint64
@@ -32,23 +32,23 @@
 		} else {
 			baton = "9"
 		}
-		_, _ = w.Write([]byte(`{"stagehand":"n-1","rig":"g","hall":"a","standby":false,"shift":3,"tally":8,"baton":` + baton + `,"cues":[]}`))
+		_, _ = w.Write([]byte(`{"stagehand":"n-1","rig":"g","hall":"a","standby":false,"shift":3,"tally":8,"baton":` + baton + `,"cues":[]}`)) // a client that ended shows in its outcome
 	}))
-	defer s.Close()
-	addr := strings.TrimPrefix(s.URL, "http://")
-	c := New(slog.New(slog.DiscardHandler))
+	defer server.Close()
+	addr := strings.TrimPrefix(server.URL, "http://")
+	client := New(slog.New(slog.DiscardHandler))
 	yes := func() bool { return true }
-	if o, r := c.ShowToken(addr, 9, 1, yes); o != store.Failed || r == nil || r.Incarnation != 3 {
-		t.Errorf("other session: %v %+v", o, r)
+	if o, r := client.Probe(t.Context(), addr, 9, 1, yes); o != store.Failed || r == nil || r.Incarnation != 3 {
+		t.Errorf("other incarnation: %v %+v", o, r)
 	}
-	if o, r := c.ShowToken(addr, 9, 3, yes); o != store.OK || r == nil || r.FencingToken != 9 || r.Seq != 8 {
-		t.Errorf("own session: %v %+v", o, r)
+	if o, r := client.Probe(t.Context(), addr, 9, 3, yes); o != store.OK || r == nil || r.FencingToken != 9 || r.Seq != 8 {
+		t.Errorf("own incarnation: %v %+v", o, r)
 	}
 	before := calls
-	if o, _ := c.ShowToken(addr, 9, 3, func() bool { return false }); o != store.Refused || calls != before {
+	if o, _ := client.Probe(t.Context(), addr, 9, 3, func() bool { return false }); o != store.Refused || calls != before {
 		t.Errorf("without authority: %v", o)
 	}
-	if o, _ := c.ShowToken("no/where", 9, 3, yes); o != store.Refused {
+	if o, _ := client.Probe(t.Context(), "no/where", 9, 3, yes); o != store.Refused {
 		t.Errorf("no address: %v", o)
 	}
 }
