--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,6 +9,7 @@
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/configuration"
+	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
@@ -162,7 +163,7 @@
 }
 
 func objectiveOf(o Objective) core.Objective {
-	return core.Objective{Kind: o.Kind, Class: o.Class, Within: units.Seconds(o.WithinS), Times: o.Times, Share: o.Share}
+	return core.Objective{Kind: demand.ObjectiveKind(o.Kind), Class: o.Class, Within: units.Seconds(o.WithinS), Times: o.Times, Share: o.Share}
 }
 
 // NewDocument returns a version as a document.
@@ -179,7 +180,7 @@
 	}
 	slices.SortFunc(d.Teams, func(a, b Team) int { return cmp.Compare(a.Name, b.Name) })
 	for _, o := range c.Objectives {
-		d.Objectives = append(d.Objectives, Objective{Kind: o.Kind, Class: o.Class, WithinS: o.Within.Seconds(), Share: o.Share, Times: o.Times})
+		d.Objectives = append(d.Objectives, Objective{Kind: string(o.Kind), Class: o.Class, WithinS: o.Within.Seconds(), Share: o.Share, Times: o.Times})
 	}
 	return d
 }
--- a/internal/core/configuration/content.go
+++ b/internal/core/configuration/content.go
@@ -137,17 +137,14 @@
 	return nil
 }
 
-// objectiveKinds are the kinds of objectives that there are.
-var objectiveKinds = []string{"wait", "finished", "deadline", "guarantee"}
-
 func checkObjectives(list []Objective) error {
 	if len(list) > MaxObjectives {
 		return invalid("objectives", "want at most %d, got %d", MaxObjectives, len(list))
 	}
 	for i, o := range list {
 		field := fmt.Sprintf("objectives[%d]", i)
-		if !slices.Contains(objectiveKinds, o.Kind) {
-			return invalid(field+".kind", "want one of %v, got %q", objectiveKinds, o.Kind)
+		if kinds := demand.ObjectiveKinds(); !slices.Contains(kinds, o.Kind) {
+			return invalid(field+".kind", "want one of %v, got %q", kinds, o.Kind)
 		}
 		if len(o.Class) > MaxName || !utf8.ValidString(o.Class) {
 			return invalid(field+".class", "cannot be used")
--- a/internal/core/configuration/record.go
+++ b/internal/core/configuration/record.go
@@ -11,6 +11,7 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -118,7 +119,7 @@
 	// Objectives keep their order; a chunk is closed when the next does not fit.
 	var list chunk
 	for i, o := range c.Objectives {
-		next := append(slices.Clone(list.Objectives), objectiveRecord{o.Kind, o.Class, o.Within, o.Times, o.Share})
+		next := append(slices.Clone(list.Objectives), objectiveRecord{string(o.Kind), o.Class, o.Within, o.Times, o.Share})
 		if i > 0 && len(store.Value(chunk{Objectives: next})) > room {
 			parts = append(parts, list)
 			next = next[len(next)-1:]
@@ -156,7 +157,7 @@
 			c.Teams = append(c.Teams, Team{t.Name, binpack.Vec{t.CPU, t.GPU}, binpack.Vec{t.CPUMax, t.GPUMax}, t.Removed})
 		}
 		for _, o := range p.Objectives {
-			c.Objectives = append(c.Objectives, Objective{Kind: o.Kind, Class: o.Class, Within: o.Within, Times: o.Times, Share: o.Share})
+			c.Objectives = append(c.Objectives, Objective{Kind: demand.ObjectiveKind(o.Kind), Class: o.Class, Within: o.Within, Times: o.Times, Share: o.Share})
 		}
 	}
 	if len(c.Teams) == 0 {
--- a/internal/core/jobs/registry/objectives.go
+++ b/internal/core/jobs/registry/objectives.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -28,7 +29,7 @@
 	own.Due = job.Record.Submitted + spec.Deadline
 	own.LastDue = own.Due
 	for _, o := range r.host.Objectives() {
-		if o.Class == spec.Class && o.Kind == "deadline" {
+		if o.Class == spec.Class && o.Kind == demand.KeepDeadline {
 			own.LastDue = max(own.LastDue, job.Record.Submitted+units.Microseconds(float64(spec.Deadline)*o.Times))
 		}
 	}
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -99,7 +99,7 @@
 		s.reserve(wall, job)
 		s.queue.Propose(ranking.Candidate{
 			Job:     job,
-			Tier:    s.tier(job)*(demand.Urgencies+1) + s.urgency(wall, job),
+			Tier:    s.tier(job)*int(demand.Urgencies) + int(s.urgency(wall, job)),
 			Deficit: s.deficit(job),
 		})
 	}
@@ -150,9 +150,9 @@
 }
 
 // urgency orders the jobs of one tier: those overdue, then by which objectives can still be met.
-func (s *Scheduler) urgency(wall units.Microseconds, job *jobs.Job) int {
+func (s *Scheduler) urgency(wall units.Microseconds, job *jobs.Job) demand.Urgency {
 	if overdue(wall, job) {
-		return demand.Urgencies
+		return demand.Overdue
 	}
 	return s.demand.Urgency(wall, job)
 }
