--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,9 +22,9 @@
 	"shalestage.example/shalestage/internal/core/membership"
 	"shalestage.example/shalestage/internal/core/provisioner"
 	"shalestage.example/shalestage/internal/core/replaylog"
-	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/transfer"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
 	"shalestage.example/shalestage/internal/core/zones"
@@ -179,17 +179,16 @@
 	olderReleaseAt map[int]units.Microseconds // by release: when another controller was last not known to run it or a later one
 	election       *election.Election
 	planner        *shardplan.Planner
-	owned          map[int]*ownedShard        // blocks that this node holds
-	snapshots      map[int]*shardSnapshot     // of blocks, as their last holders have handed them on
-	standbys       map[int]replication.Record // who follows the holder of each block, as stored
-	standby        *replication.Standby       // what this node knows of the starts of holders that it follows
-	emptySince     units.Microseconds         // since when nothing is held by it then
-	retiringSince  units.Microseconds         // since when this node's process is about to end on purpose; 0: it is not
-	reachability   liveness.Reachability      // whether workers reach this node
+	owned          map[int]*ownedShard   // blocks that this node holds
+	emptySince     units.Microseconds    // since when nothing is held by it then
+	retiringSince  units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
+	reachability   liveness.Reachability // whether workers reach this node
 	zones          *zones.View
 	typesAt        units.Microseconds
 	cloudPart      float64
 	peers          peerDirectory
+
+	transfers *transfer.Receiver // what is known of shards that this node may own next
 }
 
 // New returns a controller's core that has seen nothing yet.
@@ -200,9 +199,9 @@
 	c := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{},
 		types: map[string]*fleet.Type{}, shardRecords: shardplan.NewRecords(),
 		machineGroups: map[string]fleet.Group{}, machineShard: map[string]int{},
-		releases: map[string]int{}, olderReleaseAt: map[int]units.Microseconds{}, snapshots: map[int]*shardSnapshot{},
-		standbys: map[int]replication.Record{}, standby: replication.NewStandby(),
-		owned: map[int]*ownedShard{}}
+		releases: map[string]int{}, olderReleaseAt: map[int]units.Microseconds{},
+		transfers: transfer.NewReceiver(cfg.Node),
+		owned:     map[int]*ownedShard{}}
 	if c.cfg.ValueMax == 0 {
 		c.cfg.ValueMax = int(cfg.ValueKB * 1024)
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -182,7 +182,7 @@
 	if e.Value != nil {
 		c.config.SetShards(c.shardRecords.Shards())
 		if assignment.Node != "" && assignment.Node != c.cfg.Node {
-			delete(c.snapshots, number) // it is another's to use
+			c.transfers.Discard(number) // it is another's to use
 		}
 	}
 	if shard := c.owned[number]; shard != nil && shard.assignment != assignment.Version {
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -92,7 +92,7 @@
 	case strings.HasPrefix(e.Key, overridePrefix):
 		err = c.learnWord(e)
 	case strings.HasPrefix(e.Key, standbyPrefix):
-		err = c.learnFollow(e)
+		err = c.learnStandby(e)
 	case strings.HasPrefix(e.Key, allocationPrefix):
 		err = c.learnAllocation(e)
 	case e.Key == termKey:
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -301,7 +301,7 @@
 			shard.replication.OnAck(now, from, m)
 		}
 	case PeerPicture:
-		c.receiveSnapshot(m)
+		c.transfers.Receive(m)
 	case PeerAsk:
 		if !jobs.ValidID(m.Job) || m.Spec != nil && !m.Spec.Sane() || len(c.peers.forwarded) >= maxAsks {
 			return
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -9,7 +9,6 @@
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
-	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -61,7 +60,7 @@
 	c.cancellations.Forget(c.now)
 	c.suspectCommits()
 	c.verifyArchived()
-	c.standby = replication.NewStandby() // who is stored to follow may be as of an earlier time
+	c.transfers.StateRolledBack()
 	for _, e := range again {
 		c.log.Warn("written again", "key", e.Key, "listed_version", e.Stamp)
 		c.writeAgain(e)
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -71,7 +71,7 @@
 	c.owned[k] = shard
 	c.reachability.ShardAcquired()
 	c.zones.ShardAcquired()
-	c.log.Info("holding", "block", k, "token", shard.fencingToken)
+	c.log.Info("shard owned", "shard", k, "token", shard.fencingToken)
 	c.setRates()
 	c.rebuild(shard)
 }
@@ -85,7 +85,7 @@
 			c.rebuild(shard)
 			return
 		}
-		picture := c.takeSnapshot(shard)
+		snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
 		for _, key := range sortedKeys(c.machineGroups) {
 			g := c.machineGroups[key]
 			if g.Shard != shard.number {
@@ -101,8 +101,7 @@
 				m := c.newMachine(shard, name, key, g.Record(true), age)
 				// An earlier holder may have started tasks there, and its last
 				// answer may have been accepted just before this grant.
-				_, transferred := picture.machines[name]
-				shard.reconciler.Inherit(c.now, m, transferred || picture.covers(key))
+				shard.reconciler.Inherit(c.now, m, snapshot.Covers(name, key))
 			}
 			for _, name := range g.Booting {
 				c.newMachine(shard, name, key, g.Record(false), age)
@@ -116,9 +115,9 @@
 				j.AwaitsReconciliation = len(shard.reconciler.Unreconciled()) > 0
 			}
 		}
-		handed := c.restore(shard, picture)
+		restored := snapshot.Restore(transferHost{c, shard})
 		shard.ready = true
-		c.log.Info("picture read", "block", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "handed_on", handed, "followed", picture.whole)
+		c.log.Info("shard ready", "shard", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "restored", restored, "replicated", snapshot.Complete())
 	})
 }
 
@@ -129,7 +128,7 @@
 	if shard.releasing {
 		return
 	}
-	c.log.Warn("releasing a block", "block", shard.number, "why", why)
+	c.log.Warn("releasing a shard", "shard", shard.number, "why", why)
 	shard.releasing = true
 	shard.replication.Close(c.now)
 	c.sendSnapshot(shard)
