--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -4,6 +4,7 @@
 	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -102,12 +103,7 @@
 
 // PeerMemoryFull implements admission.Host.
 func (c admissionHost) PeerMemoryFull() bool {
-	for _, peer := range c.peers.views {
-		if c.alive(peer) && peer.status.Full {
-			return true
-		}
-	}
-	return false
+	return c.peers.AnyMemoryFull(c.now)
 }
 
 // ConfigurationCurrent implements admission.Host.
@@ -117,4 +113,4 @@
 func (c admissionHost) LeastLoadedShard() int { return c.planner.NewJobShard(c.now) }
 
 // OlderPeer implements admission.Host.
-func (c admissionHost) OlderPeer() string { return c.olderPeer() }
+func (c admissionHost) OlderPeer() string { return c.peers.OlderThan(peering.ReleaseDependencies) }
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -8,6 +8,7 @@
 	"shalestage.example/shalestage/internal/core/election"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
@@ -104,7 +105,7 @@
 // tooOld reports whether a controller runs a release that cannot read what is packed, or
 // does not go by the configuration that is stored.
 func (c *Core) tooOld(node string) bool {
-	return node != c.cfg.Node && (c.archived.history.On() && c.releases[node] < releaseArchive || c.config.Changed() && c.releases[node] < releaseConfig)
+	return node != c.cfg.Node && (c.archived.history.On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
 func answerOf(j *jobs.Job) archive.Answer {
@@ -139,7 +140,7 @@
 // tickArchive does what is due for jobs that are over.
 func (c *Core) tickArchive() {
 	o := &c.archived
-	c.noteOlderReleases()
+	c.peers.NoteOlderReleases(c.now)
 	c.verifyNextArchived()
 	if !c.cache.Loaded() || c.stateAge() > watchcache.Heartbeat+units.Second/2 || c.cache.Recovering() {
 		return
@@ -181,7 +182,7 @@
 	mark, stamp := o.history.Mark()
 	nobodys := store.Change{Key: leaderKeyFirst, Value: store.Value(l.ExclusionRecord())}
 	if !o.history.On() {
-		if o.packer.Len() <= c.cfg.KeepFinished || !c.allRunSince(releaseArchive) {
+		if o.packer.Len() <= c.cfg.KeepFinished || !c.peers.AllRunFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime) {
 			return false
 		}
 		for _, name := range sortedKeys(c.types) {
@@ -190,7 +191,7 @@
 				return true
 			}
 		}
-		mark = archive.Mark{Release: releaseArchive, Cut: c.cache.Revision + 1}
+		mark = archive.Mark{Release: peering.ReleaseArchive, Cut: c.cache.Revision + 1}
 		l.Write([]store.Guard{{Key: archiveKey}, {Key: leaderKeyArchived, Version: c.cache.Version(leaderKeyArchived)}, {Key: memberPrefix + c.cfg.Node, Version: c.membership.ID()}},
 			store.Change{Key: leaderKeyArchived, Value: store.Value(l.Record(c.membership.ID())), Lease: c.membership.LeaseID()},
 			nobodys,
@@ -216,7 +217,7 @@
 		return false
 	}
 	// A new cut lets further jobs be packed.
-	mark.Release, mark.Cut, mark.Jobs = releaseArchive, max(mark.Cut, c.cache.Revision+1), mark.Jobs+o.packer.Done
+	mark.Release, mark.Cut, mark.Jobs = peering.ReleaseArchive, max(mark.Cut, c.cache.Revision+1), mark.Jobs+o.packer.Done
 	o.packer.Done = 0
 	o.markAt = c.now + markEvery
 	l.Write([]store.Guard{{Key: archiveKey, Version: stamp}}, store.Change{Key: archiveKey, Value: store.Value(mark)})
--- a/internal/core/cancelling.go
+++ b/internal/core/cancelling.go
@@ -5,6 +5,7 @@
 
 	"shalestage.example/shalestage/internal/core/cancellations"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -15,7 +16,7 @@
 
 // cancellationsFor answers a controller that asks for a promise.
 func (c *Core) cancellationsFor(m PeerStatus) cancellations.Told {
-	if m.Release < releaseCancellations {
+	if m.Release < peering.ReleaseCancellations {
 		return cancellations.Told{}
 	}
 	return c.cancellations.ListFor(c.now, m.Known, c.cache.LoadRevision(), c.cache.Revision, c.cache.Loaded() && !c.cache.Recovering())
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -7,6 +7,7 @@
 	"shalestage.example/shalestage/internal/core/admission"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 )
@@ -106,7 +107,7 @@
 // does not know of such changes is known, none is made: it would go by its settings file.
 func (c *Core) Configure(now units.Microseconds, req RequestID, r configuration.Request) {
 	c.advance(now)
-	if old := c.unaware(); old != "" {
+	if old := c.peers.OlderThan(peering.ReleaseConfig); old != "" {
 		c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: admission.LongRetryAfter,
 			Body: ConfigRefused{&configuration.Unavailable{Reason: "controller " + old + " still runs an older release, which goes by its settings file"}}})
 		return
@@ -114,17 +115,6 @@
 	c.config.Change(c.now, c.wall, uint64(req), r)
 }
 
-// unaware returns a controller that is known to run a release which goes by its settings
-// file alone.
-func (c *Core) unaware() string {
-	for _, n := range c.peers.names {
-		if r, known := c.releases[n]; known && r < releaseConfig {
-			return n
-		}
-	}
-	return ""
-}
-
 // ConfigContent answers with the configuration in force here, as new as the request.
 func (c *Core) ConfigContent(now units.Microseconds, req RequestID) {
 	c.readConfig(now, req, func() any { return ConfigContent{c.config.Version(), c.config.Content()} })
@@ -150,7 +140,7 @@
 // ConfigStatus answers how far a version has come; 0: the one in force here.
 func (c *Core) ConfigStatus(now units.Microseconds, req RequestID, version uint64) {
 	c.advance(now)
-	c.emit(Reply{Request: req, Code: http.StatusOK, Body: c.config.Status(c.now, version, func(node string) bool { return !c.alive(c.peers.views[node]) })})
+	c.emit(Reply{Request: req, Code: http.StatusOK, Body: c.config.Status(c.now, version, func(node string) bool { return !c.peers.Alive(c.now, node) })})
 }
 
 // receiveConfigStatus takes what another controller's status says of the configuration.
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -10,6 +10,7 @@
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -37,7 +38,7 @@
 	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
 	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerPromise{ConfigKnown: 3}} {
 		c := holding(t, nil)
-		c.peers = newPeers([]string{"b"})
+		c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
 		shard := c.owned[0]
 		allocate(t, c, 0, 1)
 		if !shard.quota.Allows(spec.Team, spec.Demand) || !c.mayAccept() {
@@ -101,8 +102,8 @@
 // known, and gives it no block once there is a stored version.
 func TestOlderReleases(t *testing.T) {
 	c := holding(t, nil)
-	c.peers = newPeers([]string{"b"})
-	c.noteRelease("b", releaseConfig-1)
+	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
+	c.peers.NoteRelease("b", peering.ReleaseConfig-1)
 	limit := int64(1000)
 	c.Configure(c.now, 7, configuration.Request{Teams: []configuration.TeamChange{{Name: "t", LimitCPU: &limit}}})
 	if r := replyTo(t, c, 7); r.Code != 503 || r.RetryAfter == 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,6 +20,7 @@
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/liveness"
 	"shalestage.example/shalestage/internal/core/membership"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/provisioner"
 	"shalestage.example/shalestage/internal/core/replaylog"
 	"shalestage.example/shalestage/internal/core/shardplan"
@@ -171,22 +172,22 @@
 	machineGroups map[string]fleet.Group // stored machines, by key
 	machineShard  map[string]int         // block of each stored machine
 
-	archived       archivedJobs
-	replayLog      *replaylog.Memory      // what may have to be written again
-	cancellations  *cancellations.Tracker // which cancellations are known, and up to when all are
-	membership     *membership.Registry
-	releases       map[string]int             // of the other controllers, as last heard or read
-	olderReleaseAt map[int]units.Microseconds // by release: when another controller was last not known to run it or a later one
-	election       *election.Election
-	planner        *shardplan.Planner
-	owned          map[int]*ownedShard   // blocks that this node holds
-	emptySince     units.Microseconds    // since when nothing is held by it then
-	retiringSince  units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
-	reachability   liveness.Reachability // whether workers reach this node
-	zones          *zones.View
-	typesAt        units.Microseconds
-	cloudPart      float64
-	peers          peerDirectory
+	archived      archivedJobs
+	replayLog     *replaylog.Memory      // what may have to be written again
+	cancellations *cancellations.Tracker // which cancellations are known, and up to when all are
+	membership    *membership.Registry
+	election      *election.Election
+	planner       *shardplan.Planner
+	owned         map[int]*ownedShard   // blocks that this node holds
+	emptySince    units.Microseconds    // since when nothing is held by it then
+	retiringSince units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
+	reachability  liveness.Reachability // whether workers reach this node
+	zones         *zones.View
+	typesAt       units.Microseconds
+	cloudPart     float64
+	peers         *peering.Directory
+	forwarder     *peering.Forwarder // users' requests that go from controller to controller
+	nextStatusAt  units.Microseconds // when this controller's status is next sent
 
 	transfers *transfer.Receiver // what is known of shards that this node may own next
 }
@@ -199,7 +200,6 @@
 	c := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{},
 		types: map[string]*fleet.Type{}, shardRecords: shardplan.NewRecords(),
 		machineGroups: map[string]fleet.Group{}, machineShard: map[string]int{},
-		releases: map[string]int{}, olderReleaseAt: map[int]units.Microseconds{},
 		transfers: transfer.NewReceiver(cfg.Node),
 		owned:     map[int]*ownedShard{}}
 	if c.cfg.ValueMax == 0 {
@@ -216,10 +216,11 @@
 	c.archived = newArchivedJobs()
 	c.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{c})
 	c.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: c.cfg.ValueMax, Log: cfg.Log}, c.shardRecords, plannerHost{c})
-	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
+	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
 	c.replayLog = replaylog.New(replayLogBytes)
 	c.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
-	c.peers = newPeers(cfg.Peers)
+	c.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
+	c.forwarder = peering.NewForwarder()
 	c.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
 		Peers: cfg.Peers, ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: c.extension() + units.Second, Log: cfg.Log}, configurationHost{c})
 	c.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.Home, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -101,11 +101,11 @@
 // dead is not named: the workers would wait for it.
 func (c *Core) ownerOf(number int) string {
 	assignment := c.shardRecords.Assignment(number)
-	view := c.peers.views[assignment.Node]
-	if assignment.Node == "" || view == nil || c.membership.Current(assignment.Node) != assignment.MemberID || !c.alive(view) && c.anyPeer() {
+	owner := assignment.Node
+	if !c.peers.Knows(owner) || c.membership.Current(owner) != assignment.MemberID || !c.peers.Alive(c.now, owner) && c.peers.AnyAlive(c.now) {
 		return ""
 	}
-	return assignment.Node
+	return owner
 }
 
 // evictBeforeNotice stops the tasks of a machine that the cloud is about to take, where
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -159,8 +159,8 @@
 // reachablePeer reports whether another controller could take a block over that
 // has not found itself deaf.
 func (c *Core) reachablePeer() bool {
-	for _, n := range c.peers.names {
-		if c.alive(c.peers.views[n]) && !c.peerUnreachable(n) && c.membership.Current(n) != 0 {
+	for _, n := range c.peers.Names() {
+		if c.peers.Alive(c.now, n) && !c.peerUnreachable(n) && c.membership.Current(n) != 0 {
 			return true
 		}
 	}
@@ -180,5 +180,5 @@
 	if node == c.cfg.Node {
 		return c.reachability.UnreachableNow(c.now)
 	}
-	return c.peers.views[node].status.Deaf
+	return c.peers.Status(node).Deaf
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -9,6 +9,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -93,7 +94,7 @@
 
 // Responsive implements shardplan.Members.
 func (c plannerHost) Responsive(node string) bool {
-	return node == c.cfg.Node || c.alive(c.peers.views[node])
+	return node == c.cfg.Node || c.peers.Alive(c.now, node)
 }
 
 // OutOfReach implements shardplan.Members.
@@ -104,7 +105,7 @@
 
 // ToBeUpgraded implements shardplan.Members.
 func (c plannerHost) ToBeUpgraded(node string) bool {
-	return node != c.cfg.Node && c.releases[node] < release
+	return node != c.cfg.Node && c.peers.Release(node) < peering.Release
 }
 
 // Standby implements shardplan.Members.
@@ -127,7 +128,7 @@
 		c.release(shard, "another controller has none")
 		return
 	}
-	c.emit(SendPeer{owner, PeerRelease{number, c.shardRecords.Assignment(number).Version}})
+	c.emit(SendPeer{owner, PeerRelease{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
 }
 
 // Store implements shardplan.Host.
@@ -158,7 +159,7 @@
 
 // everyone returns the names of all controllers, in the same order on each.
 func (c *Core) everyone() []string {
-	names := append([]string{c.cfg.Node}, c.peers.names...)
+	names := append([]string{c.cfg.Node}, c.peers.Names()...)
 	slices.Sort(names)
 	return names
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -27,9 +27,7 @@
 
 // RequestVotes implements seats.Host.
 func (c membershipHost) RequestVotes(node string, seat uint64) {
-	for _, n := range c.peers.names {
-		c.emit(SendPeer{n, PeerPermitAsk{node, seat}})
-	}
+	c.broadcast(PeerPermitAsk{Node: node, Seat: seat})
 }
 
 // Joined implements seats.Host. The record is seen by others before its answer is here:
@@ -51,7 +49,7 @@
 }
 
 // PeerRelease implements seats.Host.
-func (c membershipHost) PeerRelease(node string, release int) { c.noteRelease(node, release) }
+func (c membershipHost) PeerRelease(node string, release int) { c.peers.NoteRelease(node, release) }
 
 // shortFor is how many times its lease a majority's promises may carry a seat past its last
 // renewal. What a zone holds that is cut off with most controllers is free that much later;
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -12,6 +12,7 @@
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/chunks"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -144,7 +145,7 @@
 func TestOlderControllerServes(t *testing.T) {
 	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
 	c.cfg.Size = 2
-	c.peers = newPeers([]string{"b"})
+	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
 	submit := func(id string, awaits ...string) Reply {
 		t.Helper()
 		c.Submit(c.now, 5, id, job(awaits...), "")
@@ -254,7 +255,7 @@
 	j := c.jobs.Get("wk-000412")
 	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.OpenDependencies != 0 || j.Spec().Deadline != 900*units.Second ||
 		c.jobs.Get("wk-000398").Record.Status != jobs.Done || c.jobs.Get("wk-000405").Record.Demand[0] != 1000 ||
-		c.election.Record().Term != 3 || c.shardRecords.Assignment(1).ReleasedBy != "stagehand-0" || c.shardRecords.Allocation(0).Fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.olderPeer() != "stagehand-1" {
+		c.election.Record().Term != 3 || c.shardRecords.Assignment(1).ReleasedBy != "stagehand-0" || c.shardRecords.Allocation(0).Fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.peers.OlderThan(peering.ReleaseDependencies) != "stagehand-1" {
 		t.Fatalf("%+v", j)
 	}
 	type oldRecord struct {
@@ -282,14 +283,14 @@
 // next, though an older one held it last.
 func TestNewReleaseHolds(t *testing.T) {
 	c := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
-	for i, r := range []int{0, release, release} {
+	for i, r := range []int{0, peering.Release, peering.Release} {
 		node := string(rune('a' + i))
 		c.learn(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: r}), Stamp: uint64(i + 1)})
 	}
 	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to == "a" || to == "" {
 		t.Fatalf("goes to %q", to)
 	}
-	c.learn(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: release}), Stamp: 9})
+	c.learn(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: peering.Release}), Stamp: 9})
 	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to != "a" {
 		t.Fatalf("goes to %q, and not to the last holder", to)
 	}
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -10,7 +10,6 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/units"
 )
 
 // The state service never goes back behind an answer, by the protocol. Should it all
@@ -30,17 +29,6 @@
 	return key == leaderKeyFirst || key == leaderKeyArchived || strings.HasPrefix(key, memberPrefix) || strings.HasPrefix(key, standbyPrefix)
 }
 
-// peerSawRollback takes a peer's word that the state service went back: each has its own
-// mark, as two may have noticed two different times.
-func (c *Core) peerSawRollback(from string, v *peerView, mark units.Microseconds) {
-	if mark == v.rollbackMark {
-		return
-	}
-	v.rollbackMark = mark
-	c.log.Warn("another controller says that the state service went back", "controller", from)
-	c.cache.Reload(c.now)
-}
-
 // reload takes a listing after the state service went back.
 func (c *Core) reload(rev uint64, items []store.Event) {
 	again := c.restoreFinished(items)
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -7,6 +7,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/transfer"
@@ -39,7 +40,7 @@
 	at := slices.Index(names, f.cfg.Node)
 	for i := range names {
 		n := names[(at+i)%len(names)]
-		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > stateFresh {
+		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > peering.ServedFor {
 			continue
 		}
 		cost := 0
@@ -57,7 +58,7 @@
 
 // Eligible implements replication.Host.
 func (f replicationHost) Eligible(n string) bool {
-	return f.alive(f.peers.views[n]) && f.membership.Current(n) != 0 && f.releases[n] >= releaseReplicates && !f.peerUnreachable(n)
+	return f.peers.Alive(f.now, n) && f.membership.Current(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplicates && !f.peerUnreachable(n)
 }
 
 // Send implements replication.Host.
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -11,6 +11,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -174,7 +175,7 @@
 // the other is heard no more, the next is taken.
 func TestFullMemory(t *testing.T) {
 	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
-	c.peers = newPeers([]string{"b"})
+	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
 	spec := job()
 	submit := func(req RequestID, id string) { c.Submit(c.now, req, id, spec, "") }
 	for i, set := range []func(full bool){c.SetFull, func(full bool) { c.OnPeer(c.now, "b", PeerStatus{Full: full}) }} {
@@ -208,7 +209,7 @@
 	if !c.admission.AnyMemoryFull() {
 		t.Error("not crowded while another is full")
 	}
-	c.advance(c.now + 2*peerFresh)
+	c.advance(c.now + 2*peering.AliveFor)
 	if c.admission.AnyMemoryFull() {
 		t.Error("crowded by one that is heard no more")
 	}
@@ -392,7 +393,7 @@
 		t.Fatal("nobody leads")
 	}
 	c.cfg.Size, c.cfg.LeaderTTL = 3, 2*units.Second
-	c.peers = newPeers([]string{"b", "c"})
+	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b", "c"}})
 	commits := func() (n int) {
 		for range 100 {
 			c.Tick(c.now+TickEvery, c.wall+TickEvery)
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -4,6 +4,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs/registry"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/shardstore"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -74,7 +75,7 @@
 // CollectOrphans implements shardstore.Garbage. Releases before 0.6 guard nothing, so that nothing
 // is deleted beside one of them.
 func (h *garbageHost) CollectOrphans(writer *shardstore.Writer) {
-	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.allRunSince(releaseChunks) {
+	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.peers.AllRunFor(h.now, peering.ReleaseChunks, h.cfg.ArchiveSettleTime) {
 		h.jobs.CollectOrphans(&h.orphans, writer)
 	}
 }
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -8,6 +8,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/reconcile"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
@@ -31,8 +32,8 @@
 		return
 	}
 	var receivers []string
-	for _, name := range c.peers.names {
-		if c.releases[name] >= releaseTransfers && c.alive(c.peers.views[name]) {
+	for _, name := range c.peers.Names() {
+		if c.peers.Release(name) >= peering.ReleaseTransfers && c.peers.Alive(c.now, name) {
 			receivers = append(receivers, name)
 		}
 	}
