--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -111,20 +111,20 @@
 // take reports whether rules outside the machine (the team's limit, zones) let the task go there, and
 // a job refused once is left out.
 func Fill(capacity, free Vec, jobs []Job, params Params, take func(job int) bool) {
-	p := packer{capacity: capacity, free: free, jobs: jobs, params: params, pending: make([]int, len(jobs))}
+	pass := packer{capacity: capacity, free: free, jobs: jobs, params: params, pending: make([]int, len(jobs))}
 	for i := range jobs {
-		p.pending[i] = jobs[i].Pending
+		pass.pending[i] = jobs[i].Pending
 	}
-	for order := p.order(); len(order) > 0; {
-		group := p.firstGroup(order)
+	for order := pass.order(); len(order) > 0; {
+		group := pass.firstGroup(order)
 		order = order[len(group):]
-		for chosen := p.best(group); chosen >= 0; chosen = p.best(group) {
+		for chosen := pass.best(group); chosen >= 0; chosen = pass.best(group) {
 			if !take(chosen) {
-				p.pending[chosen] = 0
+				pass.pending[chosen] = 0
 				continue
 			}
-			p.pending[chosen]--
-			p.free = p.free.Sub(jobs[chosen].Demand)
+			pass.pending[chosen]--
+			pass.free = pass.free.Sub(jobs[chosen].Demand)
 		}
 	}
 }
--- a/internal/core/binpack/binpack_test.go
+++ b/internal/core/binpack/binpack_test.go
@@ -58,12 +58,12 @@
 	fair.Deficit = 1
 	high := small
 	high.Tier = 1
-	late := big
-	late.Deferred = true
+	deferred := big
+	deferred.Deferred = true
 	noEps, strict := params, params
 	noEps.EpsilonScale = 0
 	strict.Fairness = 0.9
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		p    Params
 		jobs []Job
@@ -75,10 +75,10 @@
 		{"the image at hand", noEps, []Job{remote, big}, 1},
 		{"the job furthest from fair share", strict, []Job{big, fair}, 1},
 		{"priority before score", noEps, []Job{big, high}, 1},
-		{"a job that fails everywhere comes last", noEps, []Job{late, small}, 1},
+		{"a job that fails everywhere comes last", noEps, []Job{deferred, small}, 1},
 	} {
-		if got := order(c.p, c.jobs...); got[0] != c.want {
-			t.Errorf("%s: chose %v, want job %d first", c.name, got, c.want)
+		if got := order(test.p, test.jobs...); got[0] != test.want {
+			t.Errorf("%s: chose %v, want job %d first", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/core/demand/demand_test.go
+++ b/internal/core/demand/demand_test.go
@@ -23,12 +23,12 @@
 // can still meet, until they can meet none.
 func TestUrgency(t *testing.T) {
 	estimator := New([]Objective{{Kind: FinishWithin, Class: "done", Within: 60 * second}, {Kind: StartWithin, Class: "start", Within: 20 * second}}, 0)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, class  string
 		due, lastDue units.Microseconds // from when it could first start
 		age          units.Microseconds
 		want         Urgency
-		left         units.Microseconds // TimeAllowed
+		allowed      units.Microseconds // TimeAllowed
 	}{
 		{"no objective", "other", 0, 0, 0, FirstAhead, 80 * second},
 		{"time to spare", "done", 0, 0, 0, Relaxed, 60 * second},
@@ -39,15 +39,15 @@
 		{"the deadline is missed, another can be met", "done", 30 * second, 90 * second, 25 * second, FirstMissed, 5 * second},
 		{"all are missed", "done", 30 * second, 90 * second, 81 * second, AllMissed, -51 * second},
 	} {
-		job := jobOf(c.class, 1)
-		if c.due > 0 {
-			job.Objectives.Due, job.Objectives.LastDue = job.Since+c.due, job.Since+c.lastDue
+		job := jobOf(test.class, 1)
+		if test.due > 0 {
+			job.Objectives.Due, job.Objectives.LastDue = job.Since+test.due, job.Since+test.lastDue
 		}
-		if got := estimator.Urgency(job.Since+c.age, job); got != c.want {
-			t.Errorf("%s: urgency %d, want %d", c.name, got, c.want)
+		if got := estimator.Urgency(job.Since+test.age, job); got != test.want {
+			t.Errorf("%s: urgency %d, want %d", test.name, got, test.want)
 		}
-		if got := estimator.TimeAllowed(job.Since+c.age, job); got != c.left {
-			t.Errorf("%s: %.0f s are left, want %.0f", c.name, got.Seconds(), c.left.Seconds())
+		if got := estimator.TimeAllowed(job.Since+test.age, job); got != test.allowed {
+			t.Errorf("%s: %.0f s are left, want %.0f", test.name, got.Seconds(), test.allowed.Seconds())
 		}
 	}
 }
@@ -82,7 +82,7 @@
 // team's limit.
 func TestSlotsNeeded(t *testing.T) {
 	estimator := New([]Objective{{Kind: FinishWithin, Class: "c", Within: 40 * second}}, 0.5)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		tasks        []int // of the jobs
 		placed, lost int   // of the first
@@ -94,19 +94,19 @@
 		{"the limit bounds all jobs of the team", []int{8, 8}, 0, 0, 6, 16},
 	} {
 		var order []*jobs.Job
-		for _, tasks := range c.tasks {
+		for _, tasks := range test.tasks {
 			order = append(order, jobOf("c", tasks))
 		}
-		for range c.placed {
+		for range test.placed {
 			order[0].Take(jobs.Place{Machine: "n-1"})
 		}
-		needs := estimator.SlotsNeeded(0, order[0].Since, order, fakeHost{c.lost})
+		needs := estimator.SlotsNeeded(0, order[0].Since, order, fakeHost{test.lost})
 		if len(needs) != 1 {
-			t.Errorf("%s: %d groups, want 1", c.name, len(needs))
+			t.Errorf("%s: %d groups, want 1", test.name, len(needs))
 		}
 		for group, need := range needs {
-			if need.Tasks != c.slots || need.Ready != c.ready || need.Total != (binpack.Vec{int64(c.slots) * 1000}) || group.Types != "big,small" {
-				t.Errorf("%s: %+v of %+v, want %d slots for %d that wait", c.name, need, group, c.slots, c.ready)
+			if need.Tasks != test.slots || need.Ready != test.ready || need.Total != (binpack.Vec{int64(test.slots) * 1000}) || group.Types != "big,small" {
+				t.Errorf("%s: %+v of %+v, want %d slots for %d that wait", test.name, need, group, test.slots, test.ready)
 			}
 		}
 	}
--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -11,15 +11,15 @@
 
 // Kinds of objectives.
 const (
-	StartWithin   ObjectiveKind = "wait"      // the tasks start within a time
-	FinishWithin  ObjectiveKind = "finished"  // the job is done within a time
-	KeepDeadline  ObjectiveKind = "deadline"  // the job is done within some times its own deadline
-	KeepGuarantee ObjectiveKind = "guarantee" // teams get their nominal quota; nothing goes by it
+	StartWithin      ObjectiveKind = "wait"      // the tasks start within a time
+	FinishWithin     ObjectiveKind = "finished"  // the job is done within a time
+	KeepDeadline     ObjectiveKind = "deadline"  // the job is done within some times its own deadline
+	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; nothing goes by it
 )
 
 // ObjectiveKinds are all kinds.
 func ObjectiveKinds() []ObjectiveKind {
-	return []ObjectiveKind{StartWithin, FinishWithin, KeepDeadline, KeepGuarantee}
+	return []ObjectiveKind{StartWithin, FinishWithin, KeepDeadline, KeepNominalQuota}
 }
 
 // Objective is a service-level objective of a class of jobs.
--- a/internal/core/demand/slots.go
+++ b/internal/core/demand/slots.go
@@ -28,7 +28,7 @@
 // the earliest first. A job needs no more slots than let it be done in time: where there is time for
 // several tasks one after the other, fewer machines do.
 func (e *Estimator) SlotsNeeded(now, wall units.Microseconds, order []*jobs.Job, host Host) map[autoscaler.Group]autoscaler.Need {
-	needs := map[autoscaler.Group]autoscaler.Need{}
+	needed := map[autoscaler.Group]autoscaler.Need{}
 	perTeam := map[string]binpack.Vec{}
 	for _, job := range order {
 		spec := job.Spec()
@@ -44,9 +44,9 @@
 		perTeam[spec.Team] = perTeam[spec.Team].Add(total)
 		types := host.CompatibleTypes(spec)
 		group := autoscaler.Group{Class: spec.Class, Types: strings.Join(types, ","), Zone: spec.Zone, Spot: spec.Spot, Idle: e.Idle(wall, job)}
-		needs[group] = e.add(needs[group], wall, job, work, total, types)
+		needed[group] = e.add(needed[group], wall, job, work, total, types)
 	}
-	return needs
+	return needed
 }
 
 // workload is what a job would have run at once if its team had no limit.
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -77,7 +77,7 @@
 	if again && (!known || !machine.Proven && job.Replaced < maxReplaced) {
 		job.Replaced++
 		machine.Quarantined = true // what speaks against the job stays
-		a.log.Warn("machine fails a job again", "machine", machine.Name, "job", job.ID)
+		a.log.Warn("machine quarantined: a job fails there again", "machine", machine.Name, "job", job.ID)
 	}
 	if job.FailsEverywhere() {
 		job.NotBefore = now + backoff(len(job.Errors))
@@ -119,7 +119,7 @@
 		return
 	}
 	machine.Quarantined = true
-	a.log.Warn("machine fails its tasks", "machine", machine.Name)
+	a.log.Warn("machine quarantined: it fails its tasks", "machine", machine.Name)
 	now := a.host.Now()
 	for _, job := range a.host.ActiveJobs() {
 		if job.Errors[machine.Name] == 0 {
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -31,7 +31,7 @@
 // against every limit, and while that is not known either, nothing of a limited team starts.
 func TestUnreconciledMachinesCount(t *testing.T) {
 	known := &fleet.Machine{Type: &fleet.Type{Capacity: binpack.Vec{6000, 0, 0}}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		unreconciled map[string]bool
 		team         string
@@ -47,16 +47,16 @@
 		{"no limit", map[string]bool{"missing": true}, "free", 1_000_000, true},
 		{"a team that is not known", nil, "other", 1, false},
 	} {
-		host := &fakeHost{machines: map[string]*fleet.Machine{"known": known, "untyped": {}}, unreconciled: c.unreconciled}
+		host := &fakeHost{machines: map[string]*fleet.Machine{"known": known, "untyped": {}}, unreconciled: test.unreconciled}
 		tracker := New(host)
 		tracker.UnreconciledChanged()
 		tracker.Charge("limited", binpack.Vec{3000, 0, 0})
 		tracker.Release("limited", binpack.Vec{1000, 0, 0})
-		if got := tracker.Allows(c.team, binpack.Vec{c.cpu}); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+		if got := tracker.Allows(test.team, binpack.Vec{test.cpu}); got != test.want {
+			t.Errorf("%s: %v", test.name, got)
 		}
-		if host.mayNotStart = true; tracker.Allows(c.team, binpack.Vec{}) {
-			t.Errorf("%s: starts though the configuration in force does not let it", c.name)
+		if host.mayNotStart = true; tracker.Allows(test.team, binpack.Vec{}) {
+			t.Errorf("%s: starts though the configuration in force does not let it", test.name)
 		}
 	}
 }
@@ -67,22 +67,22 @@
 	if p := tracker.Allocation(binpack.Vec{20_000, 1, 0}); p != (binpack.Vec{10_000, 1, 0}) {
 		t.Errorf("allocation %v, want the half, and never 0 of what is limited", p)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		cpu      int64
 		exceeded []string
 		use      float64
 		beyond   bool
 	}{{2000, nil, 0.1, false}, {4000, nil, 0.2, true}, {10_000, nil, 0.5, true}, {10_001, []string{"limited"}, 10_001. / 20_000, true}} {
 		tracker.Release("limited", tracker.Usage("limited"))
-		tracker.Charge("limited", binpack.Vec{c.cpu})
-		if got := tracker.Exceeded(); !slices.Equal(got, c.exceeded) {
-			t.Errorf("%d: %v exceed their allocation", c.cpu, got)
+		tracker.Charge("limited", binpack.Vec{test.cpu})
+		if got := tracker.Exceeded(); !slices.Equal(got, test.exceeded) {
+			t.Errorf("%d: %v exceed their allocation", test.cpu, got)
 		}
-		if got := tracker.LargestUse(); got != c.use {
-			t.Errorf("%d: use %g, want %g", c.cpu, got, c.use)
+		if got := tracker.LargestUse(); got != test.use {
+			t.Errorf("%d: use %g, want %g", test.cpu, got, test.use)
 		}
-		if got := tracker.BeyondNominal("limited"); got != c.beyond {
-			t.Errorf("%d: beyond the nominal quota: %v", c.cpu, got)
+		if got := tracker.BeyondNominal("limited"); got != test.beyond {
+			t.Errorf("%d: beyond the nominal quota: %v", test.cpu, got)
 		}
 	}
 }
--- a/internal/core/ranking/entitlements_test.go
+++ b/internal/core/ranking/entitlements_test.go
@@ -34,7 +34,7 @@
 	}
 	own := []*jobs.Job{job(1, "a", 2), job(2, "b", 1), job(3, "a", 4), job(4, "a", 1), job(5, "none", 1)}
 	elsewhere := append([]*jobs.Job{job(0, "a", 3)}, own...)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		all    []*jobs.Job
 		within map[string]bool
@@ -42,15 +42,15 @@
 		{"the shard alone", own, map[string]bool{"1": true, "2": true}},
 		{"an earlier job in another shard", elsewhere, map[string]bool{"0": true, "2": true}},
 	} {
-		got := Entitle(own, c.all, nominal{"a": 6000, "b": 2000})
-		for _, j := range c.all {
-			if got.WithinNominal[j.ID] != c.within[j.ID] {
-				t.Errorf("%s: job %s within: %v", c.name, j.ID, got.WithinNominal[j.ID])
+		got := Entitle(own, test.all, nominal{"a": 6000, "b": 2000})
+		for _, j := range test.all {
+			if got.WithinNominal[j.ID] != test.within[j.ID] {
+				t.Errorf("%s: job %s within: %v", test.name, j.ID, got.WithinNominal[j.ID])
 			}
 		}
 		for team, want := range map[string]float64{"a": 0.75 / 3, "b": 0.25, "none": 0.5} {
 			if got.FairShare[team] != want {
-				t.Errorf("%s: fair share of %s is %g, want %g", c.name, team, got.FairShare[team], want)
+				t.Errorf("%s: fair share of %s is %g, want %g", test.name, team, got.FairShare[team], want)
 			}
 		}
 	}
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -15,7 +15,7 @@
 // and what a machine is offered with a look at all jobs.
 func TestOrderAgainstSorting(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var q Queue
+	var queue Queue
 	there := map[*jobs.Job]bool{}
 	var known []*jobs.Job
 	for round := range 2000 {
@@ -31,10 +31,10 @@
 			}
 			j := known[rng.IntN(len(known))]
 			if rng.IntN(3) == 0 {
-				q.Remove(j)
+				queue.Remove(j)
 				delete(there, j)
 			} else {
-				q.Add(j)
+				queue.Add(j)
 				there[j] = true
 			}
 		}
@@ -42,33 +42,33 @@
 		if rng.IntN(3) > 0 {
 			continue
 		}
-		q.Settle()
+		queue.Settle()
 		var want []*jobs.Job
 		for j := range there {
 			want = append(want, j)
 		}
 		slices.SortFunc(want, byStart)
-		if !slices.Equal(q.Jobs(), want) || q.Len() != len(want) {
-			t.Fatalf("round %d: %d jobs, want %d in order", round, len(q.Jobs()), len(want))
+		if !slices.Equal(queue.Jobs(), want) || queue.Len() != len(want) {
+			t.Fatalf("round %d: %d jobs, want %d in order", round, len(queue.Jobs()), len(want))
 		}
-		compareOffers(t, &q, want, rng)
+		compareOffers(t, &queue, want, rng)
 	}
 }
 
-func compareOffers(t *testing.T, q *Queue, ranked []*jobs.Job, rng *rand.Rand) {
+func compareOffers(t *testing.T, queue *Queue, ranked []*jobs.Job, rng *rand.Rand) {
 	t.Helper()
 	type offer struct {
 		job           *jobs.Job
 		tier, deficit int
 	}
 	var all []offer
-	q.BeginRanking()
+	queue.BeginRanking()
 	for _, j := range ranked {
 		o := offer{j, rng.IntN(3), rng.IntN(3)}
 		all = append(all, o)
-		q.Propose(Candidate{Job: j, Tier: o.tier, Deficit: float64(o.deficit)})
+		queue.Propose(Candidate{Job: j, Tier: o.tier, Deficit: float64(o.deficit)})
 	}
-	q.FinishRanking()
+	queue.FinishRanking()
 	slices.SortStableFunc(all, func(a, b offer) int { return (b.tier-a.tier)*10 + b.deficit - a.deficit })
 	free := binpack.Vec{int64(rng.IntN(6))}
 	suits := func(s *jobs.Spec) bool { return s.Demand.Fits(free) && s.Allows("a", "z", true) }
@@ -80,7 +80,7 @@
 	}
 	most := 1 + rng.IntN(20)
 	want = want[:min(most, len(want))]
-	q.Each(suits, func(c Candidate, _ int) bool {
+	queue.Each(suits, func(c Candidate, _ int) bool {
 		got = append(got, c.Job)
 		return len(got) < most
 	})
@@ -92,30 +92,30 @@
 // TestExhaustedJobsAreSkipped has jobs give out their last task: where many wait, they are not looked
 // at again and again, and a job behind them is found.
 func TestExhaustedJobsAreSkipped(t *testing.T) {
-	var q Queue
+	var queue Queue
 	for i := range 2 * smallQueue {
 		j := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1}}}
 		j.Reset()
-		q.Add(j)
+		queue.Add(j)
 	}
-	q.Settle()
-	q.BeginRanking()
-	for _, j := range q.Jobs() {
-		q.Propose(Candidate{Job: j})
+	queue.Settle()
+	queue.BeginRanking()
+	for _, j := range queue.Jobs() {
+		queue.Propose(Candidate{Job: j})
 	}
-	q.FinishRanking()
+	queue.FinishRanking()
 	any := func(*jobs.Spec) bool { return true }
-	from := q.Steps()
+	from := queue.Steps()
 	for i := range smallQueue {
-		q.Each(any, func(c Candidate, _ int) bool {
-			if c.Job != q.Jobs()[i] {
+		queue.Each(any, func(c Candidate, _ int) bool {
+			if c.Job != queue.Jobs()[i] {
 				t.Fatalf("offered %s at %d", c.Job.ID, i)
 			}
 			c.Job.Take(jobs.Place{})
 			return false
 		})
 	}
-	if steps := q.Steps() - from; steps > 4*smallQueue {
+	if steps := queue.Steps() - from; steps > 4*smallQueue {
 		t.Errorf("%d steps for %d tasks", steps, smallQueue)
 	}
 }
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -33,29 +33,28 @@
 // newShard returns a shard with teams, a machine n-1 and jobs, which were submitted at the present.
 func newShard(tb testing.TB, packing binpack.Params, teams []configuration.Team, records map[string]jobs.Record) *fakeShard {
 	tb.Helper()
-	f := &fakeShard{now: 10 * units.Second, wall: 1000 * units.Second, teams: map[string]*configuration.Team{},
+	shard := &fakeShard{now: 10 * units.Second, wall: 1000 * units.Second, teams: map[string]*configuration.Team{},
 		machines: map[string]*fleet.Machine{}, jobs: map[string]*jobs.Job{}}
 	for i := range teams {
-		f.teams[teams[i].Name] = &teams[i]
+		shard.teams[teams[i].Name] = &teams[i]
 	}
-	f.quota = quota.New(f)
-	f.scheduler = New(Config{Packing: packing, HeartbeatDeadline: 10 * units.Second, Log: slog.New(slog.DiscardHandler)}, f, f.quota, demand.New(nil, 0), f)
-	f.addMachine("n-1", big)
+	shard.quota = quota.New(shard)
+	shard.scheduler = New(Config{Packing: packing, HeartbeatDeadline: 10 * units.Second, Log: slog.New(slog.DiscardHandler)}, shard, shard.quota, demand.New(nil, 0), shard)
+	shard.addMachine("n-1", big)
 	for _, id := range slices.Sorted(maps.Keys(records)) {
 		job := &jobs.Job{ID: id, Record: records[id], Since: records[id].Submitted}
 		job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.Never, LastDue: units.Never}
 		job.Reset()
-		f.jobs[id] = job
-		f.scheduler.Add(job)
+		shard.jobs[id] = job
+		shard.scheduler.Add(job)
 	}
-	return f
+	return shard
 }
 
-func (f *fakeShard) addMachine(name string, machineType *fleet.Type) *fleet.Machine {
+func (f *fakeShard) addMachine(name string, machineType *fleet.Type) {
 	machine := fleet.New(name, fleet.Record{Type: machineType.Name, Zone: "z", Up: true}, machineType, f.now)
 	machine.LastSeen, machine.Reconciled = f.now, true
 	f.machines[name] = machine
-	return machine
 }
 
 // remove ends a task that is on a machine, unfinished.
@@ -116,32 +115,32 @@
 		return jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: 1000 * units.Second,
 			Spec: &jobs.Spec{Team: team, Priority: priority, Tasks: tasks, AnyType: true, Demand: binpack.Vec{1000, 0, 1}, Estimate: 20 * units.Second}}
 	}
-	f := newShard(t, binpack.Params{}, []configuration.Team{
+	shard := newShard(t, binpack.Params{}, []configuration.Team{
 		{Name: "rich", Guarantee: binpack.Vec{30_000, 0, 0}}, {Name: "poor", Guarantee: binpack.Vec{10_000, 0, 0}},
 	}, map[string]jobs.Record{"wk-000001": record("rich", 30, jobs.High), "wk-000002": record("poor", 10, jobs.Low)})
 	// The machine has 16 CPUs: 12 for the one, 4 for the other.
 	first := func() string {
-		f.scheduler.sort()
-		f.scheduler.rank()
-		return f.scheduler.queue.Ranked()[0].Job.Spec().Team
+		shard.scheduler.sort()
+		shard.scheduler.rank()
+		return shard.scheduler.queue.Ranked()[0].Job.Spec().Team
 	}
 	if got := first(); got != "rich" {
 		t.Errorf("%s goes first though nothing has waited", got)
 	}
-	f.wall += preemptAfter + units.Second
-	poor, rich := f.jobs["wk-000002"], f.jobs["wk-000001"]
+	shard.wall += preemptAfter + units.Second
+	poor, rich := shard.jobs["wk-000002"], shard.jobs["wk-000001"]
 	for k, want := range []int64{0, 4000, 8000} {
-		f.use("poor", want)
-		f.use("rich", 12_000)
+		shard.use("poor", want)
+		shard.use("rich", 12_000)
 		if got := first(); (got == "poor") != (k == 0) {
 			t.Errorf("with %d in use %s goes first", want, got)
 		}
-		if got := f.scheduler.mayPreempt(rich, poor); got != (k == 2) {
+		if got := shard.scheduler.mayPreempt(rich, poor); got != (k == 2) {
 			t.Errorf("with %d in use, stopped for the other: %v", want, got)
 		}
 	}
-	f.addMachine("n-2", &fleet.Type{Capacity: binpack.Vec{30_000, 0, 0}})
-	f.use("poor", 0)
+	shard.addMachine("n-2", &fleet.Type{Capacity: binpack.Vec{30_000, 0, 0}})
+	shard.use("poor", 0)
 	if first() != "rich" {
 		t.Error("there is room for all quotas, and priority does not count")
 	}
@@ -161,13 +160,13 @@
 	for i := 1; i <= 24/(overdueTasks-1); i++ {
 		records[fmt.Sprintf("wk-%06d", i)] = record(overdueTasks-1, 1000)
 	}
-	f := newShard(t, binpack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}, []configuration.Team{{Name: "t", Limit: binpack.Vec{8000, 0, 0}}}, records)
-	machine := f.machines["n-1"]
+	shard := newShard(t, binpack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}, []configuration.Team{{Name: "t", Limit: binpack.Vec{8000, 0, 0}}}, records)
+	machine := shard.machines["n-1"]
 	// fill gives the machine work and returns how many tasks are of the large job.
 	fill := func() (large, all int) {
-		f.scheduler.sort()
-		f.scheduler.rank()
-		for _, command := range f.scheduler.Fill(machine) {
+		shard.scheduler.sort()
+		shard.scheduler.rank()
+		for _, command := range shard.scheduler.Fill(machine) {
 			if all++; command.ID.Job == largest {
 				large++
 			}
@@ -178,7 +177,7 @@
 	end := func(n int) {
 		for _, id := range machine.TaskIDs() {
 			if n > 0 && id.Job != largest {
-				f.remove(machine, id)
+				shard.remove(machine, id)
 				n--
 			}
 		}
@@ -186,17 +185,17 @@
 	if large, all := fill(); large != 0 || all != 8 {
 		t.Fatalf("%d tasks of the large job among the first %d", large, all)
 	}
-	f.wall += overdueAfter + units.Second
+	shard.wall += overdueAfter + units.Second
 	end(3)
 	if _, all := fill(); all != 0 {
 		t.Errorf("%d small tasks take what is kept for the large job", all)
 	}
-	f.wall += reserveFor
+	shard.wall += reserveFor
 	if _, all := fill(); all != 3 {
 		t.Errorf("%d small tasks start, want 3: room was kept for long enough", all)
 	}
 	end(3)
-	f.wall -= reserveFor
+	shard.wall -= reserveFor
 	end(5)
 	if large, all := fill(); large != 1 || all != 5 {
 		t.Errorf("%d tasks of the large job among %d, want its first alone beside small ones", large, all)
