--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -96,8 +96,10 @@
 	h.shard.attribution.TaskFailed(machine, job, attempt)
 }
 
-// Exonerate implements reconcile.JobHost.
-func (h reconcileHost) Exonerate(job *jobs.Job) { h.shard.attribution.JobWorks(job) }
+// TaskWorked implements reconcile.JobHost.
+func (h reconcileHost) TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
+	h.shard.attribution.TaskWorked(machine, job, attempt)
+}
 
 // LearnRuntime implements reconcile.JobHost.
 func (h reconcileHost) LearnRuntime(job *jobs.Job, took units.Microseconds) {
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -3,7 +3,8 @@
 // until a task that it started later completes.
 //
 // What it decides by is kept with the machines (fleet.Machine: Failed, FailedAt, Proven,
-// Quarantined) and the jobs (jobs.Job: Errors, Worked, Failing, Replaced, NotBefore).
+// Quarantined; a slow machine is quarantined by fleet.Machine.Ran) and the jobs (jobs.Job: Errors,
+// Worked, Failing, Replaced, NotBefore). Nobody else writes those of the machines.
 package quarantine
 
 import (
@@ -137,9 +138,22 @@
 	}
 }
 
-// JobWorks notes that a task of a suspect job completed: the machines on which it failed are at
-// fault, unless something has worked there since.
-func (a *Attribution) JobWorks(job *jobs.Job) {
+// TaskWorked takes in that a task completed. What a machine started since its last failure works, so
+// that a quarantine ends; a job that was suspect is not at fault. The attempt is zero where it was
+// not known to be on the machine.
+func (a *Attribution) TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
+	machine.Proven = true
+	if attempt.Started > machine.FailedAt {
+		machine.Failed, machine.Quarantined = nil, false
+	}
+	if job.Suspect() {
+		a.exonerate(job)
+	}
+}
+
+// exonerate blames the machines on which a suspect job failed, as a task of it has completed, unless
+// something has worked there since.
+func (a *Attribution) exonerate(job *jobs.Job) {
 	for _, name := range slices.Sorted(maps.Keys(job.Errors)) {
 		if machine := a.host.Machine(name); machine != nil && machine.Failed[job.ID] {
 			a.quarantine(machine)
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -218,13 +218,7 @@
 // complete takes in the first word that a task is completed.
 func (r *Reconciler) complete(now units.Microseconds, machine *fleet.Machine, job *jobs.Job, id jobs.TaskID) {
 	attempt, known := machine.Tasks[id]
-	machine.Proven = true
-	if known && attempt.Started > machine.FailedAt {
-		machine.Failed, machine.Quarantined = nil, false // what it started since then works
-	}
-	if job.Suspect() {
-		r.host.Exonerate(job)
-	}
+	r.host.TaskWorked(machine, job, attempt)
 	// What an earlier owner started seems to have run for a shorter time than it has. Counted, it
 	// made the other tasks of its job look slow, and their machines with them.
 	if known && attempt.Live > 0 && !attempt.Adopted {
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -57,8 +57,9 @@
 	AttemptRemoved(job *jobs.Job, moreReady bool)
 	// TaskFailed attributes a failure to the job or the machine.
 	TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
-	// Exonerate says that a job has worked that was suspected of failing everywhere.
-	Exonerate(job *jobs.Job)
+	// TaskWorked notes that neither machine nor job made a task fail. The attempt is zero where it
+	// was not known to be on the machine.
+	TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
 	// LearnRuntime takes in how long a task of a job took.
 	LearnRuntime(job *jobs.Job, took units.Microseconds)
 	// TaskCompleted has it stored that a task is completed.
