--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -3,203 +3,164 @@
 package peer
 
 import (
-	"bytes"
-	"encoding/binary"
-	"encoding/gob"
+	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
-	"reflect"
+	"sync"
 	"sync/atomic"
 	"time"
 
 	"golang.org/x/net/netutil"
-
-	"shalestage.example/shalestage/internal/core"
 )
 
 const (
-	// format is raised whenever messages change in a way that an older
-	// controller would misread; frames of another format are dropped.
-	format   = 3
-	maxFrame = 64 << 10
-
 	dialTimeout = time.Second
 	sendTimeout = time.Second
+	// retryPause follows a connection that could not be opened or accepted.
+	retryPause = dialTimeout / 4
 	// readTimeout is several times the interval between statuses.
 	readTimeout = 10 * time.Second
-	queue       = 128 // a picture of some thousand machines
+	// queueLength is how many messages wait for one peer: a snapshot of some thousand machines.
+	queueLength = 128
 	maxConns    = 32
 )
 
-// frame is what one frame holds. Message is one of the registered types.
-type frame struct {
-	Format  int
-	From    string
-	Message any
-}
-
-// messages are all that controllers tell each other, with the names under which gob sends
-// their types. A name never changes, whatever the type is called here: controllers of older
-// releases know it.
-var messages = []struct {
-	name  string
-	value any
-}{
-	{"shalestage.example/shalestage/internal/core.PeerStatus", core.PeerStatus{}},
-	{"shalestage.example/shalestage/internal/core.PeerPromise", core.PeerPromise{}},
-	{"shalestage.example/shalestage/internal/core.PeerPermitAsk", core.PeerPermitAsk{}},
-	{"shalestage.example/shalestage/internal/core.PeerPermit", core.PeerPermit{}},
-	{"shalestage.example/shalestage/internal/core.PeerRelease", core.PeerRelease{}},
-	{"shalestage.example/shalestage/internal/core.PeerAsk", core.PeerAsk{}},
-	{"shalestage.example/shalestage/internal/core.PeerAnswer", core.PeerAnswer{}},
-	{"shalestage.example/shalestage/internal/core.PeerPicture", core.PeerPicture{}},
-	{"shalestage.example/shalestage/internal/core/follow.Message", core.PeerStarts{}},
-	{"shalestage.example/shalestage/internal/core/follow.Ack", core.PeerKnown{}},
-}
-
-func init() {
-	for _, m := range messages {
-		gob.RegisterName(m.name, m.value)
-	}
-}
-
-// Encode writes a message as one frame, length first.
-func Encode(from string, m any) ([]byte, error) {
-	f := frame{Format: format, From: from, Message: m}
-	var b bytes.Buffer
-	b.Write(make([]byte, 4))
-	if err := gob.NewEncoder(&b).Encode(f); err != nil {
-		return nil, err
-	}
-	if b.Len()-4 > maxFrame {
-		return nil, errors.New("peer: message too long")
-	}
-	binary.BigEndian.PutUint32(b.Bytes(), uint32(b.Len()-4))
-	return b.Bytes(), nil
-}
-
-// Decode reads one frame. An error that is errFrame concerns that frame alone;
-// after any other the connection is of no more use.
-func Decode(r io.Reader) (from string, m any, err error) {
-	var n [4]byte
-	if _, err := io.ReadFull(r, n[:]); err != nil {
-		return "", nil, err
-	}
-	size := binary.BigEndian.Uint32(n[:])
-	if size > maxFrame {
-		return "", nil, fmt.Errorf("peer: frame of %d bytes", size)
-	}
-	body := make([]byte, size)
-	if _, err := io.ReadFull(r, body); err != nil {
-		return "", nil, err
-	}
-	var f frame
-	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&f); err != nil {
-		return "", nil, fmt.Errorf("%w: %v", errFrame, err)
-	}
-	if f.Format != format {
-		return "", nil, fmt.Errorf("%w: format %d", errFrame, f.Format)
-	}
-	known := reflect.TypeOf(f.Message)
-	for _, m := range messages {
-		if reflect.TypeOf(m.value) == known {
-			return f.From, f.Message, nil
-		}
-	}
-	return "", nil, fmt.Errorf("%w: message %T", errFrame, f.Message) // gob knows plain types too
-}
-
-var errFrame = errors.New("peer: unusable frame")
-
 // Link connects a controller with its peers.
 type Link struct {
-	node    string
-	log     *slog.Logger
-	out     map[string]chan any
-	dropped atomic.Uint64 // frames that could not be used
+	node          string
+	log           *slog.Logger
+	addrs         map[string]string
+	queues        map[string]chan any
+	droppedFrames atomic.Uint64
 }
 
-// New returns a link that keeps a connection to every peer.
+// New returns a link of a node to its peers, whose addresses (HOST:PORT) are given by name.
+// Nothing is sent until Run.
 func New(node string, addrs map[string]string, log *slog.Logger) *Link {
-	l := &Link{node: node, log: log, out: map[string]chan any{}}
-	for name, addr := range addrs {
-		ch := make(chan any, queue)
-		l.out[name] = ch
-		go l.feed(addr, ch)
+	l := &Link{node: node, log: log, addrs: addrs, queues: map[string]chan any{}}
+	for name := range addrs {
+		l.queues[name] = make(chan any, queueLength)
 	}
 	return l
 }
 
-// Send queues a message; it is dropped when the peer does not keep up.
-func (l *Link) Send(to string, m any) {
+// Send queues a message; it is dropped when the peer does not keep up, or is none.
+func (l *Link) Send(to string, message any) {
 	select {
-	case l.out[to] <- m:
+	case l.queues[to] <- message:
 	default:
 	}
 }
 
-// feed sends what is queued for one peer, over one connection after another.
+// Run keeps a connection to every peer and sends what is queued, until the context ends.
+func (l *Link) Run(ctx context.Context) {
+	var senders sync.WaitGroup
+	for name, addr := range l.addrs {
+		senders.Go(func() { l.sendTo(ctx, addr, l.queues[name]) })
+	}
+	senders.Wait()
+}
+
+// sendTo sends what is queued for one peer, over one connection after another.
 // What waited while there was no connection is old news and is dropped.
-func (l *Link) feed(addr string, ch chan any) {
-	for {
-		c, err := net.DialTimeout("tcp4", addr, dialTimeout)
+func (l *Link) sendTo(ctx context.Context, addr string, queue <-chan any) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	for ctx.Err() == nil {
+		conn, err := dialer.DialContext(ctx, "tcp4", addr)
 		if err != nil {
-			time.Sleep(dialTimeout / 4)
+			sleep(ctx, retryPause)
 			continue
 		}
-		for len(ch) > 0 {
-			<-ch
+		for len(queue) > 0 {
+			<-queue
 		}
-		// The peer sends nothing on this connection, so a read ends only with it.
-		// Without it a peer that has closed its end, as one does that stood still
-		// past its read deadline, would go unheard of and no message reach it again.
-		go func() {
-			_, _ = io.Copy(io.Discard, c)
-			c.Close()
-		}()
-		for m := range ch {
-			b, err := Encode(l.node, m)
+		l.sendOver(ctx, conn, queue)
+	}
+}
+
+// sendOver sends what is queued over one connection until that fails or the context ends, and
+// closes it.
+func (l *Link) sendOver(ctx context.Context, conn net.Conn, queue <-chan any) {
+	var reader sync.WaitGroup
+	defer reader.Wait()
+	defer closeConn(conn)
+	// The peer sends nothing on this connection, so a read ends only with it.
+	// Without it a peer that has closed its end, as one does that stood still
+	// past its read deadline, would go unnoticed and no message reach it again.
+	reader.Go(func() {
+		_, _ = io.Copy(io.Discard, conn) // the end is all that it tells
+		closeConn(conn)
+	})
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case message := <-queue:
+			encoded, err := Encode(l.node, message)
 			if err != nil {
 				l.log.Error("peer", "err", err)
 				continue
 			}
-			_ = c.SetWriteDeadline(time.Now().Add(sendTimeout))
-			if _, err := c.Write(b); err != nil {
-				break
+			_ = conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // on a closed connection the write fails
+			if _, err := conn.Write(encoded); err != nil {
+				return
 			}
 		}
-		c.Close()
 	}
 }
 
-// Serve hands the messages that arrive on a listener to hear.
-func (l *Link) Serve(ln net.Listener, hear func(from string, m any)) {
-	ln = netutil.LimitListener(ln, maxConns)
+// Serve passes the messages that arrive on a listener to receive, from one goroutine for each
+// connection, until the context ends or the listener is closed. Then it closes what it has
+// accepted and returns net.ErrClosed.
+func (l *Link) Serve(ctx context.Context, listener net.Listener, receive func(from string, message any)) error {
+	ctx, cancel := context.WithCancel(ctx)
+	var receivers sync.WaitGroup
+	defer receivers.Wait()
+	defer cancel()
+	listener = netutil.LimitListener(listener, maxConns)
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // nobody is left to tell of an error
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return net.ErrClosed
+		}
 		if err != nil {
-			time.Sleep(dialTimeout / 4)
+			sleep(ctx, retryPause)
 			continue
 		}
-		go func() {
-			defer c.Close()
-			for {
-				_ = c.SetReadDeadline(time.Now().Add(readTimeout))
-				from, m, err := Decode(c)
-				switch {
-				case err == nil:
-					hear(from, m)
-				case errors.Is(err, errFrame):
-					if l.dropped.Add(1) == 1 {
-						l.log.Error("peer", "err", err) // the first only: the rest are counted
-					}
-				default:
-					return
-				}
+		receivers.Go(func() { l.receiveFrom(ctx, conn, receive) })
+	}
+}
+
+// receiveFrom passes on the messages of one connection until that or the context ends.
+func (l *Link) receiveFrom(ctx context.Context, conn net.Conn, receive func(from string, message any)) {
+	defer closeConn(conn)
+	defer context.AfterFunc(ctx, func() { closeConn(conn) })()
+	for {
+		_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // on a closed connection the read fails
+		from, message, err := Decode(conn)
+		switch {
+		case err == nil:
+			receive(from, message)
+		case errors.Is(err, errUnusableFrame):
+			if l.droppedFrames.Add(1) == 1 {
+				l.log.Error("peer", "err", err) // the first only: the rest are counted
 			}
-		}()
+		default:
+			return
+		}
+	}
+}
+
+// closeConn closes a connection that is of no more use; it may be closed already.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
+// sleep waits, or returns early when the context ends.
+func sleep(ctx context.Context, pause time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(pause):
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -44,7 +44,17 @@
 	})
 }
 
-// Every message passes, and a part of a picture of the largest size fits into a frame.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
+}
+
+// TestEveryMessage passes each, and the largest part of a snapshot fits into a frame.
 func TestEveryMessage(t *testing.T) {
 	picture := core.PeerPicture{Block: 1, Token: 1 << 60}
 	for n := 0; len(picture.Machines) < core.PictureTasks/8; n++ {
@@ -70,7 +80,7 @@
 	}
 }
 
-// Whatever arrives, a frame is read, refused or cut short: nothing panics and
+// FuzzDecode reads anything: a frame is read, refused or cut short: nothing panics and
 // nothing larger than a frame is ever held.
 func FuzzDecode(f *testing.F) {
 	good, err := Encode("n", core.PeerStatus{StateAge: 1})
@@ -89,33 +99,30 @@
 }
 
 // TestClosedByPeer has a peer close its end, as one does that
-// stood still past its read deadline. Such a link used to write into that
-// connection for good: the peer's permits never arrived, and a block whose
-// holder stood still waited until the holder woke.
+// stood still past its read deadline. A link that went on writing into that connection
+// would reach the peer no more: its takeover votes would not arrive, and the shards of a
+// controller that stood still would wait until it woke.
 func TestClosedByPeer(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	l := New("me", map[string]string{"other": ln.Addr().String()}, slog.New(slog.DiscardHandler))
-	first, err := ln.Accept()
+	listener := listen(t)
+	link := New("me", map[string]string{"other": listener.Addr().String()}, slog.New(slog.DiscardHandler))
+	go link.Run(t.Context())
+	first, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer first.Close()
+	defer closeConn(first)
 	if err := first.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	go io.Copy(io.Discard, first) // it would go on taking what is written
-	heard := make(chan any)
-	go l.Serve(ln, func(_ string, m any) { heard <- m })
+	go func() { _, _ = io.Copy(io.Discard, first) }() // it would go on taking what is written
+	received := make(chan any, 1)
+	go func() { _ = link.Serve(t.Context(), listener, func(_ string, m any) { received <- m }) }()
 	for {
-		l.Send("other", core.PeerStatus{Seat: 7})
+		link.Send("other", core.PeerStatus{Seat: 7})
 		select {
-		case m := <-heard:
+		case m := <-received:
 			if s, ok := m.(core.PeerStatus); !ok || s.Seat != 7 {
-				t.Fatalf("heard %+v", m)
+				t.Fatalf("received %+v", m)
 			}
 			return
 		default:
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -1,6 +1,7 @@
 package peer
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -14,60 +15,92 @@
 // TestSplit has controllers' frames and operators' requests arrive on one address, while
 // other connections say nothing or are slow to.
 func TestSplit(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	frames, web := Split(ln)
-	heard := make(chan any, 1)
-	go (&Link{}).Serve(frames, func(_ string, m any) { heard <- m })
-	go http.Serve(web, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	listener := listen(t)
+	addr := listener.Addr().String()
+	frames, requests := Split(listener)
+	received := make(chan any, 1)
+	served := make(chan error, 1)
+	go func() {
+		served <- (&Link{}).Serve(t.Context(), frames, func(_ string, m any) { received <- m })
+	}()
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), b...))
-	}))
+		_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), b...)) // the client checks what it gets
+	})}
+	go func() { _ = server.Serve(requests) }()
+	defer func() { _ = server.Close() }()
 	for range 3 {
 		mute, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer mute.Close()
+		defer closeConn(mute)
 		_, _ = mute.Write([]byte("PO"))
 	}
-	for _, m := range []string{"GET", "PUT", "POST"} {
-		r, _ := http.NewRequest(m, "http://"+addr+"/config", strings.NewReader("body"))
-		resp, err := http.DefaultClient.Do(r)
-		if err != nil {
-			t.Fatal(err)
+	for _, method := range []string{"GET", "PUT", "POST"} {
+		if answer := exchange(t, method, "http://"+addr+"/config", "body"); answer != method+" /config body" {
+			t.Errorf("%s: %q", method, answer)
+		}
+	}
+	sendSlowly(t, addr, core.PeerStatus{Config: 7})
+	select {
+	case m := <-received:
+		if s, ok := m.(core.PeerStatus); !ok || s.Config != 7 {
+			t.Errorf("%+v", m)
 		}
-		if b, _ := io.ReadAll(resp.Body); string(b) != m+" /config body" {
-			t.Errorf("%s: %q", m, b)
+	case <-time.After(10 * time.Second):
+		t.Error("the frame was not received")
+	}
+	if err := listener.Close(); err != nil {
+		t.Error(err)
+	}
+	if _, err := frames.Accept(); err == nil {
+		t.Error("accepts after its listener ended")
+	}
+	select {
+	case err := <-served:
+		if !errors.Is(err, net.ErrClosed) {
+			t.Errorf("serving ends with %v", err)
 		}
-		resp.Body.Close()
+	case <-time.After(10 * time.Second):
+		t.Error("serving goes on after its listener ended")
 	}
-	c, err := net.Dial("tcp4", addr)
+}
+
+// exchange sends an HTTP request and returns the body of the answer.
+func exchange(t *testing.T, method, url, body string) string {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	b, err := Encode("me", core.PeerStatus{Config: 7})
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range [][]byte{b[:2], b[2:9], b[9:]} {
-		_, _ = c.Write(part)
-		time.Sleep(10 * time.Millisecond)
+	answer, err := io.ReadAll(response.Body)
+	if err := errors.Join(err, response.Body.Close()); err != nil {
+		t.Fatal(err)
 	}
-	select {
-	case m := <-heard:
-		if s, ok := m.(core.PeerStatus); !ok || s.Config != 7 {
-			t.Errorf("%+v", m)
-		}
-	case <-time.After(10 * time.Second):
-		t.Error("the frame was not heard")
+	return string(answer)
+}
+
+// sendSlowly sends a frame in three parts, over a connection that stays open until the test ends.
+func sendSlowly(t *testing.T, addr string, message any) {
+	t.Helper()
+	conn, err := net.Dial("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
 	}
-	ln.Close()
-	if _, err := frames.Accept(); err == nil {
-		t.Error("accepts after its listener ended")
+	t.Cleanup(func() { closeConn(conn) })
+	encoded, err := Encode("me", message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, part := range [][]byte{encoded[:2], encoded[2:9], encoded[9:]} {
+		if _, err := conn.Write(part); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(10 * time.Millisecond)
 	}
 }
