--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -68,7 +68,7 @@
 func (c admissionHost) OwnsShard(shard int) bool { return c.owned[shard] != nil }
 
 // Archive implements admission.Host.
-func (c admissionHost) Archive() admission.Archive { return c.archived.history }
+func (c admissionHost) Archive() admission.Archive { return c.archive.Index() }
 
 // ReadFresh implements admission.Host.
 func (c admissionHost) ReadFresh(done func(ok bool)) { c.readFresh(done) }
--- a/internal/core/archive/archive.go
+++ b/internal/core/archive/archive.go
@@ -57,15 +57,20 @@
 	maxFollow = 2*MaxBits + 2
 )
 
-// Read is a read of one key that is due; its answer goes to OnRead.
-type Read struct{ Key string }
-
-// Scan is a read of some buckets, those after a key; its answer goes to OnScan.
-type Scan struct {
-	After string
-	Page  int
-	began uint64
-}
+// Effects of lookups. Each is answered by the method named in its comment, exactly once.
+type (
+	// Read reads one key (OnRead).
+	Read struct {
+		Key   string
+		Known uint64 // the highest revision that was known when it was sent
+	}
+	// Scan reads some buckets, those after a key (OnScan).
+	Scan struct {
+		After string
+		Page  int
+		began uint64
+	}
+)
 
 // scanPage is how many buckets are read at once.
 const scanPage = 64
@@ -280,7 +285,7 @@
 		p.credit--
 		p.under++
 		p.Looked++
-		out = append(out, Read{key})
+		out = append(out, Read{Key: key})
 	}
 	return out
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -7,6 +7,7 @@
 	"log/slog"
 
 	"shalestage.example/shalestage/internal/core/admission"
+	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/cancellations"
@@ -172,7 +173,7 @@
 	machineGroups map[string]fleet.Group // stored machines, by key
 	machineShard  map[string]int         // block of each stored machine
 
-	archived      archivedJobs
+	archive       *archive.Keeper
 	replayLog     *replaylog.Memory      // what may have to be written again
 	cancellations *cancellations.Tracker // which cancellations are known, and up to when all are
 	membership    *membership.Registry
@@ -213,7 +214,8 @@
 		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
 	c.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, c.extension()/4), Log: cfg.Log}, cacheHost{c})
-	c.archived = newArchivedJobs()
+	c.archive = archive.NewKeeper(archive.Config{Node: cfg.Node, Release: peering.ReleaseArchive, KeepFinished: cfg.KeepFinished, MinAge: 2*c.leaseBound() + cfg.CancelWithin,
+		ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{c})
 	c.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{c})
 	c.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: c.cfg.ValueMax, Log: cfg.Log}, c.shardRecords, plannerHost{c})
 	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
@@ -263,7 +265,7 @@
 		}
 	}
 	c.cache.Pump(c.now)
-	c.pumpArchive()
+	c.archive.Pump(c.now)
 }
 
 // guarded reports whether a check is made: all are, but for the one that a test leaves out.
@@ -284,7 +286,8 @@
 	c.tickLead()
 	c.config.Tick(c.now, c.wall, c.election.Leads())
 	c.tickTypes()
-	c.tickArchive()
+	c.peers.NoteOlderReleases(c.now)
+	c.archive.Tick(c.now)
 	for _, k := range sortedShards(c.owned) {
 		if shard := c.owned[k]; shard != nil {
 			c.tickShard(shard)
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -13,6 +13,7 @@
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/replication"
 	"shalestage.example/shalestage/internal/core/store"
 )
@@ -98,13 +99,13 @@
 		err = json.Unmarshal(e.Value, &replication.Record{})
 	case strings.HasPrefix(e.Key, allocationPrefix):
 		err = json.Unmarshal(e.Value, &authority.QuotaAllocation{})
-	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, kindPrefix):
+	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, keys.TypePrefixWithArchive):
 		s.types = append(s.types, store.Event{Key: e.Key, Stamp: e.Stamp})
 		err = json.Unmarshal(e.Value, &fleet.Type{})
-	case e.Key == archiveKey:
+	case e.Key == keys.ArchiveMark:
 		s.mark = &archive.Mark{}
 		err = json.Unmarshal(e.Value, s.mark)
-	case e.Key == leaderKeyFirst || e.Key == leaderKeyArchived:
+	case e.Key == leaderKeyFirst || e.Key == keys.LeaderSinceArchive:
 		err = json.Unmarshal(e.Value, &authority.LeaderRecord{})
 	case e.Key == termKey:
 		err = json.Unmarshal(e.Value, &authority.Term{})
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -45,14 +45,10 @@
 }
 
 // JobOver implements registry.Host: the job is archived some day.
-func (c jobsHost) JobOver(id string) { c.archived.packer.JobOver(c.now, id) }
+func (c jobsHost) JobOver(id string) { c.archive.JobOver(c.now, id) }
 
 // JobArchived implements registry.Host.
-func (c jobsHost) JobArchived(job *jobs.Job) {
-	c.archived.history.Packed(job.ID)
-	c.archived.history.Remember(job.ID, answerOf(job))
-	c.archived.packer.RecordRemoved(job.ID)
-}
+func (c jobsHost) JobArchived(job *jobs.Job) { c.archive.JobArchived(job) }
 
 // CancellationLearnt implements registry.Host. What the copy of the state service's keys already had
 // is known to every controller that has read as far.
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/core/watchcache"
@@ -23,12 +24,12 @@
 // Removed implements watchcache.Host.
 func (c cacheHost) Removed(key string) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
-		c.archived.history.Packed(id)
+		c.archive.RecordRemoved(id)
 	}
 }
 
 // Gap implements watchcache.Host.
-func (c cacheHost) Gap() { c.archived.history.Suspect() }
+func (c cacheHost) Gap() { c.archive.Gap() }
 
 // Limited implements watchcache.Host: from now on the rates count that the state service was
 // to have later.
@@ -79,10 +80,10 @@
 	}
 	var err error
 	switch {
-	case e.Key == leaderKeyFirst || e.Key == leaderKeyArchived:
+	case e.Key == leaderKeyFirst || e.Key == keys.LeaderSinceArchive:
 		err = c.election.Learn(e)
-	case e.Key == archiveKey:
-		err = c.learnMark(e)
+	case e.Key == keys.ArchiveMark:
+		err = c.archive.LearnMark(e)
 	case strings.HasPrefix(e.Key, memberPrefix):
 		err = c.membership.Learn(c.now, e.Key[len(memberPrefix):], e)
 	case strings.HasPrefix(e.Key, assignmentPrefix):
@@ -105,7 +106,7 @@
 		err = c.jobs.LearnProgress(e.Key[len(progressPrefix):], e)
 	case strings.HasPrefix(e.Key, machinePrefix):
 		err = c.learnMachines(e.Key, e)
-	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, kindPrefix):
+	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, keys.TypePrefixWithArchive):
 		err = c.learnType(e)
 	}
 	if err != nil {
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -18,7 +18,7 @@
 const overridePrefix = keys.OverridePrefix
 
 // OverridePrefixes are the prefixes of the keys that ZoneWords and SayZone look at.
-var OverridePrefixes = []string{typePrefix, kindPrefix, overridePrefix}
+var OverridePrefixes = []string{typePrefix, keys.TypePrefixWithArchive, overridePrefix}
 
 // OperatorOverride is what an operator has said of a zone.
 type OperatorOverride struct {
@@ -57,7 +57,7 @@
 	known := map[string]bool{}
 	for k, e := range items {
 		var t fleet.Type
-		if (strings.HasPrefix(k, typePrefix) || strings.HasPrefix(k, kindPrefix)) && json.Unmarshal(e.Value, &t) == nil {
+		if (strings.HasPrefix(k, typePrefix) || strings.HasPrefix(k, keys.TypePrefixWithArchive)) && json.Unmarshal(e.Value, &t) == nil {
 			for _, z := range t.Zones {
 				known[z] = true
 			}
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -9,6 +9,7 @@
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
 )
 
@@ -26,12 +27,12 @@
 // isAuthority reports whether a key says who may act: it is never written again by
 // others than its owner.
 func isAuthority(key string) bool {
-	return key == leaderKeyFirst || key == leaderKeyArchived || strings.HasPrefix(key, memberPrefix) || strings.HasPrefix(key, standbyPrefix)
+	return key == leaderKeyFirst || key == keys.LeaderSinceArchive || strings.HasPrefix(key, memberPrefix) || strings.HasPrefix(key, standbyPrefix)
 }
 
 // reload takes a listing after the state service went back.
 func (c *Core) reload(rev uint64, items []store.Event) {
-	again := c.restoreFinished(items)
+	again := c.archive.Restore(items)
 	listed := make(map[string]store.Event, len(items))
 	for _, e := range items {
 		listed[e.Key] = e
@@ -47,7 +48,7 @@
 	c.config.Reloaded()
 	c.cancellations.Forget(c.now)
 	c.suspectCommits()
-	c.verifyArchived()
+	c.archive.RolledBack()
 	c.transfers.StateRolledBack()
 	for _, e := range again {
 		c.log.Warn("written again", "key", e.Key, "listed_version", e.Stamp)
@@ -105,7 +106,7 @@
 		a, err1 := authority.DecodeAssignment(known.Value)
 		b, err2 := authority.DecodeAssignment(listed)
 		return known.Value, err1 == nil && (err2 != nil || laterAssignment(a, b))
-	case known.Key == archiveKey:
+	case known.Key == keys.ArchiveMark:
 		var a, b archive.Mark
 		return known.Value, json.Unmarshal(known.Value, &a) == nil && (json.Unmarshal(listed, &b) != nil || a.Cut > b.Cut)
 	case known.Key == termKey:
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/demand"
 	"shalestage.example/shalestage/internal/core/guard"
@@ -246,7 +247,7 @@
 	// the lanes may ask for more than the budget.
 	c.queues[UserQueue].Rate = c.cfg.WriteRate / float64(2*c.cfg.Size)
 	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * part
-	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * packShare
+	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * archive.WriteShare
 	if part != c.cloudPart {
 		c.cloudPart = part
 		c.emit(CloudBudget{part})
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -46,8 +46,8 @@
 // Stats answers a request for the present figures.
 func (c *Core) Stats(req RequestID) {
 	s := Stats{Member: c.membership.ID() != 0, Leading: c.election.Leads(), Full: c.admission.MemoryFull(), KnownJobs: c.jobs.Len(), ActiveJobs: c.jobs.ActiveLen(), BlockedJobs: c.jobs.Blocked()}
-	s.Keys, s.FinishedJobs, s.ArchiveReads, s.ArchiveShed = c.cache.Keys(), c.archived.packer.Len(), c.archived.history.Looked, c.archived.history.Shed
-	_, s.ArchivedIDs = c.archived.history.Whole()
+	archived := c.archive.Stats()
+	s.Keys, s.FinishedJobs, s.ArchivedIDs, s.ArchiveReads, s.ArchiveShed = c.cache.Keys(), archived.Finished, archived.ArchivedIDs, archived.Reads, archived.Refused
 	s.Zones = c.zones.Stats()
 	for _, l := range c.queues {
 		s.Writes += l.Len()
