--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -98,7 +98,7 @@
 
 // ScaleOut asks for machines and returns the names of those granted. The cloud grants the
 // same machines to a repeated request of the same id. Failed means that none are to be had.
-func (c *Client) ScaleOut(ctx context.Context, requestID string, order autoscaler.Rent, authorized func() bool) (store.Outcome, []string) {
+func (c *Client) ScaleOut(ctx context.Context, requestID string, order autoscaler.Increase, authorized func() bool) (store.Outcome, []string) {
 	var response struct {
 		wire.Names
 		wire.Problem
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -22,7 +22,7 @@
 	defer server.Close()
 	client := New(strings.TrimPrefix(server.URL, "http://"), 100, slog.New(slog.DiscardHandler))
 	never := func() bool { return false }
-	if outcome, _ := client.ScaleOut(t.Context(), "r-1", autoscaler.Rent{Count: 1}, never); outcome != store.Refused {
+	if outcome, _ := client.ScaleOut(t.Context(), "r-1", autoscaler.Increase{Count: 1}, never); outcome != store.Refused {
 		t.Errorf("scale out: outcome %v", outcome)
 	}
 	if outcome := client.ScaleIn(t.Context(), []string{"n-1"}, never); outcome != store.Refused || calls != 0 {
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -21,7 +21,7 @@
 		TxnOps: min(now.TxnOps, later.TxnOps), ValueKB: now.ValueKB, ValueMax: int(min(now.ValueKB, later.ValueKB) * 1024),
 		StateRate: now.RPS, WriteRate: now.WriteRPS, NextStateRate: later.RPS, NextWriteRate: later.WriteRPS, CloudRate: d.Cloud.RPS,
 		Pack:          binpack.Params{Fairness: t.Fairness, EpsilonScale: t.EpsilonScale, ImagePenalty: t.ImagePenalty},
-		Scale:         autoscaler.Params{Spare: t.SpareShare, Memory: units.Seconds(t.DemandS), Worth: units.Seconds(t.WorthS), IdleReturn: units.Seconds(t.IdleS)},
+		Scale:         autoscaler.Params{Headroom: t.SpareShare, AverageOver: units.Seconds(t.DemandS), WorkPerSlot: units.Seconds(t.WorthS), ScaleInAfter: units.Seconds(t.IdleS)},
 		ShardMachines: s.BlockMachines(), SequentialFraction: t.RoundShare,
 		KeepFinished: int(t.KeepDone), ArchiveSettleTime: units.Seconds(t.PackSettleS),
 		Log: log,
--- /dev/null
+++ b/internal/core/autoscaler/plan.go
@@ -0,0 +1,293 @@
+package autoscaler
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"sort"
+
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// Market is what the cloud offers at present.
+type Market struct {
+	Types map[string]*fleet.Type
+	// ZoneLimit tells how many machines may be provisioned into a zone; less than 0: any number.
+	ZoneLimit func(zone string) int
+}
+
+// Plan returns what to scale out by and which machines to scale in, given all work at hand, and
+// notes on the machines which of them that work needs.
+func (s *Scaler) Plan(now units.Microseconds, work map[Group]Need, machines []Machine, market Market) ([]Increase, []string) {
+	s.remember(now, work)
+	p := s.newPlanning(now, machines, market)
+	var increases []Increase
+	for _, group := range s.groups() {
+		if increase, ok := p.serve(group, work[group]); ok {
+			increases = append(increases, increase)
+		}
+	}
+	return increases, p.scaleIn()
+}
+
+// groups are those that need anything, in the order in which they choose: what may use fewer pools
+// first, and what uses what others leave last.
+func (s *Scaler) groups() []Group {
+	groups := make([]Group, 0, len(s.usual))
+	for group := range s.usual {
+		groups = append(groups, group)
+	}
+	slices.SortFunc(groups, func(a, b Group) int {
+		return cmp.Or(compareBool(a.Idle, b.Idle), compareBool(a.Spot, b.Spot),
+			cmp.Compare(len(s.usual[a].types), len(s.usual[b].types)),
+			cmp.Compare(b.Zone, a.Zone), // any zone last
+			cmp.Compare(a.Class+a.Types, b.Class+b.Types))
+	})
+	return groups
+}
+
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// planning is one run of Plan: what the groups that have chosen so far have left.
+type planning struct {
+	*Scaler
+	now      units.Microseconds
+	machines []Machine
+	market   Market
+	free     []binpack.Vec // of each machine
+	order    []int         // of the machines, the cheapest first
+	backlogs [2]backlog    // of all groups so far, by whether they may use spot
+	alike    map[Group]*backlog
+}
+
+// newPlanning returns a run in which no group has chosen yet.
+func (s *Scaler) newPlanning(now units.Microseconds, machines []Machine, market Market) *planning {
+	p := &planning{Scaler: s, now: now, machines: machines, market: market,
+		free: make([]binpack.Vec, len(machines)), order: make([]int, len(machines)), alike: map[Group]*backlog{}}
+	for i, machine := range machines {
+		p.order[i], machines[i].Needed = i, false
+		if machineType := market.Types[machine.Pool.Type]; machineType != nil {
+			p.free[i] = machineType.Capacity
+		}
+	}
+	sort.SliceStable(p.order, func(a, b int) bool {
+		one, other := machines[p.order[a]], machines[p.order[b]]
+		if priceOne, priceOther := p.perCPU(one.Pool), p.perCPU(other.Pool); priceOne != priceOther {
+			return priceOne < priceOther
+		}
+		if (one.Idle == 0) != (other.Idle == 0) {
+			return one.Idle == 0
+		}
+		return one.Name < other.Name
+	})
+	return p
+}
+
+func (p *planning) perCPU(pool Pool) float64 { return perCPU(p.market.Types[pool.Type], pool.Spot) }
+
+// serve has a group choose among the machines, and returns what to scale out by for the rest.
+func (p *planning) serve(group Group, need Need) (Increase, bool) {
+	usual := p.usual[group]
+	wanted := math.Max(float64(need.Tasks), usual.tasks*(1+p.params.Headroom))
+	limit := math.Inf(1)
+	if group.Idle {
+		limit = maxPremium * cheapest(usual.types, group.Spot, p.market.Types)
+	}
+	short := p.take(group, usual, claim{slots: wanted, priceLimit: limit})
+	// What it falls short by is provisioned elsewhere, but there may be no more to be had: the
+	// machines of lost zones that it would use are noted.
+	p.take(group, usual, claim{slots: short, priceLimit: math.Inf(1), zoneLost: true})
+	kind := 0
+	if group.Spot {
+		kind = 1
+	}
+	p.backlogs[kind].add(need, wanted-short, usual.tasks)
+	same := group.anyClass()
+	if p.alike[same] == nil {
+		p.alike[same] = &backlog{}
+	}
+	p.alike[same].add(need, wanted-short, usual.tasks)
+	if short < 0.5 {
+		return Increase{}, false
+	}
+	return p.offer(shortfall{group: group, usual: usual, slots: short, cheapest: cheapest(usual.types, group.Spot, p.market.Types), unserved: wanted-short < 0.5,
+		backlog: p.backlogs[kind], alike: p.alike[same]})
+}
+
+// claim is what a group takes of the machines there are.
+type claim struct {
+	slots      float64
+	priceLimit float64 // of a CPU
+	zoneLost   bool    // of machines of lost zones, else of the others
+}
+
+// take has a group take slots for average tasks, and returns how many there are too few. The
+// machines of which it takes any are needed.
+func (p *planning) take(group Group, usual *usual, c claim) float64 {
+	missing := c.slots
+	for _, i := range p.order {
+		machine := p.machines[i]
+		if missing < 0.5 {
+			break
+		}
+		if machine.ZoneLost != c.zoneLost || !group.usable(usual.types, machine.Pool) {
+			continue
+		}
+		if p.perCPU(machine.Pool) > c.priceLimit && c.slots-missing >= 0.5 {
+			break // the cheaper ones come first; where there is none, one expensive machine does
+		}
+		taken := math.Min(missing, slots(p.free[i], usual.demand))
+		if taken <= 0 {
+			continue
+		}
+		p.machines[i].Needed = true
+		missing -= taken
+		for resource := range p.free[i] {
+			p.free[i][resource] -= int64(taken * usual.demand[resource])
+		}
+	}
+	return missing
+}
+
+// scaleIn names the machines that no group needs and that cost more if they stay: until the least
+// charge is used up it costs the same whether one stays or not.
+func (p *planning) scaleIn() []string {
+	var names []string
+	for _, machine := range p.machines {
+		idle := machine.Booted && machine.Idle >= p.params.ScaleInAfter
+		if !machine.Needed && !machine.ZoneLost && idle && machine.Age >= leastCharge-leastChargeMargin {
+			names = append(names, machine.Name)
+		}
+	}
+	return names
+}
+
+// shortfall is what a group lacks beside the machines there are.
+type shortfall struct {
+	group    Group
+	usual    *usual
+	slots    float64
+	cheapest float64  // price of a CPU of the cheapest offer
+	unserved bool     // there is no slot at all for it
+	backlog  backlog  // of it and the groups of its kind that chose before it
+	alike    *backlog // of those of them that may use the very same pools
+}
+
+// offer chooses the cheapest way to fill a shortfall, if any is worth it: by the time a machine is
+// up, the slots there are will have done part of the work, of this group and those that chose before
+// it, and each new slot must find enough of the rest.
+func (p *planning) offer(short shortfall) (Increase, bool) {
+	best, bestPrice := Increase{}, math.Inf(1)
+	for _, name := range short.usual.types {
+		machineType := p.market.Types[name]
+		if machineType == nil {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			limit := p.market.ZoneLimit(zone)
+			for _, spot := range []bool{true, false} {
+				pool := Pool{name, zone, spot}
+				if limit == 0 || !short.group.usable(short.usual.types, pool) || p.refused[pool].until > p.now {
+					continue
+				}
+				count, price := p.size(short, machineType, spot, limit)
+				if count > 0 && price < bestPrice-1e-9 {
+					best, bestPrice = Increase{pool, count}, price
+				}
+			}
+		}
+	}
+	return best, best.Count > 0
+}
+
+// size returns how many machines of a type a shortfall is worth, at most limit where that is more
+// than 0, and what they cost for each slot that is wanted.
+func (p *planning) size(short shortfall, machineType *fleet.Type, spot bool, limit int) (count int, price float64) {
+	each := slots(machineType.Capacity, short.usual.demand)
+	if each <= 0 {
+		return 0, 0
+	}
+	wanted := p.worthwhile(short, machineType, spot)
+	if wanted < 0.5 {
+		return 0, 0
+	}
+	count = max(int(math.Ceil(wanted/each-0.05)), 1)
+	if limit > 0 {
+		count = min(count, limit)
+	}
+	return count, float64(count) * machineType.Rate(spot) / math.Min(float64(count)*each, wanted)
+}
+
+// worthwhile is how many slots of a type of machine find enough work to be worth their price.
+func (p *planning) worthwhile(short shortfall, machineType *fleet.Type, spot bool) float64 {
+	boot := machineType.Boot.Seconds()
+	premium := perCPU(machineType, spot) / short.cheapest
+	if short.group.Idle && premium > maxPremium && !short.unserved {
+		return 0
+	}
+	// A dearer slot must find more work.
+	wanted := math.Min(short.slots, p.workAfter(&short.backlog, short.usual, boot)/(p.params.WorkPerSlot.Seconds()*premium))
+	if premium > maxPremium {
+		wanted = math.Min(wanted, short.alike.slotsForDeadlines(p.workAfter(short.alike, short.usual, boot)))
+	}
+	if short.unserved {
+		wanted = math.Max(wanted, math.Min(short.slots, 1)) // little work, but nowhere to do it
+	}
+	return wanted
+}
+
+// workAfter is the work that machines will find which are up after some seconds: capacity below what
+// is usual will find some, capacity above it must find it waiting.
+func (p *planning) workAfter(b *backlog, usual *usual, seconds float64) float64 {
+	return b.after(seconds) + math.Max(0, usual.tasks-b.slots)*p.params.WorkPerSlot.Seconds()
+}
+
+// backlog is the waiting work of several groups and the slots that they have, in average tasks;
+// usual are the slots that were in use lately, on average, and slack the seconds that all that waits
+// may still wait.
+type backlog struct {
+	ready, work, running, rate, slots, usual, slack float64
+}
+
+// add adds a group's work and the slots that it has.
+func (b *backlog) add(need Need, slots, usual float64) {
+	b.usual += usual
+	b.slack += need.Slack.Seconds()
+	b.ready += float64(need.Ready)
+	b.work += need.Waiting.Seconds()
+	b.running += float64(need.Running)
+	b.rate += need.Rate
+	b.slots += slots
+}
+
+// after is the work that will still wait after some seconds in which tasks that run now complete and
+// free slots, and slots that are empty or boot take what they can.
+func (b *backlog) after(seconds float64) float64 {
+	ready := b.ready - b.rate*seconds - math.Max(0, b.slots-b.running)
+	if ready <= 0 {
+		return 0
+	}
+	return ready * b.work / b.ready
+}
+
+// slotsForDeadlines is how many slots more would do some work in time that still waits: what waits
+// is shared by all slots but those that are taken by work that comes, as much as lately. Without
+// this, queues that the slots there are would have worked off soon had expensive machines
+// provisioned, which came up to find little left to do (TestExpensiveOnlyForMissedDeadlines).
+func (b *backlog) slotsForDeadlines(work float64) float64 {
+	if b.ready <= 0 {
+		return math.Inf(1)
+	}
+	return work/math.Max(1, b.slack/b.ready) - math.Max(0, b.slots-b.usual)
+}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -34,7 +34,7 @@
 		fmt.Fprintf(&b, "; team %s uses %v", s.Team, shard.quota.Usage(s.Team))
 	}
 	fmt.Fprintf(&b, "; block %d share %.2f token %d free %v moving %v, unaccounted %d, renting %d, cloud may be called %v", shard.number, c.shardRecords.Allocation(shard.number).Fraction,
-		shard.fencingToken, shard.releasing, j.Migrating, len(shard.reconciler.Unreconciled()), shard.provisioner.Open(), shard.provisioner.Ready(c.now))
+		shard.fencingToken, shard.releasing, j.Migrating, len(shard.reconciler.Unreconciled()), shard.provisioner.OpenRequests(), shard.provisioner.Ready(c.now))
 	for _, name := range sortedKeys(shard.reconciler.Machines()) {
 		m := shard.reconciler.Machine(name)
 		fmt.Fprintf(&b, "\n  %s %s/%s spot %v: up %v, tasks %d, settled %v (accounted %v stored %v lost %v sick %v leaving %v)",
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -161,7 +161,7 @@
 	Quarantined    bool               // it fails what it starts: nothing more starts there
 	Deprovisioning bool               // a return is under way
 	Unlisted       bool               // the cloud's list should show it and does not
-	Spare          units.Microseconds // since when the work at hand does not need it; 0: it does
+	SpareSince     units.Microseconds // since when the work at hand does not need it; 0: it does
 
 	Failed   map[string]bool    // jobs of which nothing had worked yet and that failed here, since a task completed
 	FailedAt units.Microseconds // last failure
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -132,7 +132,7 @@
 	}
 	c.machineGroups[key] = g
 	for _, n := range slices.Concat(g.Up, g.Booting) {
-		if _, known := c.machineShard[n]; !known || !isOrphanKey(key) {
+		if _, known := c.machineShard[n]; !known || !keys.IsOrphanMachine(key) {
 			c.machineShard[n] = g.Shard
 		}
 	}
--- /dev/null
+++ b/internal/core/liveness.go
@@ -0,0 +1,54 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/fleet"
+)
+
+// livenessHost is what the owner of a shard does for the failure detection of its machines (package
+// liveness).
+type livenessHost struct {
+	*Core
+	shard *ownedShard
+}
+
+// Machines implements liveness.Host.
+func (h livenessHost) Machines() map[string]*fleet.Machine { return h.shard.reconciler.Machines() }
+
+// Unreconciled implements liveness.Host.
+func (h livenessHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
+
+// ProbesExhausted implements liveness.Host.
+func (h livenessHost) ProbesExhausted() bool { return h.shard.reconciler.ProbesExhausted() }
+
+// LeaseExpired implements liveness.Host.
+func (h livenessHost) LeaseExpired(machine *fleet.Machine) {
+	h.shard.reconciler.ExpireLease(h.now, machine)
+}
+
+// unreachable reports whether a shard should be released as no worker reaches this node.
+func (c *Core) unreachable(shard *ownedShard) bool {
+	if c.cfg.Size == 1 || c.zones.Explains() {
+		return false
+	}
+	return c.reachability.Unreachable(c.now, shard.reconciler.Up(), c.reachablePeer)
+}
+
+// reachablePeer reports whether another controller could take a shard over that has not found itself
+// unreachable.
+func (c *Core) reachablePeer() bool {
+	for _, name := range c.peers.Names() {
+		if c.peers.Alive(c.now, name) && !c.peerUnreachable(name) && c.membership.Current(name) != 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// peerUnreachable reports whether a controller, maybe this one, is known to be out of the workers'
+// reach.
+func (c *Core) peerUnreachable(node string) bool {
+	if node == c.cfg.Node {
+		return c.reachability.UnreachableNow(c.now)
+	}
+	return c.peers.Status(node).Deaf
+}
--- /dev/null
+++ b/internal/core/provisioner.go
@@ -0,0 +1,146 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/autoscaler"
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/keys"
+	"shalestage.example/shalestage/internal/core/provisioner"
+	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// provisionerHost is what the owner of a shard does for those that provision its machines and weigh
+// its work (packages provisioner and demand).
+type provisionerHost struct {
+	*Core
+	shard *ownedShard
+}
+
+// Emit implements provisioner.Host.
+func (h provisionerHost) Emit(effect any) { h.emit(effect) }
+
+// Assignment implements provisioner.Host.
+func (h provisionerHost) Assignment() uint64 { return h.shard.assignment }
+
+// Machines implements provisioner.Host.
+func (h provisionerHost) Machines() map[string]*fleet.Machine { return h.shard.reconciler.Machines() }
+
+// Unreconciled implements provisioner.Host.
+func (h provisionerHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
+
+// SlotsNeeded implements provisioner.Host. While what earlier owners started is not known, neither
+// is what is needed.
+func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
+	few := provisioner.FewOf(len(h.shard.reconciler.Machines()))
+	// What is in a zone that is lost may run on there, and has to be done elsewhere.
+	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
+		return nil, false
+	}
+	return h.shard.demand.SlotsNeeded(h.now, h.wall, h.shard.scheduler.Jobs(), h), true
+}
+
+// Types implements provisioner.Host.
+func (h provisionerHost) Types() map[string]*fleet.Type { return h.types }
+
+// Calls implements provisioner.Host.
+func (h provisionerHost) Calls() float64 { return h.cfg.CloudRate * h.cloudPart }
+
+// Provisioned implements provisioner.Host.
+func (h provisionerHost) Provisioned(request string, record fleet.Record, names []string) {
+	group := keys.MachinePrefix + request
+	for _, name := range names {
+		if h.shard.reconciler.Machine(name) == nil {
+			h.newMachine(h.shard, name, group, record, 0)
+		}
+	}
+	h.shard.writer.StoreGroup(group, true)
+}
+
+// Deprovisioned implements provisioner.Host.
+func (h provisionerHost) Deprovisioned(machine *fleet.Machine) {
+	h.shard.reconciler.Deprovision(h.now, machine)
+	h.shard.writer.StoreGroup(machine.Group, false)
+}
+
+// Adopt implements provisioner.Host.
+func (h provisionerHost) Adopt(listed ListedMachine) {
+	machine := h.newMachine(h.shard, listed.Name, keys.OrphanMachine(listed.Name), listed.Record, listed.Age)
+	h.shard.writer.StoreGroup(machine.Group, false)
+}
+
+// InAnotherShard implements provisioner.Host.
+func (h provisionerHost) InAnotherShard(machine string) bool {
+	number, stored := h.machineShard[machine]
+	return stored && number != h.shard.number
+}
+
+// Limit implements demand.Host.
+func (h provisionerHost) Limit(team string) binpack.Vec {
+	if settings := h.teams[team]; settings != nil {
+		return settings.Limit
+	}
+	return binpack.Vec{}
+}
+
+// LostTasks implements demand.Host.
+func (h provisionerHost) LostTasks(job *jobs.Job) int {
+	lost := 0
+	for _, zone := range h.cfg.Zones {
+		if h.zones.Lost(zone) {
+			lost += job.PlacedIn(zone)
+		}
+	}
+	return lost
+}
+
+// CompatibleTypes implements demand.Host.
+func (h provisionerHost) CompatibleTypes(spec *jobs.Spec) []string { return h.compatibleTypes(spec) }
+
+// ownedUnder returns the shard that an answer is for, if it is still owned under the same version of
+// its assignment.
+func (c *Core) ownedUnder(number int, assignment uint64) *ownedShard {
+	if shard := c.owned[number]; shard != nil && shard.assignment == assignment && shard.ready {
+		return shard
+	}
+	return nil
+}
+
+// OnScaleOut takes the outcome of a request for machines. Those of a shard that is no longer owned
+// are found by their heartbeats and in the list.
+func (c *Core) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
+	c.advance(now)
+	if shard := c.ownedUnder(request.Shard, request.Assignment); shard != nil {
+		shard.provisioner.OnScaleOut(c.now, request, outcome, names)
+	}
+}
+
+// OnScaleIn takes the outcome of a request to delete machines.
+func (c *Core) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
+	c.advance(now)
+	if shard := c.ownedUnder(request.Shard, request.Assignment); shard != nil {
+		shard.provisioner.OnScaleIn(c.now, request, outcome)
+	}
+}
+
+// OnListMachines takes the machine list. Machines that nobody knows belong to the first shard.
+func (c *Core) OnListMachines(now units.Microseconds, request ListMachines, outcome store.Outcome, list []ListedMachine) {
+	c.advance(now)
+	shard := c.owned[0]
+	if outcome == store.OK && shard != nil && shard.ready {
+		shard.provisioner.OnListMachines(c.now, request, list)
+	}
+}
+
+// tickCloud talks to the cloud for a shard.
+func (c *Core) tickCloud(shard *ownedShard) {
+	if !shard.provisioner.Ready(c.now) || len(c.types) == 0 {
+		return
+	}
+	shard.provisioner.Tick(c.now, shard.number == 0)
+	if c.now >= shard.nextLogAt {
+		shard.nextLogAt = c.now + 10*units.Second
+		c.logFleet(shard)
+	}
+}
--- a/internal/core/provisioner/provisioner.go
+++ b/internal/core/provisioner/provisioner.go
@@ -1,16 +1,12 @@
-// Package provisioner talks to the cloud for a block: it decides when machines are rented and
-// returned, keeps those that are to be returned, and reads the machine list. It owns what
-// is under way with the cloud; the machines are their block's.
+// Package provisioner talks to the cloud for a shard: it decides when machines are provisioned and
+// deprovisioned, and reads the machine list. It owns what is under way with the cloud; the machines
+// are their shard's (package reconcile).
 //
-// It is pure: answers and the time go in by method calls, what is to be done comes out by
-// its host.
+// It is pure: answers and the time go in by method calls, effects come out by its Host.
 package provisioner
 
 import (
-	"fmt"
 	"log/slog"
-	"maps"
-	"slices"
 
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/fleet"
@@ -19,22 +15,22 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Effects.
+// Effects. Each is answered by the method of Provisioner named in its comment.
 type (
-	// ScaleOut asks for machines (OnRent).
+	// ScaleOut asks for machines (OnScaleOut).
 	ScaleOut struct {
 		Shard      int
 		Assignment uint64
-		Request    string
-		Rent       autoscaler.Rent
+		Request    string // names the request to the cloud: sent again, it provisions nothing more
+		Increase   autoscaler.Increase
 	}
-	// ScaleIn gives machines back (OnReturn).
+	// ScaleIn has machines deleted (OnScaleIn).
 	ScaleIn struct {
 		Shard      int
 		Assignment uint64
 		Names      []string
 	}
-	// ListMachines reads the machine list (OnHosts).
+	// ListMachines reads the machine list (OnListMachines).
 	ListMachines struct{ SentAt units.Microseconds }
 )
 
@@ -47,48 +43,49 @@
 	Age    units.Microseconds
 }
 
-// Host is the block whose machines are rented.
+// Host is the shard whose machines are provisioned. Its methods may not call the Provisioner.
 type Host interface {
 	// Emit sends an effect.
-	Emit(e any)
-	// Assignment is the version of the grant under which the block is held.
+	Emit(effect any)
+	// Assignment is the version of the assignment under which the shard is owned.
 	Assignment() uint64
-	// Machines are those of the block, by name.
+	// Machines are those of the shard, by name.
 	Machines() map[string]*fleet.Machine
-	// Unreconciled are those of them on which tasks of earlier holders may run.
+	// Unreconciled are those of them on which tasks of earlier owners may run.
 	Unreconciled() map[string]bool
 	// SlotsNeeded is the work at hand; ok: what runs, and so what is needed, is known.
-	SlotsNeeded() (needs map[autoscaler.Group]autoscaler.Need, ok bool)
+	SlotsNeeded() (work map[autoscaler.Group]autoscaler.Need, ok bool)
 	// Types is the price list.
 	Types() map[string]*fleet.Type
-	// Calls is how many calls a second the cloud takes from this block.
+	// Calls is how many calls a second the cloud takes from this shard.
 	Calls() float64
 	// Provisioned takes in machines that a request has brought.
-	Provisioned(request string, r fleet.Record, names []string)
-	// Deprovisioned says that a machine, and all that ran on it, is gone.
-	Deprovisioned(m *fleet.Machine)
-	// Adopt takes in a machine on the list that nobody is known to have rented.
-	Adopt(h Listed)
-	// InAnotherShard reports whether a machine belongs to another block.
+	Provisioned(request string, record fleet.Record, names []string)
+	// Deprovisioned says that a machine, and all that ran on it, is deleted.
+	Deprovisioned(machine *fleet.Machine)
+	// Adopt takes in a listed machine that nobody is known to have provisioned.
+	Adopt(listed Listed)
+	// InAnotherShard reports whether a machine belongs to another shard.
 	InAnotherShard(machine string) bool
 }
 
-// Config says how a block rents.
+// Config says how a shard's machines are provisioned.
 type Config struct {
 	Shard        int
-	FencingToken uint64 // under which it is held: names of requests must never come again
+	FencingToken uint64 // names of requests must never come again, and hold it
 	OwnedSince   units.Microseconds
-	ListLag      units.Microseconds
+	// ListLag is how old the machine list may be.
+	ListLag units.Microseconds
 	// AdoptAfter is how long a machine must be unknown to all before it is adopted.
 	AdoptAfter units.Microseconds
-	// Lease is the time after which nothing runs on a machine that gets no answer.
+	// Lease is the time after which nothing runs on a machine that gets no response.
 	Lease             units.Microseconds
 	HeartbeatInterval units.Microseconds
 	Scale             autoscaler.Params
 	Log               *slog.Logger
 }
 
-// Provisioner is a block's side of what goes on with the cloud.
+// Provisioner is a shard's side of what goes on with the cloud.
 type Provisioner struct {
 	cfg    Config
 	host   Host
@@ -96,18 +93,18 @@
 	scaler *autoscaler.Scaler
 	zones  *zones.View
 
-	wait     units.Microseconds // no call before
-	planAt   units.Microseconds
-	listAt   units.Microseconds
-	requests uint64                        // made under this grant
-	open     int                           // of them, those without an answer
-	leaving  []string                      // about to be returned
-	gone     map[string]units.Microseconds // returned lately: the list may still show them
+	notBefore     units.Microseconds // no call to the cloud before
+	nextPlanAt    units.Microseconds
+	nextListAt    units.Microseconds
+	requests      uint64   // made under this assignment
+	openRequests  int      // of them, those without an answer
+	queue         []string // about to be deprovisioned
+	deprovisioned map[string]units.Microseconds
 }
 
-// New returns a renter that has asked for nothing yet.
-func New(cfg Config, host Host, picture *zones.View) *Provisioner {
-	return &Provisioner{cfg: cfg, host: host, zones: picture, scaler: autoscaler.New(cfg.Scale), gone: map[string]units.Microseconds{}}
+// New returns a Provisioner that has asked for nothing yet.
+func New(cfg Config, host Host, view *zones.View) *Provisioner {
+	return &Provisioner{cfg: cfg, host: host, zones: view, scaler: autoscaler.New(cfg.Scale), deprovisioned: map[string]units.Microseconds{}}
 }
 
 const (
@@ -117,277 +114,97 @@
 	listEvery = 5 * units.Second
 	// pause is how long the cloud is left alone after it did not answer.
 	pause = 2 * units.Second
-	// returnsAtOnce bounds the machines of one call.
-	returnsAtOnce = 100
-	// lateBoot is how many times as long as usual a machine may take to come up
-	// before the work at hand no longer counts on it. It takes up to one and a half
-	// times; those that never come up are returned much later. Of many machines only
-	// a few can be late for reasons of their own.
-	lateBoot = 2
-	// keepLost is how long a machine whose lease has run out unheard is kept.
-	keepLost = 10 * units.Second
-	// spareFor is how long nothing must have missed a machine of a lost zone before it is
-	// returned, and leastAgain the least that it costs to return and rent one anew: the
-	// cloud's least charge.
-	spareFor   = 5 * units.Second
-	leastAgain = 60 * units.Second
+	// scaleInAtOnce bounds the machines of one call.
+	scaleInAtOnce = 100
+	// forgetDeprovisioned is how long after a machine was deleted, and beside four times the list's
+	// lag, it is remembered: the list may show it and heartbeats may be held back for so long.
+	forgetDeprovisioned = 60 * units.Second
 )
 
 // FewOf is how many machines may be given up early, as a part of all.
-func FewOf(n int) int { return max(1, n/20) }
+func FewOf(machines int) int { return max(1, machines/20) }
 
-// Ready reports whether the cloud may be called, Open how many rentals have no answer yet.
-func (r *Provisioner) Ready(now units.Microseconds) bool { return now >= r.wait }
-func (r *Provisioner) Open() int                         { return r.open }
+// Ready reports whether the cloud may be called.
+func (r *Provisioner) Ready(now units.Microseconds) bool { return now >= r.notBefore }
 
-// Deprovisioned reports whether the cloud has said that a machine is gone.
-func (r *Provisioner) Deprovisioned(machine string) bool { return r.gone[machine] != 0 }
+// OpenRequests is how many requests for machines have no answer yet.
+func (r *Provisioner) OpenRequests() int { return r.openRequests }
 
-// Release has a machine returned with the next request.
-func (r *Provisioner) Release(m *fleet.Machine) {
-	m.Deprovisioning = true
-	r.leaving = append(r.leaving, m.Name)
+// Deprovisioned reports whether the cloud has said that a machine is deleted.
+func (r *Provisioner) Deprovisioned(machine string) bool { return r.deprovisioned[machine] != 0 }
+
+// Release has a machine deprovisioned with the next request.
+func (r *Provisioner) Release(machine *fleet.Machine) {
+	machine.Deprovisioning = true
+	r.queue = append(r.queue, machine.Name)
 }
 
-// Tick rents, has machines returned and reads the machine list. list: this block has the
+// Tick scales out, has machines deprovisioned and reads the machine list. list: this shard has the
 // list read, for all.
 func (r *Provisioner) Tick(now units.Microseconds, list bool) {
 	r.now = now
-	if now >= r.listAt && list {
-		r.listAt = now + max(listEvery, r.cfg.ListLag)
+	if now >= r.nextListAt && list {
+		r.nextListAt = now + max(listEvery, r.cfg.ListLag)
 		r.host.Emit(ListMachines{SentAt: now})
 	}
-	if now >= r.planAt {
-		r.planAt = now + planEvery
+	if now >= r.nextPlanAt {
+		r.nextPlanAt = now + planEvery
 		r.plan()
 	}
 }
 
-// Flush returns machines that are to be returned.
+// Flush sends the request for machines that are to be deprovisioned.
 func (r *Provisioner) Flush() {
-	if n := min(len(r.leaving), returnsAtOnce); n > 0 {
-		r.host.Emit(ScaleIn{r.cfg.Shard, r.host.Assignment(), r.leaving[:n:n]})
-		r.leaving = r.leaving[n:]
-	}
-}
-
-// plan rents and returns machines.
-func (r *Provisioner) plan() {
-	needs, ok := r.host.SlotsNeeded()
-	if !ok {
-		return
-	}
-	machines := r.host.Machines()
-	names := slices.Sorted(maps.Keys(machines))
-	var ms []autoscaler.Machine
-	late := 0
-	booting := map[string]int{} // by zone
-	for _, name := range names {
-		m := machines[name]
-		if !m.Deprovisioning && r.boots(m) {
-			booting[m.Record.Zone]++
-		}
-		away := r.zones.Lost(m.Record.Zone)
-		if m.Deprovisioning || m.Lost && !away || m.Quarantined || m.Notice != units.Never {
-			continue
-		}
-		if m.Type != nil && !away && r.boots(m) && r.now-m.ProvisionedAt > lateBoot*m.Type.Boot && late < FewOf(len(machines)) {
-			late++ // what waits for it should not wait for that one alone
-			continue
-		}
-		sm := autoscaler.Machine{Name: name, Pool: PoolOf(m), Booted: m.LastSeen != 0, Age: r.now - m.ProvisionedAt, Away: away}
-		if len(m.Tasks) == 0 {
-			sm.Idle = r.now - m.IdleSince + 1
-		}
-		ms = append(ms, sm)
-	}
-	rents, back := r.scaler.Plan(r.now, needs, ms, r.host.Types(), func(zone string) int {
-		n := r.zones.Rents(zone)
-		if n > 0 {
-			n = max(0, n-booting[zone])
-		}
-		return n
-	})
-	for _, sm := range ms {
-		if m := machines[sm.Name]; sm.Wanted {
-			m.Spare = 0
-		} else if m.Spare == 0 {
-			m.Spare = r.now
-		}
-	}
-	if r.open == 0 {
-		r.rent(rents)
-	}
-	for _, name := range names {
-		m := machines[name]
-		boot := 30 * units.Second
-		if m.Type != nil {
-			boot = 6*m.Type.Boot + 10*units.Second
-		}
-		zone := m.Record.Zone
-		switch {
-		case m.Deprovisioning:
-		case !r.zones.Reachable(zone) && !(r.boots(m) && r.now-m.ProvisionedAt < r.zones.For(zone)): // that would be a probe
-			// What runs there may still come to an end; until then it is not for sale.
-			unneeded := m.LeaseEnd == 0 && m.Spare != 0 && r.now-m.Spare > spareFor
-			if !r.zones.Keep(zone, r.cfg.Lease+r.again(m)) || unneeded && !r.zones.Returning(zone) {
-				back = append(back, name)
-			}
-		case r.zones.DeclaredLost(zone):
-			if m.Reconciled && len(m.Tasks) == 0 {
-				back = append(back, name)
-			}
-		case r.zones.Again(zone) < r.cfg.HeartbeatInterval+keepLost: // it is about to be heard
-		case m.Quarantined && m.Reconciled && len(m.Tasks) == 0,
-			m.Lost && r.now-m.IdleSince > keepLost,
-			m.LastSeen == 0 && m.LeaseEnd == 0 && r.now-m.ProvisionedAt > boot:
-			back = append(back, name)
-		}
-	}
-	for _, name := range back {
-		r.Release(machines[name])
-	}
-}
-
-// rent asks for machines in as many requests as the cloud takes in a second, a
-// part of them for each of the offers.
-func (r *Provisioner) rent(rents []autoscaler.Rent) {
-	if len(rents) == 0 {
-		return
-	}
-	each := max(1, int(r.host.Calls()/2)/len(rents))
-	for _, x := range rents {
-		left := x.Count
-		for range each {
-			if left <= 0 {
-				break
-			}
-			x.Count = min(left, fleet.MaxGroup)
-			left -= x.Count
-			r.requests++
-			r.open++
-			// A name that no other grant uses: names must never come again.
-			r.host.Emit(ScaleOut{Shard: r.cfg.Shard, Assignment: r.host.Assignment(), Request: fmt.Sprintf("r-%d-%d", r.cfg.FencingToken, r.requests), Rent: x})
-		}
+	if n := min(len(r.queue), scaleInAtOnce); n > 0 {
+		r.host.Emit(ScaleIn{r.cfg.Shard, r.host.Assignment(), r.queue[:n:n]})
+		r.queue = r.queue[n:]
 	}
 }
 
-// boots reports whether a machine has not come up yet.
-func (r *Provisioner) boots(m *fleet.Machine) bool {
-	return m.LastSeen == 0 && m.LeaseEnd == 0 && !m.Lost
+// PoolOf is the offer by which a machine was provisioned.
+func PoolOf(machine *fleet.Machine) autoscaler.Pool {
+	return autoscaler.Pool{Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot}
 }
 
-// again is what time a machine takes to be of use that is rented anew: a boot, and images.
-func (r *Provisioner) again(m *fleet.Machine) units.Microseconds {
-	if m.Type == nil {
-		return leastAgain
-	}
-	return max(leastAgain, 3*m.Type.Boot/2+keepLost)
-}
-
-// PoolOf is the offer that a machine was rented by.
-func PoolOf(m *fleet.Machine) autoscaler.Pool {
-	return autoscaler.Pool{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}
-}
-
-// OnScaleOut takes a rental's outcome.
-func (r *Provisioner) OnScaleOut(now units.Microseconds, e ScaleOut, o store.Outcome, names []string) {
+// OnScaleOut takes the outcome of a request for machines.
+func (r *Provisioner) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
 	r.now = now
-	r.open = max(0, r.open-1)
-	p := e.Rent.Pool
-	switch o {
+	r.openRequests = max(0, r.openRequests-1)
+	pool := request.Increase.Pool
+	switch outcome {
 	case store.OK:
-		r.scaler.Granted(p)
-		if len(names) < e.Rent.Count {
-			r.scaler.Refused(now, p)
+		r.scaler.Provisioned(pool)
+		if len(names) < request.Increase.Count {
+			r.scaler.Refused(now, pool)
 		}
-		r.host.Provisioned(e.Request, fleet.Record{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, names)
-		r.cfg.Log.Info("rented", "type", p.Type, "zone", p.Zone, "spot", p.Spot, "asked", e.Rent.Count, "got", len(names))
+		r.host.Provisioned(request.Request, fleet.Record{Type: pool.Type, Zone: pool.Zone, Spot: pool.Spot}, names)
+		r.cfg.Log.Info("machines provisioned", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "requested", request.Increase.Count, "provisioned", len(names))
 	case store.Failed: // no capacity
-		r.scaler.Refused(now, p)
+		r.scaler.Refused(now, pool)
 	default:
-		r.wait = now + pause
+		r.notBefore = now + pause
 	}
 }
 
-// OnScaleIn takes a return's outcome: after OK the machines and all that ran on
-// them are gone.
-func (r *Provisioner) OnScaleIn(now units.Microseconds, e ScaleIn, o store.Outcome) {
+// OnScaleIn takes the outcome of a request to delete machines: after OK they and all that ran on
+// them are no more.
+func (r *Provisioner) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
 	r.now = now
 	machines := r.host.Machines()
-	for _, n := range e.Names {
-		m := machines[n]
-		if m == nil {
-			continue
-		}
-		if o != store.OK {
-			m.Deprovisioning = false // the next plan tries again
+	for _, name := range request.Names {
+		machine := machines[name]
+		if machine == nil {
 			continue
 		}
-		r.host.Deprovisioned(m)
-		r.gone[n] = now
-		r.cfg.Log.Info("returned", "machine", n)
-	}
-	if o != store.OK {
-		r.wait = now + pause
-	}
-}
-
-// OnListMachines takes the machine list. It may be old: it proves only that a machine
-// exists or has failed, never that one is absent.
-func (r *Provisioner) OnListMachines(now units.Microseconds, e ListMachines, hosts []Listed) {
-	r.now = now
-	for n, at := range r.gone {
-		if now-at > 4*r.cfg.ListLag+60*units.Second {
-			delete(r.gone, n)
-		}
-	}
-	r.unlisted(e.SentAt, hosts)
-	machines := r.host.Machines()
-	for _, h := range hosts {
-		m := machines[h.Name]
-		if r.Deprovisioned(h.Name) {
+		if outcome != store.OK {
+			machine.Deprovisioning = false // the next plan tries again
 			continue
 		}
-		if m != nil && m.Addr == "" {
-			m.Addr = h.Addr
-		}
-		if r.host.InAnotherShard(h.Name) {
-			continue // its holder finds out by itself when it fails
-		}
-		switch {
-		case h.Failed:
-			if m == nil || !m.Deprovisioning {
-				r.leaving = append(r.leaving, h.Name)
-			}
-			if m != nil {
-				m.Deprovisioning = true
-			}
-		case m == nil && h.Age > 2*r.cfg.ListLag+r.cfg.AdoptAfter && now-r.cfg.OwnedSince > 2*r.cfg.ListLag:
-			// Rented by a request that was carried out late, or whose answer was
-			// lost. Adopted: the next plan uses it or gives it back.
-			r.host.Adopt(h)
-			r.cfg.Log.Info("adopted", "machine", h.Name)
-		}
+		r.host.Deprovisioned(machine)
+		r.deprovisioned[name] = now
+		r.cfg.Log.Info("machine deprovisioned", "machine", name)
 	}
-}
-
-// unlisted notes which machines that are not accounted for a list does not show, though
-// they were rented long before all that it may leave out. They are most likely gone. That
-// is no proof; see package watch.
-func (r *Provisioner) unlisted(asked units.Microseconds, hosts []Listed) {
-	doubtful := r.host.Unreconciled()
-	if len(doubtful) == 0 {
-		return // nobody waits for any
-	}
-	listed := make(map[string]bool, len(hosts))
-	for _, h := range hosts {
-		listed[h.Name] = true
-	}
-	machines := r.host.Machines()
-	for name := range doubtful {
-		if m := machines[name]; m != nil {
-			m.Unlisted = !listed[name] && m.ProvisionedAt < asked-2*r.cfg.ListLag-r.cfg.AdoptAfter
-		}
+	if outcome != store.OK {
+		r.notBefore = now + pause
 	}
 }
--- a/internal/core/machines.go
+++ b/internal/core/reconcile.go
@@ -12,21 +12,6 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// newMachine takes in a machine that is, or is about to be, stored with a
-// group, and that was rented some time ago.
-func (c *Core) newMachine(shard *ownedShard, name, key string, r fleet.Record, age units.Microseconds) *fleet.Machine {
-	m := fleet.New(name, r, c.types[r.Type], c.now)
-	m.Group, m.ProvisionedAt = key, c.now-age
-	shard.reconciler.Add(m)
-	shard.writer.AddMachine(key, name, fleet.Group{Shard: shard.number, Type: r.Type, Zone: r.Zone, Spot: r.Spot, ProvisionedAt: c.wall - age})
-	return m
-}
-
-// orphanKey is where a machine is stored that no request is known to have rented.
-func orphanKey(name string) string { return keys.OrphanMachine(name) }
-
-func isOrphanKey(key string) bool { return keys.IsOrphanMachine(key) }
-
 // reconcileHost is what the owner of a shard does for its machines (package reconcile).
 type reconcileHost struct {
 	*Core
@@ -61,7 +46,7 @@
 // Adopt implements reconcile.Host.
 func (h reconcileHost) Adopt(heartbeat *fleet.Heartbeat) *fleet.Machine {
 	record := fleet.Record{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
-	return h.newMachine(h.shard, heartbeat.Machine, orphanKey(heartbeat.Machine), record, 0)
+	return h.newMachine(h.shard, heartbeat.Machine, keys.OrphanMachine(heartbeat.Machine), record, 0)
 }
 
 // StoreGroup implements reconcile.Host.
@@ -137,3 +122,13 @@
 		shard.reconciler.OnProbe(c.now, probe, outcome, answer)
 	}
 }
+
+// newMachine adds a machine that is, or is about to be, stored with a group, and that was
+// provisioned some time ago.
+func (c *Core) newMachine(shard *ownedShard, name, group string, record fleet.Record, age units.Microseconds) *fleet.Machine {
+	machine := fleet.New(name, record, c.types[record.Type], c.now)
+	machine.Group, machine.ProvisionedAt = group, c.now-age
+	shard.reconciler.Add(machine)
+	shard.writer.AddMachine(group, name, fleet.Group{Shard: shard.number, Type: record.Type, Zone: record.Zone, Spot: record.Spot, ProvisionedAt: c.wall - age})
+	return machine
+}
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -112,6 +112,17 @@
 // map is to be read only.
 func (r *Reconciler) Unreconciled() map[string]bool { return r.unreconciled }
 
+// UnreconciledOutside counts the unreconciled machines outside of lost zones.
+func (r *Reconciler) UnreconciledOutside(lost func(zone string) bool) int {
+	outside := 0
+	for name := range r.unreconciled {
+		if machine := r.machines[name]; machine != nil && !lost(machine.Record.Zone) {
+			outside++
+		}
+	}
+	return outside
+}
+
 // Up counts the machines that have come up and may run tasks.
 func (r *Reconciler) Up() int {
 	up := 0
--- a/internal/core/retire.go
+++ b/internal/core/retire.go
@@ -36,7 +36,7 @@
 	case c.emptySince == 0:
 		c.emptySince = c.now
 	}
-	return !c.reachability.Any() || now-c.emptySince > liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval)
+	return !c.reachability.AnyHeartbeat() || now-c.emptySince > liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval)
 }
 
 // Leave gives up the membership, so that nobody waits for its lease to end. The process ends.
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -63,7 +63,7 @@
 
 // TooExpensive implements scheduler.Host.
 func (h schedulerHost) TooExpensive(machine *fleet.Machine, spec *jobs.Spec) bool {
-	return autoscaler.Dear(provisioner.PoolOf(machine), h.core.compatibleTypes(spec), spec.Spot, h.core.types)
+	return autoscaler.TooExpensive(provisioner.PoolOf(machine), h.core.compatibleTypes(spec), spec.Spot, h.core.types)
 }
 
 // NextAttempt implements scheduler.Host.
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -62,7 +62,7 @@
 	if job.Spec() == nil || job.Ready() == 0 || !s.startable(now, job) {
 		return 0
 	}
-	if machine.Spare != 0 && s.demand.Idle(wall, job) {
+	if machine.SpareSince != 0 && s.demand.Idle(wall, job) {
 		return 0 // the machine would be kept for that alone
 	}
 	pending := job.Ready() - s.headroom.take(job, class)
--- a/internal/core/scheduler/idle.go
+++ b/internal/core/scheduler/idle.go
@@ -20,7 +20,7 @@
 // machine is returned to the cloud when nothing runs there any more.
 func (s *Scheduler) EvictIdle(machine *fleet.Machine) []fleet.Command {
 	now, wall := s.host.Now(), s.host.Wall()
-	if machine.Spare == 0 || now-machine.Spare < evictAfter || len(machine.Tasks) == 0 {
+	if machine.SpareSince == 0 || now-machine.SpareSince < evictAfter || len(machine.Tasks) == 0 {
 		return nil
 	}
 	var stops []fleet.Command
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -59,14 +59,13 @@
 func (c *Core) own(k int, g shardplan.Assignment) {
 	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction)}
-	host := shardHost{c, shard}
 	shard.quota = quota.New(quotaHost{c, shard})
 	shard.reconciler = reconcile.New(reconcile.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, Log: c.log}, reconcileHost{c, shard}, shard.quota)
 	shard.scheduler = scheduler.New(scheduler.Config{Shard: k, Packing: c.cfg.Pack, HeartbeatDeadline: liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval),
 		Log: c.log, SkippedGuard: c.cfg.SkippedGuard}, schedulerHost{c, shard}, shard.quota, shard.demand, c.zones)
 	shard.attribution = quarantine.New(schedulerHost{c, shard}, c.log)
-	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: reconcile.AdoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, host, c.zones)
-	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, host, shard.provisioner, c.zones)
+	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: reconcile.AdoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, provisionerHost{c, shard}, c.zones)
+	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, livenessHost{c, shard}, shard.provisioner, c.zones)
 	shard.writer = c.newShardWriter(shard)
 	shard.replication = replication.NewPrimary(k, shard.fencingToken, replicationHost{c, shard})
 	c.owned[k] = shard
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -350,7 +350,7 @@
 	t.Helper()
 	c := New(Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, NextWriteRate: 20, Teams: []Team{{Name: "t"}},
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CloudRate: 5,
-		Scale: autoscaler.Params{Memory: 15 * units.Second, Worth: 20 * units.Second, IdleReturn: 5 * units.Second}})
+		Scale: autoscaler.Params{AverageOver: 15 * units.Second, WorkPerSlot: 20 * units.Second, ScaleInAfter: 5 * units.Second}})
 	c.Tick(units.Second, 1000*units.Second)
 	var items []store.Event
 	for _, k := range sortedKeys(values) {
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -182,7 +182,7 @@
 	if o, types := cl.Types(t.Context()); o != store.OK || len(types) != 1 || types[0].Name != "big" {
 		t.Fatalf("types: %v, %+v", o, types)
 	}
-	r := autoscaler.Rent{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: 2}
+	r := autoscaler.Increase{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: 2}
 	_, first := cl.ScaleOut(t.Context(), "r-1", r, yes)
 	_, again := cl.ScaleOut(t.Context(), "r-1", r, yes)
 	_, rest := cl.ScaleOut(t.Context(), "r-2", r, yes)
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -328,9 +328,9 @@
 		var names []string
 		none := false
 		n.cloudCall(true, func() int {
-			p := e.Rent.Pool
+			p := e.Increase.Pool
 			var code int
-			names, none, code = w.Site.Cloud.Rent(w.now, e.Request, rental.Pool{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, e.Rent.Count)
+			names, none, code = w.Site.Cloud.Rent(w.now, e.Request, rental.Pool{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, e.Increase.Count)
 			for _, name := range names {
 				if m := w.Site.Cloud.Machine(name); m != nil {
 					m.Addr = name
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -141,9 +141,9 @@
 	t.Error("no task was called back to where it is not")
 }
 
-var rented = regexp.MustCompile(`t=([0-9.]+) level=INFO msg=rented .* zone=(\w+) .* got=(\d+)`)
+var provisioned = regexp.MustCompile(`t=([0-9.]+) level=INFO msg="machines provisioned" .* zone=(\w+) .* provisioned=(\d+)`)
 
-// TestNothingIntoALostZone counts what is rented while a zone is lost, with its controller
+// TestNothingIntoALostZone counts what is provisioned while a zone is lost, with its controller
 // and without, in whatever way it is cut off: from when it is lost on nothing there.
 func TestNothingIntoALostZone(t *testing.T) {
 	for i, mode := range []string{"hold", "drop", "reset"} {
@@ -152,7 +152,7 @@
 			t.Errorf("%s: the zone was never lost, or never came back", mode)
 		}
 		into, elsewhere := 0, 0
-		for _, m := range rented.FindAllStringSubmatch(logs, -1) {
+		for _, m := range provisioned.FindAllStringSubmatch(logs, -1) {
 			at, _ := strconv.ParseFloat(m[1], 64)
 			got, _ := strconv.Atoi(m[3])
 			switch {
@@ -164,7 +164,7 @@
 			}
 		}
 		if into > 0 || elsewhere == 0 {
-			t.Errorf("%s: %d machines were rented into the lost zone, and %d elsewhere", mode, into, elsewhere)
+			t.Errorf("%s: %d machines were provisioned into the lost zone, and %d elsewhere", mode, into, elsewhere)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -191,7 +191,7 @@
 		}()
 	case core.ScaleOut:
 		go func() {
-			o, names := n.cloud.ScaleOut(ctx, e.Request, e.Rent, n.holdsAuthority)
+			o, names := n.cloud.ScaleOut(ctx, e.Request, e.Increase, n.holdsAuthority)
 			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleOut(now, e, o, names) })
 		}()
 	case core.ScaleIn:
