--- a/internal/core/admission/answers.go
+++ b/internal/core/admission/answers.go
@@ -87,10 +87,10 @@
 }
 
 // answerArchived tells how an archived job ended.
-func (h *Handler) answerArchived(request RequestID, id string, ended archive.Answer, counts bool) {
-	answer := JobAnswer{ID: id, Status: ended.Status, Counts: counts}
-	if ended.Status == jobs.Done {
-		answer.Done = ended.Tasks
+func (h *Handler) answerArchived(request RequestID, id string, outcome archive.Answer, counts bool) {
+	answer := JobAnswer{ID: id, Status: outcome.Status, Counts: counts}
+	if outcome.Status == jobs.Done {
+		answer.Done = outcome.Tasks
 	}
 	h.host.Answer(request, false, answer)
 }
@@ -98,10 +98,10 @@
 // findArchived answers a query or a cancellation of a job whose record is not there, as of
 // a read that began after the request came.
 func (h *Handler) findArchived(request RequestID, id string, counts bool) {
-	h.host.Archive().Find(id, false, func(verdict archive.Verdict, ended archive.Answer) {
+	h.host.Archive().Find(id, false, func(verdict archive.Verdict, outcome archive.Answer) {
 		switch verdict {
 		case archive.Found:
-			h.answerArchived(request, id, ended, counts)
+			h.answerArchived(request, id, outcome, counts)
 		case archive.Absent:
 			h.host.Refuse(request, &Refusal{Reason: NoSuchJob, Text: "no such job"})
 		default:
--- a/internal/core/admission/query.go
+++ b/internal/core/admission/query.go
@@ -9,8 +9,8 @@
 		h.answerJob(request, job, true)
 		return
 	}
-	if ended, known := h.host.Archive().Known(id); known {
-		h.answerArchived(request, id, ended, true)
+	if outcome, known := h.host.Archive().Known(id); known {
+		h.answerArchived(request, id, outcome, true)
 		return
 	}
 	if h.host.ForwardFirst(request) {
--- a/internal/core/admission/storing.go
+++ b/internal/core/admission/storing.go
@@ -36,12 +36,12 @@
 
 // store stores what is next of a new job: chunks of its description, if there are any, and then the
 // record.
-func (h *Handler) store(s *submission) {
-	if s.form.complete() {
-		h.storeRecord(s)
+func (h *Handler) store(sub *submission) {
+	if sub.form.complete() {
+		h.storeRecord(sub)
 		return
 	}
-	h.storeChunks(s)
+	h.storeChunks(sub)
 }
 
 // guards are those of everything that is stored of a new job. The first also keeps late chunks
@@ -50,17 +50,17 @@
 	return []store.Guard{{Key: keys.Job(s.Job)}, {Key: keys.ArchiveMark, Version: s.mark}}
 }
 
-func (h *Handler) storeRecord(s *submission) {
-	w := &store.Write{Guards: s.guards(), Changes: []store.Change{{Key: keys.Job(s.Job), Value: s.form.value}}}
-	if s.form.firstVersion != 0 { // who deletes chunks without a record begins with that one
-		w.Guards = append(w.Guards, store.Guard{Key: chunks.Key(s.Job, s.form.record.Sum, 0), Version: s.form.firstVersion})
+func (h *Handler) storeRecord(sub *submission) {
+	w := &store.Write{Guards: sub.guards(), Changes: []store.Change{{Key: keys.Job(sub.Job), Value: sub.form.value}}}
+	if sub.form.firstVersion != 0 { // who deletes chunks without a record begins with that one
+		w.Guards = append(w.Guards, store.Guard{Key: chunks.Key(sub.Job, sub.form.record.Checksum, 0), Version: sub.form.firstVersion})
 	}
-	h.queue(s, w, func(uint64) {
-		status := s.form.record.Status
-		if job := h.host.Job(s.Job); job != nil && !job.Active() {
+	h.queue(sub, w, func(uint64) {
+		status := sub.form.record.Status
+		if job := h.host.Job(sub.Job); job != nil && !job.Active() {
 			status = job.Record.Status // it depends on a cancelled one
 		}
-		h.host.Answer(s.ID, true, JobAnswer{ID: s.Job, Status: status})
+		h.host.Answer(sub.ID, true, JobAnswer{ID: sub.Job, Status: status})
 	})
 }
 
@@ -68,47 +68,47 @@
 // the same: written once more, the first chunk's version would change, and the two would keep
 // each other from storing the record. Others are passed over only where the first was there: else
 // they may be about to be deleted.
-func (h *Handler) storeChunks(s *submission) {
-	form := &s.form
+func (h *Handler) storeChunks(sub *submission) {
+	form := &sub.form
 	first := form.queued == 0
 	if first {
-		form.firstVersion = h.host.Version(chunks.Key(s.Job, form.record.Sum, 0))
+		form.firstVersion = h.host.Version(chunks.Key(sub.Job, form.record.Checksum, 0))
 		form.present = form.firstVersion != 0
 	}
-	w := &store.Write{Guards: s.guards()}
+	w := &store.Write{Guards: sub.guards()}
 	for ; len(w.Changes) < h.cfg.TxnOps && !form.complete(); form.queued++ {
-		key := chunks.Key(s.Job, form.record.Sum, form.queued)
+		key := chunks.Key(sub.Job, form.record.Checksum, form.queued)
 		if !form.present || h.host.Version(key) == 0 {
 			w.Changes = append(w.Changes, store.Change{Key: key, Value: form.chunks[form.queued]})
 		}
 	}
 	if len(w.Changes) == 0 {
-		h.store(s) // all are there
+		h.store(sub) // all are there
 		return
 	}
-	h.queue(s, w, func(revision uint64) {
+	h.queue(sub, w, func(revision uint64) {
 		if first && !form.present {
 			form.firstVersion = revision
 		}
-		h.store(s)
+		h.store(sub)
 	})
 }
 
 // queue has a part of a new job stored and goes on with stored, which is told the revision.
-func (h *Handler) queue(s *submission, w *store.Write, stored func(revision uint64)) {
+func (h *Handler) queue(sub *submission, w *store.Write, stored func(revision uint64)) {
 	w.Done = func(outcome store.Outcome, revision uint64) {
 		switch outcome {
 		case store.OK:
 			stored(revision)
 		case store.Failed: // another controller, or an earlier try, was first; or the mark is a new one
-			h.retry(s)
+			h.retry(sub)
 		case store.TooLarge:
-			h.host.Refuse(s.ID, NotNow("the state service takes no value of that size"))
+			h.host.Refuse(sub.ID, NotNow("the state service takes no value of that size"))
 		default:
-			h.host.Forward(s.Request)
+			h.host.Forward(sub.Request)
 		}
 	}
 	if !h.host.Queue(w) {
-		h.host.Refuse(s.ID, NotNow("too many submissions"))
+		h.host.Refuse(sub.ID, NotNow("too many submissions"))
 	}
 }
--- a/internal/core/admission/submit.go
+++ b/internal/core/admission/submit.go
@@ -34,32 +34,32 @@
 
 // resolve finds out which of the job and its dependencies are archived. From then on the
 // answers are at hand, or their absence is proven for whoever guards the mark of that time.
-func (h *Handler) resolve(s *submission) {
-	past := h.host.Archive()
-	_, s.mark = past.Mark()
-	if !past.On() {
-		h.judge(s, true)
+func (h *Handler) resolve(sub *submission) {
+	index := h.host.Archive()
+	_, sub.mark = index.Mark()
+	if !index.On() {
+		h.judge(sub, true)
 		return
 	}
-	if h.host.Revision() < s.mark { // the copy may lack what was accepted before the mark
+	if h.host.Revision() < sub.mark { // the copy may lack what was accepted before the mark
 		h.host.ReadFresh(func(ok bool) {
 			if ok {
-				h.resolve(s)
+				h.resolve(sub)
 			} else {
-				h.judge(s, false)
+				h.judge(sub, false)
 			}
 		})
 		return
 	}
-	names := []string{s.Job}
-	if s.Spec != nil {
-		names = append(names, s.Spec.Awaits...)
+	names := []string{sub.Job}
+	if sub.Spec != nil {
+		names = append(names, sub.Spec.Awaits...)
 	}
-	s.absent = map[string]bool{}
+	sub.absent = map[string]bool{}
 	pending, resolved := 1, true // the one more is this function's own
 	finish := func() {
 		if pending--; pending == 0 {
-			h.judge(s, resolved)
+			h.judge(sub, resolved)
 		}
 	}
 	for _, id := range names {
@@ -67,10 +67,10 @@
 			continue
 		}
 		pending++
-		past.Find(id, true, func(verdict archive.Verdict, _ archive.Answer) {
+		index.Find(id, true, func(verdict archive.Verdict, _ archive.Answer) {
 			resolved = resolved && verdict != archive.Unknown
 			if verdict == archive.Absent {
-				s.absent[id] = true
+				sub.absent[id] = true
 			}
 			finish()
 		})
@@ -79,67 +79,67 @@
 }
 
 // judge answers a submission of a job that is known by now, and accepts or refuses a new one.
-func (h *Handler) judge(s *submission, resolved bool) {
-	job := h.host.Job(s.Job)
-	ended, archived := h.host.Archive().Known(s.Job)
+func (h *Handler) judge(sub *submission, resolved bool) {
+	job := h.host.Job(sub.Job)
+	outcome, archived := h.host.Archive().Known(sub.Job)
 	switch {
-	case job != nil && (s.fresh || !job.Active()):
-		h.answerJob(s.ID, job, false)
+	case job != nil && (sub.fresh || !job.Active()):
+		h.answerJob(sub.ID, job, false)
 	case job != nil:
-		h.Query(s.ID, s.Job)
+		h.Query(sub.ID, sub.Job)
 	case archived:
-		h.answerArchived(s.ID, s.Job, ended, false)
+		h.answerArchived(sub.ID, sub.Job, outcome, false)
 	case !resolved:
-		h.host.Forward(s.Request)
+		h.host.Forward(sub.Request)
 	default:
-		h.judgeNew(s)
+		h.judgeNew(sub)
 	}
 }
 
 // judgeNew accepts or refuses a job that is not known. Before a refusal a read makes sure that
 // no other controller has accepted it, nor a job that it depends on.
-func (h *Handler) judgeNew(s *submission) {
-	refusal := h.refusal(s)
+func (h *Handler) judgeNew(sub *submission) {
+	refusal := h.refusal(sub)
 	switch {
 	case refusal == nil:
-		h.accept(s)
-	case s.fresh:
-		h.host.Refuse(s.ID, refusal)
+		h.accept(sub)
+	case sub.fresh:
+		h.host.Refuse(sub.ID, refusal)
 	default:
-		h.resolveFresh(s)
+		h.resolveFresh(sub)
 	}
 }
 
 // resolveFresh begins again after a read.
-func (h *Handler) resolveFresh(s *submission) {
+func (h *Handler) resolveFresh(sub *submission) {
 	h.host.ReadFresh(func(ok bool) {
 		if !ok {
-			h.host.Forward(s.Request)
+			h.host.Forward(sub.Request)
 			return
 		}
-		s.fresh = true
-		h.resolve(s)
+		sub.fresh = true
+		h.resolve(sub)
 	})
 }
 
 // retry begins again with a submission that was not stored for what others stored.
-func (h *Handler) retry(s *submission) {
-	if s.attempts++; s.attempts > maxAttempts {
-		h.host.Refuse(s.ID, NotNow("try again"))
+func (h *Handler) retry(sub *submission) {
+	if sub.attempts++; sub.attempts > maxAttempts {
+		h.host.Refuse(sub.ID, NotNow("try again"))
 		return
 	}
-	h.resolveFresh(s)
+	h.resolveFresh(sub)
 }
 
 // refusal says why a job cannot be accepted, for what it is; nil: it can.
-func (h *Handler) refusal(s *submission) *Refusal {
-	if s.Spec == nil {
-		return &Refusal{Reason: Malformed, Text: s.Malformed}
+func (h *Handler) refusal(sub *submission) *Refusal {
+	if sub.Spec == nil {
+		return &Refusal{Reason: Malformed, Text: sub.Malformed}
 	}
 	if !h.host.TypesKnown() {
 		return NotNow("machine types are not known yet")
 	}
-	if why := h.infeasible(s.Spec, s.absent); why != "" {
+	if why := h.infeasible(sub.Spec, sub.absent); why != "" {
 		return &Refusal{Reason: Infeasible, Text: why}
 	}
 	return nil
@@ -184,29 +184,29 @@
 
 // accept stores a new job unless this controller cannot take one at present. Where it is not sure
 // that the job is stored the user is told to ask again; asking again does no harm.
-func (h *Handler) accept(s *submission) {
+func (h *Handler) accept(sub *submission) {
 	if refusal := h.notNow(); refusal != nil {
-		h.host.Refuse(s.ID, refusal)
+		h.host.Refuse(sub.ID, refusal)
 		return
 	}
 	shard := h.host.LeastLoadedShard()
-	spec, cancelled, ok := h.dropFinishedDependencies(s.Spec)
+	spec, cancelled, ok := h.dropFinishedDependencies(sub.Spec)
 	// Nothing is accepted without a proof that it is not archived.
-	if !ok || h.host.Archive().On() && !s.absent[s.Job] {
-		h.host.Refuse(s.ID, NotNow("try again"))
+	if !ok || h.host.Archive().On() && !sub.absent[sub.Job] {
+		h.host.Refuse(sub.ID, NotNow("try again"))
 		return
 	}
 	record := jobs.Record{Status: jobs.Pending, Shard: shard, Tasks: spec.Tasks, Submitted: h.host.WallClock(), Spec: spec}
 	if cancelled {
 		record = jobs.Record{Status: jobs.Cancelled, Tasks: spec.Tasks, Team: spec.Team, Demand: spec.Demand}
 	}
-	s.form = newStoredForm(record, h.cfg.ValueMax)
-	if older := h.host.OlderPeer(); older != "" && (len(s.form.chunks) > 0 || len(spec.Awaits) > 0) {
+	sub.form = newStoredForm(record, h.cfg.ValueMax)
+	if older := h.host.OlderPeer(); older != "" && (len(sub.form.chunks) > 0 || len(spec.Awaits) > 0) {
 		// It would start the job at once, or could not read it.
-		h.host.Refuse(s.ID, NotNow("controller "+older+" still runs an older release"))
+		h.host.Refuse(sub.ID, NotNow("controller "+older+" still runs an older release"))
 		return
 	}
-	h.store(s)
+	h.store(sub)
 }
 
 // notNow says why no job can be accepted at present; nil: one can.
@@ -224,24 +224,24 @@
 // that they may be archived at any moment: those that are done need not be waited for.
 // cancelled reports that one was cancelled, and the job with it; ok is false where it is not known
 // how one ended.
-func (h *Handler) dropFinishedDependencies(s *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
-	past := h.host.Archive()
-	if len(s.Awaits) == 0 || !past.On() {
-		return s, false, true
+func (h *Handler) dropFinishedDependencies(described *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
+	index := h.host.Archive()
+	if len(described.Awaits) == 0 || !index.On() {
+		return described, false, true
 	}
-	mark, _ := past.Mark()
-	remaining := *s
+	mark, _ := index.Mark()
+	remaining := *described
 	remaining.Awaits = nil
-	for _, id := range s.Awaits {
+	for _, id := range described.Awaits {
 		var status jobs.Status
 		job := h.host.Job(id)
 		switch {
 		case job == nil:
-			ended, known := past.Known(id)
+			outcome, known := index.Known(id)
 			if !known {
 				return nil, false, false
 			}
-			status = ended.Status
+			status = outcome.Status
 		case !job.Active() && job.CancelledBy == "" && job.Version < mark.Cut:
 			status = job.Record.Status
 		default:
--- a/internal/core/archive/keeper.go
+++ b/internal/core/archive/keeper.go
@@ -72,7 +72,7 @@
 	MinAge   units.Microseconds
 	ValueMax int // bytes of a stored value
 	TxnOps   int // changes of a transaction
-	Layout   jobs.Layout
+	Layout   jobs.ProgressLayout
 	Log      *slog.Logger
 }
 
--- a/internal/core/chunks/chunks.go
+++ b/internal/core/chunks/chunks.go
@@ -56,7 +56,7 @@
 // nobody needs the text. It returns the record that waits for parts, if one does.
 func (s *Store) Put(now units.Microseconds, e store.Event, read bool) (head store.Event, waits bool, err error) {
 	id := Owner(e.Key)
-	text, err := jobs.PartText(e.Value)
+	text, err := jobs.ChunkText(e.Value)
 	if err != nil {
 		return head, false, err
 	}
@@ -103,9 +103,9 @@
 // are there. Where they are not, the record waits for them.
 func (s *Store) Join(id string, r *jobs.Record, e store.Event) (bool, error) {
 	delete(s.lone, id)
-	texts := make([]string, r.Parts)
+	texts := make([]string, r.Chunks)
 	for n := range texts {
-		t, ok := s.texts[id][Key(id, r.Sum, n)]
+		t, ok := s.texts[id][Key(id, r.Checksum, n)]
 		if !ok {
 			s.heads[id] = e
 			return false, nil
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -206,8 +206,8 @@
 	if c.cfg.ValueMax == 0 {
 		c.cfg.ValueMax = int(cfg.ValueKB * 1024)
 	}
-	layout := jobs.Layout{Chunk: jobs.ChunkTasks(cfg.ValueKB)}
-	layout.Split = jobs.ChunkTasks(float64(c.cfg.ValueMax)/1024) < layout.Chunk
+	layout := jobs.ProgressLayout{TasksPerRecord: jobs.TasksPerRecord(cfg.ValueKB)}
+	layout.Pieces = jobs.TasksPerRecord(float64(c.cfg.ValueMax)/1024) < layout.TasksPerRecord
 	c.jobs = registry.New(registry.Config{Layout: layout, TxnOps: cfg.TxnOps, OrphanAge: cfg.ArchiveSettleTime, Log: cfg.Log}, jobsHost{c})
 	c.admission = admission.New(admission.Config{ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, SkippedGuard: cfg.SkippedGuard, Log: cfg.Log}, admissionHost{c})
 	for i := range cfg.Teams {
--- a/internal/core/demand/demand_test.go
+++ b/internal/core/demand/demand_test.go
@@ -98,7 +98,7 @@
 			order = append(order, jobOf("c", tasks))
 		}
 		for range test.placed {
-			order[0].Take(jobs.Place{Machine: "n-1"})
+			order[0].PlaceNext(jobs.Place{Machine: "n-1"})
 		}
 		needs := estimator.SlotsNeeded(0, order[0].Since, order, fakeHost{test.lost})
 		if len(needs) != 1 {
--- a/internal/core/inspect.go
+++ b/internal/core/inspect.go
@@ -76,7 +76,7 @@
 	case strings.HasPrefix(e.Key, chunkPrefix):
 		id, _, _ := strings.Cut(rest, "/")
 		s.parts[id] = append(s.parts[id], store.Event{Key: e.Key, Stamp: e.Stamp})
-		_, err = jobs.PartText(e.Value)
+		_, err = jobs.ChunkText(e.Value)
 	case strings.HasPrefix(e.Key, progressPrefix):
 		id, _, _ := strings.Cut(rest, "/")
 		s.done[id] = append(s.done[id], store.Event{Key: e.Key, Stamp: e.Stamp})
@@ -124,7 +124,7 @@
 		s.jobs[id] = inspectedJob{status: jobs.Pending, stamp: e.Stamp} // its parts and progress stay
 		return err
 	}
-	s.jobs[id] = inspectedJob{r.Status, e.Stamp, r.Parts, r.Sum}
+	s.jobs[id] = inspectedJob{r.Status, e.Stamp, r.Chunks, r.Checksum}
 	if r.Spec != nil && !r.Status.Final() {
 		for _, a := range r.Spec.Awaits {
 			s.awaits[a] = append(s.awaits[a], id)
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/job_test.go
@@ -13,25 +13,25 @@
 func TestRangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.IntRange(2, 64).Draw(t, "value_kb")
-		chunk := ChunkTasks(float64(kb))
-		lo := chunk * rapid.IntRange(0, 3).Draw(t, "chunk")
-		var s Set
+		chunk := TasksPerRecord(float64(kb))
+		first := chunk * rapid.IntRange(0, 3).Draw(t, "chunk")
+		var set Set
 		step := rapid.IntRange(1, 5).Draw(t, "step")
-		for i := lo; i < lo+chunk; i += step {
+		for i := first; i < first+chunk; i += step {
 			if step < 3 || rapid.IntRange(0, 9).Draw(t, "skip") > 0 {
-				s.Add(i)
+				set.Add(i)
 			}
 		}
-		text := s.Ranges(lo, lo+chunk)
+		text := set.Ranges(first, first+chunk)
 		if len(text)+32 > kb*1024 {
 			t.Fatalf("%d bytes for a limit of %d KiB", len(text), kb)
 		}
 		var back Set
-		if err := back.AddRanges(text, lo, lo+chunk); err != nil {
+		if err := back.AddRanges(text, first, first+chunk); err != nil {
 			t.Fatal(err)
 		}
-		if back.Len() != s.Len() || back.Ranges(lo, lo+chunk) != text {
-			t.Fatalf("%q reads back as %q", text, back.Ranges(lo, lo+chunk))
+		if back.Len() != set.Len() || back.Ranges(first, first+chunk) != text {
+			t.Fatalf("%q reads back as %q", text, back.Ranges(first, first+chunk))
 		}
 	})
 }
@@ -69,15 +69,15 @@
 func TestJobAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "tasks")
-		j := &Job{ID: "wk-000001", Record: Record{Status: Pending, Tasks: n, Spec: &Spec{Tasks: n}}}
-		j.Reset()
+		job := &Job{ID: "wk-000001", Record: Record{Status: Pending, Tasks: n, Spec: &Spec{Tasks: n}}}
+		job.Reset()
 		placed, finished := map[int]bool{}, map[int]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				if j.Ready() == 0 {
+				if job.Ready() == 0 {
 					t.Skip()
 				}
-				k := j.Take(Place{Machine: "m"})
+				k := job.PlaceNext(Place{Machine: "m"})
 				if placed[k] || finished[k] {
 					t.Fatalf("task %d taken though placed or finished", k)
 				}
@@ -88,17 +88,17 @@
 				if placed[k] || finished[k] {
 					t.Skip()
 				}
-				j.Adopt(k, Place{Machine: "m"})
+				job.Adopt(k, Place{Machine: "m"})
 				placed[k] = true
 			},
 			"finish": func(t *rapid.T) {
 				k := rapid.IntRange(0, n-1).Draw(t, "task")
-				j.Finish(k, Layout{Chunk: 256})
+				job.Finish(k, ProgressLayout{TasksPerRecord: 256})
 				finished[k] = true
 			},
 			"release": func(t *rapid.T) {
 				k := rapid.IntRange(0, n-1).Draw(t, "task")
-				j.Release(k)
+				job.Release(k)
 				delete(placed, k)
 			},
 			"": func(t *rapid.T) {
@@ -108,11 +108,11 @@
 						ready++
 					}
 				}
-				if j.Ready() != ready || j.Placed() != len(placed) || j.Finished() != len(finished) {
-					t.Fatalf("ready %d placed %d finished %d, want %d %d %d", j.Ready(), j.Placed(), j.Finished(), ready, len(placed), len(finished))
+				if job.Ready() != ready || job.Placed() != len(placed) || job.Finished() != len(finished) {
+					t.Fatalf("ready %d placed %d finished %d, want %d %d %d", job.Ready(), job.Placed(), job.Finished(), ready, len(placed), len(finished))
 				}
-				if j.AllFinished() != (len(finished) == n) {
-					t.Fatalf("all finished: %v with %d of %d", j.AllFinished(), len(finished), n)
+				if job.AllFinished() != (len(finished) == n) {
+					t.Fatalf("all finished: %v with %d of %d", job.AllFinished(), len(finished), n)
 				}
 			},
 		})
--- a/internal/core/jobs/progress_test.go
+++ b/internal/core/jobs/progress_test.go
@@ -12,66 +12,66 @@
 
 // productionRead reads a record of finished tasks as the releases before 0.3 do:
 // by its number and the old value limit alone.
-func productionRead(s *Set, name, ranges string, tasks int, oldKB float64) error {
+func productionRead(s *Set, name, ranges string, tasks int, formerKB float64) error {
 	n, err := strconv.Atoi(name)
 	if err != nil {
 		return err
 	}
-	lo := n * ChunkTasks(oldKB)
-	return s.AddRanges(ranges, lo, min(lo+ChunkTasks(oldKB), tasks))
+	lo := n * TasksPerRecord(formerKB)
+	return s.AddRanges(ranges, lo, min(lo+TasksPerRecord(formerKB), tasks))
 }
 
 // Finished tasks that either release stores read back the same in both, under
 // the old value limit and the smaller one, and whichever of them writes next.
 func TestProgressOfBothReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		oldKB := float64(rapid.SampledFrom([]int{2, 4, 8, 32}).Draw(t, "old_kb"))
-		newKB := min(oldKB, float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(t, "new_kb")))
+		formerKB := float64(rapid.SampledFrom([]int{2, 4, 8, 32}).Draw(t, "old_kb"))
+		newKB := min(formerKB, float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(t, "new_kb")))
 		tasks := rapid.IntRange(1, 9000).Draw(t, "tasks")
-		old := Layout{Chunk: ChunkTasks(oldKB)}
-		layout := Layout{Chunk: old.Chunk, Split: ChunkTasks(newKB) < old.Chunk}
-		j := &Job{Record: Record{Status: Pending, Tasks: tasks, Spec: &Spec{Tasks: tasks}}}
-		j.Clear()
+		former := ProgressLayout{TasksPerRecord: TasksPerRecord(formerKB)}
+		layout := ProgressLayout{TasksPerRecord: former.TasksPerRecord, Pieces: TasksPerRecord(newKB) < former.TasksPerRecord}
+		job := &Job{Record: Record{Status: Pending, Tasks: tasks, Spec: &Spec{Tasks: tasks}}}
+		job.ClearPlacements()
 		stored := map[string]string{}
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			writer, limit := layout, int(newKB*1024)
 			if rapid.Bool().Draw(t, "old_writes") {
-				writer, limit = old, int(oldKB*1024)
+				writer, limit = former, int(formerKB*1024)
 			}
 			step := rapid.IntRange(1, 4).Draw(t, "step")
 			for i := rapid.IntRange(0, tasks-1).Draw(t, "from"); i < tasks && rapid.IntRange(0, 300).Draw(t, "stop") > 0; i += step {
-				j.Finish(i, writer)
+				job.Finish(i, writer)
 			}
-			if j.AllFinished() {
-				j.finished = Set{}
+			if job.AllFinished() {
+				job.finished = Set{}
 			}
-			for _, lo := range j.Dirty() {
+			for _, lo := range job.TakeDirty() {
 				p := writer.Of(lo, tasks)
-				stored[p.Name] = j.FinishedIn(p)
+				stored[p.Name] = job.FinishedRanges(p)
 				if len(stored[p.Name])+40 > limit {
 					t.Fatalf("%d bytes in %q for a limit of %d", len(stored[p.Name]), p.Name, limit)
 				}
 			}
 		}
 		var production Set
-		next := &Job{Record: j.Record}
+		next := &Job{Record: job.Record}
 		names := map[string]bool{}
 		for _, n := range layout.Names(tasks) {
 			names[n] = true
 		}
 		for name, text := range stored {
-			if err := productionRead(&production, name, text, tasks, oldKB); err != nil {
+			if err := productionRead(&production, name, text, tasks, formerKB); err != nil {
 				t.Fatalf("%q as production reads it: %v", name, err)
 			}
 			n, _ := strconv.Atoi(name)
-			if err := next.LoadFinished(n, layout, text); err != nil {
+			if err := next.LoadProgress(n, layout, Progress{Tasks: text}); err != nil {
 				t.Fatalf("%q: %v", name, err)
 			}
 			if !names[name] {
 				t.Fatalf("%q would not be cleaned up", name)
 			}
 		}
-		if want := j.finished.Ranges(0, tasks); production.Ranges(0, tasks) != want || next.finished.Ranges(0, tasks) != want {
+		if want := job.finished.Ranges(0, tasks); production.Ranges(0, tasks) != want || next.finished.Ranges(0, tasks) != want {
 			t.Fatalf("finished %s\nproduction reads %s\nthis release %s", want, production.Ranges(0, tasks), next.finished.Ranges(0, tasks))
 		}
 	})
@@ -79,26 +79,26 @@
 
 // A description of any size fits values of any size in parts, and no other text
 // is taken for it.
-func TestParts(t *testing.T) {
+func TestChunksOfDescription(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Spec{Class: rapid.String().Draw(t, "class"), Team: strings.Repeat("\"<é\\", rapid.IntRange(0, 400).Draw(t, "team")), Tasks: 1}
+		spec := &Spec{Class: rapid.String().Draw(t, "class"), Team: strings.Repeat("\"<é\\", rapid.IntRange(0, 400).Draw(t, "team")), Tasks: 1}
 		for range rapid.IntRange(0, 5000).Draw(t, "awaits") {
-			s.Awaits = append(s.Awaits, "wk-000001")
+			spec.Awaits = append(spec.Awaits, "wk-000001")
 		}
 		limit := rapid.IntRange(200, 9000).Draw(t, "limit")
-		r, parts := Record{Status: Pending, Tasks: 1, Submitted: 5, Shard: 1, Spec: s}.Split(limit)
+		r, parts := Record{Status: Pending, Tasks: 1, Submitted: 5, Shard: 1, Spec: spec}.Split(limit)
 		var texts []string
 		for _, p := range parts {
 			if len(p) > limit {
 				t.Fatalf("a part of %d bytes for a limit of %d", len(p), limit)
 			}
-			text, err := PartText(p)
+			text, err := ChunkText(p)
 			if err != nil {
 				t.Fatal(err)
 			}
 			texts = append(texts, text)
 		}
-		if len(parts) > MaxParts {
+		if len(parts) > MaxChunks {
 			t.Skip()
 		}
 		back, err := DecodeRecord(r.Encode())
@@ -108,7 +108,7 @@
 		if err := back.Join(texts); err != nil {
 			t.Fatal(err)
 		}
-		if string(store.Value(back.Spec)) != string(store.Value(s)) {
+		if string(store.Value(back.Spec)) != string(store.Value(spec)) {
 			t.Fatal("another description")
 		}
 		texts[0] = "x" + texts[0]
--- a/internal/core/jobs/registry/garbage.go
+++ b/internal/core/jobs/registry/garbage.go
@@ -89,19 +89,19 @@
 // guards the version of the first chunk, which goes before the others, and these go only
 // while it stays away. So a record is stored with all of its chunks or not at all.
 // It must not be called beside a controller whose release does not guard the first chunk.
-func (r *Registry) CollectOrphans(o *OrphanCollection, w Writer) {
+func (r *Registry) CollectOrphans(collection *OrphanCollection, w Writer) {
 	now := r.host.Now()
-	o.nextAt = now + orphanInterval
-	id := o.job
+	collection.nextAt = now + orphanInterval
+	id := collection.job
 	if id == "" {
 		id, _ = r.chunks.Orphaned(now, r.cfg.OrphanAge)
 	}
 	chunkKeys := r.chunks.Keys(id)
 	if r.all[id] != nil || len(chunkKeys) == 0 {
-		o.job = ""
+		collection.job = ""
 		return
 	}
-	o.job = id
+	collection.job = id
 	first := chunks.First(chunkKeys[0])
 	count := 1
 	for count < min(len(chunkKeys), r.cfg.TxnOps) && chunks.First(chunkKeys[count]) == first {
@@ -110,7 +110,7 @@
 	chunkKeys = chunkKeys[:count]
 	w.Write(func(outcome store.Outcome) {
 		if outcome != store.OK {
-			o.job = ""
+			collection.job = ""
 			r.chunks.Defer(r.host.Now(), id) // the submission has gone on, or nobody knows
 			return
 		}
--- a/internal/core/jobs/registry/learn.go
+++ b/internal/core/jobs/registry/learn.go
@@ -23,7 +23,7 @@
 		return fmt.Errorf("record of a job: %w", err)
 	}
 	job := r.all[id]
-	if record.Parts > 0 && job == nil {
+	if record.Chunks > 0 && job == nil {
 		if complete, err := r.chunks.Join(id, &record, e); err != nil || !complete {
 			return err
 		}
@@ -39,12 +39,11 @@
 		r.complete(job, record, e.Stamp)
 		return nil
 	}
-	job.Version = e.Stamp
+	job.RecordStored(e.Stamp)
 	// One that was cancelled through another stays so, whatever its own record says.
 	if job.Active() && record.Shard != job.Record.Shard {
 		r.host.JobLeavesShard(job)
-		job.Record.Shard = record.Shard
-		job.Clear()
+		job.MoveTo(record.Shard)
 		r.schedule(job)
 	}
 	return nil
@@ -54,7 +53,7 @@
 func (r *Registry) add(id string, record jobs.Record, version uint64) *jobs.Job {
 	job := &jobs.Job{ID: id, Version: version, Record: record}
 	r.all[id] = job
-	job.Clear()
+	job.ClearPlacements()
 	if job.Active() {
 		r.active[id] = job
 		r.link(job)
@@ -91,8 +90,7 @@
 	if job.Active() {
 		r.host.JobCompleting(job, record.Status)
 	}
-	job.Settle(record, version)
-	job.CancelledBy = "" // its own record says so now, whoever has stored it
+	job.Complete(record, version)
 	delete(r.pendingDeletion, job.ID)
 	r.over(job)
 }
@@ -137,7 +135,7 @@
 	}
 	r.host.JobArchived(job)
 	if job.Placed() > 0 {
-		job.Archived = true // its tasks count until their machines no longer list them
+		job.Archive() // its tasks count until their machines no longer list them
 		return
 	}
 	delete(r.all, id)
@@ -158,10 +156,7 @@
 	if err := json.Unmarshal(e.Value, &record); err != nil {
 		return fmt.Errorf("finished tasks: %w", err)
 	}
-	if number == 0 {
-		job.Failing = record.Failing
-	}
-	return job.LoadFinished(number, r.cfg.Layout, record.Tasks)
+	return job.LoadProgress(number, r.cfg.Layout, record)
 }
 
 // LearnChunk takes a chunk of a description, or its removal. Its record is stored later, but may
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -48,8 +48,8 @@
 
 // Config is what stays the same for the registry's life.
 type Config struct {
-	Layout jobs.Layout // of progress records
-	TxnOps int         // changes that one transaction takes
+	Layout jobs.ProgressLayout // of progress records
+	TxnOps int                 // changes that one transaction takes
 	// OrphanAge is for how long chunks must have been without a record before they are deleted.
 	OrphanAge units.Microseconds
 	Log       *slog.Logger
@@ -78,8 +78,10 @@
 // Get returns a job, or nil where none of that name is known or its record has been archived.
 func (r *Registry) Get(id string) *jobs.Job { return r.all[id] }
 
-// Len is the number of jobs, and ActiveLen that of those that are not final.
-func (r *Registry) Len() int       { return len(r.all) }
+// Len is the number of jobs.
+func (r *Registry) Len() int { return len(r.all) }
+
+// ActiveLen is the number of jobs that are not final.
 func (r *Registry) ActiveLen() int { return len(r.active) }
 
 // Active returns the jobs that are not final, in no order.
@@ -102,23 +104,23 @@
 }
 
 // Layout says how the finished tasks of a job are divided among progress records.
-func (r *Registry) Layout() jobs.Layout { return r.cfg.Layout }
+func (r *Registry) Layout() jobs.ProgressLayout { return r.cfg.Layout }
 
 // Blocked is the number of jobs that wait for others.
-func (r *Registry) Blocked() int { return r.dependencies.Waiting() }
+func (r *Registry) Blocked() int { return r.dependencies.BlockedLen() }
 
 // Awaited reports whether any job waits for the named one.
-func (r *Registry) Awaited(id string) bool { return r.dependencies.Awaited(id) }
+func (r *Registry) Awaited(id string) bool { return r.dependencies.HasDependents(id) }
 
 // Retained reports whether the record of a job that is over must stay: an unfinished job's
 // description names it, so that whoever learns that one has to learn how this one ended; or
 // something of it is yet to be deleted.
 func (r *Registry) Retained(id string) bool {
-	return r.dependencies.Named(id) || r.chunks.Any(id) || r.pendingDeletion[id]
+	return r.dependencies.Referenced(id) || r.chunks.Any(id) || r.pendingDeletion[id]
 }
 
-// TaskGone drops a job whose record has been archived once none of its tasks may be running.
-func (r *Registry) TaskGone(job *jobs.Job) {
+// TaskRemoved drops a job whose record has been archived once none of its tasks may be running.
+func (r *Registry) TaskRemoved(job *jobs.Job) {
 	if job.Archived && job.Placed() == 0 {
 		delete(r.all, job.ID)
 	}
--- /dev/null
+++ b/internal/core/jobs/set.go
@@ -0,0 +1,93 @@
+package jobs
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Set is a set of small numbers.
+type Set struct {
+	words []uint64
+	n     int
+}
+
+// Has reports whether i is in the set.
+func (s *Set) Has(i int) bool {
+	return i/64 < len(s.words) && s.words[i/64]&(1<<(i%64)) != 0
+}
+
+// Add puts i into the set and reports whether it is new there.
+func (s *Set) Add(i int) bool {
+	if s.Has(i) {
+		return false
+	}
+	for len(s.words) <= i/64 {
+		s.words = append(s.words, 0)
+	}
+	s.words[i/64] |= 1 << (i % 64)
+	s.n++
+	return true
+}
+
+// Len returns how many numbers are in the set.
+func (s *Set) Len() int { return s.n }
+
+// Ranges writes the members within [lo, hi) relative to lo, as "0-4,7".
+func (s *Set) Ranges(first, end int) string { return s.rangesFrom(first, first, end) }
+
+// rangesFrom writes the members within [lo, hi) relative to base.
+func (s *Set) rangesFrom(base, first, end int) string {
+	var b strings.Builder
+	for i := first; i < end; {
+		if !s.Has(i) {
+			if i%64 == 0 && (i/64 >= len(s.words) || s.words[i/64] == 0) {
+				i += 64
+			} else {
+				i++
+			}
+			continue
+		}
+		j := i
+		for j+1 < end && s.Has(j+1) {
+			j++
+		}
+		if b.Len() > 0 {
+			b.WriteByte(',')
+		}
+		b.WriteString(strconv.Itoa(i - base))
+		if j > i {
+			b.WriteByte('-')
+			b.WriteString(strconv.Itoa(j - base))
+		}
+		i = j + 1
+	}
+	return b.String()
+}
+
+// AddRanges reads what Ranges wrote. Nothing is added when the text is malformed.
+func (s *Set) AddRanges(text string, first, end int) error {
+	if text == "" {
+		return nil
+	}
+	type span struct{ a, b int }
+	var spans []span
+	for _, part := range strings.Split(text, ",") {
+		start, stop, isRange := strings.Cut(part, "-")
+		if !isRange {
+			stop = start
+		}
+		a, err1 := strconv.Atoi(start)
+		b, err2 := strconv.Atoi(stop)
+		if err1 != nil || err2 != nil || a < 0 || b < a || first+b >= end {
+			return fmt.Errorf("range %q", part)
+		}
+		spans = append(spans, span{a, b})
+	}
+	for _, sp := range spans {
+		for i := sp.a; i <= sp.b; i++ {
+			s.Add(first + i)
+		}
+	}
+	return nil
+}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -93,14 +93,14 @@
 	c.redirectPending(shard)
 	for j := range c.jobs.Active() {
 		if j.Record.Shard == shard.number {
-			j.Clear()
+			j.ClearPlacements()
 		}
 	}
 	for _, m := range shard.reconciler.Machines() { // what runs there of jobs that are over is the next holder's to count
 		for id := range m.Tasks {
 			if j := c.jobs.Get(id.Job); j != nil && !j.Active() {
 				j.Release(id.Task)
-				c.jobs.TaskGone(j)
+				c.jobs.TaskRemoved(j)
 			}
 		}
 	}
--- a/internal/core/pipeline_test.go
+++ b/internal/core/pipeline_test.go
@@ -208,7 +208,7 @@
 	if j == nil || j.OpenDependencies != 1 || len(j.Spec().Awaits) != 2500 || j.Since != 1010*units.Second {
 		t.Fatalf("read anew: %+v", j)
 	}
-	delete(all, chunks.Key("wk-900000", j.Record.Sum, 1))
+	delete(all, chunks.Key("wk-900000", j.Record.Checksum, 1))
 	if j := holding(t, all).jobs.Get("wk-900000"); j != nil {
 		t.Fatal("a job whose awaited names cannot be read is taken for one that may start")
 	}
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -74,14 +74,14 @@
 		return
 	}
 	known := job.FailsEverywhere()
-	job.Errors[machine.Name]++
+	job.FailedOn(machine.Name)
 	if again && (!known || !machine.Proven && job.Replaced < maxReplaced) {
-		job.Replaced++
+		job.MachineReplaced()
 		machine.Quarantined = true // what speaks against the job stays
 		a.log.Warn("machine quarantined: a job fails there again", "machine", machine.Name, "job", job.ID)
 	}
 	if job.FailsEverywhere() {
-		job.NotBefore = now + backoff(len(job.Errors))
+		job.RetryAt(now + backoff(len(job.Errors)))
 		if !known {
 			a.log.Warn("job fails everywhere", "job", job.ID, "class", job.Spec().Class, "team", job.Spec().Team)
 			a.host.StoreFailing(job)
@@ -126,13 +126,11 @@
 		if job.Errors[machine.Name] == 0 {
 			continue
 		}
-		delete(job.Errors, machine.Name)
-		if job.Failing && len(job.Errors) < 2 {
-			job.Failing = false
+		if job.FailuresExplained(machine.Name) {
 			a.host.StoreFailing(job)
 		}
 		if !job.FailsEverywhere() {
-			job.NotBefore = min(job.NotBefore, now)
+			job.RetryNow(now)
 			a.host.TasksReady()
 		}
 	}
@@ -159,7 +157,7 @@
 			a.quarantine(machine)
 		}
 	}
-	job.NotBefore = min(job.NotBefore, a.host.Now())
+	job.RetryNow(a.host.Now())
 	a.host.TasksReady()
 }
 
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -111,7 +111,7 @@
 			if c.Job != queue.Jobs()[i] {
 				t.Fatalf("offered %s at %d", c.Job.ID, i)
 			}
-			c.Job.Take(jobs.Place{})
+			c.Job.PlaceNext(jobs.Place{})
 			return false
 		})
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -60,7 +60,7 @@
 // AllReconciled implements reconcile.Host.
 func (h reconcileHost) AllReconciled() {
 	for _, job := range h.shard.active {
-		job.AwaitsReconciliation = false
+		job.SetAwaitsReconciliation(false)
 	}
 	h.shard.scheduler.TasksReady()
 }
@@ -70,7 +70,7 @@
 
 // AttemptRemoved implements reconcile.JobHost.
 func (h reconcileHost) AttemptRemoved(job *jobs.Job, moreReady bool) {
-	h.jobs.TaskGone(job)
+	h.jobs.TaskRemoved(job)
 	if moreReady {
 		h.shard.scheduler.TasksReady()
 	}
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -203,7 +203,7 @@
 			r.host.TaskFailed(machine, job, attempt)
 		case fleet.Unknown, fleet.NoCapacity, fleet.Busy:
 			r.cfg.Log.Warn("start refused", "task", task.ID.String(), "machine", machine.Name, "cause", int(task.Cause))
-			job.NotBefore = max(job.NotBefore, now+refusedStartDelay)
+			job.DeferUntil(now + refusedStartDelay)
 		}
 	}
 	if task.Cause != fleet.Completed || !r.active(job, task) || job.IsStored(task.ID.Task) {
@@ -224,10 +224,10 @@
 	if known && attempt.Live > 0 && !attempt.Adopted {
 		took := now - attempt.Live
 		r.host.LearnRuntime(job, took)
-		if machine.Ran(took, job.MeanRun) {
+		if machine.Ran(took, job.MeanRuntime) {
 			r.cfg.Log.Warn("machine is slow", "machine", machine.Name)
 		}
-		job.Ran(took)
+		job.AddRuntime(took)
 	}
 	machine.UseImage(job.Spec().Image)
 	r.host.TaskCompleted(job, id.Task)
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -114,7 +114,7 @@
 		delete(s.reserved, spec.Team)
 	}
 	number := s.host.NextAttempt()
-	id := jobs.TaskID{Job: job.ID, Task: job.Take(jobs.Place{Machine: machine.Name, Attempt: number, Zone: machine.Record.Zone})}
+	id := jobs.TaskID{Job: job.ID, Task: job.PlaceNext(jobs.Place{Machine: machine.Name, Attempt: number, Zone: machine.Record.Zone})}
 	s.host.TaskPlaced(machine, id, fleet.Attempt{Number: number, Team: spec.Team, Demand: spec.Demand, Started: now})
 	return fleet.Command{Op: fleet.Start, ID: id, Attempt: number}
 }
--- a/internal/core/shardplan/migrate.go
+++ b/internal/core/shardplan/migrate.go
@@ -68,7 +68,7 @@
 // the job is neither started here nor is the try given up: a transaction that comes late
 // would move a job that runs.
 func (p *Planner) storeMigration(owned OwnedShard, job *jobs.Job, to int) {
-	job.Migrating = true
+	job.SetMigrating(true)
 	key := keys.Job(job.ID)
 	record := job.Record
 	record.Shard = to
@@ -85,7 +85,7 @@
 				switch {
 				case !pending():
 				case (o == store.Failed || o == store.TooLarge) && job.Version == p.host.Version(key):
-					job.Migrating = false // that transaction can never be carried out
+					job.SetMigrating(false) // that transaction can never be carried out
 				default:
 					p.storeMigration(owned, job, to)
 				}
--- a/internal/core/shardplan/shardplan_test.go
+++ b/internal/core/shardplan/shardplan_test.go
@@ -357,7 +357,7 @@
 		var ordered []*jobs.Job
 		for i := range 4 {
 			job := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Version: 7, Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{binpack.CPU: 100}}}}
-			job.Clear()
+			job.ClearPlacements()
 			job.Reset()
 			h.jobs[job.ID] = job
 			h.versions[keys.Job(job.ID)] = 7
--- a/internal/core/shardstore/progress.go
+++ b/internal/core/shardstore/progress.go
@@ -24,8 +24,7 @@
 
 // StoreProgress has a job's marked records stored soon, unless that is planned already.
 func (w *Writer) StoreProgress(job *jobs.Job) {
-	if job.DirtySince == 0 {
-		job.DirtySince = w.host.Now()
+	if job.AwaitStorage(w.host.Now()) {
 		w.unstoredJobs = append(w.unstoredJobs, job)
 	}
 }
@@ -36,7 +35,7 @@
 	if job.Finished() == 0 {
 		return
 	}
-	for first := 0; first < job.Record.Tasks; first = w.cfg.Layout.Of(first, job.Record.Tasks).Hi {
+	for first := 0; first < job.Record.Tasks; first = w.cfg.Layout.Of(first, job.Record.Tasks).End {
 		job.MarkDirty(first)
 	}
 	w.StoreProgress(job)
@@ -54,7 +53,7 @@
 		if !job.Active() || job.AllFinished() {
 			continue // its end is stored instead
 		}
-		for _, first := range job.Dirty() {
+		for _, first := range job.TakeDirty() {
 			capacity--
 			w.writeProgress(job, first)
 		}
@@ -67,7 +66,7 @@
 func (w *Writer) writeProgress(job *jobs.Job, first int) {
 	part := w.cfg.Layout.Of(first, job.Record.Tasks)
 	key := keys.Progress(job.ID, part.Name)
-	value := jobs.Progress{Tasks: job.FinishedIn(part), Failing: part.Base == 0 && job.FailsEverywhere()}
+	value := jobs.Progress{Tasks: job.FinishedRanges(part), Failing: part.Base == 0 && job.FailsEverywhere()}
 	// The job's record is guarded as well: once that is final, those of its progress are
 	// deleted, and one that came late would stay for good.
 	w.Write(func(outcome store.Outcome) {
@@ -93,9 +92,9 @@
 			changes = append(changes, store.Change{Key: progress})
 		}
 	}
-	job.Closing = true
+	job.SetClosing(true)
 	write := w.guarded([]string{key}, changes)
 	write.First = w.host.Awaited(job.ID) // those that wait for it start once that is stored
-	write.Done = func(store.Outcome, uint64) { job.Closing = false }
+	write.Done = func(store.Outcome, uint64) { job.SetClosing(false) }
 	w.host.Enqueue(write)
 }
--- a/internal/core/shardstore/shardstore.go
+++ b/internal/core/shardstore/shardstore.go
@@ -56,8 +56,8 @@
 
 // Config says how a shard is written.
 type Config struct {
-	Layout jobs.Layout // of records of finished tasks
-	TxnOps int         // changes that the state service takes in one transaction
+	Layout jobs.ProgressLayout // of records of finished tasks
+	TxnOps int                 // changes that the state service takes in one transaction
 	// Garbage is nil where another shard's owner collects it.
 	Garbage Garbage
 }
--- a/internal/core/shardstore/shardstore_test.go
+++ b/internal/core/shardstore/shardstore_test.go
@@ -150,7 +150,7 @@
 // then progress, then other machines.
 func TestMachinesThatWaitGoFirst(t *testing.T) {
 	owner := newFakeOwner()
-	w := New(Config{TxnOps: 8, Layout: jobs.Layout{Chunk: 256}}, owner)
+	w := New(Config{TxnOps: 8, Layout: jobs.ProgressLayout{TasksPerRecord: 256}}, owner)
 	job := pendingJob("wk-000001", 2)
 	w.TaskFinished(job, 0)
 	for _, name := range []string{"n-1", "n-2", "n-3"} {
@@ -178,7 +178,7 @@
 
 func pendingJob(id string, tasks int) *jobs.Job {
 	job := &jobs.Job{ID: id, Record: jobs.Record{Status: jobs.Pending, Tasks: tasks, Spec: &jobs.Spec{Tasks: tasks}}}
-	job.Clear()
+	job.ClearPlacements()
 	job.Reset()
 	return job
 }
@@ -187,7 +187,7 @@
 // again where the outcome is not known.
 func TestProgressWaits(t *testing.T) {
 	owner := newFakeOwner()
-	w := New(Config{TxnOps: 8, Layout: jobs.Layout{Chunk: 256}}, owner)
+	w := New(Config{TxnOps: 8, Layout: jobs.ProgressLayout{TasksPerRecord: 256}}, owner)
 	job := pendingJob("wk-000001", 5)
 	owner.versions[keys.Job(job.ID)] = 11
 	w.TaskFinished(job, 1)
@@ -224,7 +224,7 @@
 // its progress too, and again where it is not surely stored.
 func TestCloseJob(t *testing.T) {
 	owner := newFakeOwner()
-	w := New(Config{TxnOps: 2, Layout: jobs.Layout{Chunk: 1}}, owner)
+	w := New(Config{TxnOps: 2, Layout: jobs.ProgressLayout{TasksPerRecord: 1}}, owner)
 	for _, id := range []string{"wk-000001", "wk-000009"} {
 		job := pendingJob(id, 3)
 		owner.versions[keys.Job(id)] = 11
--- a/internal/core/transfer/transfer_test.go
+++ b/internal/core/transfer/transfer_test.go
@@ -28,10 +28,10 @@
 // job returns a job of which some tasks are finished and not stored as such.
 func job(id string, tasks, finished int) *jobs.Job {
 	j := &jobs.Job{ID: id, Record: jobs.Record{Status: jobs.Pending, Tasks: tasks, Spec: &jobs.Spec{Tasks: tasks}}}
-	j.Clear()
+	j.ClearPlacements()
 	j.Reset()
 	for task := range finished {
-		j.Finish(task, jobs.Layout{Chunk: 1 << 10})
+		j.Finish(task, jobs.ProgressLayout{TasksPerRecord: 1 << 10})
 		j.DirtySince = 1
 	}
 	return j
