--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -81,7 +81,7 @@
 	proven := accepted.Standing == reconcile.Proven
 	switch {
 	case proven && machine.Notice != units.Never:
-		return c.evictBeforeNotice(shard, machine)
+		return shard.scheduler.EvictBeforeNotice(machine)
 	case machine.Notice != units.Never || !machine.Schedulable():
 		return nil
 	case proven:
@@ -108,30 +108,6 @@
 	return owner
 }
 
-// evictBeforeNotice stops the tasks of a machine that the cloud is about to take, where
-// they cannot end before: they start elsewhere now, not when the loss is sure.
-func (c *Core) evictBeforeNotice(shard *ownedShard, m *fleet.Machine) []fleet.Command {
-	left := m.Notice - c.now
-	var out []fleet.Command
-	for _, id := range m.TaskIDs() {
-		a := m.Tasks[id]
-		j := c.jobs.Get(id.Job)
-		if j == nil || !j.Active() || j.IsFinished(id.Task) || a.State == fleet.Saving {
-			continue
-		}
-		s := j.Spec()
-		if !s.Service && shard.demand.Runtime(s)-a.Ran(c.now) <= left {
-			continue
-		}
-		grace := units.Microseconds(0)
-		if s.Save > 0 && s.Save < left {
-			grace = left
-		}
-		out = append(out, fleet.Command{Op: fleet.Stop, ID: id, Attempt: a.Number, Grace: grace})
-	}
-	return fleet.AtMost(out, MaxStops)
-}
-
 // Bounds on the commands of one response; the wire's tests read them here.
 const (
 	MaxForgets = fleet.MaxForgets
--- a/internal/core/scheduler/idle.go
+++ b/internal/core/scheduler/evict.go
@@ -39,3 +39,28 @@
 	}
 	return fleet.AtMost(stops, fleet.MaxStops)
 }
+
+// EvictBeforeNotice stops the tasks of a machine that the cloud is about to reclaim, where they cannot
+// complete before: they start elsewhere now, not when the loss is sure. A task is given the time that
+// remains to save its progress, where that is enough.
+func (s *Scheduler) EvictBeforeNotice(machine *fleet.Machine) []fleet.Command {
+	now := s.host.Now()
+	remaining := machine.Notice - now
+	var stops []fleet.Command
+	for _, id := range machine.TaskIDs() {
+		attempt, job := machine.Tasks[id], s.host.Job(id.Job)
+		if job == nil || !job.Active() || job.IsFinished(id.Task) || attempt.State == fleet.Saving {
+			continue
+		}
+		spec := job.Spec()
+		if !spec.Service && s.demand.Runtime(spec)-attempt.Ran(now) <= remaining {
+			continue
+		}
+		grace := units.Microseconds(0)
+		if spec.Save > 0 && spec.Save < remaining {
+			grace = remaining
+		}
+		stops = append(stops, fleet.Command{Op: fleet.Stop, ID: id, Attempt: attempt.Number, Grace: grace})
+	}
+	return fleet.AtMost(stops, fleet.MaxStops)
+}
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -14,7 +14,8 @@
 //     forbid it.
 //
 // Where nothing is free, Preempt (preempt.go) stops tasks for a job with a better right to the
-// machine, and EvictIdle (idle.go) empties machines that nothing but idle-time work keeps.
+// machine. EvictIdle and EvictBeforeNotice (evict.go) empty machines that nothing but idle-time work
+// keeps, or that the cloud is about to reclaim.
 //
 // The Scheduler owns the queue and the ranking of one shard for as long as a controller owns that
 // shard; all of it can be computed anew from the jobs and machines, so that a failover loses
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -28,6 +28,7 @@
 	machines  map[string]*fleet.Machine
 	jobs      map[string]*jobs.Job
 	attempts  uint64
+	expensive bool // for idle-time work are the machines
 }
 
 // newShard returns a shard with teams, a machine n-1 and jobs, which were submitted at the present.
@@ -42,15 +43,20 @@
 	shard.scheduler = New(Config{Packing: packing, HeartbeatDeadline: 10 * units.Second, Log: slog.New(slog.DiscardHandler)}, shard, shard.quota, demand.New(nil, 0), shard)
 	shard.addMachine("n-1", big)
 	for _, id := range slices.Sorted(maps.Keys(records)) {
-		job := &jobs.Job{ID: id, Record: records[id], Since: records[id].Submitted}
-		job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.Never, LastDue: units.Never}
-		job.Reset()
-		shard.jobs[id] = job
-		shard.scheduler.Add(job)
+		shard.addJob(id, records[id], records[id].Submitted)
 	}
 	return shard
 }
 
+// addJob adds a job that could start since a time of day.
+func (f *fakeShard) addJob(id string, record jobs.Record, since units.Microseconds) {
+	job := &jobs.Job{ID: id, Record: record, Since: since}
+	job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.Never, LastDue: units.Never}
+	job.Reset()
+	f.jobs[id] = job
+	f.scheduler.Add(job)
+}
+
 func (f *fakeShard) addMachine(name string, machineType *fleet.Type) {
 	machine := fleet.New(name, fleet.Record{Type: machineType.Name, Zone: "z", Up: true}, machineType, f.now)
 	machine.LastSeen, machine.Reconciled = f.now, true
@@ -72,19 +78,19 @@
 	f.quota.Charge(team, binpack.Vec{cpu, 0, 0})
 }
 
-func (f *fakeShard) Now() units.Microseconds                    { return f.now }
-func (f *fakeShard) Wall() units.Microseconds                   { return f.wall }
-func (f *fakeShard) Job(id string) *jobs.Job                    { return f.jobs[id] }
-func (f *fakeShard) Teams() map[string]*configuration.Team      { return f.teams }
-func (*fakeShard) Allocation() float64                          { return 1 }
-func (*fakeShard) MayStart(string) bool                         { return true }
-func (f *fakeShard) Machines() map[string]*fleet.Machine        { return f.machines }
-func (*fakeShard) Unreconciled() map[string]bool                { return nil }
-func (*fakeShard) AllRunnable() []*jobs.Job                     { return nil }
-func (*fakeShard) PropagateObjectives()                         {}
-func (*fakeShard) TooExpensive(*fleet.Machine, *jobs.Spec) bool { return false }
-func (*fakeShard) Reachable(string) bool                        { return true }
-func (*fakeShard) DeclaredLost(string) bool                     { return false }
+func (f *fakeShard) Now() units.Microseconds                      { return f.now }
+func (f *fakeShard) Wall() units.Microseconds                     { return f.wall }
+func (f *fakeShard) Job(id string) *jobs.Job                      { return f.jobs[id] }
+func (f *fakeShard) Teams() map[string]*configuration.Team        { return f.teams }
+func (*fakeShard) Allocation() float64                            { return 1 }
+func (*fakeShard) MayStart(string) bool                           { return true }
+func (f *fakeShard) Machines() map[string]*fleet.Machine          { return f.machines }
+func (*fakeShard) Unreconciled() map[string]bool                  { return nil }
+func (*fakeShard) AllRunnable() []*jobs.Job                       { return nil }
+func (*fakeShard) PropagateObjectives()                           {}
+func (f *fakeShard) TooExpensive(*fleet.Machine, *jobs.Spec) bool { return f.expensive }
+func (*fakeShard) Reachable(string) bool                          { return true }
+func (*fakeShard) DeclaredLost(string) bool                       { return false }
 func (f *fakeShard) Nominal(team string) (_ binpack.Vec, _ bool) {
 	return f.teams[team].Guarantee, true
 }
