--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -12,15 +12,16 @@
 
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/archive"
+	"shalestage.example/shalestage/internal/core/introspect"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/wire"
 )
 
 // Report is what an audit found.
 type Report struct {
-	Keys     map[string]int `json:"keys"` // by folder
-	Packed   int            `json:"packed_jobs"`
-	Findings []core.Finding `json:"findings"`
+	Keys     map[string]int       `json:"keys"` // by folder
+	Packed   int                  `json:"packed_jobs"`
+	Findings []introspect.Finding `json:"findings"`
 }
 
 // Hosts lists the cloud's machines.
@@ -45,19 +46,19 @@
 	if err != nil {
 		return second, err
 	}
-	second.Findings = slices.DeleteFunc(second.Findings, func(f core.Finding) bool {
-		return !slices.ContainsFunc(first.Findings, func(g core.Finding) bool { return f.Kind == g.Kind && f.Key == g.Key })
+	second.Findings = slices.DeleteFunc(second.Findings, func(f introspect.Finding) bool {
+		return !slices.ContainsFunc(first.Findings, func(g introspect.Finding) bool { return f.Kind == g.Kind && f.Key == g.Key })
 	})
 	return second, nil
 }
 
 func look(ctx context.Context, s Service, cloud Hosts, o Options) (Report, error) {
-	in := core.NewInspector()
+	in := introspect.NewInspector()
 	for _, part := range []struct {
 		prefix string
 		page   int
 		f      func(store.Event)
-	}{{core.Root, pageKeys, in.Look}, {archive.Prefix, 64, in.LookBucket}} {
+	}{{core.Root, pageKeys, in.Inspect}, {archive.Prefix, 64, in.InspectBucket}} {
 		for after, more := "", true; more; {
 			var items []store.Event
 			var err error
@@ -83,28 +84,28 @@
 	return rep, err
 }
 
-func report(in *core.Inspector) Report {
+func report(in *introspect.Inspector) Report {
 	keys, packed := in.Keys()
 	return Report{keys, packed, in.Findings()}
 }
 
 // machines holds the machines of records against the cloud's list. What is found is the
 // controllers' to mend: they return what nobody needs, and adopt what reports.
-func machines(recorded map[string]string, hosts []wire.Host) (out []core.Finding) {
+func machines(recorded map[string]string, hosts []wire.Host) (out []introspect.Finding) {
 	listed := map[string]bool{}
 	for _, h := range hosts {
 		listed[h.ID] = true
 		key, known := recorded[h.ID]
 		switch {
 		case !known:
-			out = append(out, core.Finding{Kind: "stray", Key: h.ID, Text: fmt.Sprintf("a machine of type %s in zone %s that no record names, listed as %s; a controller adopts or returns it", h.Type, h.Zone, h.State)})
+			out = append(out, introspect.Finding{Kind: "stray", Key: h.ID, Text: fmt.Sprintf("a machine of type %s in zone %s that no record names, listed as %s; a controller adopts or returns it", h.Type, h.Zone, h.State)})
 		case h.State == wire.HostFailed:
-			out = append(out, core.Finding{Kind: "failed", Key: h.ID, Text: "a machine of " + key + " that has stopped of its own accord and was not returned"})
+			out = append(out, introspect.Finding{Kind: "failed", Key: h.ID, Text: "a machine of " + key + " that has stopped of its own accord and was not returned"})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(recorded)) {
 		if !listed[name] {
-			out = append(out, core.Finding{Kind: "gone", Key: name, Text: "a machine of " + recorded[name] + " that is not in the cloud's list"})
+			out = append(out, introspect.Finding{Kind: "gone", Key: name, Text: "a machine of " + recorded[name] + " that is not in the cloud's list"})
 		}
 	}
 	return out
@@ -129,7 +130,7 @@
 	}
 	last := map[string]int{} // where the last of each bucket stands
 	live := map[string]store.Event{}
-	in := core.NewInspector()
+	in := introspect.NewInspector()
 	err := pass(func(n int, e store.Event) {
 		switch {
 		case strings.HasPrefix(e.Key, archive.Prefix):
@@ -146,16 +147,16 @@
 		return Report{}, err
 	}
 	for _, k := range slices.Sorted(maps.Keys(live)) {
-		in.Look(live[k])
+		in.Inspect(live[k])
 	}
 	err = pass(func(n int, e store.Event) {
 		if last[e.Key] == n && e.Value != nil {
-			in.LookBucket(e)
+			in.InspectBucket(e)
 		}
 	})
 	rep := report(in)
 	// Seats have no versions in a file, and their blocks are granted anew after a restore.
-	rep.Findings = slices.DeleteFunc(rep.Findings, func(f core.Finding) bool { return f.Kind == "no_seat" })
+	rep.Findings = slices.DeleteFunc(rep.Findings, func(f introspect.Finding) bool { return f.Kind == "no_seat" })
 	for i := range rep.Findings {
 		rep.Findings[i].Clear, rep.Findings[i].Fix = nil, false
 	}
@@ -164,7 +165,7 @@
 
 // Fix clears what is safe to clear, and returns how many findings that were. Each is
 // guarded by the versions that were seen: what has changed since is left alone.
-func Fix(ctx context.Context, s Service, list []core.Finding, ops int, o Options) (int, error) {
+func Fix(ctx context.Context, s Service, list []introspect.Finding, ops int, o Options) (int, error) {
 	o.fill()
 	cleared := 0
 	for _, f := range list {
--- /dev/null
+++ b/internal/core/introspect/explain.go
@@ -0,0 +1,78 @@
+package introspect
+
+import (
+	"fmt"
+	"strings"
+
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// JobState is what a controller knows of a job and of where it belongs.
+type JobState struct {
+	Now   units.Microseconds
+	Job   *jobs.Job
+	Shard *OwnedShard    // nil: another controller owns it
+	Other *ElsewhereView // if so
+}
+
+// ElsewhereView is what a controller knows of a shard that it does not own.
+type ElsewhereView struct {
+	Assignment any // as stored
+	Leader     string
+	Membership string // of this controller
+	Cache      string // state of the copy of the state service's keys
+	Writes     int    // that wait
+}
+
+// OwnedShard is a shard as its owner knows it.
+type OwnedShard struct {
+	Number       int
+	FencingToken uint64
+	Allocation   float64 // part of every team's limit
+	Usage        binpack.Vec
+	Releasing    bool
+	Unreconciled int
+	Provisioning int // requests to the cloud that are open
+	CloudReady   bool
+	Machines     map[string]*fleet.Machine
+}
+
+// Explain says in a few lines why a job is where it is, for operators' logs and for failed tests.
+func Explain(state JobState) string {
+	var text strings.Builder
+	job := state.Job
+	fmt.Fprintf(&text, "%s: %s, finished %d of %d, ready %d, placed %d, awaits reconciliation %v, not before %.1f, now %.1f, failed on %d machines",
+		job.ID, job.Record.Status, job.Finished(), job.Record.Tasks, job.Ready(), job.Placed(), job.AwaitsReconciliation, job.NotBefore.Seconds(), state.Now.Seconds(), len(job.Errors))
+	if job.OpenDependencies > 0 {
+		fmt.Fprintf(&text, ", waits for %d of %v", job.OpenDependencies, job.Spec().Awaits)
+	}
+	if job.CancelledBy != "" {
+		fmt.Fprintf(&text, ", cancelled with %s", job.CancelledBy)
+	}
+	if state.Shard == nil {
+		other := state.Other
+		fmt.Fprintf(&text, "; shard %d assigned as %+v; leader %q; %s; %s; %d writes wait",
+			job.Record.Shard, other.Assignment, other.Leader, other.Membership, other.Cache, other.Writes)
+		return text.String()
+	}
+	shard := state.Shard
+	if spec := job.Spec(); spec != nil {
+		fmt.Fprintf(&text, "; team %s uses %v", spec.Team, shard.Usage)
+	}
+	fmt.Fprintf(&text, "; shard %d allocation %.2f token %d releasing %v, migrating %v, unreconciled %d, provisioning %d, cloud may be called %v",
+		shard.Number, shard.Allocation, shard.FencingToken, shard.Releasing, job.Migrating, shard.Unreconciled, shard.Provisioning, shard.CloudReady)
+	for _, name := range sortedKeys(shard.Machines) {
+		explainMachine(&text, shard.Machines[name])
+	}
+	return text.String()
+}
+
+func explainMachine(text *strings.Builder, machine *fleet.Machine) {
+	record := machine.Record
+	fmt.Fprintf(text, "\n  %s %s/%s spot %v: up %v, tasks %d, schedulable %v (reconciled %v stored %v lost %v quarantined %v deprovisioning %v)",
+		machine.Name, record.Type, record.Zone, record.Spot, machine.LastSeen != 0, len(machine.Tasks), machine.Schedulable(),
+		machine.Reconciled, record.Up, machine.Lost, machine.Quarantined, machine.Deprovisioning)
+}
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -141,6 +141,7 @@
 	shard.provisioner.Tick(c.now, shard.number == 0)
 	if c.now >= shard.nextLogAt {
 		shard.nextLogAt = c.now + 10*units.Second
-		c.logFleet(shard)
+		stats := shard.stats()
+		stats.Log(c.log)
 	}
 }
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/introspect"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
@@ -64,11 +65,11 @@
 }
 
 // inspect looks at what is stored.
-func inspect(w *World) []core.Finding {
-	in := core.NewInspector()
+func inspect(w *World) []introspect.Finding {
+	in := introspect.NewInspector()
 	w.State.Each(func(it kv.Item) {
 		if strings.HasPrefix(it.Key, core.Root) {
-			in.Look(store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+			in.Inspect(store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
 		}
 	})
 	return in.Findings()
