--- a/internal/core/archive/keeper.go
+++ b/internal/core/archive/keeper.go
@@ -380,10 +380,14 @@
 			continue
 		}
 		k.verifying++
+		refused := k.index.Shed
 		k.index.Bucket(id, func(b *Bucket, _ uint64) {
 			k.verifying--
 			k.verified(id, answer, b)
 		})
+		if k.index.Shed != refused {
+			return // too many wait: this one and the others are looked up at a later tick
+		}
 	}
 }
 
