--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -82,8 +82,8 @@
 		}
 		put(descZoneFor, z.For.Seconds(), z.Zone)
 		put(descZoneTimes, float64(z.Times), z.Zone)
-		put(descZoneHeard, float64(z.Heard), z.Zone, "yes")
-		put(descZoneHeard, float64(z.Up-z.Heard), z.Zone, "no")
+		put(descZoneHeard, float64(z.Responsive), z.Zone, "yes")
+		put(descZoneHeard, float64(z.Up-z.Responsive), z.Zone, "no")
 	}
 	for _, b := range s.Shards {
 		n := strconv.Itoa(b.Shard)
--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -21,8 +21,8 @@
 	maxTries = 4
 	// repairEvery is the least time between two tries to store again what the service lost.
 	repairEvery = units.Second
-	// cleanAfter is for how long chunks must have been of no use before they are removed.
-	cleanAfter = 30 * units.Second
+	// collectAfter is for how long chunks must have been of no use before they are removed.
+	collectAfter = 30 * units.Second
 	// partBytes bounds what goes into one transaction beside the head.
 	partBytes = store.TxnBytes / 2
 	maxID     = 64
@@ -129,11 +129,11 @@
 	if len(b.queue.waiting) > 0 {
 		b.pump()
 	}
-	if b.heard == 0 {
+	if b.latestKnown == 0 {
 		return
 	}
 	b.repair()
-	b.clean(leads)
+	b.collectGarbage(leads)
 }
 
 // pump begins to store the changes that wait, once those before are stored. Each batch
@@ -192,54 +192,54 @@
 
 // build makes the version that a batch asks for and begins to store it. What cannot be done
 // is answered and left out.
-func (b *Versions) build(x *batch) {
+func (b *Versions) build(batch *batch) {
 	content := b.content
-	if !x.repair {
-		content = b.merge(x)
-		if len(x.changes) == 0 {
+	if !batch.repair {
+		content = b.merge(batch)
+		if len(batch.changes) == 0 {
 			b.queue.current = nil
 			return
 		}
 		if content.equal(b.content) && !b.Behind() {
-			b.done(x, b.version) // nothing is to be stored
+			b.done(batch, b.version) // nothing is to be stored
 			return
 		}
 	}
 	var err error
-	if x.encoded, err = encode(content, b.cfg.ValueMax); err != nil {
-		b.refuse(x, err)
+	if batch.encoded, err = encode(content, b.cfg.ValueMax); err != nil {
+		b.refuse(batch, err)
 		return
 	}
-	x.head = head{Version: max(b.heard, b.version) + 1, ID: x.id, Chunks: x.encoded.names}
-	x.entry = Entry{Version: x.head.Version, ID: x.id, By: b.authors(x), At: b.wall, What: summary(b.content, content)}
-	if x.repair {
-		x.head.Version, x.head.ID = b.version, b.id
-		x.entry = b.past[pastKey(b.version)]
-		if x.entry.Version != b.version {
-			x.entry = Entry{Version: b.version, ID: b.id, At: b.wall, What: "stored again, as the state service had lost it"}
+	batch.head = head{Version: max(b.latestKnown, b.version) + 1, ID: batch.id, Chunks: batch.encoded.names}
+	batch.entry = Entry{Version: batch.head.Version, ID: batch.id, By: b.authors(batch), At: b.wall, What: summary(b.content, content)}
+	if batch.repair {
+		batch.head.Version, batch.head.ID = b.version, b.id
+		batch.entry = b.history[historyKey(b.version)]
+		if batch.entry.Version != b.version {
+			batch.entry = Entry{Version: b.version, ID: b.id, At: b.wall, What: "stored again, as the state service had lost it"}
 		}
 	}
-	x.headAt = b.host.Stamp(HeadKey)
-	x.missing = b.lacking(x.encoded)
-	x.inHead = b.fitting(x)
-	b.storeChunks(x)
+	batch.headAt = b.host.Stamp(HeadKey)
+	batch.missing = b.lacking(batch.encoded)
+	batch.inHead = b.chunksWithHead(batch)
+	b.storeChunks(batch)
 }
 
-func (b *Versions) refuse(x *batch, err error) {
+func (b *Versions) refuse(batch *batch, err error) {
 	b.queue.current = nil
-	for _, ch := range x.changes {
+	for _, ch := range batch.changes {
 		b.host.Answered(ch.number, Answer{Err: err})
 	}
 }
 
 // merge returns the content with all changes of a batch that can be made, one after the
 // other; the others are answered.
-func (b *Versions) merge(x *batch) Content {
+func (b *Versions) merge(batch *batch) Content {
 	content := b.content.tidied(b.wall, b.host.Busy)
-	current := max(b.heard, b.version)
-	var left []waitingChange
-	for _, ch := range x.changes {
-		next, err := b.apply(content, ch.request, current, len(left) > 0)
+	current := max(b.latestKnown, b.version)
+	var accepted []waitingChange
+	for _, ch := range batch.changes {
+		next, err := b.apply(content, ch.request, current, len(accepted) > 0)
 		if err == nil && len(next.Teams) > len(content.Teams) {
 			_, err = encode(next, b.cfg.ValueMax)
 		}
@@ -248,9 +248,9 @@
 			continue
 		}
 		content = next
-		left = append(left, ch)
+		accepted = append(accepted, ch)
 	}
-	x.changes = left
+	batch.changes = accepted
 	return content
 }
 
@@ -290,11 +290,11 @@
 	return shortened(strings.Join(names, ", "))
 }
 
-func shortened(s string) string {
-	if len(s) <= maxText {
-		return s
+func shortened(service string) string {
+	if len(service) <= maxText {
+		return service
 	}
-	return strings.ToValidUTF8(s[:maxText-3], "") + "..."
+	return strings.ToValidUTF8(service[:maxText-3], "") + "..."
 }
 
 // lacking returns the chunks of a version that the service does not surely have as long as
@@ -310,12 +310,12 @@
 	return out
 }
 
-// fitting returns how many of the missing chunks go into the head's own transaction.
-func (b *Versions) fitting(x *batch) int {
-	room, bytes := b.cfg.TxnOps-2, 0 // the head and its entry of the history
+// chunksWithHead returns how many of the missing chunks go into the head's own transaction.
+func (b *Versions) chunksWithHead(batch *batch) int {
+	free, bytes := b.cfg.TxnOps-2, 0 // the head and its entry of the history
 	n := 0
-	for i := len(x.missing) - 1; i >= 0 && n < room; i-- {
-		bytes += len(x.encoded.values[x.missing[i]])
+	for i := len(batch.missing) - 1; i >= 0 && n < free; i-- {
+		bytes += len(batch.encoded.values[batch.missing[i]])
 		if n > 0 && bytes > partBytes {
 			break
 		}
@@ -327,16 +327,16 @@
 // storeChunks stores the chunks that do not go with the head, then the head. They are under
 // names of their content: to store one late or twice does no harm. None of them can be
 // removed before the head is stored, as that changes the head's key (clean), which is guarded.
-func (b *Versions) storeChunks(x *batch) {
-	early := x.missing[:len(x.missing)-x.inHead]
+func (b *Versions) storeChunks(batch *batch) {
+	early := batch.missing[:len(batch.missing)-batch.inHead]
 	if len(early) == 0 {
-		b.storeHead(x)
+		b.storeHead(batch)
 		return
 	}
 	w := &store.Write{First: true}
 	bytes := 0
 	for len(early) > 0 && len(w.Changes) < b.cfg.TxnOps {
-		value := x.encoded.values[early[0]]
+		value := batch.encoded.values[early[0]]
 		if bytes += len(value); len(w.Changes) > 0 && bytes > partBytes {
 			break
 		}
@@ -346,13 +346,13 @@
 	stored := len(w.Changes)
 	w.Done = func(o store.Outcome, _ uint64) {
 		if o != store.OK {
-			b.again(x, o)
+			b.again(batch, o)
 			return
 		}
-		x.missing = x.missing[stored:]
-		b.storeChunks(x)
+		batch.missing = batch.missing[stored:]
+		b.storeChunks(batch)
 	}
-	b.queueWrite(x, w)
+	b.queueWrite(batch, w)
 }
 
 func (b *Versions) queueWrite(x *batch, w *store.Write) {
@@ -363,13 +363,13 @@
 
 // storeHead stores the head with the last chunks, guarded by the head's version: of two that
 // store at once one fails, and so does one that comes late.
-func (b *Versions) storeHead(x *batch) {
-	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Version: x.headAt}}}
-	for _, name := range x.missing {
-		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name), Value: x.encoded.values[name]})
+func (b *Versions) storeHead(batch *batch) {
+	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Version: batch.headAt}}}
+	for _, name := range batch.missing {
+		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name), Value: batch.encoded.values[name]})
 	}
-	w.Changes = append(w.Changes, store.Change{Key: HeadKey, Value: store.Value(x.head)}, store.Change{Key: pastKey(x.entry.Version), Value: store.Value(x.entry)})
-	for _, name := range b.unused(x.head.Chunks) {
+	w.Changes = append(w.Changes, store.Change{Key: HeadKey, Value: store.Value(batch.head)}, store.Change{Key: historyKey(batch.entry.Version), Value: store.Value(batch.entry)})
+	for _, name := range b.unused(batch.head.Chunks) {
 		if len(w.Changes) >= b.cfg.TxnOps {
 			break
 		}
@@ -377,12 +377,12 @@
 	}
 	w.Done = func(o store.Outcome, _ uint64) {
 		if o != store.OK {
-			b.again(x, o)
+			b.again(batch, o)
 			return
 		}
-		b.done(x, x.head.Version)
+		b.done(batch, batch.head.Version)
 	}
-	b.queueWrite(x, w)
+	b.queueWrite(batch, w)
 }
 
 // unused returns the stored chunks that a head with some chunks does not name.
@@ -414,11 +414,11 @@
 
 // repair stores the version in force again where the service lost it or a part of it.
 func (b *Versions) repair() {
-	q := &b.queue
-	if b.version == 0 || q.current != nil || b.now < q.repairAt || !b.host.Current() {
+	queue := &b.queue
+	if b.version == 0 || queue.current != nil || b.now < queue.repairAt || !b.host.Current() {
 		return
 	}
-	q.repairAt = b.now + repairEvery
+	queue.repairAt = b.now + repairEvery
 	older := !b.headThere || b.head.Version < b.version
 	holed := b.headThere && b.head.ID == b.id && b.head.Version == b.version &&
 		slices.ContainsFunc(b.head.Chunks, func(name string) bool { return b.chunks[name] == nil })
@@ -426,25 +426,25 @@
 		return
 	}
 	b.cfg.Log.Warn("configuration is stored again", "version", b.version, "stored", b.head.Version)
-	q.current = &batch{id: b.id, repair: true}
-	b.build(q.current)
+	queue.current = &batch{id: b.id, repair: true}
+	b.build(queue.current)
 }
 
-// clean removes chunks of no use. The head is written again as it is, so that nothing that
+// collectGarbage removes chunks of no use. The head is written again as it is, so that nothing that
 // was made for the head as it was before can still be stored.
-func (b *Versions) clean(leads bool) {
-	q := &b.queue
-	if !leads || q.current != nil || q.cleaning || !b.headThere || !b.host.Current() || len(b.chunks) <= len(b.head.Chunks) {
-		q.unusedAt = 0
+func (b *Versions) collectGarbage(leads bool) {
+	queue := &b.queue
+	if !leads || queue.current != nil || queue.cleaning || !b.headThere || !b.host.Current() || len(b.chunks) <= len(b.head.Chunks) {
+		queue.unusedAt = 0
 		return
 	}
-	if q.unusedAt == 0 {
-		q.unusedAt = b.now
+	if queue.unusedAt == 0 {
+		queue.unusedAt = b.now
 	}
-	if b.now-q.unusedAt < cleanAfter {
+	if b.now-queue.unusedAt < collectAfter {
 		return
 	}
-	q.unusedAt = 0
+	queue.unusedAt = 0
 	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Version: b.host.Stamp(HeadKey)}},
 		Changes: []store.Change{{Key: HeadKey, Value: store.Value(b.head)}}}
 	for _, name := range b.unused(b.head.Chunks) {
@@ -453,14 +453,14 @@
 		}
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name)})
 	}
-	w.Done = func(store.Outcome, uint64) { q.cleaning = false }
-	q.cleaning = b.host.Store(w)
+	w.Done = func(store.Outcome, uint64) { queue.cleaning = false }
+	queue.cleaning = b.host.Store(w)
 }
 
 // summary says in a few words what differs between two contents.
-func summary(before, now Content) string {
+func summary(before, after Content) string {
 	var parts []string
-	for _, t := range now.Teams {
+	for _, t := range after.Teams {
 		i, there := before.Find(t.Name)
 		switch {
 		case !there:
@@ -471,7 +471,7 @@
 			parts = append(parts, t.Name+": "+amounts(before.Teams[i])+" -> "+amounts(t))
 		}
 	}
-	if !slices.Equal(before.Objectives, now.Objectives) {
+	if !slices.Equal(before.Objectives, after.Objectives) {
 		parts = append(parts, "objectives")
 	}
 	return shortened(strings.Join(parts, "; "))
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -16,21 +16,21 @@
 
 // confirmation keeps which version each controller goes by.
 type confirmation struct {
-	peers     map[string]*peerWord
+	peers     map[string]*peerVersions
 	names     []string
 	adoptions []adoption // here, by version
 	confirmed uint64
 }
 
-// peerWord is what another controller has last said.
-type peerWord struct {
+// peerVersions is what another controller has last sent.
+type peerVersions struct {
 	inForce, known uint64
 }
 
 func newConfirmation(names []string) confirmation {
-	c := confirmation{peers: map[string]*peerWord{}, names: slices.Sorted(slices.Values(names))}
+	c := confirmation{peers: map[string]*peerVersions{}, names: slices.Sorted(slices.Values(names))}
 	for _, n := range names {
-		c.peers[n] = &peerWord{}
+		c.peers[n] = &peerVersions{}
 	}
 	return c
 }
@@ -58,9 +58,9 @@
 	Node    string
 	InForce uint64
 	Known   uint64 // the latest that it knows of: while that is later it starts nothing
-	Silent  bool   // this controller does not hear it
-	// Done says that it starts nothing by an older version than the one asked for. A silent
-	// one does so once Bound has passed: either it has heard, or it may start nothing.
+	Silent  bool   // it sends this controller no status
+	// Done says that it starts nothing by an older version than the one asked for. An unresponsive
+	// one does so once Bound has passed: either it knows, or it may start nothing.
 	Done bool
 }
 
@@ -85,55 +85,55 @@
 }
 
 // Status tells how far a version has come, 0: the one in force here. silent reports whether
-// another controller is not heard at present.
-func (b *Versions) Status(now units.Microseconds, version uint64, silent func(node string) bool) Status {
+// another controller sends no status at present.
+func (b *Versions) Status(now units.Microseconds, version uint64, unresponsive func(node string) bool) Status {
 	b.now = max(b.now, now)
 	if version == 0 {
 		version = b.version
 	}
-	c := &b.confirm
-	s := Status{Version: version, Current: b.version, Waiting: len(b.queue.waiting)}
+	confirm := &b.confirm
+	status := Status{Version: version, Current: b.version, Waiting: len(b.queue.waiting)}
 	if b.queue.current != nil {
-		s.Waiting += len(b.queue.current.changes)
+		status.Waiting += len(b.queue.current.changes)
 	}
-	since, here := c.since(version)
+	since, here := confirm.since(version)
 	late := here && b.now-since >= units.Longest(b.cfg.Bound)
 	all := b.version >= version && !b.Behind()
-	s.Controllers = append(s.Controllers, ControllerStatus{Node: b.cfg.Node, InForce: b.version, Known: max(b.version, b.heard), Done: all})
-	for _, n := range c.names {
-		p := c.peers[n]
-		x := ControllerStatus{Node: n, InForce: p.inForce, Known: p.known, Silent: silent(n)}
+	status.Controllers = append(status.Controllers, ControllerStatus{Node: b.cfg.Node, InForce: b.version, Known: max(b.version, b.latestKnown), Done: all})
+	for _, n := range confirm.names {
+		p := confirm.peers[n]
+		x := ControllerStatus{Node: n, InForce: p.inForce, Known: p.known, Silent: unresponsive(n)}
 		x.Done = p.inForce >= version || x.Silent && late
 		all = all && x.Done
-		s.Controllers = append(s.Controllers, x)
+		status.Controllers = append(status.Controllers, x)
 	}
 	// Nobody goes back to an older version, so what was confirmed stays so.
 	if all {
-		c.confirmed = max(c.confirmed, version)
+		confirm.confirmed = max(confirm.confirmed, version)
 	}
-	s.ConfirmedFor = c.confirmed
-	s.Confirmed = version <= c.confirmed
-	return s
+	status.ConfirmedFor = confirm.confirmed
+	status.Confirmed = version <= confirm.confirmed
+	return status
 }
 
 // clearance holds back what must not start after a limit fell. Limits are divided among
-// blocks by shares. After one fell, a block may use more of it than its share, with tasks
-// that go on; another block must start nothing of that team as long as this is so, or the
+// shards by allocations. After one fell, a shard may use more of it than its allocation, with tasks
+// that go on; another shard must start nothing of that team as long as this is so, or the
 // team would start tasks while it is above its limit.
 type clearance struct {
 	fallen map[string]uint64      // teams, and the version in which their limit last fell
-	blocks map[int]blockClearance // as last told
-	all    []int                  // blocks that there are
+	shards map[int]shardClearance // as last stated
+	all    []int                  // shards that there are
 }
 
-// blockClearance is what a block's holder has told last.
-type blockClearance struct {
+// shardClearance is what a shard's owner has last stated.
+type shardClearance struct {
 	version uint64 // that it goes by
 	over    map[string]bool
 }
 
 func newClearance() clearance {
-	return clearance{fallen: map[string]uint64{}, blocks: map[int]blockClearance{}}
+	return clearance{fallen: map[string]uint64{}, shards: map[int]shardClearance{}}
 }
 
 func (c *clearance) fell(version uint64, teams []string) {
@@ -142,29 +142,29 @@
 	}
 }
 
-// SetOverQuota takes a holder's word, by a version that it goes by, which teams use more of their
-// limits in a block than its share. It is to be taken only from the block's holder as stored,
+// SetOverQuota takes an owner's statement, by a version that it goes by, which teams use more of their
+// quotas in a shard than its allocation. It is to be taken only from the shard's owner as stored,
 // from a copy that is complete up to the version in force here, and only once all machines of
-// the block are accounted for.
-func (b *Versions) SetOverQuota(block int, version uint64, teams []string) {
+// the shard are reconciled.
+func (b *Versions) SetOverQuota(shard int, version uint64, teams []string) {
 	if len(b.fall.fallen) == 0 || version > b.version {
 		return
 	}
-	x := blockClearance{version: version, over: map[string]bool{}}
+	clearance := shardClearance{version: version, over: map[string]bool{}}
 	for _, t := range teams {
-		x.over[t] = true
+		clearance.over[t] = true
 	}
-	b.fall.blocks[block] = x
+	b.fall.shards[shard] = clearance
 }
 
-// Falling reports whether limits fell of which not all blocks are known to keep within their
-// shares.
+// Falling reports whether quotas fell of which not all shards are known to keep within their
+// allocations.
 func (b *Versions) Falling() bool { return len(b.fall.fallen) > 0 }
 
-// MayStart reports whether a team's tasks may start in a block, apart from its limit there:
-// not while this controller is behind, nor after the limit fell until all other blocks keep
-// within their shares of it.
-func (b *Versions) MayStart(team string, block int) bool {
+// MayStart reports whether a team's tasks may start in a shard, apart from its quota there:
+// not while this controller is behind, nor after the quota fell until all other shards keep
+// within their allocations of it.
+func (b *Versions) MayStart(team string, shard int) bool {
 	if b.Behind() {
 		return false
 	}
@@ -173,21 +173,21 @@
 		return true
 	}
 	for _, k := range b.fall.all {
-		if k != block && !b.fall.within(k, team, version) {
+		if k != shard && !b.fall.within(k, team, version) {
 			return false
 		}
 	}
 	return true
 }
 
-// within reports whether a block is known to keep within its share of a team's limit.
+// within reports whether a shard is known to keep within its allocation of a team's limit.
 func (c *clearance) within(block int, team string, version uint64) bool {
-	told, ok := c.blocks[block]
+	told, ok := c.shards[block]
 	return ok && told.version >= version && !told.over[team]
 }
 
-// SetShards says which blocks there are, and forgets that a team's limit fell once all of them
-// keep within their shares: none starts anything beyond its share, so that it stays so.
+// SetShards says which shards there are, and forgets that a team's limit fell once all of them
+// keep within their allocations: none starts anything beyond its share, so that it stays so.
 func (b *Versions) SetShards(all []int) {
 	c := &b.fall
 	c.all = all
--- a/internal/core/configuration/content.go
+++ b/internal/core/configuration/content.go
@@ -141,22 +141,22 @@
 	if len(list) > MaxObjectives {
 		return invalid("objectives", "want at most %d, got %d", MaxObjectives, len(list))
 	}
-	for i, o := range list {
+	for i, objective := range list {
 		field := fmt.Sprintf("objectives[%d]", i)
-		if kinds := demand.ObjectiveKinds(); !slices.Contains(kinds, o.Kind) {
-			return invalid(field+".kind", "want one of %v, got %q", kinds, o.Kind)
+		if kinds := demand.ObjectiveKinds(); !slices.Contains(kinds, objective.Kind) {
+			return invalid(field+".kind", "want one of %v, got %q", kinds, objective.Kind)
 		}
-		if len(o.Class) > MaxName || !utf8.ValidString(o.Class) {
+		if len(objective.Class) > MaxName || !utf8.ValidString(objective.Class) {
 			return invalid(field+".class", "cannot be used")
 		}
-		if o.Within < 0 || o.Within > units.Seconds(1e9) {
-			return invalid(field+".within_s", "want 0 to 1e9, got %g", o.Within.Seconds())
+		if objective.Within < 0 || objective.Within > units.Seconds(1e9) {
+			return invalid(field+".within_s", "want 0 to 1e9, got %g", objective.Within.Seconds())
 		}
-		if !(o.Times >= 0 && o.Times <= 1e6) {
-			return invalid(field+".times", "want 0 to 1e6, got %g", o.Times)
+		if !(objective.Times >= 0 && objective.Times <= 1e6) {
+			return invalid(field+".times", "want 0 to 1e6, got %g", objective.Times)
 		}
-		if math.IsNaN(o.Share) || o.Share < 0 || o.Share > 1 {
-			return invalid(field+".share", "want 0 to 1, got %g", o.Share)
+		if math.IsNaN(objective.Share) || objective.Share < 0 || objective.Share > 1 {
+			return invalid(field+".share", "want 0 to 1, got %g", objective.Share)
 		}
 	}
 	return nil
@@ -172,31 +172,31 @@
 }
 
 // with returns the content after a change of one team at a time of day.
-func (c Content) with(ch TeamChange, wall units.Microseconds) (Content, error) {
-	i, there := c.Find(ch.Name)
-	if ch.Remove {
+func (c Content) with(change TeamChange, wall units.Microseconds) (Content, error) {
+	i, there := c.Find(change.Name)
+	if change.Remove {
 		if !there || c.Teams[i].Removed != 0 {
-			return c, invalid("teams["+ch.Name+"]", "there is no such team")
+			return c, invalid("teams["+change.Name+"]", "there is no such team")
 		}
-		out := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
-		out.Teams[i].Guarantee, out.Teams[i].Removed = binpack.Vec{}, max(wall, 1)
-		return out, nil
+		changed := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
+		changed.Teams[i].Guarantee, changed.Teams[i].Removed = binpack.Vec{}, max(wall, 1)
+		return changed, nil
 	}
-	out := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
+	changed := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
 	if !there {
-		out.Teams = slices.Insert(out.Teams, i, Team{Name: ch.Name})
+		changed.Teams = slices.Insert(changed.Teams, i, Team{Name: change.Name})
 	}
-	t := &out.Teams[i]
+	t := &changed.Teams[i]
 	t.Removed = 0
 	for _, a := range []struct {
 		to   *int64
 		from *int64
-	}{{&t.Guarantee[binpack.CPU], ch.GuaranteeCPU}, {&t.Guarantee[binpack.GPU], ch.GuaranteeGPU}, {&t.Limit[binpack.CPU], ch.LimitCPU}, {&t.Limit[binpack.GPU], ch.LimitGPU}} {
+	}{{&t.Guarantee[binpack.CPU], change.GuaranteeCPU}, {&t.Guarantee[binpack.GPU], change.GuaranteeGPU}, {&t.Limit[binpack.CPU], change.LimitCPU}, {&t.Limit[binpack.GPU], change.LimitGPU}} {
 		if a.from != nil {
 			*a.to = *a.from
 		}
 	}
-	return out, nil
+	return changed, nil
 }
 
 // replaced returns the content after all of it was given anew. Teams that are missing there
--- a/internal/core/configuration/record.go
+++ b/internal/core/configuration/record.go
@@ -21,9 +21,10 @@
 const Prefix = keys.ConfigPrefix
 
 const (
-	HeadKey     = Prefix + "head" // names the stored version
-	chunkPrefix = Prefix + "chunk/"
-	pastPrefix  = Prefix + "past/"
+	// HeadKey names the stored version.
+	HeadKey       = Prefix + "head"
+	chunkPrefix   = Prefix + "chunk/"
+	historyPrefix = Prefix + "past/"
 	// HistoryKept is how many of the last versions history tells of.
 	HistoryKept = 32
 	maxBuckets  = 256
@@ -73,7 +74,9 @@
 
 func chunkKey(name string) string { return chunkPrefix + name }
 
-func pastKey(version uint64) string { return fmt.Sprintf("%s%02d", pastPrefix, version%HistoryKept) }
+func historyKey(version uint64) string {
+	return fmt.Sprintf("%s%02d", historyPrefix, version%HistoryKept)
+}
 
 // encoded is a content in its stored form: chunks by name, in the order in which the head
 // names them.
@@ -92,25 +95,25 @@
 
 // encode returns a content's stored form, of which no value is larger than some bytes. Teams
 // are spread over buckets by their names, so that a change of one team changes one chunk.
-func encode(c Content, valueMax int) (encoded, error) {
-	room := valueMax - valueSlack
+func encode(content Content, valueMax int) (encoded, error) {
+	valueBytes := valueMax - valueSlack
 	for buckets := 1; buckets <= maxBuckets; buckets *= 2 {
-		e, fits := encodeIn(c, buckets, room)
-		if !fits {
+		result, ok := encodeIn(content, buckets, valueBytes)
+		if !ok {
 			continue
 		}
-		if n := len(store.Value(head{Version: 1 << 62, ID: strings.Repeat("x", maxID), Chunks: e.names})); n > room {
+		if n := len(store.Value(head{Version: 1 << 62, ID: strings.Repeat("x", maxID), Chunks: result.names})); n > valueBytes {
 			return encoded{}, invalid("teams", "too many for values of %d bytes: their list takes %d", valueMax, n)
 		}
-		return e, nil
+		return result, nil
 	}
 	return encoded{}, invalid("teams", "too many for values of %d bytes", valueMax)
 }
 
-func encodeIn(c Content, buckets, room int) (e encoded, fits bool) {
-	e.values = map[string]json.RawMessage{}
+func encodeIn(content Content, buckets, valueBytes int) (result encoded, ok bool) {
+	result.values = map[string]json.RawMessage{}
 	parts := make([]chunk, buckets)
-	for _, t := range c.Teams {
+	for _, t := range content.Teams {
 		hash := fnv.New32a()
 		_, _ = hash.Write([]byte(t.Name)) // cannot fail
 		p := &parts[hash.Sum32()%uint32(buckets)]
@@ -118,9 +121,9 @@
 	}
 	// Objectives keep their order; a chunk is closed when the next does not fit.
 	var list chunk
-	for i, o := range c.Objectives {
+	for i, o := range content.Objectives {
 		next := append(slices.Clone(list.Objectives), objectiveRecord{string(o.Kind), o.Class, o.Within, o.Times, o.Share})
-		if i > 0 && len(store.Value(chunk{Objectives: next})) > room {
+		if i > 0 && len(store.Value(chunk{Objectives: next})) > valueBytes {
 			parts = append(parts, list)
 			next = next[len(next)-1:]
 		}
@@ -130,12 +133,12 @@
 		if len(p.Teams)+len(p.Objectives) == 0 {
 			continue
 		}
-		if len(store.Value(p)) > room {
-			return e, false
+		if len(store.Value(p)) > valueBytes {
+			return result, false
 		}
-		e.add(p)
+		result.add(p)
 	}
-	return e, true
+	return result, true
 }
 
 // errIncomplete says that not all records of a version are there.
@@ -143,7 +146,7 @@
 
 // decode joins the chunks that a head names.
 func decode(h head, value func(name string) json.RawMessage) (Content, error) {
-	var c Content
+	var content Content
 	for _, name := range h.Chunks {
 		v := value(name)
 		if v == nil {
@@ -154,16 +157,16 @@
 			return Content{}, err
 		}
 		for _, t := range p.Teams {
-			c.Teams = append(c.Teams, Team{t.Name, binpack.Vec{t.CPU, t.GPU}, binpack.Vec{t.CPUMax, t.GPUMax}, t.Removed})
+			content.Teams = append(content.Teams, Team{t.Name, binpack.Vec{t.CPU, t.GPU}, binpack.Vec{t.CPUMax, t.GPUMax}, t.Removed})
 		}
 		for _, o := range p.Objectives {
-			c.Objectives = append(c.Objectives, Objective{Kind: demand.ObjectiveKind(o.Kind), Class: o.Class, Within: o.Within, Times: o.Times, Share: o.Share})
+			content.Objectives = append(content.Objectives, Objective{Kind: demand.ObjectiveKind(o.Kind), Class: o.Class, Within: o.Within, Times: o.Times, Share: o.Share})
 		}
 	}
-	if len(c.Teams) == 0 {
+	if len(content.Teams) == 0 {
 		return Content{}, errors.New("has no teams")
 	}
-	return c.sorted(), nil
+	return content.sorted(), nil
 }
 
 // Stored returns the version that a set of records holds and its content; version 0: none is
@@ -187,7 +190,7 @@
 		return json.Unmarshal(value, &head{})
 	case strings.HasPrefix(key, chunkPrefix):
 		return json.Unmarshal(value, &chunk{})
-	case strings.HasPrefix(key, pastPrefix):
+	case strings.HasPrefix(key, historyPrefix):
 		return json.Unmarshal(value, &Entry{})
 	}
 	return errors.New("no record of a configuration")
--- a/internal/core/configuration/book.go
+++ b/internal/core/configuration/versions.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"maps"
 	"slices"
@@ -11,7 +12,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the controller that a book is kept for.
+// Host is the controller whose configuration it is.
 type Host interface {
 	// Store queues a write; false: too many wait.
 	Store(w *store.Write) bool
@@ -29,7 +30,7 @@
 	Answered(request uint64, a Answer)
 }
 
-// Config says whose book it is.
+// Config is what stays the same for the life of versions.
 type Config struct {
 	Node     string
 	Initial  Content // of the settings file: version 0
@@ -54,32 +55,34 @@
 	id      string
 	content Content
 
-	heard uint64 // the latest version that this controller knows to exist
+	latestKnown uint64 // the latest version that this controller knows to exist
 
 	// As stored.
 	head      head
 	headThere bool
 	chunks    map[string]json.RawMessage
-	past      map[string]Entry // by key
+	history   map[string]Entry // by key
 
 	queue   changeQueue
 	confirm confirmation
 	fall    clearance
 }
 
-// New returns a book that knows the settings file's content alone.
+// New returns the versions of a controller that knows the settings file's content alone.
 func New(cfg Config, host Host) *Versions {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	b := &Versions{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, past: map[string]Entry{}}
+	b := &Versions{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, history: map[string]Entry{}}
 	b.confirm = newConfirmation(cfg.Peers)
 	b.fall = newClearance()
 	return b
 }
 
-// Version is the version in force here, and Content what it says.
-func (b *Versions) Version() uint64  { return b.version }
+// Version is the version in force here.
+func (b *Versions) Version() uint64 { return b.version }
+
+// Content is what the version in force here says.
 func (b *Versions) Content() Content { return b.content }
 
 // Known is the latest version that this controller has in force or knows to be stored.
@@ -92,27 +95,27 @@
 
 // Behind reports whether a version is known to exist that is later than the one in force
 // here. Whoever is behind starts no tasks and accepts no jobs.
-func (b *Versions) Behind() bool { return b.heard > b.version }
+func (b *Versions) Behind() bool { return b.latestKnown > b.version }
 
 // Changed reports whether any version but the settings file's is known to exist.
-func (b *Versions) Changed() bool { return b.heard > 0 }
+func (b *Versions) Changed() bool { return b.latestKnown > 0 }
 
 // Learn takes a change of a record under Prefix.
-func (b *Versions) Learn(now units.Microseconds, e store.Event) error {
+func (b *Versions) Learn(now units.Microseconds, event store.Event) error {
 	b.now = max(b.now, now)
 	switch {
-	case e.Key == HeadKey:
-		return b.learnHead(e)
-	case strings.HasPrefix(e.Key, chunkPrefix):
-		name := e.Key[len(chunkPrefix):]
-		if e.Value == nil {
+	case event.Key == HeadKey:
+		return b.learnHead(event)
+	case strings.HasPrefix(event.Key, chunkPrefix):
+		name := event.Key[len(chunkPrefix):]
+		if event.Value == nil {
 			delete(b.chunks, name)
 			return nil
 		}
-		b.chunks[name] = e.Value
+		b.chunks[name] = event.Value
 		return b.adopt()
-	case strings.HasPrefix(e.Key, pastPrefix):
-		return b.learnPast(e)
+	case strings.HasPrefix(event.Key, historyPrefix):
+		return b.learnHistory(event)
 	}
 	return nil // of a later release
 }
@@ -127,20 +130,20 @@
 		return err
 	}
 	b.head, b.headThere = h, true
-	b.heard = max(b.heard, h.Version)
+	b.latestKnown = max(b.latestKnown, h.Version)
 	return b.adopt()
 }
 
-func (b *Versions) learnPast(e store.Event) error {
+func (b *Versions) learnHistory(e store.Event) error {
 	if e.Value == nil {
-		delete(b.past, e.Key)
+		delete(b.history, e.Key)
 		return nil
 	}
 	var entry Entry
 	if err := json.Unmarshal(e.Value, &entry); err != nil {
 		return err
 	}
-	b.past[e.Key] = entry
+	b.history[e.Key] = entry
 	return nil
 }
 
@@ -151,7 +154,7 @@
 		return nil
 	}
 	c, err := decode(b.head, func(name string) json.RawMessage { return b.chunks[name] })
-	if err == errIncomplete {
+	if errors.Is(err, errIncomplete) {
 		return nil // the rest is on its way
 	}
 	if err != nil {
@@ -166,20 +169,20 @@
 	return nil
 }
 
-// PeerKnows takes another controller's word that a version exists, and reports whether this
+// PeerKnows takes from another controller that a version exists, and reports whether this
 // controller lacks it.
 func (b *Versions) PeerKnows(version uint64) bool {
-	b.heard = max(b.heard, version)
+	b.latestKnown = max(b.latestKnown, version)
 	return b.Behind()
 }
 
 // Reloaded says that the copy was taken anew as the state service went back behind its
 // answers: a version that nobody has in force may be gone for good.
-func (b *Versions) Reloaded() { b.heard = b.Known() }
+func (b *Versions) Reloaded() { b.latestKnown = b.Known() }
 
 // History returns the last versions, the latest first.
 func (b *Versions) History() []Entry {
-	list := slices.Collect(maps.Values(b.past))
+	list := slices.Collect(maps.Values(b.history))
 	slices.SortFunc(list, func(x, y Entry) int {
 		if x.Version > y.Version {
 			return -1
@@ -194,7 +197,7 @@
 	if b.headThere && b.head.ID == id {
 		return b.head.Version, true
 	}
-	for _, e := range b.past {
+	for _, e := range b.history {
 		if e.ID == id {
 			return e.Version, true
 		}
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -27,7 +27,7 @@
 
 // unreachable reports whether a shard should be released as no worker reaches this node.
 func (c *Core) unreachable(shard *ownedShard) bool {
-	if c.cfg.Size == 1 || c.zones.Explains() {
+	if c.cfg.Size == 1 || c.zones.ExplainsSilence() {
 		return false
 	}
 	return c.reachability.Unreachable(c.now, shard.reconciler.Up(), c.reachablePeer)
--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -102,7 +102,7 @@
 			count := seen.zones[zone]
 			count.Up++
 			if responsive {
-				count.Heard++
+				count.Responsive++
 			}
 			seen.zones[zone] = count
 		}
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,11 +1,11 @@
-// Package membership keeps a controller's standing in the state service, and what it knows of
-// the others'. A seat is a record that is attached to a lease: blocks and the lead are
-// held by a seat and end with it. What a seat held is given away once its record is gone
-// and a majority of the controllers has permitted it; see package lead for promises and
-// permits, and docs/design.md for why that is safe.
+// Package membership keeps a controller's membership, and what is known of the others'. A
+// membership is a record that is attached to a lease in the state service; its version tells one
+// process of a controller from the next. Shards and leadership are owned by a membership and end
+// with it. What it owned passes to others once its record is gone and a majority of the controllers
+// has voted for the takeover; peer leases and votes are those of package authority, and
+// docs/design.md, "Authority", says why that is safe.
 //
-// It is pure: answers and the time go in by method calls, what is to be done comes out by
-// its host.
+// The package is pure: answers and the time go in by method calls, effects come out by its host.
 package membership
 
 import (
@@ -22,7 +22,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Prefix is where seats are stored, by the controllers' names.
+// Prefix is where memberships are stored, by the controllers' names.
 const Prefix = keys.MemberPrefix
 
 // Effects.
@@ -35,7 +35,7 @@
 	CloseLease struct{ ID uint64 }
 )
 
-// Host is whose seat it is.
+// Host is the controller whose membership it is.
 type Host interface {
 	// Emit sends an effect.
 	Emit(e any)
@@ -48,362 +48,377 @@
 	CacheAge() (since, age units.Microseconds, ok bool)
 	// Refresh asks for a fresh read.
 	Refresh()
-	// RequestVotes asks all other controllers to permit that what a seat held is given away.
-	RequestVotes(node string, seat uint64)
-	// Joined says that the seat stands, Lost that it does no longer.
+	// RequestVotes asks all other controllers to vote for taking over what a membership owned.
+	RequestVotes(node string, memberID uint64)
+	// Joined is called once the membership is stored.
 	Joined()
+	// Lost is called once it has ended, with all that it owned.
 	Lost()
 	// PeerRelease tells which release a controller runs.
 	PeerRelease(node string, release int)
 }
 
-// Config says what a seat is like.
+// Config is what stays the same for a registry's life.
 type Config struct {
 	Node    string
 	Size    int // controllers, this one included
 	Release int
 	TTL     units.Microseconds
-	// Short is how long the promises of a majority may carry a seat past its last renewal.
-	// Extend is the time after which a seat that is older or newer than what is known here is
-	// taken for over without the others' permits: at least as long as Short.
+	// Short is how long the peer leases of a majority may carry a membership past its last renewal.
+	// Extend is the time after which a membership that is older or newer than what is known here
+	// counts as expired without the others' votes: at least as long as Short.
 	Extend, Short units.Microseconds
 	Log           *slog.Logger
 	// SkippedGuard is a check that is left out; only tests set it.
 	SkippedGuard guard.Guard
 }
 
-// Registry is a controller's own seat and its view of the others.
+// Registry is a controller's own membership and its view of the others. Use New.
 type Registry struct {
 	cfg  Config
 	host Host
 	now  units.Microseconds
 
-	id       uint64 // version of the record; 0: none
-	pass     uint64 // lease in the state service
-	auth     authority.Authority
-	opening  bool
-	sent     units.Microseconds // when the lease was asked for
-	after    units.Microseconds // not tried before
-	renewing bool
-	renewAt  units.Microseconds
-	lastHold units.Microseconds // when the renewal under way was sent
+	id               uint64 // version of the record; 0: no membership
+	leaseID          uint64 // lease in the state service
+	authority        authority.Authority
+	opening          bool
+	leaseRequestedAt units.Microseconds // when the lease was asked for
+	nextTryAt        units.Microseconds // not tried before
+	renewing         bool
+	nextRenewalAt    units.Microseconds
+	renewalSentAt    units.Microseconds // when the renewal under way was sent
 
 	views  map[string]*view
-	voters map[string]*authority.Voter // what is owed with regard to each controller
+	voters map[string]*authority.Voter // what is granted with regard to each controller
 	polls  map[string]*takeoverPoll
 }
 
-// view is what this node knows of a controller's seat.
+// view is what this controller knows of another's membership.
 type view struct {
-	id     uint64             // 0: none
-	since  units.Microseconds // when that was learnt
-	goneAt units.Microseconds // when the record was seen to be gone
-	last   uint64             // the record that was there before, as this process has seen it; 0: none
+	id         uint64             // 0: none
+	since      units.Microseconds // when that was learnt
+	expiredAt  units.Microseconds // when the record was seen to be gone
+	previousID uint64             // the record that was there before, as this process has seen it; 0: none
 }
 
-// takeoverPoll collects permits to give away what a seat holds.
+// takeoverPoll collects the votes for taking over what a membership owned.
 type takeoverPoll struct {
-	seat    uint64
-	askedAt units.Microseconds
-	permits map[string]bool
+	memberID uint64
+	askedAt  units.Microseconds
+	votes    map[string]bool
 }
 
 const (
-	authorityMargin = 100_000 // 0.1 s for the service's own slack and ours
-	// permitFresh is how long a round of asking for permits lasts.
-	permitFresh = units.Second / 4
-	// unserved is how long the state service must not have answered this node.
-	unserved = units.Second
-	// pause is the time before the next try to take a seat, pauseLease that after a lease
+	// authorityMargin allows for the state service's slack and this controller's own.
+	authorityMargin = units.Second / 10
+	// pollLasts is how long a round of votes lasts.
+	pollLasts = units.Second / 4
+	// unservedAfter is how long the state service must not have answered this controller.
+	unservedAfter = units.Second
+	// retryAfter is the time before the next try to join, retryLeaseAfter that after a lease
 	// was refused.
-	pause      = units.Second / 5
-	pauseLease = units.Second / 2
+	retryAfter      = units.Second / 5
+	retryLeaseAfter = units.Second / 2
 )
 
-// New returns a controller's standing before it has any.
+// New returns the registry of a controller that has not joined yet.
 func New(cfg Config, host Host) *Registry {
 	return &Registry{cfg: cfg, host: host, views: map[string]*view{}, voters: map[string]*authority.Voter{}, polls: map[string]*takeoverPoll{}}
 }
 
-// ID is the version of this node's record, 0 while it has no seat; Pass is the lease to
-// which that is attached.
-func (s *Registry) ID() uint64      { return s.id }
-func (s *Registry) LeaseID() uint64 { return s.pass }
+// ID is the version of this controller's record; 0 while it has no membership.
+func (r *Registry) ID() uint64 { return r.id }
 
-// Valid reports whether this node's seat surely stands.
-func (s *Registry) Valid(now units.Microseconds) bool { return now < s.Until() }
+// LeaseID is the lease to which that is attached.
+func (r *Registry) LeaseID() uint64 { return r.leaseID }
 
-// Until is when the authority of this node's seat ends, as known at present.
-func (s *Registry) Until() units.Microseconds {
-	if s.id == 0 {
+// Valid reports whether this controller's membership surely stands.
+func (r *Registry) Valid(now units.Microseconds) bool { return now < r.Until() }
+
+// Until is when the authority of this controller's membership ends, as known at present.
+func (r *Registry) Until() units.Microseconds {
+	if r.id == 0 {
 		return 0
 	}
-	if s.cfg.SkippedGuard == guard.Authority {
+	if r.cfg.SkippedGuard == guard.Authority {
 		return units.Never
 	}
-	return s.auth.Until()
+	return r.authority.Until()
 }
 
-// Tick takes a seat, and keeps it.
-func (s *Registry) Tick(now units.Microseconds) {
-	s.now = now
-	if s.id != 0 {
-		if !s.renewing && now >= s.renewAt {
-			s.renewing, s.lastHold = true, now
-			s.host.Emit(RenewLease{s.pass})
+// Tick joins, and renews the lease.
+func (r *Registry) Tick(now units.Microseconds) {
+	r.now = now
+	if r.id != 0 {
+		if !r.renewing && now >= r.nextRenewalAt {
+			r.renewing, r.renewalSentAt = true, now
+			r.host.Emit(RenewLease{r.leaseID})
 		}
 		return
 	}
-	_, age, ok := s.host.CacheAge()
-	if !ok || s.opening || now < s.after {
+	_, age, ok := r.host.CacheAge()
+	if !ok || r.opening || now < r.nextTryAt {
 		return
 	}
 	if age > units.Second {
-		s.host.Refresh()
+		r.host.Refresh()
 		return
 	}
-	s.opening, s.sent = true, now
-	s.host.Emit(OpenLease{s.cfg.TTL})
+	r.opening, r.leaseRequestedAt = true, now
+	r.host.Emit(OpenLease{r.cfg.TTL})
 }
 
-// OnLease takes a new lease's outcome and takes a seat with it. A record of
-// this node's that is there already was left by its last process, which has
-// surely ended.
-func (s *Registry) OnLease(now units.Microseconds, o store.Outcome, id uint64) {
-	s.now = now
-	if o != store.OK {
-		s.opening, s.after = false, now+pauseLease
+// OnLease takes a new lease's outcome and joins with it. A record of this controller's that is
+// there already was left by its last process, which has surely ended.
+func (r *Registry) OnLease(now units.Microseconds, outcome store.Outcome, id uint64) {
+	r.now = now
+	if outcome != store.OK {
+		r.opening, r.nextTryAt = false, now+retryLeaseAfter
 		return
 	}
-	key := Prefix + s.cfg.Node
-	sent := s.sent
-	s.host.Store(&store.Write{
-		Guards:  []store.Guard{{Key: key, Version: s.host.Version(key)}},
-		Changes: []store.Change{{Key: key, Value: store.Value(authority.Member{Node: s.cfg.Node, Release: s.cfg.Release}), Lease: id}},
-		Done: func(o store.Outcome, rev uint64) {
-			s.opening = false
-			if o != store.OK {
+	key := Prefix + r.cfg.Node
+	sent := r.leaseRequestedAt
+	r.host.Store(&store.Write{
+		Guards:  []store.Guard{{Key: key, Version: r.host.Version(key)}},
+		Changes: []store.Change{{Key: key, Value: store.Value(authority.Member{Node: r.cfg.Node, Release: r.cfg.Release}), Lease: id}},
+		Done: func(outcome store.Outcome, rev uint64) {
+			r.opening = false
+			if outcome != store.OK {
 				// Ending the lease also keeps a late write from being carried out.
-				s.after = s.now + pause
-				s.host.Emit(CloseLease{id})
-				s.host.Refresh()
+				r.nextTryAt = r.now + retryAfter
+				r.host.Emit(CloseLease{id})
+				r.host.Refresh()
 				return
 			}
-			s.id, s.pass, s.renewing, s.renewAt = rev, id, false, sent+s.cfg.TTL/5
-			s.auth = authority.Authority{TTL: s.cfg.TTL, Margin: authorityMargin, Short: s.cfg.Short, Peers: s.cfg.Size / 2, All: s.cfg.Size - 1}
-			s.auth.Renewed(sent)
-			s.cfg.Log.Info("seated", "seat", rev)
-			s.host.Joined()
+			r.id, r.leaseID, r.renewing, r.nextRenewalAt = rev, id, false, sent+r.cfg.TTL/5
+			r.authority = authority.Authority{TTL: r.cfg.TTL, Margin: authorityMargin, Short: r.cfg.Short, Peers: r.cfg.Size / 2, All: r.cfg.Size - 1}
+			r.authority.Renewed(sent)
+			r.cfg.Log.Info("joined", "member", rev)
+			r.host.Joined()
 		},
 	})
 }
 
 // OnRenew takes a renewal's outcome.
-func (s *Registry) OnRenew(now units.Microseconds, id uint64, o store.Outcome) {
-	s.now = now
-	if s.id == 0 || s.pass != id {
+func (r *Registry) OnRenew(now units.Microseconds, id uint64, outcome store.Outcome) {
+	r.now = now
+	if r.id == 0 || r.leaseID != id {
 		return
 	}
-	s.renewing = false
-	switch o {
+	r.renewing = false
+	switch outcome {
 	case store.OK:
-		if s.cfg.SkippedGuard == guard.RenewalSent {
-			s.lastHold = now
+		if r.cfg.SkippedGuard == guard.RenewalSent {
+			r.renewalSentAt = now
 		}
-		s.auth.Renewed(s.lastHold)
-		s.renewAt = s.lastHold + s.cfg.TTL/5
+		r.authority.Renewed(r.renewalSentAt)
+		r.nextRenewalAt = r.renewalSentAt + r.cfg.TTL/5
 	case store.Failed:
-		s.lose("the lease has ended")
+		r.lose("the lease has ended")
 	default:
-		s.renewAt = now + s.cfg.TTL/10
+		r.nextRenewalAt = now + r.cfg.TTL/10
 	}
 }
 
-// lose gives up the seat, and with it all that this node holds.
-func (s *Registry) lose(why string) {
-	s.cfg.Log.Warn("seat lost", "seat", s.id, "why", why)
-	s.host.Emit(CloseLease{s.pass})
-	s.id, s.after = 0, s.now+pause
-	s.host.Lost()
-	s.host.Refresh()
+// lose ends the membership, and with it all that this controller owns.
+func (r *Registry) lose(why string) {
+	r.cfg.Log.Warn("membership lost", "member", r.id, "why", why)
+	r.host.Emit(CloseLease{r.leaseID})
+	r.id, r.nextTryAt = 0, r.now+retryAfter
+	r.host.Lost()
+	r.host.Refresh()
 }
 
-// Learn takes the record of a controller's seat.
-func (s *Registry) Learn(now units.Microseconds, node string, e store.Event) error {
-	s.now = now
-	v := &view{since: now}
-	if e.Value == nil {
-		v.goneAt = now
-		if old := s.views[node]; old != nil {
-			v.last = max(old.id, old.last)
+// Learn takes the stored record of a controller's membership.
+func (r *Registry) Learn(now units.Microseconds, node string, event store.Event) error {
+	r.now = now
+	known := &view{since: now}
+	if event.Value == nil {
+		known.expiredAt = now
+		if before := r.views[node]; before != nil {
+			known.previousID = max(before.id, before.previousID)
 		}
 	} else {
-		var r authority.Member
-		if err := json.Unmarshal(e.Value, &r); err != nil {
+		var member authority.Member
+		if err := json.Unmarshal(event.Value, &member); err != nil {
 			return err
 		}
-		v.id = e.Stamp
-		s.host.PeerRelease(node, r.Release)
+		known.id = event.Stamp
+		r.host.PeerRelease(node, member.Release)
 	}
-	s.views[node] = v
-	if node == s.cfg.Node && s.id != 0 && v.id != s.id {
-		s.lose("the seat is another's or gone")
+	r.views[node] = known
+	if node == r.cfg.Node && r.id != 0 && known.id != r.id {
+		r.lose("the record is another process's or gone")
 	}
 	return nil
 }
 
-// Current returns the seat that a controller has, as far as this node knows; 0: none.
-func (s *Registry) Current(node string) uint64 {
-	if v := s.views[node]; v != nil {
+// Current returns the membership that a controller has, as far as is known here; 0: none.
+func (r *Registry) Current(node string) uint64 {
+	if v := r.views[node]; v != nil {
 		return v.id
 	}
 	return 0
 }
 
-// Since is when it was learnt that a controller has the seat that it has.
-func (s *Registry) Since(node string) units.Microseconds {
-	if v := s.views[node]; v != nil {
+// Since is when it was learnt that a controller has the membership that it has.
+func (r *Registry) Since(node string) units.Microseconds {
+	if v := r.views[node]; v != nil {
 		return v.since
 	}
 	return 0
 }
 
-func (s *Registry) voter(node string) *authority.Voter {
-	v := s.voters[node]
-	if v == nil {
-		v = &authority.Voter{SkippedGuard: s.cfg.SkippedGuard}
-		s.voters[node] = v
+func (r *Registry) voter(node string) *authority.Voter {
+	voter := r.voters[node]
+	if voter == nil {
+		voter = &authority.Voter{SkippedGuard: r.cfg.SkippedGuard}
+		r.voters[node] = voter
 	}
-	return v
+	return voter
 }
 
-// GrantPeerLease is asked by a controller for its seat. Where the record is gone and the state
-// service serves this node, somebody may soon hold what the seat held. In an outage nobody
-// can: the seat, which ended just before, may be carried on. Whoever has permitted to give
-// away what it held never promises again, nor does a process that has begun since and has
-// forgotten whether it had.
-func (s *Registry) GrantPeerLease(now units.Microseconds, node string, seat uint64) bool {
-	seen := s.Current(node)
-	if s.cfg.SkippedGuard == guard.MemberRecord {
-		seen = seat
+// GrantPeerLease is asked by a controller for its membership. Where the record is gone and the state
+// service serves this controller, another may soon own what the membership owned. In an outage none
+// can: the membership, which ended just before, may be carried on. Whoever has voted for its takeover
+// never grants it a lease again, nor does a process that has begun since and has forgotten whether it
+// had.
+func (r *Registry) GrantPeerLease(now units.Microseconds, node string, memberID uint64) bool {
+	current := r.Current(node)
+	if r.cfg.SkippedGuard == guard.MemberRecord {
+		current = memberID
 	}
-	if v := s.views[node]; v != nil && v.id == 0 && v.last == seat {
-		if _, age, _ := s.host.CacheAge(); age > unserved {
-			seen = seat
+	if known := r.views[node]; known != nil && known.id == 0 && known.previousID == memberID {
+		if _, age, _ := r.host.CacheAge(); age > unservedAfter {
+			current = memberID
 		}
 	}
-	return seat != 0 && s.voter(node).GrantPeerLease(now, seat, seen)
+	return memberID != 0 && r.voter(node).GrantPeerLease(now, memberID, current)
 }
 
-// PeerLeaseGranted takes a controller's promise for a seat of this node's, which asked for it at
-// a time.
-func (s *Registry) PeerLeaseGranted(now units.Microseconds, from string, seat uint64, asked units.Microseconds) {
-	if s.id != 0 && s.id == seat && asked <= now {
-		if s.cfg.SkippedGuard == guard.PeerLeaseSent {
+// PeerLeaseGranted takes a controller's peer lease for a membership of this one's, which asked for it
+// at a time.
+func (r *Registry) PeerLeaseGranted(now units.Microseconds, from string, memberID uint64, asked units.Microseconds) {
+	if r.id != 0 && r.id == memberID && asked <= now {
+		if r.cfg.SkippedGuard == guard.PeerLeaseSent {
 			asked = now
 		}
-		s.auth.PeerLeaseGranted(from, asked)
+		r.authority.PeerLeaseGranted(from, asked)
 	}
 }
 
-// Expired reports whether a seat surely holds nothing any more, and seeks the
-// help of a majority to make that sure.
-func (s *Registry) Expired(now units.Microseconds, node string, id uint64) bool {
-	s.now = now
-	if node == s.cfg.Node {
-		return id != s.id // it was this node's last process, or was given up
-	}
-	v := s.views[node]
-	if v == nil { // not there when the copy was first read
-		since, _, _ := s.host.CacheAge()
-		v = &view{since: since, goneAt: since}
-		s.views[node] = v
+// Expired reports whether a membership surely owns nothing any more, and seeks the votes of a
+// majority to make that sure.
+func (r *Registry) Expired(now units.Microseconds, node string, id uint64) bool {
+	r.now = now
+	if node == r.cfg.Node {
+		return id != r.id // it was this controller's last process, or was given up
 	}
+	known := r.viewOf(node)
 	switch {
-	case v.id == id && id != 0:
+	case known.id == id && id != 0:
 		return false
-	case v.id > id:
+	case known.id > id:
 		return true // the controller has given it up, or its process has ended
-	case v.id != 0:
-		// The view is older than the block's record, as while a listing goes on whose pages
-		// with seats are still to come: the seat may stand. Where versions went back, it is
-		// over in time.
-		return now-v.since > units.Longest(s.cfg.Extend)+s.cfg.TTL && s.voter(node).Vote(now, id)
-	case id == 0: // held by an older release that knows no seats
-		return now-v.goneAt > units.Longest(s.cfg.Extend)+s.cfg.TTL
+	case known.id != 0:
+		// The view is older than the shard's assignment, as while a listing goes on whose pages
+		// with memberships are still to come: the membership may stand. Where versions went back,
+		// it is over in time.
+		return now-known.since > units.Longest(r.cfg.Extend)+r.cfg.TTL && r.voter(node).Vote(now, id)
+	case id == 0: // owned by a controller of a release that knows no memberships
+		return now-known.expiredAt > units.Longest(r.cfg.Extend)+r.cfg.TTL
 	}
-	// A majority may carry it no longer, and all do not: this node has promised it nothing
-	// that still runs, and never will again. (As Extend is at least as long as Short, that is
-	// also the last that a seat of another controller's is waited for.)
-	if now-v.goneAt > units.Longest(s.cfg.Short) && s.voter(node).Vote(now, id) {
+	// A majority may carry it no longer, and all do not: this controller has granted it no peer
+	// lease that still runs, and never will again. (As Extend is at least as long as Short, that is
+	// also the last that a membership of another controller's is waited for.)
+	if now-known.expiredAt > units.Longest(r.cfg.Short) && r.voter(node).Vote(now, id) {
 		return true
 	}
-	p := s.polls[node]
-	if p == nil || p.seat != id || now-p.askedAt > permitFresh {
-		p = &takeoverPoll{seat: id, askedAt: now, permits: map[string]bool{}}
-		s.polls[node] = p
-		s.host.RequestVotes(node, id)
+	return r.majorityVotes(now, node, id)
+}
+
+// viewOf returns what is known of a controller's membership. One that was not there when the copy of
+// the state service's keys was first read counts as gone since then.
+func (r *Registry) viewOf(node string) *view {
+	known := r.views[node]
+	if known == nil {
+		since, _, _ := r.host.CacheAge()
+		known = &view{since: since, expiredAt: since}
+		r.views[node] = known
+	}
+	return known
+}
+
+// majorityVotes reports whether a majority has voted for taking over what a membership owned, in the
+// present round of votes, and begins the next round once that is over.
+func (r *Registry) majorityVotes(now units.Microseconds, node string, id uint64) bool {
+	poll := r.polls[node]
+	if poll == nil || poll.memberID != id || now-poll.askedAt > pollLasts {
+		poll = &takeoverPoll{memberID: id, askedAt: now, votes: map[string]bool{}}
+		r.polls[node] = poll
+		r.host.RequestVotes(node, id)
 	}
-	if !p.permits[s.cfg.Node] && s.voter(node).Vote(now, id) {
-		p.permits[s.cfg.Node] = true
+	if !poll.votes[r.cfg.Node] && r.voter(node).Vote(now, id) {
+		poll.votes[r.cfg.Node] = true
 	}
-	return len(p.permits) > s.cfg.Size/2 || s.cfg.SkippedGuard == guard.TakeoverMajority
+	return len(poll.votes) > r.cfg.Size/2 || r.cfg.SkippedGuard == guard.TakeoverMajority
 }
 
-// VoteRequested answers a controller that wants to give away what a seat holds. The node is
+// VoteRequested answers a controller that wants to take over what a membership owned. The node is
 // one of the controllers.
-func (s *Registry) VoteRequested(now units.Microseconds, node string, seat uint64) bool {
-	s.now = now
-	if node == s.cfg.Node && seat == s.id {
-		if s.id == 0 || s.Valid(now) {
+func (r *Registry) VoteRequested(now units.Microseconds, node string, memberID uint64) bool {
+	r.now = now
+	if node == r.cfg.Node && memberID == r.id {
+		if r.id == 0 || r.Valid(now) {
 			return false
 		}
-		s.lose("another takes over and authority has run out")
+		r.lose("another takes over and authority has run out")
 	}
-	return s.voter(node).Vote(now, seat)
+	return r.voter(node).Vote(now, memberID)
 }
 
-// VoteReceived takes a controller's help.
-func (s *Registry) VoteReceived(from, node string, seat uint64) {
-	if p := s.polls[node]; p != nil && p.seat == seat {
-		p.permits[from] = true
+// VoteReceived takes a controller's vote.
+func (r *Registry) VoteReceived(from, node string, memberID uint64) {
+	if poll := r.polls[node]; poll != nil && poll.memberID == memberID {
+		poll.votes[from] = true
 	}
 }
 
-// Describe tells all that counts of a controller's standing, in times from now: for logs, and
-// for exploring what may follow, as equal traces act the same from then on.
-func (s *Registry) Describe(now units.Microseconds) string {
+// Describe tells all that counts of a controller's membership, in times from now: for logs, and for
+// model checking, as equal descriptions act the same from then on.
+func (r *Registry) Describe(now units.Microseconds) string {
 	var b []byte
-	number := func(what string, n uint64) { b = strconv.AppendUint(append(b, what...), n, 10) }
+	number := func(what string, node uint64) { b = strconv.AppendUint(append(b, what...), node, 10) }
 	ahead := func(what string, t units.Microseconds) { number(what, uint64(max(0, t-now))) }
-	number("seat ", s.id)
-	number(" pass ", s.pass)
-	ahead(" after ", s.after)
-	ahead(" renews ", s.renewAt)
-	b = strconv.AppendBool(append(b, " opening "...), s.opening)
-	if s.renewing {
-		number(" renewing for ", uint64(now-s.lastHold))
+	number("member ", r.id)
+	number(" lease ", r.leaseID)
+	ahead(" after ", r.nextTryAt)
+	ahead(" renews ", r.nextRenewalAt)
+	b = strconv.AppendBool(append(b, " opening "...), r.opening)
+	if r.renewing {
+		number(" renewing for ", uint64(now-r.renewalSentAt))
 	}
-	if s.id != 0 {
-		b = s.auth.Trace(append(b, "; "...), now)
+	if r.id != 0 {
+		b = r.authority.Trace(append(b, "; "...), now)
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.views)) {
-		v := s.views[n]
-		number("; "+n+" has ", v.id)
-		if v.id == 0 { // what counts is when it will have been gone for long enough
-			ahead(" gone ", v.goneAt+units.Longest(s.cfg.Extend)+s.cfg.TTL)
-			ahead(" short ", v.goneAt+units.Longest(s.cfg.Short))
-			number(" after ", v.last)
+	for _, node := range slices.Sorted(maps.Keys(r.views)) {
+		known := r.views[node]
+		number("; "+node+" has ", known.id)
+		if known.id == 0 { // what counts is when it will have been gone for long enough
+			ahead(" gone ", known.expiredAt+units.Longest(r.cfg.Extend)+r.cfg.TTL)
+			ahead(" short ", known.expiredAt+units.Longest(r.cfg.Short))
+			number(" after ", known.previousID)
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.voters)) {
-		b = s.voters[n].Trace(append(b, "; owes "+n+" "...), now)
+	for _, node := range slices.Sorted(maps.Keys(r.voters)) {
+		b = r.voters[node].Trace(append(b, "; voter for "+node+" "...), now)
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.polls)) {
-		p := s.polls[n]
-		number("; polls "+n+" ", p.seat)
-		ahead(" for ", p.askedAt+permitFresh+1)
-		for _, from := range slices.Sorted(maps.Keys(p.permits)) {
+	for _, node := range slices.Sorted(maps.Keys(r.polls)) {
+		poll := r.polls[node]
+		number("; polls "+node+" ", poll.memberID)
+		ahead(" for ", poll.askedAt+pollLasts+1)
+		for _, from := range slices.Sorted(maps.Keys(poll.votes)) {
 			b = append(append(b, ' '), from...)
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -69,7 +69,7 @@
 	}
 	c.updateZonePeers()
 	if len(c.owned) > 0 {
-		status.Zones = c.zones.Report()
+		status.Zones = c.zones.Statuses()
 	}
 	for _, number := range sortedShards(c.owned) {
 		use := -1.0
@@ -170,7 +170,7 @@
 	// In an outage one that was cut off may go on beside the one that owns the shard now.
 	owns := func(b BlockStatus) bool { return c.shardRecords.Assignment(b.Block).Node == from }
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
-		c.zones.PeerView(status.Zones)
+		c.zones.ReceivePeerView(status.Zones)
 	}
 	c.peers.NoteRelease(from, status.Release)
 	if c.peers.RollbackNoticed(from, status.Back) {
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -93,7 +93,7 @@
 		}
 	}
 	return func(zone string) int {
-		limit := r.zones.Rents(zone)
+		limit := r.zones.ScaleOutLimit(zone)
 		if limit > 0 {
 			limit = max(0, limit-booting[zone])
 		}
@@ -114,7 +114,7 @@
 		return !r.zones.Keep(zone, r.cfg.Lease+r.replacement(machine)) || spare && !r.zones.Returning(zone)
 	case r.zones.DeclaredLost(zone):
 		return idle
-	case r.zones.Again(zone) < r.cfg.HeartbeatInterval+keepLost:
+	case r.zones.ReturnedFor(zone) < r.cfg.HeartbeatInterval+keepLost:
 		return false // its heartbeats are about to arrive
 	}
 	return machine.Quarantined && idle ||
--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -1,9 +1,9 @@
-// Package zones keeps one picture of each zone: whether it serves, is in doubt, is lost, or
-// is coming back, by what evidence and since when. Whoever rents, watches machines or places
-// work asks it, and nobody else decides what the silence of a zone means.
+// Package zones keeps one view of each zone: whether it serves, is in doubt, is lost, or is
+// returning, by what evidence and since when. Whoever scales out, detects failures of machines or
+// places work asks it, and nobody else decides what the silence of a zone means.
 //
-// It is pure, and its memory is a few figures for each zone. Time is counted while this
-// process is awake: a process that stood still has heard nobody, which says nothing of zones.
+// The package is pure, and its memory is a few figures for each zone. Time is counted while this
+// process is awake: a process that stood still has received nothing, which says nothing of zones.
 package zones
 
 import (
@@ -18,13 +18,13 @@
 // State of a zone.
 type State int
 
-// States. A zone that was lost is coming back once any of its machines or controllers is
-// heard, and serves again once it has been heard for long enough.
+// States. A zone that was lost is returning once any of its machines or controllers is
+// responsive, and serves again once it has been so for long enough.
 const (
 	Serving State = iota
-	Doubt         // nothing is heard from it, for longer than chance explains
+	Doubt         // unresponsive for longer than chance explains
 	Lost          // and for so long that its work must be done elsewhere
-	Back          // heard again, and not yet trusted
+	Back          // responsive again, and not yet trusted
 )
 
 // States lists all.
@@ -33,20 +33,21 @@
 // String names a state for people.
 func (s State) String() string { return [...]string{"serving", "doubt", "lost", "back"}[s] }
 
-// Override is what an operator knows of a zone.
+// Override is an operator's statement about a zone.
 type Override string
 
-// Words. Without one the picture goes by its evidence.
+// Overrides; their texts are stored. Without one the view goes by its evidence.
 const (
 	NoOverride        Override = ""
 	OverrideReturning Override = "returns" // it will be back: its machines are kept
 	OverrideLost      Override = "gone"    // it will not: its machines are returned
 )
 
-// Overrides lists what an operator may say.
+// Overrides lists what an operator may state.
 var Overrides = []Override{OverrideReturning, OverrideLost}
 
-// Status is what controllers tell each other of a zone that does not serve.
+// Status is what controllers send each other of a zone that does not serve. The names of its fields
+// are sent too.
 type Status struct {
 	Zone  string
 	State int
@@ -54,9 +55,9 @@
 	Times int                // how often the zone was lost lately
 }
 
-// Count is what a holder sees of a zone's machines: those that are up, as far as is known,
-// and of them those that have reported lately.
-type Count struct{ Up, Heard int }
+// Count is what an owner of shards sees of a zone's machines: those that are up, as far as is known,
+// and of them those that have sent a heartbeat lately.
+type Count struct{ Up, Responsive int }
 
 // Config says which zones there are.
 type Config struct {
@@ -67,55 +68,55 @@
 }
 
 const (
-	// muteQuiet is the silence of a zone's machines that counts where all its controllers are
-	// silent too. Where they are heard, or there are none, each machine must have had the time
-	// to report: those that were rented together, or that came back from a cut, report all at
-	// once, and say nothing in between.
-	muteQuiet = 2 * units.Second
-	// enough is the share of the other zones' machines that must be heard: where nobody is,
-	// it is this controller that is deaf.
-	enough = 0.5
-	// A zone that was lost is trusted once it has been heard for calm; each further loss
-	// within forget doubles that, up to longestCalm.
-	calm        = 4 * units.Second
-	longestCalm = 64 * units.Second
-	forget      = 300 * units.Second
-	// probe is how many machines are rented at once into a zone that is coming back, and
-	// probeAfter when one is rented into a zone that is in doubt or lost and in which nothing
-	// is left that could be heard again.
-	probe      = 5
-	probeAfter = 60 * units.Second
+	// controllersSilentFor is the silence of a zone's machines that counts where all its controllers
+	// are unresponsive too. Where they are not, or there are none, each machine must have had the time
+	// for a heartbeat: those that were scaled out together, or that came back from a cut, send theirs
+	// all at once, and nothing in between.
+	controllersSilentFor = 2 * units.Second
+	// responsiveShare is the share of the other zones' machines that must be responsive: where none
+	// is, it is this controller that no machine reaches.
+	responsiveShare = 0.5
+	// A zone that was lost is trusted once it has been responsive for trustAfter; each further loss
+	// within forgetLossAfter doubles that, up to longestTrustAfter.
+	trustAfter        = 4 * units.Second
+	longestTrustAfter = 64 * units.Second
+	forgetLossAfter   = 300 * units.Second
+	// returningScaleOut is how many machines are scaled out at once into a zone that is returning,
+	// and probeMachineAfter when one is into a zone that is in doubt or lost and in which nothing
+	// remains that could become responsive again.
+	returningScaleOut = 5
+	probeMachineAfter = 60 * units.Second
 	// awakeStep is the most that one tick adds to the time awake.
 	awakeStep = units.Second / 10
 )
 
-// zone is the picture of one zone.
+// zone is what is known of one zone.
 type zone struct {
-	state State
-	since units.Microseconds // when the state began
-	heard units.Microseconds // time awake when a machine of the zone last reported
-	away  units.Microseconds // when the zone was last not heard from: it is lost since then, if it is
-	times int
-	lost  units.Microseconds // when it was last lost
-	again units.Microseconds // when it last came back; 0: never
-	count Count
-	peers int                // other controllers of the zone
-	mute  units.Microseconds // when one of them was last heard
-	alive int                // of them, those that are heard
-	word  Override
+	state            State
+	since            units.Microseconds // when the state began
+	lastHeartbeatAt  units.Microseconds // time awake at the last heartbeat of a machine of the zone
+	unreachableSince units.Microseconds // since when the zone is unresponsive: lost since then, if it is
+	times            int
+	lostAt           units.Microseconds // when it was last lost
+	returnedAt       units.Microseconds // when it last came back; 0: never
+	count            Count
+	peers            int                // other controllers of the zone
+	lastControllerAt units.Microseconds // when one of them was last alive
+	alive            int                // of them, those that are alive
+	override         Override
 }
 
-// View is what a controller knows of all zones.
+// View is what a controller knows of all zones. Use New.
 type View struct {
-	cfg   Config
-	zones map[string]*zone
-	names []string
-	now   units.Microseconds
-	awake units.Microseconds
-	taken units.Microseconds // time awake when a block was last taken over
+	cfg        Config
+	zones      map[string]*zone
+	names      []string
+	now        units.Microseconds
+	awake      units.Microseconds
+	acquiredAt units.Microseconds // time awake when a shard was last acquired
 }
 
-// New returns a picture in which all zones serve.
+// New returns a view in which all zones serve.
 func New(cfg Config) *View {
 	p := &View{cfg: cfg, zones: map[string]*zone{}}
 	for _, z := range cfg.Zones {
@@ -134,109 +135,111 @@
 	p.now = now
 }
 
-// HeartbeatReceived says that a machine of a zone has reported to this controller.
+// HeartbeatReceived says that a machine of a zone has sent this controller a heartbeat.
 func (p *View) HeartbeatReceived(name string) {
 	if z := p.zones[name]; z != nil {
-		z.heard = p.awake
+		z.lastHeartbeatAt = p.awake
 		if !z.reachable() {
-			p.set(name, z, Back, "a machine reports")
+			p.set(name, z, Back, "a machine sends heartbeats")
 		}
 	}
 }
 
-// ShardAcquired says that a block was taken over: whom its machines report to changes, and until
-// they have found this controller their silence says nothing.
+// ShardAcquired says that this controller has acquired a shard: until the shard's machines have found
+// it, their silence says nothing.
 func (p *View) ShardAcquired() {
-	p.taken = p.awake
+	p.acquiredAt = p.awake
 	for _, z := range p.zones {
 		z.count = Count{}
 	}
 }
 
-// Controllers says how many other controllers a zone has, and how many of them are heard.
+// Controllers says how many other controllers a zone has, and how many of them are alive.
 func (p *View) Controllers(name string, all, alive int) {
 	z := p.zones[name]
 	if z == nil {
 		return
 	}
 	if alive > z.alive && !z.reachable() {
-		p.set(name, z, Back, "a controller is heard")
+		p.set(name, z, Back, "a controller is alive")
 	}
 	if alive > 0 {
-		z.mute = p.now
+		z.lastControllerAt = p.now
 	}
 	z.peers, z.alive = all, alive
 }
 
-// quiet is how long a zone has not been heard, in time awake.
-func (p *View) quiet(z *zone) units.Microseconds { return p.awake - max(z.heard, p.taken) }
+// silentFor is how long no machine of a zone has sent a heartbeat, in time awake.
+func (p *View) silentFor(z *zone) units.Microseconds {
+	return p.awake - max(z.lastHeartbeatAt, p.acquiredAt)
+}
 
-// reachable reports whether a zone is heard.
+// reachable reports whether a zone is responsive.
 func (z *zone) reachable() bool { return z.state == Serving || z.state == Back }
 
-// muted reports whether a zone has controllers and none is heard.
-func (z *zone) muted() bool { return z.peers > 0 && z.alive == 0 }
+// controllersUnresponsive reports whether a zone has controllers and none is alive.
+func (z *zone) controllersUnresponsive() bool { return z.peers > 0 && z.alive == 0 }
 
-// nothingSilent reports whether nothing of a zone is left that could be heard again: no machine
-// is up there, and none of its controllers is silent. Then only a new machine can show that
-// the zone serves; controllers that were heard all the time show nothing.
-func (z *zone) nothingSilent() bool { return z.count.Up == 0 && !z.muted() }
+// nothingToReturn reports whether nothing of a zone remains that could become responsive again: no
+// machine is up there, and none of its controllers is unresponsive. Then only a new machine can show
+// that the zone serves; controllers that were alive all the time show nothing.
+func (z *zone) nothingToReturn() bool { return z.count.Up == 0 && !z.controllersUnresponsive() }
 
 // bounds are the silence of a zone that puts it in doubt, and that after which its work is
 // done elsewhere. Shorter cuts cost less when they are waited for.
 func (p *View) bounds(z *zone) (doubt, lost units.Microseconds) {
-	if z.muted() {
-		return muteQuiet, p.cfg.HeartbeatInterval + units.Second
+	if z.controllersUnresponsive() {
+		return controllersSilentFor, p.cfg.HeartbeatInterval + units.Second
 	}
 	return p.cfg.HeartbeatInterval + units.Second, 3*p.cfg.HeartbeatInterval/2 + units.Second
 }
 
-// Update takes what a holder sees of its machines, a few times a second, and judges.
+// Update takes what an owner sees of its machines, a few times a second, and judges.
 func (p *View) Update(counts map[string]Count) {
-	for n, z := range p.zones {
-		z.count = counts[n]
+	for name, zone := range p.zones {
+		zone.count = counts[name]
 	}
-	for _, n := range p.names {
-		z := p.zones[n]
-		doubt, lost := p.bounds(z)
-		switch z.state {
+	for _, name := range p.names {
+		zone := p.zones[name]
+		doubt, lost := p.bounds(zone)
+		switch zone.state {
 		case Serving, Back:
-			if z.count.Up > 0 && p.quiet(z) > doubt && p.othersHeard(n) {
-				z.away = p.now - p.quiet(z)
-				if z.muted() {
-					z.away = min(z.away, z.mute) // its controllers fell silent before this one took over
+			if zone.count.Up > 0 && p.silentFor(zone) > doubt && p.othersResponsive(name) {
+				zone.unreachableSince = p.now - p.silentFor(zone)
+				if zone.controllersUnresponsive() {
+					zone.unreachableSince = min(zone.unreachableSince, zone.lastControllerAt) // its controllers fell silent before this one took over
 				}
-				p.set(n, z, Doubt, "none of its machines reports, others do")
-			} else if z.state == Back && p.now-z.since >= p.calm(z) {
-				p.set(n, z, Serving, "it has been heard for long enough")
+				p.set(name, zone, Doubt, "none of its machines sends heartbeats, others do")
+			} else if zone.state == Back && p.now-zone.since >= p.trustedAfter(zone) {
+				p.set(name, zone, Serving, "it has been responsive for long enough")
 			}
 		case Doubt:
-			if p.quiet(z) > lost && p.othersHeard(n) {
-				if p.now-z.lost > forget {
-					z.times = 0
+			if p.silentFor(zone) > lost && p.othersResponsive(name) {
+				if p.now-zone.lostAt > forgetLossAfter {
+					zone.times = 0
 				}
-				z.times++
-				z.lost = p.now
-				p.set(n, z, Lost, fmt.Sprintf("nothing for %.0f s; %d of its %d other controllers are heard", p.quiet(z).Seconds(), z.alive, z.peers))
+				zone.times++
+				zone.lostAt = p.now
+				p.set(name, zone, Lost, fmt.Sprintf("nothing for %.0f s; %d of its %d other controllers are alive", p.silentFor(zone).Seconds(), zone.alive, zone.peers))
 			}
 		}
 	}
 }
 
-// othersHeard reports whether this controller hears the machines of other zones well enough
-// that the silence of one means something.
-func (p *View) othersHeard(name string) bool {
+// othersResponsive reports whether enough machines of other zones are responsive that the silence of
+// one zone means something.
+func (p *View) othersResponsive(name string) bool {
 	if p.upElsewhere(name) == 0 { // the controllers tell
-		return p.zones[name].muted() && p.othersAlive(name)
+		return p.zones[name].controllersUnresponsive() && p.othersAlive(name)
 	}
-	up, heard := 0, 0
-	for n, z := range p.zones {
-		if n != name && z.reachable() {
+	up, responsive := 0, 0
+	for other, z := range p.zones {
+		if other != name && z.reachable() {
 			up += z.count.Up
-			heard += z.count.Heard
+			responsive += z.count.Responsive
 		}
 	}
-	return heard > 0 && float64(heard) >= enough*float64(up)
+	return responsive > 0 && float64(responsive) >= responsiveShare*float64(up)
 }
 
 // upElsewhere counts the machines of the other zones, whatever those are thought to do.
@@ -250,7 +253,7 @@
 	return n
 }
 
-// othersAlive reports whether controllers of other zones are heard, or there are none but
+// othersAlive reports whether controllers of other zones are alive, or there are none but
 // this one, which is for its host to judge.
 func (p *View) othersAlive(name string) bool {
 	all, alive := 0, 0
@@ -263,42 +266,44 @@
 	return alive > 0 || all == 0
 }
 
-// calm is how long a zone must be heard before it is trusted again.
-func (p *View) calm(z *zone) units.Microseconds { return min(calm<<max(z.times-1, 0), longestCalm) }
+// trustedAfter is how long a zone must be responsive before it is trusted again.
+func (p *View) trustedAfter(z *zone) units.Microseconds {
+	return min(trustAfter<<max(z.times-1, 0), longestTrustAfter)
+}
 
 func (p *View) set(name string, z *zone, s State, why string) {
 	p.cfg.Log.Warn("zone", "zone", name, "state", s.String(), "was", z.state.String(), "for_s", (p.now - z.since).Seconds(),
 		"why", why, "up", z.count.Up, "times_lost", z.times)
 	if s == Back {
-		z.again = p.now
+		z.returnedAt = p.now
 	}
 	z.state, z.since = s, p.now
 }
 
-// PeerView takes what a controller that holds blocks says of the zones that do not serve. One
-// that has machines of its own goes by what it hears itself.
-func (p *View) PeerView(list []Status) {
-	told := map[string]Status{}
-	for _, s := range list {
-		told[s.Zone] = s
+// ReceivePeerView takes what an owner of shards says of the zones that do not serve. A controller that
+// has machines of its own goes by their heartbeats.
+func (p *View) ReceivePeerView(list []Status) {
+	received := map[string]Status{}
+	for _, status := range list {
+		received[status.Zone] = status
 	}
-	for _, n := range p.names {
-		z, s := p.zones[n], told[n]
-		if n == p.cfg.Home || s.State < 0 || s.State > int(Back) {
-			continue // it hears its own zone better than anybody else does
+	for _, name := range p.names {
+		zone, status := p.zones[name], received[name]
+		if name == p.cfg.Home || status.State < 0 || status.State > int(Back) {
+			continue // it knows its own zone better than anybody else does
 		}
-		if State(s.State) != z.state {
-			p.set(n, z, State(s.State), "the holder says so")
+		if State(status.State) != zone.state {
+			p.set(name, zone, State(status.State), "an owner of shards says so")
 		}
-		z.since, z.times = min(z.since, p.now-s.For), max(z.times, s.Times)
-		if !z.reachable() {
-			z.away = z.since
+		zone.since, zone.times = min(zone.since, p.now-status.For), max(zone.times, status.Times)
+		if !zone.reachable() {
+			zone.unreachableSince = zone.since
 		}
 	}
 }
 
-// Report returns what other controllers should know.
-func (p *View) Report() (out []Status) {
+// Statuses returns what other controllers should know.
+func (p *View) Statuses() (out []Status) {
 	for _, n := range p.names {
 		if z := p.zones[n]; z.state != Serving {
 			out = append(out, Status{Zone: n, State: int(z.state), For: p.now - z.since, Times: z.times})
@@ -307,7 +312,7 @@
 	return out
 }
 
-// Check reports what is wrong with an operator's word about a zone, of those that there are.
+// Check reports what is wrong with an override of a zone, of those that there are.
 func Check(names []string, name string, w Override) error {
 	if !slices.Contains(names, name) {
 		return fmt.Errorf("no zone %q; there are %s", name, strings.Join(names, ", "))
@@ -318,17 +323,17 @@
 	return nil
 }
 
-// SetOverride takes an operator's word. A zone that does not exist is an error that names those
+// SetOverride takes an operator's override. A zone that does not exist is an error that names those
 // that do.
 func (p *View) SetOverride(name string, w Override) error {
 	if err := Check(p.names, name, w); err != nil {
 		return err
 	}
 	z := p.zones[name]
-	if z.word != w {
-		p.cfg.Log.Warn("zone: an operator's word", "zone", name, "word", string(w))
+	if z.override != w {
+		p.cfg.Log.Warn("operator override", "zone", name, "override", string(w))
 	}
-	z.word = w
+	z.override = w
 	return nil
 }
 
@@ -346,9 +351,9 @@
 	return z == nil || z.reachable()
 }
 
-// Explains reports whether the silence of all machines is that of zones: each that has any
-// is out of reach. Else it is this controller that nobody reaches.
-func (p *View) Explains() bool {
+// ExplainsSilence reports whether the silence of all machines is that of zones: each that has any
+// is out of reach. Else it is this controller that no machine reaches.
+func (p *View) ExplainsSilence() bool {
 	any := false
 	for _, z := range p.zones {
 		if z.count.Up > 0 {
@@ -364,53 +369,52 @@
 // Lost reports whether a zone's work is to be done elsewhere.
 func (p *View) Lost(name string) bool { return p.State(name) == Lost || p.DeclaredLost(name) }
 
-// DeclaredLost reports whether an operator has said that a zone will not be back: nothing more is to
-// start there, and what is empty goes.
-func (p *View) DeclaredLost(name string) bool { return p.word(name) == OverrideLost }
+// DeclaredLost reports whether an operator has stated that a zone will not be back: nothing more is to
+// start there, and empty machines are deprovisioned.
+func (p *View) DeclaredLost(name string) bool { return p.overrideOf(name) == OverrideLost }
 
-func (p *View) word(name string) Override {
+func (p *View) overrideOf(name string) Override {
 	if z := p.zones[name]; z != nil {
-		return z.word
+		return z.override
 	}
 	return NoOverride
 }
 
-// Keep reports whether silent machines of a lost zone should be kept, which are charged for
-// as long: an operator's word counts, else how long the zone has been away. Each second
-// that they are kept costs their price, and to return them costs what it takes to rent
-// them anew once the zone is back: whoever keeps them until that much has been spent since
-// nothing can run on them any more pays at most twice what it would have cost to know how
-// long the cut lasts.
+// Keep reports whether unresponsive machines of a lost zone should be kept, which are charged for
+// as long: an operator's override counts, else how long the zone has been unresponsive. Each second
+// that they are kept costs their price, and to deprovision them costs what it takes to scale out
+// anew once the zone is back: whoever keeps them until that much has been spent since nothing can run
+// on them any more pays at most twice what it would have cost to know how long the cut lasts.
 func (p *View) Keep(name string, most units.Microseconds) bool {
 	z := p.zones[name]
 	switch {
 	case z == nil || z.reachable():
 		return true
-	case z.word == OverrideReturning:
+	case z.override == OverrideReturning:
 		return true
-	case z.word == OverrideLost:
+	case z.override == OverrideLost:
 		return false
 	}
-	return p.now-z.away < most
+	return p.now-z.unreachableSince < most
 }
 
-// Returning reports whether an operator has said that a zone will be back.
-func (p *View) Returning(name string) bool { return p.word(name) == OverrideReturning }
+// Returning reports whether an operator has stated that a zone will be back.
+func (p *View) Returning(name string) bool { return p.overrideOf(name) == OverrideReturning }
 
-// Rents says how many machines may be rented into a zone at present; -1: any number.
-func (p *View) Rents(name string) int {
+// ScaleOutLimit is how many machines may be scaled out into a zone at present; -1: any number.
+func (p *View) ScaleOutLimit(name string) int {
 	switch z := p.zones[name]; {
 	case z == nil:
 		return -1
-	case z.word == OverrideLost:
+	case z.override == OverrideLost:
 		return 0
 	case z.state == Doubt || z.state == Lost:
-		if z.nothingSilent() && p.now-z.since >= probeAfter {
+		if z.nothingToReturn() && p.now-z.since >= probeMachineAfter {
 			return 1
 		}
 		return 0
 	case z.state == Back:
-		return probe // in steps, until it has shown that it stays
+		return returningScaleOut // in steps, until it has shown that it stays
 	}
 	return -1
 }
@@ -423,10 +427,10 @@
 	return units.Never
 }
 
-// Again is how long ago a zone came back; a zone that always served came back long ago.
-func (p *View) Again(name string) units.Microseconds {
-	if z := p.zones[name]; z != nil && z.again > 0 {
-		return p.now - z.again
+// ReturnedFor is how long ago a zone came back; a zone that always served came back long ago.
+func (p *View) ReturnedFor(name string) units.Microseconds {
+	if z := p.zones[name]; z != nil && z.returnedAt > 0 {
+		return p.now - z.returnedAt
 	}
 	return units.Never
 }
@@ -436,18 +440,18 @@
 	Zone             string
 	State            State
 	For              units.Microseconds
-	Up, Heard        int
+	Up, Responsive   int
 	Times            int
-	Word             Override
+	Override         Override
 	Controllers      int // other ones of the zone
-	ControllersHeard int
+	ControllersAlive int
 }
 
 // Stats returns all zones by name.
 func (p *View) Stats() (out []ZoneStats) {
 	for _, n := range p.names {
 		z := p.zones[n]
-		out = append(out, ZoneStats{n, z.state, p.now - z.since, z.count.Up, z.count.Heard, z.times, z.word, z.peers, z.alive})
+		out = append(out, ZoneStats{n, z.state, p.now - z.since, z.count.Up, z.count.Responsive, z.times, z.override, z.peers, z.alive})
 	}
 	return out
 }
