--- a/internal/core/cancelling_test.go
+++ b/internal/core/cancellations_test.go
@@ -16,10 +16,10 @@
 	return store.Event{Key: jobPrefix + id, Value: jobs.Record{Status: jobs.Cancelled, Tasks: 1}.Encode(), Stamp: stamp}
 }
 
-// TestToldCancellations tells a holder of cancellations in every shape: what is true stops the
+// TestCancellationsFromPeers tells a holder of cancellations in every shape: what is true stops the
 // task with the next report, also of a job that the holder does not know yet, whose acceptance
 // comes later; what is malformed or of a job that is done changes nothing.
-func TestToldCancellations(t *testing.T) {
+func TestCancellationsFromPeers(t *testing.T) {
 	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}}
 	c := holding(t, map[string]any{
 		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
@@ -29,25 +29,25 @@
 	})
 	shard := c.owned[0]
 	seat := c.membership.ID()
-	tell := func(list ...store.Event) {
-		c.receiveCancellations("b", PeerPromise{Seat: seat, Sent: c.now, Told: cancellations.Told{Since: c.cache.Revision, Upto: 190, Whole: true, List: list}})
+	receive := func(list ...store.Event) {
+		c.receiveCancellations("b", PeerPromise{Seat: seat, Sent: c.now, Told: cancellations.Update{Since: c.cache.Revision, Upto: 190, Whole: true, List: list}})
 	}
 	for _, e := range []store.Event{{}, {Key: jobPrefix + "wk-000001", Value: json.RawMessage(`{"status"`), Stamp: 150}, cancelled("../x", 150),
 		cancelled("wk-000001", 0), {Key: machinePrefix + "r-1", Value: cancelled("wk-000001", 150).Value, Stamp: 150}} {
-		tell(e)
-		if !c.jobs.Get("wk-000001").Active() || c.cancellations.Known(c.cache.Revision) != c.cache.Revision || len(c.machineGroups) != 1 {
+		receive(e)
+		if !c.jobs.Get("wk-000001").Active() || c.cancellations.KnownRevision(c.cache.Revision) != c.cache.Revision || len(c.machineGroups) != 1 {
 			t.Fatalf("%+v is taken for a cancellation", e)
 		}
 	}
 	// A word that was held up, for this controller's process before: its time is that one's.
 	for _, seat = range []uint64{0, seat + 1} {
-		if tell(); c.cancellations.Known(c.cache.Revision) != c.cache.Revision {
+		if receive(); c.cancellations.KnownRevision(c.cache.Revision) != c.cache.Revision {
 			t.Fatal("what another process has asked for counts")
 		}
 	}
 	seat = c.membership.ID()
-	tell(cancelled("wk-000003", 150), cancelled("wk-000002", 160), cancelled("wk-000004", 170))
-	if c.jobs.Get("wk-000003").Record.Status != jobs.Done || c.jobs.Get("wk-000002").Active() || c.cancellations.Known(c.cache.Revision) != 190 {
+	receive(cancelled("wk-000003", 150), cancelled("wk-000002", 160), cancelled("wk-000004", 170))
+	if c.jobs.Get("wk-000003").Record.Status != jobs.Done || c.jobs.Get("wk-000002").Active() || c.cancellations.KnownRevision(c.cache.Revision) != 190 {
 		t.Fatal("the done job is not done, or the other not cancelled")
 	}
 	c.Drain()
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -54,6 +54,6 @@
 // is known to every controller that has read as far.
 func (c jobsHost) CancellationLearnt(record store.Event) {
 	if record.Stamp > c.cache.Revision {
-		c.cancellations.Note(record)
+		c.cancellations.Record(record)
 	}
 }
--- a/internal/core/jobs/progress_test.go
+++ b/internal/core/jobs/progress_test.go
@@ -1,6 +1,7 @@
 package jobs
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -21,8 +22,27 @@
 	return s.AddRanges(ranges, lo, min(lo+TasksPerRecord(formerKB), tasks))
 }
 
-// Finished tasks that either release stores read back the same in both, under
-// the old value limit and the smaller one, and whichever of them writes next.
+// storeRound has a job finish some tasks and stores them as one release or the other does.
+func storeRound(t *rapid.T, job *Job, writer ProgressLayout, limit int, stored map[string]string) {
+	tasks := job.Record.Tasks
+	step := rapid.IntRange(1, 4).Draw(t, "step")
+	for i := rapid.IntRange(0, tasks-1).Draw(t, "from"); i < tasks && rapid.IntRange(0, 300).Draw(t, "stop") > 0; i += step {
+		job.Finish(i, writer)
+	}
+	if job.AllFinished() {
+		job.finished = Set{}
+	}
+	for _, first := range job.TakeDirty() {
+		part := writer.Of(first, tasks)
+		stored[part.Name] = job.FinishedRanges(part)
+		if len(stored[part.Name])+40 > limit {
+			t.Fatalf("%d bytes in %q for a limit of %d", len(stored[part.Name]), part.Name, limit)
+		}
+	}
+}
+
+// TestProgressOfBothReleases: finished tasks that either release stores read back the same in both,
+// under the old value limit and the smaller one, and whichever of them writes next.
 func TestProgressOfBothReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		formerKB := float64(rapid.SampledFrom([]int{2, 4, 8, 32}).Draw(t, "old_kb"))
@@ -34,31 +54,15 @@
 		job.ClearPlacements()
 		stored := map[string]string{}
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
-			writer, limit := layout, int(newKB*1024)
 			if rapid.Bool().Draw(t, "old_writes") {
-				writer, limit = former, int(formerKB*1024)
-			}
-			step := rapid.IntRange(1, 4).Draw(t, "step")
-			for i := rapid.IntRange(0, tasks-1).Draw(t, "from"); i < tasks && rapid.IntRange(0, 300).Draw(t, "stop") > 0; i += step {
-				job.Finish(i, writer)
-			}
-			if job.AllFinished() {
-				job.finished = Set{}
-			}
-			for _, lo := range job.TakeDirty() {
-				p := writer.Of(lo, tasks)
-				stored[p.Name] = job.FinishedRanges(p)
-				if len(stored[p.Name])+40 > limit {
-					t.Fatalf("%d bytes in %q for a limit of %d", len(stored[p.Name]), p.Name, limit)
-				}
+				storeRound(t, job, former, int(formerKB*1024), stored)
+			} else {
+				storeRound(t, job, layout, int(newKB*1024), stored)
 			}
 		}
 		var production Set
 		next := &Job{Record: job.Record}
-		names := map[string]bool{}
-		for _, n := range layout.Names(tasks) {
-			names[n] = true
-		}
+		names := layout.Names(tasks)
 		for name, text := range stored {
 			if err := productionRead(&production, name, text, tasks, formerKB); err != nil {
 				t.Fatalf("%q as production reads it: %v", name, err)
@@ -67,8 +71,8 @@
 			if err := next.LoadProgress(n, layout, Progress{Tasks: text}); err != nil {
 				t.Fatalf("%q: %v", name, err)
 			}
-			if !names[name] {
-				t.Fatalf("%q would not be cleaned up", name)
+			if !slices.Contains(names, name) {
+				t.Fatalf("%q would not be deleted", name)
 			}
 		}
 		if want := job.finished.Ranges(0, tasks); production.Ranges(0, tasks) != want || next.finished.Ranges(0, tasks) != want {
--- a/internal/core/jobs/registry/learn.go
+++ b/internal/core/jobs/registry/learn.go
@@ -13,33 +13,33 @@
 
 // LearnRecord takes a job's record as the state service has it: a new job, another shard, or the
 // job's end. The record of a job with a long description counts once all chunks are there.
-func (r *Registry) LearnRecord(id string, e store.Event) error {
-	if e.Value == nil {
+func (r *Registry) LearnRecord(id string, event store.Event) error {
+	if event.Value == nil {
 		r.recordRemoved(id)
 		return nil
 	}
-	record, err := jobs.DecodeRecord(e.Value)
+	record, err := jobs.DecodeRecord(event.Value)
 	if err != nil {
 		return fmt.Errorf("record of a job: %w", err)
 	}
 	job := r.all[id]
 	if record.Chunks > 0 && job == nil {
-		if complete, err := r.chunks.Join(id, &record, e); err != nil || !complete {
+		if complete, err := r.chunks.Join(id, &record, event); err != nil || !complete {
 			return err
 		}
 	}
-	r.chunks.Read(id)
+	r.chunks.RecordLearnt(id)
 	if job == nil {
-		job = r.add(id, record, e.Stamp)
+		job = r.add(id, record, event.Stamp)
 	}
 	if record.Status == jobs.Cancelled {
-		r.host.CancellationLearnt(e)
+		r.host.CancellationLearnt(event)
 	}
 	if record.Status.Final() {
-		r.complete(job, record, e.Stamp)
+		r.complete(job, record, event.Stamp)
 		return nil
 	}
-	job.RecordStored(e.Stamp)
+	job.RecordStored(event.Stamp)
 	// One that was cancelled through another stays so, whatever its own record says.
 	if job.Active() && record.Shard != job.Record.Shard {
 		r.host.JobLeavesShard(job)
@@ -142,18 +142,18 @@
 }
 
 // LearnProgress takes a record of finished tasks. name is JOB/CHUNK.
-func (r *Registry) LearnProgress(name string, e store.Event) error {
+func (r *Registry) LearnProgress(name string, event store.Event) error {
 	id, chunk, isRecord := strings.Cut(name, "/")
 	job := r.all[id]
 	number, err := strconv.Atoi(chunk)
-	if e.Value == nil || job == nil || !job.Active() || !isRecord {
+	if event.Value == nil || job == nil || !job.Active() || !isRecord {
 		return nil
 	}
 	if err != nil || number < 0 || number > jobs.MaxTasks {
 		return err
 	}
 	var record jobs.Progress
-	if err := json.Unmarshal(e.Value, &record); err != nil {
+	if err := json.Unmarshal(event.Value, &record); err != nil {
 		return fmt.Errorf("finished tasks: %w", err)
 	}
 	return job.LoadProgress(number, r.cfg.Layout, record)
@@ -161,14 +161,14 @@
 
 // LearnChunk takes a chunk of a description, or its removal. Its record is stored later, but may
 // be listed earlier.
-func (r *Registry) LearnChunk(e store.Event) error {
-	if e.Value == nil {
-		r.chunkDeleted(e.Key)
+func (r *Registry) LearnChunk(event store.Event) error {
+	if event.Value == nil {
+		r.chunkDeleted(event.Key)
 		return nil
 	}
-	id := chunks.Owner(e.Key)
+	id := chunks.Owner(event.Key)
 	job := r.all[id]
-	record, waits, err := r.chunks.Put(r.host.Now(), e, job != nil)
+	record, waits, err := r.chunks.Learn(r.host.Now(), event, job != nil)
 	switch {
 	case err != nil:
 		return err
@@ -182,7 +182,7 @@
 
 // chunkDeleted notes that a chunk is no longer stored.
 func (r *Registry) chunkDeleted(key string) {
-	if !r.chunks.Drop(key) {
+	if !r.chunks.Deleted(key) {
 		return
 	}
 	id := chunks.Owner(key)
--- a/internal/core/peering/messages.go
+++ b/internal/core/peering/messages.go
@@ -51,7 +51,7 @@
 type PeerPromise struct {
 	Seat uint64
 	Sent units.Microseconds
-	Told cancellations.Told
+	Told cancellations.Update
 	// ConfigKnown is the latest version of the configuration that the sender knows.
 	ConfigKnown uint64
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -65,7 +65,7 @@
 		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
 	// Also once authority has run out: while all still grant a peer lease, nobody has taken over.
 	if c.membership.ID() != 0 {
-		status.Seat, status.Sent, status.Known = c.membership.ID(), c.now, c.cancellations.Known(c.cache.Revision)
+		status.Seat, status.Sent, status.Known = c.membership.ID(), c.now, c.cancellations.KnownRevision(c.cache.Revision)
 	}
 	c.updateZonePeers()
 	if len(c.owned) > 0 {
--- a/internal/core/recover.go
+++ b/internal/core/recover.go
@@ -46,7 +46,7 @@
 	}
 	c.cache.Recover(rev, items, keep)
 	c.config.Reloaded()
-	c.cancellations.Forget(c.now)
+	c.cancellations.StateRolledBack(c.now)
 	c.suspectCommits()
 	c.archive.RolledBack()
 	c.transfers.StateRolledBack()
--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -83,7 +83,7 @@
 	from int8 // whom it is from or to
 	sent units.Microseconds
 	rev  uint64
-	told cancellations.Told
+	told cancellations.Update
 }
 
 type process struct {
@@ -120,7 +120,7 @@
 }
 
 func (w *World) process(i int) *process {
-	cfg := cancellations.Config{Peers: count - 1, Kept: 2, AtOnce: 1}
+	cfg := cancellations.Config{Peers: count - 1, Kept: 2, Listed: 1}
 	if w.o.Fault == Dropped {
 		cfg.Kept = 1
 	}
@@ -140,7 +140,7 @@
 	if !p.knows[rev] {
 		p.knows[rev] = true
 		if rev > p.rev {
-			p.book.Note(event(rev))
+			p.book.Record(event(rev))
 		}
 	}
 }
@@ -219,7 +219,7 @@
 	case reads:
 		w.mail = append(w.mail, letter{kind: reads, sent: w.local(0)})
 	case asks:
-		w.mail = append(w.mail, letter{kind: asks, from: m.A, sent: w.local(0), rev: a.book.Known(a.rev)})
+		w.mail = append(w.mail, letter{kind: asks, from: m.A, sent: w.local(0), rev: a.book.KnownRevision(a.rev)})
 	case renews:
 		w.read = w.local(0)
 	case crashes:
@@ -253,7 +253,7 @@
 				rev = max(rev, s)
 			}
 		}
-		l.kind, l.told = stores, p.book.ListFor(w.local(int(l.from)), l.rev, begun, rev, loaded)
+		l.kind, l.told = stores, p.book.UpdateFor(w.local(int(l.from)), l.rev, begun, rev, loaded)
 		l.told.Whole = l.told.Whole || w.o.Fault == Dropped && p.loaded
 		w.mail = append(w.mail, l)
 	case stores:
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -45,7 +45,7 @@
 func TestGapUntold(t *testing.T) {
 	silent := func(m any) any {
 		if p, ok := m.(core.PeerPromise); ok {
-			p.Told = cancellations.Told{}
+			p.Told = cancellations.Update{}
 			return p
 		}
 		return m
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -49,7 +49,7 @@
 // untold tells no other controller of cancellations.
 func untold(m any) any {
 	if p, ok := m.(core.PeerPromise); ok {
-		p.Told = cancellations.Told{}
+		p.Told = cancellations.Update{}
 		return p
 	}
 	return m
