--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -27,20 +27,20 @@
 // Work that may not use spot machines never gets one, spot work does as it is
 // cheaper, and a pool that refused is left alone for a while.
 func TestKindAndRefusal(t *testing.T) {
-	s := New(params)
-	increases, _ := s.Plan(second, map[Group]Need{{Class: "x"}: need(3, 60*second)}, nil, market)
+	scaler := New(params)
+	increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: need(3, 60*second)}, nil, market)
 	if len(increases) != 1 || increases[0].Pool.Spot {
 		t.Fatalf("ordinary work: %+v", increases)
 	}
 	g := Group{Class: "x", Spot: true}
-	s = New(params)
-	increases, _ = s.Plan(second, map[Group]Need{g: need(3, 60*second)}, nil, market)
+	scaler = New(params)
+	increases, _ = scaler.Plan(second, map[Group]Need{g: need(3, 60*second)}, nil, market)
 	if len(increases) != 1 || !increases[0].Pool.Spot {
 		t.Fatalf("spot work: %+v", increases)
 	}
 	refused := increases[0].Pool
-	s.Refused(2*second, refused)
-	increases, _ = s.Plan(3*second, map[Group]Need{g: need(3, 60*second)}, nil, market)
+	scaler.Refused(2*second, refused)
+	increases, _ = scaler.Plan(3*second, map[Group]Need{g: need(3, 60*second)}, nil, market)
 	if len(increases) != 1 || increases[0].Pool == refused {
 		t.Fatalf("after a refusal: %+v", increases)
 	}
@@ -49,8 +49,8 @@
 // Work too small to be worth a machine still gets one where there is none at
 // all: left alone it would wait for ever.
 func TestStrandedWork(t *testing.T) {
-	s := New(params)
-	increases, _ := s.Plan(second, map[Group]Need{{Class: "x"}: need(1, second/10)}, nil, market)
+	scaler := New(params)
+	increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: need(1, second/10)}, nil, market)
 	if len(increases) != 1 || increases[0].Count > 2 {
 		t.Fatalf("%+v", increases)
 	}
@@ -66,8 +66,8 @@
 	}{{5 * second, false}, {200 * second, true}} {
 		n := need(12, c.run)
 		n.Running, n.Ready, n.Rate = 4, 8, 4/c.run.Seconds()
-		s := New(params)
-		if increases, _ := s.Plan(second, map[Group]Need{{Class: "x"}: n}, have, market); (len(increases) > 0) != c.scaleOut {
+		scaler := New(params)
+		if increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: n}, have, market); (len(increases) > 0) != c.scaleOut {
 			t.Fatalf("run time %v: %+v", c.run.Seconds(), increases)
 		}
 	}
@@ -80,7 +80,7 @@
 	for range 40 {
 		have = append(have, Machine{Name: "m", Pool: Pool{"small", "b", true}, Booted: true, Age: 100 * second, Idle: second})
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		group    Group
 		slack    units.Microseconds
@@ -92,13 +92,13 @@
 	} {
 		other := need(0, second)
 		n := need(200, 20*second)
-		n.Slack = c.slack * 200
-		s := New(params)
-		s.Refused(second, Pool{"big", "a", true})
-		s.Refused(second, Pool{"big", "b", true})
-		s.Refused(second, Pool{"small", "b", true})
-		if increases, _ := s.Plan(second, map[Group]Need{{Class: "w", Spot: true}: other, c.group: n}, have, market); (len(increases) > 0 && increases[0].Count > 1) != c.scaleOut {
-			t.Errorf("%s: %+v", c.name, increases)
+		n.Slack = test.slack * 200
+		scaler := New(params)
+		scaler.Refused(second, Pool{"big", "a", true})
+		scaler.Refused(second, Pool{"big", "b", true})
+		scaler.Refused(second, Pool{"small", "b", true})
+		if increases, _ := scaler.Plan(second, map[Group]Need{{Class: "w", Spot: true}: other, test.group: n}, have, market); (len(increases) > 0 && increases[0].Count > 1) != test.scaleOut {
+			t.Errorf("%s: %+v", test.name, increases)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 // needed is never returned; nor is any rented of a pool that cannot serve.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(params)
+		scaler := New(params)
 		var machines []Machine
 		for i := range rapid.IntRange(0, 12).Draw(t, "machines") {
 			m := Machine{Name: string(rune('a' + i)), Pool: Pool{"small", "b", rapid.Bool().Draw(t, "spot")}, Booted: rapid.Bool().Draw(t, "booted"),
@@ -116,7 +116,7 @@
 		}
 		g := Group{Class: "x", Zone: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "may_spot")}
 		n := rapid.IntRange(0, 200).Draw(t, "tasks")
-		increases, scaleIn := s.Plan(second, map[Group]Need{g: need(n, 30*second)}, machines, market)
+		increases, scaleIn := scaler.Plan(second, map[Group]Need{g: need(n, 30*second)}, machines, market)
 		for _, r := range increases {
 			if r.Count < 1 || r.Count > 2*n || r.Pool.Spot && !g.Spot || g.Zone != "" && r.Pool.Zone != g.Zone {
 				t.Fatalf("%+v for %+v", r, g)
@@ -140,8 +140,8 @@
 		{Name: "dear", Pool: Pool{"big", "a", false}, Booted: true, Age: 300 * second, Idle: 60 * second},
 		{Name: "cheap", Pool: Pool{"small", "b", true}, Booted: true, Age: 300 * second},
 	}
-	s := New(params)
-	increases, scaleIn := s.Plan(second, work, have, market)
+	scaler := New(params)
+	increases, scaleIn := scaler.Plan(second, work, have, market)
 	if len(scaleIn) != 1 || scaleIn[0] != "dear" || have[0].Needed || !have[1].Needed {
 		t.Fatalf("scaleIn %v, machines %+v", scaleIn, have)
 	}
@@ -149,16 +149,16 @@
 		if !increases[0].Pool.Spot {
 			t.Fatalf("increases %+v beside a cheap machine", increases)
 		}
-		s.Refused(now, increases[0].Pool)
-		increases, _ = s.Plan(now, work, have, market)
+		scaler.Refused(now, increases[0].Pool)
+		increases, _ = scaler.Plan(now, work, have, market)
 	}
-	if increases, _ = s.Plan(3*second, work, nil, market); len(increases) != 1 || increases[0].Pool.Spot {
+	if increases, _ = scaler.Plan(3*second, work, nil, market); len(increases) != 1 || increases[0].Pool.Spot {
 		t.Fatalf("with no machine and no spot: %+v", increases)
 	}
 	// That one must be kept and used: it was once taken for spare as soon as it
 	// was up, and another rented in its place.
 	alone := []Machine{have[0]}
-	if increases, scaleIn = s.Plan(4*second, work, alone, market); len(increases) > 0 && !increases[0].Pool.Spot || len(scaleIn) > 0 || !alone[0].Needed {
+	if increases, scaleIn = scaler.Plan(4*second, work, alone, market); len(increases) > 0 && !increases[0].Pool.Spot || len(scaleIn) > 0 || !alone[0].Needed {
 		t.Fatalf("one dear machine alone: increases %+v, scaleIn %v", increases, scaleIn)
 	}
 }
--- a/internal/core/autoscaler/plan.go
+++ b/internal/core/autoscaler/plan.go
@@ -22,14 +22,14 @@
 // notes on the machines which of them that work needs.
 func (s *Scaler) Plan(now units.Microseconds, work map[Group]Need, machines []Machine, market Market) ([]Increase, []string) {
 	s.remember(now, work)
-	p := s.newPlanning(now, machines, market)
+	run := s.newPlanning(now, machines, market)
 	var increases []Increase
 	for _, group := range s.groups() {
-		if increase, ok := p.serve(group, work[group]); ok {
+		if increase, ok := run.serve(group, work[group]); ok {
 			increases = append(increases, increase)
 		}
 	}
-	return increases, p.scaleIn()
+	return increases, run.scaleIn()
 }
 
 // groups are those that need anything, in the order in which they choose: what may use fewer pools
@@ -73,17 +73,17 @@
 
 // newPlanning returns a run in which no group has chosen yet.
 func (s *Scaler) newPlanning(now units.Microseconds, machines []Machine, market Market) *planning {
-	p := &planning{Scaler: s, now: now, machines: machines, market: market,
+	run := &planning{Scaler: s, now: now, machines: machines, market: market,
 		free: make([]binpack.Vec, len(machines)), order: make([]int, len(machines)), alike: map[Group]*backlog{}}
 	for i, machine := range machines {
-		p.order[i], machines[i].Needed = i, false
+		run.order[i], machines[i].Needed = i, false
 		if machineType := market.Types[machine.Pool.Type]; machineType != nil {
-			p.free[i] = machineType.Capacity
+			run.free[i] = machineType.Capacity
 		}
 	}
-	sort.SliceStable(p.order, func(a, b int) bool {
-		one, other := machines[p.order[a]], machines[p.order[b]]
-		if priceOne, priceOther := p.perCPU(one.Pool), p.perCPU(other.Pool); priceOne != priceOther {
+	sort.SliceStable(run.order, func(a, b int) bool {
+		one, other := machines[run.order[a]], machines[run.order[b]]
+		if priceOne, priceOther := run.perCPU(one.Pool), run.perCPU(other.Pool); priceOne != priceOther {
 			return priceOne < priceOther
 		}
 		if (one.Idle == 0) != (other.Idle == 0) {
@@ -91,7 +91,7 @@
 		}
 		return one.Name < other.Name
 	})
-	return p
+	return run
 }
 
 func (p *planning) perCPU(pool Pool) float64 { return perCPU(p.market.Types[pool.Type], pool.Spot) }
@@ -104,10 +104,10 @@
 	if group.Idle {
 		limit = maxPremium * cheapest(usual.types, group.Spot, p.market.Types)
 	}
-	short := p.take(group, usual, claim{slots: wanted, priceLimit: limit})
+	short := p.take(group, usual, takeLimits{slots: wanted, price: limit})
 	// What it falls short by is provisioned elsewhere, but there may be no more to be had: the
 	// machines of lost zones that it would use are noted.
-	p.take(group, usual, claim{slots: short, priceLimit: math.Inf(1), zoneLost: true})
+	p.take(group, usual, takeLimits{slots: short, price: math.Inf(1), zoneLost: true})
 	kind := 0
 	if group.Spot {
 		kind = 1
@@ -121,30 +121,31 @@
 	if short < 0.5 {
 		return Increase{}, false
 	}
-	return p.offer(shortfall{group: group, usual: usual, slots: short, cheapest: cheapest(usual.types, group.Spot, p.market.Types), unserved: wanted-short < 0.5,
-		backlog: p.backlogs[kind], alike: p.alike[same]})
+	return p.offer(shortfall{group: group, usual: usual, slots: short, unserved: wanted-short < 0.5,
+		cheapest: cheapest(usual.types, group.Spot, p.market.Types),
+		backlog:  p.backlogs[kind], alike: p.alike[same]})
 }
 
-// claim is what a group takes of the machines there are.
-type claim struct {
-	slots      float64
-	priceLimit float64 // of a CPU
-	zoneLost   bool    // of machines of lost zones, else of the others
+// takeLimits is what a group takes of the machines there are.
+type takeLimits struct {
+	slots    float64 // at most
+	price    float64 // of a CPU, at most
+	zoneLost bool    // of machines of lost zones, else of the others
 }
 
 // take has a group take slots for average tasks, and returns how many there are too few. The
 // machines of which it takes any are needed.
-func (p *planning) take(group Group, usual *usual, c claim) float64 {
-	missing := c.slots
+func (p *planning) take(group Group, usual *usual, limits takeLimits) float64 {
+	missing := limits.slots
 	for _, i := range p.order {
 		machine := p.machines[i]
 		if missing < 0.5 {
 			break
 		}
-		if machine.ZoneLost != c.zoneLost || !group.usable(usual.types, machine.Pool) {
+		if machine.ZoneLost != limits.zoneLost || !group.usable(usual.types, machine.Pool) {
 			continue
 		}
-		if p.perCPU(machine.Pool) > c.priceLimit && c.slots-missing >= 0.5 {
+		if p.perCPU(machine.Pool) > limits.price && limits.slots-missing >= 0.5 {
 			break // the cheaper ones come first; where there is none, one expensive machine does
 		}
 		taken := math.Min(missing, slots(p.free[i], usual.demand))
--- a/internal/core/liveness/reachability.go
+++ b/internal/core/liveness/reachability.go
@@ -66,11 +66,11 @@
 // (reachablePeer), it must not release its shards again and again: if the machines are really
 // deleted, their leases have to expire under one owner.
 func (r *Reachability) Unreachable(now units.Microseconds, up int, reachablePeer func() bool) bool {
-	longest := 2*r.interval + units.Second
-	if r.quietFor <= r.interval/2+units.Second {
-		return false
+	allowed := 2*r.interval + units.Second
+	if r.anyHeartbeat && up >= manyMachines {
+		allowed = r.interval/2 + units.Second
 	}
-	if r.quietFor <= longest && !(r.anyHeartbeat && up >= manyMachines) || up == 0 {
+	if r.quietFor <= allowed || up == 0 {
 		return false
 	}
 	return r.releasedAt == 0 || now-r.releasedAt >= unreachableFor+2*r.lease || reachablePeer()
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -13,12 +13,12 @@
 type Standing int
 
 const (
-	// Outdated: a later heartbeat of the machine was seen, and nobody waits for the response.
+	// Outdated heartbeats change nothing: a later heartbeat of the machine was seen, and nobody waits for the response.
 	Outdated Standing = iota
-	// Unproven: the worker has not taken a response of this owner yet, so that responses of earlier
+	// Unproven heartbeats tell what runs, not what does not: the worker has not taken a response of this owner yet, so that responses of earlier
 	// owners may still start tasks that the heartbeat does not show.
 	Unproven
-	// Proven: the heartbeat shows all that can be on the machine.
+	// Proven heartbeats show all that can be on the machine.
 	Proven
 )
 
