--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -63,12 +63,12 @@
 	r.Post(wire.JobsPath+"/{id}/abort", func(w http.ResponseWriter, req *http.Request) {
 		byID(w, req, n.Abort)
 	})
-	r.Post(wire.ReportPath, func(w http.ResponseWriter, req *http.Request) {
+	r.Post(wire.HeartbeatPath, func(w http.ResponseWriter, req *http.Request) {
 		body, ok := read(w, req)
 		if !ok {
 			return
 		}
-		rep, err := wire.DecodeReport(body)
+		rep, err := wire.DecodeHeartbeat(body)
 		if err != nil {
 			refuse(w, err.Error())
 			return
@@ -93,7 +93,7 @@
 			began := time.Now()
 			ww := middleware.NewWrapResponseWriter(w, req.ProtoMajor)
 			next.ServeHTTP(ww, req)
-			if req.URL.Path != wire.ReportPath {
+			if req.URL.Path != wire.HeartbeatPath {
 				log.Debug("request", "method", req.Method, "path", req.URL.Path, "code", ww.Status(), "took", time.Since(began))
 			}
 		})
@@ -133,7 +133,7 @@
 		}
 		body = s
 	case core.HeartbeatResponse:
-		o := wire.Orders{Token: b.FencingToken, Commands: []wire.Command{}}
+		o := wire.Orders{FencingToken: b.FencingToken, Commands: []wire.Command{}}
 		for _, c := range b.Commands {
 			o.Commands = append(o.Commands, wire.EncodeCommand(c))
 		}
@@ -163,7 +163,7 @@
 // kindOf tells who sends a request.
 func kindOf(r *http.Request) gate.Kind {
 	switch r.URL.Path {
-	case wire.ReportPath:
+	case wire.HeartbeatPath:
 		return gate.Machine
 	case wire.ReadyPath, metricsPath:
 		return gate.Probe
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -250,7 +250,7 @@
 
 func (c *Cloud) refuse(w http.ResponseWriter, code int) {
 	if code == http.StatusServiceUnavailable {
-		problem(w, code, wire.Trouble)
+		problem(w, code, wire.Unavailable)
 		return
 	}
 	problem(w, code, http.StatusText(code))
@@ -258,19 +258,19 @@
 
 // worker serves a machine's own address.
 func (c *Cloud) worker(name string) http.Handler {
-	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.MachineReport, taken, found bool) {
+	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
-			r, saved, t, f := c.site.Direct(now, name, *o.Token, *o.Session, o.Commands)
+			r, saved, t, f := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
 			if taken, found = t, f; f {
-				body = wire.EncodeReport(r, saved)
+				body = wire.EncodeHeartbeat(r, saved)
 			}
 		})
 		return body, taken, found
-	}, func(ctx context.Context) (body wire.MachineReport, found bool) {
+	}, func(ctx context.Context) (body wire.HeartbeatBody, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
 			r, saved, f := c.site.Status(now, name)
 			if found = f; f {
-				body = wire.EncodeReport(r, saved)
+				body = wire.EncodeHeartbeat(r, saved)
 			}
 		})
 		return body, found
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -253,20 +253,20 @@
 
 // Serve answers commands that come straight to the worker, on a listener.
 func (l *LoneWorker) Serve(in net.Listener) error {
-	h := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.MachineReport, taken, found bool) {
+	h := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
 		jobs := l.fetch(machine.Answer{Commands: o.Commands})
 		l.loop.do(ctx, func(now units.Microseconds) {
 			if found = l.worker != nil; found {
 				l.learn(jobs)
-				taken = l.worker.Direct(now, *o.Token, *o.Session, o.Commands)
-				body = wire.EncodeReport(l.worker.List())
+				taken = l.worker.Direct(now, *o.FencingToken, *o.Incarnation, o.Commands)
+				body = wire.EncodeHeartbeat(l.worker.List())
 			}
 		})
 		return body, taken, found
-	}, func(ctx context.Context) (body wire.MachineReport, found bool) {
+	}, func(ctx context.Context) (body wire.HeartbeatBody, found bool) {
 		l.loop.do(ctx, func(units.Microseconds) {
 			if found = l.worker != nil; found {
-				body = wire.EncodeReport(l.worker.List())
+				body = wire.EncodeHeartbeat(l.worker.List())
 			}
 		})
 		return body, found
--- a/internal/emulator/host/lone_test.go
+++ b/internal/emulator/host/lone_test.go
@@ -65,9 +65,9 @@
 	long := &work.Job{ID: "wk-000002", Spec: spec, Run: 3600 * units.Second}
 	jobs := &twoJobs{store, long}
 	var mu sync.Mutex
-	var reports []wire.MachineReport
+	var reports []wire.HeartbeatBody
 	node := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var b wire.MachineReport
+		var b wire.HeartbeatBody
 		if !read(w, r, &b) {
 			return
 		}
@@ -96,8 +96,8 @@
 	told := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return slices.ContainsFunc(reports, func(r wire.MachineReport) bool {
-			return slices.ContainsFunc(r.Tasks, func(t wire.ReportedTask) bool { return t.Task == "wk-000001/0" && t.State == "ended" })
+		return slices.ContainsFunc(reports, func(r wire.HeartbeatBody) bool {
+			return slices.ContainsFunc(r.Tasks, func(t wire.HeartbeatTask) bool { return t.Task == "wk-000001/0" && t.State == "ended" })
 		})
 	}
 	for end := time.Now().Add(20 * time.Second); !told(); time.Sleep(10 * time.Millisecond) {
--- a/internal/emulator/host/report.go
+++ b/internal/emulator/host/report.go
@@ -16,11 +16,11 @@
 // sendReport brings a report to a controller and returns its answer; the zero answer
 // says that there was none that counts.
 func sendReport(client *http.Client, addr string, r machine.Report) machine.Answer {
-	body, err := json.Marshal(wire.EncodeReport(r.Body, r.Saved))
+	body, err := json.Marshal(wire.EncodeHeartbeat(r.Body, r.Saved))
 	if err != nil {
 		return machine.Answer{}
 	}
-	resp, err := client.Post("http://"+addr+wire.ReportPath, "application/json", bytes.NewReader(body))
+	resp, err := client.Post("http://"+addr+wire.HeartbeatPath, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return machine.Answer{}
 	}
@@ -37,22 +37,22 @@
 		}
 		return a
 	}
-	a.Node, a.Commands, a.NoToken = o.Node, o.Commands, o.Token == nil
-	if o.Token != nil {
-		a.Token = *o.Token
+	a.Node, a.Commands, a.NoToken = o.Node, o.Commands, o.FencingToken == nil
+	if o.FencingToken != nil {
+		a.Token = *o.FencingToken
 	}
 	return a
 }
 
 // workerHandler serves a worker's own address. A machine that is not found stands still, or
 // is not up yet: it says nothing.
-func workerHandler(command func(context.Context, wire.ReceivedOrders) (body wire.MachineReport, taken, found bool),
-	status func(context.Context) (body wire.MachineReport, found bool)) http.Handler {
+func workerHandler(command func(context.Context, wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool),
+	status func(context.Context) (body wire.HeartbeatBody, found bool)) http.Handler {
 	r := chi.NewRouter()
 	r.Post(wire.CommandsPath, func(w http.ResponseWriter, req *http.Request) {
 		b, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBody))
 		o, err2 := wire.DecodeOrders(b)
-		if err != nil || err2 != nil || o.Token == nil || o.Session == nil {
+		if err != nil || err2 != nil || o.FencingToken == nil || o.Incarnation == nil {
 			problem(w, http.StatusBadRequest, "malformed")
 			return
 		}
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -128,7 +128,7 @@
 		}
 		s.pause()
 		if code == http.StatusOK {
-			answer(w, code, wire.Entry{Key: it.Key, Value: it.Value, Stamp: it.Stamp, Lease: it.Lease})
+			answer(w, code, wire.Entry{Key: it.Key, Value: it.Value, Version: it.Stamp, Lease: it.Lease})
 			return
 		}
 		refuse(w, code, rev)
@@ -153,12 +153,12 @@
 		}
 		out := wire.Listing{Items: make([]wire.Item, 0, len(l.Items)), More: l.More, Revision: l.Rev}
 		for _, it := range l.Items {
-			out.Items = append(out.Items, wire.Item{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+			out.Items = append(out.Items, wire.Item{Key: it.Key, Value: it.Value, Version: it.Stamp})
 		}
 		answer(w, http.StatusOK, out)
 	})
 	r.Post(wire.CommitPath, func(w http.ResponseWriter, req *http.Request) { s.commit(w, req, client) })
-	r.Post(wire.HoldsPath, func(w http.ResponseWriter, req *http.Request) {
+	r.Post(wire.LeasesPath, func(w http.ResponseWriter, req *http.Request) {
 		var b wire.LeaseRequest
 		if !read(w, req, &b) {
 			return
@@ -175,8 +175,8 @@
 		}
 		answer(w, code, wire.Lease{ID: id})
 	})
-	r.Post(wire.HoldsPath+"/{id}/extend", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).Renew) })
-	r.Delete(wire.HoldsPath+"/{id}", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).End) })
+	r.Post(wire.LeasesPath+"/{id}/extend", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).Renew) })
+	r.Delete(wire.LeasesPath+"/{id}", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).End) })
 	r.Get(wire.WatchPath, func(w http.ResponseWriter, req *http.Request) { s.watch(w, req, client) })
 	return r
 }
@@ -206,7 +206,7 @@
 	}
 	var t kv.Txn
 	for _, g := range b.If {
-		t.Guards = append(t.Guards, kv.Guard{Key: g.Key, Stamp: g.Stamp})
+		t.Guards = append(t.Guards, kv.Guard{Key: g.Key, Stamp: g.Version})
 	}
 	for _, c := range b.Then {
 		if (c.Put == "") == (c.Delete == "") || c.Put != "" && c.Value == nil {
@@ -272,9 +272,9 @@
 		out := wire.Changes{Revision: c.Rev, Events: make([]wire.Event, 0, len(c.Events))}
 		for _, e := range c.Events {
 			if e.Value != nil {
-				out.Events = append(out.Events, wire.Event{Put: e.Key, Value: e.Value, Stamp: e.Stamp})
+				out.Events = append(out.Events, wire.Event{Put: e.Key, Value: e.Value, Version: e.Stamp})
 			} else {
-				out.Events = append(out.Events, wire.Event{Delete: e.Key, Stamp: e.Stamp})
+				out.Events = append(out.Events, wire.Event{Delete: e.Key, Version: e.Stamp})
 			}
 		}
 		answer(w, http.StatusOK, out)
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -15,7 +15,7 @@
 // gotReport counts a worker's report.
 func (w *World) gotReport(n *Node, r *fleet.Heartbeat) {
 	if t := w.opt.Traffic; t.At(w.now) {
-		t.JSON(n.Name, "in report", wire.EncodeReport(r, nil))
+		t.JSON(n.Name, "in report", wire.EncodeHeartbeat(r, nil))
 	}
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -97,7 +97,7 @@
 		return outcome, 0, nil, false
 	}
 	for _, item := range listing.Items {
-		items = append(items, store.Event{Key: item.Key, Value: item.Value, Stamp: item.Stamp})
+		items = append(items, store.Event{Key: item.Key, Value: item.Value, Stamp: item.Version})
 	}
 	return store.OK, listing.Revision, items, listing.More
 }
@@ -115,7 +115,7 @@
 	status, outcome := c.do(ctx, http.MethodGet, wire.KeysPath+"/"+key, callTimeout, nil, &entry)
 	switch {
 	case outcome == store.OK:
-		return outcome, entry.Value, entry.Stamp, 0
+		return outcome, entry.Value, entry.Version, 0
 	case status == http.StatusNotFound:
 		return store.OK, nil, 0, entry.Revision.Revision
 	case outcome == store.Failed:
@@ -142,9 +142,9 @@
 	}
 	for _, e := range changes.Events {
 		if e.Put != "" {
-			events = append(events, store.Event{Key: e.Put, Value: e.Value, Stamp: e.Stamp})
+			events = append(events, store.Event{Key: e.Put, Value: e.Value, Stamp: e.Version})
 		} else {
-			events = append(events, store.Event{Key: e.Delete, Stamp: e.Stamp})
+			events = append(events, store.Event{Key: e.Delete, Stamp: e.Version})
 		}
 	}
 	return store.OK, changes.Revision, events, false
@@ -158,7 +158,7 @@
 	}
 	request := wire.Commit{If: []wire.Guard{}, Then: []wire.Change{}}
 	for _, g := range txn.Guards {
-		request.If = append(request.If, wire.Guard{Key: g.Key, Stamp: g.Version})
+		request.If = append(request.If, wire.Guard{Key: g.Key, Version: g.Version})
 	}
 	for _, change := range txn.Changes {
 		if change.Value == nil {
@@ -183,13 +183,13 @@
 // the request budget, nor are renewal and revocation: nothing may delay them.
 func (c *Client) OpenLease(ctx context.Context, ttl units.Microseconds) (outcome store.Outcome, id uint64) {
 	var lease wire.Lease
-	_, outcome = c.do(ctx, http.MethodPost, wire.HoldsPath, callTimeout, wire.LeaseRequest{TTLMillis: int64(ttl / 1000)}, &lease)
+	_, outcome = c.do(ctx, http.MethodPost, wire.LeasesPath, callTimeout, wire.LeaseRequest{TTLMillis: int64(ttl / 1000)}, &lease)
 	return outcome, lease.ID
 }
 
 // RenewLease extends a lease. Failed means that it has expired.
 func (c *Client) RenewLease(ctx context.Context, id uint64) store.Outcome {
-	status, outcome := c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/extend", wire.HoldsPath, id), callTimeout, nil, nil)
+	status, outcome := c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/extend", wire.LeasesPath, id), callTimeout, nil, nil)
 	if outcome == store.Failed && status != http.StatusNotFound {
 		return store.Unknown
 	}
@@ -199,5 +199,5 @@
 // CloseLease revokes a lease. The outcome is of no use to the caller: a lease that could not
 // be revoked expires.
 func (c *Client) CloseLease(ctx context.Context, id uint64) {
-	c.do(ctx, http.MethodDelete, fmt.Sprintf("%s/%d", wire.HoldsPath, id), callTimeout, nil, nil)
+	c.do(ctx, http.MethodDelete, fmt.Sprintf("%s/%d", wire.LeasesPath, id), callTimeout, nil, nil)
 }
--- a/internal/wire/neighbours.go
+++ b/internal/wire/neighbours.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"shalestage.example/shalestage/internal/core/fleet"
@@ -10,9 +9,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// What users, workers and the outside services say and read: the other ends of the
+// What users, workers and the outside services send and read: the other ends of the
 // interfaces, for clients and for the emulator.
 
+// nameOf returns the key of a value in a map that has each value once, or the zero key.
 func nameOf[K, V comparable](m map[K]V, v V) K {
 	for k, x := range m {
 		if x == v {
@@ -23,82 +23,83 @@
 	return none
 }
 
-// EncodeSubmission writes a submission.
-func EncodeSubmission(id string, s *jobs.Spec) ([]byte, error) {
-	num := func(milli int64) *float64 { v := float64(milli) / 1000; return &v }
-	sec := func(m units.Microseconds) *float64 { v := m.Seconds(); return &v }
-	shape, urgency, tasks := "sweep", nameOf(priorities, s.Priority), int64(s.Tasks)
-	if s.Service {
+// EncodeSubmission returns the body of a submission.
+func EncodeSubmission(id string, spec *jobs.Spec) ([]byte, error) {
+	fromMilli := func(milli int64) *float64 { v := float64(milli) / 1000; return &v }
+	inSeconds := func(m units.Microseconds) *float64 { v := m.Seconds(); return &v }
+	shape, urgency, tasks := "sweep", nameOf(priorities, spec.Priority), int64(spec.Tasks)
+	if spec.Service {
 		shape = "daemon"
 	}
-	out := submission{ID: &id, Class: &s.Class, Team: &s.Team, Shape: &shape, Urgency: &urgency, Tasks: &tasks,
-		Cores: num(s.Demand[0]), Cards: num(s.Demand[1]), MemoryGB: num(s.Demand[2]), Image: &s.Image, ImageGB: num(s.ImageMB),
-		OneZone: &s.OneZone, Spread: &s.Spread, Spot: &s.Spot, Estimate: sec(s.Estimate), Checkpoint: sec(s.Checkpoint), Save: sec(s.Save)}
-	if !s.AnyType {
-		out.Types = &s.Types
+	encoded := submission{ID: &id, Class: &spec.Class, Team: &spec.Team, Shape: &shape, Urgency: &urgency, Tasks: &tasks,
+		Cores: fromMilli(spec.Demand[0]), Cards: fromMilli(spec.Demand[1]), MemoryGB: fromMilli(spec.Demand[2]), Image: &spec.Image, ImageGB: fromMilli(spec.ImageMB),
+		OneZone: &spec.OneZone, Spread: &spec.Spread, Spot: &spec.Spot, Estimate: inSeconds(spec.Estimate), Checkpoint: inSeconds(spec.Checkpoint), Save: inSeconds(spec.Save)}
+	if !spec.AnyType {
+		encoded.Types = &spec.Types
 	}
-	if s.Zone != "" {
-		out.Zone = &s.Zone
+	if spec.Zone != "" {
+		encoded.Zone = &spec.Zone
 	}
-	if s.Deadline > 0 {
-		out.Deadline = sec(s.Deadline)
+	if spec.Deadline > 0 {
+		encoded.Deadline = inSeconds(spec.Deadline)
 	}
-	for _, a := range s.Awaits {
-		out.Awaits = append(out.Awaits, &a)
+	for _, a := range spec.Awaits {
+		encoded.Dependencies = append(encoded.Dependencies, &a)
 	}
-	return json.Marshal(out)
+	return json.Marshal(encoded)
 }
 
-// DecodeJobStatus reads the answer to a user's call.
+// DecodeJobStatus reads the answer to a user's call; a status that is unknown here is an error.
 func DecodeJobStatus(body []byte) (JobStatus, jobs.Status, error) {
-	var s JobStatus
-	if err := json.Unmarshal(body, &s); err != nil {
-		return s, "", err
+	var answer JobStatus
+	if err := json.Unmarshal(body, &answer); err != nil {
+		return answer, "", err
 	}
-	st := jobs.Status(s.Status)
-	if s.Status == Status(jobs.Cancelled) {
-		st = jobs.Cancelled
+	status := jobs.Status(answer.Status)
+	if answer.Status == Status(jobs.Cancelled) {
+		status = jobs.Cancelled
 	}
-	switch st {
+	switch status {
 	case jobs.Pending, jobs.Running, jobs.Done, jobs.Cancelled:
-		return s, st, nil
+		return answer, status, nil
 	}
-	return s, "", fmt.Errorf("status %q", s.Status)
+	return answer, "", fmt.Errorf("status %q", answer.Status)
 }
 
-// MachineReport is a worker's report.
-type MachineReport struct {
-	Machine string         `json:"stagehand"`
-	Addr    string         `json:"address"`
-	Type    string         `json:"rig"`
-	Zone    string         `json:"hall"`
-	Spot    bool           `json:"standby"`
-	Session uint64         `json:"shift"`
-	Seq     uint64         `json:"tally"`
-	Token   uint64         `json:"baton"`
-	Notice  *float64       `json:"warning_s"`
-	Tasks   []ReportedTask `json:"cues"`
+// HeartbeatBody is a worker's heartbeat with its status.
+type HeartbeatBody struct {
+	Machine      string          `json:"stagehand"`
+	Addr         string          `json:"address"`
+	Type         string          `json:"rig"`
+	Zone         string          `json:"hall"`
+	Spot         bool            `json:"standby"`
+	Incarnation  uint64          `json:"shift"`
+	Seq          uint64          `json:"tally"`
+	FencingToken uint64          `json:"baton"`
+	Notice       *float64        `json:"warning_s"`
+	Tasks        []HeartbeatTask `json:"cues"`
 }
 
-// ReportedTask is an attempt in a report.
-type ReportedTask struct {
-	Task    string `json:"cue"`
-	Attempt uint64 `json:"take"`
-	State   string `json:"status"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"saved,omitempty"`
+// HeartbeatTask is an attempt at a task in a heartbeat.
+type HeartbeatTask struct {
+	Task         string `json:"cue"`
+	Attempt      uint64 `json:"take"`
+	State        string `json:"status"`
+	Cause        string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"saved,omitempty"`
 }
 
-// EncodeReport writes a report; saved names the stopped tasks whose progress was saved.
-func EncodeReport(r *fleet.Heartbeat, saved map[jobs.TaskID]bool) MachineReport {
-	out := MachineReport{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Incarnation, Seq: r.Seq, Token: r.FencingToken, Tasks: []ReportedTask{}}
-	if r.Notice != units.Never {
-		v := r.Notice.Seconds()
+// EncodeHeartbeat returns the body of a heartbeat; checkpointed names the stopped tasks whose
+// progress was saved.
+func EncodeHeartbeat(heartbeat *fleet.Heartbeat, checkpointed map[jobs.TaskID]bool) HeartbeatBody {
+	out := HeartbeatBody{Machine: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
+		Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, FencingToken: heartbeat.FencingToken, Tasks: []HeartbeatTask{}}
+	if heartbeat.Notice != units.Never {
+		v := heartbeat.Notice.Seconds()
 		out.Notice = &v
 	}
-	for _, t := range r.Tasks {
-		rt := ReportedTask{Task: t.ID.String(), Attempt: t.Attempt, State: nameOf(states, t.State), Saved: saved[t.ID]}
+	for _, t := range heartbeat.Tasks {
+		rt := HeartbeatTask{Task: t.ID.String(), Attempt: t.Attempt, State: nameOf(states, t.State), Checkpointed: checkpointed[t.ID]}
 		if t.State == fleet.Exited {
 			rt.Cause = nameOf(causes, t.Cause)
 		}
@@ -107,70 +108,70 @@
 	return out
 }
 
-// ReceivedOrders is an answer to a report, or the body of a direct command.
+// ReceivedOrders is an answer to a heartbeat, or the body of a direct command.
 type ReceivedOrders struct {
-	Node     string  // of a redirect
-	Token    *uint64 // nil: none
-	Session  *uint64 // of a direct command
-	Commands []fleet.Command
+	Node         string  // of a redirect
+	FencingToken *uint64 // nil: none
+	Incarnation  *uint64 // of a direct command
+	Commands     []fleet.Command
 }
 
-// DecodeOrders reads an answer to a report, whatever its status, or a direct command.
+// DecodeOrders reads an answer to a heartbeat, whatever its status, or a direct command.
 func DecodeOrders(body []byte) (ReceivedOrders, error) {
-	var b struct {
+	var received struct {
 		Redirect
 		Token    *uint64   `json:"baton"`
 		Session  *uint64   `json:"shift"`
 		Commands []Command `json:"calls"`
 	}
 	if !isObject(body) {
-		return ReceivedOrders{}, errors.New("not an object")
+		return ReceivedOrders{}, errNotObject
 	}
-	if err := json.Unmarshal(body, &b); err != nil {
+	if err := json.Unmarshal(body, &received); err != nil {
 		return ReceivedOrders{}, err
 	}
-	out := ReceivedOrders{Node: b.Redirect.Node, Token: b.Token, Session: b.Session}
-	for _, c := range b.Commands {
-		id, err := jobs.ParseTaskID(c.Task)
+	orders := ReceivedOrders{Node: received.Node, FencingToken: received.Token, Incarnation: received.Session}
+	for _, command := range received.Commands {
+		id, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
 			return ReceivedOrders{}, err
 		}
-		cmd := fleet.Command{ID: id, Attempt: c.Attempt}
-		switch c.Kind {
+		decoded := fleet.Command{ID: id, Attempt: command.Attempt}
+		switch command.Kind {
 		case "run":
-			cmd.Op = fleet.Start
+			decoded.Op = fleet.Start
 		case "stop":
-			cmd.Op = fleet.Stop
-			if c.Grace != nil {
-				v, err := amount("bow_s", c.Grace)
+			decoded.Op = fleet.Stop
+			if command.Grace != nil {
+				v, err := amount("bow_s", command.Grace)
 				if err != nil {
 					return ReceivedOrders{}, err
 				}
-				cmd.Grace = units.Seconds(v)
+				decoded.Grace = units.Seconds(v)
 			}
 		case "forget":
-			cmd.Op = fleet.Forget
+			decoded.Op = fleet.Forget
 		default:
-			return ReceivedOrders{}, fmt.Errorf("command %q", c.Kind)
+			return ReceivedOrders{}, fmt.Errorf("command %q", command.Kind)
 		}
-		out.Commands = append(out.Commands, cmd)
+		orders.Commands = append(orders.Commands, decoded)
 	}
-	return out, nil
+	return orders, nil
 }
 
-// NoCapacity is the error of a rental for which there is no machine; Trouble is
+// NoCapacity is the error of a request for machines of which there is none; Unavailable is
 // that of a cloud that is out of order.
 const (
-	NoCapacity = "no capacity"
-	Trouble    = "trouble"
+	NoCapacity  = "no capacity"
+	Unavailable = "trouble"
 )
 
 // Entry answers the read of one key.
 type Entry struct {
-	Key   string          `json:"k"`
-	Value json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
-	Lease uint64          `json:"pass,omitempty"`
+	Key     string          `json:"k"`
+	Value   json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
+	Lease   uint64          `json:"pass,omitempty"`
 }
 
 // Revision is the body of an answer that tells no more.
@@ -178,7 +179,7 @@
 	Revision uint64 `json:"ledger_rev"`
 }
 
-// ProblemText returns what an answer that refuses says, or "".
+// ProblemText returns the reason in the body of an answer that refuses, or "".
 func ProblemText(body []byte) string {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil {
--- a/internal/wire/neighbours_test.go
+++ b/internal/wire/neighbours_test.go
@@ -13,26 +13,26 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestBothEnds writes drawn submissions, reports and orders as one end does, and
+// TestBothEnds writes drawn submissions, heartbeats and orders as one end does, and
 // reads them as the other: they say the same.
 func TestBothEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := func(name string) int64 { return rapid.Int64Range(0, 1e6).Draw(t, name) }
 		micros := func(name string) units.Microseconds { return units.Microseconds(amount(name)) }
-		s := &jobs.Spec{Class: "c", Team: "t", Image: "i", Service: rapid.Bool().Draw(t, "service"), Priority: jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
+		spec := &jobs.Spec{Class: "c", Team: "t", Image: "i", Service: rapid.Bool().Draw(t, "service"), Priority: jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 			Tasks: rapid.IntRange(1, jobs.MaxTasks).Draw(t, "tasks"), Demand: binpack.Vec{amount("cpus"), amount("gpus"), amount("memory")}, ImageMB: amount("image"),
 			AnyType: true, OneZone: rapid.Bool().Draw(t, "one"), Spread: rapid.Bool().Draw(t, "spread"), Spot: rapid.Bool().Draw(t, "spot"),
 			Estimate: micros("estimate"), Checkpoint: micros("checkpoint"), Save: micros("save"), Deadline: micros("deadline")}
 		if rapid.Bool().Draw(t, "bound") {
-			s.AnyType, s.Types, s.Zone, s.Awaits = false, []string{"a", "b"}, "z", []string{"wk-000001", "wk-000002"}
+			spec.AnyType, spec.Types, spec.Zone, spec.Awaits = false, []string{"a", "b"}, "z", []string{"wk-000001", "wk-000002"}
 		}
-		b, err := EncodeSubmission("wk-000009", s)
+		b, err := EncodeSubmission("wk-000009", spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		id, got, err := DecodeSubmission(b)
-		if err != nil || id != "wk-000009" || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", s) {
-			t.Fatalf("%s: %+v, want %+v; %v", b, got, s, err)
+		if err != nil || id != "wk-000009" || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", spec) {
+			t.Fatalf("%s: %+v, want %+v; %v", b, got, spec, err)
 		}
 
 		task := rapid.Custom(func(t *rapid.T) fleet.Task {
@@ -43,31 +43,31 @@
 			}
 			return x
 		})
-		r := &fleet.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "a", Zone: "z", Incarnation: rapid.Uint64().Draw(t, "session"), Seq: 3, FencingToken: rapid.Uint64().Draw(t, "token"),
+		heartbeat := &fleet.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "a", Zone: "z", Incarnation: rapid.Uint64().Draw(t, "session"), Seq: 3, FencingToken: rapid.Uint64().Draw(t, "token"),
 			Notice: rapid.SampledFrom([]units.Microseconds{0, 5, units.Never}).Draw(t, "notice"), Tasks: rapid.SliceOfN(task, 1, 5).Draw(t, "list")}
-		if b, err = json.Marshal(EncodeReport(r, nil)); err != nil {
+		if b, err = json.Marshal(EncodeHeartbeat(heartbeat, nil)); err != nil {
 			t.Fatal(err)
 		}
-		rep, err := DecodeReport(b)
-		if err != nil || fmt.Sprintf("%+v", rep) != fmt.Sprintf("%+v", r) {
-			t.Fatalf("%s: %+v, want %+v; %v", b, rep, r, err)
+		decoded, err := DecodeHeartbeat(b)
+		if err != nil || fmt.Sprintf("%+v", decoded) != fmt.Sprintf("%+v", heartbeat) {
+			t.Fatalf("%s: %+v, want %+v; %v", b, decoded, heartbeat, err)
 		}
 
 		var want []fleet.Command
-		o := Orders{Token: r.FencingToken, Session: &r.Incarnation}
-		for _, x := range r.Tasks {
+		orders := Orders{FencingToken: heartbeat.FencingToken, Incarnation: &heartbeat.Incarnation}
+		for _, x := range heartbeat.Tasks {
 			c := fleet.Command{Op: rapid.SampledFrom([]fleet.Op{fleet.Start, fleet.Stop, fleet.Forget}).Draw(t, "op"), ID: x.ID, Attempt: x.Attempt}
 			if c.Op == fleet.Stop {
 				c.Grace = micros("grace")
 			}
 			want = append(want, c)
-			o.Commands = append(o.Commands, EncodeCommand(c))
+			orders.Commands = append(orders.Commands, EncodeCommand(c))
 		}
-		if b, err = json.Marshal(o); err != nil {
+		if b, err = json.Marshal(orders); err != nil {
 			t.Fatal(err)
 		}
 		back, err := DecodeOrders(b)
-		if err != nil || *back.Token != r.FencingToken || *back.Session != r.Incarnation || fmt.Sprint(back.Commands) != fmt.Sprint(want) {
+		if err != nil || *back.FencingToken != heartbeat.FencingToken || *back.Incarnation != heartbeat.Incarnation || fmt.Sprint(back.Commands) != fmt.Sprint(want) {
 			t.Fatalf("%s: %+v, want %v; %v", b, back, want, err)
 		}
 	})
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -11,8 +11,8 @@
 
 // Guard is a condition of a transaction: the key has this version (0: absent).
 type Guard struct {
-	Key   string `json:"k"`
-	Stamp uint64 `json:"stamp"`
+	Key     string `json:"k"`
+	Version uint64 `json:"stamp"`
 }
 
 // Change is one put or delete of a transaction.
@@ -41,9 +41,9 @@
 
 // Item is one key of a listing.
 type Item struct {
-	Key   string          `json:"k"`
-	Value json.RawMessage `json:"data"`
-	Stamp uint64          `json:"stamp"`
+	Key     string          `json:"k"`
+	Value   json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
 }
 
 // Listing answers a listing of keys.
@@ -55,10 +55,10 @@
 
 // Event is one change that a watch saw.
 type Event struct {
-	Put    string          `json:"write,omitempty"`
-	Value  json.RawMessage `json:"data,omitempty"`
-	Stamp  uint64          `json:"stamp"`
-	Delete string          `json:"remove,omitempty"`
+	Put     string          `json:"write,omitempty"`
+	Value   json.RawMessage `json:"data,omitempty"`
+	Version uint64          `json:"stamp"`
+	Delete  string          `json:"remove,omitempty"`
 }
 
 // Changes answers a watch.
@@ -98,9 +98,9 @@
 
 // Type checks a price list's entry and turns it into the core's form.
 func (t MachineType) Type() (fleet.Type, error) {
-	for _, v := range []float64{t.Cores, t.Cards, t.MemoryGB, t.CacheGB, t.FetchGBs, t.Price, t.SpotPrice, t.BootS} {
-		if !(v >= 0 && v <= maxAmount) {
-			return fleet.Type{}, fmt.Errorf("machine type %q: amount %v", t.Name, v)
+	for _, amount := range []float64{t.Cores, t.Cards, t.MemoryGB, t.CacheGB, t.FetchGBs, t.Price, t.SpotPrice, t.BootS} {
+		if !(amount >= 0 && amount <= maxAmount) {
+			return fleet.Type{}, fmt.Errorf("machine type %q: amount %v", t.Name, amount)
 		}
 	}
 	if t.Name == "" || len(t.Name) > 100 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,9 @@
-// Package wire holds the JSON bodies of every outside interface, and is the
-// only place that knows the protocol's own names for things.
+// Package wire holds the JSON bodies of every outside interface. It is the only place that
+// knows the protocol's own names for things: struct tags hold them, the fields beside them
+// have the names that the rest of the code uses.
+//
+// Decoding checks what it reads and returns the core's types; amounts become thousandths and
+// times microseconds. Durations on the wire are seconds, sizes gigabytes.
 package wire
 
 import (
@@ -17,49 +21,50 @@
 
 // Paths of the interfaces.
 const (
-	JobsPath   = "/work"
-	ReadyPath  = "/ready"
-	ReportPath = "/hello"
-	TypesPath  = "/machine_types"
+	JobsPath      = "/work"
+	ReadyPath     = "/ready"
+	HeartbeatPath = "/hello"
+	TypesPath     = "/machine_types"
 	// CommandsPath is the worker's own.
 	CommandsPath = "/commands"
 	HostsPath    = "/hosts"
 	ReturnPath   = "/hosts/return"
 	KeysPath     = "/keys"
 	CommitPath   = "/commit"
-	HoldsPath    = "/holds"
+	LeasesPath   = "/holds"
 	WatchPath    = "/watch"
 )
 
-// MaxBody bounds a request's body.
+// MaxBody bounds a request's body, in bytes.
 const MaxBody = 64 << 10
 
 // maxAmount bounds amounts and durations, far above any that can occur, so
 // that sums over a job's tasks cannot overflow.
 const maxAmount = 1e7
 
+// submission is a job as users submit it; nil: missing.
 type submission struct {
-	ID         *string   `json:"name_id"`
-	Class      *string   `json:"jobline"`
-	Team       *string   `json:"crew"`
-	Shape      *string   `json:"shape"`
-	Urgency    *string   `json:"urgency"`
-	Tasks      *int64    `json:"cues"`
-	Cores      *float64  `json:"cores"`
-	Cards      *float64  `json:"cards"`
-	MemoryGB   *float64  `json:"memory_gb"`
-	Image      *string   `json:"reel"`
-	ImageGB    *float64  `json:"image_gb"`
-	Types      *[]string `json:"rigs"`
-	Zone       *string   `json:"hall"`
-	OneZone    *bool     `json:"same_place"`
-	Spread     *bool     `json:"apart"`
-	Spot       *bool     `json:"standby"`
-	Estimate   *float64  `json:"runtime_s"`
-	Checkpoint *float64  `json:"bookmark_s"`
-	Save       *float64  `json:"stow_s"`
-	Deadline   *float64  `json:"curtain_s"`
-	Awaits     []*string `json:"awaits"`
+	ID           *string   `json:"name_id"`
+	Class        *string   `json:"jobline"`
+	Team         *string   `json:"crew"`
+	Shape        *string   `json:"shape"`
+	Urgency      *string   `json:"urgency"`
+	Tasks        *int64    `json:"cues"`
+	Cores        *float64  `json:"cores"`
+	Cards        *float64  `json:"cards"`
+	MemoryGB     *float64  `json:"memory_gb"`
+	Image        *string   `json:"reel"`
+	ImageGB      *float64  `json:"image_gb"`
+	Types        *[]string `json:"rigs"`
+	Zone         *string   `json:"hall"`
+	OneZone      *bool     `json:"same_place"`
+	Spread       *bool     `json:"apart"`
+	Spot         *bool     `json:"standby"`
+	Estimate     *float64  `json:"runtime_s"`
+	Checkpoint   *float64  `json:"bookmark_s"`
+	Save         *float64  `json:"stow_s"`
+	Deadline     *float64  `json:"curtain_s"`
+	Dependencies []*string `json:"awaits"`
 }
 
 var priorities = map[string]jobs.Priority{
@@ -82,43 +87,56 @@
 	return id
 }
 
-// isObject reports whether a body is one JSON object.
+// FieldError says which field of a body is wrong, by its name on the wire, and why.
+type FieldError struct {
+	Field, Reason string
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
+
+// errNotObject is returned for a body that is not a JSON object, valid JSON or not.
+var errNotObject = errors.New("not an object")
+
+// isObject reports whether a body begins as a JSON object does.
 func isObject(body []byte) bool {
 	t := bytes.TrimLeft(body, " \t\r\n")
 	return len(t) > 0 && t[0] == '{'
 }
 
-func amount(name string, v *float64) (float64, error) {
-	if v == nil {
-		return 0, fmt.Errorf("%s: missing", name)
+// amount checks a number that must be there and in range; NaN and infinities are out of it.
+func amount(name string, value *float64) (float64, error) {
+	if value == nil {
+		return 0, &FieldError{name, "missing"}
 	}
-	if math.IsNaN(*v) || *v < 0 || *v > maxAmount {
-		return 0, fmt.Errorf("%s: out of range", name)
+	if math.IsNaN(*value) || *value < 0 || *value > maxAmount {
+		return 0, &FieldError{name, "out of range"}
 	}
-	return *v, nil
+	return *value, nil
 }
 
-func text(name string, v *string) error {
-	if v == nil || *v == "" || len(*v) > 200 {
-		return fmt.Errorf("%s: missing, empty or too long", name)
+// text checks a string that must be there, of 1 to 200 bytes.
+func text(name string, value *string) error {
+	if value == nil || *value == "" || len(*value) > 200 {
+		return &FieldError{name, "missing, empty or too long"}
 	}
 	return nil
 }
 
-// DecodeSubmission reads and checks a submission.
+// DecodeSubmission reads and checks a submission and returns the job's id. Errors about one
+// field are of type *FieldError.
 func DecodeSubmission(body []byte) (string, *jobs.Spec, error) {
-	var s submission
+	var received submission
 	if !isObject(body) {
-		return "", nil, errors.New("not an object")
+		return "", nil, errNotObject
 	}
-	if err := json.Unmarshal(body, &s); err != nil {
+	if err := json.Unmarshal(body, &received); err != nil {
 		return "", nil, err
 	}
-	if s.ID == nil || !jobs.ValidID(*s.ID) {
-		return "", nil, errors.New("name_id: missing or wrongly formed")
+	if received.ID == nil || !jobs.ValidID(*received.ID) {
+		return "", nil, &FieldError{"name_id", "missing or wrongly formed"}
 	}
 	spec := &jobs.Spec{}
-	for _, read := range []func(*jobs.Spec) error{s.readNames, s.readKind, s.readAmounts, s.readDeadline, s.readPlaces} {
+	for _, read := range []func(*jobs.Spec) error{received.readNames, received.readKind, received.readAmounts, received.readDeadline, received.readPlaces} {
 		if err := read(spec); err != nil {
 			return "", nil, err
 		}
@@ -126,14 +144,14 @@
 	if b, _ := json.Marshal(spec); len(b) > maxDescription {
 		return "", nil, errors.New("description too long")
 	}
-	if err := s.readAwaits(spec); err != nil {
+	if err := received.readDependencies(spec); err != nil {
 		return "", nil, err
 	}
-	return *s.ID, spec, nil
+	return *received.ID, spec, nil
 }
 
 const (
-	// maxDescription bounds a description without the jobs that it awaits, in bytes as stored.
+	// maxDescription bounds a description without its dependencies, in bytes as stored.
 	maxDescription = 6 << 10
 	// maxTypes bounds the machine types that a job may name.
 	maxTypes = 64
@@ -141,15 +159,15 @@
 
 // readNames reads the class, the team and the image.
 func (s *submission) readNames(spec *jobs.Spec) error {
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		from *string
 		to   *string
 	}{{"jobline", s.Class, &spec.Class}, {"crew", s.Team, &spec.Team}, {"reel", s.Image, &spec.Image}} {
-		if err := text(f.name, f.from); err != nil {
+		if err := text(field.name, field.from); err != nil {
 			return err
 		}
-		*f.to = *f.from
+		*field.to = *field.from
 	}
 	return nil
 }
@@ -158,22 +176,22 @@
 func (s *submission) readKind(spec *jobs.Spec) error {
 	switch {
 	case s.Shape == nil:
-		return errors.New("shape: missing")
+		return &FieldError{"shape", "missing"}
 	case *s.Shape == "daemon":
 		spec.Service = true
 	case *s.Shape != "sweep":
-		return errors.New("shape: unknown")
+		return &FieldError{"shape", "unknown"}
 	}
 	if s.Urgency == nil {
-		return errors.New("urgency: missing")
+		return &FieldError{"urgency", "missing"}
 	}
 	p, ok := priorities[*s.Urgency]
 	if !ok {
-		return errors.New("urgency: unknown")
+		return &FieldError{"urgency", "unknown"}
 	}
 	spec.Priority = p
 	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > jobs.MaxTasks {
-		return errors.New("cues: missing or out of range")
+		return &FieldError{"cues", "missing or out of range"}
 	}
 	spec.Tasks = int(*s.Tasks)
 	return nil
@@ -181,24 +199,24 @@
 
 // readAmounts reads what a task takes, and its times.
 func (s *submission) readAmounts(spec *jobs.Spec) error {
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		from *float64
 		to   func(float64)
 	}{
-		{"cores", s.Cores, func(v float64) { spec.Demand[binpack.CPU] = units.Milli(v) }},
-		{"cards", s.Cards, func(v float64) { spec.Demand[binpack.GPU] = units.Milli(v) }},
-		{"memory_gb", s.MemoryGB, func(v float64) { spec.Demand[binpack.Memory] = units.Milli(v) }},
-		{"image_gb", s.ImageGB, func(v float64) { spec.ImageMB = units.Milli(v) }},
-		{"runtime_s", s.Estimate, func(v float64) { spec.Estimate = units.Seconds(v) }},
-		{"bookmark_s", s.Checkpoint, func(v float64) { spec.Checkpoint = units.Seconds(v) }},
-		{"stow_s", s.Save, func(v float64) { spec.Save = units.Seconds(v) }},
+		{"cores", s.Cores, func(value float64) { spec.Demand[binpack.CPU] = units.Milli(value) }},
+		{"cards", s.Cards, func(value float64) { spec.Demand[binpack.GPU] = units.Milli(value) }},
+		{"memory_gb", s.MemoryGB, func(value float64) { spec.Demand[binpack.Memory] = units.Milli(value) }},
+		{"image_gb", s.ImageGB, func(value float64) { spec.ImageMB = units.Milli(value) }},
+		{"runtime_s", s.Estimate, func(value float64) { spec.Estimate = units.Seconds(value) }},
+		{"bookmark_s", s.Checkpoint, func(value float64) { spec.Checkpoint = units.Seconds(value) }},
+		{"stow_s", s.Save, func(value float64) { spec.Save = units.Seconds(value) }},
 	} {
-		v, err := amount(f.name, f.from)
+		value, err := amount(field.name, field.from)
 		if err != nil {
 			return err
 		}
-		f.to(v)
+		field.to(value)
 	}
 	return nil
 }
@@ -219,13 +237,13 @@
 // readPlaces reads on which machines and in which zones tasks may run.
 func (s *submission) readPlaces(spec *jobs.Spec) error {
 	if s.OneZone == nil || s.Spread == nil || s.Spot == nil {
-		return errors.New("same_place, apart or standby: missing")
+		return &FieldError{"same_place, apart or standby", "missing"}
 	}
 	spec.OneZone, spec.Spread, spec.Spot = *s.OneZone, *s.Spread, *s.Spot
 	spec.AnyType = s.Types == nil
 	if s.Types != nil {
 		if len(*s.Types) > maxTypes {
-			return errors.New("rigs: too many")
+			return &FieldError{"rigs", "too many"}
 		}
 		for _, t := range *s.Types {
 			if err := text("rigs", &t); err != nil {
@@ -243,12 +261,12 @@
 	return nil
 }
 
-// readAwaits reads which jobs it awaits, each once.
-func (s *submission) readAwaits(spec *jobs.Spec) error {
+// readDependencies reads which jobs it awaits, each once.
+func (s *submission) readDependencies(spec *jobs.Spec) error {
 	seen := map[string]bool{}
-	for _, id := range s.Awaits {
+	for _, id := range s.Dependencies {
 		if id == nil || !jobs.ValidID(*id) {
-			return errors.New("awaits: not the form of a job's id")
+			return &FieldError{"awaits", "not the form of a job's id"}
 		}
 		if !seen[*id] {
 			seen[*id] = true
@@ -279,25 +297,26 @@
 	Error string `json:"error"`
 }
 
-// Redirect tells a worker which node to report to.
+// Redirect tells a worker which node takes its heartbeats.
 type Redirect struct {
 	Node string `json:"stage_manager,omitempty"`
 }
 
-type report struct {
-	Machine *string  `json:"stagehand"`
-	Addr    string   `json:"address"`
-	Type    *string  `json:"rig"`
-	Zone    *string  `json:"hall"`
-	Spot    *bool    `json:"standby"`
-	Session *uint64  `json:"shift"`
-	Seq     *uint64  `json:"tally"`
-	Token   *uint64  `json:"baton"`
-	Notice  *float64 `json:"warning_s"`
-	Tasks   *[]rtask `json:"cues"`
+// receivedHeartbeat is a heartbeat before it is checked; nil: missing.
+type receivedHeartbeat struct {
+	Machine      *string         `json:"stagehand"`
+	Addr         string          `json:"address"`
+	Type         *string         `json:"rig"`
+	Zone         *string         `json:"hall"`
+	Spot         *bool           `json:"standby"`
+	Incarnation  *uint64         `json:"shift"`
+	Seq          *uint64         `json:"tally"`
+	FencingToken *uint64         `json:"baton"`
+	Notice       *float64        `json:"warning_s"`
+	Tasks        *[]receivedTask `json:"cues"`
 }
 
-type rtask struct {
+type receivedTask struct {
 	Task    string  `json:"cue"`
 	Attempt *uint64 `json:"take"`
 	State   string  `json:"status"`
@@ -313,51 +332,51 @@
 	"full": fleet.NoCapacity, "busy": fleet.Busy, "unknown": fleet.Unknown,
 }
 
-// DecodeReport reads and checks a worker's report. One bad task makes the
-// whole report bad: acting on half a list would lose track of the other half.
-func DecodeReport(body []byte) (*fleet.Heartbeat, error) {
-	var r report
+// DecodeHeartbeat reads and checks a worker's heartbeat with its status. One bad task makes
+// the whole heartbeat bad: acting on half a list would lose track of the other half.
+func DecodeHeartbeat(body []byte) (*fleet.Heartbeat, error) {
+	var received receivedHeartbeat
 	if !isObject(body) {
-		return nil, errors.New("not an object")
+		return nil, errNotObject
 	}
-	if err := json.Unmarshal(body, &r); err != nil {
+	if err := json.Unmarshal(body, &received); err != nil {
 		return nil, err
 	}
 	for _, f := range []struct {
 		name string
-		v    *string
-	}{{"stagehand", r.Machine}, {"rig", r.Type}, {"hall", r.Zone}} {
-		if err := text(f.name, f.v); err != nil {
+		from *string
+	}{{"stagehand", received.Machine}, {"rig", received.Type}, {"hall", received.Zone}} {
+		if err := text(f.name, f.from); err != nil {
 			return nil, err
 		}
 	}
-	if bytes.ContainsAny([]byte(*r.Machine), " /\t\r\n?#%") {
-		return nil, errors.New("stagehand: unusable name")
+	if bytes.ContainsAny([]byte(*received.Machine), " /\t\r\n?#%") {
+		return nil, &FieldError{"stagehand", "unusable name"}
 	}
-	if r.Session == nil || r.Seq == nil || r.Token == nil || r.Spot == nil || r.Tasks == nil {
-		return nil, errors.New("shift, tally, baton, standby or cues: missing")
+	if received.Incarnation == nil || received.Seq == nil || received.FencingToken == nil || received.Spot == nil || received.Tasks == nil {
+		return nil, &FieldError{"shift, tally, baton, standby or cues", "missing"}
 	}
-	out := &fleet.Heartbeat{Machine: *r.Machine, Addr: r.Addr, Type: *r.Type, Zone: *r.Zone, Spot: *r.Spot,
-		Incarnation: *r.Session, Seq: *r.Seq, FencingToken: *r.Token, Notice: units.Never}
-	if r.Notice != nil {
-		v, err := amount("warning_s", r.Notice)
+	heartbeat := &fleet.Heartbeat{Machine: *received.Machine, Addr: received.Addr, Type: *received.Type, Zone: *received.Zone, Spot: *received.Spot,
+		Incarnation: *received.Incarnation, Seq: *received.Seq, FencingToken: *received.FencingToken, Notice: units.Never}
+	if received.Notice != nil {
+		v, err := amount("warning_s", received.Notice)
 		if err != nil {
 			return nil, err
 		}
-		out.Notice = units.Seconds(v)
+		heartbeat.Notice = units.Seconds(v)
 	}
-	for _, t := range *r.Tasks {
+	for _, t := range *received.Tasks {
 		id, err := jobs.ParseTaskID(t.Task)
 		if err != nil {
 			return nil, err
 		}
-		st, ok := states[t.State]
+		state, ok := states[t.State]
 		if !ok || t.Attempt == nil {
 			return nil, fmt.Errorf("task %s: state %q or attempt", id, t.State)
 		}
-		out.Tasks = append(out.Tasks, fleet.Task{ID: id, Attempt: *t.Attempt, State: st, Cause: causes[t.Cause]})
+		heartbeat.Tasks = append(heartbeat.Tasks, fleet.Task{ID: id, Attempt: *t.Attempt, State: state, Cause: causes[t.Cause]})
 	}
-	return out, nil
+	return heartbeat, nil
 }
 
 // Command tells a worker to start, stop or forget an attempt.
@@ -383,9 +402,9 @@
 	return out
 }
 
-// Orders is the answer to a report, and with Session the body of a direct command.
+// Orders is the answer to a heartbeat, and with Incarnation the body of a direct command.
 type Orders struct {
-	Token    uint64    `json:"baton"`
-	Session  *uint64   `json:"shift,omitempty"`
-	Commands []Command `json:"calls"`
+	FencingToken uint64    `json:"baton"`
+	Incarnation  *uint64   `json:"shift,omitempty"`
+	Commands     []Command `json:"calls"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,13 +9,15 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 )
 
-const good = `{"name_id":"wk-000412","jobline":"train","crew":"vision","shape":"sweep","urgency":"urgent","cues":16,
+const validSubmission = `{"name_id":"wk-000412","jobline":"train","crew":"vision","shape":"sweep","urgency":"urgent","cues":16,
  "cores":8.0,"cards":1.0,"memory_gb":64.0,"reel":"img-07","image_gb":6.2,"rigs":["g8"],"hall":null,
  "same_place":true,"apart":false,"standby":true,"runtime_s":240.0,"bookmark_s":30.0,"stow_s":4.0,"curtain_s":900.0}`
 
+// edit returns the valid submission with one field changed, or left out where the value is "DROP".
 func edit(t *testing.T, name string, value any) []byte {
+	t.Helper()
 	var m map[string]any
-	if err := json.Unmarshal([]byte(good), &m); err != nil {
+	if err := json.Unmarshal([]byte(validSubmission), &m); err != nil {
 		t.Fatal(err)
 	}
 	if value == "DROP" {
@@ -31,7 +33,7 @@
 }
 
 func TestSubmission(t *testing.T) {
-	id, s, err := DecodeSubmission([]byte(good))
+	id, s, err := DecodeSubmission([]byte(validSubmission))
 	if err != nil || id != "wk-000412" || s.Tasks != 16 || s.Demand[0] != 8000 || s.Priority != jobs.High || !s.OneZone || s.Deadline.Seconds() != 900 {
 		t.Fatalf("%q %+v %v", id, s, err)
 	}
@@ -76,19 +78,19 @@
 			}
 		}
 	}
-	for _, body := range []string{"", "null", "[]", "7", "{", good + "x", strings.Replace(good, "8.0", "NaN", 1), strings.Replace(good, "8.0", "1e999", 1)} {
+	for _, body := range []string{"", "null", "[]", "7", "{", validSubmission + "x", strings.Replace(validSubmission, "8.0", "NaN", 1), strings.Replace(validSubmission, "8.0", "1e999", 1)} {
 		if _, _, err := DecodeSubmission([]byte(body)); err == nil {
 			t.Errorf("%.20q is taken", body)
 		}
 	}
 }
 
-const goodReport = `{"stagehand":"n-000231","address":"10.1.0.232:9000","rig":"g8","hall":"a","standby":true,
+const validHeartbeat = `{"stagehand":"n-000231","address":"10.1.0.232:9000","rig":"g8","hall":"a","standby":true,
  "shift":1,"tally":88,"baton":41,"warning_s":2.5,
  "cues":[{"cue":"wk-000412/3","take":2,"status":"running"},{"cue":"wk-000398/0","take":1,"status":"ended","cause":"done"}]}`
 
-func TestReport(t *testing.T) {
-	r, err := DecodeReport([]byte(goodReport))
+func TestHeartbeat(t *testing.T) {
+	r, err := DecodeHeartbeat([]byte(validHeartbeat))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,11 +101,11 @@
 	for _, old := range []string{`"n-000231"`, `"rig":"g8"`, `"shift":1`, `"tally":88`, `"baton":41`, `"standby":true`,
 		`"running"`, `"take":2`, `"wk-000412/3"`} {
 		for _, v := range []string{`null`, `-1`, `{}`, `"x y"`} {
-			bad := strings.Replace(goodReport, old, v, 1)
+			bad := strings.Replace(validHeartbeat, old, v, 1)
 			if i := strings.Index(old, ":"); i > 0 {
-				bad = strings.Replace(goodReport, old, old[:i+1]+v, 1)
+				bad = strings.Replace(validHeartbeat, old, old[:i+1]+v, 1)
 			}
-			if _, err := DecodeReport([]byte(bad)); err == nil && !(v == `"x y"` && old == `"rig":"g8"`) {
+			if _, err := DecodeHeartbeat([]byte(bad)); err == nil && (v != `"x y"` || old != `"rig":"g8"`) {
 				t.Errorf("%s replaced by %s is taken", old, v)
 			}
 		}
@@ -111,7 +113,7 @@
 }
 
 func FuzzDecodeSubmission(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"name_id":"wk-000412","cues":1e99}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		id, s, err := DecodeSubmission(b)
@@ -131,10 +133,10 @@
 	})
 }
 
-func FuzzDecodeReport(f *testing.F) {
-	f.Add([]byte(goodReport))
+func FuzzDecodeHeartbeat(f *testing.F) {
+	f.Add([]byte(validHeartbeat))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, err := DecodeReport(b)
+		r, err := DecodeHeartbeat(b)
 		if err == nil && (r.Machine == "" || r.Type == "" || r.Zone == "" || r.Notice < 0) {
 			t.Fatalf("%+v", r)
 		}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	var body json.RawMessage
 	status, err := rest.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
-		wire.Orders{Token: fencingToken, Session: &incarnation, Commands: []wire.Command{}}, &body)
+		wire.Orders{FencingToken: fencingToken, Incarnation: &incarnation, Commands: []wire.Command{}}, &body)
 	if err != nil {
 		c.log.Debug("worker", "addr", addr, "err", err)
 		return store.Unknown, nil
@@ -57,7 +57,7 @@
 	default:
 		return store.Unknown, nil
 	}
-	heartbeat, err := wire.DecodeReport(body)
+	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
 		c.log.Debug("worker", "addr", addr, "err", err)
 		return store.Unknown, nil
