--- a/cmd/shalestage/serve.go
+++ b/cmd/shalestage/serve.go
@@ -67,7 +67,7 @@
 	go n.Run(context.Background())
 	go link.Run(context.Background())
 	frames, web := peer.Split(pl)
-	go func() { log.Error("internal address", "err", link.Serve(context.Background(), frames, n.Hear)) }()
+	go func() { log.Error("internal address", "err", link.Serve(context.Background(), frames, n.Receive)) }()
 	go func() { log.Error("internal address", "err", api.ServeInternal(web, n)) }()
 	log.Info("serving", "node", s.Node, "listen", s.Listen, "version", version)
 	failed := make(chan error, 1)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -29,8 +29,8 @@
 type Node interface {
 	Submit(ctx context.Context, id string, spec *jobs.Spec, bad string) core.Reply
 	Query(ctx context.Context, id string) core.Reply
-	Abort(ctx context.Context, id string) core.Reply
-	Report(ctx context.Context, r *fleet.Heartbeat) core.Reply
+	Cancel(ctx context.Context, id string) core.Reply
+	Heartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) core.Reply
 	Ready(ctx context.Context) bool
 	Stats(ctx context.Context) (core.Stats, bool)
 }
@@ -61,7 +61,7 @@
 		byID(w, req, n.Query)
 	})
 	r.Post(wire.JobsPath+"/{id}/abort", func(w http.ResponseWriter, req *http.Request) {
-		byID(w, req, n.Abort)
+		byID(w, req, n.Cancel)
 	})
 	r.Post(wire.HeartbeatPath, func(w http.ResponseWriter, req *http.Request) {
 		body, ok := read(w, req)
@@ -73,7 +73,7 @@
 			refuse(w, err.Error())
 			return
 		}
-		write(w, n.Report(req.Context(), rep))
+		write(w, n.Heartbeat(req.Context(), rep))
 	})
 	r.Get(wire.ReadyPath, func(w http.ResponseWriter, req *http.Request) {
 		if !n.Ready(req.Context()) {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -32,11 +32,11 @@
 	return core.Reply{Code: 200, Body: core.JobAnswer{ID: id, Status: jobs.Running, Counts: true, Done: 3, Running: 0}}
 }
 
-func (f *fake) Abort(_ context.Context, id string) core.Reply {
+func (f *fake) Cancel(_ context.Context, id string) core.Reply {
 	return core.Reply{Code: 503, Body: core.Problem{Text: "x"}, RetryAfter: 1500 * units.Second / 1000}
 }
 
-func (f *fake) Report(context.Context, *fleet.Heartbeat) core.Reply {
+func (f *fake) Heartbeat(context.Context, *fleet.Heartbeat) core.Reply {
 	f.reports++
 	return core.Reply{Code: 421, Body: core.Redirect{}}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -98,13 +98,13 @@
 
 // ScaleOut asks for machines and returns the names of those granted. The cloud grants the
 // same machines to a repeated request of the same id. Failed means that none are to be had.
-func (c *Client) ScaleOut(ctx context.Context, requestID string, order autoscaler.Increase, authorized func() bool) (store.Outcome, []string) {
+func (c *Client) ScaleOut(ctx context.Context, requestID string, increase autoscaler.Increase, authorized func() bool) (store.Outcome, []string) {
 	var response struct {
 		wire.Names
 		wire.Problem
 	}
 	status, outcome := c.do(ctx, http.MethodPost, wire.HostsPath,
-		wire.ScaleOutRequest{Request: requestID, Type: order.Pool.Type, Zone: order.Pool.Zone, Spot: order.Pool.Spot, Count: order.Count}, &response, authorized)
+		wire.ScaleOutRequest{Request: requestID, Type: increase.Pool.Type, Zone: increase.Pool.Zone, Spot: increase.Pool.Spot, Count: increase.Count}, &response, authorized)
 	if status == http.StatusServiceUnavailable && response.Error == wire.NoCapacity {
 		return store.Failed, nil
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,17 +1,17 @@
 // Package node runs a controller's core as an actor: one goroutine owns it,
-// takes messages from an inbox, and hands its effects to others to carry out.
+// takes messages from an inbox, and has its effects executed by others.
 package node
 
 import (
 	"context"
 	"log/slog"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
 	"shalestage.example/shalestage/internal/cloud"
 	"shalestage.example/shalestage/internal/core"
-	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
@@ -19,7 +19,6 @@
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/peer"
 	"shalestage.example/shalestage/internal/state"
-	"shalestage.example/shalestage/internal/wire"
 	"shalestage.example/shalestage/internal/worker"
 )
 
@@ -29,9 +28,12 @@
 	// 4 s, users 5 s, or 2 s for a poll.
 	answerWithin = 4 * time.Second
 	pollWithin   = 1900 * time.Millisecond
-	controlQueue = 1024
-	reportQueue  = 1024
-	userQueue    = 512
+	// Lengths of the inbox's queues, in messages.
+	controlQueueLength   = 1024
+	heartbeatQueueLength = 1024
+	userQueueLength      = 512
+	// leaveTime is for the last request, that the lease ends, and for the answers under way.
+	leaveTime = 200 * time.Millisecond
 )
 
 // message is handled by the goroutine that owns the core.
@@ -39,65 +41,74 @@
 
 // Node is a running controller.
 type Node struct {
-	core    *core.Core
-	state   *state.Client
-	cloud   *cloud.Client
-	workers *worker.Client
-	peers   *peer.Link
-	log     *slog.Logger
-	began   time.Time
-	control chan message // the outside services' answers and other controllers
-	reports chan message // workers, health checks and cancellations
-	users   chan message
-
-	// until is when this node's authority ends, as far as is known: what goes to
-	// the cloud is checked against it when it is sent.
-	until atomic.Int64
-
-	full func() bool // memory is nearly full; nil: never
-
-	next    core.RequestID
-	waiting map[core.RequestID]chan core.Reply
-	commits map[*store.Txn]context.CancelFunc // transactions that wait for their answers
+	core      *core.Core
+	state     *state.Client
+	cloud     *cloud.Client
+	workers   *worker.Client
+	peers     *peer.Link
+	log       *slog.Logger
+	startedAt time.Time
+
+	// The inbox, by priority.
+	control    chan message // the outside services' answers and other controllers
+	heartbeats chan message // workers, health checks and cancellations
+	users      chan message
+
+	// validUntil is when this node's authority ends, as far as is known, on the clock of now:
+	// what goes to the cloud is checked against it when it is sent.
+	validUntil atomic.Int64
+
+	memoryFull func() bool // nil: never
+
+	// Of the goroutine that runs Run.
+	lastRequest core.RequestID
+	waiting     map[core.RequestID]chan core.Reply
+	commits     map[*store.Txn]context.CancelFunc // transactions that wait for their answers
+
+	calls sync.WaitGroup // requests to outside services under way
 }
 
 // New returns a node that does nothing until Run.
-func New(c *core.Core, s *state.Client, cl *cloud.Client, w *worker.Client, p *peer.Link, log *slog.Logger) *Node {
-	return &Node{core: c, state: s, cloud: cl, workers: w, peers: p, log: log, began: time.Now(),
-		control: make(chan message, controlQueue), reports: make(chan message, reportQueue), users: make(chan message, userQueue),
-		waiting: map[core.RequestID]chan core.Reply{}, commits: map[*store.Txn]context.CancelFunc{}}
+func New(c *core.Core, stateClient *state.Client, cloudClient *cloud.Client, workers *worker.Client, peers *peer.Link, log *slog.Logger) *Node {
+	return &Node{
+		core: c, state: stateClient, cloud: cloudClient, workers: workers, peers: peers, log: log, startedAt: time.Now(),
+		control: make(chan message, controlQueueLength), heartbeats: make(chan message, heartbeatQueueLength), users: make(chan message, userQueueLength),
+		waiting: map[core.RequestID]chan core.Reply{}, commits: map[*store.Txn]context.CancelFunc{},
+	}
 }
 
 // WatchMemory has the core refuse new jobs while memory is nearly full. It is called before
 // Run.
-func (n *Node) WatchMemory(full func() bool) { n.full = full }
+func (n *Node) WatchMemory(full func() bool) { n.memoryFull = full }
 
-// now is the steady clock.
+// now is a monotonic clock that begins at 0 with the node.
 func (n *Node) now() units.Microseconds {
-	return units.Microseconds(time.Since(n.began).Microseconds())
+	return units.Microseconds(time.Since(n.startedAt).Microseconds())
 }
 
-// Run owns the core until the context ends. Time goes first, then what keeps
-// authority and what other controllers say, then workers, then users: no number
+// Run owns the core until the context ends, and returns once the requests to outside services
+// that it has begun have ended too. Time goes first, then what keeps
+// authority and what other controllers send, then workers, then users: no number
 // of users or workers may cost a controller its authority. A process that stood
 // still learns how late it is before it handles anything that has waited.
 func (n *Node) Run(ctx context.Context) {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
-	for ticked := n.now(); ctx.Err() == nil; {
-		if now := n.now(); now-ticked >= core.TickEvery {
-			ticked = now
-			if n.full != nil {
-				n.core.SetFull(n.full())
+	defer n.calls.Wait()
+	for lastTick := n.now(); ctx.Err() == nil; {
+		if now := n.now(); now-lastTick >= core.TickEvery {
+			lastTick = now
+			if n.memoryFull != nil {
+				n.core.SetFull(n.memoryFull())
 			}
 			n.core.Tick(now, units.Microseconds(time.Now().UnixMicro()))
 		} else if m := n.nextMessage(ctx, tick.C); m != nil {
 			m(n.core, n.now())
 		}
 		for _, e := range n.core.Drain() {
-			n.carryOut(ctx, e)
+			n.execute(ctx, e)
 		}
-		n.until.Store(int64(n.core.ValidUntil()))
+		n.validUntil.Store(int64(n.core.ValidUntil()))
 	}
 }
 
@@ -109,7 +120,7 @@
 		select {
 		case <-ctx.Done():
 		case m = <-n.control:
-		case m = <-n.reports:
+		case m = <-n.heartbeats:
 		case m = <-n.users:
 		case <-tick:
 		}
@@ -119,9 +130,9 @@
 
 // waitingMessage returns the message to be handled first, if any waits.
 func (n *Node) waitingMessage() message {
-	for _, box := range []chan message{n.control, n.reports, n.users} {
+	for _, queue := range []chan message{n.control, n.heartbeats, n.users} {
 		select {
-		case m := <-box:
+		case m := <-queue:
 			return m
 		default:
 		}
@@ -129,216 +140,124 @@
 	return nil
 }
 
-// holdsAuthority reports whether what this node decided may still be carried out.
-func (n *Node) holdsAuthority() bool { return int64(n.now()) < n.until.Load() }
-
-// tell puts an outside service's answer into the inbox.
-func (n *Node) tell(m message) { n.control <- m }
+// authorized reports whether what this node decided may still be executed.
+func (n *Node) authorized() bool { return int64(n.now()) < n.validUntil.Load() }
 
-// carryOut does what the core asks for. Nothing here waits: whatever takes
-// time runs in a goroutine of its own, of which the core has few under way.
-func (n *Node) carryOut(ctx context.Context, e core.Effect) {
-	switch e := e.(type) {
-	case core.Reply:
-		if ch, ok := n.waiting[e.Request]; ok {
-			delete(n.waiting, e.Request)
-			ch <- e
-		}
-	case core.SendPeer:
-		n.peers.Send(e.Node, e.Message)
-	case core.List:
-		go func() {
-			o, rev, items, more := n.state.List(ctx, core.Root, e.After, core.ListPage)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnList(now, e, o, rev, items, more) })
-		}()
-	case core.Watch:
-		go func() {
-			o, rev, events, gone := n.state.Watch(ctx, core.Root, e.After, e.Wait)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnChanges(now, e, o, rev, events, gone) })
-		}()
-	case core.ReadKey:
-		go func() {
-			o, value, stamp, rev := n.state.Get(ctx, e.Key)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnKey(now, e, o, value, stamp, rev) })
-		}()
-	case core.ScanKeys:
-		go func() {
-			o, _, items, more := n.state.List(ctx, archive.Prefix, e.After, e.Page)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScan(now, e, o, items, more) })
-		}()
-	case core.Commit:
-		n.commit(ctx, e)
-	case core.Abandon:
-		if stop := n.commits[e.Txn]; stop != nil {
-			stop()
-		}
-	case core.OpenLease:
-		go func() {
-			o, id := n.state.OpenLease(ctx, e.TTL)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnLease(now, o, id) })
-		}()
-	case core.RenewLease:
-		go func() {
-			o := n.state.RenewLease(ctx, e.ID)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnRenew(now, e.ID, o) })
-		}()
-	case core.CloseLease:
-		go n.state.CloseLease(ctx, e.ID)
-	case core.FetchTypes:
-		go func() {
-			o, types := n.cloud.Types(ctx)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnTypes(now, o, types) })
-		}()
-	case core.ScaleOut:
-		go func() {
-			o, names := n.cloud.ScaleOut(ctx, e.Request, e.Increase, n.holdsAuthority)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleOut(now, e, o, names) })
-		}()
-	case core.ScaleIn:
-		go func() {
-			o := n.cloud.ScaleIn(ctx, e.Names, n.holdsAuthority)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnScaleIn(now, e, o) })
-		}()
-	case core.Probe:
-		go func() {
-			o, r := n.workers.Probe(ctx, e.Addr, e.FencingToken, e.Incarnation, n.holdsAuthority)
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnProbe(now, e, o, r) })
-		}()
-	case core.CloudBudget:
-		n.cloud.SetBudgetFraction(e.Fraction)
-	case core.ListMachines:
-		go func() {
-			o, hosts := n.cloud.List(ctx)
-			list := make([]core.ListedMachine, 0, len(hosts))
-			for _, h := range hosts {
-				list = append(list, core.ListedMachine{Name: h.ID, Addr: h.Addr, Failed: h.State == wire.HostFailed, Age: units.Seconds(h.AgeS),
-					Record: fleet.Record{Type: h.Type, Zone: h.Zone, Spot: h.Spot}})
-			}
-			n.tell(func(c *core.Core, now units.Microseconds) { c.OnListMachines(now, e, o, list) })
-		}()
+// enqueue puts an outside service's answer into the inbox. It is lost when the context ends,
+// and with it the core, while there is no room.
+func (n *Node) enqueue(ctx context.Context, m message) {
+	select {
+	case n.control <- m:
+	case <-ctx.Done():
 	}
 }
 
-// commit sends a transaction, whose answer is waited for until it is abandoned.
-func (n *Node) commit(ctx context.Context, e core.Commit) {
-	ctx, stop := context.WithCancel(ctx)
-	n.commits[e.Txn] = stop
-	go func() {
-		o, rev, failed := n.state.Commit(ctx, e.Txn)
-		n.tell(func(c *core.Core, now units.Microseconds) {
-			stop()
-			delete(n.commits, e.Txn)
-			c.OnCommit(now, e.Queue, e.Txn, o, rev, failed)
-		})
-	}()
-}
-
-// Hear takes a message of another controller; it is dropped when there is too
+// Receive takes a message of another controller; it is dropped when there is too
 // much to do.
-func (n *Node) Hear(from string, msg any) {
+func (n *Node) Receive(from string, peerMessage any) {
 	select {
-	case n.control <- func(c *core.Core, now units.Microseconds) { c.OnPeer(now, from, msg) }:
+	case n.control <- func(c *core.Core, now units.Microseconds) { c.OnPeer(now, from, peerMessage) }:
 	default:
 	}
 }
 
-// ask sends a request to the core and waits for its answer. A full inbox
+// request is what ask has the core do, which answers it by its id.
+type request func(c *core.Core, now units.Microseconds, id core.RequestID)
+
+// ask sends a request to the core and waits for its answer. A full queue
 // answers at once, and what has waited there until nobody waits for the answer
 // any more is dropped.
-func (n *Node) ask(ctx context.Context, box chan message, within time.Duration, f func(c *core.Core, now units.Microseconds, req core.RequestID)) core.Reply {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (n *Node) ask(ctx context.Context, queue chan<- message, timeout time.Duration, do request) core.Reply {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ch := make(chan core.Reply, 1)
+	answer := make(chan core.Reply, 1)
 	m := func(c *core.Core, now units.Microseconds) {
 		if ctx.Err() != nil {
 			return
 		}
-		n.next++
-		n.waiting[n.next] = ch
-		f(c, now, n.next)
+		n.lastRequest++
+		n.waiting[n.lastRequest] = answer
+		do(c, now, n.lastRequest)
 	}
 	busy := core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "busy"}, RetryAfter: units.Second}
 	select {
-	case box <- m:
+	case queue <- m:
 	default:
 		return busy
 	}
 	select {
-	case r := <-ch:
-		return r
+	case reply := <-answer:
+		return reply
 	case <-ctx.Done():
 		return busy
 	}
 }
 
-// Submit takes a submission.
-func (n *Node) Submit(ctx context.Context, id string, spec *jobs.Spec, bad string) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Submit(now, req, id, spec, bad) })
+// Submit takes a submission; invalid says what is wrong with it where spec is nil.
+func (n *Node) Submit(ctx context.Context, job string, spec *jobs.Spec, invalid string) core.Reply {
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Submit(now, id, job, spec, invalid) })
 }
 
 // Query takes a poll.
-func (n *Node) Query(ctx context.Context, id string) core.Reply {
-	return n.ask(ctx, n.users, pollWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Query(now, req, id) })
+func (n *Node) Query(ctx context.Context, job string) core.Reply {
+	return n.ask(ctx, n.users, pollWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Query(now, id, job) })
 }
 
-// Abort takes a cancellation.
-func (n *Node) Abort(ctx context.Context, id string) core.Reply {
-	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Cancel(now, req, id) })
+// Cancel takes a cancellation.
+func (n *Node) Cancel(ctx context.Context, job string) core.Reply {
+	return n.ask(ctx, n.heartbeats, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Cancel(now, id, job) })
 }
 
-// Report takes a worker's report.
-func (n *Node) Report(ctx context.Context, r *fleet.Heartbeat) core.Reply {
-	return n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Heartbeat(now, req, r) })
+// Heartbeat takes a worker's heartbeat.
+func (n *Node) Heartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) core.Reply {
+	return n.ask(ctx, n.heartbeats, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Heartbeat(now, id, heartbeat) })
 }
 
 // Ready answers a health check.
 func (n *Node) Ready(ctx context.Context) bool {
-	r := n.ask(ctx, n.reports, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) {
-		c.Answer(req, c.Ready(now))
+	r := n.ask(ctx, n.heartbeats, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) {
+		c.Answer(id, c.Ready(now))
 	})
 	return r.Code == http.StatusOK
 }
 
-// Retire has the controller hand on all that it holds, as the process is about to end, and
-// returns once that is done or has taken too long.
+// Retire has the controller transfer all that it owns, as the process is about to end, and
+// returns once that is done or the context has ended. Run must go on meanwhile.
 func (n *Node) Retire(ctx context.Context) {
 	for done := false; !done && ctx.Err() == nil; {
-		n.tell(func(c *core.Core, now units.Microseconds) { c.Retire(now) })
-		r := n.ask(ctx, n.control, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Answer(req, c.Retired(now)) })
+		n.enqueue(ctx, func(c *core.Core, now units.Microseconds) { c.Retire(now) })
+		r := n.ask(ctx, n.control, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Answer(id, c.Retired(now)) })
 		if done = r.Code == http.StatusOK; !done {
 			time.Sleep(tickEvery)
 		}
 	}
-	n.tell(func(c *core.Core, now units.Microseconds) { c.Leave(now) })
+	n.enqueue(context.WithoutCancel(ctx), func(c *core.Core, now units.Microseconds) { c.Leave(now) })
 	time.Sleep(leaveTime)
 }
 
-// leaveTime is for the last request, that the seat ends, and for the answers under way.
-const leaveTime = 200 * time.Millisecond
-
 // Configure asks for a change of the configuration.
 func (n *Node) Configure(ctx context.Context, r configuration.Request) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.Configure(now, req, r) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Configure(now, id, r) })
 }
 
 // ConfigContent asks for the configuration in force.
 func (n *Node) ConfigContent(ctx context.Context) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.ConfigContent(now, req) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigContent(now, id) })
 }
 
 // ConfigHistory asks for the last versions.
 func (n *Node) ConfigHistory(ctx context.Context) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.ConfigHistory(now, req) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigHistory(now, id) })
 }
 
 // ConfigStatus asks how far a version of the configuration has come.
 func (n *Node) ConfigStatus(ctx context.Context, version uint64) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, req core.RequestID) { c.ConfigStatus(now, req, version) })
+	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigStatus(now, id, version) })
 }
 
 // Stats returns the present figures; ok is false where there is too much to do.
 func (n *Node) Stats(ctx context.Context) (core.Stats, bool) {
-	r := n.ask(ctx, n.users, answerWithin, func(c *core.Core, _ units.Microseconds, req core.RequestID) { c.Stats(req) })
+	r := n.ask(ctx, n.users, answerWithin, func(c *core.Core, _ units.Microseconds, id core.RequestID) { c.Stats(id) })
 	s, ok := r.Body.(core.Stats)
 	return s, ok
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,20 +15,20 @@
 	"shalestage.example/shalestage/internal/state"
 )
 
-// TestOrder fills all inboxes. What keeps a controller's authority is handled
+// TestOrder fills all queues of the inbox. What keeps a controller's authority is handled
 // before workers, and workers before users, however many wait.
 func TestOrder(t *testing.T) {
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
 	var got []string
-	put := func(box chan message, name string) {
-		box <- func(*core.Core, units.Microseconds) { got = append(got, name) }
+	put := func(queue chan message, name string) {
+		queue <- func(*core.Core, units.Microseconds) { got = append(got, name) }
 	}
 	for range 3 {
 		put(n.users, "user")
-		put(n.reports, "worker")
+		put(n.heartbeats, "worker")
 	}
-	n.Hear("peer", core.PeerStatus{})
-	n.tell(func(*core.Core, units.Microseconds) { got = append(got, "state") })
+	n.Receive("peer", core.PeerStatus{})
+	n.enqueue(t.Context(), func(*core.Core, units.Microseconds) { got = append(got, "state") })
 	<-n.control // the peer's message needs a core; that it comes first is enough
 	for m := n.waitingMessage(); m != nil; m = n.waitingMessage() {
 		m(nil, 0)
@@ -44,14 +44,14 @@
 	}
 }
 
-// TestGoneUsers shows that a poll whose user has gone by the time its turn comes
+// TestCancelledRequests shows that a poll whose user has given up by the time its turn comes
 // costs nothing and leaves nothing behind, and that a full inbox answers at once.
-func TestGoneUsers(t *testing.T) {
+func TestCancelledRequests(t *testing.T) {
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
-	gone, leave := context.WithCancel(context.Background())
-	leave()
-	for range userQueue {
-		n.Query(gone, "wk-000001")
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	for range userQueueLength {
+		n.Query(cancelled, "wk-000001")
 	}
 	if r := n.Query(context.Background(), "wk-000001"); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("a full inbox answers %+v", r)
@@ -61,7 +61,7 @@
 		m(nil, 0) // would panic without a core
 		handled++
 	}
-	if handled != userQueue || len(n.waiting) != 0 {
+	if handled != userQueueLength || len(n.waiting) != 0 {
 		t.Fatalf("%d handled, %d wait", handled, len(n.waiting))
 	}
 }
@@ -70,27 +70,27 @@
 // long before the request's timeout, the core is told once, and nothing is left behind.
 func TestAbandonedCommit(t *testing.T) {
 	reached := make(chan bool, 1)
-	leave := make(chan struct{})
+	release := make(chan struct{})
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		reached <- true
-		<-leave
+		<-release
 	}))
 	defer silent.Close()
-	defer close(leave)
+	defer close(release)
 	log := slog.New(slog.DiscardHandler)
 	n := New(nil, state.New(strings.TrimPrefix(silent.URL, "http://"), 100, 100, log), nil, nil, nil, log)
 	txn := &store.Txn{Changes: []store.Change{{Key: "k", Value: []byte("1")}}}
-	n.carryOut(t.Context(), core.Commit{Queue: core.UserQueue, Txn: txn})
+	n.execute(t.Context(), core.Commit{Queue: core.UserQueue, Txn: txn})
 	<-reached
 	began := time.Now()
-	n.carryOut(t.Context(), core.Abandon{Txn: txn})
-	n.carryOut(t.Context(), core.Abandon{Txn: txn})
+	n.execute(t.Context(), core.Abandon{Txn: txn})
+	n.execute(t.Context(), core.Abandon{Txn: txn})
 	m := <-n.control
 	if took := time.Since(began); took > time.Second/2 {
 		t.Errorf("waited for %v", took)
 	}
 	m(core.New(core.Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50}), 0)
-	n.carryOut(t.Context(), core.Abandon{Txn: txn}) // too late: nobody waits any more
+	n.execute(t.Context(), core.Abandon{Txn: txn}) // too late: nobody waits any more
 	if len(n.commits) != 0 || len(n.control) != 0 {
 		t.Errorf("%d transactions wait, %d messages", len(n.commits), len(n.control))
 	}
