--- a/internal/core/store/proof_test.go
+++ b/internal/core/store/indoubt_test.go
@@ -22,15 +22,15 @@
 	return json.RawMessage(fmt.Sprintf(`{"a":%d,"b":[true]}`, n))
 }
 
-// lostAnswers is a lane, a service that carries out its transactions at any time or never,
+// lostAnswers is a queue, a service that carries out its transactions at any time or never,
 // and others who write the same and nearly the same.
 type lostAnswers struct {
 	t        *rapid.T
-	lane     WriteQueue
+	queue    WriteQueue
 	now      units.Microseconds
 	log      []revision // the first made revision 1
 	versions map[string]uint64
-	observed int    // revisions that the lane was shown
+	observed int    // revisions that the queue was shown
 	current  *Txn   // nil: none is under way
 	from     int    // revisions that were observed when it was sent
 	doubted  bool   // the service went back meanwhile
@@ -71,7 +71,7 @@
 	m.commit(made(t))
 }
 
-// proven is the first revision that the lane was shown and that proves the transaction
+// proven is the first revision that the queue was shown and that proves the transaction
 // under way; 0: none.
 func (m *lostAnswers) proven() int {
 	puts := false
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	if m.lane.Add(w) {
+	if m.queue.Add(w) {
 		m.added++
 	}
 }
@@ -134,11 +134,11 @@
 // conclude lets much time pass, and checks that the transaction under way ends if and only
 // if what was shown proves that it was carried out.
 func (m *lostAnswers) conclude() {
-	if m.lane.Conclude(m.current.sent) != nil {
+	if m.queue.Conclude(m.current.sent) != nil {
 		m.t.Fatal("concluded before the answer can be late")
 	}
 	m.now += 100 * units.Second
-	rev, t := m.proven(), m.lane.Conclude(m.now)
+	rev, t := m.proven(), m.queue.Conclude(m.now)
 	if (rev != 0) != (t != nil) {
 		m.t.Fatalf("proven by revision %d, concluded: %v", rev, t != nil)
 	}
@@ -163,7 +163,96 @@
 		}
 	}
 	m.observed = upto
-	m.lane.Observe(events)
+	m.queue.Observe(events)
+}
+
+func (m *lostAnswers) underWay(t *rapid.T) *Txn {
+	if m.current == nil {
+		t.Skip()
+	}
+	return m.current
+}
+
+func (m *lostAnswers) send(t *rapid.T) {
+	if m.current != nil {
+		t.Skip()
+	}
+	m.t = t
+	m.add()
+	m.now += units.Second
+	if m.current = m.queue.Next(m.now); m.current == nil {
+		t.Skip()
+	}
+	m.current.Known = uint64(m.observed)
+	m.from, m.doubted = m.observed, false
+}
+
+func (m *lostAnswers) carriedOutLate(t *rapid.T) {
+	if len(m.old) == 0 {
+		t.Skip()
+	}
+	m.carryOut(rapid.SampledFrom(m.old).Draw(t, "which"))
+}
+
+// anotherWrites has somebody else store the same, or something nearly the same.
+func (m *lostAnswers) anotherWrites(t *rapid.T) {
+	m.t = t
+	written := made(m.underWay(t))
+	key := rapid.SampledFrom(m.current.Changes).Draw(t, "of").Key
+	switch rapid.IntRange(0, 3).Draw(t, "what") {
+	case 0:
+		written[key] = (written[key] + 1) % 3
+	case 1:
+		delete(written, key)
+	case 2:
+		written["other"] = 1
+	} // else the same
+	if len(written) > 0 {
+		m.commit(written)
+	}
+	if rapid.Bool().Draw(t, "shown") {
+		m.watch(t)
+		m.conclude()
+	}
+}
+
+func (m *lostAnswers) answer(t *rapid.T) {
+	txn := m.underWay(t)
+	if !m.queue.UnderWay(txn) {
+		t.Fatal("not under way")
+	}
+	before := len(m.log)
+	outcome := rapid.SampledFrom([]Outcome{OK, Refused, Failed, Unknown, TooLarge}).Draw(t, "outcome")
+	var failed []string
+	if outcome == OK {
+		if m.carryOut(txn); len(m.log) == before {
+			outcome, failed = Failed, []string{txn.Guards[0].Key}
+		}
+	}
+	m.queue.Finish(m.now, outcome, uint64(len(m.log)), failed)
+	m.over()
+}
+
+func (m *lostAnswers) lateAnswer(t *rapid.T) {
+	if len(m.old) == 0 {
+		t.Skip()
+	}
+	if m.queue.UnderWay(rapid.SampledFrom(m.old).Draw(t, "which")) {
+		t.Fatal("an answer to a transaction that is over would end the one under way")
+	}
+}
+
+func (m *lostAnswers) check(t *rapid.T) {
+	count := 0
+	for id, times := range m.told {
+		if times != 1 {
+			t.Fatalf("write %d told %d times", id, times)
+		}
+		count++
+	}
+	if count+m.queue.Len() != m.added {
+		t.Fatalf("%d told and %d waiting of %d", count, m.queue.Len(), m.added)
+	}
 }
 
 // TestLostAnswers has transactions carried out at once, late and never, whose answers come
@@ -173,98 +262,23 @@
 // find it at that revision; and each is told once.
 func TestLostAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &lostAnswers{t: t, lane: WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 1e6}, versions: map[string]uint64{}, told: map[int]int{}}
-		underWay := func() *Txn {
-			if m.current == nil {
-				t.Skip()
-			}
-			return m.current
-		}
+		model := &lostAnswers{t: t, queue: WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 1e6}, versions: map[string]uint64{}, told: map[int]int{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"add": func(rt *rapid.T) { m.t = rt; m.add() },
-			"send": func(rt *rapid.T) {
-				if m.current != nil {
-					t.Skip()
-				}
-				m.t = rt
-				m.add()
-				m.now += units.Second
-				if m.current = m.lane.Next(m.now); m.current == nil {
-					t.Skip()
-				}
-				m.current.Known = uint64(m.observed)
-				m.from, m.doubted = m.observed, false
-			},
-			"carried out": func(*rapid.T) { m.carryOut(underWay()) },
-			"carried out late": func(rt *rapid.T) {
-				if len(m.old) == 0 {
-					rt.Skip()
-				}
-				m.carryOut(rapid.SampledFrom(m.old).Draw(rt, "which"))
-			},
-			"another writes": func(rt *rapid.T) {
-				m.t = rt
-				r := made(underWay())
-				k := rapid.SampledFrom(m.current.Changes).Draw(rt, "of").Key
-				switch rapid.IntRange(0, 3).Draw(rt, "what") {
-				case 0:
-					r[k] = (r[k] + 1) % 3
-				case 1:
-					delete(r, k)
-				case 2:
-					r["other"] = 1
-				} // else the same
-				if len(r) > 0 {
-					m.commit(r)
-				}
-				if rapid.Bool().Draw(rt, "shown") {
-					m.watch(rt)
-					m.conclude()
-				}
-			},
-			"watch": func(rt *rapid.T) { m.watch(rt) },
-			"wait":  func(rt *rapid.T) { m.t = rt; underWay(); m.conclude() },
-			"went back": func(*rapid.T) {
-				underWay()
-				m.lane.SuspectRollback()
-				m.doubted = true
-			},
-			"answer": func(rt *rapid.T) {
-				tx := underWay()
-				if !m.lane.UnderWay(tx) {
-					rt.Fatal("not under way")
-				}
-				before := len(m.log)
-				o := rapid.SampledFrom([]Outcome{OK, Refused, Failed, Unknown, TooLarge}).Draw(rt, "outcome")
-				var failed []string
-				if o == OK {
-					if m.carryOut(tx); len(m.log) == before {
-						o, failed = Failed, []string{tx.Guards[0].Key}
-					}
-				}
-				m.lane.Finish(m.now, o, uint64(len(m.log)), failed)
-				m.over()
-			},
-			"late answer": func(rt *rapid.T) {
-				if len(m.old) == 0 {
-					rt.Skip()
-				}
-				if m.lane.UnderWay(rapid.SampledFrom(m.old).Draw(rt, "which")) {
-					rt.Fatal("an answer to a transaction that is over would end the one under way")
-				}
-			},
-			"": func(rt *rapid.T) {
-				n := 0
-				for id, k := range m.told {
-					if k != 1 {
-						rt.Fatalf("write %d told %d times", id, k)
-					}
-					n++
-				}
-				if n+m.lane.Len() != m.added {
-					rt.Fatalf("%d told and %d waiting of %d", n, m.lane.Len(), m.added)
-				}
+			"add":              func(t *rapid.T) { model.t = t; model.add() },
+			"send":             model.send,
+			"carried out":      func(t *rapid.T) { model.carryOut(model.underWay(t)) },
+			"carried out late": model.carriedOutLate,
+			"another writes":   model.anotherWrites,
+			"watch":            model.watch,
+			"wait":             func(t *rapid.T) { model.t = t; model.underWay(t); model.conclude() },
+			"went back": func(t *rapid.T) {
+				model.underWay(t)
+				model.queue.SuspectRollback()
+				model.doubted = true
 			},
+			"answer":      model.answer,
+			"late answer": model.lateAnswer,
+			"":            model.check,
 		})
 	})
 }
@@ -272,35 +286,35 @@
 // TestReadsForLateAnswers counts the reads that a transaction without an answer causes: a
 // few, soon where answers are quick, and none before its time is up where all are slow.
 func TestReadsForLateAnswers(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		usual units.Microseconds
 		first units.Microseconds // at which the first read is due at the latest
 		reads int                // within a second
 	}{{2_000, 60_000, 3}, {10_000, 100_000, 3}, {400_000, units.Never, 0}} {
-		l := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 100}
+		queue := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 100}
 		now := units.Second
 		send := func() {
-			l.Add(&Write{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}, Done: func(Outcome, uint64) {}})
-			if l.Next(now) == nil {
+			queue.Add(&Write{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}, Done: func(Outcome, uint64) {}})
+			if queue.Next(now) == nil {
 				t.Fatal("nothing is sent")
 			}
 		}
 		for range 50 {
 			now += units.Second
 			send()
-			now += c.usual
-			l.Finish(now, OK, 1, nil)
+			now += test.usual
+			queue.Finish(now, OK, 1, nil)
 		}
 		send()
 		reads, first := 0, units.Never
 		for d := units.Microseconds(0); d < units.Second; d += 5_000 {
-			if l.ReadDue(now + d) {
+			if queue.ReadDue(now + d) {
 				reads++
 				first = min(first, d)
 			}
 		}
-		if reads != c.reads || first > c.first {
-			t.Errorf("answers take %v us: %d reads, the first after %v us", c.usual, reads, first)
+		if reads != test.reads || first > test.first {
+			t.Errorf("answers take %v us: %d reads, the first after %v us", test.usual, reads, first)
 		}
 	}
 }
