--- a/internal/core/fleet/record.go
+++ b/internal/core/fleet/record.go
@@ -51,6 +51,10 @@
 	ProvisionedAt units.Microseconds `json:"rented,omitempty"`
 }
 
+// FullShard is how many machines one shard carries at least. Whatever counts a shard's machines,
+// their connections or their heartbeats is sized by it; docs/CAPACITY.md, "Fixed limits", lists it.
+const FullShard = 4096
+
 // MaxGroup is how many machines one group may have: as many as the cloud provisions at once, so that
 // a group stays far below the state service's value limit.
 const MaxGroup = 50
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -94,6 +94,9 @@
 // TaskCompleted implements reconcile.JobHost.
 func (h reconcileHost) TaskCompleted(job *jobs.Job, task int) { h.shard.writer.TaskFinished(job, task) }
 
+// RankReady implements reconcile.IdleHost.
+func (h reconcileHost) RankReady() { h.shard.scheduler.RankReady() }
+
 // NewWork implements reconcile.IdleHost.
 func (h reconcileHost) NewWork() bool { return h.shard.scheduler.OfferIdle() }
 
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -46,12 +46,16 @@
 	return s.readyUnranked && s.host.Now() >= s.rankedAt+max(rankGap, s.queue.MinInterval())
 }
 
-// OfferIdle ranks the jobs if tasks have become ready, and reports whether machines that are
-// waiting for work should be filled: there are ranked jobs that they were not offered yet.
-func (s *Scheduler) OfferIdle() bool {
+// RankReady ranks the jobs if tasks have become ready.
+func (s *Scheduler) RankReady() {
 	if s.readyUnranked && s.host.Now() >= s.rankedAt+s.queue.MinInterval() {
 		s.rank()
 	}
+}
+
+// OfferIdle reports whether machines that are waiting for work should be filled: there are ranked
+// jobs that they were not offered yet. Each ranking is reported once.
+func (s *Scheduler) OfferIdle() bool {
 	offer := s.rankedUnserved && len(s.queue.Ranked()) > 0
 	s.rankedUnserved = false
 	return offer
