--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -130,4 +130,4 @@
 }
 
 // Rewrite implements archive.Host.
-func (c archiveHost) Rewrite(e store.Event) { c.writeAgain(e) }
+func (c archiveHost) Rewrite(e store.Event) { c.rollback.Rewrite(e) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	"shalestage.example/shalestage/internal/core/membership"
 	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/provisioner"
-	"shalestage.example/shalestage/internal/core/replaylog"
+	"shalestage.example/shalestage/internal/core/rollback"
 	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/transfer"
@@ -174,7 +174,7 @@
 	machineShard  map[string]int         // block of each stored machine
 
 	archive       *archive.Keeper
-	replayLog     *replaylog.Memory      // what may have to be written again
+	rollback      *rollback.Recovery
 	cancellations *cancellations.Tracker // which cancellations are known, and up to when all are
 	membership    *membership.Registry
 	election      *election.Election
@@ -219,7 +219,7 @@
 	c.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{c})
 	c.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: c.cfg.ValueMax, Log: cfg.Log}, c.shardRecords, plannerHost{c})
 	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
-	c.replayLog = replaylog.New(replayLogBytes)
+	c.rollback = rollback.New(rollbackHost{c}, cfg.Log)
 	c.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
 	c.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
 	c.forwarder = peering.NewForwarder()
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -42,7 +42,7 @@
 }
 
 // Reload implements watchcache.Host.
-func (c cacheHost) Reload(rev uint64, items []store.Event) { c.reload(rev, items) }
+func (c cacheHost) Reload(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
 
 // ListPage is how many keys are listed at once.
 const ListPage = watchcache.Page
@@ -75,9 +75,7 @@
 // learn takes one change of the copy. Records that cannot be read are logged
 // and skipped: they end no process.
 func (c *Core) learn(e store.Event) {
-	if !isAuthority(e.Key) {
-		c.replayLog.Note(e)
-	}
+	c.rollback.Note(e)
 	var err error
 	switch {
 	case e.Key == leaderKeyFirst || e.Key == keys.LeaderSinceArchive:
--- /dev/null
+++ b/internal/core/rollback.go
@@ -0,0 +1,48 @@
+package core
+
+import (
+	"shalestage.example/shalestage/internal/core/store"
+)
+
+// rollbackHost is what this controller does once the state service went back.
+type rollbackHost struct{ *Core }
+
+// RestoreArchived implements rollback.Host.
+func (c rollbackHost) RestoreArchived(listed []store.Event) []store.Event {
+	return c.archive.Restore(listed)
+}
+
+// Recover implements rollback.Host.
+func (c rollbackHost) Recover(revision uint64, listed []store.Event, newer map[string]bool) {
+	c.cache.Recover(revision, listed, newer)
+}
+
+// StateRolledBack implements rollback.Host.
+func (c rollbackHost) StateRolledBack() {
+	c.config.Reloaded()
+	c.cancellations.StateRolledBack(c.now)
+	c.suspectCommits()
+	c.archive.RolledBack()
+	c.transfers.StateRolledBack()
+}
+
+// Store implements rollback.Rewriter.
+func (c rollbackHost) Store(w *store.Write) { c.queues[ControlQueue].Add(w) }
+
+// ReadFresh implements rollback.Rewriter.
+func (c rollbackHost) ReadFresh(ended func(ok bool)) { c.readFresh(ended) }
+
+// Version implements rollback.Rewriter.
+func (c rollbackHost) Version(key string) uint64 { return c.cache.Version(key) }
+
+// RestoreShards implements rollback.Host.
+func (c rollbackHost) RestoreShards() {
+	for _, number := range sortedShards(c.owned) {
+		shard := c.owned[number]
+		shard.replication.Stop(c.now)
+		for _, id := range sortedKeys(shard.active) {
+			shard.writer.StoreProgressAgain(shard.active[id])
+		}
+		shard.writer.StoreAllGroups()
+	}
+}
