--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"math"
 	"math/rand/v2"
 	"slices"
 
@@ -161,7 +162,7 @@
 	for _, j := range s.Jobs {
 		at := units.Seconds(j.AtS)
 		spec := j.Spec() // one for all: nobody writes to it, and a long play has millions of jobs
-		for k := range max(j.Count, 1) {
+		for k := range s.submissions(j) {
 			u := add(j, spec, at)
 			if k == 0 {
 				byName[j.Name] = u
@@ -172,9 +173,20 @@
 	return out
 }
 
+// submissions returns how many jobs an entry stands for.
+func (s *Scenario) submissions(j Job) int {
+	if j.Count == 0 {
+		return 1
+	}
+	return max(1, int(math.Round(float64(j.Count)*s.load())))
+}
+
+// load is how many times the jobs of entries with a count come.
+func (s *Scenario) load() float64 { return cmp.Or(s.Users.Load, 1) }
+
 // gap draws the time until the next job of an entry; surges shorten it.
 func (s *Scenario) gap(j Job, at units.Microseconds, rng *rand.Rand) float64 {
-	g := j.EveryS * rng.ExpFloat64()
+	g := j.EveryS * rng.ExpFloat64() / s.load()
 	for _, f := range s.Faults {
 		t := at.Seconds()
 		if f.Kind == Surge && (f.Class == "" || f.Class == j.Class || f.Class == j.Name) && t >= f.AtS && t < f.AtS+f.ForS {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -100,6 +100,9 @@
 	LateRetries float64 `toml:"late_retries"`
 	Strangers   float64 `toml:"strangers"`
 	Revisits    float64 `toml:"revisits"`
+	// Load has users submit so many times the jobs of each entry with a count, in the same time;
+	// 0: once.
+	Load float64 `toml:"load"`
 }
 
 // MachineType is a type on the price list.
@@ -420,6 +423,7 @@
 	c.within("users.late_retries", s.Users.LateRetries, 0, 1)
 	c.within("users.strangers", s.Users.Strangers, 0, 1)
 	c.within("users.revisits", s.Users.Revisits, 0, 1)
+	c.within("users.load", s.Users.Load, 0, 1000)
 	c.within("draw.from_s", s.Draw.FromS, 0, 1e6)
 	c.within("draw.to_s", s.Draw.ToS, 0, 1e6)
 	c.within("draw.gap_s", s.Draw.GapS, 0, 1e6)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
@@ -42,6 +43,7 @@
 		"nothing meets":       {whole("[draw]\nto_s = 9\nevents = [\"task_done\"]\n"), lines + 2, 1, "draw.meet is missing"},
 		"no such expected":    {whole("[expect.events]\nrain = 2\n"), lines + 1, 1, "no event \"rain\", but [cancel_told grant_stored"},
 		"ends before":         {whole("[[fault]]\nat_s = 5\nat_to_s = 4\nkind = \"controller_crash\"\n"), lines + 2, 1, "want at least at_s, 5, got 4"},
+		"load below none":     {strings.Replace(whole(""), "[users]\n", "[users]\nload = -1\n", 1), 33, 1, "users.load: want 0 to 1000, got -1"},
 		"capacity of nothing": {whole("[[capacity]]\ntype = \"huge\"\nzone = \"north\"\ncount = 1\n"), lines + 1, 1, "there is no machine type"},
 	} {
 		_, err := Parse("f.toml", []byte(c.text), true)
@@ -124,3 +126,37 @@
 		positions(b)
 	})
 }
+
+// TestLoad has users submit a tenth more of the jobs that come again and again, in the same time,
+// and no more of those that come once.
+func TestLoad(t *testing.T) {
+	last := map[float64]float64{}
+	for load, want := range map[float64]int{0: 1001, 1: 1001, 1.1: 1101, 0.0001: 2} {
+		s := Defaults()
+		s.Users.Load = load
+		s.Jobs = []Job{{Name: "once", Team: "blue", Tasks: 1, RunS: 1}, {Name: "often", Team: "blue", Tasks: 1, RunS: 1, Count: 1000, EveryS: 10}}
+		jobs := s.Plan(0, rand.New(rand.NewPCG(1, 1)))
+		if len(jobs) != want {
+			t.Errorf("load %g: %d jobs, want %d", load, len(jobs), want)
+		}
+		last[load] = jobs[len(jobs)-1].At.Seconds()
+	}
+	if last[0] != last[1] || last[1.1] < 0.9*last[1] || last[1.1] > 1.1*last[1] {
+		t.Errorf("the last job comes at %v s, by load", last)
+	}
+}
+
+// TestDay4096 reads the example that changes another one's size.
+func TestDay4096(t *testing.T) {
+	s, err := Load("../../examples/day-4096.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	machines := 0
+	for _, p := range s.Capacity {
+		machines += p.Count + p.Spot
+	}
+	if machines != 4096 || len(s.Capacity) != 10 || len(s.Teams) != 340 || len(s.Jobs) != 340 {
+		t.Errorf("%d machines in %d zones, %d teams, %d entries of jobs", machines, len(s.Capacity), len(s.Teams), len(s.Jobs))
+	}
+}
