--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -114,6 +114,7 @@
 	malformed bool               // its submission lacks a field
 	mistaken  bool               // its tasks fail on every machine
 	waits     units.Microseconds // since when it is left waiting, see Look; 0: it is not
+	excused   units.Microseconds // since when it was when its room was found to be passing; 0: it was not
 }
 
 // Checker keeps the books.
@@ -133,6 +134,7 @@
 	open      []*job             // accepted, and not known to be over when that was last looked at
 	kept      int                // how many were left of them then
 	next      int                // which of them is looked at next, see Look
+	looks     []freeAt           // of the last 90 s, the oldest first
 	calm      units.Microseconds // when all troubles are over; Never: not known
 	broken    []Break
 	said      map[string]bool
@@ -554,7 +556,7 @@
 	}
 	j.on[id.Task] = m
 	j.zones[m.Zone]++
-	j.waits = 0
+	j.waits, j.excused = 0, 0
 	if s.OneZone && len(j.zones) > 1 || s.Spread && j.zones[m.Zone] > (s.Tasks+1)/2 {
 		c.breaks(at, WrongPlace, j, m.Name, "%s begins on %s: tasks by zone %v", id, m.Name, j.zones)
 	}
--- /dev/null
+++ b/internal/emulator/sim/waiting_test.go
@@ -0,0 +1,58 @@
+package sim
+
+import (
+	"slices"
+	"testing"
+
+	"shalestage.example/shalestage/internal/core/binpack"
+	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/scenario"
+)
+
+// fullFleet returns a world of 400 machines, each with room for two tasks of 18 s, and small jobs
+// that ask for more than that all the time. Its first job is a large one, which comes once all
+// machines are full. At most looks a few machines are between the end of a task and the start of
+// the next, others at each look.
+func fullFleet(seed uint64, b Broken) *World {
+	sc := deployment(3, 0)
+	sc.State.Limits = scenario.Limits{RPS: 1000, WriteRPS: 500, ValueKB: 8, TxnOps: 32}
+	sc.State.Next = scenario.Limits{}
+	sc.Controllers.CPU, sc.Controllers.Sockets = 4, 8000
+	sc.Cloud.RPS = 30
+	sc.Types = []scenario.MachineType{{Name: "pair", CPUs: 5, MemoryGB: 20, Price: 1, CacheGB: 40, FetchGBs: 2, BootS: 5}}
+	sc.Capacity = []scenario.Capacity{{Type: "pair", Zone: "a", Count: 200}, {Type: "pair", Zone: "b", Count: 200}}
+	sc.Teams = []scenario.Team{{Name: "red"}, {Name: "blue"}}
+	w := New(sc, Options{Seed: seed, Break: b})
+	spec := func(team string, tasks int) *jobs.Spec {
+		return &jobs.Spec{Class: "x", Team: team, Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{2500, 0, 4000}, AnyType: true, Image: "i", Estimate: 18 * second}
+	}
+	w.submit(60*second, spec("red", 600), 18*second, 0)
+	for at := second; at < 300*second; at += second / 2 {
+		w.submit(at, spec("blue", 30), 18*second, 0)
+	}
+	return w
+}
+
+// TestPassingRoom plays a full fleet. The large job waits for two minutes, as smaller ones go
+// first, and is not left waiting by that; a service that never starts it is reported.
+func TestPassingRoom(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		b     Broken
+		until units.Microseconds
+		want  bool
+	}{
+		{"intact", Broken{}, 400 * second, false},
+		{"never started", Broken{Orders: withoutStarts("wk-000000")}, 330 * second, true},
+	} {
+		w := fullFleet(1, c.b)
+		w.Run(c.until)
+		began := w.Check.FirstBegan("wk-000000")
+		t.Logf("%s: began at %.1f, %d starts, %v", c.name, began.Seconds(), w.Check.Starts(), w.Check.Broken())
+		if got := slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.LeftWaiting }); got != c.want {
+			t.Errorf("%s: left waiting %v, want %v", c.name, got, c.want)
+		}
+	}
+}
