--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -16,11 +16,11 @@
 	"github.com/go-chi/chi/v5/middleware"
 	"github.com/prometheus/client_golang/prometheus"
 
+	"shalestage.example/shalestage/internal/connlimit"
 	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/gate"
 	"shalestage.example/shalestage/internal/wire"
 )
 
@@ -161,28 +161,28 @@
 }
 
 // peerKind tells who sends a request.
-func peerKind(r *http.Request) gate.Kind {
+func peerKind(r *http.Request) connlimit.Kind {
 	switch r.URL.Path {
 	case wire.HeartbeatPath:
-		return gate.Machine
+		return connlimit.Machine
 	case wire.ReadyPath, metricsPath:
-		return gate.Probe
+		return connlimit.Probe
 	}
-	return gate.User
+	return connlimit.User
 }
 
 // Serve answers requests on a listener. Slow, half-open and idle clients lose
-// their connection; of maxConns, users may hold a part, see package gate.
+// their connection; of maxConns, users may hold a part, see package connlimit.
 func Serve(l net.Listener, n Node, maxConns int, idle units.Microseconds, log *slog.Logger) error {
-	g := gate.New(l, maxConns)
+	limited := connlimit.New(l, maxConns)
 	s := &http.Server{
-		Handler:           Handler(n, log, g),
+		Handler:           Handler(n, log, limited),
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       10 * time.Second,
 		WriteTimeout:      15 * time.Second,
 		IdleTimeout:       time.Duration(idle) * time.Microsecond,
 		MaxHeaderBytes:    16 << 10,
 	}
-	g.Protect(s, peerKind)
-	return s.Serve(g)
+	limited.Track(s, peerKind)
+	return s.Serve(limited)
 }
--- a/internal/gate/gate_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -1,4 +1,4 @@
-package gate
+package connlimit
 
 import (
 	"bufio"
@@ -12,28 +12,28 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// server answers behind a gate; requests for /slow wait until they are let go.
-func server(t *testing.T, most int) (*Gate, chan struct{}) {
+// server answers behind a limited listener; requests for /slow wait until they are let go.
+func server(t *testing.T, limit int) (*Listener, chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, letGo := New(l, most), make(chan struct{})
+	limited, letGo := New(l, limit), make(chan struct{})
 	s := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			<-letGo
 		}
 	})}
-	g.Protect(s, func(r *http.Request) Kind {
+	limited.Track(s, func(r *http.Request) Kind {
 		if strings.HasPrefix(r.URL.Path, "/machine") {
 			return Machine
 		}
 		return User
 	})
-	go func() { _ = s.Serve(g) }()
+	go func() { _ = s.Serve(limited) }()
 	t.Cleanup(func() { _ = s.Close() })
-	return g, letGo
+	return limited, letGo
 }
 
 // client is one connection.
@@ -42,7 +42,7 @@
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, g *Gate) *client {
+func dial(t *testing.T, g *Listener) *client {
 	t.Helper()
 	c, err := net.Dial("tcp4", g.Addr().String())
 	if err != nil {
@@ -65,48 +65,50 @@
 	return r.StatusCode
 }
 
-// until waits for what the server's goroutines are about to tell the gate.
-func until(g *Gate, ok func(*book) bool) {
+// until waits for what the server's goroutines are about to tell the listener.
+func until(g *Listener, ok func(*connections) bool) {
 	for done := false; !done; runtime.Gosched() {
-		g.ask(func(b *book) { done = ok(b) })
+		g.do(func(conns *connections) { done = ok(conns) })
 	}
 }
 
-// TestMachinesKeepTheirSockets has users take all sockets that they can, quiet and busy
+// TestMachinesKeepTheirSockets has users take all sockets that they can, idle and busy
 // ones and some that never ask for anything. Every machine still gets in and stays, users
 // beyond their part are told at once to come back, and nothing is counted that is gone.
 func TestMachinesKeepTheirSockets(t *testing.T) {
-	const most = 12
-	g, letGo := server(t, most)
-	for range most { // they connect and say nothing
-		dial(t, g)
+	const limit = 12
+	listener, letGo := server(t, limit)
+	for range limit { // they connect and say nothing
+		dial(t, listener)
 	}
-	until(g, func(b *book) bool { return b.open[Fresh] == most })
-	for range 5 { // the first takes a silent one's place, each other that of the last, which is quiet by then
-		if code := dial(t, g).get("/user"); code != 200 {
-			t.Fatalf("a user beside silent connections: %d", code)
+	until(listener, func(conns *connections) bool { return conns.open[Unidentified] == limit })
+	for range 5 { // the first takes the place of one that has asked for nothing, each other that of the last, which is idle by then
+		if code := dial(t, listener).get("/user"); code != 200 {
+			t.Fatalf("a user beside idle connections: %d", code)
 		}
-		until(g, func(b *book) bool { return b.open[User] == 1 && b.quiet[User].Len() == 1 })
+		until(listener, func(conns *connections) bool { return conns.open[User] == 1 && conns.idle[User].Len() == 1 })
 	}
 	var busy []*client
-	for range most / usersPart {
-		c := dial(t, g)
+	for range limit / userFraction {
+		c := dial(t, listener)
 		c.send("/slow")
 		busy = append(busy, c)
 	}
-	until(g, func(b *book) bool { return b.open[User] == most/usersPart && b.quiet[User].Len() == 0 })
-	if code := dial(t, g).get("/user"); code != http.StatusServiceUnavailable {
+	until(listener, func(conns *connections) bool {
+		return conns.open[User] == limit/userFraction && conns.idle[User].Len() == 0
+	})
+	if code := dial(t, listener).get("/user"); code != http.StatusServiceUnavailable {
 		t.Fatalf("a user beyond the users' part: %d", code)
 	}
 	var machines []*client
-	for range most - most/usersPart {
-		c := dial(t, g)
+	for range limit - limit/userFraction {
+		c := dial(t, listener)
 		if code := c.get("/machine"); code != 200 {
 			t.Fatalf("machine %d: %d", len(machines), code)
 		}
 		machines = append(machines, c)
 	}
-	if code := dial(t, g).get("/machine"); code != 0 {
+	if code := dial(t, listener).get("/machine"); code != 0 {
 		t.Fatalf("beyond the last socket: %d", code)
 	}
 	for i, c := range machines {
@@ -123,9 +125,9 @@
 	for _, c := range append(machines, busy...) {
 		_ = c.Close()
 	}
-	until(g, func(b *book) bool { return b.all() == 0 })
+	until(listener, func(conns *connections) bool { return conns.total() == 0 })
 	r := prometheus.NewRegistry()
-	r.MustRegister(g)
+	r.MustRegister(listener)
 	if all, err := r.Gather(); err != nil || len(all) != 2 || len(all[0].Metric) != int(kinds) || all[1].Metric[kinds-1].Counter.GetValue() == 0 { // users are the last by name
 		t.Fatalf("figures %v, %v", all, err)
 	}
