--- a/cmd/shalestage/config.go
+++ b/cmd/shalestage/config.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"shalestage.example/shalestage/internal/config"
-	"shalestage.example/shalestage/internal/rest"
+	"shalestage.example/shalestage/internal/httpjson"
 )
 
 type configCmd struct {
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), configTimeout)
 	defer cancel()
 	var answer json.RawMessage
-	code, err := rest.Do(ctx, rest.NewClient(1), method, "http://"+f.Controller+path, body, &answer)
+	code, err := httpjson.Do(ctx, httpjson.NewClient(1), method, "http://"+f.Controller+path, body, &answer)
 	if err != nil {
 		return exit{exitFailed, err}
 	}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -16,19 +17,19 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// maxAnswer bounds what is read of an answer.
+// maxAnswer bounds what is read of an answer, in bytes.
 const maxAnswer = 64 << 10
 
 // Client talks to one address.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// New returns a client. Connections are kept open for a short time only: a load
+// New returns a client of an address, HOST:PORT. Connections are kept open for a short time only: a load
 // balancer never moves an open one.
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: &http.Transport{
+	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}}
 }
 
@@ -41,7 +42,7 @@
 	Error         string // what a refusal says
 }
 
-// Submit submits a job.
+// Submit submits a job. Submitting it again under the same id is the same request.
 func (c *Client) Submit(ctx context.Context, id string, spec *jobs.Spec) (Reply, error) {
 	b, err := wire.EncodeSubmission(id, spec)
 	if err != nil {
@@ -60,65 +61,70 @@
 	return c.call(ctx, http.MethodPost, wire.JobsPath+"/"+id+"/abort", nil)
 }
 
+// call sends a request. Every answer that can be read is a reply, of whatever status.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (Reply, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return Reply{}, err
 	}
-	resp, err := c.http.Do(req)
+	answer, err := c.http.Do(request)
 	if err != nil {
-		return Reply{}, err
+		return Reply{}, err // a *url.Error, which names the method and the URL
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	defer func() { _ = answer.Body.Close() }() // read to its end, or of no more use
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
 	if err != nil {
-		return Reply{}, err
+		return Reply{}, fmt.Errorf("reading the answer to %s %s: %w", method, path, err)
 	}
-	r := Reply{Code: resp.StatusCode}
-	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && s >= 0 {
-		r.RetryAfter = units.Microseconds(min(s, 3600)) * units.Second
+	reply := Reply{Code: answer.StatusCode}
+	if seconds, err := strconv.Atoi(answer.Header.Get("Retry-After")); err == nil && seconds >= 0 {
+		reply.RetryAfter = units.Microseconds(min(seconds, 3600)) * units.Second
 	}
-	if r.Code != http.StatusOK && r.Code != http.StatusCreated {
-		r.Error = wire.ProblemText(b)
-		return r, nil
+	if reply.Code != http.StatusOK && reply.Code != http.StatusCreated {
+		reply.Error = wire.ProblemText(text)
+		return reply, nil
 	}
-	s, st, err := wire.DecodeJobStatus(b)
+	job, status, err := wire.DecodeJobStatus(text)
 	if err != nil {
-		return Reply{}, fmt.Errorf("unreadable answer: %w", err)
+		return Reply{}, fmt.Errorf("unreadable answer to %s %s: %w", method, path, err)
 	}
-	r.Status = st
-	if s.Done != nil && s.Running != nil {
-		r.Done, r.Running = *s.Done, *s.Running
+	reply.Status = status
+	if job.Done != nil && job.Running != nil {
+		reply.Done, reply.Running = *job.Done, *job.Running
 	}
-	return r, nil
+	return reply, nil
 }
 
-// tryFor is how long a request is repeated that nobody takes.
-const tryFor = 60 * time.Second
+// retryFor is how long Insist repeats a request that nobody takes.
+const retryFor = 60 * time.Second
+
+// ErrNotTaken is wrapped by Insist's error when the request was repeated long enough.
+var ErrNotTaken = errors.New("nobody takes the request")
 
-// Insist repeats a request as users do until it is answered for good, or for a
-// minute: 200, 201, 400, 404 and 422 are answers.
-func Insist(ctx context.Context, within time.Duration, call func(context.Context) (Reply, error)) (Reply, error) {
-	began := time.Now()
+// Insist repeats a request as users do until it is answered for good, or for a minute: 200,
+// 201, 400, 404 and 422 are answers. timeout bounds each attempt. The error wraps ErrNotTaken,
+// or is the context's.
+func Insist(ctx context.Context, timeout time.Duration, call func(context.Context) (Reply, error)) (Reply, error) {
+	start := time.Now()
 	for {
-		one, cancel := context.WithTimeout(ctx, within)
-		r, err := call(one)
+		attempt, cancel := context.WithTimeout(ctx, timeout)
+		reply, err := call(attempt)
 		cancel()
 		if err == nil {
-			switch r.Code {
+			switch reply.Code {
 			case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
-				return r, nil
+				return reply, nil
 			}
-			err = fmt.Errorf("answered %d: %s", r.Code, r.Error)
+			err = fmt.Errorf("answered %d: %s", reply.Code, reply.Error)
 		}
-		pause := max(time.Second, time.Duration(min(r.RetryAfter, 30*units.Second))*time.Microsecond)
-		if time.Since(began)+pause > tryFor {
-			return r, fmt.Errorf("nobody takes the request: %w", err)
+		pause := max(time.Second, time.Duration(min(reply.RetryAfter, 30*units.Second))*time.Microsecond)
+		if time.Since(start)+pause > retryFor {
+			return reply, fmt.Errorf("%w: %w", ErrNotTaken, err)
 		}
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
-			return r, ctx.Err()
+			return reply, ctx.Err()
 		}
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -14,7 +14,7 @@
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/rest"
+	"shalestage.example/shalestage/internal/httpjson"
 	"shalestage.example/shalestage/internal/wire"
 )
 
@@ -43,7 +43,7 @@
 func New(addr string, rps float64, log *slog.Logger) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
-		http:    rest.NewClient(maxConns),
+		http:    httpjson.NewClient(maxConns),
 		rps:     rps,
 		limiter: rate.NewLimiter(rate.Limit(rps*budgetShare), max(1, int(rps))),
 		log:     log,
@@ -65,7 +65,7 @@
 	if err := c.limiter.Wait(ctx); err != nil || !authorized() {
 		return 0, store.Refused
 	}
-	status, err := rest.Do(ctx, c.http, method, c.baseURL+path, request, response)
+	status, err := httpjson.Do(ctx, c.http, method, c.baseURL+path, request, response)
 	switch {
 	case err != nil:
 		c.log.Info("cloud", "path", path, "err", err)
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,46 +1,46 @@
-// Package memory tells when what a process cannot let go of nears its memory limit. Past
-// the limit the process is killed; before that, all its time goes into collecting what
-// little there is to collect.
+// Package memory tells when the live heap of a process nears its memory limit. Past the limit
+// the process is killed; before that, all its time goes into collecting what little garbage
+// there is.
 package memory
 
 import "runtime/metrics"
 
-// Of the limit that the runtime keeps: beyond high no more should be taken on, and below
-// low it may be again. The rest is for stacks, connections, and garbage between two
-// collections.
+// Fractions of the limit that the runtime keeps: above highWater no more should be taken on,
+// and at lowWater or below it may be again. The rest is for stacks, connections, and garbage
+// between two collections.
 const (
-	high = 0.75
-	low  = 0.65
+	highWater = 0.75
+	lowWater  = 0.65
 )
 
-// liveHeap is what the last collection found in use, in bytes.
-const liveHeap = "/gc/heap/live:bytes"
+// liveHeapMetric is what the last collection found in use, in bytes.
+const liveHeapMetric = "/gc/heap/live:bytes"
 
-// Watch watches one process. It is for one goroutine.
+// Watch watches the memory of this process. It is for one goroutine.
 type Watch struct {
-	limit float64
-	live  func() uint64
-	full  bool
+	limit    float64 // bytes
+	liveHeap func() uint64
+	full     bool
 }
 
 // New returns a watch for a limit in bytes.
 func New(limit int64) *Watch {
-	s := []metrics.Sample{{Name: liveHeap}}
-	return &Watch{limit: float64(limit), live: func() uint64 {
-		metrics.Read(s)
-		if s[0].Value.Kind() != metrics.KindUint64 {
-			return 0 // a runtime that does not tell
+	sample := []metrics.Sample{{Name: liveHeapMetric}}
+	return &Watch{limit: float64(limit), liveHeap: func() uint64 {
+		metrics.Read(sample)
+		if sample[0].Value.Kind() != metrics.KindUint64 {
+			return 0 // a runtime that does not have this metric
 		}
-		return s[0].Value.Uint64()
+		return sample[0].Value.Uint64()
 	}}
 }
 
 // Full reports whether no more should be taken on.
 func (w *Watch) Full() bool {
-	at := high
+	threshold := highWater
 	if w.full {
-		at = low
+		threshold = lowWater
 	}
-	w.full = float64(w.live()) > at*w.limit
+	w.full = float64(w.liveHeap()) > threshold*w.limit
 	return w.full
 }
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -8,23 +8,23 @@
 // TestFull goes up and down past the edges: between them it stays as it was.
 func TestFull(t *testing.T) {
 	var live uint64
-	w := &Watch{limit: 1000, live: func() uint64 { return live }}
-	for _, c := range []struct {
+	watch := &Watch{limit: 1000, liveHeap: func() uint64 { return live }}
+	for _, test := range []struct {
 		live uint64
 		want bool
 	}{{0, false}, {700, false}, {750, false}, {751, true}, {700, true}, {651, true}, {650, false}, {700, false}, {2000, true}} {
-		if live = c.live; w.Full() != c.want {
-			t.Errorf("at %d: %v", c.live, !c.want)
+		if live = test.live; watch.Full() != test.want {
+			t.Errorf("at %d: %v", test.live, !test.want)
 		}
 	}
 }
 
-// TestRuntimeTells holds memory that the runtime must then tell of.
-func TestRuntimeTells(t *testing.T) {
+// TestRuntimeHasTheMetric holds memory that the runtime must then report.
+func TestRuntimeHasTheMetric(t *testing.T) {
 	w := New(1 << 40)
 	held := make([]byte, 32<<20)
 	runtime.GC()
-	if n := w.live(); n < 32<<20 {
+	if n := w.liveHeap(); n < 32<<20 {
 		t.Errorf("live %d with %d held", n, len(held))
 	}
 	if w.Full() {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -16,7 +16,7 @@
 
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/rest"
+	"shalestage.example/shalestage/internal/httpjson"
 	"shalestage.example/shalestage/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 func New(addr string, rps, nextRPS float64, log *slog.Logger) *Client {
 	return &Client{
 		baseURL:  "http://" + addr,
-		http:     rest.NewClient(maxConns),
+		http:     httpjson.NewClient(maxConns),
 		limiter:  rate.NewLimiter(rate.Limit(rps), max(4, int(rps))),
 		nextRate: rate.Limit(nextRPS),
 		log:      log,
@@ -60,7 +60,7 @@
 func (c *Client) do(ctx context.Context, method, path string, timeout time.Duration, request, response any) (status int, outcome store.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, err := rest.Do(ctx, c.http, method, c.baseURL+path, request, response)
+	status, err := httpjson.Do(ctx, c.http, method, c.baseURL+path, request, response)
 	if err != nil {
 		c.log.Debug("state service", "method", method, "path", path, "err", err)
 		return status, store.Unknown
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -12,7 +12,7 @@
 
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/rest"
+	"shalestage.example/shalestage/internal/httpjson"
 	"shalestage.example/shalestage/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 
 // New returns a client that keeps no connections: each worker is probed once.
 func New(log *slog.Logger) *Client {
-	return &Client{http: rest.NewOneShotClient(), log: log}
+	return &Client{http: httpjson.NewOneShotClient(), log: log}
 }
 
 // Probe presents a fencing token to the worker at an address, HOST:PORT, without any command,
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var body json.RawMessage
-	status, err := rest.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
+	status, err := httpjson.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
 		wire.Orders{FencingToken: fencingToken, Incarnation: &incarnation, Commands: []wire.Command{}}, &body)
 	if err != nil {
 		c.log.Debug("worker", "addr", addr, "err", err)
