--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -17,9 +17,10 @@
 
 const configPrefix = keys.ConfigPrefix
 
-// maxOver bounds the bytes that a status spends on teams above their share of a block, far
-// below a frame between controllers: without statuses a controller loses its authority.
-const maxOver = 16 << 10
+// MaxOver bounds the bytes that a status spends on teams above their share of a shard: half of a
+// frame between controllers, as without statuses a controller loses its authority. It holds 481
+// teams with names of the greatest length. Beyond it the shard's use counts as not known.
+const MaxOver = 32 << 10
 
 // Bodies of replies about the configuration.
 type (
@@ -174,7 +175,7 @@
 	}
 	s.Config, s.ConfigKnown = c.config.Version(), c.config.Known()
 	complete := c.config.Falling() && c.configComplete()
-	room := maxOver
+	room := MaxOver
 	for i := range s.Blocks {
 		b := &s.Blocks[i]
 		if b.Use < 0 {
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -141,3 +141,28 @@
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
 }
+
+// TestTeamsAboveTheirShareAtTheLimit has as many teams with the longest names above their share
+// as a status has room for, and one more: then none is named, and the use is not known.
+func TestTeamsAboveTheirShareAtTheLimit(t *testing.T) {
+	const room = MaxOver / (configuration.MaxName + 4) // 4 bytes round each name
+	if room < 340 {
+		t.Errorf("room for %d teams", room)
+	}
+	for _, teams := range []int{340, room, room + 1} {
+		c := holding(t, configRecords(1, 40_000))
+		shard := c.owned[0]
+		var content configuration.Content
+		for i := range teams {
+			name := fmt.Sprintf("%0*d", configuration.MaxName, i)
+			content.Teams = append(content.Teams, Team{Name: name, Limit: binpack.Vec{1000}})
+			shard.quota.Charge(name, binpack.Vec{2000})
+		}
+		c.reconfigure(content)
+		s := PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
+		c.addConfigStatus(&s)
+		if b := s.Blocks[0]; teams <= room && (b.Use != 2 || len(b.Over) != teams) || teams > room && (b.Use != -1 || len(b.Over) != 0) {
+			t.Errorf("%d teams: use %g, %d named", teams, b.Use, len(b.Over))
+		}
+	}
+}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -154,6 +154,15 @@
 	queueCount
 )
 
+const (
+	// userWrites bounds the users' changes that wait for the state service, some seconds' worth
+	// of what it takes. It is a guard against overload: users beyond are told to come back.
+	userWrites = 256
+	// controlWrites bounds those of the leader and of owners, which are bounded by jobs and
+	// machines.
+	controlWrites = 1 << 16
+)
+
 // Core is one controller's whole state.
 type Core struct {
 	cfg     Config
@@ -228,9 +237,9 @@
 	c.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.Home, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
 	c.reachability = liveness.NewReachability(cfg.HeartbeatInterval, c.leaseBound())
 	for i := range c.queues {
-		c.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: 256}
+		c.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
 	}
-	c.queues[ControlQueue].MaxQueue = 1 << 16 // bounded by jobs and machines
+	c.queues[ControlQueue].MaxQueue = controlWrites
 	c.queues[ArchiveQueue].MaxQueue = 1
 	c.setRates()
 	return c
--- a/internal/core/peering/directory.go
+++ b/internal/core/peering/directory.go
@@ -6,6 +6,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
+// MaxPeers bounds the controllers that one controller is connected with.
+const MaxPeers = 32
+
 const (
 	// StatusInterval is the time between two statuses of a controller.
 	StatusInterval units.Microseconds = 300_000
--- a/internal/core/replication/replication.go
+++ b/internal/core/replication/replication.go
@@ -90,13 +90,14 @@
 	giveUpAfter = 4 * units.Second / 5
 	// pause is the time before somebody is to follow again.
 	pause = units.Second
-	// window bounds the messages without an answer, and messageSize the tasks and machines in
+	// window bounds the messages without an answer, and MessageSize the tasks and machines in
 	// one, which must fit into a frame between controllers.
 	window      = 16
-	messageSize = 400
-	// maxWaiting bounds the answers that wait, and answerWithin how long each may: a worker
-	// drops what comes later than 4 s after its report.
-	maxWaiting   = 4096
+	MessageSize = 400
+	// maxWaiting bounds the answers that wait, one for each machine of a full shard, and
+	// answerWithin how long each may: a worker drops what comes later than 4 s after its
+	// heartbeat. One beyond is refused at once, and its machine sends another.
+	maxWaiting   = fleet.FullShard
 	answerWithin = 3 * units.Second
 )
 
@@ -226,7 +227,7 @@
 		size := 0
 		// What has changed since goes first: answers wait for it.
 		for _, name := range slices.Sorted(maps.Keys(s.dirty)) {
-			if size >= messageSize {
+			if size >= MessageSize {
 				break
 			}
 			delete(s.dirty, name)
@@ -239,16 +240,16 @@
 				}
 			}
 		}
-		for len(s.copying) > 0 && size < messageSize {
+		for len(s.copying) > 0 && size < MessageSize {
 			size += s.draw(&m, s.copying[0])
 			s.copying = s.copying[1:]
 		}
 		for _, job := range slices.Sorted(maps.Keys(s.done)) {
-			if size >= messageSize {
+			if size >= MessageSize {
 				break
 			}
 			tasks := s.done[job]
-			k := min(len(tasks), messageSize-size)
+			k := min(len(tasks), MessageSize-size)
 			m.Done = append(m.Done, TasksDone{job, tasks[:k:k]})
 			size += k
 			if s.done[job] = tasks[k:]; k == len(tasks) {
@@ -389,9 +390,11 @@
 	ahead         map[uint64]Message // that came before those before them
 }
 
-// Bounds of one stream: what is beyond them is not followed.
+// MaxMachines bounds the machines of a shard that a stream may tell of, those that are gone
+// included. Beyond it nobody follows until the owner has begun a new stream.
+const MaxMachines = 1 << 16
+
 const (
-	maxMachines = 1 << 16
 	// lookThrough is how many tasks that are done are told before those that are stored by
 	// now are forgotten.
 	lookThrough = 2000
@@ -417,7 +420,7 @@
 	}
 	for {
 		m, ok := s.ahead[s.n+1]
-		if !ok || len(s.machines)+len(m.Machines) > maxMachines {
+		if !ok || len(s.machines)+len(m.Machines) > MaxMachines {
 			break
 		}
 		s.n = m.N
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -25,6 +25,9 @@
 // PictureTasks bounds the tasks and machines in one message.
 const PictureTasks = transfer.MessageSize
 
+// MaxShardMachines is the most machines that a shard may be set to carry.
+const MaxShardMachines = replication.MaxMachines
+
 // sendSnapshot sends the snapshot of a shard that is being released to all that can use it: who
 // gets the shard is the leader's to decide.
 func (c *Core) sendSnapshot(shard *ownedShard) {
--- a/internal/core/transfer/transfer.go
+++ b/internal/core/transfer/transfer.go
@@ -37,8 +37,9 @@
 	MessageSize = 400
 	// machineSize is what a machine counts beside its tasks.
 	machineSize = 4
-	// maxSnapshot bounds the machines and jobs that are remembered of a snapshot.
-	maxSnapshot = 1 << 16
+	// maxSnapshot bounds the machines, and the parts of finished tasks, that are remembered of a
+	// snapshot. A machine beyond is unreconciled.
+	maxSnapshot = replication.MaxMachines
 )
 
 // Shard is what an owner knows of a shard that it gives up.
--- a/internal/core/watchcache/watchcache.go
+++ b/internal/core/watchcache/watchcache.go
@@ -65,8 +65,11 @@
 const (
 	watchWait = 5 * units.Second
 	// Page is how many keys are listed at once.
-	Page      = 500
-	maxWaiter = 2000
+	Page = 500
+	// maxWaiter bounds the requests that wait for one read, most of them users' polls, which
+	// grow with the machines that the users keep busy. One beyond is told at once that the read
+	// failed, and its user is sent to another controller or told when to come back.
+	maxWaiter = 4096
 	// Heartbeat is how often the service is asked at least, so that every controller
 	// knows, and can tell its peers, whether it is served.
 	Heartbeat = 400 * units.Second / 1000
--- a/internal/core/watchcache/watchcache_test.go
+++ b/internal/core/watchcache/watchcache_test.go
@@ -189,3 +189,46 @@
 		}
 	})
 }
+
+// TestManyWaitForOneRead has as many requests wait for one read as may, and one more: that one is
+// told at once that it failed, and each of the others once that the read has worked.
+func TestManyWaitForOneRead(t *testing.T) {
+	if maxWaiter < 4096 {
+		t.Errorf("%d may wait", maxWaiter)
+	}
+	r := &reader{has: map[string]string{}}
+	r.m = New(Config{Size: 1, Rate: 100, Fresh: 2 * units.Second}, r)
+	r.m.Tick(units.Second, units.Second)
+	r.m.OnList(units.Second, List{}, store.OK, 5, nil, false)
+	r.m.Pump(units.Second)
+	r.m.OnChanges(units.Second, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
+	worked := make([]int, maxWaiter)
+	for i := range worked {
+		r.m.ReadFresh(func(ok bool) {
+			if ok {
+				worked[i]++
+			}
+		})
+	}
+	failed := 0
+	r.m.ReadFresh(func(ok bool) {
+		if !ok {
+			failed++
+		}
+	})
+	if failed != 1 {
+		t.Fatalf("one beyond was told %d times", failed)
+	}
+	r.sent = nil
+	r.m.Pump(2 * units.Second)
+	if len(r.sent) != 1 {
+		t.Fatalf("%d reads for all", len(r.sent))
+	}
+	// Who comes while the read is under way waits for the next.
+	late := 0
+	r.m.ReadFresh(func(bool) { late++ })
+	r.m.OnChanges(2*units.Second, r.sent[0].(Watch), store.OK, 6, nil, false)
+	if slices.ContainsFunc(worked, func(n int) bool { return n != 1 }) || failed != 1 || late != 0 {
+		t.Errorf("told %v; beyond %d, late %d", worked, failed, late)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,14 +28,24 @@
 	// 4 s, users 5 s, or 2 s for a poll.
 	answerWithin = 4 * time.Second
 	pollWithin   = 1900 * time.Millisecond
-	// Lengths of the inbox's queues, in messages.
-	controlQueueLength   = 1024
-	heartbeatQueueLength = 1024
-	userQueueLength      = 512
 	// leaveTime is for the last request, that the lease ends, and for the answers under way.
 	leaveTime = 200 * time.Millisecond
 )
 
+// Lengths of the inbox's queues, in messages. A request that finds its queue full is answered 503
+// at once, with a time to come back; a controller's message is dropped, which all messages may be.
+const (
+	// userQueueLength bounds the users' requests that wait. It is a guard against overload: more
+	// would not be answered in time.
+	userQueueLength = 512
+	// heartbeatQueueLength has room for a heartbeat of each machine of a full shard, which has one
+	// under way, and for as many cancellations and health checks as users' requests.
+	heartbeatQueueLength = fleet.FullShard + userQueueLength
+	// controlQueueLength has room for the snapshot of a full shard, which has one part for each
+	// machine at most, and for all else that other controllers and the services say meanwhile.
+	controlQueueLength = fleet.FullShard + 1024
+)
+
 // message is handled by the goroutine that owns the core.
 type message func(c *core.Core, now units.Microseconds)
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,6 +13,9 @@
 	"time"
 
 	"golang.org/x/net/netutil"
+
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/peering"
 )
 
 const (
@@ -22,9 +25,12 @@
 	retryPause = dialTimeout / 4
 	// readTimeout is several times the interval between statuses.
 	readTimeout = 10 * time.Second
-	// queueLength is how many messages wait for one peer: a snapshot of some thousand machines.
-	queueLength = 128
-	maxConns    = 32
+	// queueLength bounds the messages that wait to be sent to one controller. It has room for the
+	// snapshot of a full shard, which has one part for each machine at most, and for 128 parts
+	// of finished tasks and other messages; what comes beyond is dropped.
+	queueLength = fleet.FullShard + 128
+	// maxConns bounds the connections of other controllers.
+	maxConns = peering.MaxPeers
 )
 
 // Link connects a controller with its peers.
@@ -69,13 +75,13 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	for ctx.Err() == nil {
 		conn, err := dialer.DialContext(ctx, "tcp4", addr)
+		for len(queue) > 0 {
+			<-queue
+		}
 		if err != nil {
 			sleep(ctx, retryPause)
 			continue
 		}
-		for len(queue) > 0 {
-			<-queue
-		}
 		l.sendOver(ctx, conn, queue)
 	}
 }
