--- a/internal/emulator/balance/balance.go
+++ b/internal/emulator/balance/balance.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
 // Times of the protocol.
@@ -56,7 +56,7 @@
 type Balancer struct {
 	rng   *rand.Rand
 	nodes []*node
-	plans agenda.Agenda[step]
+	plans eventqueue.Queue[step]
 	out   []any
 }
 
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -16,7 +16,7 @@
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
 // The rules: those of the protocol and of the page on jobs that await others, and
@@ -126,7 +126,7 @@
 	lastOrder map[string]units.Microseconds      // of each team's tasks that have
 	jobs      map[string]*job
 	use       map[string]binpack.Vec // of each team's tasks on machines
-	later     agenda.Agenda[*job]    // cancelled jobs, by when their tasks must be gone
+	later     eventqueue.Queue[*job] // cancelled jobs, by when their tasks must be gone
 	polls     int
 	polled    int // answered
 	starts    int
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -15,7 +15,7 @@
 	"github.com/google/btree"
 
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
 // Bounds of the protocol.
@@ -128,9 +128,9 @@
 	oldest    uint64  // changes after this revision are in the log
 	leases    map[uint64]*lease
 	nextLease uint64
-	ending    agenda.Agenda[uint64] // leases, by when they may end
+	ending    eventqueue.Queue[uint64] // leases, by when they may end
 	watches   []*watch
-	timeouts  agenda.Agenda[uint64] // watches, by when their time runs out
+	timeouts  eventqueue.Queue[uint64] // watches, by when their time runs out
 	requests  bucket
 	changes   bucket
 	outage    units.Microseconds            // until when nobody is served
--- a/internal/emulator/rental/rental.go
+++ b/internal/emulator/rental/rental.go
@@ -13,7 +13,7 @@
 	"strings"
 
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
 // Bounds of the protocol.
@@ -136,7 +136,7 @@
 	used     map[Pool]int
 	answers  map[string][]string // of bookings
 	count    int
-	plans    agenda.Agenda[step]
+	plans    eventqueue.Queue[step]
 	down     units.Microseconds
 	refuse   map[Pool]units.Microseconds // until when a pool has no capacity
 	quick    units.Microseconds          // until when rented machines are up within quickBoot
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -19,9 +19,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/account"
-	"shalestage.example/shalestage/internal/emulator/agenda"
 	"shalestage.example/shalestage/internal/emulator/balance"
 	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/meter"
@@ -92,7 +92,7 @@
 	opt     Options
 	rng     *rand.Rand
 	now     units.Microseconds
-	plans   agenda.Agenda[func()]
+	plans   eventqueue.Queue[func()]
 	net     network
 	front   *balance.Balancer
 	noise   bool
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -11,7 +11,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
@@ -66,7 +66,7 @@
 	types   map[string]rental.Type
 	workers map[string]*member
 	apart   map[string]bool // machines whose worker runs in a process of its own
-	due     agenda.Agenda[*member]
+	due     eventqueue.Queue[*member]
 	out     []any
 }
 
--- a/internal/emulator/user/user.go
+++ b/internal/emulator/user/user.go
@@ -10,7 +10,7 @@
 
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
@@ -109,7 +109,7 @@
 type Crowd struct {
 	opt     Options
 	rng     *rand.Rand
-	plans   agenda.Agenda[step]
+	plans   eventqueue.Queue[step]
 	open    map[uint64]call
 	next    uint64
 	begun   []*Job // those that were submitted, as they came
--- a/internal/experiment/paper/cluster.go
+++ b/internal/experiment/paper/cluster.go
@@ -9,7 +9,7 @@
 
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
 // The resources, in thousandths. The packer's second one, which users' jobs take as GPUs,
@@ -96,7 +96,7 @@
 	machines []*machine
 	total    binpack.Vec // as the policy sees it
 	unit     binpack.Vec // a machine's capacity
-	plans    agenda.Agenda[event]
+	plans    eventqueue.Queue[event]
 	active   []*jobState
 	out      Outcome
 	now      units.Microseconds
--- a/internal/load/engine.go
+++ b/internal/load/engine.go
@@ -13,7 +13,7 @@
 	"shalestage.example/shalestage/internal/client"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/agenda"
+	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
 // Target is whom the load asks.
@@ -87,7 +87,7 @@
 	rng     *rand.Rand
 	began   time.Time
 	now     units.Microseconds
-	later   agenda.Agenda[call]
+	later   eventqueue.Queue[call]
 	answers chan answer
 	open    int
 	jobs    []*job
