--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -45,7 +45,7 @@
 			if len(v) > limit {
 				t.Fatalf("%d bytes of %d", len(v), limit)
 			}
-			if _, err := Decode(Key(p.N), v); err != nil { // also checks that each is where it belongs
+			if _, err := Decode(Key(p.Number), v); err != nil { // also checks that each is where it belongs
 				t.Fatal(err)
 			}
 			for n := range p.Jobs {
@@ -166,7 +166,7 @@
 	}
 	if e.Value == nil {
 		delete(c.jobs, id)
-		c.past.Packed(id)
+		c.past.NoteArchived(id)
 		c.packer.RecordRemoved(id)
 		return
 	}
@@ -185,21 +185,21 @@
 	c.rev = c.m.s.rev
 }
 
-func (c *controller) Packable(id string, cut uint64) (Job, bool) {
+func (c *controller) Candidate(id string, cut uint64) (Candidate, bool) {
 	e, ok := c.jobs[id]
 	if !ok || string(e.Value) == "1" {
-		return Job{}, false
+		return Candidate{}, false
 	}
 	var a Answer
 	if json.Unmarshal(e.Value, &a) != nil {
 		c.m.t.Fatal("unreadable")
 	}
-	n, err := number(id)
+	n, err := jobNumber(id)
 	if err != nil {
 		c.m.t.Fatal(err)
 	}
 	// Each has some of which it thinks that something may still run.
-	return Job{Answer: a, Key: e.Key, Stamp: e.Stamp}, e.Stamp < cut && n%3 != c.spares
+	return Candidate{Answer: a, Key: e.Key, Version: e.Stamp}, e.Stamp < cut && n%3 != c.spares
 }
 
 // pump turns reads that are due into answers that may come at any later time.
@@ -294,14 +294,14 @@
 	}
 	m := c.m
 	m.now += units.Second
-	lim := Limits{Value: m.value, Ops: ops, Size: 10_000}
+	lim := Limits{ValueBytes: m.value, TxnOps: ops, TxnBytes: 10_000}
 	c.packer.Step(m.now, units.Second, c, lim, func(w *store.Write) bool {
-		if len(w.Changes) > lim.Ops {
-			m.t.Fatalf("%d changes of %d", len(w.Changes), lim.Ops)
+		if len(w.Changes) > lim.TxnOps {
+			m.t.Fatalf("%d changes of %d", len(w.Changes), lim.TxnOps)
 		}
 		for _, ch := range w.Changes {
-			if len(ch.Value) > lim.Value {
-				m.t.Fatalf("%d bytes of %d", len(ch.Value), lim.Value)
+			if len(ch.Value) > lim.ValueBytes {
+				m.t.Fatalf("%d bytes of %d", len(ch.Value), lim.ValueBytes)
 			}
 		}
 		m.late = append(m.late, &txn{w: w})
@@ -338,7 +338,7 @@
 			if err != nil {
 				m.t.Fatal(err)
 			}
-			buckets[b.N] = b
+			buckets[b.Number] = b
 		}
 	}
 	for id := range m.accepted {
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -22,28 +22,28 @@
 // Prefix is that of all buckets. It lies outside of what controllers list and watch.
 const Prefix = keys.ArchivePrefix
 
-// MaxBits bounds the depth of a bucket: 2^28 of them hold more answers than the
+// MaxDepth bounds the depth of a bucket: 2^28 of them hold more answers than the
 // state service could ever be given.
-const MaxBits = 28
+const MaxDepth = 28
 
-// bucketMax bounds a bucket's value, however much the state service takes: one is
+// maxBucketBytes bounds a bucket's value, however much the state service takes: one is
 // read for one answer. It also leaves room to cut one into a few should the
 // service's limit fall.
-const bucketMax = 4 << 10
+const maxBucketBytes = 4 << 10
 
-// Answer is what is told of a job that is over.
+// Answer is what a user learns of a job that is over.
 type Answer struct {
 	Status     jobs.Status // final
 	Tasks      int
 	FinishedAt units.Microseconds // time of day, in whole seconds; 0: not known
 }
 
-// Bucket holds the answers of all packed jobs whose ids' hashes end in the same
+// Bucket holds the answers of all archived jobs whose ids' hashes end in the same
 // bits.
 type Bucket struct {
-	N    uint32 // those bits
-	Bits int    // how many they are
-	Jobs map[uint64]Answer
+	Number uint32 // those bits
+	Depth  int    // how many they are
+	Jobs   map[uint64]Answer
 }
 
 // hash places a job's id among the buckets. What is stored rests on it: it never
@@ -58,30 +58,30 @@
 func ParseKey(key string) (uint32, error) {
 	hex, ok := strings.CutPrefix(key, Prefix)
 	n, err := strconv.ParseUint(hex, 16, 32)
-	if !ok || err != nil || Key(uint32(n)) != key || n >= 1<<MaxBits {
+	if !ok || err != nil || Key(uint32(n)) != key || n >= 1<<MaxDepth {
 		return 0, fmt.Errorf("%q is no bucket's key", key)
 	}
 	return uint32(n), nil
 }
 
-// at returns the bucket for a hash among those of a depth.
-func at(h uint64, depth int) uint32 { return uint32(h & (1<<depth - 1)) }
+// bucketAt returns the bucket for a hash among those of a depth.
+func bucketAt(h uint64, depth int) uint32 { return uint32(h & (1<<depth - 1)) }
 
-// Place returns the number of the bucket for an id among those of a depth.
-func Place(id string, depth int) uint32 { return at(hash(id), depth) }
+// BucketOf returns the number of the bucket for an id among those of a depth.
+func BucketOf(id string, depth int) uint32 { return bucketAt(hash(id), depth) }
 
 // Covers reports whether a bucket is the one for an id.
-func (b *Bucket) Covers(id string) bool { return at(hash(id), b.Bits) == b.N }
+func (b *Bucket) Covers(id string) bool { return bucketAt(hash(id), b.Depth) == b.Number }
 
-// number is an id's own number, which tells the id.
-func number(id string) (uint64, error) {
+// jobNumber is an id's own number, which tells the id.
+func jobNumber(id string) (uint64, error) {
 	if !jobs.ValidID(id) {
 		return 0, fmt.Errorf("job id %q", id)
 	}
 	return strconv.ParseUint(id[len("wk-"):], 10, 64)
 }
 
-func idOf(n uint64) string { return fmt.Sprintf("wk-%06d", n) }
+func jobID(n uint64) string { return fmt.Sprintf("wk-%06d", n) }
 
 // stored is a bucket's value: for each job, in the order of their numbers, the
 // difference from the number before, a letter, the tasks and the second in which the
@@ -115,7 +115,7 @@
 		}
 		last = n
 	}
-	return store.Value(stored{b.Bits, string(out)})
+	return store.Value(stored{b.Depth, string(out)})
 }
 
 // Decode reads the value of a key. Whatever it holds, the outcome is a bucket as
@@ -129,10 +129,10 @@
 	if err := json.Unmarshal(value, &s); err != nil {
 		return nil, err
 	}
-	if s.Bits < 0 || s.Bits > MaxBits || n >= 1<<s.Bits {
+	if s.Bits < 0 || s.Bits > MaxDepth || n >= 1<<s.Bits {
 		return nil, errors.New("unusable depth")
 	}
-	b := &Bucket{N: n, Bits: s.Bits, Jobs: map[uint64]Answer{}}
+	b := &Bucket{Number: n, Depth: s.Bits, Jobs: map[uint64]Answer{}}
 	last := uint64(0)
 	for text := s.Jobs; text != ""; {
 		var one string
@@ -168,7 +168,7 @@
 		a.FinishedAt = units.Microseconds(s) * units.Second
 	}
 	n := last + diff
-	id := idOf(n)
+	id := jobID(n)
 	if !jobs.ValidID(id) || !b.Covers(id) {
 		return bad()
 	}
@@ -179,7 +179,7 @@
 
 // Find returns a job's answer.
 func (b *Bucket) Find(id string) (Answer, bool) {
-	n, err := number(id)
+	n, err := jobNumber(id)
 	if err != nil {
 		return Answer{}, false
 	}
@@ -187,16 +187,16 @@
 	return a, ok
 }
 
-// Limit is the size of a bucket's value where the state service takes values of max
+// ValueLimit is the size of a bucket's value where the state service takes values of max
 // bytes.
-func Limit(max int) int { return min(max, bucketMax) }
+func ValueLimit(max int) int { return min(max, maxBucketBytes) }
 
 // split cuts a bucket in two, by one more bit. The first keeps its number.
 func (b *Bucket) split() (x, y *Bucket) {
-	x = &Bucket{N: b.N, Bits: b.Bits + 1, Jobs: map[uint64]Answer{}}
-	y = &Bucket{N: b.N | 1<<b.Bits, Bits: b.Bits + 1, Jobs: map[uint64]Answer{}}
+	x = &Bucket{Number: b.Number, Depth: b.Depth + 1, Jobs: map[uint64]Answer{}}
+	y = &Bucket{Number: b.Number | 1<<b.Depth, Depth: b.Depth + 1, Jobs: map[uint64]Answer{}}
 	for n, a := range b.Jobs {
-		if x.Covers(idOf(n)) {
+		if x.Covers(jobID(n)) {
 			x.Jobs[n] = a
 		} else {
 			y.Jobs[n] = a
@@ -214,7 +214,7 @@
 	if len(b.Encode()) <= limit {
 		return []*Bucket{b}
 	}
-	if b.Bits == MaxBits || most < 2 {
+	if b.Depth == MaxDepth || most < 2 {
 		return nil
 	}
 	x, y := b.split()
@@ -230,7 +230,7 @@
 }
 
 func (b *Bucket) with(jobs map[uint64]Answer) *Bucket {
-	c := &Bucket{N: b.N, Bits: b.Bits, Jobs: maps.Clone(b.Jobs)}
+	c := &Bucket{Number: b.Number, Depth: b.Depth, Jobs: maps.Clone(b.Jobs)}
 	maps.Copy(c.Jobs, jobs)
 	return c
 }
@@ -239,7 +239,7 @@
 func (b *Bucket) IDs() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for n := range b.Jobs {
-			if !yield(idOf(n)) {
+			if !yield(jobID(n)) {
 				return
 			}
 		}
--- a/internal/core/archive/archive.go
+++ b/internal/core/archive/index.go
@@ -1,16 +1,16 @@
 // Package archive holds the answers of jobs that are over and have left the
-// controllers' memory. They are packed into buckets, by a hash of the job's id, under
+// controllers' memory. They are archived into buckets, by a hash of the job's id, under
 // keys of their own in the state service: looked up when somebody asks, never listed
 // nor watched. The package decides what to read, what an id's absence proves, and
 // what to pack; it does no input or output itself.
 //
-// A job is packed by one transaction that writes its bucket and removes its record.
+// A job is archived by one transaction that writes its bucket and removes its record.
 // So whoever has seen that the record is not there, and then finds no answer in the
 // bucket, knows that the job had not been accepted when it saw that.
 //
-// Who accepts a job guards the version of the mark. Every job that is packed was over
+// Who accepts a job guards the version of the mark. Every job that is archived was over
 // at a revision below the mark's cut, and the mark was written after that: a late
-// acceptance of a packed job's id fails, as the mark has changed since it was sent.
+// acceptance of a archived job's id fails, as the mark has changed since it was sent.
 package archive
 
 import (
@@ -25,12 +25,12 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Mark is the record that says that jobs are packed, and which may be. Only
+// Mark is the record that says that jobs are archived, and which may be. Only
 // controllers that can read buckets serve once it is there.
 type Mark struct {
 	Release int    `json:"release"` // the least that controllers must run
-	Cut     uint64 `json:"cut"`     // jobs whose end was stored at a lower revision may be packed
-	Jobs    int    `json:"jobs"`    // packed so far, about
+	Cut     uint64 `json:"cut"`     // jobs whose end was stored at a lower revision may be archived
+	Jobs    int    `json:"jobs"`    // archived so far, about
 }
 
 // Verdict is what is known of an id.
@@ -40,21 +40,21 @@
 const (
 	Unknown Verdict = iota // could not be read, or there is too much to read: ask again
 	Found
-	Absent // not packed, as of the read
+	Absent // not archived, as of the read
 )
 
 const (
-	cacheJobs   = 1 << 13
-	filterBytes = 8 << 20
-	maxHints    = 1 << 18
+	cachedAnswers = 1 << 13
+	filterBytes   = 8 << 20
+	maxDepths     = 1 << 18
 	// Reads wait no longer than those who asked do: so many seconds' worth of them are
 	// queued, for submissions and for all else, and others are refused at once.
-	waitUrgent, waitPatient = 3, 1.2
-	minWaiting              = 4
-	maxSharing              = 1024 // who wait for the same read
-	// maxFollow bounds the buckets that are read for one answer. One read is the
+	urgentWait, backgroundWait = 3, 1.2
+	minQueued                  = 4
+	maxPerRead                 = 1024 // who wait for the same read
+	// maxSteps bounds the buckets that are read for one answer. One read is the
 	// rule, and a hint that is out of date costs another.
-	maxFollow = 2*MaxBits + 2
+	maxSteps = 2*MaxDepth + 2
 )
 
 // Effects of lookups. Each is answered by the method named in its comment, exactly once.
@@ -68,39 +68,39 @@
 	Scan struct {
 		After string
 		Page  int
-		began uint64
+		round uint64
 	}
 )
 
 // scanPage is how many buckets are read at once.
 const scanPage = 64
 
-// Index is what a controller knows of packed jobs. It is owned by one goroutine.
+// Index is what a controller knows of archived jobs. It is owned by one goroutine.
 type Index struct {
-	mark  Mark
-	stamp uint64 // version of the mark; 0: it is not stored
-	on    bool   // there has been one: a mark that is lost takes no packed job with it
-	cache *simplelru.LRU[string, Answer]
-	hints []uint8 // depths of buckets as last seen, by number
-	deep  int     // the largest of them
-
-	filter   *filter
-	whole    bool // the filter holds every packed id
-	scanning bool
-	scanned  string // the last key of the scan
-	round    uint64 // tells scans apart
-	scanAt   units.Microseconds
-
-	reads   map[string]*read
-	urgent  []string // keys to be read: for submissions, and for all else
-	patient []string
-	under   int     // reads under way
-	rate    float64 // at which reads are sent
-	credit  float64
-	last    units.Microseconds
-	hold    units.Microseconds // nothing is read before
-	Shed    uint64             // lookups that were refused
-	Looked  uint64             // buckets that were read for somebody
+	mark        Mark
+	markVersion uint64 // version of the mark; 0: it is not stored
+	enabled     bool   // there has been one: a mark that is lost takes no archived job with it
+	cache       *simplelru.LRU[string, Answer]
+	depths      []uint8 // depths of buckets as last seen, by number
+	maxDepth    int     // the largest of them
+
+	filter      *filter
+	complete    bool // the filter holds every archived id
+	scanning    bool
+	lastScanned string // the last key of the scan
+	scanRound   uint64 // tells scans apart
+	nextScanAt  units.Microseconds
+
+	reads      map[string]*read
+	urgent     []string // keys to be read: for submissions, and for all else
+	background []string
+	inFlight   int     // reads under way
+	rate       float64 // at which reads are sent
+	credit     float64
+	creditedAt units.Microseconds
+	heldUntil  units.Microseconds // nothing is read before
+	Refused    uint64             // lookups that were refused
+	Reads      uint64             // buckets that were read for somebody
 }
 
 // read is a bucket that is being read, or is to be.
@@ -112,16 +112,16 @@
 
 // lookup is one who waits for an answer.
 type lookup struct {
-	id     string
-	urgent bool
-	steps  int
-	done   func(Verdict, Answer)
-	bucket func(b *Bucket, stamp uint64) // instead: wants the whole bucket; nil: unknown
+	id       string
+	urgent   bool
+	reads    int
+	onAnswer func(Verdict, Answer)
+	onBucket func(b *Bucket, stamp uint64) // instead: wants the whole bucket; nil: unknown
 }
 
 // New returns what a controller knows when it starts.
 func New() *Index {
-	cache, err := simplelru.NewLRU[string, Answer](cacheJobs, nil)
+	cache, err := simplelru.NewLRU[string, Answer](cachedAnswers, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
@@ -131,36 +131,36 @@
 // LearnMark takes the mark as it is stored; nil: there is none.
 func (p *Index) LearnMark(value json.RawMessage, stamp uint64) error {
 	if value == nil {
-		p.stamp = 0
+		p.markVersion = 0
 		return nil
 	}
 	var m Mark
 	if err := json.Unmarshal(value, &m); err != nil {
 		return err
 	}
-	if !p.on {
-		p.on = true
-		p.Suspect() // whatever was packed before this node knew of it is to be read
+	if !p.enabled {
+		p.enabled = true
+		p.Invalidate() // whatever was archived before this node knew of it is to be read
 	}
-	p.mark, p.stamp = m, stamp
+	p.mark, p.markVersion = m, stamp
 	return nil
 }
 
 // Mark returns the mark and its version, which is 0 where there is none.
-func (p *Index) Mark() (Mark, uint64) { return p.mark, p.stamp }
+func (p *Index) Mark() (Mark, uint64) { return p.mark, p.markVersion }
 
-// On reports whether anything may be packed.
-func (p *Index) On() bool { return p.on }
+// On reports whether anything may be archived.
+func (p *Index) On() bool { return p.enabled }
 
-// Suspect notes that packed jobs may have been missed: the copy was taken anew.
-func (p *Index) Suspect() {
-	p.whole, p.scanning, p.scanned = false, false, ""
-	p.round++
+// Invalidate notes that archived jobs may have been missed: the copy was taken anew.
+func (p *Index) Invalidate() {
+	p.complete, p.scanning, p.lastScanned = false, false, ""
+	p.scanRound++
 	p.filter = newFilter(filterBytes)
 }
 
-// Packed notes that a job's record has been removed.
-func (p *Index) Packed(id string) { p.filter.add(id) }
+// NoteArchived notes that a job's record has been removed.
+func (p *Index) NoteArchived(id string) { p.filter.add(id) }
 
 // Remember keeps an answer at hand.
 func (p *Index) Remember(id string, a Answer) { p.cache.Add(id, a) }
@@ -175,81 +175,81 @@
 // Known returns an answer that is at hand.
 func (p *Index) Known(id string) (Answer, bool) { return p.cache.Get(id) }
 
-// Never reports whether an id is surely not that of a packed job, as of the copy that
+// ProvenAbsent reports whether an id is surely not that of a archived job, as of the copy that
 // the rest of the controller goes by.
-func (p *Index) Never(id string) bool { return !p.on || p.whole && !p.filter.has(id) }
+func (p *Index) ProvenAbsent(id string) bool { return !p.enabled || p.complete && !p.filter.has(id) }
 
-// Whole reports whether the filter is complete, and how many ids it holds.
-func (p *Index) Whole() (bool, int) { return p.whole, p.filter.count }
+// Complete reports whether the filter is complete, and how many ids it holds.
+func (p *Index) Complete() (bool, int) { return p.complete, p.filter.count }
 
-// Find looks a job's answer up. done is told before Find returns where that is
+// Find looks a job's answer up. done may be called before Find returns where that is
 // known, or where too much waits. Submissions are urgent.
 func (p *Index) Find(id string, urgent bool, done func(Verdict, Answer)) {
 	if a, ok := p.cache.Get(id); ok {
 		done(Found, a)
 		return
 	}
-	if p.Never(id) {
+	if p.ProvenAbsent(id) {
 		done(Absent, Answer{})
 		return
 	}
-	p.look(&lookup{id: id, urgent: urgent, done: done})
+	p.lookUp(&lookup{id: id, urgent: urgent, onAnswer: done})
 }
 
 // Bucket reads the bucket for an id: nil where that is not known, and a stamp of 0
 // where it is not stored yet.
 func (p *Index) Bucket(id string, got func(b *Bucket, stamp uint64)) {
-	p.look(&lookup{id: id, bucket: got})
+	p.lookUp(&lookup{id: id, onBucket: got})
 }
 
 func (l *lookup) fail() {
-	if l.bucket != nil {
-		l.bucket(nil, 0)
+	if l.onBucket != nil {
+		l.onBucket(nil, 0)
 		return
 	}
-	l.done(Unknown, Answer{})
+	l.onAnswer(Unknown, Answer{})
 }
 
-// look has the bucket read in which an id most likely is.
-func (p *Index) look(l *lookup) { p.lookAt(l, p.guess(hash(l.id))) }
+// lookUp has the bucket read in which an id most likely is.
+func (p *Index) lookUp(l *lookup) { p.lookUpIn(l, p.likelyBucket(hash(l.id))) }
 
-// guess follows the hints to the bucket for a hash.
-func (p *Index) guess(h uint64) uint32 {
-	for depth := p.deep; depth > 0; depth-- {
-		n := at(h, depth)
-		if int(n) >= len(p.hints) { // deeper than what hints are kept for
+// likelyBucket returns the bucket, by the depths seen last, for a hash.
+func (p *Index) likelyBucket(h uint64) uint32 {
+	for depth := p.maxDepth; depth > 0; depth-- {
+		n := bucketAt(h, depth)
+		if int(n) >= len(p.depths) { // deeper than what depths are kept for
 			continue
 		}
-		if d := int(p.hints[n]); d > 0 && at(h, d) == n {
+		if d := int(p.depths[n]); d > 0 && bucketAt(h, d) == n {
 			return n
 		}
 	}
 	return 0
 }
 
-// hint notes a bucket's depth.
-func (p *Index) hint(n uint32, depth int) {
-	p.deep = max(p.deep, depth)
-	if n >= maxHints || depth == 0 {
+// noteDepth notes a bucket's depth.
+func (p *Index) noteDepth(n uint32, depth int) {
+	p.maxDepth = max(p.maxDepth, depth)
+	if n >= maxDepths || depth == 0 {
 		return
 	}
-	for int(n) >= len(p.hints) {
-		p.hints = append(p.hints, make([]uint8, max(64, len(p.hints)))...)
+	for int(n) >= len(p.depths) {
+		p.depths = append(p.depths, make([]uint8, max(64, len(p.depths)))...)
 	}
-	p.hints[n] = uint8(depth)
+	p.depths[n] = uint8(depth)
 }
 
-func (p *Index) lookAt(l *lookup, n uint32) {
-	l.steps++
+func (p *Index) lookUpIn(l *lookup, n uint32) {
+	l.reads++
 	key := Key(n)
 	r := p.reads[key]
-	queue, room := &p.patient, max(minWaiting, int(p.rate*waitPatient))
+	queue, room := &p.background, max(minQueued, int(p.rate*backgroundWait))
 	if l.urgent {
-		queue, room = &p.urgent, max(minWaiting, int(p.rate*waitUrgent))
+		queue, room = &p.urgent, max(minQueued, int(p.rate*urgentWait))
 	}
 	switch {
-	case l.steps > maxFollow || r == nil && len(*queue) >= room || r != nil && len(r.waiting)+len(r.late) >= maxSharing:
-		p.Shed++
+	case l.reads > maxSteps || r == nil && len(*queue) >= room || r != nil && len(r.waiting)+len(r.late) >= maxPerRead:
+		p.Refused++
 		l.fail()
 	case r == nil:
 		p.reads[key] = &read{waiting: []*lookup{l}}
@@ -259,7 +259,7 @@
 	default:
 		r.waiting = append(r.waiting, l)
 		if l.urgent && !slices.Contains(p.urgent, key) {
-			p.patient = slices.DeleteFunc(p.patient, func(k string) bool { return k == key })
+			p.background = slices.DeleteFunc(p.background, func(k string) bool { return k == key })
 			p.urgent = append(p.urgent, key)
 		}
 	}
@@ -268,23 +268,23 @@
 // Next returns the reads that are due, at most rate a second.
 func (p *Index) Next(now units.Microseconds, rate float64) []Read {
 	p.rate = rate
-	p.credit = min(p.credit+rate*(now-p.last).Seconds(), max(2, rate/2))
-	p.last = now
-	if now < p.hold {
+	p.credit = min(p.credit+rate*(now-p.creditedAt).Seconds(), max(2, rate/2))
+	p.creditedAt = now
+	if now < p.heldUntil {
 		return nil
 	}
 	var out []Read
-	for p.credit >= 1 && p.under < 8 && len(p.urgent)+len(p.patient) > 0 {
+	for p.credit >= 1 && p.inFlight < 8 && len(p.urgent)+len(p.background) > 0 {
 		queue := &p.urgent
 		if len(*queue) == 0 {
-			queue = &p.patient
+			queue = &p.background
 		}
 		key := (*queue)[0]
 		*queue = (*queue)[1:]
 		p.reads[key].sent = true
 		p.credit--
-		p.under++
-		p.Looked++
+		p.inFlight++
+		p.Reads++
 		out = append(out, Read{Key: key})
 	}
 	return out
@@ -297,9 +297,9 @@
 		return nil
 	}
 	delete(p.reads, r.Key)
-	p.under--
+	p.inFlight--
 	if o != store.OK && o != store.Failed {
-		p.hold = now + units.Second/4
+		p.heldUntil = now + units.Second/4
 		for _, l := range slices.Concat(w.waiting, w.late) {
 			l.fail()
 		}
@@ -309,7 +309,7 @@
 	var b *Bucket
 	if err == nil && value != nil {
 		if b, err = Decode(r.Key, value); err == nil {
-			p.hint(n, b.Bits)
+			p.noteDepth(n, b.Depth)
 		}
 	}
 	for _, l := range w.waiting {
@@ -317,26 +317,26 @@
 		case err != nil:
 			l.fail()
 		case b == nil && n == 0:
-			p.tell(l, &Bucket{Jobs: map[uint64]Answer{}}, 0)
+			p.deliver(l, &Bucket{Jobs: map[uint64]Answer{}}, 0)
 		case b == nil: // not split off yet: it is in the one that this is split off
-			if int(n) < len(p.hints) {
-				p.hints[n] = 0
+			if int(n) < len(p.depths) {
+				p.depths[n] = 0
 			}
-			p.lookAt(l, parent(n))
+			p.lookUpIn(l, parent(n))
 		case !b.Covers(l.id): // split since
-			p.lookAt(l, at(hash(l.id), b.Bits))
+			p.lookUpIn(l, bucketAt(hash(l.id), b.Depth))
 		default:
-			p.tell(l, b, stamp)
+			p.deliver(l, b, stamp)
 		}
 	}
 	for _, l := range w.late {
-		if b != nil && l.done != nil {
+		if b != nil && l.onAnswer != nil {
 			if _, ok := b.Find(l.id); ok {
-				p.tell(l, b, stamp)
+				p.deliver(l, b, stamp)
 				continue
 			}
 		}
-		p.lookAt(l, n)
+		p.lookUpIn(l, n)
 	}
 	return err
 }
@@ -346,41 +346,41 @@
 	return n &^ (1 << bits.Len32(n) >> 1)
 }
 
-func (p *Index) tell(l *lookup, b *Bucket, stamp uint64) {
-	if l.bucket != nil {
-		l.bucket(b, stamp)
+func (p *Index) deliver(l *lookup, b *Bucket, stamp uint64) {
+	if l.onBucket != nil {
+		l.onBucket(b, stamp)
 		return
 	}
 	a, ok := b.Find(l.id)
 	if !ok {
-		l.done(Absent, Answer{})
+		l.onAnswer(Absent, Answer{})
 		return
 	}
 	p.Remember(l.id, a)
-	l.done(Found, a)
+	l.onAnswer(Found, a)
 }
 
-// NextScan returns the read of buckets that is due, if any: until every packed id is
+// NextScan returns the read of buckets that is due, if any: until every archived id is
 // in the filter. every is the time between two such reads.
 func (p *Index) NextScan(now units.Microseconds, every units.Microseconds) *Scan {
-	if !p.on || p.whole || p.scanning || now < p.scanAt {
+	if !p.enabled || p.complete || p.scanning || now < p.nextScanAt {
 		return nil
 	}
-	p.scanning, p.scanAt = true, now+every
-	return &Scan{After: p.scanned, Page: scanPage, began: p.round}
+	p.scanning, p.nextScanAt = true, now+every
+	return &Scan{After: p.lastScanned, Page: scanPage, round: p.scanRound}
 }
 
 // OnScan takes the answer to a scan. What is split off a bucket meanwhile comes
-// after it in the order of the keys, and what is packed meanwhile is told to Packed:
+// after it in the order of the keys, and what is archived meanwhile is passed to NoteArchived:
 // nothing is missed. It returns the keys that cannot be read, of which nothing is
 // known: the filter proves nothing while there are any.
 func (p *Index) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) (bad []string) {
-	if s.began != p.round {
+	if s.round != p.scanRound {
 		return nil
 	}
 	p.scanning = false
 	if o != store.OK {
-		p.scanAt = now + units.Second/2
+		p.nextScanAt = now + units.Second/2
 		return nil
 	}
 	for _, it := range items {
@@ -389,18 +389,18 @@
 			bad = append(bad, it.Key)
 			continue
 		}
-		p.hint(b.N, b.Bits)
+		p.noteDepth(b.Number, b.Depth)
 		for n := range b.Jobs {
-			p.filter.add(idOf(n))
+			p.filter.add(jobID(n))
 		}
-		p.scanned = it.Key
+		p.lastScanned = it.Key
 	}
 	switch {
 	case len(bad) > 0:
-		p.Suspect()
-		p.scanAt = now + 60*units.Second
+		p.Invalidate()
+		p.nextScanAt = now + 60*units.Second
 	case !more || len(items) == 0:
-		p.whole = true
+		p.complete = true
 	}
 	return bad
 }
--- a/internal/core/archive/keeper.go
+++ b/internal/core/archive/keeper.go
@@ -29,7 +29,7 @@
 	// service has it after it went back; CacheFresh whether it is recent as well.
 	CacheComplete() bool
 	CacheFresh() bool
-	// Revision is the one that the copy shows, HighestRevision the highest that any answer told.
+	// Revision is the one that the copy shows, HighestRevision the highest that any answer showed.
 	Revision() uint64
 	HighestRevision() uint64
 	// Version is the version of a key in the copy.
@@ -62,7 +62,7 @@
 	Rewrite(e store.Event)
 }
 
-// Config is what a keeper is told at its start.
+// Config is set when a keeper starts.
 type Config struct {
 	Node         string
 	Release      int // the first that finds archived jobs
@@ -131,8 +131,8 @@
 
 // Stats returns the present figures.
 func (k *Keeper) Stats() Stats {
-	_, archived := k.index.Whole()
-	return Stats{Finished: k.archiver.Len(), ArchivedIDs: archived, Reads: k.index.Looked, Refused: k.index.Shed}
+	_, archived := k.index.Complete()
+	return Stats{Finished: k.archiver.Len(), ArchivedIDs: archived, Reads: k.index.Reads, Refused: k.index.Refused}
 }
 
 // LearnMark takes the mark as it is stored. From the first one on the leader record is at
@@ -154,16 +154,16 @@
 
 // JobArchived notes that the record of a finished job has been removed.
 func (k *Keeper) JobArchived(job *jobs.Job) {
-	k.index.Packed(job.ID)
+	k.index.NoteArchived(job.ID)
 	k.index.Remember(job.ID, answerOf(job))
 	k.archiver.RecordRemoved(job.ID)
 }
 
 // RecordRemoved notes that a job's record is not there, also of one that was never known.
-func (k *Keeper) RecordRemoved(id string) { k.index.Packed(id) }
+func (k *Keeper) RecordRemoved(id string) { k.index.NoteArchived(id) }
 
 // Gap says that removals may have been missed.
-func (k *Keeper) Gap() { k.index.Suspect() }
+func (k *Keeper) Gap() { k.index.Invalidate() }
 
 func answerOf(job *jobs.Job) Answer {
 	return Answer{Status: job.Record.Status, Tasks: job.Record.Tasks, FinishedAt: job.Record.FinishedAt / units.Second * units.Second}
@@ -174,21 +174,21 @@
 	return jobs.Record{Status: a.Status, Tasks: a.Tasks, FinishedAt: a.FinishedAt}.Encode()
 }
 
-// Packable implements Jobs. A job that an unfinished one awaits stays, as whoever learns of
+// Candidate implements Jobs. A job that an unfinished one awaits stays, as whoever learns of
 // that one has to learn how it ended; so does one of which something is left to delete.
-func (k *Keeper) Packable(id string, cut uint64) (Job, bool) {
+func (k *Keeper) Candidate(id string, cut uint64) (Candidate, bool) {
 	job := k.host.Job(id)
 	if job == nil {
-		return Job{}, false
+		return Candidate{}, false
 	}
-	out := Job{Answer: answerOf(job), Key: keys.Job(id), Stamp: job.Version}
+	out := Candidate{Answer: answerOf(job), Key: keys.Job(id), Version: job.Version}
 	if job.Active() || job.CancelledBy != "" || job.Version >= cut || job.Placed() > 0 || k.host.Retained(id) {
 		return out, false
 	}
 	// A cancelled job's finished tasks are still stored.
 	for _, name := range k.cfg.Layout.Names(job.Record.Tasks) {
 		if key := keys.Progress(id, name); k.host.Version(key) != 0 {
-			out.Clear = append(out.Clear, key)
+			out.Progress = append(out.Progress, key)
 		}
 	}
 	return out, true
@@ -232,7 +232,7 @@
 	}
 	queue := k.host.Queue()
 	queue.Rate = k.host.WriteRate() * share
-	limits := Limits{Value: Limit(k.cfg.ValueMax), Ops: k.cfg.TxnOps, Size: queue.MaxBytes}
+	limits := Limits{ValueBytes: ValueLimit(k.cfg.ValueMax), TxnOps: k.cfg.TxnOps, TxnBytes: queue.MaxBytes}
 	k.archiver.Step(now, k.cfg.MinAge, k, limits, func(w *store.Write) bool {
 		if k.host.Leadership() != leadership {
 			return false
@@ -309,8 +309,7 @@
 	if version != 0 && k.archiver.Len() <= k.cfg.KeepFinished {
 		return false
 	}
-	mark.Release, mark.Cut, mark.Jobs = k.cfg.Release, max(mark.Cut, k.host.Revision()+1), mark.Jobs+k.archiver.Done
-	k.archiver.Done = 0
+	mark.Release, mark.Cut, mark.Jobs = k.cfg.Release, max(mark.Cut, k.host.Revision()+1), mark.Jobs+k.archiver.takeArchived()
 	k.nextMarkAt = now + markInterval
 	leadership.Write([]store.Guard{{Key: keys.ArchiveMark, Version: version}}, store.Change{Key: keys.ArchiveMark, Value: store.Value(mark)})
 	return true
@@ -338,7 +337,7 @@
 	for _, key := range k.index.OnScan(now, s, o, items, more) {
 		k.cfg.Log.Error("unusable record", "key", key)
 	}
-	if whole, archived := k.index.Whole(); whole && !more && o == store.OK {
+	if whole, archived := k.index.Complete(); whole && !more && o == store.OK {
 		k.cfg.Log.Info("archived jobs are known", "jobs", archived)
 	}
 }
@@ -366,7 +365,7 @@
 // RolledBack says that the state service went back: what it has lost of the archived jobs
 // that are remembered here is written again.
 func (k *Keeper) RolledBack() {
-	k.index.Suspect()
+	k.index.Invalidate()
 	k.unverified = k.index.Remembered()
 }
 
@@ -380,12 +379,12 @@
 			continue
 		}
 		k.verifying++
-		refused := k.index.Shed
+		refused := k.index.Refused
 		k.index.Bucket(id, func(b *Bucket, _ uint64) {
 			k.verifying--
 			k.verified(id, answer, b)
 		})
-		if k.index.Shed != refused {
+		if k.index.Refused != refused {
 			return // too many wait: this one and the others are looked up at a later tick
 		}
 	}
--- a/internal/core/archive/keeper_test.go
+++ b/internal/core/archive/keeper_test.go
@@ -34,7 +34,7 @@
 	k := NewKeeper(Config{}, host)
 	const depth, remembered = 5, 200
 	for n := range uint32(1 << depth) {
-		k.index.hint(n, depth)
+		k.index.noteDepth(n, depth)
 	}
 	for i := range remembered {
 		k.index.Remember(fmt.Sprintf("wk-%06d", i), Answer{Status: jobs.Done, Tasks: 1})
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -180,7 +180,7 @@
 		s.find("unreadable", e.Key, nil, "archived jobs that cannot be read: %v", err)
 		return
 	}
-	s.bucketBits[bucket.N] = bucket.Bits
+	s.bucketBits[bucket.Number] = bucket.Depth
 	s.archived += len(bucket.Jobs)
 	for id := range bucket.IDs() {
 		if job, ok := s.jobs[id]; ok && !job.status.Final() {
--- a/internal/emulator/packed/packed.go
+++ b/internal/emulator/packed/packed.go
@@ -17,15 +17,15 @@
 	}
 	buckets := make([]*archive.Bucket, 1<<depth)
 	for i := range buckets {
-		buckets[i] = &archive.Bucket{N: uint32(i), Bits: depth, Jobs: map[uint64]archive.Answer{}}
+		buckets[i] = &archive.Bucket{Number: uint32(i), Depth: depth, Jobs: map[uint64]archive.Answer{}}
 	}
 	for i := range uint64(jobs) {
 		n, a := job(i)
-		buckets[archive.Place(fmt.Sprintf("wk-%06d", n), depth)].Jobs[n] = a
+		buckets[archive.BucketOf(fmt.Sprintf("wk-%06d", n), depth)].Jobs[n] = a
 	}
 	out := make([]store.Event, len(buckets))
 	for i, b := range buckets {
-		out[i] = store.Event{Key: archive.Key(b.N), Value: b.Encode()}
+		out[i] = store.Event{Key: archive.Key(b.Number), Value: b.Encode()}
 	}
 	return out
 }
