--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -111,20 +111,20 @@
 // take reports whether rules outside the machine (the team's limit, zones) let the task go there, and
 // a job refused once is left out.
 func Fill(capacity, free Vec, jobs []Job, params Params, take func(job int) bool) {
-	pass := packer{capacity: capacity, free: free, jobs: jobs, params: params, pending: make([]int, len(jobs))}
+	current := packer{capacity: capacity, free: free, jobs: jobs, params: params, pending: make([]int, len(jobs))}
 	for i := range jobs {
-		pass.pending[i] = jobs[i].Pending
+		current.pending[i] = jobs[i].Pending
 	}
-	for order := pass.order(); len(order) > 0; {
-		group := pass.firstGroup(order)
+	for order := current.order(); len(order) > 0; {
+		group := current.firstGroup(order)
 		order = order[len(group):]
-		for chosen := pass.best(group); chosen >= 0; chosen = pass.best(group) {
+		for chosen := current.best(group); chosen >= 0; chosen = current.best(group) {
 			if !take(chosen) {
-				pass.pending[chosen] = 0
+				current.pending[chosen] = 0
 				continue
 			}
-			pass.pending[chosen]--
-			pass.free = pass.free.Sub(jobs[chosen].Demand)
+			current.pending[chosen]--
+			current.free = current.free.Sub(jobs[chosen].Demand)
 		}
 	}
 }
--- a/internal/core/demand/demand_test.go
+++ b/internal/core/demand/demand_test.go
@@ -100,11 +100,11 @@
 		for range test.placed {
 			order[0].PlaceNext(jobs.Place{Machine: "n-1"})
 		}
-		needs := estimator.SlotsNeeded(0, order[0].Since, order, fakeHost{test.lost})
-		if len(needs) != 1 {
-			t.Errorf("%s: %d groups, want 1", test.name, len(needs))
+		groups := estimator.SlotsNeeded(0, order[0].Since, order, fakeHost{test.lost})
+		if len(groups) != 1 {
+			t.Errorf("%s: %d groups, want 1", test.name, len(groups))
 		}
-		for group, need := range needs {
+		for group, need := range groups {
 			if need.Tasks != test.slots || need.Ready != test.ready || need.Total != (binpack.Vec{int64(test.slots) * 1000}) || group.Types != "big,small" {
 				t.Errorf("%s: %+v of %+v, want %d slots for %d that wait", test.name, need, group, test.slots, test.ready)
 			}
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -16,8 +16,8 @@
 			f := newBusyFleet(b, machines, 10, 300)
 			heartbeats := make([]fleet.Heartbeat, len(f.names))
 			for i, name := range f.names {
-				m := f.bl.reconciler.Machine(name)
-				heartbeats[i] = fleet.Heartbeat{Machine: name, Type: "big", Zone: "z", Incarnation: 1, FencingToken: f.bl.fencingToken, Notice: units.Never}
+				m := f.shard.reconciler.Machine(name)
+				heartbeats[i] = fleet.Heartbeat{Machine: name, Type: "big", Zone: "z", Incarnation: 1, FencingToken: f.shard.fencingToken, Notice: units.Never}
 				for _, id := range m.TaskIDs() {
 					heartbeats[i].Tasks = append(heartbeats[i].Tasks, fleet.Task{ID: id, Attempt: m.Tasks[id].Number, State: fleet.Running})
 				}
@@ -28,8 +28,8 @@
 				hb := &heartbeats[n%len(heartbeats)]
 				n++
 				hb.Seq++
-				f.c.Heartbeat(f.c.now+units.Second/fleetReports, RequestID(n), hb)
-				f.c.effects = f.c.effects[:0]
+				f.core.Heartbeat(f.core.now+units.Second/fleetHeartbeats, RequestID(n), hb)
+				f.core.effects = f.core.effects[:0]
 			}
 		})
 	}
--- a/internal/core/scheduler/stops_test.go
+++ b/internal/core/scheduler/stops_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// pass lets time pass; the machines send heartbeats.
-func (f *fakeShard) pass(time units.Microseconds) {
+// advance lets time pass; the machines send heartbeats.
+func (f *fakeShard) advance(time units.Microseconds) {
 	f.now += time
 	f.wall += time
 	for _, machine := range f.machines {
@@ -60,9 +60,9 @@
 			t.Fatalf("%s: %d tasks are started", test.name, n)
 		}
 		run(shard, machine)
-		shard.pass(test.ran)
+		shard.advance(test.ran)
 		shard.addJob("wk-000002", test.waiting, shard.wall)
-		shard.pass(test.waited)
+		shard.advance(test.waited)
 		if started := shard.scheduler.Fill(machine); len(started) != 0 {
 			t.Errorf("%s: %d tasks are started on a full machine", test.name, len(started))
 		}
@@ -109,7 +109,7 @@
 		}
 		run(shard, machine)
 		machine.SpareSince = shard.now
-		shard.pass(test.ran)
+		shard.advance(test.ran)
 		evict := shard.scheduler.EvictIdle
 		if test.notice > 0 {
 			machine.Notice = shard.now + test.notice
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -14,55 +14,55 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// busyFleet is a full fleet with jobs of 13 tasks that wait, half of them for other machines: each report tells that one task is
-// done, and the next is started. Jobs that are over are replaced, so that as many wait all the
-// time.
+// busyFleet is a full fleet with jobs of 13 tasks that wait, half of them for other machines: each
+// heartbeat shows that one task is completed, and the next is started. Jobs that are over are replaced,
+// so that as many wait all the time.
 type busyFleet struct {
-	c       *Core
-	bl      *ownedShard
-	names   []string // of the machines
-	teams   int
-	waiting int // jobs
-	jobs    int // that came so far
-	reports int
-	started int
+	core       *Core
+	shard      *ownedShard
+	names      []string // of the machines
+	teams      int
+	waiting    int // jobs
+	jobs       int // that came so far
+	heartbeats int
+	started    int
 }
 
-// fleetReports is how often the 3,700 machines of the target report in a second.
-const fleetReports = 740
+// fleetHeartbeats is how many heartbeats the 3,700 machines of the target send in a second.
+const fleetHeartbeats = 740
 
 func newBusyFleet(tb testing.TB, machines, teams, waiting int) *busyFleet {
-	f := &busyFleet{teams: teams, waiting: waiting}
+	busy := &busyFleet{teams: teams, waiting: waiting}
 	values := map[string]any{}
 	for i := 0; i < machines; i += fleet.MaxGroup {
 		g := fleet.Group{Type: "big", Zone: "z"}
 		for k := i; k < min(i+fleet.MaxGroup, machines); k++ {
 			g.Up = append(g.Up, fmt.Sprintf("n-%05d", k))
 		}
-		f.names = append(f.names, g.Up...)
+		busy.names = append(busy.names, g.Up...)
 		values[fmt.Sprintf("%sr-%05d", machinePrefix, i)] = g
 	}
-	f.c = holding(tb, values)
-	f.bl = f.c.owned[0]
-	f.c.cfg.Teams = nil
+	busy.core = holding(tb, values)
+	busy.shard = busy.core.owned[0]
+	busy.core.cfg.Teams = nil
 	for i := range teams {
-		f.c.cfg.Teams = append(f.c.cfg.Teams, Team{Name: fmt.Sprintf("t%d", i), Guarantee: binpack.Vec{int64(machines * 16_000 / teams), 0, 0}})
+		busy.core.cfg.Teams = append(busy.core.cfg.Teams, Team{Name: fmt.Sprintf("t%d", i), Guarantee: binpack.Vec{int64(machines * 16_000 / teams), 0, 0}})
 	}
-	for i := range f.c.cfg.Teams {
-		f.c.teams[f.c.cfg.Teams[i].Name] = &f.c.cfg.Teams[i]
+	for i := range busy.core.cfg.Teams {
+		busy.core.teams[busy.core.cfg.Teams[i].Name] = &busy.core.cfg.Teams[i]
 	}
-	for _, m := range f.bl.reconciler.Machines() {
-		m.Type, m.LastSeen = f.c.types["big"], f.c.now
-		f.bl.reconciler.MarkReconciled(f.c.now, m)
+	for _, m := range busy.shard.reconciler.Machines() {
+		m.Type, m.LastSeen = busy.core.types["big"], busy.core.now
+		busy.shard.reconciler.MarkReconciled(busy.core.now, m)
 	}
-	for f.c.jobs.ActiveLen() < waiting+machines { // so many are about to run
-		f.submit(f.jobs%2 == 0 || f.c.jobs.ActiveLen() > waiting)
+	for busy.core.jobs.ActiveLen() < waiting+machines { // so many are about to run
+		busy.submit(busy.jobs%2 == 0 || busy.core.jobs.ActiveLen() > waiting)
 	}
 	for range machines {
-		f.report()
+		busy.heartbeat()
 	}
-	f.started = 0
-	return f
+	busy.started = 0
+	return busy
 }
 
 // submit has a job come. One that is not for this fleet waits for machines of another type, and
@@ -70,24 +70,24 @@
 func (f *busyFleet) submit(here bool) {
 	f.jobs++
 	id := fmt.Sprintf("wk-%06d", f.jobs)
-	r := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: f.c.wall, Spec: &jobs.Spec{Class: "c", Team: fmt.Sprintf("t%d", f.jobs%f.teams),
+	r := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: f.core.wall, Spec: &jobs.Spec{Class: "c", Team: fmt.Sprintf("t%d", f.jobs%f.teams),
 		Priority: jobs.Normal, Tasks: 13, AnyType: true, Demand: binpack.Vec{2000, 0, int64(1+f.jobs%4) * 1000}, Estimate: 70 * units.Second}}
 	if !here {
 		r.Spec.AnyType, r.Spec.Types, r.Spec.Priority = false, []string{"other"}, jobs.High
 	}
-	f.c.learn(store.Event{Key: jobPrefix + id, Value: r.Encode(), Stamp: uint64(200 + f.jobs)})
+	f.core.learn(store.Event{Key: jobPrefix + id, Value: r.Encode(), Stamp: uint64(200 + f.jobs)})
 }
 
-// report has the next machine finish a task, and be given others.
-func (f *busyFleet) report() {
-	c, shard := f.c, f.bl
-	c.advance(c.now + units.Second/fleetReports)
-	c.wall += units.Second / fleetReports
-	f.reports++
-	m := shard.reconciler.Machine(f.names[f.reports%len(f.names)])
+// heartbeat has the next machine finish a task, and be given others.
+func (f *busyFleet) heartbeat() {
+	c, shard := f.core, f.shard
+	c.advance(c.now + units.Second/fleetHeartbeats)
+	c.wall += units.Second / fleetHeartbeats
+	f.heartbeats++
+	m := shard.reconciler.Machine(f.names[f.heartbeats%len(f.names)])
 	m.LastSeen = c.now
 	if tasks := m.TaskIDs(); len(tasks) > 0 {
-		id := tasks[f.reports%len(tasks)]
+		id := tasks[f.heartbeats%len(tasks)]
 		j := c.jobs.Get(id.Job)
 		j.Finish(id.Task, c.jobs.Layout())
 		shard.reconciler.Remove(c.now, m, id)
@@ -109,7 +109,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkReport measures what a report costs that tells of a task that is done: rankings, the
+// BenchmarkReport measures what a heartbeat costs that shows a completed task: rankings, the
 // next start, and the look for what it might stop.
 func BenchmarkReport(b *testing.B) {
 	for _, size := range []struct{ machines, teams, waiting int }{
@@ -121,7 +121,7 @@
 			f := newBusyFleet(b, size.machines, size.teams, size.waiting)
 			from := processorTime(b)
 			for b.Loop() {
-				f.report()
+				f.heartbeat()
 			}
 			b.ReportMetric(float64(processorTime(b)-from)/float64(b.N), "cpu-ns/op")
 			b.ReportMetric(float64(f.started)/float64(b.N), "starts/op")
@@ -129,29 +129,29 @@
 	}
 }
 
-// TestReportSteps holds what a report costs to a bound that grows neither with the jobs that wait
+// TestReportSteps holds what a heartbeat costs to a bound that grows neither with the jobs that wait
 // nor with the teams, counted in jobs that are looked at. It used to grow with both: each ranking
-// added up all teams for every job, and each report went through all jobs.
+// added up all teams for every job, and each heartbeat went through all jobs.
 func TestReportSteps(t *testing.T) {
-	perReport := func(teams, waiting int) float64 {
+	perHeartbeat := func(teams, waiting int) float64 {
 		f := newBusyFleet(t, 100, teams, waiting)
-		const reports = 3 * fleetReports
-		from := f.bl.scheduler.Steps()
+		const reports = 3 * fleetHeartbeats
+		from := f.shard.scheduler.Steps()
 		for range reports {
-			f.report()
+			f.heartbeat()
 		}
 		if f.started < reports*9/10 {
-			t.Errorf("%d teams, %d jobs: %d starts in %d reports", teams, waiting, f.started, reports)
+			t.Errorf("%d teams, %d jobs: %d starts in %d heartbeats", teams, waiting, f.started, reports)
 		}
-		return float64(f.bl.scheduler.Steps()-from) / reports
+		return float64(f.shard.scheduler.Steps()-from) / reports
 	}
-	base := perReport(10, 1000)
+	base := perHeartbeat(10, 1000)
 	for _, size := range []struct {
 		teams, waiting int
 		times          float64 // that of the base, at most
 	}{{30, 1000, 1.1}, {100, 1000, 1.1}, {340, 1000, 1.1}, {340, 100, 1.1}, {340, 300, 1.1}, {10, 3000, 1.25}, {340, 3000, 1.25}, {340, 10_000, 1.6}} {
-		got := perReport(size.teams, size.waiting)
-		t.Logf("%d teams, %d jobs: %.1f steps a report (%.1f)", size.teams, size.waiting, got, base)
+		got := perHeartbeat(size.teams, size.waiting)
+		t.Logf("%d teams, %d jobs: %.1f steps a heartbeat (%.1f)", size.teams, size.waiting, got, base)
 		if got > size.times*base {
 			t.Errorf("%d teams, %d jobs: more than %g times the steps with 10 teams and 1,000 jobs", size.teams, size.waiting, size.times)
 		}
@@ -211,8 +211,8 @@
 			f := newBusyFleet(b, machines, 340, machines)
 			from := processorTime(b)
 			for b.Loop() {
-				f.c.Stats(1)
-				f.c.effects = nil
+				f.core.Stats(1)
+				f.core.effects = nil
 			}
 			b.ReportMetric(float64(processorTime(b)-from)/float64(b.N), "cpu-ns/op")
 		})
