--- a/cmd/shalestage/serve.go
+++ b/cmd/shalestage/serve.go
@@ -43,6 +43,12 @@
 	if err != nil {
 		return err
 	}
+	if files, err := openFiles(); err != nil {
+		log.Warn("limit of open files is not known", "err", err)
+	} else if err := s.LimitFiles(files); err != nil {
+		// Refusing to start would cost more: what is beyond the limit was never of use.
+		log.Warn("fewer sockets than set", "err", err)
+	}
 	limit := limitResources(s.Deployment.Quota)
 
 	l, err := net.Listen("tcp4", s.Listen)
@@ -85,6 +91,14 @@
 	}
 }
 
+// openFiles is how many files and sockets the operating system lets this process have open; the
+// runtime has raised it as far as it goes.
+func openFiles() (uint64, error) {
+	var r syscall.Rlimit
+	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r)
+	return r.Cur, err
+}
+
 func logger(level string) (*slog.Logger, error) {
 	var l slog.Level
 	if level == "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,7 +9,11 @@
 	"math"
 	"net/netip"
 	"os"
+	"strings"
 
+	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/configuration"
+	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
@@ -202,6 +206,9 @@
 	if size := len(s.Peers) + 1; s.Deployment.Size != size {
 		return invalid("deployment.size", "want %d (the peers and this node), got %d", size, s.Deployment.Size)
 	}
+	if len(s.Peers) > peering.MaxPeers {
+		return invalid("deployment.size", "want at most %d controllers, got %d", peering.MaxPeers+1, s.Deployment.Size)
+	}
 	return nil
 }
 
@@ -213,6 +220,9 @@
 	if len(d.Teams) == 0 {
 		return invalid("deployment.teams", "missing")
 	}
+	if len(d.Teams) > configuration.MaxTeams {
+		return invalid("deployment.teams", "want at most %d teams, got %d", configuration.MaxTeams, len(d.Teams))
+	}
 	if d.State.TxnOps < minTxnOps {
 		return invalid("deployment.state.txn_ops", "want at least %d", minTxnOps)
 	}
@@ -252,50 +262,53 @@
 func (d *Deployment) checkRanges() error {
 	later := d.State.Later()
 	return checkRanges([]bounded{
-		{"deployment.workers.report_s", d.Workers.HeartbeatS, 0.1, 600},
-		{"deployment.workers.lease_s", d.Workers.LeaseS, 1, 3600},
-		{"deployment.workers.cancel_s", d.Workers.CancelS, 1, 3600},
-		{"deployment.state.rps", d.State.RPS, 1, 1e6},
-		{"deployment.state.write_rps", d.State.WriteRPS, 1, 1e6},
-		{"deployment.state.value_kb", d.State.ValueKB, 2, 1e6},
-		{"deployment.state.next.rps", later.RPS, 1, 1e6},
-		{"deployment.state.next.write_rps", later.WriteRPS, 1, 1e6},
-		{"deployment.state.next.value_kb", later.ValueKB, 2, 1e6},
-		{"deployment.cloud.rps", d.Cloud.RPS, 0.1, 1e6},
-		{"deployment.cloud.list_lag_s", d.Cloud.ListLagS, 0, 3600},
-		{"deployment.quota.cpu", d.Quota.CPU, 0.001, 1024},
-		{"deployment.quota.ram_mb", d.Quota.RAMMB, 32, 1e7},
-		{"deployment.clock_error_ms", d.ClockErrMs, 0, 60000},
+		{"deployment.workers.report_s", d.Workers.HeartbeatS, 0.1, 600, "seconds"},
+		{"deployment.workers.lease_s", d.Workers.LeaseS, 1, 3600, "seconds"},
+		{"deployment.workers.cancel_s", d.Workers.CancelS, 1, 3600, "seconds"},
+		{"deployment.state.rps", d.State.RPS, 1, 1e6, "requests a second"},
+		{"deployment.state.write_rps", d.State.WriteRPS, 1, 1e6, "changes a second"},
+		{"deployment.state.value_kb", d.State.ValueKB, 2, 1e6, "KiB"},
+		{"deployment.state.next.rps", later.RPS, 1, 1e6, "requests a second"},
+		{"deployment.state.next.write_rps", later.WriteRPS, 1, 1e6, "changes a second"},
+		{"deployment.state.next.value_kb", later.ValueKB, 2, 1e6, "KiB"},
+		{"deployment.cloud.rps", d.Cloud.RPS, 0.1, 1e6, "requests a second"},
+		{"deployment.cloud.list_lag_s", d.Cloud.ListLagS, 0, 3600, "seconds"},
+		{"deployment.quota.cpu", d.Quota.CPU, 0.001, 1024, "cores"},
+		{"deployment.quota.ram_mb", d.Quota.RAMMB, 32, 1e7, "MB"},
+		{"deployment.clock_error_ms", d.ClockErrMs, 0, 60000, "milliseconds"},
 	})
 }
 
 // Check returns a *FieldError for the first knob that is out of range.
 func (t Tuning) Check() error {
 	return checkRanges([]bounded{
-		{"tuning.fairness", t.Fairness, 0, 0.999},
-		{"tuning.epsilon_scale", t.EpsilonScale, 0, 100},
-		{"tuning.image_penalty", t.ImagePenalty, 0, 1},
-		{"tuning.leader_lease_s", t.LeaderLeaseS, 1, 60},
-		{"tuning.spare_share", t.SpareFraction, 0, 10},
-		{"tuning.idle_return_s", t.IdleReturnS, 1, 3600},
-		{"tuning.demand_memory_s", t.DemandWindowS, 1, 3600},
-		{"tuning.worth_s", t.WorthS, 1, 3600},
-		{"tuning.block_machines", t.MachinesPerShard, 0, 1e9},
-		{"tuning.round_share", t.RoundFraction, 0, 1},
-		{"tuning.keep_done", t.KeepFinished, 0, 1e7}, {"tuning.pack_settle_s", t.PackSettleS, 0, 1e6},
+		{"tuning.fairness", t.Fairness, 0, 0.999, ""},
+		{"tuning.epsilon_scale", t.EpsilonScale, 0, 100, ""},
+		{"tuning.image_penalty", t.ImagePenalty, 0, 1, ""},
+		{"tuning.leader_lease_s", t.LeaderLeaseS, 1, 60, "seconds"},
+		{"tuning.spare_share", t.SpareFraction, 0, 10, ""},
+		{"tuning.idle_return_s", t.IdleReturnS, 1, 3600, "seconds"},
+		{"tuning.demand_memory_s", t.DemandWindowS, 1, 3600, "seconds"},
+		{"tuning.worth_s", t.WorthS, 1, 3600, "seconds"},
+		{"tuning.block_machines", t.MachinesPerShard, 0, core.MaxShardMachines, "machines"},
+		{"tuning.round_share", t.RoundFraction, 0, 1, ""},
+		{"tuning.keep_done", t.KeepFinished, 0, 1e7, "jobs"}, {"tuning.pack_settle_s", t.PackSettleS, 0, 1e6, "seconds"},
 	})
 }
 
-// bounded is a field with its value and the range that it must be in, both ends included.
+// bounded is a field with its value, the range that it must be in, both ends included, and what it
+// counts; a share or a factor has no unit.
 type bounded struct {
 	field           string
 	value, min, max float64
+	unit            string
 }
 
 func checkRanges(fields []bounded) error {
 	for _, f := range fields {
 		if math.IsNaN(f.value) || f.value < f.min || f.value > f.max {
-			return invalid(f.field, "want %g to %g, got %g", f.min, f.max, f.value)
+			wanted := strings.TrimSpace(fmt.Sprintf("%g to %g %s", f.min, f.max, f.unit))
+			return invalid(f.field, "want %s, got %g", wanted, f.value)
 		}
 	}
 	return nil
@@ -304,6 +317,20 @@
 // LeaseTime is how long a worker keeps its tasks without an answer.
 func (s *Settings) LeaseTime() units.Microseconds { return units.Seconds(s.Deployment.Workers.LeaseS) }
 
+// LimitFiles lowers the sockets that the controller may use to the files that its process may have
+// open, and returns a *FieldError that says so. Beyond that limit the operating system refuses every
+// socket, those of the state service too, where a controller that keeps to fewer sends machines
+// and users on to others.
+func (s *Settings) LimitFiles(files uint64) error {
+	quota := &s.Deployment.Quota
+	if uint64(quota.FDLimit) <= files {
+		return nil
+	}
+	err := invalid("deployment.quota.fd_limit", "want at most %d files, as this process may have open (ulimit -n), got %d", files, quota.FDLimit)
+	quota.FDLimit = int(files)
+	return err
+}
+
 // heartbeatsPerCore is how many heartbeats a second a whole core could answer, with all
 // that goes with them; docs/operations.md has what was measured.
 const heartbeatsPerCore = 3500
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,8 +2,14 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"strings"
 	"testing"
+
+	"shalestage.example/shalestage/internal/core"
+	"shalestage.example/shalestage/internal/core/configuration"
+	"shalestage.example/shalestage/internal/core/fleet"
+	"shalestage.example/shalestage/internal/core/peering"
 )
 
 const validSettings = `{"node_name":"n-0","site":"z","listen":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
@@ -71,6 +77,57 @@
 	}
 }
 
+// TestSettingsAtTheirLimits has settings at a limit, which are taken, and one beyond, which are
+// refused with the field, the limit and its unit.
+func TestSettingsAtTheirLimits(t *testing.T) {
+	with := func(teams, peers, machines int) []byte {
+		var list, others []string
+		for i := range teams {
+			list = append(list, fmt.Sprintf(`{"name":"t%d"}`, i))
+		}
+		for i := range peers {
+			others = append(others, fmt.Sprintf(`{"node_name":"n-%d","site":"z","endpoint":"10.0.1.%d:8081"}`, i+1, i))
+		}
+		return []byte(fmt.Sprintf(`{"node_name":"n-0","site":"z","listen":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081","peers":[%s],
+ "services":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},"tuning":{"block_machines":%d},
+ "deployment":{"size":%d,"zones":["z"],"teams":[%s],"workers":{"report_s":3,"lease_s":18,"cancel_s":43},
+ "state":{"rps":200,"write_rps":80,"value_kb":8,"txn_ops":12},"cloud":{"rps":5,"list_lag_s":8},
+ "quota":{"cpu":0.18,"ram_mb":179,"fd_limit":1800}}}`, strings.Join(others, ","), machines, peers+1, strings.Join(list, ",")))
+	}
+	s, err := Parse(with(configuration.MaxTeams, peering.MaxPeers, core.MaxShardMachines))
+	if err != nil || s.MachinesPerShard() != core.MaxShardMachines || core.MaxShardMachines < fleet.FullShard {
+		t.Errorf("at the limits: %v", err)
+	}
+	for want, b := range map[string][]byte{
+		"deployment.teams: want at most 1024 teams, got 1025":            with(configuration.MaxTeams+1, 1, 0),
+		"deployment.size: want at most 33 controllers, got 34":           with(1, peering.MaxPeers+1, 0),
+		"tuning.block_machines: want 0 to 65536 machines, got 65537":     with(1, 1, core.MaxShardMachines+1),
+		"deployment.workers.report_s: want 0.1 to 600 seconds, got 3000": []byte(strings.Replace(validSettings, `"report_s":3`, `"report_s":3000`, 1)),
+	} {
+		if _, err := Parse(b); err == nil || err.Error() != want {
+			t.Errorf("%v, want %q", err, want)
+		}
+	}
+}
+
+// TestSocketsOfTheProcess keeps the sockets of the settings to the files that the process may
+// have open, and says so. As many as are set, or more, change nothing.
+func TestSocketsOfTheProcess(t *testing.T) {
+	for files, want := range map[uint64]int{1 << 63: 1800, 1801: 1800, 1800: 1800, 1799: 1799, 1024: 1024} {
+		s, err := Parse([]byte(validSettings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		err = s.LimitFiles(files)
+		if s.Deployment.Quota.FDLimit != want || (err != nil) != (want < 1800) {
+			t.Errorf("%d files: %d sockets, %v", files, s.Deployment.Quota.FDLimit, err)
+		}
+		if text := fmt.Sprintf("deployment.quota.fd_limit: want at most %d files, as this process may have open (ulimit -n), got 1800", files); err != nil && err.Error() != text {
+			t.Errorf("%v", err)
+		}
+	}
+}
+
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/scalerun/file.go
+++ b/internal/scalerun/file.go
@@ -10,6 +10,7 @@
 	"math"
 	"strings"
 
+	"shalestage.example/shalestage/internal/core/configuration"
 	"shalestage.example/shalestage/internal/scenario"
 )
 
@@ -94,7 +95,7 @@
 	maxWorkers = 20_000
 	maxTasks   = 200_000
 	maxStarts  = 2_000
-	maxTeams   = 2_000
+	maxTeams   = configuration.MaxTeams
 	maxRegions = 9
 	maxZones   = 27
 	maxFaults  = 20
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -14,6 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"shalestage.example/shalestage/internal/core"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
@@ -394,7 +395,7 @@
 	c.within("controllers.restart_s", n.RestartS, 0, 3600)
 	c.within("controllers.clock_error_ms", n.ClockErrorMS, 0, 60_000)
 	c.within("controllers.lease_s", n.LeaseS, 1, 60)
-	c.within("controllers.block_machines", n.BlockMachines, 0, 1e9)
+	c.within("controllers.block_machines", n.BlockMachines, 0, core.MaxShardMachines)
 	c.within("controllers.keep_done", n.KeepDone, 0, 1e9)
 	c.within("controllers.pack_settle_s", n.PackSettleS, 0, 1e9)
 	for _, l := range []struct {
