--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -177,3 +177,60 @@
 	}
 	return layers
 }
+
+// TestMentionsExist looks up the folders and tests that any page mentions. Pages that record what
+// was found or measured at a time keep the names of that time.
+func TestMentionsExist(t *testing.T) {
+	declared := readTestNames(t)
+	pages, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	pages = append(pages, "../README.md")
+	for _, name := range pages {
+		if name == "results.md" {
+			continue
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, folder := range regexp.MustCompile(`\b(?:internal|cmd|rehearsals|examples)/[a-z0-9/_.-]*[a-z0-9]`).FindAllString(string(text), -1) {
+			if _, err := os.Stat("../" + folder); err != nil {
+				t.Errorf("%s mentions %s, which does not exist", name, folder)
+			}
+		}
+		for _, test := range regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z][A-Za-z0-9]*\b`).FindAllString(string(text), -1) {
+			if !declared[test] {
+				t.Errorf("%s mentions %s, which does not exist", name, test)
+			}
+		}
+	}
+}
+
+// readTestNames returns the names of all tests and benchmarks of the module.
+func readTestNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	for _, root := range []string{"../internal", "../cmd", "."} {
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+			if err != nil {
+				return err
+			}
+			for _, declaration := range file.Decls {
+				if function, ok := declaration.(*ast.FuncDecl); ok {
+					names[function.Name.Name] = true
+				}
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return names
+}
