--- a/cmd/shalestage/backup.go
+++ b/cmd/shalestage/backup.go
@@ -27,7 +27,7 @@
 func (f *stateFlags) client() (*state.Client, backup.Options) {
 	o := backup.Options{Rate: f.Rate, Release: version}
 	if !f.Quiet {
-		o.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+		o.Progressf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
 	// The pace is the options' to keep: the client's own budget stays out of the way.
 	return state.New(f.State, 10*f.Rate+100, 10*f.Rate+100, slog.New(slog.DiscardHandler)), o
@@ -75,7 +75,7 @@
 	if err := errors.Join(err, f.Sync()); err != nil {
 		return exit{exitFailed, fmt.Errorf("%s: %w", o.Out, err)}
 	}
-	fmt.Printf("%s: %d keys and changes, as of revision %d\n", o.Out, foot.Lines, foot.Rev)
+	fmt.Printf("%s: %d keys and changes, as of revision %d\n", o.Out, foot.Lines, foot.Revision)
 	return nil
 }
 
@@ -108,7 +108,7 @@
 	if o.JSON {
 		return printJSON(s)
 	}
-	fmt.Printf("%s: whole; begun %s by release %s, as of revision %d, %d bytes\n", o.File, s.Began, s.Release, s.Foot.Rev, s.Bytes)
+	fmt.Printf("%s: whole; begun %s by release %s, as of revision %d, %d bytes\n", o.File, s.StartedAt, s.Release, s.Foot.Revision, s.Bytes)
 	printKeys(s.Lines)
 	return nil
 }
@@ -172,7 +172,7 @@
 
 // Run looks.
 func (o *auditCmd) Run() error {
-	var rep backup.Report
+	var rep backup.AuditResult
 	var err error
 	cleared := 0
 	if o.File != "" {
--- a/cmd/shalestage/zone.go
+++ b/cmd/shalestage/zone.go
@@ -69,8 +69,8 @@
 	default:
 		return exit{exitFailed, errors.New("the state service has not said whether it is stored; look again")}
 	}
-	if opt.Say != nil {
-		opt.Say("stored; controllers that the state service serves know it now")
+	if opt.Progressf != nil {
+		opt.Progressf("stored; controllers that the state service serves know it now")
 	}
 	return nil
 }
--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -17,8 +17,8 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// Report is what an audit found.
-type Report struct {
+// AuditResult is what an audit found.
+type AuditResult struct {
 	Keys     map[string]int       `json:"keys"` // by folder
 	Packed   int                  `json:"packed_jobs"`
 	Findings []introspect.Finding `json:"findings"`
@@ -29,20 +29,19 @@
 	List(ctx context.Context) (store.Outcome, []wire.Host)
 }
 
-// AuditLive looks at a state service twice, as what one look shows of keys that change
-// meanwhile does not belong together: only what both have found counts. Machines are held
-// against the cloud's list, if there is one; as that lags, the second look waits for the
-// given time.
-func AuditLive(ctx context.Context, s Service, cloud Hosts, lag time.Duration, o Options) (Report, error) {
-	o.fill()
-	first, err := look(ctx, s, cloud, o)
+// AuditLive reads a state service twice, as what one reading shows of keys that change
+// meanwhile does not belong together: only what both have found counts. Machines are compared
+// with the cloud's list, if there is one; as that lags, the second reading begins after lag.
+func AuditLive(ctx context.Context, s Service, cloud Hosts, lag time.Duration, options Options) (AuditResult, error) {
+	options.setDefaults()
+	first, err := inspect(ctx, s, cloud, options)
 	if err != nil || len(first.Findings) == 0 {
 		return first, err
 	}
 	if cloud != nil {
-		o.Sleep(lag)
+		options.sleep(ctx, lag)
 	}
-	second, err := look(ctx, s, cloud, o)
+	second, err := inspect(ctx, s, cloud, options)
 	if err != nil {
 		return second, err
 	}
@@ -52,18 +51,19 @@
 	return second, nil
 }
 
-func look(ctx context.Context, s Service, cloud Hosts, o Options) (Report, error) {
-	in := introspect.NewInspector()
+// inspect reads every key once and checks them together.
+func inspect(ctx context.Context, s Service, cloud Hosts, options Options) (AuditResult, error) {
+	inspector := introspect.NewInspector()
 	for _, part := range []struct {
 		prefix string
 		page   int
 		f      func(store.Event)
-	}{{core.Root, pageKeys, in.Inspect}, {archive.Prefix, 64, in.InspectBucket}} {
+	}{{core.Root, pageSize, inspector.Inspect}, {archive.Prefix, 64, inspector.InspectBucket}} {
 		for after, more := "", true; more; {
 			var items []store.Event
 			var err error
-			if _, items, more, err = o.list(ctx, s, part.prefix, after, part.page); err != nil {
-				return Report{}, err
+			if _, items, more, err = options.list(ctx, s, part.prefix, after, part.page); err != nil {
+				return AuditResult{}, err
 			}
 			for _, e := range items {
 				part.f(e)
@@ -71,27 +71,27 @@
 			}
 		}
 	}
-	rep := report(in)
+	result := newResult(inspector)
 	if cloud == nil {
-		return rep, nil
+		return result, nil
 	}
 	var hosts []wire.Host
-	err := o.again(ctx, "the machine list", func() (out store.Outcome) {
+	err := options.retry(ctx, "the machine list", func() (out store.Outcome) {
 		out, hosts = cloud.List(ctx)
 		return out
 	})
-	rep.Findings = append(rep.Findings, machines(in.Machines(), hosts)...)
-	return rep, err
+	result.Findings = append(result.Findings, compareMachines(inspector.Machines(), hosts)...)
+	return result, err
 }
 
-func report(in *introspect.Inspector) Report {
+func newResult(in *introspect.Inspector) AuditResult {
 	keys, packed := in.Keys()
-	return Report{keys, packed, in.Findings()}
+	return AuditResult{keys, packed, in.Findings()}
 }
 
-// machines holds the machines of records against the cloud's list. What is found is the
-// controllers' to mend: they return what nobody needs, and adopt what reports.
-func machines(recorded map[string]string, hosts []wire.Host) (out []introspect.Finding) {
+// compareMachines compares the machines of records with the cloud's list. What is found is the
+// controllers' to mend: they return what nobody needs, and adopt what sends heartbeats.
+func compareMachines(recorded map[string]string, hosts []wire.Host) (out []introspect.Finding) {
 	listed := map[string]bool{}
 	for _, h := range hosts {
 		listed[h.ID] = true
@@ -111,13 +111,13 @@
 	return out
 }
 
-// AuditFile looks at a backup, which is read twice, so that its size does not
+// AuditFile checks a backup, which is read twice, so that its size does not
 // matter. Only the last that it shows of a key counts.
-func AuditFile(open func() (io.ReadCloser, error)) (Report, error) {
-	pass := func(f func(n int, e store.Event)) error {
+func AuditFile(open func() (io.ReadCloser, error)) (AuditResult, error) {
+	scan := func(f func(n int, e store.Event)) error {
 		r, err := open()
 		if err != nil {
-			return err
+			return fmt.Errorf("opening the backup: %w", err)
 		}
 		n := 0
 		var s Summary
@@ -128,64 +128,64 @@
 		})
 		return errors.Join(err, r.Close())
 	}
-	last := map[string]int{} // where the last of each bucket stands
-	live := map[string]store.Event{}
-	in := introspect.NewInspector()
-	err := pass(func(n int, e store.Event) {
+	lastOfKey := map[string]int{} // where the last of each bucket stands
+	records := map[string]store.Event{}
+	inspector := introspect.NewInspector()
+	err := scan(func(n int, e store.Event) {
 		switch {
 		case strings.HasPrefix(e.Key, archive.Prefix):
-			last[e.Key] = n
+			lastOfKey[e.Key] = n
 		case !strings.HasPrefix(e.Key, core.Root):
 		case e.Value == nil:
-			delete(live, e.Key)
+			delete(records, e.Key)
 		default:
 			e.Stamp = uint64(n)
-			live[e.Key] = e
+			records[e.Key] = e
 		}
 	})
 	if err != nil {
-		return Report{}, err
+		return AuditResult{}, err
 	}
-	for _, k := range slices.Sorted(maps.Keys(live)) {
-		in.Inspect(live[k])
+	for _, k := range slices.Sorted(maps.Keys(records)) {
+		inspector.Inspect(records[k])
 	}
-	err = pass(func(n int, e store.Event) {
-		if last[e.Key] == n && e.Value != nil {
-			in.InspectBucket(e)
+	err = scan(func(n int, e store.Event) {
+		if lastOfKey[e.Key] == n && e.Value != nil {
+			inspector.InspectBucket(e)
 		}
 	})
-	rep := report(in)
-	// Seats have no versions in a file, and their blocks are granted anew after a restore.
-	rep.Findings = slices.DeleteFunc(rep.Findings, func(f introspect.Finding) bool { return f.Kind == "no_seat" })
-	for i := range rep.Findings {
-		rep.Findings[i].Clear, rep.Findings[i].Fix = nil, false
+	result := newResult(inspector)
+	// Leases of members have no versions in a file, and their shards are assigned anew after a restore.
+	result.Findings = slices.DeleteFunc(result.Findings, func(f introspect.Finding) bool { return f.Kind == "no_seat" })
+	for i := range result.Findings {
+		result.Findings[i].Clear, result.Findings[i].Fix = nil, false
 	}
-	return rep, err
+	return result, err
 }
 
 // Fix clears what is safe to clear, and returns how many findings that were. Each is
 // guarded by the versions that were seen: what has changed since is left alone.
-func Fix(ctx context.Context, s Service, list []introspect.Finding, ops int, o Options) (int, error) {
-	o.fill()
+func Fix(ctx context.Context, s Service, list []introspect.Finding, ops int, options Options) (int, error) {
+	options.setDefaults()
 	cleared := 0
 	for _, f := range list {
 		if f.Clear == nil {
 			continue
 		}
 		failed := false
-		for left := f.Clear.Changes; len(left) > 0 && !failed; {
-			n := min(len(left), ops)
-			err := o.again(ctx, "clearing", func() store.Outcome {
-				o, _, _ := s.Commit(ctx, &store.Txn{Guards: f.Clear.Guards, Changes: left[:n]})
-				if failed = o == store.Failed; failed {
+		for remaining := f.Clear.Changes; len(remaining) > 0 && !failed; {
+			n := min(len(remaining), ops)
+			err := options.retry(ctx, "clearing", func() store.Outcome {
+				outcome, _, _ := s.Commit(ctx, &store.Txn{Guards: f.Clear.Guards, Changes: remaining[:n]})
+				if failed = outcome == store.Failed; failed {
 					return store.OK // no longer so
 				}
-				return o
+				return outcome
 			})
 			if err != nil {
 				return cleared, err
 			}
-			left = left[n:]
+			remaining = remaining[n:]
 		}
 		if !failed {
 			cleared++
--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -115,86 +115,100 @@
 	return n, nil
 }
 
-// A backup that is made while keys change shows them all as of its revision, also
-// when it was cut short and gone on with, and a service it is put back into has the
-// same keys, but for those of leases and for a term above any that was given out.
+// TestBackupIsOfOneMoment saves while keys change: the backup shows them all as of its
+// revision, also when it was cut short and resumed, and a service that it is restored into has
+// the same keys, but for those of leases and for a term above any that was given out.
 func TestBackupIsOfOneMoment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newService()
+		source := newService()
 		seen := map[uint64]map[string]string{}
 		change := func() {
-			for range rapid.IntRange(0, 3).Draw(t, "changes") {
-				key := fmt.Sprintf("shalestage/job/wk-%06d", rapid.IntRange(0, 30).Draw(t, "key"))
-				c := store.Change{Key: key}
-				if rapid.IntRange(0, 3).Draw(t, "removes") > 0 {
-					c.Value = json.RawMessage(fmt.Sprintf(`{"status":"done","tasks":%d}`, rapid.IntRange(1, 9).Draw(t, "tasks")))
-				}
-				s.commit(&store.Txn{Changes: []store.Change{c}})
-			}
-			seen[s.m.Rev()] = s.all()
+			source.changeJobs(t)
+			seen[source.m.Rev()] = source.all()
 		}
-		s.commit(&store.Txn{Changes: []store.Change{
+		source.commit(&store.Txn{Changes: []store.Change{
 			{Key: core.TermKey, Value: store.Value(authority.Term{Term: 7, Node: "a"})},
 			{Key: "shalestage/leader", Value: store.Value(authority.LeaderRecord{Term: 7, Node: "a"})},
 			{Key: "shalestage/seat/a", Value: store.Value(authority.Member{Node: "a"})}}})
 		for range 10 {
 			change()
 		}
-		s.before = change
+		source.before = change
 		file := &cut{left: rapid.IntRange(0, 4000).Draw(t, "cut")}
-		foot, err := backup.Save(t.Context(), s, file, nil, options())
-		if err != nil {
-			from, err := backup.Resume(bytes.NewReader(file.Bytes()))
-			end := int64(0)
-			if from != nil && err == nil {
-				end = from.Offset
-			}
-			file.Truncate(int(end))
-			file.left = 1 << 30
-			if foot, err = backup.Save(t.Context(), s, file, from, options()); err != nil {
-				t.Fatal(err)
-			}
-		}
+		foot := saveWithResume(t, source, file)
 		if _, err := backup.Verify(bytes.NewReader(file.Bytes())); err != nil {
 			t.Fatal(err)
 		}
 		// Damage of any byte is noticed before anything is written.
 		bad := bytes.Clone(file.Bytes())
 		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		var d *backup.Damage
-		if _, err := backup.Verify(bytes.NewReader(bad)); !errors.As(err, &d) {
+		var damage *backup.DamageError
+		if _, err := backup.Verify(bytes.NewReader(bad)); !errors.As(err, &damage) {
 			t.Fatalf("a damaged byte: %v", err)
 		}
-		to := newService()
-		to.lost = func() bool { return rapid.IntRange(0, 9).Draw(t, "answer lost") == 0 }
-		done, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: rapid.IntRange(3, 12).Draw(t, "ops")})
+		target := newService()
+		target.lost = func() bool { return rapid.IntRange(0, 9).Draw(t, "answer lost") == 0 }
+		done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: rapid.IntRange(3, 12).Draw(t, "ops")})
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := maps.Clone(seen[foot.Rev])
+		want := maps.Clone(seen[foot.Revision])
 		if want == nil {
-			t.Fatalf("revision %d was never there", foot.Rev)
+			t.Fatalf("revision %d was never there", foot.Revision)
 		}
 		delete(want, "shalestage/leader")
 		delete(want, "shalestage/seat/a")
 		want[core.TermKey] = string(store.Value(authority.Term{Term: done.Term, Node: "a"}))
-		if got := to.all(); !maps.Equal(got, want) || done.Term < 1007 {
+		if got := target.all(); !maps.Equal(got, want) || done.Term < 1007 {
 			t.Fatalf("term %d; restored\n%v\nwant\n%v", done.Term, got, want)
 		}
-		to.lost = nil
-		if _, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3}); !errors.Is(err, backup.ErrNotEmpty) {
+		target.lost = nil
+		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3}); !errors.Is(err, backup.ErrNotEmpty) {
 			t.Fatalf("into a service that is not empty: %v", err)
 		}
-		if _, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3, Force: true}); err != nil || !maps.Equal(to.all(), want) {
+		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3, Force: true}); err != nil || !maps.Equal(target.all(), want) {
 			t.Fatalf("forced: %v", err)
 		}
 	})
 }
 
-// listed is a cloud whose list differs from look to look.
-type listed [][]wire.Host
+// changeJobs puts or removes up to three jobs' records.
+func (s *service) changeJobs(t *rapid.T) {
+	t.Helper()
+	for range rapid.IntRange(0, 3).Draw(t, "changes") {
+		key := fmt.Sprintf("shalestage/job/wk-%06d", rapid.IntRange(0, 30).Draw(t, "key"))
+		change := store.Change{Key: key}
+		if rapid.IntRange(0, 3).Draw(t, "removes") > 0 {
+			change.Value = json.RawMessage(fmt.Sprintf(`{"status":"done","tasks":%d}`, rapid.IntRange(1, 9).Draw(t, "tasks")))
+		}
+		s.commit(&store.Txn{Changes: []store.Change{change}})
+	}
+}
+
+// saveWithResume saves into a file and, where that is cut short, resumes in one that is not.
+func saveWithResume(t *rapid.T, source *service, file *cut) backup.Foot {
+	t.Helper()
+	foot, err := backup.Save(t.Context(), source, file, nil, options())
+	if err == nil {
+		return foot
+	}
+	progress, err := backup.Resume(bytes.NewReader(file.Bytes()))
+	end := int64(0)
+	if progress != nil && err == nil {
+		end = progress.Offset
+	}
+	file.Truncate(int(end))
+	file.left = 1 << 30
+	if foot, err = backup.Save(t.Context(), source, file, progress, options()); err != nil {
+		t.Fatal(err)
+	}
+	return foot
+}
+
+// fakeCloud is a cloud whose list differs from request to request.
+type fakeCloud [][]wire.Host
 
-func (l *listed) List(context.Context) (store.Outcome, []wire.Host) {
+func (l *fakeCloud) List(context.Context) (store.Outcome, []wire.Host) {
 	h := (*l)[0]
 	*l = (*l)[1:]
 	return store.OK, h
@@ -203,9 +217,9 @@
 // TestAudit plants one of each thing that should not be there, and has what is safe
 // cleared.
 func TestAudit(t *testing.T) {
-	s := newService()
+	source := newService()
 	spec := `{"class":"c","team":"t","tasks":1,"demand":[1,0,1],"image":"","image_mb":0,"estimate":1,"awaits":["wk-000099","wk-000050"]}`
-	for _, c := range []struct{ key, value string }{
+	for _, planted := range []struct{ key, value string }{
 		{"shalestage/job/wk-000001", `{"status":"pending","tasks":1,"spec":` + spec + `}`},
 		{"shalestage/job/wk-000002", `{"status":"done","tasks":1}`},
 		{"shalestage/job/wk-000003", `{"status":"pending","tasks":1,"parts":2,"sum":"00"}`},
@@ -224,10 +238,10 @@
 		{"shalestage-past/00000004", `{"bits":3,"jobs":""}`},
 		{"shalestage-past/00000005", `{"bits":0,"jobs":""}`},
 	} {
-		s.commit(&store.Txn{Changes: []store.Change{{Key: c.key, Value: json.RawMessage(c.value)}}})
+		source.commit(&store.Txn{Changes: []store.Change{{Key: planted.key, Value: json.RawMessage(planted.value)}}})
 	}
-	looks := listed{{{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-8"}, {ID: "n-9"}}, {{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-9"}}}
-	rep, err := backup.AuditLive(t.Context(), s, &looks, 30*time.Second, options())
+	looks := fakeCloud{{{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-8"}, {ID: "n-9"}}, {{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-9"}}}
+	rep, err := backup.AuditLive(t.Context(), source, &looks, 30*time.Second, options())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,7 +259,7 @@
 	}
 	// The same of a backup; nothing there is to be cleared, no seat stands, and no cloud is asked.
 	var file bytes.Buffer
-	if _, err := backup.Save(t.Context(), s, &file, nil, options()); err != nil {
+	if _, err := backup.Save(t.Context(), source, &file, nil, options()); err != nil {
 		t.Fatal(err)
 	}
 	saved, err := backup.AuditFile(func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(file.Bytes())), nil })
@@ -253,11 +267,11 @@
 		t.Errorf("of the backup: %v, %+v", err, saved)
 	}
 	// One of them gets its record before it is cleared: it stays.
-	s.commit(&store.Txn{Changes: []store.Change{{Key: "shalestage/job/wk-000078", Value: json.RawMessage(`{"status":"pending","tasks":1}`)}}})
-	if n, err := backup.Fix(t.Context(), s, rep.Findings, 3, options()); err != nil || n != 3 {
+	source.commit(&store.Txn{Changes: []store.Change{{Key: "shalestage/job/wk-000078", Value: json.RawMessage(`{"status":"pending","tasks":1}`)}}})
+	if n, err := backup.Fix(t.Context(), source, rep.Findings, 3, options()); err != nil || n != 3 {
 		t.Errorf("%d cleared, %v", n, err)
 	}
-	left := s.all()
+	left := source.all()
 	for key, there := range map[string]bool{"shalestage/part/wk-000002/00/0": false, "shalestage/progress/wk-000002/0": false,
 		"shalestage/progress/wk-000078/0": true, "shalestage/machine/r-1": false, "shalestage/part/wk-000077/00/0": true} {
 		if _, ok := left[key]; ok != there {
--- a/internal/backup/format.go
+++ b/internal/backup/format.go
@@ -37,9 +37,9 @@
 	Head *Head `json:"head,omitempty"`
 	// Keys, in the order in which they were read. A key that comes again replaces
 	// the earlier one: it was changed while the listing went on.
-	Key   string          `json:"k,omitempty"`
-	Value json.RawMessage `json:"v,omitempty"`
-	Gone  bool            `json:"gone,omitempty"` // was removed meanwhile
+	Key     string          `json:"k,omitempty"`
+	Value   json.RawMessage `json:"v,omitempty"`
+	Deleted bool            `json:"gone,omitempty"` // was removed meanwhile
 	// Page says that the listing is complete up to a key, and the changes up to a
 	// revision: from there an interrupted backup goes on.
 	Page *page `json:"page,omitempty"`
@@ -48,41 +48,42 @@
 
 // Head says what a backup is of.
 type Head struct {
-	Format  int    `json:"format"`
-	Release string `json:"release"`
-	Began   string `json:"began"` // time of day, RFC 3339
-	Rev     uint64 `json:"revision"`
+	Format    int    `json:"format"`
+	Release   string `json:"release"`
+	StartedAt string `json:"began"` // time of day, RFC 3339
+	Revision  uint64 `json:"revision"`
 }
 
 type page struct {
-	After string `json:"after"`
-	Rev   uint64 `json:"revision"`
-	Lists bool   `json:"lists"` // the listing is not complete yet
+	After    string `json:"after"`
+	Revision uint64 `json:"revision"`
+	Listing  bool   `json:"lists"` // the listing is not complete yet
 }
 
 // Foot ends a backup.
 type Foot struct {
-	Rev   uint64 `json:"revision"` // as of which it shows every key
-	Lines int    `json:"lines"`
-	Ended string `json:"ended"`
+	Revision uint64 `json:"revision"` // as of which it shows every key
+	Lines    int    `json:"lines"`
+	EndedAt  string `json:"ended"`
 }
 
-// Damage says where a file cannot be read.
-type Damage struct {
+// DamageError says where a file cannot be read: at the chunk that begins at Offset, in bytes.
+type DamageError struct {
 	Offset int64
-	Why    string
+	Reason string
 }
 
-func (d *Damage) Error() string { return fmt.Sprintf("damaged at byte %d: %s", d.Offset, d.Why) }
+func (d *DamageError) Error() string {
+	return fmt.Sprintf("damaged at byte %d: %s", d.Offset, d.Reason)
+}
 
-// writer writes records in chunks.
+// writer writes records in chunks. Its first error stays.
 type writer struct {
 	w     io.Writer
 	chunk int
 	enc   *zstd.Encoder
 	buf   []byte
 	err   error
-	Size  int64
 }
 
 func newWriter(w io.Writer, fresh bool, chunk int) (*writer, error) {
@@ -90,17 +91,16 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &writer{w: w, enc: enc, chunk: chunk}
+	created := &writer{w: w, enc: enc, chunk: chunk}
 	if fresh {
-		out.put([]byte(magic))
+		created.put([]byte(magic))
 	}
-	return out, out.err
+	return created, created.err
 }
 
 func (w *writer) put(b []byte) {
 	if w.err == nil {
-		n, err := w.w.Write(b)
-		w.err, w.Size = err, w.Size+int64(n)
+		_, w.err = w.w.Write(b)
 	}
 }
 
@@ -144,22 +144,22 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &Reader{r: bufio.NewReaderSize(r, 1<<16), dec: dec}
+	reader := &Reader{r: bufio.NewReaderSize(r, 1<<16), dec: dec}
 	line := make([]byte, len(magic))
-	if _, err := io.ReadFull(in.r, line); err != nil || string(line) != magic {
-		return nil, &Damage{0, "this is no backup of a format that can be read here"}
+	if _, err := io.ReadFull(reader.r, line); err != nil || string(line) != magic {
+		return nil, &DamageError{0, "this is no backup of a format that can be read here"}
 	}
-	in.offset = int64(len(magic))
-	return in, nil
+	reader.offset = int64(len(magic))
+	return reader, nil
 }
 
 // chunk reads the next chunk's records. At the end it returns io.EOF.
 func (r *Reader) chunk() ([]record, error) {
-	at := r.offset
-	bad := func(why string) ([]record, error) { return nil, &Damage{at, why} }
+	start := r.offset
+	bad := func(why string) ([]record, error) { return nil, &DamageError{start, why} }
 	var head [8]byte
 	n, err := io.ReadFull(r.r, head[:])
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
 	if err != nil {
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -18,7 +18,7 @@
 // and rewrites it, so that none that comes late changes what later ones have written.
 const restoreKey = "shalestage-restore"
 
-// ErrNotEmpty says that the state service holds something already.
+// ErrNotEmpty is returned when the state service holds something already.
 var ErrNotEmpty = errors.New("the state service is not empty")
 
 // RestoreOptions say how a backup is put back.
@@ -30,9 +30,9 @@
 	Above uint64
 }
 
-// termsAtLeast is added to a backup's term beside one for each second of its age: a
+// termMargin is added to a backup's term beside one for each second of its age: a
 // leader's end is noticed after a lease, so terms never rise faster.
-const termsAtLeast = 1000
+const termMargin = 1000
 
 // Restored is what a restore has done.
 type Restored struct {
@@ -41,87 +41,103 @@
 	Term    uint64 `json:"term"` // that every later term is above
 }
 
-type restoring struct {
-	s     Service
-	o     RestoreOptions
-	stamp uint64
-	batch []store.Change
-	size  int
-	out   Restored
+// restorer is a restore under way.
+type restorer struct {
+	service Service
+	options RestoreOptions
+	version uint64 // of restoreKey; 0: it does not exist
+	batch   []store.Change
+	size    int
+	done    Restored
 }
 
-// Restore puts a backup back that was verified before. Every token that is given out
+// Restore puts a backup back that was verified before. Every fencing token that is given out
 // afterwards is above all that workers can have seen, also after the backup.
-func Restore(ctx context.Context, s Service, r io.Reader, o RestoreOptions) (Restored, error) {
-	o.fill()
-	w := &restoring{s: s, o: o}
-	if err := w.clear(ctx); err != nil {
-		return w.out, err
-	}
-	var sum Summary
-	term := authority.Term{}
-	err := Each(r, &sum, func(e store.Event) error {
-		if e.Key == core.TermKey {
-			if e.Value != nil {
-				if err := json.Unmarshal(e.Value, &term); err != nil {
-					return fmt.Errorf("%s: %w", e.Key, err)
-				}
-			}
-			return nil
+func Restore(ctx context.Context, s Service, source io.Reader, options RestoreOptions) (Restored, error) {
+	options.setDefaults()
+	restoring := &restorer{service: s, options: options}
+	if err := restoring.prepare(ctx); err != nil {
+		return restoring.done, err
+	}
+	var summary Summary
+	var term authority.Term
+	err := Each(source, &summary, func(event store.Event) error {
+		if event.Key != core.TermKey {
+			return restoring.restore(ctx, event)
 		}
-		if core.IsLeased(e) {
-			w.out.Skipped++ // it ended with its controller's lease
+		if event.Value == nil {
 			return nil
 		}
-		if e.Key == core.ArchiveKey && e.Value != nil {
-			var m archive.Mark
-			if err := json.Unmarshal(e.Value, &m); err != nil {
-				return fmt.Errorf("%s: %w", e.Key, err)
-			}
-			m.Cut = 0 // revisions begin anew
-			e.Value = store.Value(m)
+		if err := json.Unmarshal(event.Value, &term); err != nil {
+			return fmt.Errorf("%s: %w", event.Key, err)
 		}
-		return w.add(ctx, store.Change{Key: e.Key, Value: e.Value})
+		return nil
 	})
 	if err != nil {
-		return w.out, err
+		return restoring.done, err
+	}
+	if term.Term, err = options.nextTerm(term.Term, summary.StartedAt); err != nil {
+		return restoring.done, err
+	}
+	restoring.done.Term = term.Term
+	if err := restoring.add(ctx, store.Change{Key: core.TermKey, Value: store.Value(term)}); err != nil {
+		return restoring.done, err
 	}
-	began, err := time.Parse(time.RFC3339, sum.Began)
+	if err := restoring.flush(ctx); err != nil {
+		return restoring.done, err
+	}
+	return restoring.done, restoring.finish(ctx)
+}
+
+// nextTerm returns a term above any that was given out since a backup of that term was
+// started, at a time as in its head.
+func (o *RestoreOptions) nextTerm(term uint64, startedAt string) (uint64, error) {
+	start, err := time.Parse(time.RFC3339, startedAt)
 	if err != nil {
-		return w.out, fmt.Errorf("the backup's time: %w", err)
+		return 0, fmt.Errorf("the backup's time: %w", err)
 	}
-	age := max(0, o.Now().Sub(began).Seconds())
-	term.Term = max(term.Term+termsAtLeast+uint64(age), o.Above)
-	if term.Term > authority.MaxTerm {
-		return w.out, fmt.Errorf("term %d: there are no more than %d", term.Term, uint64(authority.MaxTerm))
+	age := max(0, o.Now().Sub(start).Seconds())
+	term = max(term+termMargin+uint64(age), o.Above)
+	if term > authority.MaxTerm {
+		return 0, fmt.Errorf("term %d: there are no more than %d", term, uint64(authority.MaxTerm))
 	}
-	w.out.Term = term.Term
-	if err := w.add(ctx, store.Change{Key: core.TermKey, Value: store.Value(term)}); err != nil {
-		return w.out, err
+	return term, nil
+}
+
+// restore puts back one key other than the term's.
+func (r *restorer) restore(ctx context.Context, event store.Event) error {
+	if core.IsLeased(event) {
+		r.done.Skipped++ // it ended with its controller's lease
+		return nil
 	}
-	if err := w.flush(ctx); err != nil {
-		return w.out, err
+	if event.Key == core.ArchiveKey && event.Value != nil {
+		var mark archive.Mark
+		if err := json.Unmarshal(event.Value, &mark); err != nil {
+			return fmt.Errorf("%s: %w", event.Key, err)
+		}
+		mark.Cut = 0 // revisions begin anew
+		event.Value = store.Value(mark)
 	}
-	return w.out, w.end(ctx)
+	return r.add(ctx, store.Change{Key: event.Key, Value: event.Value})
 }
 
-// clear begins: into an empty service only, unless forced.
-func (w *restoring) clear(ctx context.Context) error {
+// prepare begins: into an empty service only, unless forced.
+func (r *restorer) prepare(ctx context.Context) error {
 	var items []store.Event
 	more := true
 	list := func() (err error) {
-		_, items, more, err = w.o.list(ctx, w.s, Prefix, "", pageKeys)
+		_, items, more, err = r.options.list(ctx, r.service, Prefix, "", pageSize)
 		return err
 	}
 	if err := list(); err != nil {
 		return err
 	}
-	if len(items) > 0 && !w.o.Force {
+	if len(items) > 0 && !r.options.Force {
 		return ErrNotEmpty
 	}
 	for _, e := range items {
 		if e.Key == restoreKey { // of a restore that did not end
-			w.stamp = e.Stamp
+			r.version = e.Stamp
 		}
 	}
 	for len(items) > 0 {
@@ -129,11 +145,11 @@
 			if e.Key == restoreKey {
 				continue
 			}
-			if err := w.add(ctx, store.Change{Key: e.Key}); err != nil {
+			if err := r.add(ctx, store.Change{Key: e.Key}); err != nil {
 				return err
 			}
 		}
-		if err := w.flush(ctx); err != nil {
+		if err := r.flush(ctx); err != nil {
 			return err
 		}
 		if !more {
@@ -143,56 +159,56 @@
 			return err
 		}
 	}
-	w.out = Restored{}
+	r.done = Restored{}
 	return nil
 }
 
-func (w *restoring) add(ctx context.Context, c store.Change) error {
-	if len(w.batch)+2 > w.o.Ops || w.size+c.Size() > store.TxnBytes {
-		if err := w.flush(ctx); err != nil {
+func (r *restorer) add(ctx context.Context, c store.Change) error {
+	if len(r.batch)+2 > r.options.Ops || r.size+c.Size() > store.TxnBytes {
+		if err := r.flush(ctx); err != nil {
 			return err
 		}
 	}
-	w.batch = append(w.batch, c)
-	w.size += c.Size()
+	r.batch = append(r.batch, c)
+	r.size += c.Size()
 	return nil
 }
 
 // flush writes what waits.
-func (w *restoring) flush(ctx context.Context) error {
-	if len(w.batch) == 0 {
+func (r *restorer) flush(ctx context.Context) error {
+	if len(r.batch) == 0 {
 		return nil
 	}
-	unsure := false
-	err := w.o.again(ctx, "writing", func() store.Outcome {
-		t := &store.Txn{Guards: []store.Guard{{Key: restoreKey, Version: w.stamp}},
-			Changes: append([]store.Change{{Key: restoreKey, Value: store.Value(w.out)}}, w.batch...)}
-		o, rev, _ := w.s.Commit(ctx, t)
-		if o == store.OK {
-			w.stamp = rev
+	inDoubt := false
+	err := r.options.retry(ctx, "writing", func() store.Outcome {
+		txn := &store.Txn{Guards: []store.Guard{{Key: restoreKey, Version: r.version}},
+			Changes: append([]store.Change{{Key: restoreKey, Value: store.Value(r.done)}}, r.batch...)}
+		outcome, revision, _ := r.service.Commit(ctx, txn)
+		if outcome == store.OK {
+			r.version = revision
 		}
-		if o == store.Failed && unsure || o == store.Unknown {
+		if outcome == store.Failed && inDoubt || outcome == store.Unknown {
 			// It may have been carried out: then the key has a new version, under which
 			// the same is written once more.
-			unsure = true
-			if lo, _, items, _ := w.s.List(ctx, restoreKey, "", 1); lo == store.OK && len(items) == 1 {
-				w.stamp = items[0].Stamp
+			inDoubt = true
+			if listed, _, items, _ := r.service.List(ctx, restoreKey, "", 1); listed == store.OK && len(items) == 1 {
+				r.version = items[0].Stamp
 			}
 		}
-		return o
+		return outcome
 	})
-	w.out.Keys += len(w.batch)
-	w.batch, w.size = w.batch[:0], 0
-	if w.out.Keys%10_000 < w.o.Ops {
-		w.o.Say("%d keys", w.out.Keys)
+	r.done.Keys += len(r.batch)
+	r.batch, r.size = r.batch[:0], 0
+	if r.done.Keys%10_000 < r.options.Ops {
+		r.options.Progressf("%d keys", r.done.Keys)
 	}
 	return err
 }
 
-// end removes what said that the restore was under way.
-func (w *restoring) end(ctx context.Context) error {
-	return w.o.again(ctx, "writing", func() store.Outcome {
-		o, _, _ := w.s.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}})
-		return o
+// finish removes the key that says that the restore is under way.
+func (r *restorer) finish(ctx context.Context) error {
+	return r.options.retry(ctx, "writing", func() store.Outcome {
+		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}})
+		return outcome
 	})
 }
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -22,171 +22,187 @@
 const Prefix = "shalestage"
 
 const (
-	pageKeys = 500
-	tries    = 60 // of one request, in turn, before giving up
+	pageSize    = 500
+	maxAttempts = 60 // of one request, in turn, before giving up
 )
 
-// Options say how the state service is asked.
+// Options say how the state service is asked. The zero values of Now, Sleep, Progressf and
+// Chunk stand for defaults.
 type Options struct {
-	Rate    float64 // requests a second
-	Release string
-	Chunk   int // bytes of records that are written at once; 0: 1 MiB
-	Now     func() time.Time
-	Sleep   func(time.Duration)
-	Say     func(format string, args ...any) // progress; nil: nothing
+	Rate      float64 // requests a second
+	Release   string
+	Chunk     int // bytes of records that are written at once; 0: 1 MiB
+	Now       func() time.Time
+	Sleep     func(time.Duration)              // nil: by the clock, or until the context ends
+	Progressf func(format string, args ...any) // is called with how far it has come; nil: nothing
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.Chunk == 0 {
 		o.Chunk = chunkSize
 	}
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.Sleep == nil {
-		o.Sleep = time.Sleep
+	if o.Progressf == nil {
+		o.Progressf = func(string, ...any) {}
 	}
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+}
+
+// sleep waits, for a shorter time when the context ends.
+func (o *Options) sleep(ctx context.Context, pause time.Duration) {
+	if o.Sleep != nil {
+		o.Sleep(pause)
+		return
+	}
+	select {
+	case <-ctx.Done():
+	case <-time.After(pause):
 	}
 }
 
-// pause keeps within the rate.
-func (o *Options) pause() { o.Sleep(time.Duration(float64(time.Second) / max(o.Rate, 0.1))) }
+var (
+	// ErrNoAnswer is wrapped when the state service or the cloud has not carried out a request
+	// in maxAttempts.
+	ErrNoAnswer = errors.New("the state service does not answer")
+	// ErrTooLarge is wrapped when the state service takes nothing of a request's size.
+	ErrTooLarge = errors.New("the state service takes nothing of that size: try fewer --ops, or its limits are below those of the backup")
+)
 
-// again asks until the service answers.
-func (o *Options) again(ctx context.Context, what string, ask func() store.Outcome) error {
-	for range tries {
+// retry asks, within the rate, until the service answers. The error says what was asked for
+// and wraps ErrNoAnswer, ErrTooLarge or the context's.
+func (o *Options) retry(ctx context.Context, what string, ask func() store.Outcome) error {
+	for range maxAttempts {
 		if err := ctx.Err(); err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
-		o.pause()
+		o.sleep(ctx, time.Duration(float64(time.Second)/max(o.Rate, 0.1)))
 		switch ask() {
 		case store.OK:
 			return nil
 		case store.TooLarge:
-			return fmt.Errorf("%s: the state service takes nothing of that size: try fewer --ops, or its limits are below those of the backup", what)
+			return fmt.Errorf("%s: %w", what, ErrTooLarge)
 		}
 	}
-	return fmt.Errorf("%s: the state service does not answer", what)
+	return fmt.Errorf("%s: %w", what, ErrNoAnswer)
 }
 
 // list reads a page of keys; more says that others follow.
-func (o *Options) list(ctx context.Context, s Service, prefix, after string, page int) (rev uint64, items []store.Event, more bool, err error) {
-	err = o.again(ctx, "listing", func() (out store.Outcome) {
-		out, rev, items, more = s.List(ctx, prefix, after, page)
+func (o *Options) list(ctx context.Context, s Service, prefix, after string, page int) (revision uint64, items []store.Event, more bool, err error) {
+	err = o.retry(ctx, "listing", func() (out store.Outcome) {
+		out, revision, items, more = s.List(ctx, prefix, after, page)
 		return out
 	})
-	return rev, items, more && len(items) > 0, err
+	return revision, items, more && len(items) > 0, err
 }
 
-// ErrOutrun says that more changed during a backup than the service remembers.
-var ErrOutrun = errors.New("the state service no longer has all changes since the backup began: use a higher rate")
+// ErrCompacted is returned when more changed during a backup than the service remembers.
+var ErrCompacted = errors.New("the state service no longer has all changes since the backup began: use a higher rate")
 
-// saving is a backup under way: a listing, and the changes since it began. The
+// saver is a backup under way: a listing, and the changes since it began. The
 // requests go one after the other and are written as they come, so what stands last
 // in the file of a key is newest, and all of it together is as of the last change.
-type saving struct {
-	s     Service
-	o     Options
-	w     *writer
-	after string
-	rev   uint64
-	lists bool
-	lines int
+type saver struct {
+	service  Service
+	options  Options
+	writer   *writer
+	after    string
+	revision uint64
+	listing  bool
+	lines    int
 }
 
-// Save writes a backup. from, if any, is where an earlier one was cut short: the
+// Save writes a backup. resumed, if any, is where an earlier one was cut short: the
 // writer stands after its last whole chunk.
-func Save(ctx context.Context, s Service, w io.Writer, from *Progress, o Options) (Foot, error) {
-	o.fill()
-	out, err := newWriter(w, from == nil, o.Chunk)
+func Save(ctx context.Context, s Service, w io.Writer, resumed *Progress, options Options) (Foot, error) {
+	options.setDefaults()
+	out, err := newWriter(w, resumed == nil, options.Chunk)
 	if err != nil {
 		return Foot{}, err
 	}
-	b := &saving{s: s, o: o, w: out, lists: true}
-	if from != nil {
-		b.after, b.rev, b.lists, b.lines = from.page.After, from.page.Rev, from.page.Lists, from.lines
-	} else if err := b.begin(ctx); err != nil {
+	saving := &saver{service: s, options: options, writer: out, listing: true}
+	if resumed != nil {
+		saving.after, saving.revision, saving.listing, saving.lines = resumed.page.After, resumed.page.Revision, resumed.page.Listing, resumed.lines
+	} else if err := saving.begin(ctx); err != nil {
 		return Foot{}, err
 	}
-	for b.lists {
-		if err := b.list(ctx); err != nil {
+	for saving.listing {
+		if err := saving.listPage(ctx); err != nil {
 			return Foot{}, err
 		}
-		if err := b.changes(ctx); err != nil {
+		if err := saving.followChanges(ctx); err != nil {
 			return Foot{}, err
 		}
-		if err := b.mark(); err != nil {
+		if err := saving.checkpoint(); err != nil {
 			return Foot{}, err
 		}
 	}
-	if err := b.changes(ctx); err != nil {
+	if err := saving.followChanges(ctx); err != nil {
 		return Foot{}, err
 	}
-	foot := Foot{Rev: b.rev, Lines: b.lines, Ended: o.Now().UTC().Format(time.RFC3339)}
-	b.w.add(record{Foot: &foot})
-	return foot, b.w.flush()
+	foot := Foot{Revision: saving.revision, Lines: saving.lines, EndedAt: options.Now().UTC().Format(time.RFC3339)}
+	saving.writer.add(record{Foot: &foot})
+	return foot, saving.writer.flush()
 }
 
 // begin notes the revision from which on changes are followed.
-func (b *saving) begin(ctx context.Context) (err error) {
-	b.rev, _, _, err = b.o.list(ctx, b.s, Prefix, "", 1)
-	b.w.add(record{Head: &Head{Format: 1, Release: b.o.Release, Began: b.o.Now().UTC().Format(time.RFC3339), Rev: b.rev}})
+func (s *saver) begin(ctx context.Context) (err error) {
+	s.revision, _, _, err = s.options.list(ctx, s.service, Prefix, "", 1)
+	s.writer.add(record{Head: &Head{Format: 1, Release: s.options.Release, StartedAt: s.options.Now().UTC().Format(time.RFC3339), Revision: s.revision}})
 	return err
 }
 
-func (b *saving) list(ctx context.Context) error {
-	_, items, more, err := b.o.list(ctx, b.s, Prefix, b.after, pageKeys)
+func (s *saver) listPage(ctx context.Context) error {
+	_, items, more, err := s.options.list(ctx, s.service, Prefix, s.after, pageSize)
 	for _, e := range items {
-		b.put(e)
-		b.after = e.Key
+		s.put(e)
+		s.after = e.Key
 	}
-	b.lists = more
+	s.listing = more
 	return err
 }
 
-func (b *saving) put(e store.Event) {
-	b.lines++
-	b.w.add(record{Key: e.Key, Value: e.Value, Gone: e.Value == nil})
+func (s *saver) put(e store.Event) {
+	s.lines++
+	s.writer.add(record{Key: e.Key, Value: e.Value, Deleted: e.Value == nil})
 }
 
-// changes takes what has changed since the last look.
-func (b *saving) changes(ctx context.Context) error {
-	gone := false
-	err := b.o.again(ctx, "changes", func() store.Outcome {
-		o, rev, events, old := b.s.Watch(ctx, Prefix, b.rev, 0)
-		if old {
-			gone = true
+// followChanges writes what has changed since the last time.
+func (s *saver) followChanges(ctx context.Context) error {
+	compacted := false
+	err := s.options.retry(ctx, "changes", func() store.Outcome {
+		outcome, revision, events, expired := s.service.Watch(ctx, Prefix, s.revision, 0)
+		if expired {
+			compacted = true
 			return store.OK
 		}
-		if o != store.OK {
-			return o
+		if outcome != store.OK {
+			return outcome
 		}
-		if rev < b.rev {
-			gone = true // the service went back: what was read is of another history
+		if revision < s.revision {
+			compacted = true // the service went back: what was read is of another history
 			return store.OK
 		}
 		for _, e := range events {
-			b.put(e)
+			s.put(e)
 		}
-		b.rev = rev
-		return o
+		s.revision = revision
+		return outcome
 	})
-	if gone {
-		return ErrOutrun
+	if compacted {
+		return ErrCompacted
 	}
 	return err
 }
 
-// mark notes how far the backup has come, where a chunk is full.
-func (b *saving) mark() error {
-	if !b.w.full() && b.lists {
+// checkpoint notes how far the backup has come, where a chunk is full.
+func (s *saver) checkpoint() error {
+	if !s.writer.full() && s.listing {
 		return nil
 	}
-	b.w.add(record{Page: &page{After: b.after, Rev: b.rev, Lists: b.lists}})
-	b.o.Say("%d keys and changes, up to %s", b.lines, b.after)
-	return b.w.flush()
+	s.writer.add(record{Page: &page{After: s.after, Revision: s.revision, Listing: s.listing}})
+	s.options.Progressf("%d keys and changes, up to %s", s.lines, s.after)
+	return s.writer.flush()
 }
 
 // Progress is how far a backup has come that was cut short.
@@ -196,26 +212,29 @@
 	lines  int
 }
 
+// ErrComplete is returned for a backup that was not cut short.
+var ErrComplete = errors.New("that backup is whole")
+
 // Resume reads a backup that was cut short and returns how far it has come; nil:
 // not far enough to go on from there.
 func Resume(r io.Reader) (*Progress, error) {
-	in, err := NewReader(r)
+	reader, err := NewReader(r)
 	if err != nil {
 		return nil, err
 	}
-	var p *Progress
+	var progress *Progress
 	lines := 0
 	for {
-		recs, err := in.chunk()
+		records, err := reader.chunk()
 		if err != nil {
-			return p, nil // the rest is read again
+			return progress, nil // the rest is read again
 		}
-		for _, rec := range recs {
+		for _, rec := range records {
 			switch {
 			case rec.Foot != nil:
-				return nil, errors.New("that backup is whole")
+				return nil, ErrComplete
 			case rec.Page != nil:
-				p = &Progress{Offset: in.offset, page: *rec.Page, lines: lines}
+				progress = &Progress{Offset: reader.offset, page: *rec.Page, lines: lines}
 			case rec.Key != "":
 				lines++
 			}
@@ -233,62 +252,62 @@
 
 // Verify reads a backup through: every checksum, every record, and that it is whole.
 func Verify(r io.Reader) (Summary, error) {
-	s := Summary{Lines: map[string]int{}}
-	err := Each(r, &s, func(e store.Event) error {
-		s.Lines[store.Folder(e.Key)]++
+	summary := Summary{Lines: map[string]int{}}
+	err := Each(r, &summary, func(e store.Event) error {
+		summary.Lines[store.Folder(e.Key)]++
 		return nil
 	})
-	return s, err
+	return summary, err
 }
 
-// Each hands every record of a backup to f, in the order in which they were read. A
-// backup that is damaged or not whole is an error, at the latest in the end: whoever
+// Each passes every record of a backup to receive, in the order in which they were read. A
+// backup that is damaged or not whole is a *DamageError, at the latest in the end: whoever
 // must not act on half of one verifies it first.
-func Each(r io.Reader, s *Summary, f func(store.Event) error) error {
-	in, err := NewReader(r)
+func Each(r io.Reader, summary *Summary, receive func(store.Event) error) error {
+	reader, err := NewReader(r)
 	if err != nil {
 		return err
 	}
 	var foot *Foot
 	lines, first := 0, true
 	for {
-		at := in.offset
-		recs, err := in.chunk()
-		if err == io.EOF {
+		start := reader.offset
+		records, err := reader.chunk()
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
 			return err
 		}
-		for _, rec := range recs {
+		for _, rec := range records {
 			switch {
 			case foot != nil:
-				return &Damage{at, "something follows the end"}
+				return &DamageError{start, "something follows the end"}
 			case first:
 				if rec.Head == nil || rec.Head.Format != 1 {
-					return &Damage{at, "no head of a format that can be read here"}
+					return &DamageError{start, "no head of a format that can be read here"}
 				}
-				s.Head, first = *rec.Head, false
+				summary.Head, first = *rec.Head, false
 			case rec.Foot != nil:
 				foot = rec.Foot
 			case rec.Page != nil:
-			case rec.Key == "" || rec.Gone == (rec.Value != nil):
-				return &Damage{at, "a record that is none"}
+			case rec.Key == "" || rec.Deleted == (rec.Value != nil):
+				return &DamageError{start, "a record that is none"}
 			default:
 				lines++
-				if err := f(store.Event{Key: rec.Key, Value: rec.Value}); err != nil {
+				if err := receive(store.Event{Key: rec.Key, Value: rec.Value}); err != nil {
 					return err
 				}
 			}
 		}
 	}
-	s.Bytes = in.offset
+	summary.Bytes = reader.offset
 	if foot == nil {
-		return &Damage{in.offset, "the file ends before the backup does"}
+		return &DamageError{reader.offset, "the file ends before the backup does"}
 	}
 	if foot.Lines != lines {
-		return &Damage{in.offset, fmt.Sprintf("%d keys of %d", lines, foot.Lines)}
+		return &DamageError{reader.offset, fmt.Sprintf("%d keys of %d", lines, foot.Lines)}
 	}
-	s.Foot = *foot
+	summary.Foot = *foot
 	return nil
 }
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -31,8 +31,8 @@
 	if *scaleJobs == 0 {
 		t.Skip("a measurement: -scale N")
 	}
-	from, first := serve(t)
-	to, second := serve(t)
+	source, first := serve(t)
+	target, second := serve(t)
 	first.Do(func(now units.Microseconds, m *kv.Service) {
 		for _, e := range history(*scaleJobs) {
 			if r := m.Commit(now, "x", kv.Txn{Changes: []kv.Change{{Key: e.Key, Value: e.Value}}}); r.Code != http.StatusOK {
@@ -44,23 +44,23 @@
 		s.Do(func(_ units.Microseconds, m *kv.Service) { n = m.Len() })
 		return n
 	}
-	o := backup.Options{Rate: 1e9, Sleep: func(time.Duration) {}}
+	options := backup.Options{Rate: 1e9, Sleep: func(time.Duration) {}}
 	var file bytes.Buffer
 	base := heap()
 	began := time.Now()
-	foot, err := backup.Save(t.Context(), from, &file, nil, o)
+	foot, err := backup.Save(t.Context(), source, &file, nil, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("backup: %d jobs in %d keys, %.1f s, %d bytes, heap %d MB more", *scaleJobs, foot.Lines, time.Since(began).Seconds(), file.Len(), heap()-base)
 	began = time.Now()
-	done, err := backup.Restore(t.Context(), to, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: o, Ops: 12})
+	done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options, Ops: 12})
 	if err != nil || keys(second) != keys(first)+1 { // and the term
 		t.Fatalf("%d keys of %d: %v", keys(second), keys(first), err)
 	}
 	t.Logf("restore: %d keys, %.1f s", done.Keys, time.Since(began).Seconds())
 	began = time.Now()
-	rep, err := backup.AuditLive(t.Context(), to, nil, 0, o)
+	rep, err := backup.AuditLive(t.Context(), target, nil, 0, options)
 	if err != nil || rep.Packed != *scaleJobs {
 		t.Fatalf("audit: %d jobs, %v", rep.Packed, err)
 	}
@@ -76,8 +76,9 @@
 
 // serve runs a state service until the test ends.
 func serve(t *testing.T) (*state.Client, *host.State) {
+	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
-	s, err := host.NewState(kv.Limits{Rate: 1e9, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 12}, 0, nil, rand.New(rand.NewPCG(1, 2)), quiet,
+	service, err := host.NewState(kv.Limits{Rate: 1e9, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 12}, 0, nil, rand.New(rand.NewPCG(1, 2)), quiet,
 		func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -87,11 +88,11 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go s.Run(ctx)
-	srv := &http.Server{Handler: s.Handler("x")}
+	go service.Run(ctx)
+	srv := &http.Server{Handler: service.Handler("x")}
 	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(func() { _ = srv.Close(); cancel() })
-	return state.New(l.Addr().String(), 1e9, 1e9, quiet), s
+	return state.New(l.Addr().String(), 1e9, 1e9, quiet), service
 }
 
 // history is so many packed jobs.
