--- a/internal/emulator/eventqueue/eventqueue_test.go
+++ b/internal/emulator/eventqueue/eventqueue_test.go
@@ -10,24 +10,24 @@
 // TestOrder adds events out of order and takes those that are due: by time, and in the order of
 // addition where they are due at the same time.
 func TestOrder(t *testing.T) {
-	var q Queue[string]
-	if got := q.Next(); got != units.Never {
+	var queue Queue[string]
+	if got := queue.Next(); got != units.Never {
 		t.Errorf("empty queue: next event at %d, want units.Never", got)
 	}
-	q.Add(30, "late")
-	q.Add(10, "first")
-	q.Add(20, "a")
-	q.Add(20, "b")
-	q.Add(20, "c")
-	if got := q.Next(); got != 10 {
+	queue.Add(30, "late")
+	queue.Add(10, "first")
+	queue.Add(20, "a")
+	queue.Add(20, "b")
+	queue.Add(20, "c")
+	if got := queue.Next(); got != 10 {
 		t.Errorf("next event at %d, want 10", got)
 	}
-	if _, event, ok := q.Due(9); ok {
+	if _, event, ok := queue.Due(9); ok {
 		t.Errorf("%q is due at 9", event)
 	}
 	var got []string
 	for {
-		at, event, ok := q.Due(20)
+		at, event, ok := queue.Due(20)
 		if !ok {
 			break
 		}
@@ -39,7 +39,7 @@
 	if want := []string{"first", "a", "b", "c"}; !slices.Equal(got, want) {
 		t.Errorf("due by 20: %v, want %v", got, want)
 	}
-	if got := q.Next(); got != 30 {
+	if got := queue.Next(); got != 30 {
 		t.Errorf("next event at %d, want 30", got)
 	}
 }
