--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -101,26 +101,26 @@
 }
 
 // inspectWork takes a key of jobs, machines and archived jobs, and reports whether it is one.
-func (s *Inspector) inspectWork(e store.Event, rest string) (known bool, err error) {
+func (s *Inspector) inspectWork(event store.Event, rest string) (known bool, err error) {
 	id, _, _ := strings.Cut(rest, "/")
-	seen := store.Event{Key: e.Key, Stamp: e.Stamp} // without its value
+	seen := store.Event{Key: event.Key, Stamp: event.Stamp} // without its value
 	switch {
-	case strings.HasPrefix(e.Key, keys.JobPrefix):
-		err = s.inspectJob(e)
-	case strings.HasPrefix(e.Key, keys.ChunkPrefix):
+	case strings.HasPrefix(event.Key, keys.JobPrefix):
+		err = s.inspectJob(event)
+	case strings.HasPrefix(event.Key, keys.ChunkPrefix):
 		s.chunks[id] = append(s.chunks[id], seen)
-		_, err = jobs.ChunkText(e.Value)
-	case strings.HasPrefix(e.Key, keys.ProgressPrefix):
+		_, err = jobs.ChunkText(event.Value)
+	case strings.HasPrefix(event.Key, keys.ProgressPrefix):
 		s.progress[id] = append(s.progress[id], seen)
-		err = json.Unmarshal(e.Value, &jobs.Progress{})
-	case strings.HasPrefix(e.Key, keys.MachinePrefix):
-		s.groups = append(s.groups, e)
-	case strings.HasPrefix(e.Key, keys.TypePrefix), strings.HasPrefix(e.Key, keys.TypePrefixWithArchive):
+		err = json.Unmarshal(event.Value, &jobs.Progress{})
+	case strings.HasPrefix(event.Key, keys.MachinePrefix):
+		s.groups = append(s.groups, event)
+	case strings.HasPrefix(event.Key, keys.TypePrefix), strings.HasPrefix(event.Key, keys.TypePrefixWithArchive):
 		s.types = append(s.types, seen)
-		err = json.Unmarshal(e.Value, &fleet.Type{})
-	case e.Key == keys.ArchiveMark:
+		err = json.Unmarshal(event.Value, &fleet.Type{})
+	case event.Key == keys.ArchiveMark:
 		s.mark = &archive.Mark{}
-		err = json.Unmarshal(e.Value, s.mark)
+		err = json.Unmarshal(event.Value, s.mark)
 	default:
 		return false, nil
 	}
@@ -128,28 +128,28 @@
 }
 
 // inspectAuthority takes a key of controllers and operators, and reports whether it is one.
-func (s *Inspector) inspectAuthority(e store.Event, rest string) (known bool, err error) {
+func (s *Inspector) inspectAuthority(event store.Event, rest string) (known bool, err error) {
 	switch {
-	case strings.HasPrefix(e.Key, keys.MemberPrefix):
-		s.members[rest] = e.Stamp
-		err = json.Unmarshal(e.Value, &authority.Member{})
-	case strings.HasPrefix(e.Key, keys.AssignmentPrefix):
+	case strings.HasPrefix(event.Key, keys.MemberPrefix):
+		s.members[rest] = event.Stamp
+		err = json.Unmarshal(event.Value, &authority.Member{})
+	case strings.HasPrefix(event.Key, keys.AssignmentPrefix):
 		var shard int
-		if shard, err = keys.Shard(e.Key, keys.AssignmentPrefix); err == nil {
-			s.assignments[shard] = e
+		if shard, err = keys.Shard(event.Key, keys.AssignmentPrefix); err == nil {
+			s.assignments[shard] = event
 		}
-	case strings.HasPrefix(e.Key, keys.ConfigPrefix):
-		err = configuration.Readable(e.Key, e.Value)
-	case strings.HasPrefix(e.Key, keys.OverridePrefix):
-		err = json.Unmarshal(e.Value, &overrideRecord{})
-	case strings.HasPrefix(e.Key, keys.StandbyPrefix):
-		err = json.Unmarshal(e.Value, &replication.Record{})
-	case strings.HasPrefix(e.Key, keys.AllocationPrefix):
-		err = json.Unmarshal(e.Value, &authority.QuotaAllocation{})
-	case e.Key == keys.Leader || e.Key == keys.LeaderSinceArchive:
-		err = json.Unmarshal(e.Value, &authority.LeaderRecord{})
-	case e.Key == keys.Term:
-		err = json.Unmarshal(e.Value, &authority.Term{})
+	case strings.HasPrefix(event.Key, keys.ConfigPrefix):
+		err = configuration.Readable(event.Key, event.Value)
+	case strings.HasPrefix(event.Key, keys.OverridePrefix):
+		err = json.Unmarshal(event.Value, &overrideRecord{})
+	case strings.HasPrefix(event.Key, keys.StandbyPrefix):
+		err = json.Unmarshal(event.Value, &replication.Record{})
+	case strings.HasPrefix(event.Key, keys.AllocationPrefix):
+		err = json.Unmarshal(event.Value, &authority.QuotaAllocation{})
+	case event.Key == keys.Leader || event.Key == keys.LeaderSinceArchive:
+		err = json.Unmarshal(event.Value, &authority.LeaderRecord{})
+	case event.Key == keys.Term:
+		err = json.Unmarshal(event.Value, &authority.Term{})
 	default:
 		return false, nil
 	}
--- a/internal/core/introspect/introspect_test.go
+++ b/internal/core/introspect/introspect_test.go
@@ -37,18 +37,19 @@
 	}
 }
 
-// TestFindings has one thing at a time wrong in what is stored. A finding may be cleared only by
-// changes that are guarded by what was seen.
-func TestFindings(t *testing.T) {
+// findingTest is what is stored beside, or in place of, what is healthy, and what is to be found.
+type findingTest struct {
+	stored map[string]any
+	kind   string // "": nothing is found
+	key    string
+	guard  string // of what clears it; "": nothing does
+}
+
+func findingTests() map[string]findingTest {
 	over := jobs.Record{Status: jobs.Done, Tasks: 1}
 	chunked := jobs.Record{Status: jobs.Pending, Tasks: 1, Chunks: 2, Checksum: "s"}
 	text := map[string]string{"text": "x"}
-	for name, test := range map[string]struct {
-		stored map[string]any
-		kind   string // "": nothing is found
-		key    string
-		guard  string // of what clears it; "": nothing does
-	}{
+	return map[string]findingTest{
 		"nothing": {},
 		"foreign key": {
 			stored: map[string]any{keys.Root + "what": 1}, kind: "foreign", key: keys.Root + "what"},
@@ -86,7 +87,13 @@
 			stored: map[string]any{keys.Assignment(1): authority.Assignment{Term: 3, Node: "a", MemberID: 6}}, kind: "no_seat", key: keys.Assignment(1)},
 		"type where older releases look": {
 			stored: map[string]any{keys.ArchiveMark: struct{}{}}, kind: "leftover", key: keys.TypePrefix + "big"},
-	} {
+	}
+}
+
+// TestFindings has one thing at a time wrong in what is stored. A finding may be cleared only by
+// changes that are guarded by what was seen.
+func TestFindings(t *testing.T) {
+	for name, test := range findingTests() {
 		t.Run(name, func(t *testing.T) {
 			stored := healthy()
 			for key, value := range test.stored {
--- a/internal/core/replication/trace.go
+++ b/internal/core/replication/trace.go
@@ -9,29 +9,29 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Trace tells all that counts of a holder's side, in times from now, for logs and for
+// Trace tells all that counts of an owner's side, in times from now, for logs and for
 // exploring what may follow: equal traces act the same from then on.
-func (s *Primary) Trace(now units.Microseconds) string {
+func (p *Primary) Trace(now units.Microseconds) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "to %q run %d n %d acked %d whole %d seal %d bound %v stored %v storing %v leaving %v rest %d copying %v dirty %v done %v waiting",
-		s.to, s.run, s.n, s.acked, s.wholeAt, s.sealAt, s.bound, s.stored, s.storing, s.leaving, max(0, s.restAt-now),
-		s.copying, slices.Sorted(maps.Keys(s.dirty)), s.done)
-	for _, w := range s.waiting {
-		fmt.Fprintf(&b, " %v:%d:%d", w.what, w.n, now-w.at)
+	fmt.Fprintf(&b, "standby %q run %d sent %d acked %d complete %d seal %d deferring %v recorded %v recording %v leaving %v paused %d uncopied %v changed %v finished %v pending",
+		p.standby, p.run, p.sent, p.acked, p.completeAt, p.sealAt, p.deferring, p.recorded, p.recording, p.leaving, max(0, p.pausedTill-now),
+		p.uncopied, slices.Sorted(maps.Keys(p.changed)), p.finished)
+	for _, pending := range p.pending {
+		fmt.Fprintf(&b, " %v:%d:%d", pending.answer, pending.message, now-pending.at)
 	}
-	if len(s.unacked) > 0 {
-		fmt.Fprintf(&b, " progress %d sent %d", now-s.progress, now-s.sentAt)
+	if len(p.unacked) > 0 {
+		fmt.Fprintf(&b, " progress %d sent %d", now-p.progressAt, now-p.sentAt)
 	}
-	fmt.Fprintf(&b, " flushed %d %v", min(now-s.flushed, FlushEvery), s.unacked)
+	fmt.Fprintf(&b, " flushed %d %v", min(now-p.flushedAt, FlushEvery), p.unacked)
 	return b.String()
 }
 
-// Trace tells all that counts of a follower's side.
-func (k *Standby) Trace() string {
+// Trace tells all that counts of a standby's side.
+func (s *Standby) Trace() string {
 	var b strings.Builder
-	for _, n := range slices.Sorted(maps.Keys(k.streams)) {
-		s := k.streams[n]
-		fmt.Fprintf(&b, "%d: %d %d %d %v %v %v %v;", n, s.token, s.run, s.n, s.whole, s.machines, s.done, s.ahead)
+	for _, shard := range slices.Sorted(maps.Keys(s.streams)) {
+		from := s.streams[shard]
+		fmt.Fprintf(&b, "%d: %d %d %d %v %v %v %v;", shard, from.fencingToken, from.run, from.received, from.complete, from.machines, from.finished, from.ahead)
 	}
 	return b.String()
 }
