--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -56,7 +56,7 @@
 // addresses and listen on a host's own ports.
 func NewCloud(ctx context.Context, s *site.Site, nodes map[string]map[string]string, host string, latency time.Duration, facts Facts, log *slog.Logger) *Cloud {
 	c := &Cloud{ctx: ctx, site: s, nodes: nodes, host: host, latency: latency, facts: facts, doors: map[string]net.Listener{}, log: log}
-	c.client = &http.Client{Timeout: time.Duration(machine.AnswerWithin) * time.Microsecond, Transport: &http.Transport{
+	c.client = &http.Client{Timeout: time.Duration(machine.ResponseTimeout) * time.Microsecond, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4096, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	c.loop = newLoop(s, c.settle, func(error) {})
 	return c
@@ -141,7 +141,7 @@
 
 // send brings a report to a controller.
 func (c *Cloud) send(e site.Send) {
-	a := sendReport(c.client, c.nodes[e.Body.Zone][e.Node], e.Report)
+	a := sendReport(c.client, c.nodes[e.Body.Zone][e.Node], e.Heartbeat)
 	c.loop.tell(c.ctx, func(now units.Microseconds) { c.site.Answer(now, e.Machine, e.Number, a) })
 }
 
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -50,7 +50,7 @@
 func NewLoneWorker(ctx context.Context, nodes map[string]map[string]string, jobs Jobs, facts Facts, rng *rand.Rand, log *slog.Logger) *LoneWorker {
 	l := &LoneWorker{ctx: ctx, nodes: nodes, book: work.Book{}, jobs: jobs, facts: facts, log: log, rng: rng}
 	dialer := &net.Dialer{Timeout: time.Second}
-	l.client = &http.Client{Timeout: time.Duration(machine.AnswerWithin) * time.Microsecond, Transport: &http.Transport{
+	l.client = &http.Client{Timeout: time.Duration(machine.ResponseTimeout) * time.Microsecond, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
@@ -163,12 +163,12 @@
 	}
 	for _, e := range l.worker.Drain() {
 		switch e := e.(type) {
-		case machine.Report:
+		case machine.Heartbeat:
 			l.calls.Add(1)
 			go l.send(l.worker, l.owner.Zone, e)
-		case machine.Began:
+		case machine.TaskStarted:
 			l.facts.Began(l.owner, e.Task)
-		case machine.Ended:
+		case machine.TaskEnded:
 			if j := l.book[e.Task.Job]; j != nil {
 				if err := l.jobs.Store(e.Task, e.Completed, j.Saved(e.Task.Task)); err != nil {
 					l.log.Error("what a task did could not be stored", "task", e.Task.String(), "err", err)
@@ -182,7 +182,7 @@
 
 // send brings a report to a controller. The descriptions of what it is told to start are
 // fetched before the answer is acted on.
-func (l *LoneWorker) send(w *machine.Worker, zone string, r machine.Report) {
+func (l *LoneWorker) send(w *machine.Worker, zone string, r machine.Heartbeat) {
 	a := sendReport(l.client, l.nodes[zone][r.Node], r)
 	jobs := l.fetch(a)
 	l.loop.tell(l.ctx, func(now units.Microseconds) {
@@ -191,9 +191,9 @@
 		}
 		l.learn(jobs)
 		if a.Code == 0 {
-			w.Failed(now, r.Number)
+			w.HeartbeatFailed(now, r.Number)
 		} else {
-			w.Answer(now, r.Number, a)
+			w.HandleResponse(now, r.Number, a)
 		}
 	})
 }
@@ -204,8 +204,8 @@
 	job *work.Job
 }
 
-func (l *LoneWorker) fetch(a machine.Answer) (out []fetched) {
-	for _, id := range a.Starts() {
+func (l *LoneWorker) fetch(a machine.Response) (out []fetched) {
+	for _, id := range a.StartedTasks() {
 		j, err := l.jobs.Fetch(id)
 		if err != nil {
 			l.log.Error("a description could not be fetched", "task", id.String(), "err", err)
@@ -239,7 +239,7 @@
 const keptJobs = 256
 
 func (l *LoneWorker) forgetJobs() {
-	r, _ := l.worker.List()
+	r, _ := l.worker.Status()
 	used := map[string]bool{}
 	for _, t := range r.Tasks {
 		used[t.ID.Job] = true
@@ -254,19 +254,19 @@
 // Serve answers commands that come straight to the worker, on a listener.
 func (l *LoneWorker) Serve(in net.Listener) error {
 	h := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
-		jobs := l.fetch(machine.Answer{Commands: o.Commands})
+		jobs := l.fetch(machine.Response{Commands: o.Commands})
 		l.loop.do(ctx, func(now units.Microseconds) {
 			if found = l.worker != nil; found {
 				l.learn(jobs)
-				taken = l.worker.Direct(now, *o.FencingToken, *o.Incarnation, o.Commands)
-				body = wire.EncodeHeartbeat(l.worker.List())
+				taken = l.worker.HandleDirect(now, *o.FencingToken, *o.Incarnation, o.Commands)
+				body = wire.EncodeHeartbeat(l.worker.Status())
 			}
 		})
 		return body, taken, found
 	}, func(ctx context.Context) (body wire.HeartbeatBody, found bool) {
 		l.loop.do(ctx, func(units.Microseconds) {
 			if found = l.worker != nil; found {
-				body = wire.EncodeHeartbeat(l.worker.List())
+				body = wire.EncodeHeartbeat(l.worker.Status())
 			}
 		})
 		return body, found
--- a/internal/emulator/host/lone_test.go
+++ b/internal/emulator/host/lone_test.go
@@ -86,7 +86,7 @@
 	w := NewLoneWorker(ctx, map[string]map[string]string{"a": {"node-0": node}}, jobs, store, rand.New(rand.NewPCG(1, 1)), quiet)
 	go w.Run()
 	c := machine.Config{Name: "n-1", Type: "big", Zone: "a", Capacity: binpack.Vec{4000, 0, 8000}, FetchMBs: 1000,
-		ReportEvery: units.Second / 2, Lease: 60 * units.Second, Nodes: []string{"node-0"}}
+		HeartbeatEvery: units.Second / 2, Lease: 60 * units.Second, Nodes: []string{"node-0"}}
 	if err := w.Begin(c, machine.Fault{Speed: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/host/report.go
+++ b/internal/emulator/host/report.go
@@ -15,21 +15,21 @@
 
 // sendReport brings a report to a controller and returns its answer; the zero answer
 // says that there was none that counts.
-func sendReport(client *http.Client, addr string, r machine.Report) machine.Answer {
-	body, err := json.Marshal(wire.EncodeHeartbeat(r.Body, r.Saved))
+func sendReport(client *http.Client, addr string, r machine.Heartbeat) machine.Response {
+	body, err := json.Marshal(wire.EncodeHeartbeat(r.Body, r.Checkpointed))
 	if err != nil {
-		return machine.Answer{}
+		return machine.Response{}
 	}
 	resp, err := client.Post("http://"+addr+wire.HeartbeatPath, "application/json", bytes.NewReader(body))
 	if err != nil {
-		return machine.Answer{}
+		return machine.Response{}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
-		return machine.Answer{}
+		return machine.Response{}
 	}
-	a := machine.Answer{Code: resp.StatusCode}
+	a := machine.Response{Code: resp.StatusCode}
 	o, err := wire.DecodeOrders(b)
 	if err != nil {
 		if a.Code == http.StatusOK {
@@ -37,9 +37,9 @@
 		}
 		return a
 	}
-	a.Node, a.Commands, a.NoToken = o.Node, o.Commands, o.FencingToken == nil
+	a.RedirectTo, a.Commands, a.NoFencingToken = o.Node, o.Commands, o.FencingToken == nil
 	if o.FencingToken != nil {
-		a.Token = *o.FencingToken
+		a.FencingToken = *o.FencingToken
 	}
 	return a
 }
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -1,6 +1,7 @@
 package machine
 
 import (
+	"encoding/json"
 	"math/rand/v2"
 	"net/http"
 	"testing"
@@ -12,46 +13,64 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// TestAnswerWhileItHangs has the answer to a report, with a command to stop a task, arrive
+// TestResponseWhileHung has the response to a heartbeat, with a command to stop a task, arrive
 // while the machine stands still: nothing is carried out until it goes on, and then only
-// within the 4 s in which a worker takes an answer.
-func TestAnswerWhileItHangs(t *testing.T) {
+// within ResponseTimeout.
+func TestResponseWhileHung(t *testing.T) {
 	id := jobs.TaskID{Job: "wk-000001"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		hang units.Microseconds
 		runs bool
 	}{{2 * units.Second, false}, {6 * units.Second, true}} {
 		book := work.Book{id.Job: {ID: id.Job, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{1, 0, 1}}, Run: 600 * units.Second}}
-		w := New(Config{Name: "n-1", Capacity: binpack.Vec{10, 0, 10}, FetchMBs: 1000, ReportEvery: 3 * units.Second, Lease: 60 * units.Second, Nodes: []string{"node-0"}},
+		w := New(Config{Name: "n-1", Capacity: binpack.Vec{10, 0, 10}, FetchMBs: 1000, HeartbeatEvery: 3 * units.Second, Lease: 60 * units.Second, Nodes: []string{"node-0"}},
 			Fault{Speed: 1}, book, 0, rand.New(rand.NewPCG(1, 1)))
-		// Reports go out until one is under way, which is not answered yet.
+		// Heartbeats go out until one is under way, which has no response yet.
 		now, number := units.Microseconds(0), 0
 		next := func() {
 			for number = 0; number == 0; now += units.Second / 20 {
 				w.Advance(now)
 				for _, e := range w.Drain() {
-					if r, ok := e.(Report); ok {
+					if r, ok := e.(Heartbeat); ok {
 						number = r.Number
 					}
 				}
 			}
 		}
 		next()
-		w.Answer(now, number, Answer{Code: http.StatusOK, Token: 1, Commands: []fleet.Command{{Op: fleet.Start, ID: id, Attempt: 1}}})
+		w.HandleResponse(now, number, Response{Code: http.StatusOK, FencingToken: 1, Commands: []fleet.Command{{Op: fleet.Start, ID: id, Attempt: 1}}})
 		now += units.Second
 		next()
 		if w.Running() != 1 {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		w.Hang(now, now+c.hang)
-		w.Answer(now, number, Answer{Code: http.StatusOK, Token: 1, Commands: []fleet.Command{{Op: fleet.Stop, ID: id, Attempt: 1}}})
-		w.Advance(now + c.hang - 1)
+		w.Hang(now, now+test.hang)
+		w.HandleResponse(now, number, Response{Code: http.StatusOK, FencingToken: 1, Commands: []fleet.Command{{Op: fleet.Stop, ID: id, Attempt: 1}}})
+		w.Advance(now + test.hang - 1)
 		if w.Running() != 1 {
-			t.Errorf("hanging for %v s: it carries out a command meanwhile", c.hang.Seconds())
+			t.Errorf("hanging for %v s: it carries out a command meanwhile", test.hang.Seconds())
 		}
-		w.Advance(now + c.hang)
-		if got := w.Running() == 1; got != c.runs {
-			t.Errorf("hanging for %v s: the task goes on %v, want %v", c.hang.Seconds(), got, c.runs)
+		w.Advance(now + test.hang)
+		if got := w.Running() == 1; got != test.runs {
+			t.Errorf("hanging for %v s: the task goes on %v, want %v", test.hang.Seconds(), got, test.runs)
+		}
+	}
+}
+
+// TestHandedAsJSON checks the text under which the cloud hands a machine to a worker in a process
+// of its own: the names of the fields stay as they are.
+func TestHandedAsJSON(t *testing.T) {
+	for _, test := range []struct {
+		value any
+		want  string
+	}{
+		{Config{Name: "n-1", HeartbeatEvery: 3, ClockRate: 0.5, Nodes: []string{"node-0"}},
+			`{"Name":"n-1","Addr":"","Type":"","Zone":"","Spot":false,"Capacity":[0,0,0],"CacheMB":0,"FetchMBs":0,"ReportEvery":3,"Lease":0,"Nodes":["node-0"],"Clock":0.5}`},
+		{Fault{Speed: 1, FailsTasks: true}, `{"Speed":1,"Sick":true}`},
+	} {
+		got, err := json.Marshal(test.value)
+		if err != nil || string(got) != test.want {
+			t.Errorf("%T: %s (%v), want %s", test.value, got, err, test.want)
 		}
 	}
 }
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -90,7 +90,7 @@
 		if k == nil || k.Running() == 0 {
 			continue
 		}
-		if k.Hangs(w.now) || k.Deaf(w.now) || w.net.open(scenario.ZoneParty(m.Zone), n.Name) != carried {
+		if k.Hung(w.now) || k.InboundCut(w.now) || w.net.open(scenario.ZoneParty(m.Zone), n.Name) != carried {
 			return true
 		}
 	}
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -44,7 +44,7 @@
 		for _, m := range w.Site.Cloud.Charged() {
 			x := account.Machine{Machine: m, Cut: w.now < w.zoneCut[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.Rate(m)}
 			if k := w.Site.Worker(m.Name); k != nil {
-				running, fetching := k.Use()
+				running, fetching := k.Usage()
 				x.Up, x.Running, x.Fetching = true, cpus(running), cpus(fetching)
 			}
 			list = append(list, x)
@@ -63,7 +63,7 @@
 		c := w.Site.CPUs(m)
 		s.Rented += c
 		if k := w.Site.Worker(m.Name); k != nil {
-			running, fetching := k.Use()
+			running, fetching := k.Usage()
 			s.Running += cpus(running)
 			s.Fetching += cpus(fetching)
 		} else {
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -680,7 +680,7 @@
 			if !found || w.noise && w.chance(0.02) {
 				return
 			}
-			if k := w.Site.Worker(e.Machine); k != nil && k.Mute(w.now) {
+			if k := w.Site.Worker(e.Machine); k != nil && k.OutboundCut(w.now) {
 				w.happened(scenario.MuteReached)
 			}
 			o := store.Failed
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -212,7 +212,7 @@
 		t.Fatalf("%d of %d tasks still run; %v", after, before, w.Check.Broken())
 	}
 	for _, m := range w.upNow() {
-		if w.Site.Worker(m.Name).Session() != 1 {
+		if w.Site.Worker(m.Name).Incarnation() != 1 {
 			t.Fatalf("the lease of %s ran out", m.Name)
 		}
 	}
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -45,7 +45,7 @@
 		if k == nil {
 			continue
 		}
-		for _, t := range k.Left(w.now) {
+		for _, t := range k.RemainingTimes(w.now) {
 			j := w.Crowd.Job(t.Task.Job)
 			if j == nil || !j.Accepted || j.Final != "" {
 				continue
@@ -167,14 +167,14 @@
 func (w *World) unreached(id string) bool {
 	for _, m := range w.Site.Cloud.Alive() {
 		k := w.Site.Worker(m.Name)
-		if k == nil || !slices.ContainsFunc(k.Left(w.now), func(t machine.Remaining) bool { return t.Task.Job == id }) {
+		if k == nil || !slices.ContainsFunc(k.RemainingTimes(w.now), func(t machine.Remaining) bool { return t.Task.Job == id }) {
 			continue
 		}
 		cut := true
 		for _, n := range w.Nodes {
 			cut = cut && w.net.open(scenario.ZoneParty(m.Zone), n.Name) != carried
 		}
-		if cut || k.Hangs(w.now) || k.Deaf(w.now) {
+		if cut || k.Hung(w.now) || k.InboundCut(w.now) {
 			return true
 		}
 	}
@@ -202,7 +202,7 @@
 			continue
 		}
 		r := check.Room{Machine: machineOf(m)}
-		if r.Free, r.Taken = k.Free(); k.Hangs(w.now) || k.Deaf(w.now) || k.Doubtful() {
+		if r.Free, r.Taken = k.FreeCapacity(); k.Hung(w.now) || k.InboundCut(w.now) || k.Unreliable() {
 			r.Free = unusable
 		}
 		out = append(out, r)
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -260,7 +260,7 @@
 	arrives := func(req core.RequestID) { n.report(req, e.Body) }
 	zone := scenario.ZoneParty(e.Body.Zone)
 	failed := func() {
-		w.Site.Answer(w.now, e.Machine, e.Number, machine.Answer{})
+		w.Site.Answer(w.now, e.Machine, e.Number, machine.Response{})
 		w.takeSite()
 	}
 	lost := w.noise && w.chance(0.003)
@@ -273,7 +273,7 @@
 			})
 		}
 	}
-	w.net.request(zone, n.Name, machine.AnswerWithin, func(answer func(func())) {
+	w.net.request(zone, n.Name, machine.ResponseTimeout, func(answer func(func())) {
 		if n.life == 0 {
 			answer(failed) // the connection is refused
 			return
@@ -287,13 +287,13 @@
 			if lost {
 				return
 			}
-			a := machine.Answer{Code: r.Code, NoToken: true}
+			a := machine.Response{Code: r.Code, NoFencingToken: true}
 			switch b := r.Body.(type) {
 			case core.HeartbeatResponse:
-				a.Token, a.NoToken, a.Commands = b.FencingToken, false, b.Commands
+				a.FencingToken, a.NoFencingToken, a.Commands = b.FencingToken, false, b.Commands
 				w.acted(b.FencingToken)
 			case core.Redirect:
-				a.Node = b.Node
+				a.RedirectTo = b.Node
 			}
 			sent := w.now
 			answer(func() {
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -42,7 +42,7 @@
 	// Send is a report to be sent to a controller.
 	Send struct {
 		Machine string
-		machine.Report
+		machine.Heartbeat
 	}
 	// Began and Ended say what is on a machine with its image.
 	Began struct {
@@ -121,7 +121,7 @@
 			s.out = append(s.out, Gone{e.Machine})
 		case rental.Noticed:
 			if k := s.workers[e.Machine.Name]; k != nil {
-				k.Notice(now, e.In)
+				k.NoticeReclaim(now, e.In)
 				s.settle(now, k)
 			}
 		}
@@ -132,8 +132,8 @@
 	t := s.types[m.Type]
 	cfg := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.Fetch)),
-		ReportEvery: s.cfg.ReportEvery, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, Clock: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
-	fault := machine.Fault{Speed: m.Speed, Sick: m.Sick}
+		HeartbeatEvery: s.cfg.ReportEvery, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, ClockRate: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
+	fault := machine.Fault{Speed: m.Speed, FailsTasks: m.Sick}
 	if len(s.apart) < s.cfg.Apart {
 		s.apart[m.Name] = true
 		s.out = append(s.out, Up{m}, Handed{m, cfg, fault})
@@ -166,27 +166,27 @@
 func (s *Site) collect(k *member) {
 	for _, e := range k.Drain() {
 		switch e := e.(type) {
-		case machine.Report:
+		case machine.Heartbeat:
 			s.out = append(s.out, Send{k.m.Name, e})
-		case machine.Began:
+		case machine.TaskStarted:
 			s.out = append(s.out, Began{k.m, e.Task})
-		case machine.Ended:
+		case machine.TaskEnded:
 			s.out = append(s.out, Ended{k.m, e.Task, e.Completed})
 		}
 	}
 }
 
 // Answer takes the answer to a report; Code 0: it failed.
-func (s *Site) Answer(now units.Microseconds, name string, number int, a machine.Answer) {
+func (s *Site) Answer(now units.Microseconds, name string, number int, a machine.Response) {
 	s.Advance(now)
 	k := s.workers[name]
 	if k == nil {
 		return
 	}
 	if a.Code == 0 {
-		k.Failed(now, number)
+		k.HeartbeatFailed(now, number)
 	} else {
-		k.Answer(now, number, a)
+		k.HandleResponse(now, number, a)
 	}
 	s.settle(now, k)
 }
@@ -196,11 +196,11 @@
 func (s *Site) Direct(now units.Microseconds, name string, token, session uint64, commands []fleet.Command) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, taken, found bool) {
 	s.Advance(now)
 	k := s.workers[name]
-	if k == nil || k.Hangs(now) || k.Deaf(now) {
+	if k == nil || k.Hung(now) || k.InboundCut(now) {
 		return nil, nil, false, false
 	}
-	taken = k.Direct(now, token, session, commands)
-	r, saved = k.List()
+	taken = k.HandleDirect(now, token, session, commands)
+	r, saved = k.Status()
 	s.settle(now, k)
 	return r, saved, taken, true
 }
@@ -209,10 +209,10 @@
 func (s *Site) Status(now units.Microseconds, name string) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, found bool) {
 	s.Advance(now)
 	k := s.workers[name]
-	if k == nil || k.Hangs(now) {
+	if k == nil || k.Hung(now) {
 		return nil, nil, false
 	}
-	r, saved = k.List()
+	r, saved = k.Status()
 	return r, saved, true
 }
 
@@ -272,7 +272,7 @@
 func (s *Site) Deafen(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
-		k.Deafen(until)
+		k.CutInbound(until)
 	}
 }
 
@@ -280,14 +280,14 @@
 func (s *Site) Mute(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
-		k.Silence(until)
+		k.CutOutbound(until)
 	}
 }
 
 // Spoil changes what is wrong with a machine.
 func (s *Site) Spoil(now units.Microseconds, m *rental.Machine, f machine.Fault) {
 	s.Advance(now)
-	m.Speed, m.Sick = f.Speed, f.Sick
+	m.Speed, m.Sick = f.Speed, f.FailsTasks
 	if k := s.workers[m.Name]; k != nil {
 		k.SetFault(now, f)
 		s.settle(now, k)
--- a/internal/emulator/site/site_test.go
+++ b/internal/emulator/site/site_test.go
@@ -167,7 +167,7 @@
 					case 1:
 						s.Hang(now, ms[0], now+units.Microseconds(rapid.Int64Range(0, 20_000_000).Draw(t, "for")))
 					case 2:
-						s.Spoil(now, ms[0], machine.Fault{Speed: 0.2, Sick: ms[0].Sick})
+						s.Spoil(now, ms[0], machine.Fault{Speed: 0.2, FailsTasks: ms[0].Sick})
 					}
 					take()
 				}
@@ -179,21 +179,21 @@
 				}
 				e := sent[name]
 				w := s.Worker(name)
-				if w == nil || w.Hangs(now) {
+				if w == nil || w.Hung(now) {
 					return
 				}
-				a := machine.Answer{Code: rapid.SampledFrom([]int{200, 200, 200, 421, 503}).Draw(t, "code"), Node: "n1",
-					Token: rapid.Uint64Range(0, 5).Draw(t, "token"), Commands: rapid.SliceOfN(commands, 0, 5).Draw(t, "commands")}
-				session := w.Session()
+				a := machine.Response{Code: rapid.SampledFrom([]int{200, 200, 200, 421, 503}).Draw(t, "code"), RedirectTo: "n1",
+					FencingToken: rapid.Uint64Range(0, 5).Draw(t, "token"), Commands: rapid.SliceOfN(commands, 0, 5).Draw(t, "commands")}
+				session := w.Incarnation()
 				first := !answers[name][e.Number]
 				if answers[name] == nil {
 					answers[name] = map[int]bool{}
 				}
 				answers[name][e.Number] = true
-				counts := first && a.Code == 200 && a.Token >= max(tokens[name], e.Body.FencingToken) && e.Body.Incarnation == session && now < sentAt[name]+machine.AnswerWithin
+				counts := first && a.Code == 200 && a.FencingToken >= max(tokens[name], e.Body.FencingToken) && e.Body.Incarnation == session && now < sentAt[name]+machine.ResponseTimeout
 				s.Answer(now, name, e.Number, a)
 				if counts {
-					tokens[name] = a.Token
+					tokens[name] = a.FencingToken
 					answered[name] = max(answered[name], sentAt[name])
 				}
 				take()
@@ -203,7 +203,7 @@
 				if name == "" || s.Worker(name) == nil {
 					return
 				}
-				token, session := rapid.Uint64Range(0, 5).Draw(t, "token"), s.Worker(name).Session()
+				token, session := rapid.Uint64Range(0, 5).Draw(t, "token"), s.Worker(name).Incarnation()
 				r, _, taken, found := s.Direct(now, name, token, session, rapid.SliceOfN(commands, 0, 3).Draw(t, "commands"))
 				take() // a report that was due went first
 				if found {
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -234,11 +234,11 @@
 		st.Cloud.BootQuickly(until)
 	case MachineSick:
 		for _, m := range pick() {
-			st.Spoil(now, m, machine.Fault{Speed: m.Speed, Sick: true})
+			st.Spoil(now, m, machine.Fault{Speed: m.Speed, FailsTasks: true})
 		}
 	case MachineSlow:
 		for _, m := range pick() {
-			st.Spoil(now, m, machine.Fault{Speed: 1 / f.Times, Sick: m.Sick})
+			st.Spoil(now, m, machine.Fault{Speed: 1 / f.Times, FailsTasks: m.Sick})
 		}
 	case SpotWave:
 		notice := f.NoticeS
