--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -97,9 +97,9 @@
 			commands = append(commands, fleet.Command{Op: op, ID: jobs.TaskID{Job: "wk-123456789012345678", Task: 99_999}, Attempt: 1<<64 - 1, Grace: 12345678})
 		}
 	}
-	add(fleet.Forget, core.MaxForgets)
-	add(fleet.Stop, 2*core.MaxStops) // of what should not be there, and for others
-	add(fleet.Start, core.MaxStarts)
+	add(fleet.Forget, fleet.MaxForgets)
+	add(fleet.Stop, 2*fleet.MaxStops) // of what should not be there, and for others
+	add(fleet.Start, fleet.MaxStarts)
 	w := httptest.NewRecorder()
 	write(w, core.Reply{Code: http.StatusOK, Body: core.HeartbeatResponse{FencingToken: 1<<64 - 1, Commands: commands}})
 	if n := w.Body.Len(); n > 64<<10 || n < 40<<10 {
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -101,7 +101,7 @@
 // TestManyExitedTasks has nothing stored for long: a machine's list, which may not grow beyond
 // a report's 64 KiB, gets no further tasks.
 func TestManyExitedTasks(t *testing.T) {
-	for listed, want := range map[int]int{MaxListed: 0, MaxListed - 10: 10} {
+	for listed, want := range map[int]int{fleet.MaxListed: 0, fleet.MaxListed - 10: 10} {
 		c := holding(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 2000, Spec: &jobs.Spec{Team: "t", Tasks: 2000, AnyType: true, Demand: binpack.Vec{1, 0, 1}}},
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -107,11 +107,3 @@
 	}
 	return owner
 }
-
-// Bounds on the commands of one response; the wire's tests read them here.
-const (
-	MaxForgets = fleet.MaxForgets
-	MaxStops   = fleet.MaxStops
-	MaxStarts  = fleet.MaxStarts
-	MaxListed  = fleet.MaxListed
-)
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -9,7 +9,6 @@
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
-	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/peering"
 	"shalestage.example/shalestage/internal/core/shardplan"
@@ -36,64 +35,6 @@
 	}
 }
 
-// TestLateReportOfReturnedMachine brings a report that a cut has held back after
-// its machine was returned. It was taken for a living machine, and the tasks that
-// it showed waited for it instead of starting elsewhere.
-func TestLateReportOfReturnedMachine(t *testing.T) {
-	c, code := reportOfReturned(t, guard.None)
-	if code != 421 {
-		t.Fatalf("answered %d", code)
-	}
-	if j, m := c.jobs.Get("wk-000001"), c.owned[0].reconciler.Machine("n-1"); m != nil || j.Placed() != 0 {
-		t.Fatalf("machine %v, %d tasks placed", m, j.Placed())
-	}
-	// Without the check the task would wait for the lease of a machine that is gone.
-	c, code = reportOfReturned(t, guard.DeprovisionedMachine)
-	if j := c.jobs.Get("wk-000001"); code != 200 || j.Placed() != 1 {
-		t.Errorf("with the check left out: answered %d, %d tasks placed", code, j.Placed())
-	}
-}
-
-// reportOfReturned gives a holder a report of a machine that the cloud has called gone.
-func reportOfReturned(t *testing.T, leftOut guard.Guard) (*Core, int) {
-	t.Helper()
-	c := holding(t, map[string]any{
-		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
-		jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}},
-	})
-	c.cfg.SkippedGuard = leftOut
-	shard := c.owned[0]
-	c.OnScaleIn(c.now, ScaleIn{Names: []string{"n-1"}, Assignment: shard.assignment}, store.OK)
-	c.Drain()
-	c.Heartbeat(c.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.Never,
-		Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
-	return c, replyTo(t, c, 9).Code
-}
-
-// TestDirectAnswerBesideStart has a machine answer a direct request after it was given a start
-// that its answer does not show yet. Taken for true, it would free the task for another machine.
-func TestDirectAnswerBesideStart(t *testing.T) {
-	for leftOut, want := range map[guard.Guard]int{guard.None: 1, guard.ProbeAnswer: 0} {
-		c := holding(t, map[string]any{
-			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
-			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Team: "t", Tasks: 1, AnyType: true}},
-		})
-		c.cfg.SkippedGuard = leftOut
-		shard := c.owned[0]
-		r := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never}
-		c.Heartbeat(c.now, 9, &r)
-		j := c.jobs.Get("wk-000001")
-		if j.Placed() != 1 {
-			t.Fatalf("%d tasks are started", j.Placed())
-		}
-		r.Seq = 2
-		c.OnProbe(c.now, Probe{Shard: 0, Assignment: shard.assignment, Machine: "n-1"}, store.OK, &r)
-		if j.Placed() != want {
-			t.Errorf("left out %d: %d tasks count as started, want %d", leftOut, j.Placed(), want)
-		}
-	}
-}
-
 // TestSilentZone has most machines of a zone go silent together while the others
 // are heard. What they may run waited for their leases.
 func TestSilentZone(t *testing.T) {
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -90,8 +90,8 @@
 		starts.Machines = append(starts.Machines, machine(fmt.Sprint(i), 1))
 	}
 	starts.Machines[0] = machine("0", 0) // one short of full
-	starts.Machines = append(starts.Machines, machine("all", core.MaxListed))
-	picture := core.PeerPicture{Token: 1<<64 - 1, Machines: []core.MachinePicture{machine("all", core.MaxListed)}}
+	starts.Machines = append(starts.Machines, machine("all", fleet.MaxListed))
+	picture := core.PeerPicture{Token: 1<<64 - 1, Machines: []core.MachinePicture{machine("all", fleet.MaxListed)}}
 	status := core.PeerStatus{StateAge: 1 << 62, Seat: 1<<64 - 1, Sent: 1 << 62, Release: 8, Back: 1 << 62, Known: 1<<64 - 1, Config: 1<<64 - 1, ConfigKnown: 1<<64 - 1}
 	for i := range 30 {
 		status.Zones = append(status.Zones, zones.Status{Zone: fmt.Sprintf("%064d", i), State: 3, For: 1 << 62, Times: 100})
