--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -25,9 +25,9 @@
 )
 
 // Node is what the interface asks of the controller. Every call returns an
-// answer, whatever happens.
+// answer, whatever happens. A submission without a spec is invalid for the given reason.
 type Node interface {
-	Submit(ctx context.Context, id string, spec *jobs.Spec, bad string) core.Reply
+	Submit(ctx context.Context, id string, spec *jobs.Spec, invalid string) core.Reply
 	Query(ctx context.Context, id string) core.Reply
 	Cancel(ctx context.Context, id string) core.Reply
 	Heartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) core.Reply
@@ -35,7 +35,8 @@
 	Stats(ctx context.Context) (core.Stats, bool)
 }
 
-// Handler serves the interface; more are further figures.
+// Handler serves the interface. The metrics hold those of the collectors beside the
+// controller's own.
 func Handler(n Node, log *slog.Logger, collectors ...prometheus.Collector) http.Handler {
 	r := chi.NewRouter()
 	if log.Enabled(context.Background(), slog.LevelDebug) {
@@ -47,15 +48,15 @@
 			return
 		}
 		id, spec, err := wire.DecodeSubmission(body)
-		bad := ""
+		invalid := ""
 		if err != nil {
-			bad = err.Error()
+			invalid = err.Error()
 			if id = wire.SubmissionID(body); id == "" {
-				refuse(w, bad)
+				refuse(w, invalid)
 				return
 			}
 		}
-		write(w, n.Submit(req.Context(), id, spec, bad))
+		write(w, n.Submit(req.Context(), id, spec, invalid))
 	})
 	r.Get(wire.JobsPath+"/{id}", func(w http.ResponseWriter, req *http.Request) {
 		withJobID(w, req, n.Query)
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -208,7 +208,7 @@
 // finish removes the key that says that the restore is under way.
 func (r *restorer) finish(ctx context.Context) error {
 	return r.options.retry(ctx, "writing", func() store.Outcome {
-		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}})
+		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}}) // no guard that could fail
 		return outcome
 	})
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -24,8 +24,8 @@
 	maxConns    = 4
 	// hostPageSize is how many machines one request of the machine list returns at most.
 	hostPageSize = 500
-	// budgetShare leaves some of the request budget for a controller that takes over.
-	budgetShare = 0.7
+	// budgetFraction leaves some of the request budget for a controller that takes over.
+	budgetFraction = 0.7
 )
 
 // Client talks to the cloud. Outcomes stand in for errors: Refused also where nothing was
@@ -45,14 +45,14 @@
 		baseURL: "http://" + addr,
 		http:    httpjson.NewClient(maxConns),
 		rps:     rps,
-		limiter: rate.NewLimiter(rate.Limit(rps*budgetShare), max(1, int(rps))),
+		limiter: rate.NewLimiter(rate.Limit(rps*budgetFraction), max(1, int(rps))),
 		log:     log,
 	}
 }
 
 // SetBudgetFraction sets the part of the budget that is this controller's, in (0, 1].
 func (c *Client) SetBudgetFraction(fraction float64) {
-	c.limiter.SetLimit(rate.Limit(c.rps * budgetShare * fraction))
+	c.limiter.SetLimit(rate.Limit(c.rps * budgetFraction * fraction))
 	c.limiter.SetBurst(max(1, int(c.rps*fraction)))
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -66,8 +66,11 @@
 			at = at[p].(map[string]any)
 		}
 		at[path[len(path)-1]] = value
-		b, _ := json.Marshal(m)
-		_, err := Parse(b)
+		text, err := json.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, err = Parse(text)
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s = %v: %v", field, value, err)
 		}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return 0
 	}
-	_ = r.Body.Close()
+	_ = r.Body.Close() // the status is all that counts
 	return r.StatusCode
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -71,14 +71,14 @@
 func TestAbandonedCommit(t *testing.T) {
 	reached := make(chan bool, 1)
 	release := make(chan struct{})
-	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	unresponsive := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		reached <- true
 		<-release
 	}))
-	defer silent.Close()
+	defer unresponsive.Close()
 	defer close(release)
 	log := slog.New(slog.DiscardHandler)
-	n := New(nil, state.New(strings.TrimPrefix(silent.URL, "http://"), 100, 100, log), nil, nil, nil, log)
+	n := New(nil, state.New(strings.TrimPrefix(unresponsive.URL, "http://"), 100, 100, log), nil, nil, nil, log)
 	txn := &store.Txn{Changes: []store.Change{{Key: "k", Value: []byte("1")}}}
 	n.execute(t.Context(), core.Commit{Queue: core.UserQueue, Txn: txn})
 	<-reached
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -56,16 +56,16 @@
 
 // TestEveryMessage passes each, and the largest part of a snapshot fits into a frame.
 func TestEveryMessage(t *testing.T) {
-	picture := core.PeerPicture{Block: 1, Token: 1 << 60}
-	for n := 0; len(picture.Machines) < core.PictureTasks/8; n++ {
+	snapshot := core.PeerPicture{Block: 1, Token: 1 << 60}
+	for n := 0; len(snapshot.Machines) < core.PictureTasks/8; n++ {
 		m := core.MachinePicture{Name: fmt.Sprintf("n-%020d", n), Addr: "100.100.100.100:10000", Session: 1 << 60, Seq: 1 << 60}
 		for k := range 8 {
 			m.Tasks = append(m.Tasks, fleet.Task{ID: jobs.TaskID{Job: fmt.Sprintf("wk-%040d", n), Task: 90_000 + k}, Attempt: 1 << 62, State: fleet.Running})
 		}
-		picture.Machines = append(picture.Machines, m)
+		snapshot.Machines = append(snapshot.Machines, m)
 	}
 	done := core.PeerPicture{Done: []core.TasksDone{{Job: "wk-1", Tasks: []int{0, 99_999}}}}
-	all := []any{picture, done}
+	all := []any{snapshot, done}
 	for _, m := range messages {
 		all = append(all, m.value)
 	}
--- a/internal/peer/split.go
+++ b/internal/peer/split.go
@@ -60,7 +60,7 @@
 		closeConn(conn)
 		return
 	}
-	_ = conn.SetReadDeadline(time.Time{})
+	_ = conn.SetReadDeadline(time.Time{}) // on a closed connection the next read fails
 	target := frames
 	if slices.ContainsFunc(httpMethods, func(method []byte) bool { return bytes.Equal(first, method) }) {
 		target = requests
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -24,18 +24,20 @@
 		served <- (&Link{}).Serve(t.Context(), frames, func(_ string, m any) { received <- m })
 	}()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
-		_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), b...)) // the client checks what it gets
+		b, _ := io.ReadAll(r.Body)                                        // the client checks what it gets
+		_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), b...)) // likewise
 	})}
 	go func() { _ = server.Serve(requests) }()
 	defer func() { _ = server.Close() }()
 	for range 3 {
-		mute, err := net.Dial("tcp4", addr)
+		stalled, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeConn(mute)
-		_, _ = mute.Write([]byte("PO"))
+		defer closeConn(stalled)
+		if _, err := stalled.Write([]byte("PO")); err != nil {
+			t.Fatal(err)
+		}
 	}
 	for _, method := range []string{"GET", "PUT", "POST"} {
 		if answer := exchange(t, method, "http://"+addr+"/config", "body"); answer != method+" /config body" {
--- a/internal/wire/neighbours.go
+++ b/internal/wire/neighbours.go
@@ -120,9 +120,9 @@
 func DecodeOrders(body []byte) (ReceivedOrders, error) {
 	var received struct {
 		Redirect
-		Token    *uint64   `json:"baton"`
-		Session  *uint64   `json:"shift"`
-		Commands []Command `json:"calls"`
+		FencingToken *uint64   `json:"baton"`
+		Incarnation  *uint64   `json:"shift"`
+		Commands     []Command `json:"calls"`
 	}
 	if !isObject(body) {
 		return ReceivedOrders{}, errNotObject
@@ -130,7 +130,7 @@
 	if err := json.Unmarshal(body, &received); err != nil {
 		return ReceivedOrders{}, err
 	}
-	orders := ReceivedOrders{Node: received.Node, FencingToken: received.Token, Incarnation: received.Session}
+	orders := ReceivedOrders{Node: received.Node, FencingToken: received.FencingToken, Incarnation: received.Incarnation}
 	for _, command := range received.Commands {
 		id, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
--- a/internal/wire/neighbours_test.go
+++ b/internal/wire/neighbours_test.go
@@ -18,11 +18,11 @@
 func TestBothEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := func(name string) int64 { return rapid.Int64Range(0, 1e6).Draw(t, name) }
-		micros := func(name string) units.Microseconds { return units.Microseconds(amount(name)) }
+		microseconds := func(name string) units.Microseconds { return units.Microseconds(amount(name)) }
 		spec := &jobs.Spec{Class: "c", Team: "t", Image: "i", Service: rapid.Bool().Draw(t, "service"), Priority: jobs.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 			Tasks: rapid.IntRange(1, jobs.MaxTasks).Draw(t, "tasks"), Demand: binpack.Vec{amount("cpus"), amount("gpus"), amount("memory")}, ImageMB: amount("image"),
 			AnyType: true, OneZone: rapid.Bool().Draw(t, "one"), Spread: rapid.Bool().Draw(t, "spread"), Spot: rapid.Bool().Draw(t, "spot"),
-			Estimate: micros("estimate"), Checkpoint: micros("checkpoint"), Save: micros("save"), Deadline: micros("deadline")}
+			Estimate: microseconds("estimate"), Checkpoint: microseconds("checkpoint"), Save: microseconds("save"), Deadline: microseconds("deadline")}
 		if rapid.Bool().Draw(t, "bound") {
 			spec.AnyType, spec.Types, spec.Zone, spec.Awaits = false, []string{"a", "b"}, "z", []string{"wk-000001", "wk-000002"}
 		}
@@ -58,7 +58,7 @@
 		for _, x := range heartbeat.Tasks {
 			c := fleet.Command{Op: rapid.SampledFrom([]fleet.Op{fleet.Start, fleet.Stop, fleet.Forget}).Draw(t, "op"), ID: x.ID, Attempt: x.Attempt}
 			if c.Op == fleet.Stop {
-				c.Grace = micros("grace")
+				c.Grace = microseconds("grace")
 			}
 			want = append(want, c)
 			orders.Commands = append(orders.Commands, EncodeCommand(c))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -80,7 +80,7 @@
 	if json.Unmarshal(body, &v) != nil {
 		return ""
 	}
-	id, _ := v.ID.(string)
+	id, _ := v.ID.(string) // "" is no usable id
 	if !jobs.ValidID(id) {
 		return ""
 	}
@@ -141,7 +141,9 @@
 			return "", nil, err
 		}
 	}
-	if b, _ := json.Marshal(spec); len(b) > maxDescription {
+	if encoded, err := json.Marshal(spec); err != nil {
+		return "", nil, fmt.Errorf("description: %w", err)
+	} else if len(encoded) > maxDescription {
 		return "", nil, errors.New("description too long")
 	}
 	if err := received.readDependencies(spec); err != nil {
