--- a/internal/core/replication/replication.go
+++ b/internal/core/replication/replication.go
@@ -87,9 +87,10 @@
 	giveUpAfter = 4 * units.Second / 5
 	// pause is the time before somebody is to stand by again.
 	pause = units.Second
-	// window bounds the messages without an answer, and MessageSize the tasks and machines in
-	// one, which must fit into a frame between controllers.
-	window      = 16
+	// window bounds the messages without an answer.
+	window = 16
+	// MessageSize bounds the tasks and machines in a message, which must fit into a frame
+	// between controllers.
 	MessageSize = 400
 	// machineSize is what a machine counts of that beside its tasks.
 	machineSize = 4
