--- a/cmd/shalestage/zone.go
+++ b/cmd/shalestage/zone.go
@@ -48,7 +48,7 @@
 	words := core.OperatorOverrides(items)
 	if o.Zone == "" {
 		for _, w := range words {
-			fmt.Printf("%-20s %s\n", w.Zone, w.Word)
+			fmt.Printf("%-20s %s\n", w.Zone, w.Override)
 		}
 		return nil
 	}
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -42,9 +42,9 @@
 	return keys.TypePrefix + name
 }
 
-// tooOld reports whether a controller runs a release that cannot find archived jobs, or
+// incompatible reports whether a controller runs a release that cannot find archived jobs, or
 // does not go by the configuration that is stored.
-func (c *Core) tooOld(node string) bool {
+func (c *Core) incompatible(node string) bool {
 	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// TestOldCopyAnswersNobody lets renewals succeed while nothing is read any more: authority
+// TestOutdatedCacheAnswersNobody lets renewals succeed while nothing is read any more: authority
 // used to be renewed over a copy that grew old without end. And after an outage the first
 // renewal used to make a holder valid at once, over a copy from before it.
-func TestOldCopyAnswersNobody(t *testing.T) {
+func TestOutdatedCacheAnswersNobody(t *testing.T) {
 	c := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}})
 	c.cfg.CancelWithin, c.cfg.Lease, c.cfg.LeaderTTL = 60*units.Second, 20*units.Second, units.Second
 	c.cancellations = cancellations.New(cancellations.Config{Peers: 2})
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -108,9 +108,9 @@
 // does not know of such changes is known, none is made: it would go by its settings file.
 func (c *Core) Configure(now units.Microseconds, req RequestID, r configuration.Request) {
 	c.advance(now)
-	if old := c.peers.OlderThan(peering.ReleaseConfig); old != "" {
+	if olderPeer := c.peers.OlderThan(peering.ReleaseConfig); olderPeer != "" {
 		c.emit(Reply{Request: req, Code: http.StatusServiceUnavailable, RetryAfter: admission.LongRetryAfter,
-			Body: ConfigRefused{&configuration.Unavailable{Reason: "controller " + old + " still runs an older release, which goes by its settings file"}}})
+			Body: ConfigRefused{&configuration.Unavailable{Reason: "controller " + olderPeer + " still runs an older release, which goes by its settings file"}}})
 		return
 	}
 	c.config.Change(c.now, c.wall, uint64(req), r)
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestHolderThatIsBehind tells a holder, by another's status or promise, of a version that it
+// TestOwnerWithOlderConfiguration tells a holder, by another's status or promise, of a version that it
 // lacks: it starts and accepts nothing until it has it.
-func TestHolderThatIsBehind(t *testing.T) {
+func TestOwnerWithOlderConfiguration(t *testing.T) {
 	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
 	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerPromise{ConfigKnown: 3}} {
 		c := holding(t, nil)
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestShareOfALowerLimit lowers a limit while a block has a share of it: the block's part is
+// TestAllocationOfALowerLimit lowers a limit while a block has a share of it: the block's part is
 // the same share of the new one, and what it uses beyond is told.
-func TestShareOfALowerLimit(t *testing.T) {
+func TestAllocationOfALowerLimit(t *testing.T) {
 	c := holding(t, configRecords(1, 40_000))
 	shard := c.owned[0]
 	allocate(t, c, 0, 0.25)
@@ -109,18 +109,18 @@
 	if r := replyTo(t, c, 7); r.Code != 503 || r.RetryAfter == 0 {
 		t.Errorf("%+v", r)
 	}
-	if c.tooOld("b") {
+	if c.incompatible("b") {
 		t.Error("too old, and nothing is stored")
 	}
 	c.config.PeerKnows(1)
-	if !c.tooOld("b") {
+	if !c.incompatible("b") {
 		t.Error("may hold a block though it does not go by the stored version")
 	}
 }
 
-// TestManyTeamsAboveTheirShare has more teams above their share than a status can name: it
+// TestManyTeamsOverAllocation has more teams above their share than a status can name: it
 // stays small, and says that the block's use is not known.
-func TestManyTeamsAboveTheirShare(t *testing.T) {
+func TestManyTeamsOverAllocation(t *testing.T) {
 	c := holding(t, configRecords(1, 40_000))
 	shard := c.owned[0]
 	var content configuration.Content
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestTeamsAboveTheirShareAtTheLimit has as many teams with the longest names above their share
+// TestTeamsOverAllocationAtTheLimit has as many teams with the longest names above their share
 // as a status has room for, and one more: then none is named, and the use is not known.
-func TestTeamsAboveTheirShareAtTheLimit(t *testing.T) {
+func TestTeamsOverAllocationAtTheLimit(t *testing.T) {
 	const room = MaxOver / (configuration.MaxName + 4) // 4 bytes round each name
 	if room < 340 {
 		t.Errorf("room for %d teams", room)
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// TestLateReportOfReturnedMachine brings a report that a cut has held back after
+// TestDelayedHeartbeatOfDeprovisionedMachine brings a report that a cut has held back after
 // its machine was returned. It was taken for a living machine, and the tasks that
 // it showed waited for it instead of starting elsewhere.
-func TestLateReportOfReturnedMachine(t *testing.T) {
+func TestDelayedHeartbeatOfDeprovisionedMachine(t *testing.T) {
 	c, code := reportOfReturned(t, guard.None)
 	if code != 421 {
 		t.Fatalf("answered %d", code)
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -112,7 +112,7 @@
 
 // Only what is stored passes along the graph, and a job that awaits a cancelled
 // one is accepted and cancelled; what follows from it is stored in the end.
-func TestOutcomesPassAlong(t *testing.T) {
+func TestOutcomesPropagate(t *testing.T) {
 	c := holding(t, map[string]any{
 		jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(job("wk-000001")), jobPrefix + "wk-000003": pending(job("wk-000002")),
 	})
@@ -281,7 +281,7 @@
 
 // A block whose holder has ended goes to a controller that is not to be replaced
 // next, though an older one held it last.
-func TestNewReleaseHolds(t *testing.T) {
+func TestNewReleaseOwns(t *testing.T) {
 	c := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	for i, r := range []int{0, peering.Release, peering.Release} {
 		node := string(rune('a' + i))
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -101,7 +101,7 @@
 func (c plannerHost) OutOfReach(node string) bool { return c.peerUnreachable(node) }
 
 // Outdated implements shardplan.Members.
-func (c plannerHost) Outdated(node string) bool { return c.tooOld(node) }
+func (c plannerHost) Outdated(node string) bool { return c.incompatible(node) }
 
 // ToBeUpgraded implements shardplan.Members.
 func (c plannerHost) ToBeUpgraded(node string) bool {
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -89,7 +89,7 @@
 	case strings.HasPrefix(e.Key, configPrefix):
 		err = c.config.Learn(c.now, e)
 	case strings.HasPrefix(e.Key, overridePrefix):
-		err = c.learnWord(e)
+		err = c.learnOverride(e)
 	case strings.HasPrefix(e.Key, standbyPrefix):
 		err = c.learnStandby(e)
 	case strings.HasPrefix(e.Key, allocationPrefix):
@@ -151,8 +151,8 @@
 
 // setType keeps the type's identity, as machines point to it.
 func (c *Core) setType(t fleet.Type) {
-	if old := c.types[t.Name]; old != nil {
-		*old = t
+	if known := c.types[t.Name]; known != nil {
+		*known = t
 		return
 	}
 	c.types[t.Name] = &t
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -22,19 +22,19 @@
 
 // OperatorOverride is what an operator has said of a zone.
 type OperatorOverride struct {
-	Zone string         `json:"-"`
-	Word zones.Override `json:"word"`
+	Zone     string         `json:"-"`
+	Override zones.Override `json:"word"`
 }
 
-// learnWord takes an operator's word.
-func (c *Core) learnWord(e store.Event) error {
+// learnOverride takes an operator's word.
+func (c *Core) learnOverride(e store.Event) error {
 	var w OperatorOverride
 	if e.Value != nil {
 		if err := json.Unmarshal(e.Value, &w); err != nil {
 			return err
 		}
 	}
-	return c.zones.SetOverride(e.Key[len(overridePrefix):], w.Word)
+	return c.zones.SetOverride(e.Key[len(overridePrefix):], w.Override)
 }
 
 // OperatorOverrides returns the words among the keys of the state service, by zone.
@@ -70,7 +70,7 @@
 	key := overridePrefix + zone
 	ch := store.Change{Key: key}
 	if word != zones.NoOverride {
-		ch.Value = store.Value(OperatorOverride{Word: word})
+		ch.Value = store.Value(OperatorOverride{Override: word})
 	}
 	return &store.Write{Guards: []store.Guard{{Key: key, Version: items[key].Stamp}}, Changes: []store.Change{ch}}, nil
 }
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -11,7 +11,7 @@
 
 // An operator's word reaches the picture of the zones by its record and is taken back by its
 // removal; one about a zone in which nothing is offered is refused with those that there are.
-func TestOperatorsWord(t *testing.T) {
+func TestOperatorOverride(t *testing.T) {
 	items := map[string]store.Event{typePrefix + "big": {Key: typePrefix + "big", Value: store.Value(fleet.Type{Name: "big", Zones: []string{"a", "b"}}), Stamp: 3}}
 	c := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	say := func(zone string, w zones.Override) error {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -101,7 +101,7 @@
 
 // servedPeer names a controller that is alive and was served by the state service lately; "": none.
 func (c *Core) servedPeer() string {
-	return c.peers.BestServed(c.now, func(node string) bool { return !c.tooOld(node) })
+	return c.peers.BestServed(c.now, func(node string) bool { return !c.incompatible(node) })
 }
 
 // shouldForward reports whether a request should go to another controller right away: the state
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -16,10 +16,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestMachineAgeOutlivesHolder has a new holder take over a machine that was
+// TestMachineAgeOutlivesOwner has a new holder take over a machine that was
 // rented long ago. Taken for new, it would be kept idle for its least charge once
 // more: with a hand-over a minute nothing was returned at all.
-func TestMachineAgeOutlivesHolder(t *testing.T) {
+func TestMachineAgeOutlivesOwner(t *testing.T) {
 	c := New(Config{Node: "a", Size: 1, TxnOps: 8, ValueKB: 8, StateRate: 100, WriteRate: 50,
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second})
 	now, wall := units.Second, 1000*units.Second
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestSilentZone has most machines of a zone go silent together while the others
+// TestUnresponsiveZone has most machines of a zone go silent together while the others
 // are heard. What they may run waited for their leases.
-func TestSilentZone(t *testing.T) {
+func TestUnresponsiveZone(t *testing.T) {
 	var names []string
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("n-%d", i))
@@ -67,12 +67,12 @@
 	}
 }
 
-// TestMachineThatIsGoneIsNotWaitedFor has machines taken, or returned, while nothing could
+// TestDeprovisionedMachineIsNotWaitedFor has machines taken, or returned, while nothing could
 // be stored of it. The list does not show them, so that their addresses are not known and
 // they were never asked: all work that was accepted earlier waited 10 s for them, and 14 s
 // for many. One that is too young to be listed is waited for, and so are all where a list
 // shows hardly any.
-func TestMachineThatIsGoneIsNotWaitedFor(t *testing.T) {
+func TestDeprovisionedMachineIsNotWaitedFor(t *testing.T) {
 	names := []string{"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	for _, c := range []struct {
 		gone   int // the last ones
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestLateBoot has a job wait for a machine that does not come up. It waited for as
+// TestSlowBoot has a job wait for a machine that does not come up. It waited for as
 // long as the slowest machines take, 160 s: no other was rented for it.
-func TestLateBoot(t *testing.T) {
+func TestSlowBoot(t *testing.T) {
 	for rented, want := range map[units.Microseconds]bool{5 * units.Second: false, 25 * units.Second: true} {
 		c := holding(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}, ProvisionedAt: 1000*units.Second - rented},
@@ -187,11 +187,11 @@
 	}
 }
 
-// TestGrantBeforeAnswerToSeat has the leader see a controller's new seat, and grant
+// TestAssignmentBeforeMembershipIsAnswered has the leader see a controller's new seat, and grant
 // it the block, before the state service's answer has come to the controller. It
 // missed the grant and held nothing as long as its seat stood: no work started,
 // though everything worked (rehearsals/drawn.toml, seed 407).
-func TestGrantBeforeAnswerToSeat(t *testing.T) {
+func TestAssignmentBeforeMembershipIsAnswered(t *testing.T) {
 	c := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * units.Second,
 		Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CancelWithin: 40 * units.Second})
 	c.Tick(units.Second, 1000*units.Second)
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -109,9 +109,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkReport measures what a heartbeat costs that shows a completed task: rankings, the
+// BenchmarkHeartbeatByJobs measures what a heartbeat costs that shows a completed task: rankings, the
 // next start, and the look for what it might stop.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeatByJobs(b *testing.B) {
 	for _, size := range []struct{ machines, teams, waiting int }{
 		{100, 10, 300}, {100, 30, 300}, {100, 100, 300}, {100, 340, 300},
 		{100, 340, 100}, {100, 340, 1000}, {100, 340, 3000}, {100, 10, 3000},
@@ -129,10 +129,10 @@
 	}
 }
 
-// TestReportSteps holds what a heartbeat costs to a bound that grows neither with the jobs that wait
+// TestHeartbeatSteps holds what a heartbeat costs to a bound that grows neither with the jobs that wait
 // nor with the teams, counted in jobs that are looked at. It used to grow with both: each ranking
 // added up all teams for every job, and each heartbeat went through all jobs.
-func TestReportSteps(t *testing.T) {
+func TestHeartbeatSteps(t *testing.T) {
 	perHeartbeat := func(teams, waiting int) float64 {
 		f := newBusyFleet(t, 100, teams, waiting)
 		const reports = 3 * fleetHeartbeats
@@ -158,9 +158,9 @@
 	}
 }
 
-// BenchmarkHolderMemory measures what a holder keeps: of machines with their tasks, with few jobs
+// BenchmarkOwnerMemory measures what a holder keeps: of machines with their tasks, with few jobs
 // that wait; and of jobs that wait, with few machines.
-func BenchmarkHolderMemory(b *testing.B) {
+func BenchmarkOwnerMemory(b *testing.B) {
 	for _, size := range []struct{ machines, waiting int }{{370, 300}, {925, 300}, {1850, 300}, {3700, 300}, {100, 1000}, {100, 3000}, {100, 10_000}, {100, 30_000}} {
 		b.Run(fmt.Sprintf("machines=%d/waiting=%d", size.machines, size.waiting), func(b *testing.B) {
 			for b.Loop() {
