--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -88,6 +88,10 @@
 	return token*attemptsPerAssignment + n%attemptsPerAssignment
 }
 
+// AttemptsUsedUp reports whether an assignment has no attempt number after its n-th: the next would
+// be one that it has used.
+func AttemptsUsedUp(n uint64) bool { return n >= attemptsPerAssignment-1 }
+
 // Authority is the time for which a seat surely stands, so that nothing that it
 // holds can have been given to another.
 //
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -208,6 +208,38 @@
 	}
 }
 
+// TestMostTeams stores as many teams with the longest names as there may be in values of 8 KiB,
+// and 340 in values of 2 KiB. One more, or what such values cannot hold, is refused with the
+// field and the limit.
+func TestMostTeams(t *testing.T) {
+	for _, c := range []struct {
+		value, teams int
+		refused      string
+	}{
+		{8 << 10, MaxTeams, ""}, {2 << 10, 340, ""},
+		{8 << 10, MaxTeams + 1, "teams: want at most 1024, removed ones that still have jobs included, got 1025"},
+		{2 << 10, MaxTeams, "teams: too many for values of 2048 bytes: their list takes 2546"},
+	} {
+		var content Content
+		for i := range c.teams {
+			content.Teams = append(content.Teams, Team{Name: fmt.Sprintf("%0*d", MaxName, i), Guarantee: binpack.Vec{1e11, 1e11}, Limit: binpack.Vec{1e11, 1e11}})
+		}
+		err := content.Check()
+		var e encoded
+		if err == nil {
+			e, err = encode(content, c.value)
+		}
+		if err == nil && c.refused != "" || err != nil && err.Error() != c.refused {
+			t.Errorf("%d teams in values of %d bytes: %v", c.teams, c.value, err)
+		}
+		for k, v := range e.values {
+			if len(v) > c.value {
+				t.Errorf("%s takes %d bytes of %d", k, len(v), c.value)
+			}
+		}
+	}
+}
+
 // TestWrongOnesAreRefused has wrong contents refused with the field, and nothing changed.
 func TestWrongOnesAreRefused(t *testing.T) {
 	service := newService(t, 4, 2048)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -3,9 +3,12 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
+	"sort"
 	"testing"
 	"time"
 
+	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
@@ -27,7 +30,8 @@
 	answers  map[RequestID]Reply
 	answered int // at the last look
 	started  map[RequestID]int
-	starts   int // at the last look
+	starts   int      // at the last look
+	commits  []Commit // that are not answered
 }
 
 func newIdleFleet(t testing.TB, z, y int) *idleFleet {
@@ -73,6 +77,9 @@
 func (f *idleFleet) collect() {
 	f.answered, f.starts = 0, 0
 	for _, e := range f.c.Drain() {
+		if commit, ok := e.(Commit); ok {
+			f.commits = append(f.commits, commit)
+		}
 		r, ok := e.(Reply)
 		if !ok {
 			continue
@@ -185,3 +192,90 @@
 		})
 	}
 }
+
+// TestUnknownMachinesAtTheLimit has as many machines send heartbeats that nobody has provisioned as
+// are remembered, and one more: all are sent on, and after a while those that are remembered are
+// taken in. The one beyond is remembered once there is room.
+func TestUnknownMachinesAtTheLimit(t *testing.T) {
+	if reconcile.MaxUnknown < fleet.FullShard {
+		t.Errorf("%d unknown machines are remembered", reconcile.MaxUnknown)
+	}
+	c := holding(t, nil)
+	req := RequestID(1000)
+	report := func(i int) int {
+		req++
+		c.Heartbeat(c.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.Never})
+		for _, e := range c.Drain() {
+			if r, ok := e.(Reply); ok && r.Request == req {
+				return r.Code
+			}
+		}
+		return 0
+	}
+	for i := range reconcile.MaxUnknown + 1 {
+		if code := report(i); code != 421 {
+			t.Fatalf("machine %d is answered %d", i, code)
+		}
+	}
+	if n := c.owned[0].reconciler.Unknown(); n != reconcile.MaxUnknown {
+		t.Errorf("%d are remembered", n)
+	}
+	c.Tick(c.now+reconcile.AdoptAfter, c.wall+reconcile.AdoptAfter)
+	for i := range reconcile.MaxUnknown {
+		if code := report(i); code != 200 {
+			t.Fatalf("machine %d is answered %d", i, code)
+		}
+	}
+	for _, want := range []int{421, 200} {
+		if code := report(reconcile.MaxUnknown); code != want {
+			t.Errorf("the one beyond is answered %d, want %d", code, want)
+		}
+		c.Tick(c.now+reconcile.AdoptAfter, c.wall+reconcile.AdoptAfter)
+	}
+}
+
+// TestLastAttemptOfAnAssignment has an owner start tasks up to the last attempt number of its
+// assignment. Numbers used to begin anew then, so that a task's attempt could have the number of an earlier
+// one. The shard is released instead, and its next assignment starts the rest.
+func TestLastAttemptOfAnAssignment(t *testing.T) {
+	const left = 3
+	f := newIdleFleet(t, 2*left, 0)
+	f.submit(2*left, "")
+	j := f.c.jobs.Get("wk-000001")
+	f.shard.attempts = uint64(sort.Search(1<<40, func(n int) bool { return authority.AttemptsUsedUp(uint64(n)) }) - left)
+	f.look()
+	if f.starts != left || j.Placed() != left {
+		t.Fatalf("%d tasks started with %d numbers left", f.starts, left)
+	}
+	last := uint64(0)
+	for i := range 2 * left {
+		for id, a := range f.shard.reconciler.Machine(machineName(i)).Tasks {
+			if a.Number <= last && last != 0 || a.Number >= authority.AttemptNumber(f.shard.fencingToken+1, 0) || a.Number <= authority.AttemptNumber(f.shard.fencingToken, 0) {
+				t.Errorf("%s has attempt %d after %d", id, a.Number, last)
+			}
+			last = a.Number
+		}
+	}
+	f.c.Tick(f.c.now+units.Second/20, f.c.wall+units.Second/20)
+	released, stored := f.shard.releasing, false // the release is sent once the writes before it are answered
+	for range 20 {
+		for _, commit := range f.commits {
+			stored = stored || slices.ContainsFunc(commit.Txn.Changes, func(change store.Change) bool {
+				return change.Key == assignmentKey(0) && string(change.Value) == string(store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}))
+			})
+			f.c.OnCommit(f.c.now, commit.Queue, commit.Txn, store.Unknown, 0, nil)
+		}
+		f.commits = nil
+		f.look()
+	}
+	if !released || !stored {
+		t.Fatalf("released %v, being stored %v", released, stored)
+	}
+	// That is stored, and the leader assigns the shard anew.
+	f.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}), Stamp: 300})
+	f.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 1}), Stamp: 301})
+	shard := f.c.owned[0]
+	if shard == nil || shard == f.shard || shard.attempts != 0 || shard.fencingToken <= f.shard.fencingToken {
+		t.Fatalf("next assignment %+v", shard)
+	}
+}
--- a/internal/core/reconcile/admission.go
+++ b/internal/core/reconcile/admission.go
@@ -26,8 +26,9 @@
 	// AdoptAfter is how long a machine must be unknown to all before it is adopted: whoever has
 	// provisioned it needs a moment to store that.
 	AdoptAfter = 10 * units.Second
-	// maxUnknown bounds the unknown machines that are remembered.
-	maxUnknown = 5000
+	// MaxUnknown bounds the unknown machines that are remembered. One beyond is remembered once
+	// there is room.
+	MaxUnknown = 5000
 )
 
 // Admit decides whether a heartbeat may change anything of a shard that is surely owned. stored
@@ -52,8 +53,11 @@
 // whoever provisioned it would have stored it.
 func (r *Reconciler) adoptable(now units.Microseconds, machine string) bool {
 	since, seen := r.unknown[machine]
-	if !seen && len(r.unknown) < maxUnknown {
+	if !seen && r.Unknown() < MaxUnknown {
 		r.unknown[machine] = now
 	}
 	return seen && now-since >= AdoptAfter
 }
+
+// Unknown counts the machines that are remembered as stored nowhere.
+func (r *Reconciler) Unknown() int { return len(r.unknown) }
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -132,10 +132,10 @@
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
-	for i := range maxUnknown + 10 {
+	for i := range MaxUnknown + 10 {
 		owner.reconciler.Admit(second, &fleet.Heartbeat{Machine: fmt.Sprint(i)}, false)
 	}
-	if len(owner.reconciler.unknown) != maxUnknown {
+	if len(owner.reconciler.unknown) != MaxUnknown {
 		t.Errorf("%d unknown machines are remembered", len(owner.reconciler.unknown))
 	}
 }
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -72,6 +72,9 @@
 	return authority.AttemptNumber(h.shard.fencingToken, h.shard.attempts)
 }
 
+// AttemptsUsedUp implements scheduler.Host.
+func (h schedulerHost) AttemptsUsedUp() bool { return authority.AttemptsUsedUp(h.shard.attempts) }
+
 // TaskPlaced implements scheduler.Host.
 func (h schedulerHost) TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt) {
 	h.shard.reconciler.Place(machine, id, attempt)
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -96,9 +96,10 @@
 
 // mayPlace reports whether one more task of a job may start on a machine beside those that were
 // started there just now: the response and the machine's next heartbeat stay within their bounds,
-// the team within its limit, and the job's tasks in the zones that they may share.
+// there is an attempt number left, the team stays within its limit, and the job's tasks in the
+// zones that they may share.
 func (s *Scheduler) mayPlace(wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, started int) bool {
-	if started == fleet.MaxStarts || machine.Listed+started >= fleet.MaxListed {
+	if started == fleet.MaxStarts || machine.Listed+started >= fleet.MaxListed || s.host.AttemptsUsedUp() {
 		return false
 	}
 	if !s.quota.Allows(job.Spec().Team, s.demandOnLimit(wall, job)) {
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -79,6 +79,8 @@
 	// NextAttempt returns the number of the next attempt. No two attempts of a task have the same,
 	// whoever owns the shard.
 	NextAttempt() uint64
+	// AttemptsUsedUp reports whether there is no such number left: nothing may start.
+	AttemptsUsedUp() bool
 	// TaskPlaced takes in that an attempt may run on a machine from now on.
 	TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt)
 }
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -102,6 +102,8 @@
 	return cpu, len(f.teams)
 }
 
+func (f *fakeShard) AttemptsUsedUp() bool { return false }
+
 func (f *fakeShard) NextAttempt() uint64 {
 	f.attempts++
 	return f.attempts
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -198,6 +198,10 @@
 	if !c.Owns(c.now, shard.number) {
 		return
 	}
+	if authority.AttemptsUsedUp(shard.attempts) { // after some 16.8 million starts; the next assignment has numbers of its own
+		c.release(shard, "the attempt numbers of its assignment are used up")
+		return
+	}
 	if c.unreachable(shard) {
 		c.reachability.ShardsReleased(c.now)
 		for _, k := range sortedShards(c.owned) {
