--- a/internal/emulator/account/account.go
+++ b/internal/emulator/account/account.go
@@ -10,7 +10,7 @@
 
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
-	"shalestage.example/shalestage/internal/emulator/rental"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 )
 
 // Every is how often an account looks at the machines: what holds at a look is taken to
@@ -45,7 +45,7 @@
 
 // Machine is a machine that is paid for, as a look finds it.
 type Machine struct {
-	*rental.Machine
+	*cloudprovider.Machine
 	Up                bool
 	Cut               bool // its zone is cut off
 	CPUs              float64
@@ -55,7 +55,7 @@
 
 // Row is what one pool's machines cost, by use.
 type Row struct {
-	Pool     rental.Pool
+	Pool     cloudprovider.Pool
 	Machines int
 	Spent    [Uses]float64
 }
@@ -70,7 +70,7 @@
 }
 
 type machine struct {
-	host   *rental.Machine
+	host   *cloudprovider.Machine
 	row    *Row
 	up     bool
 	worked bool
@@ -86,14 +86,14 @@
 
 // Account is a play's. Its memory grows with the machines that are rented at one time.
 type Account struct {
-	rows map[rental.Pool]*Row
+	rows map[cloudprovider.Pool]*Row
 	live map[string]*machine
 	at   units.Microseconds
 }
 
 // New returns an account of nothing.
 func New() *Account {
-	return &Account{rows: map[rental.Pool]*Row{}, live: map[string]*machine{}}
+	return &Account{rows: map[cloudprovider.Pool]*Row{}, live: map[string]*machine{}}
 }
 
 // Look takes all machines that are paid for at a time.
@@ -109,7 +109,7 @@
 			m = &machine{host: x.Machine, row: a.row(x.Pool), tasks: map[jobs.TaskID]held{}}
 			m.row.Machines++
 			a.live[x.Name] = m
-			since = (at - x.Rented).Seconds() / 3600 // it was rented since the last look
+			since = (at - x.CreatedAt).Seconds() / 3600 // it was rented since the last look
 		}
 		m.spend(x, x.Rate*since)
 	}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (a *Account) row(p rental.Pool) *Row {
+func (a *Account) row(p cloudprovider.Pool) *Row {
 	r := a.rows[p]
 	if r == nil {
 		r = &Row{Pool: p}
@@ -169,7 +169,7 @@
 // neither is it paid for.
 func (a *Account) gone(at units.Microseconds, m *machine) {
 	m.close()
-	if left := rental.LeastCharge - (at - m.host.Rented); left > 0 && m.host.Died == units.Never && !m.host.Taken {
+	if left := cloudprovider.MinimumCharge - (at - m.host.CreatedAt); left > 0 && m.host.DiedAt == units.Never && !m.host.Reclaimed {
 		m.row.Spent[Least] += m.rate * left.Seconds() / 3600
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	clear(a.live)
 	var out []Row
-	for _, p := range slices.SortedFunc(maps.Keys(a.rows), func(x, y rental.Pool) int {
+	for _, p := range slices.SortedFunc(maps.Keys(a.rows), func(x, y cloudprovider.Pool) int {
 		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), -boolean(x.Spot)+boolean(y.Spot))
 	}) {
 		out = append(out, *a.rows[p])
--- /dev/null
+++ b/internal/emulator/cloudprovider/machine.go
@@ -0,0 +1,169 @@
+package cloudprovider
+
+import (
+	"fmt"
+
+	"shalestage.example/shalestage/internal/core/units"
+)
+
+// Machine is a machine that was created. Times are units.Never until they come.
+type Machine struct {
+	Name string
+	Addr string
+	Pool
+	CreatedAt  units.Microseconds
+	UpAt       units.Microseconds // when its worker started
+	DiedAt     units.Microseconds // when it failed by itself
+	DeletedAt  units.Microseconds // when it was deleted or reclaimed
+	Reclaimed  bool               // by the provider, rather than deleted
+	Speed      float64            // of its processors, about 1
+	FetchSpeed float64            // of its image fetches, about 1
+	FailsTasks bool               // every task fails
+
+	listed             bool
+	integralAtCreation float64 // of its type's spot price
+	costAtDeath        float64 // of a machine that has died: nothing more is charged
+	reclaimDraws       int     // of when it is reclaimed; the last one counts
+}
+
+// Effects.
+type (
+	// MachineStarted says that a machine's worker starts.
+	MachineStarted struct{ *Machine }
+	// MachineEnded says that a machine was deleted or reclaimed or has died, with all that was on it.
+	MachineEnded struct{ *Machine }
+	// ReclaimNotice says that a machine's worker is told that the machine will be reclaimed.
+	ReclaimNotice struct {
+		*Machine
+		In units.Microseconds // as announced; it may be off by half
+	}
+)
+
+// create adds a machine: its speed, its faults and its boot time are drawn.
+func (p *Provider) create(now units.Microseconds, pool Pool, history *priceHistory) *Machine {
+	created := &Machine{Name: fmt.Sprintf("n-%06d", p.nextNumber), Pool: pool, CreatedAt: now, UpAt: units.Never, DiedAt: units.Never, DeletedAt: units.Never,
+		Speed: 0.9 + 0.2*p.rng.Float64(), FetchSpeed: 0.67 + 0.66*p.rng.Float64(), integralAtCreation: history.integral(now)}
+	switch d := p.rng.Float64(); {
+	case d < p.config.FailingShare:
+		created.FailsTasks = true
+	case d < p.config.FailingShare+p.config.SlowShare:
+		created.Speed *= 0.1 + 0.4*p.rng.Float64()
+	}
+	p.nextNumber++
+	p.machines = append(p.machines, created)
+	p.byName[created.Name] = created
+	p.used[pool]++
+	if boot, ok := p.drawBootTime(now, history.MachineType); ok {
+		p.steps.Add(now+boot, step{kind: stepBoot, machine: created})
+	}
+	if pool.Spot {
+		p.scheduleReclaim(now, created)
+	}
+	return created
+}
+
+// drawBootTime draws how long a machine boots; false: it never comes up. Besides those that never
+// do, two in a hundred boot several times slower, and two within seconds.
+func (p *Provider) drawBootTime(now units.Microseconds, of MachineType) (units.Microseconds, bool) {
+	boot := float64(of.Boot) * (0.6 + 0.9*p.rng.Float64())
+	comesUp := true
+	switch d := p.rng.Float64(); {
+	case d < of.BootFailShare:
+		comesUp = false
+	case d < of.BootFailShare+0.02:
+		boot = float64(of.Boot) * (2 + 4*p.rng.Float64())
+	case d < of.BootFailShare+0.04:
+		boot = (1 + p.rng.Float64()) * float64(units.Second)
+	}
+	if now < p.quickBootUntil {
+		comesUp = true
+		boot = (0.1 + 0.9*p.rng.Float64()) * float64(quickBoot)
+	}
+	return units.Microseconds(boot), comesUp
+}
+
+// scheduleReclaim draws when a spot machine is reclaimed, at the present rate. One that would be
+// more than a day ahead never comes.
+func (p *Provider) scheduleReclaim(now units.Microseconds, m *Machine) {
+	m.reclaimDraws++
+	if p.config.ReclaimRate <= 0 {
+		return
+	}
+	at := now + units.Microseconds(p.rng.ExpFloat64()/p.config.ReclaimRate*3600*float64(units.Second))
+	if at < now+24*3600*units.Second {
+		p.steps.Add(at, step{stepNotice, m, m.reclaimDraws})
+	}
+}
+
+// Reclaim reclaims a machine after a notice or, in a share of cases, at once without one. The
+// notice is right to within half.
+func (p *Provider) Reclaim(now units.Microseconds, m *Machine, notice units.Microseconds, silent float64) {
+	if m.DeletedAt != units.Never || m.DiedAt != units.Never {
+		return
+	}
+	if p.rng.Float64() < silent {
+		p.reclaimNow(now, m)
+		return
+	}
+	p.effects = append(p.effects, ReclaimNotice{m, notice})
+	p.steps.Add(now+units.Microseconds(float64(notice)*(0.5+p.rng.Float64())), step{kind: stepReclaim, machine: m})
+}
+
+// reclaimNow reclaims a machine that was not deleted meanwhile.
+func (p *Provider) reclaimNow(now units.Microseconds, m *Machine) {
+	if m.DeletedAt != units.Never {
+		return
+	}
+	died := m.DiedAt
+	m.Reclaimed = true
+	p.markDeleted(now, m, 0)
+	if died == units.Never {
+		p.effects = append(p.effects, MachineEnded{m})
+	}
+}
+
+// Kill lets a machine fail by itself: it is no longer billed, is listed as running for
+// failureDetection and then as failed, until it is deleted.
+func (p *Provider) Kill(now units.Microseconds, m *Machine) {
+	if m.DiedAt != units.Never || m.DeletedAt != units.Never {
+		return
+	}
+	m.costAtDeath = p.charge(now, m, 0)
+	m.DiedAt = now
+	p.effects = append(p.effects, MachineEnded{m})
+}
+
+// markDeleted frees a machine's capacity and settles its bill.
+func (p *Provider) markDeleted(now units.Microseconds, m *Machine, least units.Microseconds) {
+	m.DeletedAt = now
+	p.used[m.Pool]--
+	p.spentOnDeleted += p.charge(now, m, least)
+}
+
+// Machine returns a machine, or nil if there is none or it was deleted long ago.
+func (p *Provider) Machine(name string) *Machine { return p.byName[name] }
+
+// Alive returns the machines that are up, in the order of their names.
+func (p *Provider) Alive() []*Machine {
+	var out []*Machine
+	for _, m := range p.machines {
+		if m.UpAt != units.Never && m.DiedAt == units.Never && m.DeletedAt == units.Never {
+			out = append(out, m)
+		}
+	}
+	return out
+}
+
+// Billed returns the machines that are paid for, booting ones too, in the order of their names.
+func (p *Provider) Billed() []*Machine {
+	var out []*Machine
+	for _, m := range p.machines {
+		if m.DiedAt == units.Never && m.DeletedAt == units.Never {
+			out = append(out, m)
+		}
+	}
+	return out
+}
+
+// CreatedCount returns how many machines were ever created.
+func (p *Provider) CreatedCount() int { return p.nextNumber - p.config.FirstNumber }
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -14,8 +14,8 @@
 
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/emulator/work"
 	"shalestage.example/shalestage/internal/wire"
@@ -23,8 +23,8 @@
 
 // Facts takes what happens on machines, for a checker.
 type Facts interface {
-	Began(m *rental.Machine, id jobs.TaskID)
-	Ended(m *rental.Machine, id jobs.TaskID, completed bool)
+	Began(m *cloudprovider.Machine, id jobs.TaskID)
+	Ended(m *cloudprovider.Machine, id jobs.TaskID, completed bool)
 }
 
 // Outside runs workers in processes of their own. Both methods return once it is done.
@@ -119,7 +119,7 @@
 
 // open lets a machine listen for direct commands. Its address is known from the
 // rental on, and nobody answers there before its worker begins.
-func (c *Cloud) open(m *rental.Machine) {
+func (c *Cloud) open(m *cloudprovider.Machine) {
 	l, err := net.Listen("tcp4", net.JoinHostPort(c.host, "0"))
 	if err != nil {
 		c.log.Error("a machine cannot listen", "machine", m.Name, "err", err)
@@ -157,9 +157,9 @@
 func (c *Cloud) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(wire.TypesPath, func(w http.ResponseWriter, req *http.Request) {
-		var types []rental.Type
+		var types []cloudprovider.MachineType
 		var code int
-		if !c.loop.do(req.Context(), func(now units.Microseconds) { types, code = c.site.Cloud.Types(now) }) {
+		if !c.loop.do(req.Context(), func(now units.Microseconds) { types, code = c.site.Cloud.MachineTypes(now) }) {
 			return
 		}
 		c.pause()
@@ -183,7 +183,7 @@
 		var noRoom bool
 		var code int
 		if !c.loop.do(req.Context(), func(now units.Microseconds) {
-			names, noRoom, code = c.site.Cloud.Rent(now, b.Request, rental.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot}, b.Count)
+			names, noRoom, code = c.site.Cloud.ScaleOut(now, b.Request, cloudprovider.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot}, b.Count)
 			for _, n := range names {
 				if m := c.site.Cloud.Machine(n); m != nil && m.Addr == "" {
 					c.open(m)
@@ -208,7 +208,7 @@
 			return
 		}
 		var code int
-		if !c.loop.do(req.Context(), func(now units.Microseconds) { code = c.site.Cloud.Return(now, b.Machines) }) {
+		if !c.loop.do(req.Context(), func(now units.Microseconds) { code = c.site.Cloud.ScaleIn(now, b.Machines) }) {
 			return
 		}
 		c.pause()
@@ -220,14 +220,14 @@
 	})
 	r.Get(wire.HostsPath, func(w http.ResponseWriter, req *http.Request) {
 		q := req.URL.Query()
-		page := rental.MaxPage
+		page := cloudprovider.MaxListPage
 		if v := q.Get("page"); v != "" {
 			page, _ = strconv.Atoi(v) // 0 is refused
 		}
 		out := wire.Hosts{Machines: []wire.Host{}}
 		var code int
 		if !c.loop.do(req.Context(), func(now units.Microseconds) {
-			var list []rental.Listed
+			var list []cloudprovider.Listed
 			list, out.More, code = c.site.Cloud.List(now, q.Get("after"), page)
 			for _, l := range list {
 				out.Machines = append(out.Machines, wire.Host{ID: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot,
@@ -246,7 +246,7 @@
 	return r
 }
 
-var hostState = map[string]string{rental.Booting: wire.HostBooting, rental.Running: wire.HostRunning, rental.Failed: wire.HostFailed}
+var hostState = map[string]string{cloudprovider.Booting: wire.HostBooting, cloudprovider.Running: wire.HostRunning, cloudprovider.Failed: wire.HostFailed}
 
 func (c *Cloud) refuse(w http.ResponseWriter, code int) {
 	if code == http.StatusServiceUnavailable {
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -20,9 +20,9 @@
 	"shalestage.example/shalestage/internal/core/autoscaler"
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/link"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/state"
 )
@@ -170,9 +170,9 @@
 
 // TestCloudOverHTTP has the controllers' own client talk to the emulated cloud.
 func TestCloudOverHTTP(t *testing.T) {
-	p := rental.Pool{Type: "big", Zone: "z"}
-	st := site.New(site.Config{ReportEvery: units.Second, Lease: 10 * units.Second, Cloud: rental.Config{Rate: 1000, Capacity: map[rental.Pool]int{p: 3},
-		Types: []rental.Type{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * units.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
+	p := cloudprovider.Pool{Type: "big", Zone: "z"}
+	st := site.New(site.Config{ReportEvery: units.Second, Lease: 10 * units.Second, Cloud: cloudprovider.Config{RequestRate: 1000, Capacity: map[cloudprovider.Pool]int{p: 3},
+		Types: []cloudprovider.MachineType{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * units.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, quiet)
@@ -203,7 +203,7 @@
 	if _, hosts := cl.List(t.Context()); len(hosts) != 1 {
 		t.Errorf("after the return: %+v", hosts)
 	}
-	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.Down(now + units.Second) })
+	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.SetDown(now + units.Second) })
 	if o, _ := cl.ScaleOut(t.Context(), "r-4", r, yes); o != store.Refused {
 		t.Errorf("while the cloud is down: %v", o)
 	}
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -12,8 +12,8 @@
 
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
 	"shalestage.example/shalestage/internal/wire"
 )
@@ -32,8 +32,8 @@
 type LoneWorker struct {
 	ctx    context.Context
 	loop   *loop
-	worker *machine.Worker // nil: no machine is up
-	owner  *rental.Machine // as facts name it
+	worker *machine.Worker        // nil: no machine is up
+	owner  *cloudprovider.Machine // as facts name it
 	nodes  map[string]map[string]string
 	book   work.Book
 	jobs   Jobs
@@ -127,7 +127,7 @@
 			err = errHasMachine
 			return
 		}
-		l.owner = &rental.Machine{Name: c.Name, Pool: rental.Pool{Type: c.Type, Zone: c.Zone, Spot: c.Spot}}
+		l.owner = &cloudprovider.Machine{Name: c.Name, Pool: cloudprovider.Pool{Type: c.Type, Zone: c.Zone, Spot: c.Spot}}
 		l.worker = machine.New(c, f, l.book, now, rand.New(rand.NewPCG(l.rng.Uint64(), 2)))
 		l.worker.Advance(now)
 	})
--- a/internal/emulator/host/lone_test.go
+++ b/internal/emulator/host/lone_test.go
@@ -12,8 +12,8 @@
 	"shalestage.example/shalestage/internal/core/binpack"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
 	"shalestage.example/shalestage/internal/wire"
 )
@@ -50,9 +50,9 @@
 	return nil
 }
 
-func (s *storedTasks) Began(_ *rental.Machine, id jobs.TaskID) { s.say("began " + id.String()) }
+func (s *storedTasks) Began(_ *cloudprovider.Machine, id jobs.TaskID) { s.say("began " + id.String()) }
 
-func (s *storedTasks) Ended(_ *rental.Machine, id jobs.TaskID, _ bool) {
+func (s *storedTasks) Ended(_ *cloudprovider.Machine, id jobs.TaskID, _ bool) {
 	s.say("ended " + id.String())
 }
 
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -144,7 +144,7 @@
 		return
 	}
 	bound := j.Spec.OneZone || j.Spec.Zone != "" || j.Spec.Spread
-	if !e.Completed && bound && (e.Machine.Died != 0 || e.Machine.Gone != 0) {
+	if !e.Completed && bound && (e.Machine.DiedAt != 0 || e.Machine.DeletedAt != 0) {
 		w.happened(scenario.BoundTaskLost)
 	}
 	if n := j.Spec.Tasks; !e.Completed || j.Spec.Service || n < 2 || n > 3 {
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -106,7 +106,7 @@
 		w.takeSite()
 		if f.Kind == scenario.SpotRate {
 			w.after(last, func() {
-				w.Site.Cloud.SetSpotRate(w.now, w.S.Cloud.SpotPerHour)
+				w.Site.Cloud.SetReclaimRate(w.now, w.S.Cloud.SpotPerHour)
 				w.takeSite()
 			})
 		}
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -41,8 +41,8 @@
 	}
 	w.after(account.Every, func() {
 		var list []account.Machine
-		for _, m := range w.Site.Cloud.Charged() {
-			x := account.Machine{Machine: m, Cut: w.now < w.zoneCut[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.Rate(m)}
+		for _, m := range w.Site.Cloud.Billed() {
+			x := account.Machine{Machine: m, Cut: w.now < w.zoneCut[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
 			if k := w.Site.Worker(m.Name); k != nil {
 				running, fetching := k.Usage()
 				x.Up, x.Running, x.Fetching = true, cpus(running), cpus(fetching)
@@ -59,7 +59,7 @@
 // look counts the CPUs that are rented, and what they do.
 func (w *World) look() meter.Sample {
 	s := meter.Sample{AtS: w.now.Seconds()}
-	for _, m := range w.Site.Cloud.Charged() {
+	for _, m := range w.Site.Cloud.Billed() {
 		c := w.Site.CPUs(m)
 		s.Rented += c
 		if k := w.Site.Worker(m.Name); k != nil {
--- a/internal/emulator/sim/meet_test.go
+++ b/internal/emulator/sim/meet_test.go
@@ -65,12 +65,12 @@
 	w.Fault(scenario.Fault{Kind: scenario.QuickBoots, ForS: 60})
 	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
 	w.Run(60 * second)
-	for _, m := range w.Site.Cloud.Charged() {
-		if up := m.Up - m.Rented; up > 2*second {
+	for _, m := range w.Site.Cloud.Billed() {
+		if up := m.UpAt - m.CreatedAt; up > 2*second {
 			t.Errorf("%s was up after %v", m.Name, up)
 		}
 	}
-	if w.Site.Cloud.Rented() == 0 {
+	if w.Site.Cloud.CreatedCount() == 0 {
 		t.Error("nothing was rented")
 	}
 }
--- a/internal/emulator/sim/meetings.go
+++ b/internal/emulator/sim/meetings.go
@@ -86,7 +86,7 @@
 func (w *World) answered(name string, commands []fleet.Command) {
 	m := w.Site.Cloud.Machine(name)
 	starts := slices.ContainsFunc(commands, func(c fleet.Command) bool { return c.Op == fleet.Start })
-	if starts && w.now < w.late && m != nil && w.now-m.Up < quickly {
+	if starts && w.now < w.late && m != nil && w.now-m.UpAt < quickly {
 		w.happened(scenario.QuickStart)
 	}
 }
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -13,9 +13,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/direct"
 	"shalestage.example/shalestage/internal/emulator/kv"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -317,7 +317,7 @@
 	case core.FetchTypes:
 		var types []fleet.Type
 		n.cloudCall(false, func() int {
-			list, code := w.Site.Cloud.Types(w.now)
+			list, code := w.Site.Cloud.MachineTypes(w.now)
 			for _, t := range list {
 				types = append(types, fleet.Type{Name: t.Name, Capacity: site.Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: units.MilliDown(t.FetchGBs),
 					Boot: t.Boot, Zones: t.Zones, Price: t.Price, SpotPrice: t.SpotPrice})
@@ -330,7 +330,7 @@
 		n.cloudCall(true, func() int {
 			p := e.Increase.Pool
 			var code int
-			names, none, code = w.Site.Cloud.Rent(w.now, e.Request, rental.Pool{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, e.Increase.Count)
+			names, none, code = w.Site.Cloud.ScaleOut(w.now, e.Request, cloudprovider.Pool{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, e.Increase.Count)
 			for _, name := range names {
 				if m := w.Site.Cloud.Machine(name); m != nil {
 					m.Addr = name
@@ -345,7 +345,7 @@
 			n.back(life, func() { n.core.OnScaleOut(n.local(), e, o, names) })
 		})
 	case core.ScaleIn:
-		n.cloudCall(true, func() int { return w.Site.Cloud.Return(w.now, e.Names) }, func(o store.Outcome) {
+		n.cloudCall(true, func() int { return w.Site.Cloud.ScaleIn(w.now, e.Names) }, func(o store.Outcome) {
 			n.back(life, func() { n.core.OnScaleIn(n.local(), e, o) })
 		})
 	case core.ListMachines:
@@ -632,11 +632,11 @@
 // hosts reads the machine list, page by page.
 func (n *Node) hosts(life int, e core.ListMachines, after string, got []core.ListedMachine) {
 	w := n.w
-	var list []rental.Listed
+	var list []cloudprovider.Listed
 	var more bool
 	n.cloudCall(false, func() int {
 		var code int
-		list, more, code = w.Site.Cloud.List(w.now, after, rental.MaxPage)
+		list, more, code = w.Site.Cloud.List(w.now, after, cloudprovider.MaxListPage)
 		return code
 	}, func(o store.Outcome) {
 		if o != store.OK {
@@ -644,7 +644,7 @@
 			return
 		}
 		for _, l := range list {
-			got = append(got, core.ListedMachine{Name: l.Name, Addr: l.Addr, Failed: l.State == rental.Failed, Age: l.Age,
+			got = append(got, core.ListedMachine{Name: l.Name, Addr: l.Addr, Failed: l.State == cloudprovider.Failed, Age: l.Age,
 				Record: fleet.Record{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
 		}
 		if more && len(list) > 0 {
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -17,8 +17,8 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/kv"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/emulator/work"
 	_ "shalestage.example/shalestage/internal/fixedseed"
@@ -63,7 +63,7 @@
 }
 
 // upTo returns the machines that are up.
-func (w *World) upNow() []*rental.Machine { return w.Site.Cloud.Alive() }
+func (w *World) upNow() []*cloudprovider.Machine { return w.Site.Cloud.Alive() }
 
 // drawJob draws a job of any kind that the worlds' machines can run.
 func drawJob(t *rapid.T) *jobs.Spec {
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -7,8 +7,8 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/scenario"
 )
@@ -33,7 +33,7 @@
 type runningJob struct {
 	job      *user.Job
 	left     units.Microseconds
-	machines []*rental.Machine
+	machines []*cloudprovider.Machine
 }
 
 // runningJobs lists the jobs that run and whose users have not cancelled them.
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -21,11 +21,11 @@
 	"shalestage.example/shalestage/internal/emulator/account"
 	"shalestage.example/shalestage/internal/emulator/balance"
 	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/eventqueue"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/meter"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/emulator/traffic"
 	"shalestage.example/shalestage/internal/emulator/user"
@@ -218,7 +218,7 @@
 	}
 }
 
-func machineOf(m *rental.Machine) check.Machine {
+func machineOf(m *cloudprovider.Machine) check.Machine {
 	return check.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
@@ -526,7 +526,7 @@
 func (w *World) Play() Result {
 	w.Run(units.Seconds(w.S.DurationS))
 	w.Check.Finish(w.now, w.S.Expect.AllOver)
-	r := Result{Broken: w.Check.Broken(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.Rented(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
+	r := Result{Broken: w.Check.Broken(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.CreatedCount(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
 	r.Jobs = len(w.Crowd.Jobs())
 	r.Over, r.MaxWait = user.Summary(w.Crowd.Jobs(), w.now)
 	r.Missed = w.S.Expect.Missed(r.MaxWait, r.Money, user.Floor(w.Crowd.Jobs(), w.S.UserOptions(), w.Check.FirstBegan))
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -11,15 +11,15 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/eventqueue"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
 // Config says what the site is like.
 type Config struct {
-	Cloud       rental.Config
+	Cloud       cloudprovider.Config
 	ReportEvery units.Microseconds
 	Lease       units.Microseconds
 	Nodes       []string // controllers
@@ -30,12 +30,12 @@
 // Effects.
 type (
 	// Up says that a machine's worker begins, Gone that the machine has ended.
-	Up   struct{ *rental.Machine }
-	Gone struct{ *rental.Machine }
+	Up   struct{ *cloudprovider.Machine }
+	Gone struct{ *cloudprovider.Machine }
 	// Handed says that a machine's worker begins in a process of its own, as it is
 	// described; its Gone tells that process to end it.
 	Handed struct {
-		*rental.Machine
+		*cloudprovider.Machine
 		Config machine.Config
 		Fault  machine.Fault
 	}
@@ -46,11 +46,11 @@
 	}
 	// Began and Ended say what is on a machine with its image.
 	Began struct {
-		*rental.Machine
+		*cloudprovider.Machine
 		Task jobs.TaskID
 	}
 	Ended struct {
-		*rental.Machine
+		*cloudprovider.Machine
 		Task      jobs.TaskID
 		Completed bool
 	}
@@ -58,12 +58,12 @@
 
 // Site is the cloud with its machines.
 type Site struct {
-	Cloud *rental.Service
+	Cloud *cloudprovider.Provider
 	Book  work.Book
 
 	cfg     Config
 	rng     *rand.Rand
-	types   map[string]rental.Type
+	types   map[string]cloudprovider.MachineType
 	workers map[string]*member
 	apart   map[string]bool // machines whose worker runs in a process of its own
 	due     eventqueue.Queue[*member]
@@ -72,14 +72,14 @@
 
 type member struct {
 	*machine.Worker
-	m    *rental.Machine
+	m    *cloudprovider.Machine
 	plan units.Microseconds // when it is next looked at
 }
 
 // New returns a site with nothing rented.
 func New(cfg Config, rng *rand.Rand) *Site {
-	s := &Site{Cloud: rental.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Book: work.Book{}, cfg: cfg, rng: rng,
-		types: map[string]rental.Type{}, workers: map[string]*member{}, apart: map[string]bool{}}
+	s := &Site{Cloud: cloudprovider.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Book: work.Book{}, cfg: cfg, rng: rng,
+		types: map[string]cloudprovider.MachineType{}, workers: map[string]*member{}, apart: map[string]bool{}}
 	for _, t := range cfg.Cloud.Types {
 		s.types[t.Name] = t
 	}
@@ -109,9 +109,9 @@
 func (s *Site) sync(now units.Microseconds) {
 	for _, e := range s.Cloud.Drain() {
 		switch e := e.(type) {
-		case rental.Began:
+		case cloudprovider.MachineStarted:
 			s.begin(now, e.Machine)
-		case rental.Ended:
+		case cloudprovider.MachineEnded:
 			if k := s.workers[e.Machine.Name]; k != nil {
 				k.Stop(now)
 				s.collect(k)
@@ -119,7 +119,7 @@
 			}
 			delete(s.apart, e.Machine.Name)
 			s.out = append(s.out, Gone{e.Machine})
-		case rental.Noticed:
+		case cloudprovider.ReclaimNotice:
 			if k := s.workers[e.Machine.Name]; k != nil {
 				k.NoticeReclaim(now, e.In)
 				s.settle(now, k)
@@ -128,12 +128,12 @@
 	}
 }
 
-func (s *Site) begin(now units.Microseconds, m *rental.Machine) {
+func (s *Site) begin(now units.Microseconds, m *cloudprovider.Machine) {
 	t := s.types[m.Type]
 	cfg := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.Fetch)),
+		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.FetchSpeed)),
 		HeartbeatEvery: s.cfg.ReportEvery, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, ClockRate: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
-	fault := machine.Fault{Speed: m.Speed, FailsTasks: m.Sick}
+	fault := machine.Fault{Speed: m.Speed, FailsTasks: m.FailsTasks}
 	if len(s.apart) < s.cfg.Apart {
 		s.apart[m.Name] = true
 		s.out = append(s.out, Up{m}, Handed{m, cfg, fault})
@@ -147,12 +147,12 @@
 }
 
 // Capacity is what a machine of a type has, in thousandths.
-func Capacity(t rental.Type) binpack.Vec {
+func Capacity(t cloudprovider.MachineType) binpack.Vec {
 	return binpack.Vec{units.MilliDown(t.CPUs), units.MilliDown(t.GPUs), units.MilliDown(t.MemoryGB)}
 }
 
 // CPUs is how many a machine has.
-func (s *Site) CPUs(m *rental.Machine) float64 { return s.types[m.Type].CPUs }
+func (s *Site) CPUs(m *cloudprovider.Machine) float64 { return s.types[m.Type].CPUs }
 
 // settle takes up what a worker did and plans its next look.
 func (s *Site) settle(now units.Microseconds, k *member) {
@@ -239,28 +239,28 @@
 
 // Pick draws n of the machines that are up and match; an empty type or zone
 // matches any. The order is that of the draw.
-func (s *Site) Pick(n int, match func(*rental.Machine) bool) []*rental.Machine {
-	alive := slices.DeleteFunc(s.Cloud.Alive(), func(m *rental.Machine) bool { return match != nil && !match(m) })
+func (s *Site) Pick(n int, match func(*cloudprovider.Machine) bool) []*cloudprovider.Machine {
+	alive := slices.DeleteFunc(s.Cloud.Alive(), func(m *cloudprovider.Machine) bool { return match != nil && !match(m) })
 	s.rng.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	return alive[:min(n, len(alive))]
 }
 
 // Kill stops a machine with all that is on it.
-func (s *Site) Kill(now units.Microseconds, m *rental.Machine) {
+func (s *Site) Kill(now units.Microseconds, m *cloudprovider.Machine) {
 	s.Advance(now)
 	s.Cloud.Kill(now, m)
 	s.sync(now)
 }
 
 // Take lets the cloud take a spot machine back.
-func (s *Site) Take(now units.Microseconds, m *rental.Machine, notice units.Microseconds, silent float64) {
+func (s *Site) Take(now units.Microseconds, m *cloudprovider.Machine, notice units.Microseconds, silent float64) {
 	s.Advance(now)
-	s.Cloud.Take(now, m, notice, silent)
+	s.Cloud.Reclaim(now, m, notice, silent)
 	s.sync(now)
 }
 
 // Hang lets a machine stand still until a time.
-func (s *Site) Hang(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
+func (s *Site) Hang(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.Hang(now, until)
@@ -269,7 +269,7 @@
 }
 
 // Deafen lets no answer and no command reach a machine until a time.
-func (s *Site) Deafen(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
+func (s *Site) Deafen(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.CutInbound(until)
@@ -277,7 +277,7 @@
 }
 
 // Mute lets no report of a machine reach a controller until a time; direct commands reach it.
-func (s *Site) Mute(now units.Microseconds, m *rental.Machine, until units.Microseconds) {
+func (s *Site) Mute(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.CutOutbound(until)
@@ -285,9 +285,9 @@
 }
 
 // Spoil changes what is wrong with a machine.
-func (s *Site) Spoil(now units.Microseconds, m *rental.Machine, f machine.Fault) {
+func (s *Site) Spoil(now units.Microseconds, m *cloudprovider.Machine, f machine.Fault) {
 	s.Advance(now)
-	m.Speed, m.Sick = f.Speed, f.FailsTasks
+	m.Speed, m.FailsTasks = f.Speed, f.FailsTasks
 	if k := s.workers[m.Name]; k != nil {
 		k.SetFault(now, f)
 		s.settle(now, k)
--- a/internal/emulator/site/site_test.go
+++ b/internal/emulator/site/site_test.go
@@ -14,20 +14,20 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-var pools = []rental.Pool{{Type: "big", Zone: "a"}, {Type: "big", Zone: "a", Spot: true}, {Type: "small", Zone: "b"}}
+var pools = []cloudprovider.Pool{{Type: "big", Zone: "a"}, {Type: "big", Zone: "a", Spot: true}, {Type: "small", Zone: "b"}}
 
 func newSite(seed uint64) *Site {
 	return New(Config{ReportEvery: 3 * units.Second, Lease: 12 * units.Second, Nodes: []string{"n0", "n1"}, MaxDrift: 0.0005,
-		Cloud: rental.Config{Rate: 1e6, ListLag: 3 * units.Second, SpotRate: 60, Notice: 5 * units.Second, Silent: 0.3, SickShare: 0.1,
-			Capacity: map[rental.Pool]int{pools[0]: 2, pools[1]: 2, pools[2]: 3},
-			Types: []rental.Type{{Name: "big", CPUs: 8, MemoryGB: 32, CacheGB: 3, FetchGBs: 0.5, Price: 3600, SpotPrice: 1200, Boot: 5 * units.Second, Zones: []string{"a"}},
-				{Name: "small", CPUs: 2, MemoryGB: 8, CacheGB: 3, FetchGBs: 0.5, Price: 900, Boot: 2 * units.Second, BootFail: 0.1, Zones: []string{"b"}}}}},
+		Cloud: cloudprovider.Config{RequestRate: 1e6, ListLag: 3 * units.Second, ReclaimRate: 60, Notice: 5 * units.Second, NoNoticeShare: 0.3, FailingShare: 0.1,
+			Capacity: map[cloudprovider.Pool]int{pools[0]: 2, pools[1]: 2, pools[2]: 3},
+			Types: []cloudprovider.MachineType{{Name: "big", CPUs: 8, MemoryGB: 32, CacheGB: 3, FetchGBs: 0.5, Price: 3600, SpotPrice: 1200, Boot: 5 * units.Second, Zones: []string{"a"}},
+				{Name: "small", CPUs: 2, MemoryGB: 8, CacheGB: 3, FetchGBs: 0.5, Price: 900, Boot: 2 * units.Second, BootFailShare: 0.1, Zones: []string{"b"}}}}},
 		rand.New(rand.NewPCG(seed, 1)))
 }
 
@@ -50,7 +50,7 @@
 		answers := map[string]map[int]bool{}        // of reports, by number
 		answered := map[string]units.Microseconds{} // when the last answered report was sent
 		upAt := map[string]units.Microseconds{}
-		rented := map[string]*rental.Machine{}
+		rented := map[string]*cloudprovider.Machine{}
 		bookings := map[string][]string{}
 		listed := map[string]bool{}
 		money := 0.0
@@ -82,7 +82,7 @@
 						t.Fatalf("%v ends on %s and was not there", e.Task, e.Name)
 					}
 					delete(on[e.Name], e.Task)
-					if j := s.Book[e.Task.Job]; e.Completed && (j.Broken || e.Sick || j.Spec.Service) {
+					if j := s.Book[e.Task.Job]; e.Completed && (j.Broken || e.FailsTasks || j.Spec.Service) {
 						t.Fatalf("%v completes on %s", e.Task, e.Name)
 					}
 				case Send:
@@ -126,7 +126,7 @@
 			"rent": func(t *rapid.T) {
 				b := fmt.Sprint("r-", rapid.IntRange(0, 20).Draw(t, "booking"))
 				p := rapid.SampledFrom(pools).Draw(t, "pool")
-				names, none, code := s.Cloud.Rent(now, b, p, rapid.IntRange(1, 4).Draw(t, "count"))
+				names, none, code := s.Cloud.ScaleOut(now, b, p, rapid.IntRange(1, 4).Draw(t, "count"))
 				if old, again := bookings[b]; again && (code != http.StatusOK || !slices.Equal(names, old)) {
 					t.Fatalf("the booking %s is answered %v, before %v", b, names, old)
 				}
@@ -140,9 +140,9 @@
 				} else if !none {
 					t.Fatalf("rental refused with %d", code)
 				}
-				have := map[rental.Pool]int{}
+				have := map[cloudprovider.Pool]int{}
 				for _, m := range rented {
-					if m.Gone == units.Never {
+					if m.DeletedAt == units.Never {
 						have[m.Pool]++
 					}
 				}
@@ -154,7 +154,7 @@
 			},
 			"return": func(t *rapid.T) {
 				if n := someone(t); n != "" {
-					s.Cloud.Return(now, []string{n, "n-none"})
+					s.Cloud.ScaleIn(now, []string{n, "n-none"})
 					s.Advance(now)
 					take()
 				}
@@ -167,7 +167,7 @@
 					case 1:
 						s.Hang(now, ms[0], now+units.Microseconds(rapid.Int64Range(0, 20_000_000).Draw(t, "for")))
 					case 2:
-						s.Spoil(now, ms[0], machine.Fault{Speed: 0.2, FailsTasks: ms[0].Sick})
+						s.Spoil(now, ms[0], machine.Fault{Speed: 0.2, FailsTasks: ms[0].FailsTasks})
 					}
 					take()
 				}
@@ -215,7 +215,7 @@
 				take()
 			},
 			"": func(t *rapid.T) {
-				list, _, code := s.Cloud.List(now, "", rental.MaxPage)
+				list, _, code := s.Cloud.List(now, "", cloudprovider.MaxListPage)
 				if code != http.StatusOK {
 					t.Fatalf("list: %d", code)
 				}
@@ -227,7 +227,7 @@
 					}
 				}
 				for n := range listed {
-					if m := rented[n]; m != nil && m.Gone == units.Never && !shown[n] {
+					if m := rented[n]; m != nil && m.DeletedAt == units.Never && !shown[n] {
 						t.Fatalf("%s was listed once, is not gone, and is not listed", n)
 					}
 				}
@@ -244,8 +244,8 @@
 // TestLeastCharge rents a machine for a second: it costs a minute.
 func TestLeastCharge(t *testing.T) {
 	s := newSite(1)
-	names, _, _ := s.Cloud.Rent(0, "r", pools[0], 1)
-	s.Cloud.Return(units.Second, names)
+	names, _, _ := s.Cloud.ScaleOut(0, "r", pools[0], 1)
+	s.Cloud.ScaleIn(units.Second, names)
 	if got := s.Cloud.Spent(units.Second); got != 60 {
 		t.Errorf("a machine of 1 a second costs %g after a second", got)
 	}
--- a/internal/launch/book.go
+++ b/internal/launch/book.go
@@ -10,8 +10,8 @@
 	"sync"
 
 	"shalestage.example/shalestage/internal/core/jobs"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/host"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
@@ -94,7 +94,7 @@
 func (k *keeper) add(u upload) error { return k.write(entry{Job: &u}) }
 
 // Ended implements host.Facts.
-func (k *keeper) Ended(m *rental.Machine, id jobs.TaskID, completed bool) {
+func (k *keeper) Ended(m *cloudprovider.Machine, id jobs.TaskID, completed bool) {
 	if completed {
 		// A line that is lost costs a second run of the task at the most.
 		_ = k.write(entry{Done: id.String()})
--- a/internal/launch/fact.go
+++ b/internal/launch/fact.go
@@ -10,7 +10,7 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
-	"shalestage.example/shalestage/internal/emulator/rental"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 )
 
 // fact is what a process tells the checker, one JSON line each. At is the time of
@@ -31,14 +31,14 @@
 func newFactWriter(w io.Writer) *factWriter { return &factWriter{json.NewEncoder(w)} }
 
 // Began implements host.Facts.
-func (f *factWriter) Began(m *rental.Machine, id jobs.TaskID) { f.put(m, id, true, false) }
+func (f *factWriter) Began(m *cloudprovider.Machine, id jobs.TaskID) { f.put(m, id, true, false) }
 
 // Ended implements host.Facts.
-func (f *factWriter) Ended(m *rental.Machine, id jobs.TaskID, completed bool) {
+func (f *factWriter) Ended(m *cloudprovider.Machine, id jobs.TaskID, completed bool) {
 	f.put(m, id, false, completed)
 }
 
-func (f *factWriter) put(m *rental.Machine, id jobs.TaskID, began, completed bool) {
+func (f *factWriter) put(m *cloudprovider.Machine, id jobs.TaskID, began, completed bool) {
 	// A launching process that is gone hears nothing more, and ends this one.
 	_ = f.enc.Encode(fact{At: units.Microseconds(time.Now().UnixMicro()), Began: began, Completed: completed, Task: id.String(),
 		Machine: check.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}})
--- a/internal/launch/role.go
+++ b/internal/launch/role.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Cloud.First, cfg.Apart = first, len(p.Direct)
+	cfg.Cloud.FirstNumber, cfg.Apart = first, len(p.Direct)
 	st := site.New(cfg, rand.New(rand.NewPCG(p.Seed, 12)))
 	var facts host.Facts = newFactWriter(os.Stdout)
 	if p.Data != "" {
@@ -247,7 +247,7 @@
 		c.Do(func(now units.Microseconds, st *site.Site) { err = s.SiteFault(now, st, f) })
 		if f.Kind == scenario.SpotRate {
 			time.AfterFunc(seconds(f.ForS), func() {
-				c.Do(func(now units.Microseconds, st *site.Site) { st.Cloud.SetSpotRate(now, s.Cloud.SpotPerHour) })
+				c.Do(func(now units.Microseconds, st *site.Site) { st.Cloud.SetReclaimRate(now, s.Cloud.SpotPerHour) })
 			})
 		}
 		return err
@@ -255,7 +255,7 @@
 	figures(control, func() any {
 		var f Figures
 		c.Do(func(now units.Microseconds, st *site.Site) {
-			f = Figures{st.Workers(), st.Cloud.Rented(), st.Running(), st.Cloud.Spent(now)}
+			f = Figures{st.Workers(), st.Cloud.CreatedCount(), st.Running(), st.Cloud.Spent(now)}
 		})
 		return f
 	}, map[string]func(f any) float64{
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -15,9 +15,9 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/emulator/check"
+	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/kv"
 	"shalestage.example/shalestage/internal/emulator/machine"
-	"shalestage.example/shalestage/internal/emulator/rental"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/emulator/user"
 	"shalestage.example/shalestage/internal/emulator/work"
@@ -40,18 +40,18 @@
 // Site returns the cloud and its machines.
 func (s *Scenario) Site() site.Config {
 	c := site.Config{ReportEvery: units.Seconds(s.Workers.ReportS), Lease: units.Seconds(s.Workers.LeaseS), Nodes: s.Nodes(), MaxDrift: MaxDrift,
-		Cloud: rental.Config{Capacity: map[rental.Pool]int{}, Rate: s.Cloud.RPS, ListLag: units.Seconds(s.Cloud.ListLagS),
-			SpotRate: s.Cloud.SpotPerHour, Notice: units.Seconds(s.Cloud.NoticeS), Silent: s.Cloud.Silent,
-			SickShare: s.Cloud.SickShare, SlowShare: s.Cloud.SlowShare}}
+		Cloud: cloudprovider.Config{Capacity: map[cloudprovider.Pool]int{}, RequestRate: s.Cloud.RPS, ListLag: units.Seconds(s.Cloud.ListLagS),
+			ReclaimRate: s.Cloud.SpotPerHour, Notice: units.Seconds(s.Cloud.NoticeS), NoNoticeShare: s.Cloud.Silent,
+			FailingShare: s.Cloud.SickShare, SlowShare: s.Cloud.SlowShare}}
 	for _, t := range s.Types {
-		rt := rental.Type{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
-			Price: t.Price, SpotPrice: t.SpotPrice, Boot: units.Seconds(t.BootS), BootFail: t.BootFail}
+		rt := cloudprovider.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
+			Price: t.Price, SpotPrice: t.SpotPrice, Boot: units.Seconds(t.BootS), BootFailShare: t.BootFail}
 		for _, z := range s.Controllers.Zones {
 			for _, p := range s.Capacity {
 				if p.Type == t.Name && p.Zone == z && p.Count+p.Spot > 0 {
 					rt.Zones = append(rt.Zones, z)
-					c.Cloud.Capacity[rental.Pool{Type: t.Name, Zone: z}] += p.Count
-					c.Cloud.Capacity[rental.Pool{Type: t.Name, Zone: z, Spot: true}] += p.Spot
+					c.Cloud.Capacity[cloudprovider.Pool{Type: t.Name, Zone: z}] += p.Count
+					c.Cloud.Capacity[cloudprovider.Pool{Type: t.Name, Zone: z, Spot: true}] += p.Spot
 					break
 				}
 			}
@@ -199,10 +199,10 @@
 // SiteFault does a fault of the cloud or of its machines. Rates are put back by the caller.
 func (s *Scenario) SiteFault(now units.Microseconds, st *site.Site, f Fault) error {
 	until := now + units.Seconds(f.ForS)
-	match := func(m *rental.Machine) bool {
+	match := func(m *cloudprovider.Machine) bool {
 		return (f.Type == "" || f.Type == m.Type) && (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != SpotWave || m.Spot)
 	}
-	pick := func() []*rental.Machine {
+	pick := func() []*cloudprovider.Machine {
 		if f.Share > 0 {
 			all := st.Pick(1<<30, match)
 			return all[:int(float64(len(all))*f.Share+0.5)]
@@ -211,7 +211,7 @@
 	}
 	switch f.Kind {
 	case CloudDown:
-		st.Cloud.Down(until)
+		st.Cloud.SetDown(until)
 	case NoCapacity:
 		st.Cloud.RefuseCapacity(f.Type, f.Zone, until)
 	case MachineStop:
@@ -238,7 +238,7 @@
 		}
 	case MachineSlow:
 		for _, m := range pick() {
-			st.Spoil(now, m, machine.Fault{Speed: 1 / f.Times, FailsTasks: m.Sick})
+			st.Spoil(now, m, machine.Fault{Speed: 1 / f.Times, FailsTasks: m.FailsTasks})
 		}
 	case SpotWave:
 		notice := f.NoticeS
@@ -249,7 +249,7 @@
 			st.Take(now, m, units.Seconds(notice), s.Cloud.Silent)
 		}
 	case SpotRate:
-		st.Cloud.SetSpotRate(now, f.PerHour)
+		st.Cloud.SetReclaimRate(now, f.PerHour)
 	default:
 		return fmt.Errorf("%s is no fault of the cloud", f.Kind)
 	}
