--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -104,7 +104,7 @@
 }
 
 // A machine that has not been paid for in full, that is booting, busy or
-// needed is never returned; nor is any rented of a pool that cannot serve.
+// needed is never scaled in; nor is any provisioned of a pool that cannot serve.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scaler := New(params)
@@ -125,13 +125,13 @@
 		for _, name := range scaleIn {
 			m := machines[name[0]-'a']
 			if !m.Booted || m.Idle < params.ScaleInAfter || m.Age < leastCharge-2*second {
-				t.Fatalf("returned %+v", m)
+				t.Fatalf("scaled in %+v", m)
 			}
 		}
 	})
 }
 
-// Work that uses what others leave is rented for at the cheapest prices only,
+// Work that uses what others leave scales out by the cheapest pools only,
 // and keeps no dear machine; where there is no other, it still gets one.
 func TestIdleTimeWork(t *testing.T) {
 	g := Group{Class: "x", Spot: true, Idle: true}
@@ -156,7 +156,7 @@
 		t.Fatalf("with no machine and no spot: %+v", increases)
 	}
 	// That one must be kept and used: it was once taken for spare as soon as it
-	// was up, and another rented in its place.
+	// was up, and another provisioned in its place.
 	alone := []Machine{have[0]}
 	if increases, scaleIn = scaler.Plan(4*second, work, alone, market); len(increases) > 0 && !increases[0].Pool.Spot || len(scaleIn) > 0 || !alone[0].Needed {
 		t.Fatalf("one dear machine alone: increases %+v, scaleIn %v", increases, scaleIn)
--- a/internal/core/fleet/record.go
+++ b/internal/core/fleet/record.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Type is a kind of machine that the cloud rents out.
+// Type is a kind of machine that the cloud offers.
 type Type struct {
 	Name     string             `json:"name"`
 	Capacity binpack.Vec        `json:"capacity"`
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -21,7 +21,8 @@
 	}
 	c.reachability.HeartbeatAccepted()
 	accepted := shard.reconciler.Accept(c.now, heartbeat)
-	commands := append(accepted.Commands, c.schedule(shard, accepted)...)
+	commands := accepted.Commands
+	commands = append(commands, c.schedule(shard, accepted)...)
 	idle := accepted.Standing == reconcile.Proven && len(commands) == 0
 	if idle && shard.reconciler.KeepIdle(c.now, reconcile.RequestID(request), accepted.Machine) {
 		return // answered by OfferWork
--- a/internal/core/reconcile/admission.go
+++ b/internal/core/reconcile/admission.go
@@ -39,7 +39,7 @@
 		return Superseded
 	case r.host.Deprovisioned(heartbeat.Machine) && r.host.Guarded(guard.DeprovisionedMachine):
 		// A cut held the heartbeat back. Taken for alive, the machine would keep the tasks that it
-		// shows from starting elsewhere (TestLateReportOfReturnedMachine).
+		// shows from starting elsewhere (TestDelayedHeartbeatOfDeprovisionedMachine).
 		r.cfg.Log.Debug("heartbeat of a deprovisioned machine", "machine", heartbeat.Machine)
 		return Deprovisioned
 	case !stored && !r.adoptable(now, heartbeat.Machine):
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -54,7 +54,7 @@
 	return Accepted{machine, Proven, commands}
 }
 
-// machineUp notes that a machine is heard of for the first time, or again after its lease expired.
+// machineUp notes the first heartbeat of a machine, or the first after its lease expired.
 func (r *Reconciler) machineUp(now units.Microseconds, machine *fleet.Machine, heartbeat *fleet.Heartbeat) {
 	machine.IdleSince = now
 	if !machine.Record.Up {
--- a/internal/core/reconcile/pending.go
+++ b/internal/core/reconcile/pending.go
@@ -73,7 +73,7 @@
 func (r *Reconciler) MayPostpone() bool { return r.Pending() < MaxPending }
 
 // Postpone keeps a heartbeat unanswered while the shard is being released. In a moment its next
-// owner is known; told to try elsewhere, the worker would not get there for a second.
+// owner is known; sent elsewhere, the worker would not get there for a second.
 func (r *Reconciler) Postpone(now units.Microseconds, request RequestID) {
 	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, until: now + pendingTime})
 }
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -12,7 +12,7 @@
 
 // A worker whose controller is lost waits for its response, pauses, and tries the others in turn.
 // Until the last of them has found the new owner, all work accepted earlier waits. So the new owner
-// shows its fencing token to those that it has not heard: a worker that has taken it drops every
+// shows its fencing token to those that have sent it no heartbeat: a worker that has taken it drops every
 // response of earlier owners, and its answer shows all that can be there. Nothing is started that
 // way, and no lease renewed.
 
@@ -79,7 +79,7 @@
 
 // OnProbe takes a machine's answer to a probe; answer is nil if there is none. It counts only while
 // nothing was started there under this assignment: a start may be on its way to the machine that
-// the answer does not show yet (TestDirectAnswerBesideStart).
+// the answer does not show yet (TestProbeAnswerBesideStart).
 func (r *Reconciler) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	r.probes.inFlight--
 	machine := r.machines[probe.Machine]
