--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -6,7 +6,7 @@
 //   - a query is answered by what is known, if that is final or as new as the query;
 //   - a cancellation is stored, and then answered.
 //
-// Nothing is confirmed before it is stored, and no state is told that is older than the request. A
+// Nothing is confirmed before it is stored, and no answer is older than the request. A
 // controller that the state service does not serve forwards requests to one that it does. Whether a
 // request is served or refused, and with which HTTP status, is in answers.go.
 package admission
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -22,7 +22,7 @@
 	limits   map[string]binpack.Vec
 	older    string
 
-	typesUnknown, unplaceable, peerFull, configurationOld, unserved, queueFull bool
+	typesUnknown, unplaceable, peerFull, configurationStale, unserved, queueFull bool
 
 	archiveOn bool
 	mark      uint64
@@ -57,7 +57,7 @@
 func (f *fakeHost) TypesKnown() bool                     { return !f.typesUnknown }
 func (f *fakeHost) Placeable(*jobs.Spec) bool            { return !f.unplaceable }
 func (f *fakeHost) PeerMemoryFull() bool                 { return f.peerFull }
-func (f *fakeHost) ConfigurationCurrent() bool           { return !f.configurationOld }
+func (f *fakeHost) ConfigurationCurrent() bool           { return !f.configurationStale }
 func (f *fakeHost) LeastLoadedShard() int                { return 3 }
 func (f *fakeHost) OlderPeer() string                    { return f.older }
 
@@ -152,7 +152,7 @@
 			f.jobs["wk-000002"], r.Spec.Awaits = service, []string{"wk-000002"}
 		}, http.StatusUnprocessableEntity, 0, true},
 		"a controller's memory is nearly full":   {func(f *fakeHost, _ *Request) { f.peerFull = true }, http.StatusServiceUnavailable, LongRetryAfter, false},
-		"the present configuration is not known": {func(f *fakeHost, _ *Request) { f.configurationOld = true }, http.StatusServiceUnavailable, RetryAfter, false},
+		"the present configuration is not known": {func(f *fakeHost, _ *Request) { f.configurationStale = true }, http.StatusServiceUnavailable, RetryAfter, false},
 		"controller b still runs an older release": {func(f *fakeHost, r *Request) {
 			f.older, f.jobs["wk-000003"], r.Spec.Awaits = "b", pendingJob("wk-000003"), []string{"wk-000003"}
 		}, http.StatusServiceUnavailable, RetryAfter, false},
--- a/internal/core/admission/storing.go
+++ b/internal/core/admission/storing.go
@@ -94,7 +94,7 @@
 	})
 }
 
-// queue has a part of a new job stored and goes on with stored, which is told the revision.
+// queue has a part of a new job stored and goes on with stored, which gets the revision.
 func (h *Handler) queue(sub *submission, w *store.Write, stored func(revision uint64)) {
 	w.Done = func(outcome store.Outcome, revision uint64) {
 		switch outcome {
--- a/internal/core/admission/submit.go
+++ b/internal/core/admission/submit.go
@@ -183,7 +183,7 @@
 }
 
 // accept stores a new job unless this controller cannot take one at present. Where it is not sure
-// that the job is stored the user is told to ask again; asking again does no harm.
+// that the job is stored the user is to ask again; asking again does no harm.
 func (h *Handler) accept(sub *submission) {
 	if refusal := h.notNow(); refusal != nil {
 		h.host.Refuse(sub.ID, refusal)
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -43,9 +43,9 @@
 	runCount    int
 	runSum      units.Microseconds
 
-	Closing              bool // its end is being stored
-	AwaitsReconciliation bool // an earlier owner may have started it: not before all machines are reconciled
-	Migrating            bool // to another shard: not started here
+	Closing      bool // its end is being stored
+	Unreconciled bool // an earlier owner may have started it: not before all machines are reconciled
+	Migrating    bool // to another shard: not started here
 
 	OpenDependencies int                // jobs that it depends on and that are not stored as done; no task may start before
 	Since            units.Microseconds // time of day from which its times count, but for the deadline
@@ -86,7 +86,7 @@
 // Migratable reports whether nothing of the job runs and all that is done is
 // stored, so that another controller can own it.
 func (j *Job) Migratable() bool {
-	return !j.AwaitsReconciliation && !j.Closing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
+	return !j.Unreconciled && !j.Closing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
 }
 
 // Placed returns how many tasks may be running.
@@ -120,7 +120,7 @@
 	j.dirty, j.DirtySince = map[int]bool{}, 0
 	j.zones = map[string]int{}
 	j.Errors = map[string]int{}
-	j.Closing, j.AwaitsReconciliation, j.Migrating = false, false, false
+	j.Closing, j.Unreconciled, j.Migrating = false, false, false
 }
 
 // Reset prepares the job for a new owner: every unfinished task is ready.
@@ -152,8 +152,8 @@
 }
 
 func (j *Job) place(task int, p Place) {
-	if old, ok := j.places[task]; ok {
-		j.zones[old.Zone]--
+	if previous, ok := j.places[task]; ok {
+		j.zones[previous.Zone]--
 	}
 	j.places[task] = p
 	j.zones[p.Zone]++
@@ -240,8 +240,8 @@
 // RecordStored notes the version of a record that changes nothing but, maybe, the shard.
 func (j *Job) RecordStored(version uint64) { j.Version = version }
 
-// MoveTo gives the job to another shard: where its tasks are is for that one's owner to know.
-func (j *Job) MoveTo(shard int) {
+// AssignToShard gives the job to another shard: where its tasks are is for that one's owner to know.
+func (j *Job) AssignToShard(shard int) {
 	j.Record.Shard = shard
 	j.ClearPlacements()
 }
@@ -255,5 +255,5 @@
 // SetMigrating says whether it is being stored that the job moves to another shard.
 func (j *Job) SetMigrating(migrating bool) { j.Migrating = migrating }
 
-// SetAwaitsReconciliation says whether tasks may run on machines that are not reconciled.
-func (j *Job) SetAwaitsReconciliation(awaits bool) { j.AwaitsReconciliation = awaits }
+// SetUnreconciled says whether tasks may run on machines that are not reconciled.
+func (j *Job) SetUnreconciled(unreconciled bool) { j.Unreconciled = unreconciled }
--- a/internal/core/jobs/record.go
+++ b/internal/core/jobs/record.go
@@ -35,7 +35,7 @@
 var (
 	errNoDescription  = errors.New("no usable description")
 	errUnusableChunks = errors.New("unusable chunks of a description")
-	errForeignChunks  = errors.New("the chunks are not those of the description")
+	errChecksum       = errors.New("the chunks are not those of the description")
 )
 
 // DecodeRecord reads a stored record. Where the description is stored in chunks
@@ -125,7 +125,7 @@
 func (r *Record) Join(texts []string) error {
 	text := strings.Join(texts, "")
 	if checksumOf(text) != r.Checksum {
-		return errForeignChunks
+		return errChecksum
 	}
 	var spec Spec
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
--- a/internal/core/jobs/registry/learn.go
+++ b/internal/core/jobs/registry/learn.go
@@ -43,7 +43,7 @@
 	// One that was cancelled through another stays so, whatever its own record says.
 	if job.Active() && record.Shard != job.Record.Shard {
 		r.host.JobLeavesShard(job)
-		job.MoveTo(record.Shard)
+		job.AssignToShard(record.Shard)
 		r.schedule(job)
 	}
 	return nil
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -5,7 +5,7 @@
 //
 // What is learnt from the state service comes in by LearnRecord, LearnProgress and LearnChunk, in the
 // order of the copy; what follows for the rest of the controller goes out by Host. A job's life
-// is told in learn.go, what is deleted behind it in garbage.go, and how deadlines and priorities
+// stands in learn.go, what is deleted behind it in garbage.go, and how deadlines and priorities
 // pass along dependencies in objectives.go. The package is pure: it has no clock of its own.
 package registry
 
--- a/internal/core/jobs/set.go
+++ b/internal/core/jobs/set.go
@@ -8,13 +8,13 @@
 
 // Set is a set of small numbers.
 type Set struct {
-	words []uint64
-	n     int
+	bits  []uint64
+	count int
 }
 
 // Has reports whether i is in the set.
 func (s *Set) Has(i int) bool {
-	return i/64 < len(s.words) && s.words[i/64]&(1<<(i%64)) != 0
+	return i/64 < len(s.bits) && s.bits[i/64]&(1<<(i%64)) != 0
 }
 
 // Add puts i into the set and reports whether it is new there.
@@ -22,16 +22,16 @@
 	if s.Has(i) {
 		return false
 	}
-	for len(s.words) <= i/64 {
-		s.words = append(s.words, 0)
+	for len(s.bits) <= i/64 {
+		s.bits = append(s.bits, 0)
 	}
-	s.words[i/64] |= 1 << (i % 64)
-	s.n++
+	s.bits[i/64] |= 1 << (i % 64)
+	s.count++
 	return true
 }
 
 // Len returns how many numbers are in the set.
-func (s *Set) Len() int { return s.n }
+func (s *Set) Len() int { return s.count }
 
 // Ranges writes the members within [lo, hi) relative to lo, as "0-4,7".
 func (s *Set) Ranges(first, end int) string { return s.rangesFrom(first, first, end) }
@@ -41,7 +41,7 @@
 	var b strings.Builder
 	for i := first; i < end; {
 		if !s.Has(i) {
-			if i%64 == 0 && (i/64 >= len(s.words) || s.words[i/64] == 0) {
+			if i%64 == 0 && (i/64 >= len(s.bits) || s.bits[i/64] == 0) {
 				i += 64
 			} else {
 				i++
--- a/internal/core/jobs/spec.go
+++ b/internal/core/jobs/spec.go
@@ -11,7 +11,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Status of a job, as stored and as told to users.
+// Status of a job, as stored and as users see it.
 type Status string
 
 // A job is Pending or Running until it is Done or Cancelled, which are final.
--- a/internal/core/objectives.go
+++ b/internal/core/objectives.go
@@ -17,29 +17,29 @@
 
 // stepTime is how long a job is expected to take once it may start and has room:
 // an image, and its tasks one after the other where the team's limit asks for it.
-func (c *Core) stepTime(shard *ownedShard, j *jobs.Job) units.Microseconds {
-	s := j.Spec()
+func (c *Core) stepTime(shard *ownedShard, job *jobs.Job) units.Microseconds {
+	spec := job.Spec()
 	waves := int64(1)
-	if t := c.teams[s.Team]; t != nil {
-		for i, lim := range t.Limit {
-			if lim > 0 && s.Demand[i] > 0 {
-				waves = max(waves, (int64(s.Tasks)*s.Demand[i]+lim-1)/lim)
+	if team := c.teams[spec.Team]; team != nil {
+		for i, limit := range team.Limit {
+			if limit > 0 && spec.Demand[i] > 0 {
+				waves = max(waves, (int64(spec.Tasks)*spec.Demand[i]+limit-1)/limit)
 			}
 		}
 	}
-	took := units.Microseconds(waves) * shard.demand.Runtime(s)
-	if rate := c.slowestFetch(s); rate > 0 {
-		took += units.Microseconds(s.ImageMB) * units.Second / units.Microseconds(rate)
+	took := units.Microseconds(waves) * shard.demand.Runtime(spec)
+	if rate := c.slowestFetch(spec); rate > 0 {
+		took += units.Microseconds(spec.ImageMB) * units.Second / units.Microseconds(rate)
 	}
 	return took
 }
 
 // slowestFetch is the rate at which the slowest machine type that a job may use
 // fetches images.
-func (c *Core) slowestFetch(s *jobs.Spec) int64 {
+func (c *Core) slowestFetch(spec *jobs.Spec) int64 {
 	rates := []int64{}
 	for _, t := range c.types {
-		if s.Demand.Fits(t.Capacity) && s.AllowsType(t.Name) && t.FetchMBs > 0 {
+		if spec.Demand.Fits(t.Capacity) && spec.AllowsType(t.Name) && t.FetchMBs > 0 {
 			rates = append(rates, t.FetchMBs)
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -60,7 +60,7 @@
 // AllReconciled implements reconcile.Host.
 func (h reconcileHost) AllReconciled() {
 	for _, job := range h.shard.active {
-		job.SetAwaitsReconciliation(false)
+		job.SetUnreconciled(false)
 	}
 	h.shard.scheduler.TasksReady()
 }
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -123,7 +123,7 @@
 
 // startable reports whether a job's ready tasks may start in the shard at present.
 func (s *Scheduler) startable(now units.Microseconds, job *jobs.Job) bool {
-	return job.Record.Shard == s.config.Shard && !job.AwaitsReconciliation && !job.Migrating && now >= job.NotBefore
+	return job.Record.Shard == s.config.Shard && !job.Unreconciled && !job.Migrating && now >= job.NotBefore
 }
 
 // priorities is how many priorities there are: a step of right outweighs them all.
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -112,7 +112,7 @@
 				j.Reset()
 				shard.addJob(j)
 				// Whether any of its tasks were ever started only the last holder knew.
-				j.SetAwaitsReconciliation(len(shard.reconciler.Unreconciled()) > 0)
+				j.SetUnreconciled(len(shard.reconciler.Unreconciled()) > 0)
 			}
 		}
 		restored := snapshot.Restore(transferHost{c, shard})
