--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -212,7 +212,7 @@
 // and 340 in values of 2 KiB. One more, or what such values cannot hold, is refused with the
 // field and the limit.
 func TestMostTeams(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		value, teams int
 		refused      string
 	}{
@@ -221,20 +221,20 @@
 		{2 << 10, MaxTeams, "teams: too many for values of 2048 bytes: their list takes 2546"},
 	} {
 		var content Content
-		for i := range c.teams {
+		for i := range test.teams {
 			content.Teams = append(content.Teams, Team{Name: fmt.Sprintf("%0*d", MaxName, i), Guarantee: binpack.Vec{1e11, 1e11}, Limit: binpack.Vec{1e11, 1e11}})
 		}
 		err := content.Check()
 		var e encoded
 		if err == nil {
-			e, err = encode(content, c.value)
+			e, err = encode(content, test.value)
 		}
-		if err == nil && c.refused != "" || err != nil && err.Error() != c.refused {
-			t.Errorf("%d teams in values of %d bytes: %v", c.teams, c.value, err)
+		if err == nil && test.refused != "" || err != nil && err.Error() != test.refused {
+			t.Errorf("%d teams in values of %d bytes: %v", test.teams, test.value, err)
 		}
 		for k, v := range e.values {
-			if len(v) > c.value {
-				t.Errorf("%s takes %d bytes of %d", k, len(v), c.value)
+			if len(v) > test.value {
+				t.Errorf("%s takes %d bytes of %d", k, len(v), test.value)
 			}
 		}
 	}
--- a/internal/core/replication/limits_test.go
+++ b/internal/core/replication/limits_test.go
@@ -35,35 +35,35 @@
 	if maxWaiting < 4096 {
 		t.Errorf("%d may wait", maxWaiting)
 	}
-	h := &owner{answers: map[int]bool{}, t: t}
-	s, k := NewPrimary(0, 1, h), NewStandby()
+	host := &owner{answers: map[int]bool{}, t: t}
+	primary, standby := NewPrimary(0, 1, host), NewStandby()
 	now := units.Second
 	settle := func() {
 		for range 100 {
 			now += FlushEvery
-			s.Tick(now, true)
-			sent := h.sent
-			h.sent = nil
+			primary.Tick(now, true)
+			sent := host.sent
+			host.sent = nil
 			for _, m := range sent {
-				s.OnAck(now, "b", k.Receive(m, func(string, int) bool { return false }))
+				primary.OnAck(now, "b", standby.Receive(m, func(string, int) bool { return false }))
 			}
 		}
 	}
 	settle()
-	if s.Standby() != "b" {
+	if primary.Standby() != "b" {
 		t.Fatal("there is no standby")
 	}
 	for i := range maxWaiting + 1 {
-		if !s.DeferAnswer(now, string(rune('a'+i%26))+"-"+string(rune('a'+i/26)), i) {
+		if !primary.DeferAnswer(now, string(rune('a'+i%26))+"-"+string(rune('a'+i/26)), i) {
 			t.Fatalf("answer %d does not wait", i)
 		}
 	}
-	if ok, given := h.answers[maxWaiting]; len(h.answers) != 1 || !given || ok {
-		t.Fatalf("answers while the standby knows nothing: %v", h.answers)
+	if ok, given := host.answers[maxWaiting]; len(host.answers) != 1 || !given || ok {
+		t.Fatalf("answers while the standby knows nothing: %v", host.answers)
 	}
 	settle()
 	for i := range maxWaiting {
-		if !h.answers[i] {
+		if !host.answers[i] {
 			t.Fatalf("answer %d of %d is not let out", i, fleet.FullShard)
 		}
 	}
