--- a/cmd/shalestage/main.go
+++ b/cmd/shalestage/main.go
@@ -15,7 +15,7 @@
 	"shalestage.example/shalestage/internal/explore/following"
 )
 
-const version = "0.9.0"
+const version = "0.10.0"
 
 // Exit statuses. Those of status tell a job's state to scripts.
 const (
