--- a/internal/core/rollback/rollback.go
+++ b/internal/core/rollback/rollback.go
@@ -52,7 +52,7 @@
 type Recovery struct {
 	host Host
 	log  *slog.Logger
-	past *replaylog.Memory
+	past *replaylog.Log
 }
 
 // New returns a recovery that remembers nothing yet.
--- a/internal/core/watchcache/watchcache.go
+++ b/internal/core/watchcache/watchcache.go
@@ -32,7 +32,8 @@
 	}
 )
 
-// Host is whom the copy is kept for.
+// Host is whom the copy is kept for. Its methods are called while the Cache is half-way through a
+// step: of the Cache's they may call ReadFresh and the reading ones, and Reload calls Recover.
 type Host interface {
 	// Emit sends a List or a Watch.
 	Emit(e any)
@@ -44,7 +45,7 @@
 	// Removed did not tell may be gone.
 	Gap()
 	// Limited says that the service has refused something as too much, and so is taken
-	// to have its later limits.
+	// to have its later limits from now on.
 	Limited()
 	// Reload takes the whole listing, as of a revision, after the service went back. It
 	// calls Recover.
@@ -63,6 +64,7 @@
 }
 
 const (
+	// watchWait is how long a watch waits for changes.
 	watchWait = 5 * units.Second
 	// Page is how many keys are listed at once.
 	Page = 500
@@ -77,6 +79,12 @@
 	// after a read.
 	retry     = units.Second / 2
 	retryRead = units.Second / 4
+	// watchPace, readPace and listPace say how much of this node's share of the budget each kind
+	// of request may take: one request in so many. A watch ends with every change, so that
+	// there may be many.
+	watchPace = 3
+	readPace  = 2
+	listPace  = 2
 )
 
 // Cache is the copy and what keeps it.
@@ -87,31 +95,34 @@
 	now  units.Microseconds
 	wall units.Microseconds
 
-	loaded    bool
-	loadedAt  units.Microseconds
-	listing   bool
-	listKnown uint64             // the highest revision that was known when the listing began
-	page      string             // the last key that it has shown; "": it has not begun
-	pageRev   uint64             // revision at which it began
-	pages     []store.Event      // what it has shown, where the service went back
-	limitedAt units.Microseconds // the service last refused something as too much; 0: never
-	watching  bool
-	reading   bool
-	retryAt   units.Microseconds
-	nextRead  units.Microseconds
-	nextWatch units.Microseconds
-	current   []func(ok bool) // told when the read under way ends
-	waiting   []func(ok bool) // wait for the next read
-	want      bool
-	lastOK    units.Microseconds // the service last answered
-	everOK    bool
-	listSent  units.Microseconds // when the listing under way, or the last one, was begun
-	asOf      units.Microseconds // the copy shows all that was stored before; Never negated: it was never complete
-
-	mark  units.Microseconds // time of day at which this node last noticed that the service went back: tells one time from the next
-	due   bool               // the copy is to be taken anew for it
-	stale bool               // the listing under way began before that
-	seen  uint64             // the highest revision that any answer has told
+	loaded       bool
+	loadedAt     units.Microseconds
+	listing      bool               // a page is asked for
+	listSentAt   units.Microseconds // when the listing under way, or the last one, was begun
+	listKnown    uint64             // the highest revision that was known then
+	listedUpTo   string             // the last key that it has shown; "": it has not begun
+	listRevision uint64             // revision of its first page
+	listed       []store.Event      // what it has shown, where the service went back
+
+	watching    bool
+	nextWatchAt units.Microseconds
+	retryAt     units.Microseconds // of listings and watches
+
+	reading    bool
+	readWanted bool
+	nextReadAt units.Microseconds
+	readers    []func(ok bool) // told when the read under way ends
+	waiting    []func(ok bool) // wait for the next read
+
+	answered   bool               // the service has ever answered
+	answeredAt units.Microseconds // when it last did
+	limitedAt  units.Microseconds // it last refused something as too much; 0: never
+	asOf       units.Microseconds // the copy shows all that was stored before; Never negated: it was never complete
+
+	highestRevision uint64             // that any answer has told
+	rollbackMark    units.Microseconds // time of day at which this node last noticed that the service went back: tells one time from the next
+	recovering      bool               // the copy is to be taken anew for it
+	outdatedPage    bool               // the page under way was asked for before that
 }
 
 // New returns an empty copy.
@@ -122,272 +133,293 @@
 	return &Cache{Replica: store.NewReplica(host.Learn), host: host, cfg: cfg, asOf: -units.Never}
 }
 
-// Loaded reports whether the copy is complete, and LoadedAt since when it was last
-// taken anew.
-func (m *Cache) Loaded() bool                 { return m.loaded }
-func (m *Cache) LoadedAt() units.Microseconds { return m.loadedAt }
+// Loaded reports whether the copy is complete.
+func (c *Cache) Loaded() bool { return c.loaded }
+
+// LoadedAt is when the copy was last taken anew.
+func (c *Cache) LoadedAt() units.Microseconds { return c.loadedAt }
 
 // AsOf is a time: whatever was stored before it, the copy shows. It is when the last request
 // was sent whose answer has been taken in, as other requests that the service answers, such
 // as renewals, tell nothing of its keys.
-func (m *Cache) AsOf() units.Microseconds { return m.asOf }
+func (c *Cache) AsOf() units.Microseconds { return c.asOf }
 
 // LoadRevision is the revision at which the copy was last begun to be taken.
-func (m *Cache) LoadRevision() uint64 { return m.pageRev }
+func (c *Cache) LoadRevision() uint64 { return c.listRevision }
 
 // Recovering reports whether the service went back and the copy was not taken anew yet.
-func (m *Cache) Recovering() bool { return m.due }
+func (c *Cache) Recovering() bool { return c.recovering }
 
 // RollbackMark is the time of day at which this node last noticed that the service went back;
 // 0: never.
-func (m *Cache) RollbackMark() units.Microseconds { return m.mark }
+func (c *Cache) RollbackMark() units.Microseconds { return c.rollbackMark }
 
 // HighestRevision is the highest revision that any answer has told.
-func (m *Cache) HighestRevision() uint64 { return m.seen }
+func (c *Cache) HighestRevision() uint64 { return c.highestRevision }
 
 // Rate is how many requests a second the service takes at present.
-func (m *Cache) Rate() float64 { return m.cfg.Rate }
+func (c *Cache) Rate() float64 { return c.cfg.Rate }
 
 // Age is how long ago the service last answered.
-func (m *Cache) Age(now units.Microseconds) units.Microseconds {
-	if !m.everOK {
+func (c *Cache) Age(now units.Microseconds) units.Microseconds {
+	if !c.answered {
 		return units.Never
 	}
-	return now - m.lastOK
+	return now - c.answeredAt
 }
 
 // Refused reports whether the service has refused something as too much within a time.
-func (m *Cache) Refused(now, within units.Microseconds) bool {
-	return m.limitedAt > 0 && now < m.limitedAt+within
+func (c *Cache) Refused(now, within units.Microseconds) bool {
+	return c.limitedAt > 0 && now < c.limitedAt+within
 }
 
-// ReadFresh asks for a fresh read; f, if any, is told whether it worked.
-func (m *Cache) ReadFresh(f func(ok bool)) {
-	if f != nil && len(m.waiting) >= maxWaiter {
-		f(false)
+// ReadFresh asks for a fresh read; told, if any, is told whether it worked.
+func (c *Cache) ReadFresh(told func(ok bool)) {
+	if told != nil && len(c.waiting) >= maxWaiter {
+		told(false)
 		return
 	}
-	m.want = true
-	if f != nil {
-		m.waiting = append(m.waiting, f)
+	c.readWanted = true
+	if told != nil {
+		c.waiting = append(c.waiting, told)
 	}
 }
 
 // NoteOutcome notes whether the service serves this node, and at what rate. It returns the
 // outcome for those whom the reason of a refusal does not concern.
-func (m *Cache) NoteOutcome(now units.Microseconds, o store.Outcome) store.Outcome {
-	m.now = now
-	switch o {
+func (c *Cache) NoteOutcome(now units.Microseconds, outcome store.Outcome) store.Outcome {
+	c.now = now
+	switch outcome {
 	case store.OK, store.Failed, store.TooLarge:
-		m.lastOK, m.everOK = now, true
+		c.answeredAt, c.answered = now, true
 	case store.Limited:
-		m.limitedAt = now
-		if m.cfg.NextRate > 0 {
-			m.cfg.Rate = min(m.cfg.Rate, m.cfg.NextRate)
+		c.limitedAt = now
+		if c.cfg.NextRate > 0 {
+			c.cfg.Rate = min(c.cfg.Rate, c.cfg.NextRate)
 		}
-		m.host.Limited()
+		c.host.Limited()
 		return store.Refused
 	}
-	return o
+	return outcome
 }
 
 // Tick does what time asks for. wall is the time of day.
-func (m *Cache) Tick(now, wall units.Microseconds) {
-	m.now, m.wall = now, wall
-	m.ask()
+func (c *Cache) Tick(now, wall units.Microseconds) {
+	c.now, c.wall = now, wall
+	c.ask()
 }
 
 // ask sends the listing and the watch that are due.
-func (m *Cache) ask() {
-	if m.loaded && (m.now-m.lastOK > Heartbeat || m.now-m.asOf > m.cfg.Fresh) {
-		m.want = true
+func (c *Cache) ask() {
+	if c.loaded && (c.now-c.answeredAt > Heartbeat || c.now-c.asOf > c.cfg.Fresh) {
+		c.readWanted = true
+	}
+	if c.now < c.retryAt {
+		return
 	}
-	if !m.loaded && !m.listing && m.now >= m.retryAt {
-		if m.page == "" {
-			m.listKnown, m.pages, m.listSent = m.seen, nil, m.now
+	if !c.loaded && !c.listing {
+		if c.listedUpTo == "" {
+			c.listKnown, c.listed, c.listSentAt = c.highestRevision, nil, c.now
 		}
-		m.listing = true
-		m.host.Emit(List{After: m.page})
+		c.listing = true
+		c.host.Emit(List{After: c.listedUpTo})
 	}
 	// Changes are followed while the listing goes on: the service keeps only some,
 	// and one that is longer than that would never end.
-	if (m.loaded || m.page != "" && !m.due) && !m.watching && m.now >= m.retryAt && m.now >= m.nextWatch {
-		m.watching = true
-		// A watch ends with every change, so a third of the budget bounds them.
-		m.nextWatch = m.now + m.every(3)
-		m.host.Emit(Watch{After: m.Revision, Known: m.seen, Wait: watchWait, Sent: m.now})
+	following := c.loaded || c.listedUpTo != "" && !c.recovering
+	if following && !c.watching && c.now >= c.nextWatchAt {
+		c.watching = true
+		c.nextWatchAt = c.now + c.every(watchPace)
+		c.host.Emit(Watch{After: c.Revision, Known: c.highestRevision, Wait: watchWait, Sent: c.now})
 	}
 }
 
 // every is the time between requests that take one in so many of the budget, of which
 // this node has its share.
-func (m *Cache) every(one float64) units.Microseconds {
-	return units.Seconds(one * float64(m.cfg.Size) / m.cfg.Rate)
+func (c *Cache) every(pace float64) units.Microseconds {
+	return units.Seconds(pace * float64(c.cfg.Size) / c.cfg.Rate)
 }
 
 // Pump sends the read that is due.
-func (m *Cache) Pump(now units.Microseconds) {
-	m.now = now
-	if !m.want || m.reading || !m.loaded || now < m.nextRead {
+func (c *Cache) Pump(now units.Microseconds) {
+	c.now = now
+	if !c.readWanted || c.reading || !c.loaded || now < c.nextReadAt {
 		return
 	}
-	m.want, m.reading = false, true
-	m.current, m.waiting = m.waiting, nil
-	m.nextRead = now + m.every(2)
-	m.host.Emit(Watch{After: m.Revision, Known: m.seen, Fresh: true, Sent: m.now})
+	c.readWanted, c.reading = false, true
+	c.readers, c.waiting = c.waiting, nil
+	c.nextReadAt = now + c.every(readPace)
+	c.host.Emit(Watch{After: c.Revision, Known: c.highestRevision, Fresh: true, Sent: c.now})
 }
 
 // OnList takes a page of the listing, read at a revision; more says that there are
 // others. A page that was not served is asked for again.
-func (m *Cache) OnList(now units.Microseconds, l List, o store.Outcome, rev uint64, items []store.Event, more bool) {
-	o = m.NoteOutcome(now, o)
-	m.listing = false
-	if o != store.OK {
-		m.retryAt = now + retry
-		return
-	}
-	if l.After != m.page { // the listing has begun anew meanwhile
-		m.ask()
-		return
-	}
-	if m.stale { // it may show what was there before the service went back
-		m.stale = false
-		m.page = ""
-		m.ask()
+func (c *Cache) OnList(now units.Microseconds, request List, outcome store.Outcome, revision uint64, items []store.Event, more bool) {
+	outcome = c.NoteOutcome(now, outcome)
+	c.listing = false
+	switch {
+	case outcome != store.OK:
+		c.retryAt = now + retry
 		return
+	case request.After != c.listedUpTo: // the listing has begun anew meanwhile
+	case c.outdatedPage: // it may show what was there before the service went back
+		c.outdatedPage = false
+		c.listedUpTo = ""
+	default:
+		c.takePage(revision, items, more)
 	}
-	if m.page == "" {
-		m.pageRev = rev
-		if rev < m.listKnown && !m.due {
-			m.wentBack(m.listKnown, rev)
-		}
-		if !m.due {
-			m.Begin(rev)
-			m.seen = max(m.seen, rev)
-			if m.loadedAt > 0 {
-				m.host.Gap()
-			}
-		}
+	c.ask()
+}
+
+// takePage takes the next page of the listing.
+func (c *Cache) takePage(revision uint64, items []store.Event, more bool) {
+	if c.listedUpTo == "" {
+		c.beginListing(revision)
 	}
-	if m.due {
-		m.pages = append(m.pages, items...)
+	if c.recovering {
+		c.listed = append(c.listed, items...)
 	} else {
-		m.Replica.Page(items)
+		c.Page(items)
 	}
 	if more && len(items) > 0 {
-		m.page = items[len(items)-1].Key
-		m.retryAt = now + m.every(2)
-		m.ask()
+		c.listedUpTo = items[len(items)-1].Key
+		c.retryAt = c.now + c.every(listPace)
 		return
 	}
-	if m.due {
-		m.due, m.seen = false, m.pageRev
-		m.host.Reload(m.pageRev, m.pages)
+	c.endListing()
+}
+
+// beginListing takes the revision of a listing's first page.
+func (c *Cache) beginListing(revision uint64) {
+	c.listRevision = revision
+	if revision < c.listKnown && !c.recovering {
+		c.wentBack(c.listKnown, revision)
+	}
+	if c.recovering {
+		return
+	}
+	c.Begin(revision)
+	c.highestRevision = max(c.highestRevision, revision)
+	if c.loadedAt > 0 {
+		c.host.Gap()
+	}
+}
+
+// endListing completes the copy.
+func (c *Cache) endListing() {
+	if c.recovering {
+		c.recovering, c.highestRevision = false, c.listRevision
+		c.host.Reload(c.listRevision, c.listed)
 	} else {
-		m.End()
+		c.End()
 	}
-	m.page, m.pages = "", nil
-	m.loaded, m.loadedAt = true, now
-	m.asOf = max(m.asOf, m.listSent)
-	m.cfg.Log.Info("state loaded", "keys", m.Keys(), "revision", m.pageRev)
-	m.ReadFresh(nil)
-	m.ask()
+	c.listedUpTo, c.listed = "", nil
+	c.loaded, c.loadedAt = true, c.now
+	c.asOf = max(c.asOf, c.listSentAt)
+	c.cfg.Log.Info("state loaded", "keys", c.Keys(), "revision", c.listRevision)
+	c.ReadFresh(nil)
 }
 
 // OnChanges takes a watch's answer. gone means that the service no longer has all
 // changes since then, so the copy is taken anew.
-func (m *Cache) OnChanges(now units.Microseconds, w Watch, o store.Outcome, rev uint64, events []store.Event, gone bool) {
-	o = m.NoteOutcome(now, o)
-	var told []func(bool)
-	if w.Fresh {
-		m.reading = false
-		told, m.current = m.current, nil
+func (c *Cache) OnChanges(now units.Microseconds, request Watch, outcome store.Outcome, revision uint64, events []store.Event, gone bool) {
+	outcome = c.NoteOutcome(now, outcome)
+	var readers []func(bool)
+	if request.Fresh {
+		c.reading = false
+		readers, c.readers = c.readers, nil
 	} else {
-		m.watching = false
+		c.watching = false
 	}
-	if o == store.OK && m.RolledBack(rev, w.Known) {
-		o = store.Unknown
+	if outcome == store.OK && c.RolledBack(revision, request.Known) {
+		outcome = store.Unknown
 	}
-	if o == store.OK {
-		m.seen = max(m.seen, rev)
-		for _, e := range events {
-			if e.Value == nil {
-				m.host.Removed(e.Key)
-			}
-		}
-		if m.loaded && w.After <= m.Revision {
-			m.asOf = max(m.asOf, w.Sent)
+	switch {
+	case outcome == store.OK:
+		c.takeChanges(request, revision, events)
+	case gone:
+		c.loaded, c.listedUpTo = false, ""
+	case c.recovering:
+		c.retryAt = now // the copy is taken anew at once
+	case !request.Fresh:
+		c.retryAt = now + retry
+	default:
+		c.nextReadAt = max(c.nextReadAt, now+retryRead)
+	}
+	c.ask()
+	for _, told := range readers {
+		told(outcome == store.OK)
+	}
+}
+
+// takeChanges takes all changes after a request's revision up to another.
+func (c *Cache) takeChanges(request Watch, revision uint64, events []store.Event) {
+	c.highestRevision = max(c.highestRevision, revision)
+	for _, event := range events {
+		if event.Value == nil {
+			c.host.Removed(event.Key)
 		}
-		m.Advance(w.After, rev, events)
-	} else if gone {
-		m.loaded, m.page = false, ""
-	} else if m.due {
-		m.retryAt = now // the copy is taken anew at once
-	} else if !w.Fresh {
-		m.retryAt = now + retry
-	} else {
-		m.nextRead = max(m.nextRead, now+retryRead)
 	}
-	m.ask()
-	for _, f := range told {
-		f(o == store.OK)
+	if c.loaded && request.After <= c.Revision {
+		c.asOf = max(c.asOf, request.Sent)
 	}
+	c.Advance(request.After, revision, events)
 }
 
 // RolledBack takes the revision of an answer to a request that was sent when a revision was
 // known, and reports whether the service has gone back. An answer to one that was sent
 // before the copy was last taken anew tells nothing of it.
-func (m *Cache) RolledBack(rev, known uint64) bool {
-	if rev >= known || known > m.seen {
+func (c *Cache) RolledBack(revision, known uint64) bool {
+	if revision >= known || known > c.highestRevision {
 		return false
 	}
-	m.wentBack(known, rev)
+	c.wentBack(known, revision)
 	return true
 }
 
 // Committed takes what a transaction of this node's has stored at a revision; keep says
 // which keys belong to the copy.
-func (m *Cache) Committed(now units.Microseconds, t *store.Txn, rev uint64, keep func(key string) bool) {
-	m.now = now
-	learn := m.Learn
-	if rev < t.Known || rev == t.Known && puts(t) {
-		m.wentBack(t.Known, rev)
-		learn = m.Put
+func (c *Cache) Committed(now units.Microseconds, txn *store.Txn, revision uint64, keep func(key string) bool) {
+	c.now = now
+	learn := c.Learn
+	if revision < txn.Known || revision == txn.Known && puts(txn) {
+		c.wentBack(txn.Known, revision)
+		learn = c.Put
 	} else {
-		m.seen = max(m.seen, rev)
+		c.highestRevision = max(c.highestRevision, revision)
 	}
-	for _, ch := range t.Changes {
-		if ch.Value != nil && keep(ch.Key) {
-			learn(store.Event{Key: ch.Key, Value: ch.Value, Stamp: rev})
+	for _, change := range txn.Changes {
+		if change.Value != nil && keep(change.Key) {
+			learn(store.Event{Key: change.Key, Value: change.Value, Stamp: revision})
 		}
 	}
 }
 
 // puts reports whether a transaction surely makes a new revision: what is removed
 // may have been gone already.
-func puts(t *store.Txn) bool {
-	return slices.ContainsFunc(t.Changes, func(ch store.Change) bool { return ch.Value != nil })
+func puts(txn *store.Txn) bool {
+	return slices.ContainsFunc(txn.Changes, func(change store.Change) bool { return change.Value != nil })
 }
 
 // wentBack notes that the service is behind what it has answered.
-func (m *Cache) wentBack(known, got uint64) {
-	if m.due {
+func (c *Cache) wentBack(known, revision uint64) {
+	if c.recovering {
 		return
 	}
-	m.cfg.Log.Error("the state service went back behind an answer: what is known here is written again", "known_revision", known, "revision", got)
-	m.mark = max(m.wall, m.mark+1)
-	m.Reload(m.now)
+	c.cfg.Log.Error("the state service went back behind an answer: what is known here is written again", "known_revision", known, "revision", revision)
+	c.rollbackMark = max(c.wall, c.rollbackMark+1)
+	c.Reload(c.now)
 }
 
 // Reload has the copy taken anew, as the service went back.
-func (m *Cache) Reload(now units.Microseconds) {
-	m.now, m.due = now, true
-	m.stale = m.listing
-	m.loaded, m.page = false, ""
-	m.retryAt = m.now
+func (c *Cache) Reload(now units.Microseconds) {
+	c.now, c.recovering = now, true
+	c.outdatedPage = c.listing
+	c.loaded, c.listedUpTo = false, ""
+	c.retryAt = c.now
 }
 
 // Describe says how the copy stands.
-func (m *Cache) Describe() string {
-	return fmt.Sprintf("loaded %v listing %v watching %v reading %v want %v retry %d next %d", m.loaded, m.listing, m.watching, m.reading, m.want, m.retryAt, m.nextRead)
+func (c *Cache) Describe() string {
+	return fmt.Sprintf("loaded %v listing %v watching %v reading %v read wanted %v retry %d next read %d", c.loaded, c.listing, c.watching, c.reading, c.readWanted, c.retryAt, c.nextReadAt)
 }
