--- a/internal/core/ranking/entitlements.go
+++ b/internal/core/ranking/entitlements.go
@@ -30,7 +30,7 @@
 
 // Entitle computes the entitlements of a shard's jobs, given these and the jobs of all shards, each
 // in the order in which they could first start; the two may be the same list. Each job and each of
-// their teams is looked at once: TestReportSteps in internal/core holds that to a bound.
+// their teams is looked at once: TestHeartbeatSteps in internal/core holds that to a bound.
 func Entitle(shardJobs, allJobs []*jobs.Job, quotas Quotas) Entitlements {
 	result := Entitlements{FairShare: map[string]float64{}, WithinNominal: map[string]bool{}}
 	teams := map[string]*teamDemand{}
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -49,8 +49,7 @@
 	}
 	s.queue.Each(suits, func(candidate ranking.Candidate, class int) bool {
 		if pending := s.pending(now, wall, machine, candidate.Job, class); pending > 0 {
-			s.candidates = append(s.candidates, candidate.Job)
-			s.views = append(s.views, s.view(machine, candidate, pending))
+			s.consider(machine, candidate, pending)
 		}
 		return len(s.candidates) < maxCandidates
 	})
@@ -75,15 +74,16 @@
 	return pending
 }
 
-// view is how the packer sees a candidate.
-func (s *Scheduler) view(machine *fleet.Machine, candidate ranking.Candidate, pending int) binpack.Job {
+// consider adds a candidate to those that the packer is shown, and how it is to see it.
+func (s *Scheduler) consider(machine *fleet.Machine, candidate ranking.Candidate, pending int) {
 	job := candidate.Job
 	spec := job.Spec()
 	tier := 2 * candidate.Tier
 	if !machine.Record.Spot && !spec.Spot {
 		tier++ // it can go nowhere else, other work can
 	}
-	return binpack.Job{
+	s.candidates = append(s.candidates, job)
+	s.views = append(s.views, binpack.Job{
 		Demand:   spec.Demand,
 		Pending:  pending,
 		Work:     float64(job.Record.Tasks-job.Finished()) * s.demand.Runtime(spec).Seconds(),
@@ -91,7 +91,7 @@
 		Tier:     tier,
 		Cached:   machine.HasImage(spec.Image),
 		Deferred: job.Suspect(),
-	}
+	})
 }
 
 // mayPlace reports whether one more task of a job may start on a machine beside those that were
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -137,7 +137,7 @@
 func (s *Scheduler) Jobs() []*jobs.Job { return s.queue.Jobs() }
 
 // Steps returns how many jobs and equivalence classes were looked at so far: what scheduling costs,
-// in a measure that does not depend on the machine (TestReportSteps in internal/core).
+// in a measure that does not depend on the machine (TestHeartbeatSteps in internal/core).
 func (s *Scheduler) Steps() uint64 { return s.queue.Steps() }
 
 // TasksReady notes that there are ready tasks that the ranking does not know of.
