--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -154,24 +154,24 @@
 	}
 }
 
-func (c *controller) learn(e store.Event) {
-	if e.Key == markAt {
-		if err := c.past.LearnMark(e.Value, e.Stamp); err != nil {
+func (c *controller) learn(event store.Event) {
+	if event.Key == markAt {
+		if err := c.past.LearnMark(event.Value, event.Stamp); err != nil {
 			c.m.t.Fatal(err)
 		}
 	}
-	id, ok := strings.CutPrefix(e.Key, jobAt)
+	id, ok := strings.CutPrefix(event.Key, jobAt)
 	if !ok {
 		return
 	}
-	if e.Value == nil {
+	if event.Value == nil {
 		delete(c.jobs, id)
 		c.past.NoteArchived(id)
 		c.packer.RecordRemoved(id)
 		return
 	}
-	c.jobs[id] = e
-	if string(e.Value) != "1" {
+	c.jobs[id] = event
+	if string(event.Value) != "1" {
 		c.packer.JobOver(c.m.now, id)
 	}
 }
@@ -186,12 +186,12 @@
 }
 
 func (c *controller) Candidate(id string, cut uint64) (Candidate, bool) {
-	e, ok := c.jobs[id]
-	if !ok || string(e.Value) == "1" {
+	event, ok := c.jobs[id]
+	if !ok || string(event.Value) == "1" {
 		return Candidate{}, false
 	}
 	var a Answer
-	if json.Unmarshal(e.Value, &a) != nil {
+	if json.Unmarshal(event.Value, &a) != nil {
 		c.m.t.Fatal("unreadable")
 	}
 	n, err := jobNumber(id)
@@ -199,34 +199,34 @@
 		c.m.t.Fatal(err)
 	}
 	// Each has some of which it thinks that something may still run.
-	return Candidate{Answer: a, Key: e.Key, Version: e.Stamp}, e.Stamp < cut && n%3 != c.spares
+	return Candidate{Answer: a, Key: event.Key, Version: event.Stamp}, event.Stamp < cut && n%3 != c.spares
 }
 
 // pump turns reads that are due into answers that may come at any later time.
 func (c *controller) pump() {
-	m, past, life := c.m, c.past, c.life
-	for _, r := range past.Next(m.now, 50) {
+	model, past, life := c.m, c.past, c.life
+	for _, r := range past.Next(model.now, 50) {
 		var e store.Event
-		c.reads = append(c.reads, &pending{run: func() { e = m.s.keys[r.Key] }, tell: func() {
-			if err := past.OnRead(m.now, r, store.OK, e.Value, e.Stamp); err != nil && c.life == life {
-				m.t.Fatal(err)
+		c.reads = append(c.reads, &pending{run: func() { e = model.s.keys[r.Key] }, tell: func() {
+			if err := past.OnRead(model.now, r, store.OK, e.Value, e.Stamp); err != nil && c.life == life {
+				model.t.Fatal(err)
 			}
 		}})
 	}
-	if s := past.NextScan(m.now, 1); s != nil {
+	if scan := past.NextScan(model.now, 1); scan != nil {
 		var items []store.Event
 		more := false
 		c.reads = append(c.reads, &pending{run: func() {
-			for _, k := range slices.Sorted(maps.Keys(m.s.keys)) {
-				if strings.HasPrefix(k, Prefix) && k > s.After {
+			for _, k := range slices.Sorted(maps.Keys(model.s.keys)) {
+				if strings.HasPrefix(k, Prefix) && k > scan.After {
 					if len(items) == 2 {
 						more = true
 						break
 					}
-					items = append(items, m.s.keys[k])
+					items = append(items, model.s.keys[k])
 				}
 			}
-		}, tell: func() { past.OnScan(m.now, *s, store.OK, items, more) }})
+		}, tell: func() { past.OnScan(model.now, *scan, store.OK, items, more) }})
 	}
 }
 
@@ -310,21 +310,79 @@
 }
 
 func (m *machine) carryOut(i int, answered bool) {
-	x := m.late[i]
+	sent := m.late[i]
 	m.late = slices.Delete(m.late, i, i+1)
-	ok := m.s.commit(x.w)
-	if ok && x.accept != "" {
-		if m.accepted[x.accept] {
-			m.t.Fatalf("%s is accepted a second time", x.accept)
+	ok := m.s.commit(sent.w)
+	if ok && sent.accept != "" {
+		if m.accepted[sent.accept] {
+			m.t.Fatalf("%s is accepted a second time", sent.accept)
 		}
-		m.accepted[x.accept] = true
+		m.accepted[sent.accept] = true
 	}
-	if x.w.Done != nil && !x.lost && answered {
-		x.lost = true
+	if sent.w.Done != nil && !sent.lost && answered {
+		sent.lost = true
 		if ok {
-			x.w.Done(store.OK, m.s.rev)
+			sent.w.Done(store.OK, m.s.rev)
 		} else {
-			x.w.Done(store.Failed, 0)
+			sent.w.Done(store.Failed, 0)
+		}
+	}
+}
+
+// finishSome ends some of the jobs that are accepted.
+func (m *machine) finishSome(t *rapid.T) {
+	for _, id := range slices.Sorted(maps.Keys(m.accepted)) {
+		if _, over := m.ended[id]; !over && rapid.Bool().Draw(t, "ends") {
+			m.ended[id] = genAnswer(t)
+			m.s.commit(&store.Write{Changes: []store.Change{{Key: jobAt + id, Value: store.Value(m.ended[id])}}})
+		}
+	}
+}
+
+// loseAnswers tells some senders that the outcome of what is under way is not known.
+func (m *machine) loseAnswers(t *rapid.T) {
+	for _, sent := range m.late {
+		if sent.w.Done != nil && !sent.lost && rapid.Bool().Draw(t, "no answer") {
+			sent.lost = true
+			sent.w.Done(store.Unknown, 0)
+		}
+	}
+}
+
+// answerSome carries some reads out, and answers some of those that were.
+func (c *controller) answerSome(t *rapid.T) {
+	for _, p := range slices.Clone(c.reads) {
+		switch {
+		case rapid.Bool().Draw(t, "later"):
+		case p.ran:
+			c.reads = slices.DeleteFunc(c.reads, func(q *pending) bool { return q == p })
+			p.tell()
+		default:
+			p.run()
+			p.ran = true
+		}
+	}
+}
+
+// calm is a while in which everything is prompt.
+func (c *controller) calm(t *rapid.T) {
+	for range 4 {
+		c.sync()
+		c.mark()
+		c.pack(8)
+		c.pump()
+		for len(c.reads) > 0 {
+			p := c.reads[0]
+			c.reads = c.reads[1:]
+			if !p.ran {
+				p.run()
+			}
+			p.tell()
+		}
+		for i := len(c.m.late) - 1; i >= 0; i-- { // but for some
+			if rapid.IntRange(0, 7).Draw(t, "late") > 0 {
+				c.m.carryOut(i, true)
+			}
 		}
 	}
 }
@@ -365,13 +423,15 @@
 // and no accepted one is called unknown.
 func TestPacking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{t: t, s: &service{keys: map[string]store.Event{}}, accepted: map[string]bool{}, ended: map[string]Answer{}, value: 140}
+		model := &machine{t: t, s: &service{keys: map[string]store.Event{}}, accepted: map[string]bool{}, ended: map[string]Answer{}, value: 140}
 		for i := range uint64(2) {
-			c := &controller{m: m, spares: i}
-			m.start(c)
-			m.nodes = append(m.nodes, c)
+			c := &controller{m: model, spares: i}
+			model.start(c)
+			model.nodes = append(model.nodes, c)
+		}
+		node := func(t *rapid.T) *controller {
+			return model.nodes[rapid.IntRange(0, len(model.nodes)-1).Draw(t, "node")]
 		}
-		node := func(t *rapid.T) *controller { return m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "node")] }
 		step := 0
 		// Users submit a few new jobs again and again, and poll any.
 		fresh := func(t *rapid.T) string { return fmt.Sprintf("wk-%06d", step/20+rapid.IntRange(0, 5).Draw(t, "id")) }
@@ -389,76 +449,28 @@
 					c.poll(any(t))
 				}
 			},
-			"end": func(t *rapid.T) {
-				for _, id := range slices.Sorted(maps.Keys(m.accepted)) {
-					if _, over := m.ended[id]; !over && rapid.Bool().Draw(t, "ends") {
-						m.ended[id] = genAnswer(t)
-						m.s.commit(&store.Write{Changes: []store.Change{{Key: jobAt + id, Value: store.Value(m.ended[id])}}})
-					}
-				}
-			},
+			"end":  model.finishSome,
 			"mark": func(t *rapid.T) { node(t).mark() },
 			"pack": func(t *rapid.T) { node(t).pack(rapid.IntRange(3, 8).Draw(t, "ops")) },
 			"commit": func(t *rapid.T) {
-				if len(m.late) == 0 {
+				if len(model.late) == 0 {
 					return
 				}
-				m.carryOut(rapid.IntRange(0, len(m.late)-1).Draw(t, "which"), rapid.Bool().Draw(t, "answered"))
-			},
-			"unknown": func(t *rapid.T) {
-				for _, x := range m.late {
-					if x.w.Done != nil && !x.lost && rapid.Bool().Draw(t, "no answer") {
-						x.lost = true
-						x.w.Done(store.Unknown, 0)
-					}
-				}
-			},
-			"answer": func(t *rapid.T) {
-				c := node(t)
-				for _, p := range slices.Clone(c.reads) {
-					switch {
-					case rapid.Bool().Draw(t, "later"):
-					case p.ran:
-						c.reads = slices.DeleteFunc(c.reads, func(q *pending) bool { return q == p })
-						p.tell()
-					default:
-						p.run()
-						p.ran = true
-					}
-				}
-			},
-			"read": func(t *rapid.T) { m.now += units.Second; node(t).pump() },
-			"sync": func(t *rapid.T) { node(t).sync() },
-			"calm": func(t *rapid.T) { // for a while everything is prompt
-				c := node(t)
-				for range 4 {
-					c.sync()
-					c.mark()
-					c.pack(8)
-					c.pump()
-					for len(c.reads) > 0 {
-						p := c.reads[0]
-						c.reads = c.reads[1:]
-						if !p.ran {
-							p.run()
-						}
-						p.tell()
-					}
-					for i := len(m.late) - 1; i >= 0; i-- { // but for some
-						if rapid.IntRange(0, 7).Draw(t, "late") > 0 {
-							m.carryOut(i, true)
-						}
-					}
-				}
+				model.carryOut(rapid.IntRange(0, len(model.late)-1).Draw(t, "which"), rapid.Bool().Draw(t, "answered"))
 			},
+			"unknown": model.loseAnswers,
+			"answer":  func(t *rapid.T) { node(t).answerSome(t) },
+			"read":    func(t *rapid.T) { model.now += units.Second; node(t).pump() },
+			"sync":    func(t *rapid.T) { node(t).sync() },
+			"calm":    func(t *rapid.T) { node(t).calm(t) },
 			"crash": func(t *rapid.T) {
 				if c := node(t); rapid.IntRange(0, 3).Draw(t, "rarely") == 0 {
-					m.start(c)
+					model.start(c)
 				}
 			},
 			"limit falls": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
-					m.value = 90
+					model.value = 90
 				}
 			},
 		}
@@ -467,7 +479,7 @@
 		names := slices.Concat(slices.Sorted(maps.Keys(actions)), often, often)
 		for ; step < 500; step++ {
 			actions[rapid.SampledFrom(names).Draw(t, "action")](t)
-			m.whole()
+			model.whole()
 		}
 	})
 }
@@ -476,30 +488,30 @@
 // was sent. Both are answered by it, and the answer is at hand from then on: it was
 // not, and the second's job was accepted once more (rehearsals/old-jobs.toml, seed 49).
 func TestFoundByAnothersRead(t *testing.T) {
-	p := New()
-	if err := p.LearnMark(json.RawMessage(`{"release":4,"cut":9}`), 7); err != nil {
+	index := New()
+	if err := index.LearnMark(json.RawMessage(`{"release":4,"cut":9}`), 7); err != nil {
 		t.Fatal(err)
 	}
-	p.Next(0, 100)
+	index.Next(0, 100)
 	told := 0
 	ask := func() {
-		p.Find("wk-000050", true, func(v Verdict, a Answer) {
+		index.Find("wk-000050", true, func(v Verdict, a Answer) {
 			if v == Found && a.Tasks == 3 {
 				told++
 			}
 		})
 	}
 	ask()
-	reads := p.Next(units.Second, 100)
+	reads := index.Next(units.Second, 100)
 	ask()
-	p.cache.Purge() // as if others' answers had come in between
+	index.cache.Purge() // as if others' answers had come in between
 	b := &Bucket{Jobs: map[uint64]Answer{50: {jobs.Done, 3, 0}}}
 	for _, r := range reads {
-		if err := p.OnRead(units.Second, r, store.OK, b.Encode(), 8); err != nil {
+		if err := index.OnRead(units.Second, r, store.OK, b.Encode(), 8); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, known := p.Known("wk-000050"); told != 2 || !known {
+	if _, known := index.Known("wk-000050"); told != 2 || !known {
 		t.Errorf("%d of 2 were told; at hand: %v", told, known)
 	}
 }
--- a/internal/core/archive/archiver.go
+++ b/internal/core/archive/archiver.go
@@ -142,24 +142,24 @@
 }
 
 // archive writes a bucket that was read just now.
-func (a *Archiver) archive(s step, b *Bucket, version uint64) {
+func (a *Archiver) archive(current step, b *Bucket, version uint64) {
 	a.writing = false
 	if b == nil { // not known: the state service is asked again soon
-		a.retryAt = max(a.retryAt, s.now+idleRetry)
+		a.retryAt = max(a.retryAt, current.now+idleRetry)
 		return
 	}
-	w, taken := a.write(s, b, version)
+	w, taken := a.write(current, b, version)
 	if w == nil {
 		return
 	}
 	a.writing = true
 	w.Done = func(o store.Outcome, _ uint64) {
 		a.writing = false
-		a.written(s.now, o, taken)
+		a.written(current.now, o, taken)
 	}
-	if !s.send(w) {
+	if !current.send(w) {
 		a.writing = false
-		a.retryAt = s.now + idleRetry
+		a.retryAt = current.now + idleRetry
 	}
 }
 
@@ -188,20 +188,20 @@
 
 // write makes the transaction that adds to a bucket as many jobs as fit. taken are those of
 // which it removes the records.
-func (a *Archiver) write(s step, b *Bucket, version uint64) (w *store.Write, taken map[string]Answer) {
-	t := a.collect(s, b)
+func (a *Archiver) write(current step, b *Bucket, version uint64) (w *store.Write, taken map[string]Answer) {
+	t := a.collect(current, b)
 	switch {
 	case t.progressOnly:
 		return &t.write, nil
 	case len(t.taken) == 0:
 		return nil, nil
 	}
-	pieces := b.with(t.answers).pieces(s.limits.ValueBytes, s.limits.TxnOps-len(t.deletions))
+	pieces := b.with(t.answers).pieces(current.limits.ValueBytes, current.limits.TxnOps-len(t.deletions))
 	if pieces == nil {
 		// Splitting alone takes all that goes with one transaction: the jobs come next.
-		pieces = b.pieces(s.limits.ValueBytes, s.limits.TxnOps)
+		pieces = b.pieces(current.limits.ValueBytes, current.limits.TxnOps)
 		if pieces == nil || len(pieces) == 1 {
-			a.postponeAll(s.now, t.taken)
+			a.postponeAll(current.now, t.taken)
 			return nil, nil
 		}
 		t.taken, t.deletions, t.write.Guards = nil, nil, nil
@@ -220,19 +220,19 @@
 }
 
 // collect takes the oldest jobs of a bucket as far as they go with one transaction.
-func (a *Archiver) collect(s step, b *Bucket) *batch {
-	t := &batch{limits: s.limits, write: store.Write{Deferred: true}, taken: map[string]Answer{}, answers: map[uint64]Answer{}}
+func (a *Archiver) collect(current step, b *Bucket) *batch {
+	t := &batch{limits: current.limits, write: store.Write{Deferred: true}, taken: map[string]Answer{}, answers: map[uint64]Answer{}}
 	examined := 0
 	for element := a.oldest.Front(); element != nil && examined < maxExamined; element = element.Next() {
 		examined++
 		job := element.Value.(entry)
-		if s.now-job.since < s.minAge {
+		if current.now-job.since < current.minAge {
 			break
 		}
 		if !b.Covers(job.id) {
 			continue
 		}
-		if candidate, ok := s.source.Candidate(job.id, a.index.mark.Cut); ok && !t.add(job.id, candidate) {
+		if candidate, ok := current.source.Candidate(job.id, a.index.mark.Cut); ok && !t.add(job.id, candidate) {
 			break
 		}
 	}
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -98,20 +98,20 @@
 	out := make([]byte, 0, 16*len(b.Jobs)+32)
 	last := uint64(0)
 	for _, n := range slices.Sorted(maps.Keys(b.Jobs)) {
-		a := b.Jobs[n]
+		answer := b.Jobs[n]
 		if len(out) > 0 {
 			out = append(out, ' ')
 		}
 		out = strconv.AppendUint(out, n-last, base)
-		if a.Status == jobs.Done {
+		if answer.Status == jobs.Done {
 			out = append(out, '+')
 		} else {
 			out = append(out, '-')
 		}
-		out = strconv.AppendInt(out, int64(a.Tasks), base)
-		if a.FinishedAt > 0 {
+		out = strconv.AppendInt(out, int64(answer.Tasks), base)
+		if answer.FinishedAt > 0 {
 			out = append(out, '@')
-			out = strconv.AppendInt(out, int64(a.FinishedAt/units.Second), base)
+			out = strconv.AppendInt(out, int64(answer.FinishedAt/units.Second), base)
 		}
 		last = n
 	}
@@ -150,9 +150,9 @@
 	if i < 0 {
 		return bad()
 	}
-	a := Answer{Status: jobs.Done}
+	answer := Answer{Status: jobs.Done}
 	if text[i] == '-' {
-		a.Status = jobs.Cancelled
+		answer.Status = jobs.Cancelled
 	}
 	tasks, ended, timed := strings.Cut(text[i+1:], "@")
 	diff, err1 := strconv.ParseUint(text[:i], base, 64)
@@ -165,15 +165,15 @@
 		if err != nil || s <= 0 || s > int64(units.Never/units.Second) {
 			return bad()
 		}
-		a.FinishedAt = units.Microseconds(s) * units.Second
+		answer.FinishedAt = units.Microseconds(s) * units.Second
 	}
 	n := last + diff
 	id := jobID(n)
 	if !jobs.ValidID(id) || !b.Covers(id) {
 		return bad()
 	}
-	a.Tasks = int(count)
-	b.Jobs[n] = a
+	answer.Tasks = int(count)
+	b.Jobs[n] = answer
 	return n, nil
 }
 
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -239,26 +239,26 @@
 	p.depths[n] = uint8(depth)
 }
 
-func (p *Index) lookUpIn(l *lookup, n uint32) {
-	l.reads++
+func (p *Index) lookUpIn(asked *lookup, n uint32) {
+	asked.reads++
 	key := Key(n)
 	r := p.reads[key]
 	queue, room := &p.background, max(minQueued, int(p.rate*backgroundWait))
-	if l.urgent {
+	if asked.urgent {
 		queue, room = &p.urgent, max(minQueued, int(p.rate*urgentWait))
 	}
 	switch {
-	case l.reads > maxSteps || r == nil && len(*queue) >= room || r != nil && len(r.waiting)+len(r.late) >= maxPerRead:
+	case asked.reads > maxSteps || r == nil && len(*queue) >= room || r != nil && len(r.waiting)+len(r.late) >= maxPerRead:
 		p.Refused++
-		l.fail()
+		asked.fail()
 	case r == nil:
-		p.reads[key] = &read{waiting: []*lookup{l}}
+		p.reads[key] = &read{waiting: []*lookup{asked}}
 		*queue = append(*queue, key)
 	case r.sent:
-		r.late = append(r.late, l)
+		r.late = append(r.late, asked)
 	default:
-		r.waiting = append(r.waiting, l)
-		if l.urgent && !slices.Contains(p.urgent, key) {
+		r.waiting = append(r.waiting, asked)
+		if asked.urgent && !slices.Contains(p.urgent, key) {
 			p.background = slices.DeleteFunc(p.background, func(k string) bool { return k == key })
 			p.urgent = append(p.urgent, key)
 		}
@@ -300,8 +300,8 @@
 	p.inFlight--
 	if o != store.OK && o != store.Failed {
 		p.heldUntil = now + units.Second/4
-		for _, l := range slices.Concat(w.waiting, w.late) {
-			l.fail()
+		for _, asked := range slices.Concat(w.waiting, w.late) {
+			asked.fail()
 		}
 		return nil
 	}
@@ -312,31 +312,31 @@
 			p.noteDepth(n, b.Depth)
 		}
 	}
-	for _, l := range w.waiting {
+	for _, asked := range w.waiting {
 		switch {
 		case err != nil:
-			l.fail()
+			asked.fail()
 		case b == nil && n == 0:
-			p.deliver(l, &Bucket{Jobs: map[uint64]Answer{}}, 0)
+			p.deliver(asked, &Bucket{Jobs: map[uint64]Answer{}}, 0)
 		case b == nil: // not split off yet: it is in the one that this is split off
 			if int(n) < len(p.depths) {
 				p.depths[n] = 0
 			}
-			p.lookUpIn(l, parent(n))
-		case !b.Covers(l.id): // split since
-			p.lookUpIn(l, bucketAt(hash(l.id), b.Depth))
+			p.lookUpIn(asked, parent(n))
+		case !b.Covers(asked.id): // split since
+			p.lookUpIn(asked, bucketAt(hash(asked.id), b.Depth))
 		default:
-			p.deliver(l, b, stamp)
+			p.deliver(asked, b, stamp)
 		}
 	}
-	for _, l := range w.late {
-		if b != nil && l.onAnswer != nil {
-			if _, ok := b.Find(l.id); ok {
-				p.deliver(l, b, stamp)
+	for _, asked := range w.late {
+		if b != nil && asked.onAnswer != nil {
+			if _, ok := b.Find(asked.id); ok {
+				p.deliver(asked, b, stamp)
 				continue
 			}
 		}
-		p.lookUpIn(l, n)
+		p.lookUpIn(asked, n)
 	}
 	return err
 }
--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -1,5 +1,6 @@
-// Package authority holds what authority is made of: terms, lease numbers, tokens
-// and the time until which authority is certain.
+// Package authority holds what the right to act is made of: the stored records of members,
+// of the leader and of shards, fencing tokens, the time until which a member's authority is
+// certain, and the leases and votes that its peers give.
 package authority
 
 import (
@@ -12,15 +13,15 @@
 )
 
 // Member is a controller's record: it is attached to the controller's lease and
-// vanishes with it. Its version tells one process of a controller from the
-// next, and all that a controller holds is held by its seat.
+// vanishes with it. Its version, the member's id, tells one process of a controller from the
+// next: shards are assigned to a member, not to a controller.
 type Member struct {
 	Node string `json:"node"`
-	// Release tells what the controller understands; 0: less than 0.3 does.
+	// Release says what the controller understands; 0: less than 0.3 does.
 	Release int `json:"release,omitempty"`
 }
 
-// LeaderRecord is the leader's record; it is attached to the same lease.
+// LeaderRecord names the leader; it is attached to the lease of its membership.
 type LeaderRecord struct {
 	Term     uint64 `json:"term"`
 	Node     string `json:"node"`
@@ -33,24 +34,25 @@
 	Node string `json:"node"`
 }
 
-// Assignment is the stored lease of a block to a controller's seat. Machines and
-// jobs name the block that they belong to; no Node means that it is free.
+// Assignment is the stored assignment of a shard to a member. Machines and jobs name the
+// shard that they belong to; no Node means that nobody owns it.
 type Assignment struct {
 	Term     uint64 `json:"term"`
 	Number   uint64 `json:"number"`
 	Node     string `json:"node,omitempty"`
 	MemberID uint64 `json:"seat,omitempty"`
-	// ReleasedBy is the controller that gave the block up and should not have it back.
+	// ReleasedBy is the controller that released the shard and should not have it back.
 	ReleasedBy string `json:"left,omitempty"`
-	// TransferredFrom is the token of the grant that this one follows on, where its holder gave the
-	// block up by itself and nobody has held it since; 0: not so.
+	// TransferredFrom is the fencing token of the assignment before, where its owner released
+	// the shard by itself and nobody has owned it since; 0: not so.
 	TransferredFrom uint64 `json:"from,omitempty"`
-	// PreviousToken is the token of the grant before this one, however that ended; 0: not told.
+	// PreviousToken is the fencing token of the assignment before, however that ended; 0: not known.
 	PreviousToken uint64 `json:"after,omitempty"`
 }
 
-// DecodeAssignment reads a stored block. Releases before 0.2 named its controller
-// otherwise and knew no seats: it is taken as held by a seat that nobody has.
+// DecodeAssignment reads the stored assignment of a shard. Releases before 0.2 named its
+// controller otherwise and knew no members: it is taken as that of a member that no
+// controller is.
 func DecodeAssignment(b []byte) (Assignment, error) {
 	var v struct {
 		Assignment
@@ -63,27 +65,27 @@
 	return v.Assignment, err
 }
 
-// QuotaAllocation is the part of every team's limit that a block may use. All shares
-// together are never more than 1, see docs/design.md.
+// QuotaAllocation is the part of every team's limit that a shard may use. All parts together
+// are never more than 1, see docs/design.md.
 type QuotaAllocation struct {
 	Fraction float64 `json:"share"`
 }
 
-// lease numbers that fit into one term's tokens
-const assignmentsPerTerm = 1 << 16
-
-// attempts that fit into one grant
-const attemptsPerAssignment = 1 << 24
+const (
+	assignmentsPerTerm    = 1 << 16 // whose fencing tokens fit into one term's
+	attemptsPerAssignment = 1 << 24 // to start a task
+)
 
-// MaxTerm is the highest term whose tokens and attempts fit into their numbers.
+// MaxTerm is the highest term whose fencing tokens and attempts fit into their numbers.
 const MaxTerm = 1<<24 - 1
 
-// FencingToken joins the leader's term and a lease number; it only ever rises.
+// FencingToken joins the leader's term and the number of an assignment in it; it only ever
+// rises. Workers refuse what comes with a lower one than they have seen.
 func FencingToken(term, number uint64) uint64 {
 	return term*assignmentsPerTerm + number%assignmentsPerTerm
 }
 
-// AttemptNumber returns an attempt number that no other grant uses.
+// AttemptNumber returns an attempt number that no other assignment uses.
 func AttemptNumber(token, n uint64) uint64 {
 	return token*attemptsPerAssignment + n%attemptsPerAssignment
 }
@@ -92,28 +94,27 @@
 // be one that it has used.
 func AttemptsUsedUp(n uint64) bool { return n >= attemptsPerAssignment-1 }
 
-// Authority is the time for which a seat surely stands, so that nothing that it
-// holds can have been given to another.
+// Authority is the time for which a membership surely stands, so that nothing that the
+// member owns can have been assigned to another.
 //
-// It rests on the lease in the state service, counted from when its last
-// renewal was sent, less clock drift and a margin. Where the state service does
-// not answer it rests on promises: peers that make up a majority together with
-// this node have promised not to help to give away what the seat holds for a
-// while, and without a majority's help nobody may do so until Short has passed
-// since the lease was last renewed. Beyond Short it takes the promises of all peers:
-// whoever is out of reach may be the one that the state service serves. See
-// docs/design.md for the argument.
+// It rests on the lease in the state service, counted from when its last renewal was sent,
+// less clock drift and a margin. Where the state service does not answer it rests on peer
+// leases: peers that make up a majority together with this controller will not, for a while,
+// vote for giving away what the member owns, and without a majority's votes nobody may do
+// so until Short has passed since the lease was last renewed. Beyond Short it takes the
+// peer leases of all: whoever is out of reach may be the one that the state service serves.
+// See docs/design.md for the argument.
 type Authority struct {
 	TTL    units.Microseconds
 	Margin units.Microseconds
-	Short  units.Microseconds // bound on what promises of a majority add, from the last renewal
-	Peers  int                // promises that make a majority together with this node
+	Short  units.Microseconds // bound on what the peer leases of a majority add, from the last renewal
+	Peers  int                // peer leases that make a majority together with this controller
 	All    int                // peers
 
 	until         units.Microseconds
 	short         units.Microseconds
 	peerLeases    map[string]units.Microseconds
-	majorityUntil units.Microseconds // when the promises of a majority end
+	majorityUntil units.Microseconds // when the peer leases of a majority end
 	allUntil      units.Microseconds // and when those of all do
 }
 
@@ -123,7 +124,7 @@
 	a.short = max(a.short, sent+units.Shortest(a.Short)-a.Margin)
 }
 
-// PeerLeaseGranted records a peer's promise, asked for at the given time.
+// PeerLeaseGranted records a peer's lease, asked for at the given time.
 func (a *Authority) PeerLeaseGranted(peer string, asked units.Microseconds) {
 	if a.peerLeases == nil {
 		a.peerLeases = map[string]units.Microseconds{}
@@ -149,37 +150,37 @@
 	return max(a.until, min(a.majorityUntil, a.short), a.allUntil)
 }
 
-// PeerLeaseTime is how long a promise binds.
+// PeerLeaseTime is how long a peer lease binds.
 const PeerLeaseTime = 2 * units.Second
 
-// Voter is what a controller owes the others with regard to one of them. It
-// forgets everything when its process ends, so that a new process must let the
-// longest promise run out before it may help anybody. Its clock starts at 0
-// with its process.
+// Voter is what a controller owes the others with regard to one of them. It forgets
+// everything when its process ends, so that a new process must let the longest peer lease
+// run out before it may vote. Its clock starts at 0 with its process.
 type Voter struct {
 	// SkippedGuard is a check that is left out; only tests set it.
 	SkippedGuard guard.Guard
 
 	leasedUntil units.Microseconds
-	takenOver   uint64 // highest seat that this node has helped to end
+	takenOver   uint64 // highest id of a member that this controller has voted to take over from
 }
 
-// GrantPeerLease is asked by the holder of a seat; seen is the seat that the holder
-// has in the state service as this node last saw it, 0 if there is none.
-func (v *Voter) GrantPeerLease(now units.Microseconds, seat, seen uint64) bool {
-	if seat != seen || seat <= v.takenOver && v.SkippedGuard != guard.MemberRecord {
+// GrantPeerLease is asked by a member; seen is the id that its controller has in the state
+// service as this controller last saw it, 0 if there is none. A member that this controller
+// has voted to take over from never gets one again.
+func (v *Voter) GrantPeerLease(now units.Microseconds, member, seen uint64) bool {
+	if member != seen || member <= v.takenOver && v.SkippedGuard != guard.MemberRecord {
 		return false
 	}
 	v.leasedUntil = max(v.leasedUntil, now+PeerLeaseTime)
 	return true
 }
 
-// Vote is asked by a controller that wants to give away what a seat holds
-// whose record is gone.
-func (v *Voter) Vote(now units.Microseconds, seat uint64) bool {
+// Vote is asked by a controller that wants to give away what a member owns whose record is
+// gone.
+func (v *Voter) Vote(now units.Microseconds, member uint64) bool {
 	if now < v.leasedUntil && v.SkippedGuard != guard.VoteAfterPeerLease || now < units.Longest(PeerLeaseTime) {
 		return false
 	}
-	v.takenOver = max(v.takenOver, seat)
+	v.takenOver = max(v.takenOver, member)
 	return true
 }
--- a/internal/core/authority/trace.go
+++ b/internal/core/authority/trace.go
@@ -8,27 +8,27 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// left adds how long a time is still to come, 0 once it is over: of no use any more, it does
-// not matter for how long.
-func left(b []byte, what string, t, now units.Microseconds) []byte {
+// remaining adds how long a time is still to come, 0 once it is over: of no use any more, it
+// does not matter for how long.
+func remaining(b []byte, what string, t, now units.Microseconds) []byte {
 	return strconv.AppendInt(append(b, what...), int64(max(0, t-now)), 10)
 }
 
 // Trace adds what an authority rests on, in times from now. Equal traces act the same from
 // then on.
 func (a *Authority) Trace(b []byte, now units.Microseconds) []byte {
-	b = left(b, "until ", a.until, now)
-	b = left(b, " short ", a.short, now)
-	b = left(b, " carried ", a.majorityUntil, now)
+	b = remaining(b, "until ", a.until, now)
+	b = remaining(b, " short ", a.short, now)
+	b = remaining(b, " carried ", a.majorityUntil, now)
 	for _, p := range slices.Sorted(maps.Keys(a.peerLeases)) {
-		b = left(append(append(b, ' '), p...), " ", a.peerLeases[p], now)
+		b = remaining(append(append(b, ' '), p...), " ", a.peerLeases[p], now)
 	}
 	return b
 }
 
 // Trace adds what a voter owes, likewise.
 func (v *Voter) Trace(b []byte, now units.Microseconds) []byte {
-	b = left(b, "promised ", v.leasedUntil, now)
+	b = remaining(b, "promised ", v.leasedUntil, now)
 	b = strconv.AppendUint(append(b, " over "...), v.takenOver, 10)
-	return left(b, " young ", units.Longest(PeerLeaseTime), now)
+	return remaining(b, " young ", units.Longest(PeerLeaseTime), now)
 }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -39,118 +39,151 @@
 
 // commit lets the state service answer the oldest write, which it refuses where a guard does
 // not hold. A membership's own record counts as unchanged.
-func (h *fakeHost) commit(e *Election, o store.Outcome, revision uint64) error {
+func (h *fakeHost) commit(election *Election, outcome store.Outcome, revision uint64) error {
 	w := h.writes[0]
 	h.writes = h.writes[1:]
 	for _, guard := range w.Guards {
 		if guard.Key != keys.MemberPrefix+"a" && h.versions[guard.Key] != guard.Version {
-			o = store.Failed
+			outcome = store.Failed
 		}
 	}
-	if o == store.OK {
+	if outcome == store.OK {
 		for _, change := range w.Changes {
 			h.versions[change.Key] = revision
 			event := store.Event{Key: change.Key, Value: change.Value, Stamp: revision}
-			learn := e.Learn
+			learn := election.Learn
 			if change.Key == keys.Term {
-				learn = e.LearnTerm
+				learn = election.LearnTerm
 			}
 			if err := learn(event); err != nil {
 				return err
 			}
 		}
 	}
-	w.Done(o, revision)
+	w.Done(outcome, revision)
 	return nil
 }
 
+// campaignTerm is the term for which the controller campaigns with a write.
+func (h *fakeHost) campaignTerm(t *rapid.T, write int) uint64 {
+	t.Helper()
+	var campaign authority.LeaderRecord
+	must(t, json.Unmarshal(h.writes[write].Changes[0].Value, &campaign))
+	return campaign.Term
+}
+
+func must(t *rapid.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Terms never fall, whatever is stored, and each campaign is for a term above all that
 // were known; the fencing tokens that this controller assigns only rise, through any
 // number of its leaderships.
 func TestTermsAndFencingTokensOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e, host := newElection()
-		revision, highest, token := uint64(100), uint64(0), uint64(0)
-		next := func() uint64 { revision++; return revision }
-		stored := func(key string) uint64 {
-			host.versions[key] = next()
-			return revision
-		}
-		t.Repeat(map[string]func(*rapid.T){
-			"a term is stored": func(t *rapid.T) {
-				term := rapid.Uint64Range(0, 50).Draw(t, "term")
-				if err := e.LearnTerm(store.Event{Key: keys.Term, Value: store.Value(authority.Term{Term: term, Node: "b"}), Stamp: stored(keys.Term)}); err != nil {
-					t.Fatal(err)
-				}
-			},
-			"the term is removed": func(t *rapid.T) {
-				if err := e.LearnTerm(store.Event{Key: keys.Term, Stamp: stored(keys.Term)}); err != nil {
-					t.Fatal(err)
-				}
-			},
-			"the term is garbage": func(t *rapid.T) {
-				if err := e.LearnTerm(store.Event{Key: keys.Term, Value: json.RawMessage(`"no"`), Stamp: stored(keys.Term)}); err == nil {
-					t.Fatal("taken")
-				}
-			},
-			"the leader record goes": func(t *rapid.T) {
-				if err := e.Learn(store.Event{Key: keys.Leader, Stamp: stored(keys.Leader)}); err != nil {
-					t.Fatal(err)
-				}
-			},
-			"the membership ends and another begins": func(t *rapid.T) {
-				e.MembershipLost()
-				host.member = 0
-				for _, w := range host.writes { // as the write queue does with all that it drops
-					w.Done(store.Refused, 0)
-				}
-				host.writes = nil
-				host.member = next()
-			},
-			"tick": func(t *rapid.T) {
-				waiting := len(host.writes)
-				e.Tick()
-				if len(host.writes) == waiting {
-					return
-				}
-				var campaign authority.LeaderRecord
-				if err := json.Unmarshal(host.writes[waiting].Changes[0].Value, &campaign); err != nil {
-					t.Fatal(err)
-				}
-				if campaign.Term <= highest {
-					t.Fatalf("campaigns for term %d, %d was taken", campaign.Term, highest)
-				}
-			},
-			"answer": func(t *rapid.T) {
-				if len(host.writes) == 0 {
-					t.Skip()
-				}
-				o := rapid.SampledFrom([]store.Outcome{store.OK, store.Failed, store.Unknown}).Draw(t, "outcome")
-				if err := host.commit(e, o, next()); err != nil {
-					t.Fatal(err)
-				}
-			},
-			"assign": func(t *rapid.T) {
-				leadership := e.Leadership()
-				if leadership == nil {
-					t.Skip()
-				}
-				now := authority.FencingToken(leadership.Term(), leadership.NextAssignment())
-				if now <= token {
-					t.Fatalf("token %d after %d", now, token)
-				}
-				token = now
-			},
-			"": func(t *rapid.T) {
-				if e.HighestTerm().Term < highest {
-					t.Fatalf("highest term %d after %d", e.HighestTerm().Term, highest)
-				}
-				highest = e.HighestTerm().Term
-			},
-		})
+		election, host := newElection()
+		t.Repeat(rapid.StateMachineActions(&termsModel{election: election, host: host, revision: 100}))
 	})
 }
 
+// termsModel is a controller whose state service stores anything.
+type termsModel struct {
+	election *Election
+	host     *fakeHost
+	revision uint64
+	highest  uint64 // term that was known
+	token    uint64 // that was assigned last
+}
+
+// event stores a value.
+func (m *termsModel) event(key string, value json.RawMessage) store.Event {
+	m.revision++
+	m.host.versions[key] = m.revision
+	return store.Event{Key: key, Value: value, Stamp: m.revision}
+}
+
+func (m *termsModel) TermStored(t *rapid.T) {
+	term := rapid.Uint64Range(0, 50).Draw(t, "term")
+	must(t, m.election.LearnTerm(m.event(keys.Term, store.Value(authority.Term{Term: term, Node: "b"}))))
+}
+
+func (m *termsModel) TermRemoved(t *rapid.T) {
+	must(t, m.election.LearnTerm(m.event(keys.Term, nil)))
+}
+
+func (m *termsModel) TermIsGarbage(t *rapid.T) {
+	if err := m.election.LearnTerm(m.event(keys.Term, json.RawMessage(`"no"`))); err == nil {
+		t.Fatal("taken")
+	}
+}
+
+func (m *termsModel) LeaderRecordRemoved(t *rapid.T) {
+	must(t, m.election.Learn(m.event(keys.Leader, nil)))
+}
+
+func (m *termsModel) AnotherMembership(*rapid.T) {
+	m.election.MembershipLost()
+	m.host.member = 0
+	for _, w := range m.host.writes { // as the write queue does with all that it drops
+		w.Done(store.Refused, 0)
+	}
+	m.host.writes = nil
+	m.revision++
+	m.host.member = m.revision
+}
+
+func (m *termsModel) Tick(t *rapid.T) {
+	waiting := len(m.host.writes)
+	m.election.Tick()
+	if len(m.host.writes) == waiting {
+		return
+	}
+	if term := m.host.campaignTerm(t, waiting); term <= m.highest {
+		t.Fatalf("campaigns for term %d, %d was taken", term, m.highest)
+	}
+}
+
+func (m *termsModel) Answer(t *rapid.T) {
+	if len(m.host.writes) == 0 {
+		t.Skip()
+	}
+	m.revision++
+	outcome := rapid.SampledFrom([]store.Outcome{store.OK, store.Failed, store.Unknown}).Draw(t, "outcome")
+	must(t, m.host.commit(m.election, outcome, m.revision))
+}
+
+func (m *termsModel) Assign(t *rapid.T) {
+	leadership := m.election.Leadership()
+	if leadership == nil {
+		t.Skip()
+	}
+	for range 2 {
+		token := authority.FencingToken(leadership.Term(), leadership.NextAssignment())
+		if token <= m.token {
+			t.Fatalf("token %d after %d", token, m.token)
+		}
+		m.token = token
+	}
+}
+
+func (m *termsModel) Campaign(t *rapid.T) {
+	m.Tick(t)
+	for len(m.host.writes) > 0 {
+		m.revision++
+		must(t, m.host.commit(m.election, store.OK, m.revision))
+	}
+}
+
+func (m *termsModel) Check(t *rapid.T) {
+	if m.election.HighestTerm().Term < m.highest {
+		t.Fatalf("highest term %d after %d", m.election.HighestTerm().Term, m.highest)
+	}
+	m.highest = m.election.HighestTerm().Term
+}
+
 // A controller campaigns only as a member, with a fresh copy of the state service's keys,
 // and where no other's record stands.
 func TestCampaign(t *testing.T) {
@@ -177,40 +210,40 @@
 // Every write of a leader is guarded by its record, also by the version that the record
 // has once it was written again at the key that holds it since the archive.
 func TestLeaderWritesAreGuarded(t *testing.T) {
-	e, host := newElection()
-	e.Tick()
-	if err := host.commit(e, store.OK, 101); err != nil || !e.Leads() || len(host.elected) != 1 {
+	candidate, host := newElection()
+	candidate.Tick()
+	if err := host.commit(candidate, store.OK, 101); err != nil || !candidate.Leads() || len(host.elected) != 1 {
 		t.Fatalf("not elected: %v", err)
 	}
-	l := e.Leadership()
-	if want := (store.Guard{Key: keys.Leader, Version: 101}); l.Guard() != want {
-		t.Fatalf("%+v", l.Guard())
+	leadership := candidate.Leadership()
+	if want := (store.Guard{Key: keys.Leader, Version: 101}); leadership.Guard() != want {
+		t.Fatalf("%+v", leadership.Guard())
 	}
-	if err := e.Learn(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(l.Record(7)), Stamp: 102}); err != nil || l.Guard().Version != 101 {
-		t.Fatalf("another key counts: %+v, %v", l.Guard(), err)
+	if err := candidate.Learn(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(leadership.Record(7)), Stamp: 102}); err != nil || leadership.Guard().Version != 101 {
+		t.Fatalf("another key counts: %+v, %v", leadership.Guard(), err)
 	}
 	host.archiving = true
-	if err := e.ArchivingStarted(); err != nil || !e.Leads() {
+	if err := candidate.ArchivingStarted(); err != nil || !candidate.Leads() {
 		t.Fatalf("leads no more: %v", err)
 	}
-	if want := (store.Guard{Key: keys.LeaderSinceArchive, Version: 102}); l.Guard() != want {
-		t.Fatalf("%+v", l.Guard())
+	if want := (store.Guard{Key: keys.LeaderSinceArchive, Version: 102}); leadership.Guard() != want {
+		t.Fatalf("%+v", leadership.Guard())
 	}
-	if !e.ExclusionNeeded() {
+	if !candidate.ExclusionNeeded() {
 		t.Fatal("older releases are not kept out yet")
 	}
-	if err := e.Learn(store.Event{Key: keys.Leader, Value: store.Value(l.ExclusionRecord()), Stamp: 103}); err != nil || e.ExclusionNeeded() || !e.Leads() {
+	if err := candidate.Learn(store.Event{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord()), Stamp: 103}); err != nil || candidate.ExclusionNeeded() || !candidate.Leads() {
 		t.Fatalf("%v", err)
 	}
-	l.Write(nil, store.Change{Key: "x"})
-	if l.MayPlan(0) || !l.Writing() || host.writes[0].Guards[0] != l.Guard() {
+	leadership.Write(nil, store.Change{Key: "x"})
+	if leadership.MayPlan(0) || !leadership.Writing() || host.writes[0].Guards[0] != leadership.Guard() {
 		t.Fatalf("%+v", host.writes[0])
 	}
 	host.writes[0].Done(store.TooLarge, 0)
-	if l.MayPlan(tooLargeRetry-1) || !l.MayPlan(tooLargeRetry) {
+	if leadership.MayPlan(tooLargeRetry-1) || !leadership.MayPlan(tooLargeRetry) {
 		t.Fatal("does not wait after a write that was too large")
 	}
-	if err := e.Learn(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(authority.LeaderRecord{Term: 9, Node: "b"}), Stamp: 104}); err != nil || e.Leads() {
+	if err := candidate.Learn(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(authority.LeaderRecord{Term: 9, Node: "b"}), Stamp: 104}); err != nil || candidate.Leads() {
 		t.Fatalf("leads beside another: %v", err)
 	}
 }
--- a/internal/core/shardplan/assign.go
+++ b/internal/core/shardplan/assign.go
@@ -6,7 +6,6 @@
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/keys"
 	"shalestage.example/shalestage/internal/core/store"
-	"shalestage.example/shalestage/internal/core/units"
 )
 
 // changesPerAssignment is how many changes the assignment of one shard may take: its own
@@ -29,20 +28,20 @@
 
 // assignShards gives shards that nobody owns to controllers, and reports whether there were
 // any that it could give.
-func (p *Planner) assignShards(now units.Microseconds) bool {
+func (p *Planner) assignShards() bool {
 	var t transaction
 	assigned := map[string]int{}
 	for shard := range p.shardCount() {
-		if !p.needsOwner(now, shard) {
+		if !p.needsOwner(shard) {
 			continue
 		}
 		last := p.records.Assignment(shard)
-		to := p.ChooseOwner(shard, last, assigned)
-		if to == "" || len(t.changes)+changesPerAssignment > p.cfg.TxnOps {
+		owner := p.ChooseOwner(shard, last, assigned)
+		if owner == "" || len(t.changes)+changesPerAssignment > p.cfg.TxnOps {
 			continue
 		}
-		assigned[to]++
-		p.assign(&t, shard, last, to)
+		assigned[owner]++
+		p.assign(&t, shard, last, owner)
 	}
 	if len(t.changes) == 0 {
 		return false
@@ -53,7 +52,7 @@
 
 // needsOwner reports whether a shard is to be assigned: it is in use and never was, its
 // owner has released it, or the owner's membership has expired.
-func (p *Planner) needsOwner(now units.Microseconds, shard int) bool {
+func (p *Planner) needsOwner(shard int) bool {
 	last := p.records.Assignment(shard)
 	switch {
 	case last.Version == 0:
@@ -66,8 +65,8 @@
 
 // assign adds to a transaction what gives a shard to a controller. The guard on the new
 // owner's membership keeps a shard from being assigned to one that has just ended.
-func (p *Planner) assign(t *transaction, shard int, last Assignment, to string) {
-	next := authority.Assignment{Term: p.leadership.Term(), Number: p.leadership.NextAssignment(), Node: to, MemberID: p.host.CurrentMember(to)}
+func (p *Planner) assign(t *transaction, shard int, last Assignment, owner string) {
+	next := authority.Assignment{Term: p.leadership.Term(), Number: p.leadership.NextAssignment(), Node: owner, MemberID: p.host.CurrentMember(owner)}
 	if last.Version != 0 {
 		next.PreviousToken = last.Token()
 		if last.Node == "" && last.ReleasedBy != "" {
@@ -75,7 +74,7 @@
 		}
 	}
 	t.guard(keys.Assignment(shard), last.Version)
-	t.guard(keys.MemberPrefix+to, next.MemberID)
+	t.guard(keys.MemberPrefix+owner, next.MemberID)
 	t.put(keys.Assignment(shard), next)
 	if p.records.Allocation(shard).Version == 0 {
 		fraction := 0.0
@@ -85,7 +84,7 @@
 		t.guard(keys.Allocation(shard), 0)
 		t.put(keys.Allocation(shard), authority.QuotaAllocation{Fraction: fraction})
 	}
-	p.cfg.Log.Info("shard assigned", "shard", shard, "to", to, "term", next.Term, "number", next.Number)
+	p.cfg.Log.Info("shard assigned", "shard", shard, "to", owner, "term", next.Term, "number", next.Number)
 }
 
 // Costs of a controller as a shard's next owner.
--- a/internal/core/shardplan/migrate.go
+++ b/internal/core/shardplan/migrate.go
@@ -31,9 +31,9 @@
 // that are served first at the beginning: the last ones migrate.
 func (p *Planner) Migrate(now units.Microseconds, owned OwnedShard, ordered []*jobs.Job) {
 	p.measure(now)
-	from, to := owned.Number(), p.leastLoaded()
+	from, target := owned.Number(), p.leastLoaded()
 	byShard := p.loads.byShard
-	if to == from || to >= len(byShard) || from >= len(byShard) {
+	if target == from || target >= len(byShard) || from >= len(byShard) {
 		return
 	}
 	migrated := 0
@@ -45,20 +45,20 @@
 			continue
 		}
 		work := remainingWork(job)
-		if !p.worthMigrating(from, to, work) || len(job.Record.Encode()) > p.cfg.ValueMax {
+		if !p.worthMigrating(from, target, work) || len(job.Record.Encode()) > p.cfg.ValueMax {
 			continue
 		}
 		migrated++
 		byShard[from].work -= work
-		byShard[to].work += work
-		p.storeMigration(owned, job, to)
+		byShard[target].work += work
+		p.storeMigration(owned, job, target)
 	}
 }
 
 // worthMigrating reports whether a shard is closed, or has much more work for its capacity
 // than another would have with the job.
-func (p *Planner) worthMigrating(from, to int, work float64) bool {
-	into := p.loads.byShard[to]
+func (p *Planner) worthMigrating(from, target int, work float64) bool {
+	into := p.loads.byShard[target]
 	into.work += work
 	closed := p.records.Allocation(from).Fraction < nothing
 	return closed || p.loads.relative(p.loads.byShard[from]) >= unevenBy*p.loads.relative(into)
@@ -67,11 +67,11 @@
 // storeMigration stores that a job belongs to another shard. Until the outcome is certain
 // the job is neither started here nor is the try given up: a transaction that comes late
 // would move a job that runs.
-func (p *Planner) storeMigration(owned OwnedShard, job *jobs.Job, to int) {
+func (p *Planner) storeMigration(owned OwnedShard, job *jobs.Job, target int) {
 	job.SetMigrating(true)
 	key := keys.Job(job.ID)
 	record := job.Record
-	record.Shard = to
+	record.Shard = target
 	// Once the record says otherwise, whoever owns the job's shard now starts anew.
 	pending := func() bool { return owned.Owned() && job.Active() && job.Record.Shard == owned.Number() }
 	p.host.Store(&store.Write{
@@ -87,7 +87,7 @@
 				case (o == store.Failed || o == store.TooLarge) && job.Version == p.host.Version(key):
 					job.SetMigrating(false) // that transaction can never be carried out
 				default:
-					p.storeMigration(owned, job, to)
+					p.storeMigration(owned, job, target)
 				}
 			})
 		},
--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -151,7 +151,7 @@
 	p.nextPlanAt = now + planInterval
 	p.measure(now)
 	p.sharded = p.wantsShards(now)
-	if p.assignShards(now) || p.allocateQuotas(now) {
+	if p.assignShards() || p.allocateQuotas(now) {
 		return
 	}
 	p.rebalance(now)
--- a/internal/core/shardplan/shardplan_test.go
+++ b/internal/core/shardplan/shardplan_test.go
@@ -121,22 +121,22 @@
 }
 
 // answer lets the state service carry the oldest write out, or not.
-func (h *fakeHost) answer(t fataler, o store.Outcome) {
+func (h *fakeHost) answer(t fataler, outcome store.Outcome) {
 	t.Helper()
 	w := h.writes[0]
 	h.writes = h.writes[1:]
 	for _, guard := range w.Guards {
 		if !strings.HasPrefix(guard.Key, keys.MemberPrefix) && h.versions[guard.Key] != guard.Version {
-			o = store.Failed
+			outcome = store.Failed
 		}
 	}
-	if o == store.OK {
+	if outcome == store.OK {
 		h.revision++
 		for _, change := range w.Changes {
 			h.learn(t, change.Key, change.Value)
 		}
 	}
-	w.Done(o, h.revision)
+	w.Done(outcome, h.revision)
 }
 
 // plan lets the leader plan once, and the state service take what it writes.
@@ -173,81 +173,108 @@
 // its own time, and never uses more than its allocation unless it did before.
 func TestQuotasNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const size = 3
-		h := newCluster(size)
-		h.lead(t)
-		h.machines(20, 0, 0)
+		m := &quotaModel{cluster: newCluster(quotaShards)}
+		m.cluster.lead(t)
+		m.cluster.machines(20, 0, 0)
 		for range 3 {
-			h.plan(t)
+			m.cluster.plan(t)
 		}
-		if h.planner.records.Assignment(2).Version == 0 {
+		if m.cluster.planner.records.Assignment(2).Version == 0 {
 			t.Fatal("shards are not assigned")
 		}
-		type report struct {
-			shard   int
-			version uint64
-			used    float64
-		}
-		var late []report
-		used := [size]float64{}
-		shard := rapid.IntRange(0, size-1)
-		t.Repeat(map[string]func(*rapid.T){
-			"plan": func(t *rapid.T) {
-				h.now += rapid.SampledFrom([]units.Microseconds{planInterval, targetInterval}).Draw(t, "later")
-				h.planner.Tick(h.now)
-			},
-			"plan and store": func(t *rapid.T) {
-				h.now += rapid.SampledFrom([]units.Microseconds{0, targetInterval}).Draw(t, "later")
-				h.plan(t)
-			},
-			"answer": func(t *rapid.T) {
-				if len(h.writes) == 0 {
-					t.Skip()
-				}
-				h.answer(t, rapid.SampledFrom([]store.Outcome{store.OK, store.Failed, store.Unknown}).Draw(t, "outcome"))
-			},
-			"capacity moves": func(t *rapid.T) {
-				counts := []int{1, 1, 1}
-				counts[shard.Draw(t, "to")] = 30
-				h.machines(counts...)
-			},
-			"work starts": func(t *rapid.T) {
-				i := shard.Draw(t, "in")
-				used[i] = max(used[i], rapid.SampledFrom([]float64{0.1, 1}).Draw(t, "use")*h.planner.records.Allocation(i).Fraction)
-			},
-			"work ends": func(t *rapid.T) {
-				i := shard.Draw(t, "in")
-				used[i] *= rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "rest")
-			},
-			"report": func(t *rapid.T) {
-				i := shard.Draw(t, "of")
-				late = append(late, report{i, h.planner.records.Allocation(i).Version, used[i]})
-			},
-			"all report": func(*rapid.T) {
-				for i := range size {
-					h.planner.ObserveQuotaUse(h.planner.records.Assignment(i).Node, i, h.planner.records.Allocation(i).Version, used[i])
-				}
-			},
-			"late report": func(t *rapid.T) {
-				if len(late) == 0 {
-					t.Skip()
-				}
-				r := late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
-				h.planner.ObserveQuotaUse(h.planner.records.Assignment(r.shard).Node, r.shard, r.version, r.used)
-			},
-			"": func(t *rapid.T) {
-				sum := 0.0
-				for i := range size {
-					sum += max(used[i], h.planner.records.Allocation(i).Fraction)
-				}
-				if sum > 1+2*rounding {
-					t.Fatalf("%v of the limits are used or may be: %v", sum, used)
-				}
-			},
-		})
+		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
 
+const quotaShards = 3
+
+// quotaModel are shards whose owners use their parts of the limits.
+type quotaModel struct {
+	cluster *fakeHost
+	used    [quotaShards]float64
+	late    []quotaReport
+}
+
+// quotaReport is what an owner has sent of a shard.
+type quotaReport struct {
+	shard   int
+	version uint64
+	used    float64
+}
+
+func (m *quotaModel) drawShard(t *rapid.T) int {
+	return rapid.IntRange(0, quotaShards-1).Draw(t, "shard")
+}
+
+func (m *quotaModel) allocation(shard int) Allocation {
+	return m.cluster.planner.records.Allocation(shard)
+}
+
+func (m *quotaModel) observe(r quotaReport) {
+	planner := m.cluster.planner
+	planner.ObserveQuotaUse(planner.records.Assignment(r.shard).Node, r.shard, r.version, r.used)
+}
+
+func (m *quotaModel) Plan(t *rapid.T) {
+	m.cluster.now += rapid.SampledFrom([]units.Microseconds{planInterval, targetInterval}).Draw(t, "later")
+	m.cluster.planner.Tick(m.cluster.now)
+}
+
+func (m *quotaModel) PlanAndStore(t *rapid.T) {
+	m.cluster.now += rapid.SampledFrom([]units.Microseconds{0, targetInterval}).Draw(t, "later")
+	m.cluster.plan(t)
+}
+
+func (m *quotaModel) Answer(t *rapid.T) {
+	if len(m.cluster.writes) == 0 {
+		t.Skip()
+	}
+	m.cluster.answer(t, rapid.SampledFrom([]store.Outcome{store.OK, store.Failed, store.Unknown}).Draw(t, "outcome"))
+}
+
+func (m *quotaModel) CapacityMoves(t *rapid.T) {
+	counts := []int{1, 1, 1}
+	counts[m.drawShard(t)] = 30
+	m.cluster.machines(counts...)
+}
+
+func (m *quotaModel) WorkStarts(t *rapid.T) {
+	shard := m.drawShard(t)
+	m.used[shard] = max(m.used[shard], rapid.SampledFrom([]float64{0.1, 1}).Draw(t, "use")*m.allocation(shard).Fraction)
+}
+
+func (m *quotaModel) WorkEnds(t *rapid.T) {
+	m.used[m.drawShard(t)] *= rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "rest")
+}
+
+func (m *quotaModel) Report(t *rapid.T) {
+	shard := m.drawShard(t)
+	m.late = append(m.late, quotaReport{shard, m.allocation(shard).Version, m.used[shard]})
+}
+
+func (m *quotaModel) AllReport(*rapid.T) {
+	for shard := range quotaShards {
+		m.observe(quotaReport{shard, m.allocation(shard).Version, m.used[shard]})
+	}
+}
+
+func (m *quotaModel) LateReport(t *rapid.T) {
+	if len(m.late) == 0 {
+		t.Skip()
+	}
+	m.observe(m.late[rapid.IntRange(0, len(m.late)-1).Draw(t, "which")])
+}
+
+func (m *quotaModel) Check(t *rapid.T) {
+	sum := 0.0
+	for shard := range quotaShards {
+		sum += max(m.used[shard], m.allocation(shard).Fraction)
+	}
+	if sum > 1+2*rounding {
+		t.Fatalf("%v of the limits are used or may be: %v", sum, m.used)
+	}
+}
+
 // A shard goes to the controller that owns the fewest, and among those to the one that
 // costs least; one that workers cannot reach gets it only where there is no other.
 func TestChooseOwner(t *testing.T) {
@@ -283,20 +310,20 @@
 // A shard whose owner's membership has expired is assigned anew under a higher fencing
 // token that names the one before; nothing else is touched.
 func TestExpiredOwnerIsReplaced(t *testing.T) {
-	h := newCluster(3)
-	h.lead(t)
-	h.plan(t)
-	first := h.planner.records.Assignment(0)
-	if first.Node != "a" || h.planner.records.Allocation(0).Fraction != 1 {
+	cluster := newCluster(3)
+	cluster.lead(t)
+	cluster.plan(t)
+	first := cluster.planner.records.Assignment(0)
+	if first.Node != "a" || cluster.planner.records.Allocation(0).Fraction != 1 {
 		t.Fatalf("%+v", first)
 	}
-	h.plan(t)
-	if again := h.planner.records.Assignment(0); again != first {
+	cluster.plan(t)
+	if again := cluster.planner.records.Assignment(0); again != first {
 		t.Fatalf("%+v after %+v", again, first)
 	}
-	h.expired["a"], h.members["a"] = true, 9
-	h.plan(t)
-	if next := h.planner.records.Assignment(0); next.MemberID != 9 || next.Token() <= first.Token() || next.PreviousToken != first.Token() || next.TransferredFrom != 0 {
+	cluster.expired["a"], cluster.members["a"] = true, 9
+	cluster.plan(t)
+	if next := cluster.planner.records.Assignment(0); next.MemberID != 9 || next.Token() <= first.Token() || next.PreviousToken != first.Token() || next.TransferredFrom != 0 {
 		t.Fatalf("%+v after %+v", next, first)
 	}
 }
@@ -304,28 +331,28 @@
 // Once there are more machines than one shard takes, all controllers get shards and parts of
 // the limits; the owner of two is asked for one while another has none.
 func TestShardsAreSpread(t *testing.T) {
-	h := newCluster(3)
-	h.members["c"] = 0
-	h.lead(t)
-	h.machines(11)
+	cluster := newCluster(3)
+	cluster.members["c"] = 0
+	cluster.lead(t)
+	cluster.machines(11)
 	for range 5 {
-		h.plan(t)
+		cluster.plan(t)
 		for shard := range 3 {
-			h.planner.ObserveQuotaUse(h.planner.records.Assignment(shard).Node, shard, h.planner.records.Allocation(shard).Version, 0)
+			cluster.planner.ObserveQuotaUse(cluster.planner.records.Assignment(shard).Node, shard, cluster.planner.records.Allocation(shard).Version, 0)
 		}
 	}
 	sum := 0.0
 	for shard := range 3 {
-		sum += h.planner.records.Allocation(shard).Fraction
+		sum += cluster.planner.records.Allocation(shard).Fraction
 	}
-	if sum < 1-rounding || len(h.planner.records.Open()) != 3 {
-		t.Fatalf("%v of the limits for %v", sum, h.planner.records.Open())
+	if sum < 1-rounding || len(cluster.planner.records.Open()) != 3 {
+		t.Fatalf("%v of the limits for %v", sum, cluster.planner.records.Open())
 	}
-	h.members["c"] = 3
-	h.now += transferInterval
-	h.plan(t)
-	if len(h.released) != 1 {
-		t.Fatalf("asks for %v", h.released)
+	cluster.members["c"] = 3
+	cluster.now += transferInterval
+	cluster.plan(t)
+	if len(cluster.released) != 1 {
+		t.Fatalf("asks for %v", cluster.released)
 	}
 }
 
@@ -349,36 +376,36 @@
 		{store.Failed, true, true},
 		{store.Unknown, false, true},
 	} {
-		h := newCluster(2)
-		h.machines(10, 10)
-		h.revision++
-		h.learn(t, keys.Allocation(0), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
-		h.learn(t, keys.Allocation(1), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
+		cluster := newCluster(2)
+		cluster.machines(10, 10)
+		cluster.revision++
+		cluster.learn(t, keys.Allocation(0), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
+		cluster.learn(t, keys.Allocation(1), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
 		var ordered []*jobs.Job
 		for i := range 4 {
 			job := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Version: 7, Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{binpack.CPU: 100}}}}
 			job.ClearPlacements()
 			job.Reset()
-			h.jobs[job.ID] = job
-			h.versions[keys.Job(job.ID)] = 7
+			cluster.jobs[job.ID] = job
+			cluster.versions[keys.Job(job.ID)] = 7
 			ordered = append(ordered, job)
 		}
 		owned := &ownedShard{}
-		h.planner.Migrate(h.now, owned, ordered)
-		if len(h.writes) == 0 || !ordered[3].Migrating || ordered[0].Migrating {
-			t.Fatalf("%d migrations", len(h.writes))
+		cluster.planner.Migrate(cluster.now, owned, ordered)
+		if len(cluster.writes) == 0 || !ordered[3].Migrating || ordered[0].Migrating {
+			t.Fatalf("%d migrations", len(cluster.writes))
 		}
-		write := h.writes[0]
-		h.writes = nil
+		write := cluster.writes[0]
+		cluster.writes = nil
 		if test.changed {
-			h.versions[keys.Job(ordered[3].ID)] = 8
+			cluster.versions[keys.Job(ordered[3].ID)] = 8
 		}
 		write.Done(test.outcome, 0)
-		if !ordered[3].Migrating || len(h.reads) != 1 {
-			t.Fatalf("%v: %v, %d reads", test.outcome, ordered[3].Migrating, len(h.reads))
+		if !ordered[3].Migrating || len(cluster.reads) != 1 {
+			t.Fatalf("%v: %v, %d reads", test.outcome, ordered[3].Migrating, len(cluster.reads))
 		}
-		h.reads[0](true)
-		if queued := len(h.writes) == 1; queued != test.wantQueued || ordered[3].Migrating != test.wantQueued {
+		cluster.reads[0](true)
+		if queued := len(cluster.writes) == 1; queued != test.wantQueued || ordered[3].Migrating != test.wantQueued {
 			t.Errorf("%v, changed %v: queued again %v", test.outcome, test.changed, queued)
 		}
 	}
