--- a/internal/core/commits.go
+++ b/internal/core/commits.go
@@ -9,19 +9,18 @@
 
 // OnCommit takes a transaction's outcome. What was put is known at once. An answer that
 // comes after the copy has shown what became of the transaction changes nothing.
-func (c *Core) OnCommit(now units.Microseconds, lane QueueID, t *store.Txn, o store.Outcome, rev uint64, failed []string) {
+func (c *Core) OnCommit(now units.Microseconds, queue QueueID, txn *store.Txn, outcome store.Outcome, revision uint64, failed []string) {
 	c.advance(now)
-	o = c.noteOutcome(o)
-	if !c.queues[lane].UnderWay(t) {
+	outcome = c.noteOutcome(outcome)
+	if !c.queues[queue].UnderWay(txn) {
 		return
 	}
-	if o == store.OK {
-		c.cache.Committed(now, t, rev, func(key string) bool { return strings.HasPrefix(key, root) }) // buckets are in no copy
-	}
-	if o != store.OK {
+	if outcome == store.OK {
+		c.cache.Committed(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // buckets are in no copy
+	} else {
 		c.readFresh(nil)
 	}
-	c.queues[lane].Finish(now, o, rev, failed)
+	c.queues[queue].Finish(now, outcome, revision, failed)
 }
 
 // observeCommits looks for transactions under way among changes that the copy has taken.
@@ -29,8 +28,8 @@
 	if c.cache.Recovering() {
 		return
 	}
-	for _, l := range c.queues {
-		l.Observe(events)
+	for _, queue := range c.queues {
+		queue.Observe(events)
 	}
 }
 
@@ -41,11 +40,11 @@
 	if c.cache.Recovering() {
 		return
 	}
-	for _, l := range c.queues {
-		if t := l.Conclude(c.now); t != nil {
-			c.log.Debug("a transaction's answer is late, its changes are stored", "first", t.Changes[0].Key)
-			c.emit(Abandon{t})
-		} else if l.ReadDue(c.now) {
+	for _, queue := range c.queues {
+		if txn := queue.Conclude(c.now); txn != nil {
+			c.log.Debug("a transaction's answer is late, its changes are stored", "first", txn.Changes[0].Key)
+			c.emit(Abandon{txn})
+		} else if queue.ReadDue(c.now) {
 			c.readFresh(nil)
 		}
 	}
@@ -53,7 +52,7 @@
 
 // suspectCommits says that revisions may be given out again.
 func (c *Core) suspectCommits() {
-	for _, l := range c.queues {
-		l.SuspectRollback()
+	for _, queue := range c.queues {
+		queue.SuspectRollback()
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -69,12 +69,12 @@
 	CloudRate                    float64
 	Pack                         binpack.Params
 	Scale                        autoscaler.Params
-	// ShardMachines is the number of machines beyond which several blocks share the work.
+	// ShardMachines is the number of machines beyond which several shards divide the work.
 	ShardMachines      int
-	SequentialFraction float64 // share of a job's time that renting counts on for tasks one after the other
+	SequentialFraction float64 // part of a job's time that the autoscaler counts on for tasks one after the other
 	// KeepFinished is how many jobs that are over are kept in memory before the oldest are
-	// packed (0: all), and PackSettle for how long every controller must have run a
-	// release that can read packed ones before the first is.
+	// archived (0: all), and ArchiveSettleTime for how long every controller must have run a
+	// release that can read archived ones before the first is.
 	KeepFinished      int
 	ArchiveSettleTime units.Microseconds
 	Log               *slog.Logger
@@ -91,11 +91,11 @@
 // Effects. Each request to an outside service is answered by the method named
 // in its comment, exactly once, whatever happens.
 type (
-	// Reply answers a user's or a worker's request.
+	// Reply answers a user's request or a worker's heartbeat.
 	Reply struct {
 		Request RequestID
 		Code    int
-		Body    any // JobAnswer, Orders, Redirect or Problem
+		Body    any // JobAnswer, HeartbeatResponse, Stats, Redirect or Problem
 		// RetryAfter tells a user when to come back; 0: not said.
 		RetryAfter units.Microseconds
 	}
@@ -109,7 +109,7 @@
 	}
 	// Abandon gives up waiting for a transaction's answer; the Commit is still answered.
 	Abandon struct{ Txn *store.Txn }
-	// OpenLease asks for the lease of a controller's registration (OnLease).
+	// OpenLease asks for the lease of this controller's membership (OnLease).
 	OpenLease = membership.OpenLease
 	// RenewLease extends it (OnRenew).
 	RenewLease = membership.RenewLease
@@ -117,11 +117,11 @@
 	CloseLease = membership.CloseLease
 	// FetchTypes reads the price list (OnTypes).
 	FetchTypes struct{}
-	// ScaleOut rents machines (OnRent).
+	// ScaleOut provisions machines (OnScaleOut).
 	ScaleOut = provisioner.ScaleOut
-	// ScaleIn gives machines back (OnReturn).
+	// ScaleIn deprovisions machines (OnScaleIn).
 	ScaleIn = provisioner.ScaleIn
-	// ListMachines reads a page of the machine list (OnHosts).
+	// ListMachines reads a page of the cloud's machine list (OnListMachines).
 	ListMachines = provisioner.ListMachines
 	// CloudBudget sets this node's part of the cloud's request budget; no answer.
 	CloudBudget struct{ Fraction float64 }
@@ -180,7 +180,7 @@
 	types         map[string]*fleet.Type
 	shardRecords  *shardplan.Records     // assignments and quota allocations as stored
 	machineGroups map[string]fleet.Group // stored machines, by key
-	machineShard  map[string]int         // block of each stored machine
+	machineShard  map[string]int         // shard of each stored machine
 
 	archive       *archive.Keeper
 	rollback      *rollback.Recovery
@@ -188,8 +188,8 @@
 	membership    *membership.Registry
 	election      *election.Election
 	planner       *shardplan.Planner
-	owned         map[int]*ownedShard   // blocks that this node holds
-	emptySince    units.Microseconds    // since when nothing is held by it then
+	owned         map[int]*ownedShard   // shards that this node owns
+	emptySince    units.Microseconds    // since when it owns nothing while it retires
 	retiringSince units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
 	reachability  liveness.Reachability // whether workers reach this node
 	zones         *zones.View
@@ -255,22 +255,24 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// pump sends what is due: transactions and reads of the state service.
+// pump sends what is due, in this order: transactions that are proven to be stored end; owned
+// shards answer pending heartbeats, tell their standbys and queue what is to be stored; then
+// transactions and reads of the state service go.
 func (c *Core) pump() {
 	c.concludeCommits()
-	for _, k := range sortedShards(c.owned) {
-		shard := c.owned[k]
-		if !c.Owns(c.now, k) {
+	for _, number := range sortedShards(c.owned) {
+		shard := c.owned[number]
+		if !c.Owns(c.now, number) {
 			continue
 		}
 		shard.reconciler.OfferWork(c.now, shard.scheduler.RankDue())
 		shard.replication.Tick(c.now, len(shard.reconciler.Unreconciled()) == 0)
 		shard.writer.Flush()
 	}
-	for id, l := range c.queues {
-		if t := l.Next(c.now); t != nil {
-			t.Known = c.cache.HighestRevision()
-			c.emit(Commit{QueueID(id), t})
+	for id, queue := range c.queues {
+		if txn := queue.Next(c.now); txn != nil {
+			txn.Known = c.cache.HighestRevision()
+			c.emit(Commit{QueueID(id), txn})
 		}
 	}
 	c.cache.Pump(c.now)
@@ -297,8 +299,8 @@
 	c.tickTypes()
 	c.peers.NoteOlderReleases(c.now)
 	c.archive.Tick(c.now)
-	for _, k := range sortedShards(c.owned) {
-		if shard := c.owned[k]; shard != nil {
+	for _, number := range sortedShards(c.owned) {
+		if shard := c.owned[number]; shard != nil { // one shard's step may give up others
 			c.tickShard(shard)
 		}
 	}
--- a/internal/core/watchcache/watchcache_test.go
+++ b/internal/core/watchcache/watchcache_test.go
@@ -64,128 +64,171 @@
 	r.m.Recover(rev, items, nil)
 }
 
+// stored is a value that was put at a time.
+type stored struct {
+	at units.Microseconds
+	store.Event
+}
+
+// copying is a service and the copy of its keys, with requests on the way between them.
+type copying struct {
+	service *service
+	reader  *reader
+	now     units.Microseconds
+	back    bool     // the service may go back behind its answers
+	old     *service // the service as it was some time ago
+	puts    []stored
+	changes int
+}
+
+func newCopying(t *rapid.T) *copying {
+	c := &copying{service: &service{rev: 5, keys: map[string]store.Event{}}, reader: &reader{has: map[string]string{}}, now: units.Second}
+	c.reader.m = New(Config{Size: 1, Rate: 100, Fresh: 2 * units.Second}, c.reader)
+	c.back = rapid.Bool().Draw(t, "goes_back")
+	return c
+}
+
+// answer answers one of the requests on the way.
+func (c *copying) answer(i int, outcome store.Outcome) {
+	request := c.reader.sent[i]
+	c.reader.sent = slices.Delete(c.reader.sent, i, i+1)
+	switch request := request.(type) {
+	case List:
+		items, more := c.service.list(request.After, 3)
+		if outcome != store.OK {
+			items = nil
+		}
+		c.reader.m.OnList(c.now, request, outcome, c.service.rev, items, more)
+	case Watch:
+		c.answerWatch(request, outcome)
+	}
+}
+
+func (c *copying) answerWatch(request Watch, outcome store.Outcome) {
+	changes := c.service.changes
+	gone := outcome == store.OK && c.service.rev > request.After && (len(changes) == 0 || changes[0].Stamp > request.After+1)
+	var events []store.Event
+	for _, change := range changes {
+		if change.Stamp > request.After && !gone {
+			events = append(events, change)
+		}
+	}
+	if gone {
+		outcome = store.Failed
+	}
+	c.reader.m.OnChanges(c.now, request, outcome, c.service.rev, events, gone)
+}
+
+// answerAll answers all requests, those too that the answers cause.
+func (c *copying) answerAll() {
+	for len(c.reader.sent) > 0 {
+		c.answer(0, store.OK)
+	}
+}
+
+func (c *copying) step(d units.Microseconds) {
+	c.now += d
+	c.reader.m.Tick(c.now, c.now)
+	c.reader.m.Pump(c.now)
+}
+
+func (c *copying) same() bool {
+	differs := func(e store.Event) bool { return c.reader.has[e.Key] != string(e.Value) }
+	return len(c.reader.has) == len(c.service.keys) && !slices.ContainsFunc(slices.Collect(maps.Values(c.service.keys)), differs)
+}
+
+func (c *copying) change(t *rapid.T) {
+	key := fmt.Sprintf("k%d", rapid.IntRange(0, 12).Draw(t, "key"))
+	c.changes++
+	if value := json.RawMessage(fmt.Sprint(c.changes)); rapid.IntRange(0, 3).Draw(t, "remove") > 0 {
+		c.service.put(key, value)
+		c.puts = append(c.puts, stored{c.now, c.service.keys[key]})
+	} else if _, there := c.service.keys[key]; there {
+		c.service.put(key, nil)
+	}
+	if len(c.service.changes) > remembered {
+		c.service.changes = c.service.changes[1:]
+	}
+}
+
+func (c *copying) answerOne(t *rapid.T) {
+	if len(c.reader.sent) > 0 {
+		c.answer(rapid.IntRange(0, len(c.reader.sent)-1).Draw(t, "which"), rapid.SampledFrom([]store.Outcome{store.OK, store.OK, store.OK, store.Refused, store.Unknown, store.Limited}).Draw(t, "outcome"))
+	}
+}
+
+// read asks for a read that has to show what is stored by now.
+func (c *copying) read(t *rapid.T) {
+	want := maps.Clone(c.service.keys)
+	cache := c.reader.m
+	cache.ReadFresh(func(ok bool) {
+		for key, e := range want {
+			if ok && !c.back && cache.Version(key) < e.Stamp && c.service.keys[key].Stamp == e.Stamp {
+				t.Fatalf("a read shows %s as of %d, it was stored at %d before", key, cache.Version(key), e.Stamp)
+			}
+		}
+	})
+}
+
+// asOf checks that what the copy claims to show, it shows, whatever other requests were answered.
+func (c *copying) asOf(t *rapid.T) {
+	cache := c.reader.m
+	for _, put := range c.puts {
+		if !c.back && put.at < cache.AsOf() && c.service.keys[put.Key].Stamp == put.Stamp && cache.Version(put.Key) < put.Stamp {
+			t.Fatalf("at %d the copy is as of %d, and lacks %s, which was stored at %d", c.now, cache.AsOf(), put.Key, put.at)
+		}
+	}
+}
+
+func (c *copying) remember(*rapid.T) {
+	c.old = &service{c.service.rev, maps.Clone(c.service.keys), slices.Clone(c.service.changes)}
+}
+
+// goBack has the service go back behind what was told, as a loss that nobody has seen is nobody's;
+// and it is asked at once, as one that is written over meanwhile is not noticed.
+func (c *copying) goBack(t *rapid.T) {
+	cache := c.reader.m
+	if !c.back || c.old == nil || c.old.rev >= cache.HighestRevision() || !cache.Loaded() || len(c.reader.sent) > 0 {
+		return
+	}
+	c.service, c.old = c.old, nil
+	c.step(units.Second)
+	for len(c.reader.sent) > 0 && !cache.Recovering() {
+		c.answer(0, store.OK)
+	}
+	if !cache.Recovering() && cache.Loaded() {
+		t.Fatal("nobody noticed that the service went back")
+	}
+}
+
 // TestCopy has keys change while the copy is listed in pages, followed and read, with
 // answers that are refused or never come, a service that remembers few changes and may go
 // back behind its answers. A read that was told to have worked shows all that was stored
 // before it was asked for, and in the end the copy is as the service is.
 func TestCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &service{rev: 5, keys: map[string]store.Event{}}
-		r := &reader{has: map[string]string{}}
-		r.m = New(Config{Size: 1, Rate: 100, Fresh: 2 * units.Second}, r)
-		now := units.Second
-		back := rapid.Bool().Draw(t, "goes_back")
-		var old *service // the service as it was some time ago
-		pages := map[string]int{}
-		answer := func(i int, o store.Outcome) {
-			e := r.sent[i]
-			r.sent = slices.Delete(r.sent, i, i+1)
-			switch e := e.(type) {
-			case List:
-				items, more := s.list(e.After, 3)
-				pages[e.After]++
-				if o != store.OK {
-					items = nil
-				}
-				r.m.OnList(now, e, o, s.rev, items, more)
-			case Watch:
-				gone := o == store.OK && s.rev > e.After && (len(s.changes) == 0 || s.changes[0].Stamp > e.After+1)
-				var events []store.Event
-				for _, c := range s.changes {
-					if c.Stamp > e.After && !gone {
-						events = append(events, c)
-					}
-				}
-				if gone {
-					o = store.Failed
-				}
-				r.m.OnChanges(now, e, o, s.rev, events, gone)
-			}
-		}
-		step := func(d units.Microseconds) {
-			now += d
-			r.m.Tick(now, now)
-			r.m.Pump(now)
-		}
-		same := func() bool {
-			return len(r.has) == len(s.keys) && !slices.ContainsFunc(slices.Collect(maps.Values(s.keys)), func(e store.Event) bool { return r.has[e.Key] != string(e.Value) })
-		}
-		type put struct {
-			at units.Microseconds
-			store.Event
-		}
-		var puts []put
-		n := 0
-		change := func(t *rapid.T) {
-			key := fmt.Sprintf("k%d", rapid.IntRange(0, 12).Draw(t, "key"))
-			n++
-			if v := json.RawMessage(fmt.Sprint(n)); rapid.IntRange(0, 3).Draw(t, "remove") > 0 {
-				s.put(key, v)
-				puts = append(puts, put{now, s.keys[key]})
-			} else if _, there := s.keys[key]; there {
-				s.put(key, nil)
-			}
-			if len(s.changes) > remembered {
-				s.changes = s.changes[1:]
-			}
-		}
+		model := newCopying(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"change": change,
-			"time":   func(t *rapid.T) { step(units.Microseconds(rapid.IntRange(1, 600).Draw(t, "ms")) * 1000) },
-			"answer": func(t *rapid.T) {
-				if len(r.sent) > 0 {
-					answer(rapid.IntRange(0, len(r.sent)-1).Draw(t, "which"), rapid.SampledFrom([]store.Outcome{store.OK, store.OK, store.OK, store.Refused, store.Unknown, store.Limited}).Draw(t, "outcome"))
-				}
-			},
-			"read": func(t *rapid.T) {
-				want := maps.Clone(s.keys)
-				r.m.ReadFresh(func(ok bool) {
-					for k, e := range want {
-						if ok && !back && r.m.Version(k) < e.Stamp && s.keys[k].Stamp == e.Stamp {
-							t.Fatalf("a read shows %s as of %d, it was stored at %d before", k, r.m.Version(k), e.Stamp)
-						}
-					}
-				})
-			},
-			// What the copy claims to show, it shows, whatever other requests were answered.
-			"": func(t *rapid.T) {
-				for _, p := range puts {
-					if !back && p.at < r.m.AsOf() && s.keys[p.Key].Stamp == p.Stamp && r.m.Version(p.Key) < p.Stamp {
-						t.Fatalf("at %d the copy is as of %d, and lacks %s, which was stored at %d", now, r.m.AsOf(), p.Key, p.at)
-					}
-				}
-			},
-			"remember": func(*rapid.T) { old = &service{s.rev, maps.Clone(s.keys), slices.Clone(s.changes)} },
-			"go back": func(t *rapid.T) {
-				// Behind what was told, as a loss that nobody has seen is nobody's; and
-				// asked at once, as one that is written over meanwhile is not noticed.
-				if back && old != nil && old.rev < r.m.HighestRevision() && r.m.Loaded() && len(r.sent) == 0 {
-					s, old = old, nil
-					step(units.Second)
-					for len(r.sent) > 0 && !r.m.Recovering() {
-						answer(0, store.OK)
-					}
-					if !r.m.Recovering() && r.m.Loaded() {
-						t.Fatal("nobody noticed that the service went back")
-					}
-				}
-			},
+			"change":   model.change,
+			"time":     func(t *rapid.T) { model.step(units.Microseconds(rapid.IntRange(1, 600).Draw(t, "ms")) * 1000) },
+			"answer":   model.answerOne,
+			"read":     model.read,
+			"":         model.asOf,
+			"remember": model.remember,
+			"go back":  model.goBack,
 		})
 		for range 200 {
-			step(units.Second / 10)
-			for len(r.sent) > 0 {
-				answer(0, store.OK)
-			}
+			model.step(units.Second / 10)
+			model.answerAll()
 		}
-		r.m.ReadFresh(nil)
+		cache := model.reader.m
+		cache.ReadFresh(nil)
 		for range 20 {
-			step(units.Second / 10)
-			for len(r.sent) > 0 {
-				answer(0, store.OK)
-			}
+			model.step(units.Second / 10)
+			model.answerAll()
 		}
-		if !r.m.Loaded() || r.m.Recovering() || !same() {
-			t.Fatalf("loaded %v, recovering %v; the copy has %v, the service %v", r.m.Loaded(), r.m.Recovering(), r.has, s.keys)
+		if !cache.Loaded() || cache.Recovering() || !model.same() {
+			t.Fatalf("loaded %v, recovering %v; the copy has %v, the service %v", cache.Loaded(), cache.Recovering(), model.reader.has, model.service.keys)
 		}
 	})
 }
