--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -164,9 +164,6 @@
 	return names
 }
 
-// maxShards bounds the numbers of shards.
-const maxShards = keys.MaxShards
-
 func shardNumber(key, prefix string) (int, error) { return keys.Shard(key, prefix) }
 
 // learnAssignment takes the stored assignment of a shard, and begins or ends to own the
