--- a/cmd/shalestage/up.go
+++ b/cmd/shalestage/up.go
@@ -177,7 +177,7 @@
 }
 
 // printRun prints the table at the end of a run.
-func printRun(w io.Writer, jobs []*user.Job, f launch.Figures, starts, restarts int, broken []check.Break) {
+func printRun(w io.Writer, jobs []*user.Job, f launch.Figures, starts, restarts int, broken []check.Violation) {
 	type group struct {
 		name                    string
 		jobs, done, off, gaveUp int
--- a/internal/emulator/check/limits.go
+++ b/internal/emulator/check/limits.go
@@ -8,22 +8,22 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Limits that change while the service runs. From when a change is stored controllers may go
-// by it, and until it is confirmed they may go by those before: whichever is higher counts.
-// From its confirmation on nothing is started above it. What was ordered before may come to
-// its machine later, and what runs may go on.
+// Limits may change while the service runs. From when a change is stored controllers may apply it,
+// and until it is confirmed they may apply those before: whichever is higher counts. From its
+// confirmation on no start above it is ordered. What was ordered before may come to its machine
+// later, and what runs may go on.
 
-// limitsOf is a version of the configuration as it was stored.
-type limitsOf struct {
+// configVersion is a version of the configuration as it was stored.
+type configVersion struct {
 	version   uint64
 	confirmed units.Microseconds // Never: not yet
 	limits    map[string]binpack.Vec
 	removed   map[string]bool // teams that take no new jobs
 }
 
-// keptFor is for how long versions count that others have replaced: an order may be that long
-// on its way, with an image.
-const keptFor = 600 * units.Second
+// versionRetention is for how long versions are kept that others have replaced: a start may take
+// that long, with its image.
+const versionRetention = 600 * units.Second
 
 // Limits is the content of a version, as far as rules depend on it.
 type Limits struct {
@@ -31,15 +31,15 @@
 	Removed []string // of these, teams that take no new jobs
 }
 
-// Configured says that a version of the configuration is stored. One that is stored again
+// ConfigStored says that a version of the configuration is stored. One that is stored again
 // counts once, unless it holds something else.
-func (c *Checker) Configured(at units.Microseconds, version uint64, l Limits) {
+func (c *Checker) ConfigStored(at units.Microseconds, version uint64, l Limits) {
 	c.Advance(at)
 	last := c.versions[len(c.versions)-1]
 	if last.version >= version && (last.version > version || sameLimits(last, l)) {
 		return
 	}
-	v := &limitsOf{version: version, confirmed: units.Never, limits: map[string]binpack.Vec{}, removed: map[string]bool{}}
+	v := &configVersion{version: version, confirmed: units.Never, limits: map[string]binpack.Vec{}, removed: map[string]bool{}}
 	for _, t := range l.Teams {
 		v.limits[t.Name] = t.Limit
 	}
@@ -50,7 +50,7 @@
 	c.note(at, nil, "", true, "configuration %d is stored", version)
 }
 
-func sameLimits(v *limitsOf, l Limits) bool {
+func sameLimits(v *configVersion, l Limits) bool {
 	for _, t := range l.Teams {
 		if lim, ok := v.limits[t.Name]; !ok || lim != t.Limit {
 			return false
@@ -59,8 +59,8 @@
 	return len(l.Teams) == len(v.limits) && len(l.Removed) == len(v.removed)
 }
 
-// Confirmed says that an operator was told that a version is confirmed.
-func (c *Checker) Confirmed(at units.Microseconds, version uint64) {
+// ConfigConfirmed says that an operator was answered that a version is confirmed.
+func (c *Checker) ConfigConfirmed(at units.Microseconds, version uint64) {
 	c.Advance(at)
 	for _, v := range c.versions {
 		if v.version <= version {
@@ -68,16 +68,17 @@
 		}
 	}
 	c.note(at, nil, "", true, "configuration %d is confirmed", version)
-	for len(c.versions) > 1 && c.versions[1].confirmed < at-keptFor {
+	for len(c.versions) > 1 && c.versions[1].confirmed < at-versionRetention {
 		c.versions = c.versions[1:]
 	}
 }
 
-// Ordered says that a controller decided to start a task.
-func (c *Checker) Ordered(at units.Microseconds, id jobs.TaskID) { c.ordered[id] = at }
+// StartOrdered says that a controller decided to start a task.
+func (c *Checker) StartOrdered(at units.Microseconds, id jobs.TaskID) { c.startOrders[id] = at }
 
-// counting calls f with the versions that a controller may have gone by at a time.
-func (c *Checker) counting(at units.Microseconds, f func(*limitsOf)) {
+// eachEffectiveVersion calls f with the versions that a controller may have applied at a time, the
+// newest first.
+func (c *Checker) eachEffectiveVersion(at units.Microseconds, f func(*configVersion)) {
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		f(c.versions[i])
 		if c.versions[i].confirmed <= at {
@@ -86,10 +87,10 @@
 	}
 }
 
-// limitAt returns the highest limit that a team may have had at a time; 0 is none.
-func (c *Checker) limitAt(team string, at units.Microseconds) binpack.Vec {
+// highestLimit returns the highest limit that a team may have had at a time; 0 is none.
+func (c *Checker) highestLimit(team string, at units.Microseconds) binpack.Vec {
 	highest := binpack.Vec{}
-	c.counting(at, func(v *limitsOf) {
+	c.eachEffectiveVersion(at, func(v *configVersion) {
 		lim, ok := v.limits[team]
 		for i := range lim {
 			if ok && lim[i] == 0 {
@@ -109,7 +110,7 @@
 // lowestLimit returns the lowest limit that a team may have at present; 0 is none.
 func (c *Checker) lowestLimit(team string) binpack.Vec {
 	lowest := binpack.Vec{}
-	c.counting(c.now, func(v *limitsOf) {
+	c.eachEffectiveVersion(c.now, func(v *configVersion) {
 		for i, lim := range v.limits[team] {
 			if lim > 0 && (lowest[i] == 0 || lim < lowest[i]) {
 				lowest[i] = lim
@@ -122,31 +123,31 @@
 // knownTeam reports whether there may be a team at present.
 func (c *Checker) knownTeam(team string) bool {
 	known := false
-	c.counting(c.now, func(v *limitsOf) {
+	c.eachEffectiveVersion(c.now, func(v *configVersion) {
 		_, there := v.limits[team]
 		known = known || there
 	})
 	return known
 }
 
-// orderedAt returns when the last of a team's tasks that have come to a machine, this one
-// included, was ordered: whoever ordered it counted all that was ordered before.
-func (c *Checker) orderedAt(at units.Microseconds, team string, id jobs.TaskID) units.Microseconds {
-	if t, ok := c.ordered[id]; ok {
+// startOrderedAt returns when the last of a team's tasks that have come to a machine, this one
+// included, was ordered: the controller that ordered it counted all that was ordered before.
+func (c *Checker) startOrderedAt(at units.Microseconds, team string, id jobs.TaskID) units.Microseconds {
+	if t, ok := c.startOrders[id]; ok {
 		at = t
-		delete(c.ordered, id)
+		delete(c.startOrders, id)
 	}
 	at = max(at, c.lastOrder[team])
 	c.lastOrder[team] = at
 	return at
 }
 
-// acceptedFor checks that a job that was submitted at a time, and accepted, is of a team that
+// checkTeamNotRemoved checks that a job that was submitted at a time, and accepted, is of a team that
 // took new jobs by some version that may have counted then or since.
-func (c *Checker) acceptedFor(at, made units.Microseconds, j *job) {
+func (c *Checker) checkTeamNotRemoved(at, made units.Microseconds, job *jobRecord) {
 	removed := true
-	c.counting(made, func(v *limitsOf) { removed = removed && v.removed[j.spec.Team] })
+	c.eachEffectiveVersion(made, func(v *configVersion) { removed = removed && v.removed[job.spec.Team] })
 	if removed {
-		c.breaks(at, Outdated, j, "", "%s is accepted for team %s, whose removal was confirmed before it was submitted", j.id, j.spec.Team)
+		c.violated(at, Outdated, job, "", "%s is accepted for team %s, whose removal was confirmed before it was submitted", job.id, job.spec.Team)
 	}
 }
--- a/internal/emulator/check/waiting_test.go
+++ b/internal/emulator/check/waiting_test.go
@@ -14,24 +14,24 @@
 // after which it is reported as left waiting, 0 if it is not in 300 s. hasRoom says which
 // machines have room for a task of it at a look; types names the machines' types.
 func reportedAfter(machines int, spec *jobs.Spec, types func(machine int) string, hasRoom func(look, machine int) bool) float64 {
-	c := New(Config{CancelIn: 60 * units.Second, Teams: []Team{{Name: "blue"}},
+	checker := New(Config{CancelIn: 60 * units.Second, Teams: []Team{{Name: "blue"}},
 		Types: []Type{{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"a"}}, {Name: "small", Capacity: binpack.Vec{2000, 0, 8000}, Zones: []string{"a"}}}})
-	c.Calm(0)
-	c.Planned(units.Second, "wk-1", spec)
-	c.Submitted(units.Second, 0, "wk-1", http.StatusCreated, jobs.Pending)
+	checker.SetFaultsOver(0)
+	checker.Submitting(units.Second, "wk-1", spec)
+	checker.SubmitAnswered(units.Second, 0, "wk-1", http.StatusCreated, jobs.Pending)
 	first := 5 * units.Second
 	for look := range 60 {
-		at := first + units.Microseconds(look)*LookEvery
-		var rooms []Room
+		at := first + units.Microseconds(look)*WaitingCheckEvery
+		var rooms []AvailableMachine
 		for m := range machines {
-			r := Room{Machine: Machine{Name: fmt.Sprintf("n-%d", m), Type: types(m), Zone: "a"}}
+			r := AvailableMachine{Machine: Machine{Name: fmt.Sprintf("n-%d", m), Type: types(m), Zone: "a"}}
 			if hasRoom(look, m) {
 				r.Free = spec.Demand
 			}
 			rooms = append(rooms, r)
 		}
-		c.Look(at, rooms)
-		for _, b := range c.Broken() {
+		checker.CheckWaiting(at, rooms)
+		for _, b := range checker.Violations() {
 			if b.Rule == LeftWaiting {
 				return (b.At - first).Seconds()
 			}
@@ -53,7 +53,7 @@
 		}
 	}
 	turn := func(look, machine, machines, at int) bool { return (machine+7*look)%machines < at }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		machines int
 		demand   int64 // thousandths of a CPU
@@ -76,9 +76,9 @@
 		{"the same, and no room at one look in thirty", 4096, 2000, nil, alike, func(l, m int) bool { return l%30 != 29 && turn(l, m, 4096, 80) }, 245},
 		{"no room at one look in ten", 20, 2000, nil, alike, func(l, _ int) bool { return l%10 != 9 }, 0},
 	} {
-		spec := &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{c.demand, 0, 1000}, AnyType: c.only == nil, Types: c.only, Image: "i", Estimate: 60 * units.Second}
-		if got := reportedAfter(c.machines, spec, c.types, c.hasRoom); got != c.want {
-			t.Errorf("%s: reported after %g s, want %g", c.name, got, c.want)
+		spec := &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{test.demand, 0, 1000}, AnyType: test.only == nil, Types: test.only, Image: "i", Estimate: 60 * units.Second}
+		if got := reportedAfter(test.machines, spec, test.types, test.hasRoom); got != test.want {
+			t.Errorf("%s: reported after %g s, want %g", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -85,7 +85,7 @@
 				AnyType: true, Spot: true, Image: "i", Estimate: 2 * second}, 2*second+cancel*2, cancel))
 		}
 		x := w.waitsFor(110*second, submitted)
-		for _, b := range w.Check.Broken() {
+		for _, b := range w.Check.Violations() {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		all.accepted, all.cancelled, all.ended = append(all.accepted, x.accepted...), append(all.cancelled, x.cancelled...), append(all.ended, x.ended...)
--- a/internal/emulator/sim/broken_test.go
+++ b/internal/emulator/sim/broken_test.go
@@ -109,7 +109,7 @@
 			w.submit(60*second, spec("red", 1), units.Second, 0)
 			w.Run(200 * second)
 			w.Check.Finish(w.now, true)
-			for _, b := range w.Check.Broken() {
+			for _, b := range w.Check.Violations() {
 				if b.Rule == rule {
 					caught = true
 					if len(b.History) == 0 {
@@ -141,7 +141,7 @@
 		}}})
 		w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 10*second, 0)
 		w.Run(230 * second)
-		if got := slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.Forgotten }); got != c.want {
+		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Forgotten }); got != c.want {
 			t.Errorf("outage of %g s: forgotten %v, want %v", c.outage, got, c.want)
 		}
 	}
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -40,7 +40,7 @@
 // kept fails the test if a rule is broken.
 func (w *World) kept(t *testing.T, what string) {
 	t.Helper()
-	if b := w.Check.Broken(); len(b) > 0 {
+	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("%s: %v", what, b)
 	}
 }
@@ -184,7 +184,7 @@
 		w.State.Refuse(n.Name, w.now+60*second)
 		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
 		w.Run(120 * second)
-		if slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.Quota }) {
+		if slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Quota }) {
 			caught++
 		}
 	}
@@ -201,8 +201,8 @@
 	w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
 	w.submit(30*second, &jobs.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(40 * second)
-	if !slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.Outdated }) {
-		t.Errorf("a job of a removed team is accepted, and nobody noticed: %v", w.Check.Broken())
+	if !slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Outdated }) {
+		t.Errorf("a job of a removed team is accepted, and nobody noticed: %v", w.Check.Violations())
 	}
 }
 
--- a/internal/emulator/sim/follow_test.go
+++ b/internal/emulator/sim/follow_test.go
@@ -42,7 +42,7 @@
 			}
 			w.Run(w.now + units.Microseconds(6+w.rng.IntN(6))*second)
 		}
-		if b := w.Check.Broken(); len(b) > 0 {
+		if b := w.Check.Violations(); len(b) > 0 {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		if known < 4 {
--- a/internal/emulator/sim/handover_test.go
+++ b/internal/emulator/sim/handover_test.go
@@ -41,7 +41,7 @@
 	}
 	longest = max(longest, w.now-last)
 	w.Run(130 * second)
-	if b := w.Check.Broken(); len(b) > 0 {
+	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("seed %d, %s: %v", seed, kind, b)
 	}
 	return longest, nobody
@@ -84,7 +84,7 @@
 		}
 		w.Run(420 * second)
 		w.Check.Finish(w.now, true)
-		if b := w.Check.Broken(); len(b) > 0 {
+		if b := w.Check.Violations(); len(b) > 0 {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		if u := w.Unfinished(); len(u) > 0 {
--- a/internal/emulator/sim/meet_test.go
+++ b/internal/emulator/sim/meet_test.go
@@ -104,8 +104,8 @@
 	}
 	w.Fault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
 	w.Run(w.now + 30*second)
-	if count == 0 || len(w.Check.Broken()) > 0 {
-		t.Errorf("%d reports came to the next; %v", count, w.Check.Broken())
+	if count == 0 || len(w.Check.Violations()) > 0 {
+		t.Errorf("%d reports came to the next; %v", count, w.Check.Violations())
 	}
 }
 
@@ -185,7 +185,7 @@
 	breaks(w)
 	for at := 10 * second; at <= units.Seconds(s.DurationS); at += 10 * second {
 		w.Run(at)
-		if slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == rule }) {
+		if slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == rule }) {
 			return true
 		}
 	}
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -531,7 +531,7 @@
 		res = w.State.Commit(w.now, n.Name, t)
 		n.judged(number, res.Code)
 		if res.Code == http.StatusBadRequest && !res.NoLease {
-			w.Check.Break(w.now, check.TooLarge, "%d changes, %d guards, first %s", len(t.Changes), len(t.Guards), t.Changes[0].Key)
+			w.Check.RecordViolation(w.now, check.TooLarge, "%d changes, %d guards, first %s", len(t.Changes), len(t.Guards), t.Changes[0].Key)
 		}
 		if res.Code == http.StatusOK {
 			w.combined.stored[n.Name]++
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -97,7 +97,7 @@
 	n.ask(func(req core.RequestID) { n.core.ConfigStatus(n.local(), req, x.Version) }, 0, func(reply core.Reply) {
 		if s, ok := reply.Body.(core.ConfigStatus); ok && s.Confirmed && x.Confirmed == 0 {
 			x.Confirmed = w.now
-			w.Check.Confirmed(w.now, x.Version)
+			w.Check.ConfigConfirmed(w.now, x.Version)
 		}
 	})
 	w.after(operatorLook, func() { w.confirm(x) })
@@ -120,7 +120,7 @@
 	})
 	version, content := configuration.Stored(func(key string) json.RawMessage { return records[key] })
 	if version == 0 {
-		w.Check.Break(w.now, check.Lost, "a version of the configuration is stored without all of its records")
+		w.Check.RecordViolation(w.now, check.Lost, "a version of the configuration is stored without all of its records")
 		return
 	}
 	var l check.Limits
@@ -130,7 +130,7 @@
 			l.Removed = append(l.Removed, t.Name)
 		}
 	}
-	w.Check.Configured(w.now, version, l)
+	w.Check.ConfigStored(w.now, version, l)
 }
 
 // ordered tells the checker which tasks a controller has decided to start.
@@ -141,7 +141,7 @@
 	}
 	for _, c := range o.Commands {
 		if c.Op == fleet.Start {
-			w.Check.Ordered(w.now, c.ID)
+			w.Check.StartOrdered(w.now, c.ID)
 		}
 	}
 }
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -55,7 +55,7 @@
 			}
 		}
 		w.Check.Finish(w.now, true)
-		if b := w.Check.Broken(); len(b) > 0 {
+		if b := w.Check.Violations(); len(b) > 0 {
 			t.Errorf("seed %d: %v", seed+1, b)
 		}
 	}
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -151,7 +151,7 @@
 			t.Errorf("%s: %q after %.1f s", j.ID, j.Final, (j.Over - j.At).Seconds())
 		}
 	}
-	if b := w.Check.Broken(); len(b) > 0 {
+	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("broken: %v", b)
 	}
 }
@@ -255,7 +255,7 @@
 			t.Fatal(err)
 		}
 		w.Run(420 * second)
-		for _, b := range w.Check.Broken() {
+		for _, b := range w.Check.Violations() {
 			// What a restore loses is lost: later jobs, and ends that were told since.
 			if b.Rule != check.Forgotten && b.Rule != check.WentBack && b.Rule != check.Lost {
 				t.Errorf("seed %d: %s", seed, b)
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -138,7 +138,7 @@
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := play(t, 120)
-		if b := w.Check.Broken(); len(b) > 0 {
+		if b := w.Check.Violations(); len(b) > 0 {
 			t.Fatalf("rules broken: %v", b)
 		}
 		if u := w.Unfinished(); len(u) > 0 {
@@ -158,8 +158,8 @@
 	for seed := range uint64(200) {
 		w := world(seed+1, 3, 0)
 		w.Run(3 * second)
-		if len(w.Check.Broken()) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.Check.Broken())
+		if len(w.Check.Violations()) > 0 {
+			t.Fatalf("seed %d: %v", seed, w.Check.Violations())
 		}
 		led := 0
 		for _, n := range w.Nodes {
@@ -208,8 +208,8 @@
 	}
 	w.Fault(scenario.Fault{Kind: scenario.StateOutage, ForS: (lease + 6*second).Seconds()})
 	w.Run(w.now + lease + 8*second)
-	if after := w.Site.Running(); after != before || len(w.Check.Broken()) > 0 {
-		t.Fatalf("%d of %d tasks still run; %v", after, before, w.Check.Broken())
+	if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
+		t.Fatalf("%d of %d tasks still run; %v", after, before, w.Check.Violations())
 	}
 	for _, m := range w.upNow() {
 		if w.Site.Worker(m.Name).Incarnation() != 1 {
@@ -239,8 +239,8 @@
 			led++
 		}
 	}
-	if led != 1 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("%d others lead; %v", led, w.Check.Broken())
+	if led != 1 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("%d others lead; %v", led, w.Check.Violations())
 	}
 }
 
@@ -256,8 +256,8 @@
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
 		w.Run(w.now + 30*second)
-		if after := w.Site.Running(); after != before || len(w.Check.Broken()) > 0 {
-			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Broken())
+		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
+			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
 	}
 }
@@ -274,8 +274,8 @@
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
 		w.Run(old.frozen + 5*second)
-		if after := w.Site.Running(); after != before || len(w.Check.Broken()) > 0 || w.Holder(0) == old {
-			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Broken())
+		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 || w.Holder(0) == old {
+			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
 	}
 }
@@ -303,8 +303,8 @@
 			t.Fatalf("seed %d: %d machines are not accounted for", seed, left)
 		}
 		w.Run(w.now + 20*second)
-		if after := w.Site.Running(); after != before || len(w.Check.Broken()) > 0 {
-			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Broken())
+		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
+			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
 	}
 }
@@ -337,8 +337,8 @@
 		}
 	}
 	w.Run(300 * second)
-	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Broken())
+	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
 	}
 }
 
@@ -360,8 +360,8 @@
 		t.Fatalf("%d of 8 tasks have started beside idle-time work", got)
 	}
 	w.Run(600 * second)
-	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Broken())
+	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
 	}
 }
 
@@ -387,8 +387,8 @@
 		t.Fatal("the dead machine ran nothing")
 	}
 	w.Run(w.now + 40*second)
-	if w.Site.Running() < total || len(w.Check.Broken()) > 0 {
-		t.Fatalf("%d of %d tasks run again; %v", w.Site.Running(), total, w.Check.Broken())
+	if w.Site.Running() < total || len(w.Check.Violations()) > 0 {
+		t.Fatalf("%d of %d tasks run again; %v", w.Site.Running(), total, w.Check.Violations())
 	}
 }
 
@@ -412,7 +412,7 @@
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
 		}
 		b := Broken{Peer: unfollowed, Core: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
-		if slices.ContainsFunc(lateReports(t, seed, b), func(b check.Break) bool { return b.Rule == check.RanTwice }) {
+		if slices.ContainsFunc(lateReports(t, seed, b), func(b check.Violation) bool { return b.Rule == check.RanTwice }) {
 			return
 		}
 	}
@@ -421,7 +421,7 @@
 
 // lateReports has a holder end, gives the next one reports from before any task was started,
 // and returns the rules that are broken.
-func lateReports(t *testing.T, seed uint64, b Broken) []check.Break {
+func lateReports(t *testing.T, seed uint64, b Broken) []check.Violation {
 	t.Helper()
 	w := busyWith(seed, 3, b)
 	if w.Site.Running() == 0 {
@@ -451,7 +451,7 @@
 		t.Fatal("nobody leads")
 	}
 	w.Run(w.now + 20*second)
-	return w.Check.Broken()
+	return w.Check.Violations()
 }
 
 // TestManyTasks runs a job whose finished tasks take several records, through
@@ -467,8 +467,8 @@
 		}
 	}
 	w.Run(300 * second)
-	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("not over: %v; %v\n%s", u, w.Check.Broken(), w.Explain("wk-000000"))
+	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("not over: %v; %v\n%s", u, w.Check.Violations(), w.Explain("wk-000000"))
 	}
 }
 
@@ -494,12 +494,12 @@
 			who[n.Name] = true
 		}
 	}
-	if len(who) < 2 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("%d controllers place tasks; %v", len(who), w.Check.Broken())
+	if len(who) < 2 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("%d controllers place tasks; %v", len(who), w.Check.Violations())
 	}
 	w.Run(300 * second)
-	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Broken())
+	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
 	}
 }
 
@@ -530,8 +530,8 @@
 			t.Fatal("another leads before the lease has ended")
 		}
 	}
-	if w.Holder(k) != other || w.starts == starts || len(w.Check.Broken()) > 0 {
-		t.Fatalf("held by %v, %d starts; %v", w.Holder(k), w.starts-starts, w.Check.Broken())
+	if w.Holder(k) != other || w.starts == starts || len(w.Check.Violations()) > 0 {
+		t.Fatalf("held by %v, %d starts; %v", w.Holder(k), w.starts-starts, w.Check.Violations())
 	}
 }
 
@@ -562,8 +562,8 @@
 		t.Fatal("work started before the stored machine was accounted for")
 	}
 	w.Run(120 * second)
-	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Broken()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Broken())
+	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
+		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
 	}
 }
 
@@ -602,8 +602,8 @@
 			t.Errorf("block %d has changed hands", k)
 		}
 	}
-	if len(w.Check.Broken()) > 0 {
-		t.Fatal(w.Check.Broken())
+	if len(w.Check.Violations()) > 0 {
+		t.Fatal(w.Check.Violations())
 	}
 }
 
@@ -624,12 +624,12 @@
 			t.Fatalf("seed %d: %s holds the block already", seed, n.Name)
 		}
 		w.Run(w.now + 50*second)
-		if after := w.Site.Running(); after != before || len(w.Check.Broken()) > 0 {
-			t.Errorf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Broken())
+		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
+			t.Errorf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
 		w.Run(w.now + 30*second)
-		if n := w.Holder(0); n == nil || len(w.Check.Broken()) > 0 {
-			t.Errorf("seed %d: after the outage %v holds the block; %v", seed, n, w.Check.Broken())
+		if n := w.Holder(0); n == nil || len(w.Check.Violations()) > 0 {
+			t.Errorf("seed %d: after the outage %v holds the block; %v", seed, n, w.Check.Violations())
 		}
 	}
 }
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -110,7 +110,7 @@
 // began notes that a task is on a machine.
 func (w *World) began(m check.Machine, id jobs.TaskID) {
 	before := w.Check.StartsCancelled()
-	w.Check.Began(w.now, m, id)
+	w.Check.TaskStarted(w.now, m, id)
 	if w.Check.StartsCancelled() > before {
 		w.happened(scenario.StartCancelled)
 	}
@@ -183,9 +183,9 @@
 
 // lookForWaiting shows the checker the room on machines, again and again.
 func (w *World) lookForWaiting() {
-	w.after(check.LookEvery, func() {
-		if w.Check.Settled(w.now) {
-			w.Check.Look(w.now, w.rooms())
+	w.after(check.WaitingCheckEvery, func() {
+		if w.Check.FaultsOver(w.now) {
+			w.Check.CheckWaiting(w.now, w.rooms())
 		}
 		w.lookForWaiting()
 	})
@@ -195,14 +195,14 @@
 var unusable = binpack.Vec{-1, -1, -1}
 
 // rooms lists the machines that are up, with the room that they have.
-func (w *World) rooms() (out []check.Room) {
+func (w *World) rooms() (out []check.AvailableMachine) {
 	for _, m := range w.Site.Cloud.Alive() {
 		k := w.Site.Worker(m.Name)
 		if k == nil {
 			continue
 		}
-		r := check.Room{Machine: machineOf(m)}
-		if r.Free, r.Taken = k.FreeCapacity(); k.Hung(w.now) || k.InboundCut(w.now) || k.Unreliable() {
+		r := check.AvailableMachine{Machine: machineOf(m)}
+		if r.Free, r.Tasks = k.FreeCapacity(); k.Hung(w.now) || k.InboundCut(w.now) || k.Unreliable() {
 			r.Free = unusable
 		}
 		out = append(out, r)
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -36,7 +36,7 @@
 // broke reports whether a rule was broken in one of some seeds.
 func broke(rule string, seeds uint64, f scenario.Fault, b Broken) bool {
 	for seed := uint64(1); seed <= seeds; seed++ {
-		if slices.ContainsFunc(crowded(seed, f, b).Check.Broken(), func(x check.Break) bool { return x.Rule == rule }) {
+		if slices.ContainsFunc(crowded(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
 			return true
 		}
 	}
@@ -71,7 +71,7 @@
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			w := crowded(seed, c.f, Broken{})
-			for _, b := range w.Check.Broken() {
+			for _, b := range w.Check.Violations() {
 				t.Errorf("%s, seed %d: %s", c.f.Kind, seed, b)
 			}
 			if got := w.EventCount(c.event); got < c.least {
--- a/internal/emulator/sim/waiting_test.go
+++ b/internal/emulator/sim/waiting_test.go
@@ -49,9 +49,9 @@
 	} {
 		w := fullFleet(1, c.b)
 		w.Run(c.until)
-		began := w.Check.FirstBegan("wk-000000")
-		t.Logf("%s: began at %.1f, %d starts, %v", c.name, began.Seconds(), w.Check.Starts(), w.Check.Broken())
-		if got := slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == check.LeftWaiting }); got != c.want {
+		began := w.Check.FirstStart("wk-000000")
+		t.Logf("%s: began at %.1f, %d starts, %v", c.name, began.Seconds(), w.Check.Starts(), w.Check.Violations())
+		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.LeftWaiting }); got != c.want {
 			t.Errorf("%s: left waiting %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -150,7 +150,7 @@
 		w.Faults = append(w.Faults, Drawn(s, seed, draws)...)
 		w.noise = true
 	}
-	w.Check.Calm(calm(w.Faults))
+	w.Check.SetFaultsOver(calm(w.Faults))
 	for _, f := range w.Faults {
 		w.after(units.Seconds(f.AtS), func() { w.Fault(f) })
 	}
@@ -238,7 +238,7 @@
 				a.Began(e.Machine.Name, e.Task, cpus(w.Site.Book[e.Task.Job].Spec.Demand))
 			}
 		case site.Ended:
-			w.Check.Ended(w.now, machineOf(e.Machine), e.Task, e.Completed)
+			w.Check.TaskEnded(w.now, machineOf(e.Machine), e.Task, e.Completed)
 			if e.Completed {
 				w.happened(scenario.TaskDone)
 				w.ended(e.Task.Job)
@@ -499,7 +499,7 @@
 				continue
 			}
 			if first != "" {
-				w.Check.Break(w.now, check.TwoHolders, "block %d: %s and %s", k, first, n.Name)
+				w.Check.RecordViolation(w.now, check.TwoHolders, "block %d: %s and %s", k, first, n.Name)
 			}
 			first = n.Name
 		}
@@ -508,7 +508,7 @@
 
 // Result is how a play went.
 type Result struct {
-	Broken []check.Break
+	Broken []check.Violation
 	Digest string
 	Starts int
 	// StartsCancelled counts the tasks that began after their job's cancellation was told.
@@ -526,10 +526,10 @@
 func (w *World) Play() Result {
 	w.Run(units.Seconds(w.S.DurationS))
 	w.Check.Finish(w.now, w.S.Expect.AllOver)
-	r := Result{Broken: w.Check.Broken(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.CreatedCount(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
+	r := Result{Broken: w.Check.Violations(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.CreatedCount(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
 	r.Jobs = len(w.Crowd.Jobs())
 	r.Over, r.MaxWait = user.Summary(w.Crowd.Jobs(), w.now)
-	r.Missed = w.S.Expect.Missed(r.MaxWait, r.Money, user.Floor(w.Crowd.Jobs(), w.S.UserOptions(), w.Check.FirstBegan))
+	r.Missed = w.S.Expect.Missed(r.MaxWait, r.Money, user.Floor(w.Crowd.Jobs(), w.S.UserOptions(), w.Check.FirstStart))
 	r.Missed = append(r.Missed, w.S.Expect.MissedEvents(w.EventCount)...)
 	return r
 }
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -41,7 +41,7 @@
 		return slog.New(slog.NewTextHandler(&logs, &slog.HandlerOptions{ReplaceAttr: at, Level: slog.LevelDebug})).With("controller", node)
 	}})
 	w.Play()
-	if b := w.Check.Broken(); len(b) > 0 {
+	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("seed %d: %v", seed, b)
 	}
 	return w, logs.String()
@@ -73,7 +73,7 @@
 	if after := there(); r.Code != 200 || before < 10 || after > services {
 		t.Errorf("stored %v: %d machines before, and %d are left", r, before, after)
 	}
-	if b := w.Check.Broken(); len(b) > 0 {
+	if b := w.Check.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 }
@@ -105,7 +105,7 @@
 		t.Errorf("held by %v", n)
 	}
 	w.Run(w.now + 60*second)
-	if b := w.Check.Broken(); len(b) > 0 {
+	if b := w.Check.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 }
--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -15,26 +15,26 @@
 func Tell(c *check.Checker, at units.Microseconds, e any) {
 	switch e := e.(type) {
 	case Planned:
-		c.Planned(at, e.Job.ID, e.Job.Spec)
+		c.Submitting(at, e.Job.ID, e.Job.Spec)
 		if e.Job.Broken {
-			c.Mistaken(e.Job.ID)
+			c.FailsAlways(e.Job.ID)
 		}
 	case Odd:
 		if e.Spec == nil {
-			c.Malformed(at, e.ID)
+			c.SubmittingMalformed(at, e.ID)
 		} else {
-			c.Planned(at, e.ID, e.Spec)
+			c.Submitting(at, e.ID, e.Spec)
 		}
 	case CancelAsked:
-		c.CancelAsked(at, e.ID)
+		c.CancelRequested(at, e.ID)
 	case Told:
 		switch e.Kind {
 		case Submit:
-			c.Submitted(at, e.Took, e.ID, e.Code, e.Status)
+			c.SubmitAnswered(at, e.Took, e.ID, e.Code, e.Status)
 		case Poll:
-			c.Polled(at, e.Took, e.ID, e.Code, e.Status)
+			c.PollAnswered(at, e.Took, e.ID, e.Code, e.Status)
 		case Cancel:
-			c.Cancelled(at, e.Took, e.ID, e.Code, e.Status)
+			c.CancelAnswered(at, e.Took, e.ID, e.Code, e.Status)
 		}
 	}
 }
--- a/internal/launch/deployment.go
+++ b/internal/launch/deployment.go
@@ -186,7 +186,7 @@
 	at := units.Microseconds(time.Now().UnixMicro())
 	for _, j := range b.jobs {
 		d.earlier = append(d.earlier, j)
-		d.checker.Earlier(at, j.ID, j.Spec, j.Finished)
+		d.checker.AcceptedEarlier(at, j.ID, j.Spec, j.Finished)
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 	d.note("%s has ended by itself: %v", p.name, err)
 	var exit *exec.ExitError
 	if p.name == RoleCloud { // with all that was on its machines
-		d.facts.add(d.now(), d.checker.Vanished)
+		d.facts.add(d.now(), d.checker.AllMachinesLost)
 	}
 	byItself := err == nil || errors.As(err, &exit) && exit.Exited()
 	switch {
@@ -264,9 +264,9 @@
 	}
 	d.facts.add(f.At, func(at units.Microseconds) {
 		if f.Began {
-			d.checker.Began(at, f.Machine, id)
+			d.checker.TaskStarted(at, f.Machine, id)
 		} else {
-			d.checker.Ended(at, f.Machine, id, f.Completed)
+			d.checker.TaskEnded(at, f.Machine, id, f.Completed)
 		}
 	})
 }
@@ -392,8 +392,8 @@
 	}
 	d.facts.add(d.now(), func(at units.Microseconds) {
 		// Somebody else's job: when its user asks to cancel it is not seen here.
-		d.checker.Planned(at, u.ID, u.Spec)
-		d.checker.CancelAsked(at, u.ID)
+		d.checker.Submitting(at, u.ID, u.Spec)
+		d.checker.CancelRequested(at, u.ID)
 	})
 }
 
@@ -453,7 +453,7 @@
 type Progress struct {
 	Jobs, Left int
 	Figures
-	Broken []check.Break
+	Broken []check.Violation
 }
 
 // Progress returns how far the run has come.
@@ -468,27 +468,27 @@
 	p.Figures, _ = d.Figures() // zero while the cloud's process is away
 	d.checkUpTo(d.now() - units.Microseconds(settleTime.Microseconds()))
 	d.mu.Lock()
-	p.Broken = slices.Clone(d.checker.Broken())
+	p.Broken = slices.Clone(d.checker.Violations())
 	d.mu.Unlock()
 	return p
 }
 
 // Finish waits until what has happened is checked, and returns the broken rules
 // and how many tasks were started.
-func (d *Deployment) Finish(over bool) ([]check.Break, int) {
+func (d *Deployment) Finish(over bool) ([]check.Violation, int) {
 	time.Sleep(2 * settleTime)
 	d.checkUpTo(d.now())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.checker.Finish(d.now(), over)
-	return d.checker.Broken(), d.checker.Starts()
+	return d.checker.Violations(), d.checker.Starts()
 }
 
 // FirstBegan returns when a task of a job was first on a machine, 0 if none was.
 func (d *Deployment) FirstBegan(id string) units.Microseconds {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.checker.FirstBegan(id)
+	return d.checker.FirstStart(id)
 }
 
 // Restarts returns how often each controller was started beyond the first time.
@@ -695,7 +695,7 @@
 	}
 	d.note("%s is killed", name)
 	if name == RoleCloud {
-		d.facts.add(d.now(), d.checker.Vanished)
+		d.facts.add(d.now(), d.checker.AllMachinesLost)
 	}
 	p.kill()
 	return nil
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -127,7 +127,7 @@
 func breaks(s *scenario.Scenario, opt sim.Options, rule string) bool {
 	w := sim.New(s, opt)
 	broken := func() bool {
-		return slices.ContainsFunc(w.Check.Broken(), func(b check.Break) bool { return b.Rule == rule })
+		return slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == rule })
 	}
 	for at := 10.0; at < s.DurationS; at += 10 {
 		if w.Run(units.Seconds(at)); broken() {
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -51,7 +51,7 @@
 }
 
 // Breaks turns a checker's findings into a verdict's.
-func Breaks(list []check.Break) []Broken {
+func Breaks(list []check.Violation) []Broken {
 	var out []Broken
 	for _, b := range list {
 		out = append(out, Broken{b.At.Seconds(), b.Rule, b.Text, b.History})
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -247,7 +247,7 @@
 	}
 	for i, reg := range r.regions {
 		out := RegionResult{Name: reg.name, Restarts: reg.d.Restarts()}
-		var broken []check.Break
+		var broken []check.Violation
 		if whole {
 			broken, out.Starts = reg.d.Finish(r.result.Over)
 		} else {
