--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -8,6 +8,7 @@
 	"shalestage.example/shalestage/internal/core/archive"
 	"shalestage.example/shalestage/internal/core/authority"
 	"shalestage.example/shalestage/internal/core/demand"
+	"shalestage.example/shalestage/internal/core/fleet"
 	"shalestage.example/shalestage/internal/core/guard"
 	"shalestage.example/shalestage/internal/core/jobs"
 	"shalestage.example/shalestage/internal/core/keys"
@@ -21,17 +22,18 @@
 	"shalestage.example/shalestage/internal/core/shardplan"
 	"shalestage.example/shalestage/internal/core/shardstore"
 	"shalestage.example/shalestage/internal/core/store"
+	"shalestage.example/shalestage/internal/core/transfer"
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// ownedShard is what a controller knows and does while it holds a block: machines,
-// the jobs that run on them, and a share of the teams' limits.
+// ownedShard is what a controller knows and does while it owns a shard: machines,
+// the jobs that run on them, and an allocation of the teams' quotas.
 type ownedShard struct {
 	number       int
-	assignment   uint64 // version of the block's record; guards every write
+	assignment   uint64 // version of the shard's record; guards every write
 	fencingToken uint64
-	ready        bool // the picture is complete enough to answer reports
-	releasing    bool // being given up: nothing is answered any more
+	ready        bool // enough is known to answer heartbeats
+	releasing    bool // nothing is answered any more
 	ownedSince   units.Microseconds
 	attempts     uint64
 
@@ -54,8 +56,8 @@
 
 func sortedShards(m map[int]*ownedShard) []int { return slices.Sorted(maps.Keys(m)) }
 
-// own begins to hold a block. Reports are answered once a read that began
-// after the grant was stored has shown everything that earlier holders stored.
+// own begins to own a shard. Heartbeats are answered once a read that began
+// after the assignment was stored has shown everything that earlier owners stored.
 func (c *Core) own(k int, g shardplan.Assignment) {
 	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction)}
@@ -76,53 +78,66 @@
 	c.rebuild(shard)
 }
 
+// rebuild reads what a shard has, until that works.
 func (c *Core) rebuild(shard *ownedShard) {
 	c.readFresh(func(ok bool) {
-		if c.owned[shard.number] != shard {
-			return
-		}
-		if !ok {
+		switch {
+		case c.owned[shard.number] != shard: // released or lost meanwhile
+		case ok:
+			c.takeOver(shard)
+		default:
 			c.rebuild(shard)
-			return
 		}
-		snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
-		for _, key := range sortedKeys(c.machineGroups) {
-			g := c.machineGroups[key]
-			if g.Shard != shard.number {
-				continue
-			}
-			// A holder that took them for new would keep idle ones for their
-			// least charge once more.
-			age := units.Microseconds(0)
-			if g.ProvisionedAt > 0 {
-				age = max(0, c.wall-g.ProvisionedAt)
-			}
-			for _, name := range g.Up {
-				m := c.newMachine(shard, name, key, g.Record(true), age)
-				// An earlier holder may have started tasks there, and its last
-				// answer may have been accepted just before this grant.
-				shard.reconciler.Inherit(c.now, m, snapshot.Covers(name, key))
-			}
-			for _, name := range g.Booting {
-				c.newMachine(shard, name, key, g.Record(false), age)
-			}
+	})
+}
+
+// takeOver takes in the machines and jobs of a shard, and what its last owner knew. From then on
+// heartbeats are answered.
+func (c *Core) takeOver(shard *ownedShard) {
+	snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
+	for _, key := range sortedKeys(c.machineGroups) {
+		if group := c.machineGroups[key]; group.Shard == shard.number {
+			c.inheritGroup(shard, key, group, snapshot)
 		}
-		for _, j := range c.jobs.ActiveByID() {
-			if j.Record.Shard == shard.number && j.OpenDependencies == 0 {
-				j.Reset()
-				shard.addJob(j)
-				// Whether any of its tasks were ever started only the last holder knew.
-				j.SetUnreconciled(len(shard.reconciler.Unreconciled()) > 0)
-			}
+	}
+	c.inheritJobs(shard)
+	restored := snapshot.Restore(transferHost{c, shard})
+	shard.ready = true
+	c.log.Info("shard ready", "shard", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "restored", restored, "replicated", snapshot.Complete())
+}
+
+// inheritGroup takes in stored machines.
+func (c *Core) inheritGroup(shard *ownedShard, key string, group fleet.Group, snapshot *transfer.Snapshot) {
+	// An owner that took them for new would keep idle ones for their least charge once more.
+	age := units.Microseconds(0)
+	if group.ProvisionedAt > 0 {
+		age = max(0, c.wall-group.ProvisionedAt)
+	}
+	for _, name := range group.Up {
+		machine := c.newMachine(shard, name, key, group.Record(true), age)
+		// An earlier owner may have started tasks there, and its last answer may have been
+		// accepted just before this assignment.
+		shard.reconciler.Inherit(c.now, machine, snapshot.Covers(name, key))
+	}
+	for _, name := range group.Booting {
+		c.newMachine(shard, name, key, group.Record(false), age)
+	}
+}
+
+// inheritJobs takes in the active jobs of a shard that wait for no others.
+func (c *Core) inheritJobs(shard *ownedShard) {
+	for _, job := range c.jobs.ActiveByID() {
+		if job.Record.Shard == shard.number && job.OpenDependencies == 0 {
+			job.Reset()
+			shard.addJob(job)
+			// Whether any of its tasks were ever started only the last owner knew.
+			job.SetUnreconciled(len(shard.reconciler.Unreconciled()) > 0)
 		}
-		restored := snapshot.Restore(transferHost{c, shard})
-		shard.ready = true
-		c.log.Info("shard ready", "shard", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "restored", restored, "replicated", snapshot.Complete())
-	})
+	}
 }
 
-// release gives a block up while this node's seat stands, so that the leader
-// can lease it to another. Nothing is answered from now on, whether or not the
+// release gives a shard up while this node's membership stands, so that the leader
+// can assign it to another. Nothing is answered from now on, whether or not the
 // release gets stored soon.
 func (c *Core) release(shard *ownedShard, why string) {
 	if shard.releasing {
