--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -21,46 +21,46 @@
 // comes later; what is malformed or of a job that is done changes nothing.
 func TestCancellationsFromPeers(t *testing.T) {
 	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}}
-	c := holding(t, map[string]any{
+	core := holding(t, map[string]any{
 		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + "wk-000001": record,
 		jobPrefix + "wk-000002": record,
 		jobPrefix + "wk-000003": jobs.Record{Status: jobs.Done, Tasks: 1},
 	})
-	shard := c.owned[0]
-	seat := c.membership.ID()
+	shard := core.owned[0]
+	seat := core.membership.ID()
 	receive := func(list ...store.Event) {
-		c.receiveCancellations("b", PeerPromise{Seat: seat, Sent: c.now, Told: cancellations.Update{Since: c.cache.Revision, Upto: 190, Whole: true, List: list}})
+		core.receiveCancellations("b", PeerPromise{Seat: seat, Sent: core.now, Told: cancellations.Update{Since: core.cache.Revision, Upto: 190, Whole: true, List: list}})
 	}
 	for _, e := range []store.Event{{}, {Key: jobPrefix + "wk-000001", Value: json.RawMessage(`{"status"`), Stamp: 150}, cancelled("../x", 150),
 		cancelled("wk-000001", 0), {Key: machinePrefix + "r-1", Value: cancelled("wk-000001", 150).Value, Stamp: 150}} {
 		receive(e)
-		if !c.jobs.Get("wk-000001").Active() || c.cancellations.KnownRevision(c.cache.Revision) != c.cache.Revision || len(c.machineGroups) != 1 {
+		if !core.jobs.Get("wk-000001").Active() || core.cancellations.KnownRevision(core.cache.Revision) != core.cache.Revision || len(core.machineGroups) != 1 {
 			t.Fatalf("%+v is taken for a cancellation", e)
 		}
 	}
 	// A word that was held up, for this controller's process before: its time is that one's.
 	for _, seat = range []uint64{0, seat + 1} {
-		if receive(); c.cancellations.KnownRevision(c.cache.Revision) != c.cache.Revision {
+		if receive(); core.cancellations.KnownRevision(core.cache.Revision) != core.cache.Revision {
 			t.Fatal("what another process has asked for counts")
 		}
 	}
-	seat = c.membership.ID()
+	seat = core.membership.ID()
 	receive(cancelled("wk-000003", 150), cancelled("wk-000002", 160), cancelled("wk-000004", 170))
-	if c.jobs.Get("wk-000003").Record.Status != jobs.Done || c.jobs.Get("wk-000002").Active() || c.cancellations.KnownRevision(c.cache.Revision) != 190 {
+	if core.jobs.Get("wk-000003").Record.Status != jobs.Done || core.jobs.Get("wk-000002").Active() || core.cancellations.KnownRevision(core.cache.Revision) != 190 {
 		t.Fatal("the done job is not done, or the other not cancelled")
 	}
-	c.Drain()
-	c.Heartbeat(c.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.Never,
+	core.Drain()
+	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.Never,
 		Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000002"}, Attempt: 1, State: fleet.Running}}})
-	o, _ := replyTo(t, c, 9).Body.(HeartbeatResponse)
+	o, _ := replyTo(t, core, 9).Body.(HeartbeatResponse)
 	if len(o.Commands) != 1 || o.Commands[0].Op != fleet.Stop {
 		t.Fatalf("orders %+v", o)
 	}
 	// The acceptance of one that was cancelled before comes with a watch that was held up.
-	rev := c.cache.Revision
-	c.OnChanges(c.now, Watch{After: rev}, store.OK, 165, []store.Event{{Key: jobPrefix + "wk-000004", Value: record.Encode(), Stamp: 165}}, false)
-	if j := c.jobs.Get("wk-000004"); j == nil || j.Active() || len(shard.active) != 1 {
+	rev := core.cache.Revision
+	core.OnChanges(core.now, Watch{After: rev}, store.OK, 165, []store.Event{{Key: jobPrefix + "wk-000004", Value: record.Encode(), Stamp: 165}}, false)
+	if j := core.jobs.Get("wk-000004"); j == nil || j.Active() || len(shard.active) != 1 {
 		t.Fatalf("%+v may start", j)
 	}
 }
@@ -69,30 +69,30 @@
 // used to be renewed over a copy that grew old without end. And after an outage the first
 // renewal used to make a holder valid at once, over a copy from before it.
 func TestOutdatedCacheAnswersNobody(t *testing.T) {
-	c := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}})
-	c.cfg.CancelWithin, c.cfg.Lease, c.cfg.LeaderTTL = 60*units.Second, 20*units.Second, units.Second
-	c.cancellations = cancellations.New(cancellations.Config{Peers: 2})
-	from, seq := c.now, uint64(0)
+	core := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}})
+	core.cfg.CancelWithin, core.cfg.Lease, core.cfg.LeaderTTL = 60*units.Second, 20*units.Second, units.Second
+	core.cancellations = cancellations.New(cancellations.Config{Peers: 2})
+	from, seq := core.now, uint64(0)
 	answered := func() bool {
 		seq++
-		c.Heartbeat(c.now, RequestID(seq), &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: c.owned[0].fencingToken, Notice: units.Never,
+		core.Heartbeat(core.now, RequestID(seq), &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: core.owned[0].fencingToken, Notice: units.Never,
 			Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
-		return replyTo(t, c, RequestID(seq)).Code == 200
+		return replyTo(t, core, RequestID(seq)).Code == 200
 	}
-	for c.now < from+c.extension()-units.Second {
-		c.Tick(c.now+units.Second, c.wall)
-		c.Drain()
+	for core.now < from+core.extension()-units.Second {
+		core.Tick(core.now+units.Second, core.wall)
+		core.Drain()
 		if !answered() {
-			t.Fatalf("after %d s nothing is answered", (c.now-from)/units.Second)
+			t.Fatalf("after %d s nothing is answered", (core.now-from)/units.Second)
 		}
 	}
-	c.Tick(c.now+2*units.Second, c.wall)
-	c.Drain()
+	core.Tick(core.now+2*units.Second, core.wall)
+	core.Drain()
 	if answered() {
 		t.Fatal("a copy that may lack what was cancelled is answered by")
 	}
-	c.OnChanges(c.now, Watch{After: c.cache.Revision, Fresh: true, Sent: c.now}, store.OK, c.cache.Revision, nil, false)
-	c.Drain()
+	core.OnChanges(core.now, Watch{After: core.cache.Revision, Fresh: true, Sent: core.now}, store.OK, core.cache.Revision, nil, false)
+	core.Drain()
 	if !answered() {
 		t.Fatal("nothing is answered after a read")
 	}
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"fmt"
 	"net/http"
 	"slices"
 	"testing"
@@ -31,23 +32,23 @@
 }
 
 // serve lets time pass.
-func (s *lossyState) serve(c *Core, d units.Microseconds) {
-	for end := c.now + d; c.now < end; {
-		c.Tick(c.now+units.Second/100, c.wall+units.Second/100)
-		for _, e := range c.Drain() {
+func (s *lossyState) serve(core *Core, d units.Microseconds) {
+	for end := core.now + d; core.now < end; {
+		core.Tick(core.now+units.Second/100, core.wall+units.Second/100)
+		for _, e := range core.Drain() {
 			switch e := e.(type) {
 			case Reply:
 				s.replies[e.Request] = e
 			case Abandon:
 				s.abandoned = append(s.abandoned, e.Txn)
 			case Commit:
-				s.commit(c, e)
+				s.commit(core, e)
 			case Watch:
 				if e.Fresh {
 					s.reads++
 				}
 				if e.Fresh || s.watches {
-					c.OnChanges(c.now, e, store.OK, s.rev, s.after(e.After), false)
+					core.OnChanges(core.now, e, store.OK, s.rev, s.after(e.After), false)
 				}
 			}
 		}
@@ -98,86 +99,99 @@
 // read, shows it: within 150 ms the user is answered, and what waits in the lane goes. It
 // took until the request had timed out. Whatever answer still comes then changes nothing.
 func TestAnswerLost(t *testing.T) {
-	const known, other = "wk-000001", "wk-000002"
-	for name, ask := range map[string]func(c *Core) (key string, code int){
-		"submission": func(c *Core) (string, int) {
-			c.Submit(c.now, 1, "wk-000009", smallJob(), "")
+	for name, ask := range map[string]func(core *Core) (key string, code int){
+		"submission": func(core *Core) (string, int) {
+			core.Submit(core.now, 1, "wk-000009", smallJob(), "")
 			return jobPrefix + "wk-000009", http.StatusCreated
 		},
-		"cancellation": func(c *Core) (string, int) {
-			c.Cancel(c.now, 1, known)
-			return jobPrefix + known, http.StatusOK
+		"cancellation": func(core *Core) (string, int) {
+			core.Cancel(core.now, 1, knownJob)
+			return jobPrefix + knownJob, http.StatusOK
 		},
-		"end": func(c *Core) (string, int) {
-			c.Heartbeat(c.now, 2, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: c.owned[0].fencingToken, Notice: units.Never,
-				Tasks: []fleet.Task{{ID: jobs.TaskID{Job: known}, Attempt: 1, State: fleet.Exited, Cause: fleet.Completed}}})
-			return jobPrefix + known, 0
+		"end": func(core *Core) (string, int) {
+			core.Heartbeat(core.now, 2, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: core.owned[0].fencingToken, Notice: units.Never,
+				Tasks: []fleet.Task{{ID: jobs.TaskID{Job: knownJob}, Attempt: 1, State: fleet.Exited, Cause: fleet.Completed}}})
+			return jobPrefix + knownJob, 0
 		},
 	} {
 		for _, watches := range []bool{true, false} {
 			for _, late := range []store.Outcome{store.OK, store.Failed, store.Unknown, store.Refused, store.TooLarge} {
-				record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: smallJob()}
-				c := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
-					jobPrefix + known: record, jobPrefix + other: record})
-				s := newLossyState(c)
-				s.serve(c, units.Second/10)
-				s.loses, s.watches = true, watches
-				key, code := ask(c)
-				s.serve(c, units.Second/100)
-				sent := s.of(key)
-				if sent == nil {
-					t.Fatalf("%s: not sent", name)
-				}
-				c.Cancel(c.now, 3, other) // it goes behind a user's, and beside the end
-				s.serve(c, 14*units.Second/100)
-				if got := s.replies[1].Code; got != code {
-					t.Errorf("%s, watch answers %v: answered %d", name, watches, got)
-				}
-				j := c.jobs.Get(key[len(jobPrefix):])
-				if j == nil || name != "submission" && j.Active() {
-					t.Fatalf("%s, watch answers %v: job %+v", name, watches, j)
-				}
-				if !slices.Contains(s.abandoned, sent.Txn) || c.queues[sent.Queue].UnderWay(sent.Txn) {
-					t.Errorf("%s, watch answers %v: the transaction is still waited for", name, watches)
-				}
-				if got := s.replies[3].Code; got != http.StatusOK {
-					t.Errorf("%s, watch answers %v: what waited behind it was answered %d", name, watches, got)
-				}
-				s.carryOut = false
-				c.Submit(c.now, 4, "wk-000010", smallJob(), "")
-				s.serve(c, units.Second/100)
-				next, status := s.of(jobPrefix+"wk-000010"), j.Record.Status
-				delete(s.replies, 1)
-				c.OnCommit(c.now, sent.Queue, sent.Txn, late, s.rev, []string{key})
-				s.serve(c, units.Second/100)
-				if len(s.replies) > 0 && (s.replies[1].Code != 0 || s.replies[4].Code != 0) || j.Record.Status != status || !c.queues[UserQueue].UnderWay(next.Txn) {
-					t.Errorf("%s: an answer that came late changed something", name)
-				}
+				t.Run(fmt.Sprintf("%s, watch answers %v, late %v", name, watches, late), func(t *testing.T) {
+					loseAnswer(t, name, ask, watches, late)
+				})
 			}
 		}
 	}
 }
 
+// Jobs of loseAnswer: one that is asked about, and one whose cancellation goes behind that.
+const (
+	knownJob = "wk-000001"
+	otherJob = "wk-000002"
+)
+
+// loseAnswer loses the answer to the transaction that a request makes.
+func loseAnswer(t *testing.T, name string, ask func(core *Core) (key string, code int), watches bool, late store.Outcome) {
+	t.Helper()
+	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: smallJob()}
+	core := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
+		jobPrefix + knownJob: record, jobPrefix + otherJob: record})
+	state := newLossyState(core)
+	state.serve(core, units.Second/10)
+	state.loses, state.watches = true, watches
+	key, code := ask(core)
+	state.serve(core, units.Second/100)
+	sent := state.of(key)
+	if sent == nil {
+		t.Fatal("not sent")
+	}
+	core.Cancel(core.now, 3, otherJob) // it goes behind a user's, and beside the end
+	state.serve(core, 14*units.Second/100)
+	if got := state.replies[1].Code; got != code {
+		t.Errorf("answered %d", got)
+	}
+	job := core.jobs.Get(key[len(jobPrefix):])
+	if job == nil || name != "submission" && job.Active() {
+		t.Fatalf("job %+v", job)
+	}
+	if !slices.Contains(state.abandoned, sent.Txn) || core.queues[sent.Queue].UnderWay(sent.Txn) {
+		t.Error("the transaction is still waited for")
+	}
+	if got := state.replies[3].Code; got != http.StatusOK {
+		t.Errorf("what waited behind it was answered %d", got)
+	}
+	state.carryOut = false
+	core.Submit(core.now, 4, "wk-000010", smallJob(), "")
+	state.serve(core, units.Second/100)
+	next, status := state.of(jobPrefix+"wk-000010"), job.Record.Status
+	delete(state.replies, 1)
+	core.OnCommit(core.now, sent.Queue, sent.Txn, late, state.rev, []string{key})
+	state.serve(core, units.Second/100)
+	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].UnderWay(next.Txn) {
+		t.Error("an answer that came late changed something")
+	}
+}
+
 // TestNothingIsKnownEarly has a submission's transaction lost, or held up to come late:
 // nothing may be told before the request has timed out, and few reads are made for it.
 func TestNothingIsKnownEarly(t *testing.T) {
-	c := holding(t, nil)
-	s := newLossyState(c)
-	s.serve(c, units.Second)
-	s.loses, s.carryOut, s.reads = true, false, 0
-	c.Submit(c.now, 1, "wk-000009", smallJob(), "")
-	s.serve(c, 950*units.Second/1000)
-	if r, ok := s.replies[1]; ok || len(s.abandoned) > 0 {
-		t.Fatalf("answered %d, abandoned %d", r.Code, len(s.abandoned))
+	core := holding(t, nil)
+	state := newLossyState(core)
+	state.serve(core, units.Second)
+	state.loses, state.carryOut, state.reads = true, false, 0
+	core.Submit(core.now, 1, "wk-000009", smallJob(), "")
+	state.serve(core, 950*units.Second/1000)
+	if r, ok := state.replies[1]; ok || len(state.abandoned) > 0 {
+		t.Fatalf("answered %d, abandoned %d", r.Code, len(state.abandoned))
 	}
 	// One every Heartbeat is made anyway.
-	if s.reads > 3+3 {
-		t.Errorf("%d reads", s.reads)
+	if state.reads > 3+3 {
+		t.Errorf("%d reads", state.reads)
 	}
-	sent := s.of(jobPrefix + "wk-000009")
-	c.OnCommit(c.now, sent.Queue, sent.Txn, store.Unknown, 0, nil)
-	s.serve(c, units.Second/10)
-	if r := s.replies[1]; r.Code != http.StatusServiceUnavailable {
+	sent := state.of(jobPrefix + "wk-000009")
+	core.OnCommit(core.now, sent.Queue, sent.Txn, store.Unknown, 0, nil)
+	state.serve(core, units.Second/10)
+	if r := state.replies[1]; r.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", r.Code)
 	}
 }
@@ -188,24 +202,24 @@
 // not take.
 func TestNothingIsProvenAcrossALoss(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		c := holding(t, nil)
-		s := newLossyState(c)
-		s.serve(c, units.Second)
-		s.loses, s.carryOut, s.watches = true, false, false
-		c.Submit(c.now, 1, "wk-000009", smallJob(), "")
-		s.serve(c, units.Second/20)
-		sent := s.of(jobPrefix + "wk-000009")
-		stored := []store.Event{{Key: jobPrefix + "wk-000009", Value: sent.Txn.Changes[0].Value, Stamp: s.rev + 5}}
+		core := holding(t, nil)
+		state := newLossyState(core)
+		state.serve(core, units.Second)
+		state.loses, state.carryOut, state.watches = true, false, false
+		core.Submit(core.now, 1, "wk-000009", smallJob(), "")
+		state.serve(core, units.Second/20)
+		sent := state.of(jobPrefix + "wk-000009")
+		stored := []store.Event{{Key: jobPrefix + "wk-000009", Value: sent.Txn.Changes[0].Value, Stamp: state.rev + 5}}
 		if lost {
-			c.cache.Reload(c.now)
-			c.OnList(c.now, List{}, store.OK, s.rev-3, nil, false)
-			c.OnChanges(c.now, Watch{After: s.rev - 3}, store.OK, s.rev+5, stored, false)
+			core.cache.Reload(core.now)
+			core.OnList(core.now, List{}, store.OK, state.rev-3, nil, false)
+			core.OnChanges(core.now, Watch{After: state.rev - 3}, store.OK, state.rev+5, stored, false)
 		} else { // changes between the copy and this answer are not known
-			c.OnChanges(c.now, Watch{After: c.cache.Revision + 2}, store.OK, s.rev+5, stored, false)
+			core.OnChanges(core.now, Watch{After: core.cache.Revision + 2}, store.OK, state.rev+5, stored, false)
 		}
-		s.rev += 5
-		s.serve(c, units.Second/2)
-		if r, ok := s.replies[1]; ok || !c.queues[UserQueue].UnderWay(sent.Txn) {
+		state.rev += 5
+		state.serve(core, units.Second/2)
+		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].UnderWay(sent.Txn) {
 			t.Errorf("lost %v: answered %d", lost, r.Code)
 		}
 	}
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -145,45 +145,45 @@
 }
 
 // receiveConfigStatus takes what another controller's status says of the configuration.
-func (c *Core) receiveConfigStatus(from string, s PeerStatus) {
-	c.config.PeerStatus(c.now, from, s.Config, s.ConfigKnown)
-	if c.config.PeerKnows(s.ConfigKnown) {
+func (c *Core) receiveConfigStatus(from string, status PeerStatus) {
+	c.config.PeerStatus(c.now, from, status.Config, status.ConfigKnown)
+	if c.config.PeerKnows(status.ConfigKnown) {
 		c.readFresh(nil)
 	}
 	if !c.config.Falling() || !c.configComplete() {
 		return
 	}
-	for _, b := range s.Blocks {
+	for _, b := range status.Blocks {
 		if b.Use >= 0 && c.shardRecords.Assignment(b.Block).Node == from {
-			c.config.SetOverQuota(b.Block, s.Config, b.Over)
+			c.config.SetOverQuota(b.Block, status.Config, b.Over)
 		}
 	}
 	c.config.SetShards(c.shardRecords.Shards())
 }
 
 // configComplete reports whether the copy shows all that was stored before the configuration
-// in force: who held which block then.
+// in force: who owned which shard then.
 func (c *Core) configComplete() bool {
 	return c.cache.Loaded() && !c.cache.Recovering() && c.cache.Revision >= c.cache.Version(configuration.HeadKey)
 }
 
 // addConfigStatus adds to a status which version is in force here, and which teams are above
-// their share of a block's limits.
-func (c *Core) addConfigStatus(s *PeerStatus) {
+// their allocation in a shard.
+func (c *Core) addConfigStatus(status *PeerStatus) {
 	if !c.config.Changed() {
 		return
 	}
-	s.Config, s.ConfigKnown = c.config.Version(), c.config.Known()
+	status.Config, status.ConfigKnown = c.config.Version(), c.config.Known()
 	complete := c.config.Falling() && c.configComplete()
 	room := MaxOver
-	for i := range s.Blocks {
-		b := &s.Blocks[i]
+	for i := range status.Blocks {
+		b := &status.Blocks[i]
 		if b.Use < 0 {
 			continue
 		}
 		over := c.owned[b.Block].quota.Exceeded()
 		if complete {
-			c.config.SetOverQuota(b.Block, s.Config, over)
+			c.config.SetOverQuota(b.Block, status.Config, over)
 		}
 		for _, name := range over {
 			room -= len(name) + len("    ")
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -37,22 +37,22 @@
 func TestOwnerWithOlderConfiguration(t *testing.T) {
 	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
 	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerPromise{ConfigKnown: 3}} {
-		c := holding(t, nil)
-		c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
-		shard := c.owned[0]
-		allocate(t, c, 0, 1)
-		if !shard.quota.Allows(spec.Team, spec.Demand) || !c.mayAccept() {
+		core := holding(t, nil)
+		core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
+		shard := core.owned[0]
+		allocate(t, core, 0, 1)
+		if !shard.quota.Allows(spec.Team, spec.Demand) || !core.mayAccept() {
 			t.Fatalf("%s: the settings file's team may not start", name)
 		}
-		c.OnPeer(c.now, "b", m)
-		if shard.quota.Allows(spec.Team, spec.Demand) || c.mayAccept() {
+		core.OnPeer(core.now, "b", m)
+		if shard.quota.Allows(spec.Team, spec.Demand) || core.mayAccept() {
 			t.Errorf("%s: starts or accepts by an older version than it knows of", name)
 		}
 		rev := uint64(200)
 		for k, v := range configRecords(3, 2000) {
-			c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: rev})
+			core.learn(store.Event{Key: k, Value: store.Value(v), Stamp: rev})
 		}
-		if !shard.quota.Allows(spec.Team, spec.Demand) || !c.mayAccept() || c.teams["t"].Limit[binpack.CPU] != 2000 {
+		if !shard.quota.Allows(spec.Team, spec.Demand) || !core.mayAccept() || core.teams["t"].Limit[binpack.CPU] != 2000 {
 			t.Errorf("%s: starts nothing once it has it", name)
 		}
 	}
@@ -121,23 +121,23 @@
 // TestManyTeamsOverAllocation has more teams above their share than a status can name: it
 // stays small, and says that the block's use is not known.
 func TestManyTeamsOverAllocation(t *testing.T) {
-	c := holding(t, configRecords(1, 40_000))
-	shard := c.owned[0]
+	core := holding(t, configRecords(1, 40_000))
+	shard := core.owned[0]
 	var content configuration.Content
 	for i := range 1000 {
 		name := fmt.Sprintf("a-team-whose-name-is-about-as-long-as-names-may-be-at-all-%04d", i)
 		content.Teams = append(content.Teams, Team{Name: name, Limit: binpack.Vec{1000}})
 		shard.quota.Charge(name, binpack.Vec{2000})
 	}
-	c.reconfigure(content)
+	core.reconfigure(content)
 	s := PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
-	if c.addConfigStatus(&s); s.Blocks[0].Use != -1 || len(s.Blocks[0].Over) > 0 {
+	if core.addConfigStatus(&s); s.Blocks[0].Use != -1 || len(s.Blocks[0].Over) > 0 {
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
 	content.Teams = content.Teams[:100]
-	c.reconfigure(content)
+	core.reconfigure(content)
 	s = PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
-	if c.addConfigStatus(&s); s.Blocks[0].Use != 2 || len(s.Blocks[0].Over) != 100 {
+	if core.addConfigStatus(&s); s.Blocks[0].Use != 2 || len(s.Blocks[0].Over) != 100 {
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -44,7 +44,7 @@
 // TickEvery is how often the outer layers let time pass.
 const TickEvery = liveness.TickEvery
 
-// Config is what the core is told at its start.
+// Config is what the core is given at its start.
 type Config struct {
 	Node              string
 	Size              int
@@ -99,8 +99,9 @@
 		// RetryAfter tells a user when to come back; 0: not said.
 		RetryAfter units.Microseconds
 	}
-	// List and Watch read the state service's keys (OnList, OnChanges).
-	List  = watchcache.List
+	// List reads a page of the state service's keys (OnList).
+	List = watchcache.List
+	// Watch waits for changes of them (OnChanges).
 	Watch = watchcache.Watch
 	// Commit sends a transaction (OnCommit).
 	Commit struct {
@@ -131,7 +132,7 @@
 type (
 	// JobAnswer tells a job's state.
 	JobAnswer = admission.JobAnswer
-	// HeartbeatResponse answers a report.
+	// HeartbeatResponse answers a heartbeat.
 	HeartbeatResponse struct {
 		FencingToken uint64
 		Commands     []fleet.Command
@@ -142,10 +143,10 @@
 	Problem struct{ Text string }
 )
 
-// QueueID tells the transaction lanes apart.
+// QueueID names a queue of transactions.
 type QueueID int
 
-// Lanes: users' changes, those of the leader and holders, and the packing of old jobs
+// Queues: users' changes, those of the leader and of owners, and the archiving of finished jobs
 // do not wait for each other.
 const (
 	UserQueue QueueID = iota
@@ -207,42 +208,42 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	c := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{},
+	core := &Core{cfg: cfg, log: cfg.Log, teams: map[string]*Team{},
 		types: map[string]*fleet.Type{}, shardRecords: shardplan.NewRecords(),
 		machineGroups: map[string]fleet.Group{}, machineShard: map[string]int{},
 		transfers: transfer.NewReceiver(cfg.Node),
 		owned:     map[int]*ownedShard{}}
-	if c.cfg.ValueMax == 0 {
-		c.cfg.ValueMax = int(cfg.ValueKB * 1024)
+	if core.cfg.ValueMax == 0 {
+		core.cfg.ValueMax = int(cfg.ValueKB * 1024)
 	}
 	layout := jobs.ProgressLayout{TasksPerRecord: jobs.TasksPerRecord(cfg.ValueKB)}
-	layout.Pieces = jobs.TasksPerRecord(float64(c.cfg.ValueMax)/1024) < layout.TasksPerRecord
-	c.jobs = registry.New(registry.Config{Layout: layout, TxnOps: cfg.TxnOps, OrphanAge: cfg.ArchiveSettleTime, Log: cfg.Log}, jobsHost{c})
-	c.admission = admission.New(admission.Config{ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, SkippedGuard: cfg.SkippedGuard, Log: cfg.Log}, admissionHost{c})
+	layout.Pieces = jobs.TasksPerRecord(float64(core.cfg.ValueMax)/1024) < layout.TasksPerRecord
+	core.jobs = registry.New(registry.Config{Layout: layout, TxnOps: cfg.TxnOps, OrphanAge: cfg.ArchiveSettleTime, Log: cfg.Log}, jobsHost{core})
+	core.admission = admission.New(admission.Config{ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, SkippedGuard: cfg.SkippedGuard, Log: cfg.Log}, admissionHost{core})
 	for i := range cfg.Teams {
-		c.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
+		core.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
-	c.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, c.extension()/4), Log: cfg.Log}, cacheHost{c})
-	c.archive = archive.NewKeeper(archive.Config{Node: cfg.Node, Release: peering.ReleaseArchive, KeepFinished: cfg.KeepFinished, MinAge: 2*c.leaseBound() + cfg.CancelWithin,
-		ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{c})
-	c.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{c})
-	c.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: c.cfg.ValueMax, Log: cfg.Log}, c.shardRecords, plannerHost{c})
-	c.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: c.extension(), Short: min(c.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{c})
-	c.rollback = rollback.New(rollbackHost{c}, cfg.Log)
-	c.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
-	c.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
-	c.forwarder = peering.NewForwarder()
-	c.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
-		Peers: cfg.Peers, ValueMax: c.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: c.extension() + units.Second, Log: cfg.Log}, configurationHost{c})
-	c.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.Home, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
-	c.reachability = liveness.NewReachability(cfg.HeartbeatInterval, c.leaseBound())
-	for i := range c.queues {
-		c.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
+	core.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, core.extension()/4), Log: cfg.Log}, cacheHost{core})
+	core.archive = archive.NewKeeper(archive.Config{Node: cfg.Node, Release: peering.ReleaseArchive, KeepFinished: cfg.KeepFinished, MinAge: 2*core.leaseBound() + cfg.CancelWithin,
+		ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{core})
+	core.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{core})
+	core.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: core.cfg.ValueMax, Log: cfg.Log}, core.shardRecords, plannerHost{core})
+	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: core.extension(), Short: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
+	core.rollback = rollback.New(rollbackHost{core}, cfg.Log)
+	core.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
+	core.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
+	core.forwarder = peering.NewForwarder()
+	core.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
+		Peers: cfg.Peers, ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: core.extension() + units.Second, Log: cfg.Log}, configurationHost{core})
+	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.Home, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
+	core.reachability = liveness.NewReachability(cfg.HeartbeatInterval, core.leaseBound())
+	for i := range core.queues {
+		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
 	}
-	c.queues[ControlQueue].MaxQueue = controlWrites
-	c.queues[ArchiveQueue].MaxQueue = 1
-	c.setRates()
-	return c
+	core.queues[ControlQueue].MaxQueue = controlWrites
+	core.queues[ArchiveQueue].MaxQueue = 1
+	core.setRates()
+	return core
 }
 
 // Drain returns the effects since the last call.
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -9,9 +9,12 @@
 
 // Figures of a controller, see package introspect.
 type (
-	Stats      = introspect.Stats
+	// Stats are those of the controller.
+	Stats = introspect.Stats
+	// ShardStats are those of a shard that it owns.
 	ShardStats = introspect.ShardStats
-	PoolStats  = introspect.PoolStats
+	// PoolStats are those of the machines of one kind.
+	PoolStats = introspect.PoolStats
 )
 
 // Stats answers a request for the present figures.
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -28,84 +28,91 @@
 
 // serve plays the state service for a while: it carries out transactions and
 // answers reads at once, and returns the replies to users.
-func serve(t *testing.T, c *Core, keys map[string]store.Event) map[RequestID]Reply {
+func serve(t *testing.T, core *Core, keys map[string]store.Event) map[RequestID]Reply {
 	t.Helper()
 	replies := map[RequestID]Reply{}
-	rev := uint64(c.now) // beyond that of any earlier call
+	rev := uint64(core.now) // beyond that of any earlier call
 	for range 400 {
-		c.Tick(c.now+TickEvery, c.wall+TickEvery)
-		for _, e := range c.Drain() {
-			switch e := e.(type) {
+		core.Tick(core.now+TickEvery, core.wall+TickEvery)
+		for _, effect := range core.Drain() {
+			switch effect := effect.(type) {
 			case Reply:
-				replies[e.Request] = e
+				replies[effect.Request] = effect
 			case Watch:
-				if e.Fresh {
-					c.OnChanges(c.now, e, store.OK, c.cache.Revision, nil, false)
+				if effect.Fresh {
+					core.OnChanges(core.now, effect, store.OK, core.cache.Revision, nil, false)
 				}
 			case Commit:
-				if len(e.Txn.Changes) > 4 || len(e.Txn.Guards) > 16 {
-					t.Fatalf("%d changes, %d guards", len(e.Txn.Changes), len(e.Txn.Guards))
-				}
 				rev++
-				for _, ch := range e.Txn.Changes {
-					if len(ch.Value) > 2<<10 {
-						t.Fatalf("%s has %d bytes", ch.Key, len(ch.Value))
-					}
-					if keys[ch.Key] = (store.Event{Key: ch.Key, Value: ch.Value, Stamp: rev}); ch.Value == nil {
-						delete(keys, ch.Key)
-					}
-				}
-				c.OnCommit(c.now, e.Queue, e.Txn, store.OK, rev, nil)
-				for _, ch := range e.Txn.Changes {
-					if ch.Value == nil {
-						c.cache.Learn(store.Event{Key: ch.Key, Stamp: rev})
-					}
-				}
+				carryOut(t, core, keys, effect, rev)
 			}
 		}
 	}
 	return replies
 }
 
+// carryOut carries out a transaction within the limits of a small state service.
+func carryOut(t *testing.T, core *Core, keys map[string]store.Event, commit Commit, rev uint64) {
+	t.Helper()
+	txn := commit.Txn
+	if len(txn.Changes) > 4 || len(txn.Guards) > 16 {
+		t.Fatalf("%d changes, %d guards", len(txn.Changes), len(txn.Guards))
+	}
+	for _, ch := range txn.Changes {
+		if len(ch.Value) > 2<<10 {
+			t.Fatalf("%s has %d bytes", ch.Key, len(ch.Value))
+		}
+		if keys[ch.Key] = (store.Event{Key: ch.Key, Value: ch.Value, Stamp: rev}); ch.Value == nil {
+			delete(keys, ch.Key)
+		}
+	}
+	core.OnCommit(core.now, commit.Queue, txn, store.OK, rev, nil)
+	for _, ch := range txn.Changes {
+		if ch.Value == nil {
+			core.cache.Learn(store.Event{Key: ch.Key, Stamp: rev})
+		}
+	}
+}
+
 // An unknown name is refused for good only by a read that began after the
 // request; where there is none, the user is told to come back.
 func TestUnknownAwaited(t *testing.T) {
-	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(&jobs.Spec{Tasks: 1, Service: true})})
+	core := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(&jobs.Spec{Tasks: 1, Service: true})})
 	read := func(o store.Outcome, events ...store.Event) Reply {
 		t.Helper()
-		for _, e := range c.Drain() {
+		for _, e := range core.Drain() {
 			if w, ok := e.(Watch); ok && w.Fresh {
-				c.OnChanges(c.now, w, o, c.cache.Revision+1, events, false)
-				return replyTo(t, c, 5)
+				core.OnChanges(core.now, w, o, core.cache.Revision+1, events, false)
+				return replyTo(t, core, 5)
 			}
 		}
 		t.Fatal("nothing is read")
 		return Reply{}
 	}
 	step := func() {
-		c.Tick(c.now+units.Second, c.wall+units.Second)
-		c.OnChanges(c.now, Watch{Fresh: true, After: c.cache.Revision}, store.OK, c.cache.Revision, nil, false)
+		core.Tick(core.now+units.Second, core.wall+units.Second)
+		core.OnChanges(core.now, Watch{Fresh: true, After: core.cache.Revision}, store.OK, core.cache.Revision, nil, false)
 	}
 	step()
-	c.Submit(c.now, 5, "wk-000009", job("wk-000001", "wk-000008"), "")
+	core.Submit(core.now, 5, "wk-000009", job("wk-000001", "wk-000008"), "")
 	if r := read(store.Refused); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("no read, and yet %+v", r)
 	}
 	step()
 	for _, awaits := range []string{"wk-000008", "wk-000009", "wk-000002"} {
-		c.Submit(c.now, 5, "wk-000009", job(awaits), "")
+		core.Submit(core.now, 5, "wk-000009", job(awaits), "")
 		if r := read(store.OK); r.Code != http.StatusUnprocessableEntity {
 			t.Fatalf("awaits %s: %+v", awaits, r)
 		}
 		step()
 	}
-	c.Submit(c.now, 5, "wk-000009", job("wk-000008"), "")
-	for _, e := range c.Drain() {
+	core.Submit(core.now, 5, "wk-000009", job("wk-000008"), "")
+	for _, e := range core.Drain() {
 		if w, ok := e.(Watch); ok && w.Fresh { // another controller has accepted it meanwhile
-			c.OnChanges(c.now, w, store.OK, c.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pending(job()).Encode(), Stamp: c.cache.Revision + 1}}, false)
+			core.OnChanges(core.now, w, store.OK, core.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pending(job()).Encode(), Stamp: core.cache.Revision + 1}}, false)
 		}
 	}
-	if r := serve(t, c, map[string]store.Event{})[5]; r.Code != http.StatusCreated || c.jobs.Get("wk-000009").OpenDependencies != 1 {
+	if r := serve(t, core, map[string]store.Event{})[5]; r.Code != http.StatusCreated || core.jobs.Get("wk-000009").OpenDependencies != 1 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -113,59 +120,59 @@
 // Only what is stored passes along the graph, and a job that awaits a cancelled
 // one is accepted and cancelled; what follows from it is stored in the end.
 func TestOutcomesPropagate(t *testing.T) {
-	c := holding(t, map[string]any{
+	core := holding(t, map[string]any{
 		jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(job("wk-000001")), jobPrefix + "wk-000003": pending(job("wk-000002")),
 	})
 	keys := map[string]store.Event{}
-	first, second, third := c.jobs.Get("wk-000001"), c.jobs.Get("wk-000002"), c.jobs.Get("wk-000003")
-	c.owned[0].writer.TaskFinished(first, 0)
-	if !first.AllFinished() || second.OpenDependencies != 1 || c.owned[0].active[second.ID] != nil {
+	first, second, third := core.jobs.Get("wk-000001"), core.jobs.Get("wk-000002"), core.jobs.Get("wk-000003")
+	core.owned[0].writer.TaskFinished(first, 0)
+	if !first.AllFinished() || second.OpenDependencies != 1 || core.owned[0].active[second.ID] != nil {
 		t.Fatal("released before that is stored")
 	}
-	serve(t, c, keys)
-	if second.OpenDependencies != 0 || c.owned[0].active[second.ID] == nil || second.Since < 1000*units.Second || third.OpenDependencies != 1 {
+	serve(t, core, keys)
+	if second.OpenDependencies != 0 || core.owned[0].active[second.ID] == nil || second.Since < 1000*units.Second || third.OpenDependencies != 1 {
 		t.Fatalf("awaiting %d and %d, since %d", second.OpenDependencies, third.OpenDependencies, second.Since)
 	}
-	c.Cancel(c.now, 5, second.ID)
-	c.Submit(c.now, 6, "wk-000004", job("wk-000001", "wk-000003"), "")
-	replies := serve(t, c, keys)
+	core.Cancel(core.now, 5, second.ID)
+	core.Submit(core.now, 6, "wk-000004", job("wk-000001", "wk-000003"), "")
+	replies := serve(t, core, keys)
 	for _, id := range []string{"wk-000002", "wk-000003", "wk-000004"} {
 		var r jobs.Record
-		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || c.jobs.Get(id).Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
-			t.Errorf("%s: %s, stored %s, %v", id, c.jobs.Get(id).Record.Status, r.Status, err)
+		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || core.jobs.Get(id).Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
+			t.Errorf("%s: %s, stored %s, %v", id, core.jobs.Get(id).Record.Status, r.Status, err)
 		}
 	}
-	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || c.jobs.ActiveLen() != 0 || c.jobs.GarbagePending() {
-		t.Fatalf("%+v, %d active, garbage pending %v", replies, c.jobs.ActiveLen(), c.jobs.GarbagePending())
+	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || core.jobs.ActiveLen() != 0 || core.jobs.GarbagePending() {
+		t.Fatalf("%+v, %d active, garbage pending %v", replies, core.jobs.ActiveLen(), core.jobs.GarbagePending())
 	}
 }
 
 // A job that awaits others is not taken while an older controller is known to
 // serve: as the next holder it would start the job at once.
 func TestOlderControllerServes(t *testing.T) {
-	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
-	c.cfg.Size = 2
-	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
+	core := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
+	core.cfg.Size = 2
+	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 	submit := func(id string, awaits ...string) Reply {
 		t.Helper()
-		c.Submit(c.now, 5, id, job(awaits...), "")
-		return serve(t, c, map[string]store.Event{})[5]
+		core.Submit(core.now, 5, id, job(awaits...), "")
+		return serve(t, core, map[string]store.Event{})[5]
 	}
-	c.OnPeer(c.now, "b", PeerStatus{})
+	core.OnPeer(core.now, "b", PeerStatus{})
 	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("%+v", r)
 	}
 	if r := submit("wk-000003"); r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	c.learn(store.Event{Key: memberPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
+	core.learn(store.Event{Key: memberPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
 	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	c.advance(c.now + 2*units.Second) // the state service has not answered for a while
-	c.OnPeer(c.now, "b", PeerStatus{StateAge: 0})
-	c.Submit(c.now, 7, "wk-000004", job("wk-000001"), "")
-	for _, e := range c.Drain() {
+	core.advance(core.now + 2*units.Second) // the state service has not answered for a while
+	core.OnPeer(core.now, "b", PeerStatus{StateAge: 0})
+	core.Submit(core.now, 7, "wk-000004", job("wk-000001"), "")
+	for _, e := range core.Drain() {
 		if m, ok := e.(SendPeer); ok {
 			if _, ask := m.Message.(PeerAsk); ask {
 				t.Fatal("an older controller is asked to take a job that awaits others")
@@ -185,10 +192,10 @@
 		awaits = append(awaits, id)
 	}
 	values[jobPrefix+"wk-000007"] = pending(job())
-	c := holding(t, values)
+	core := holding(t, values)
 	keys := map[string]store.Event{}
-	c.Submit(c.now, 5, "wk-900000", job(awaits...), "")
-	if r := serve(t, c, keys)[5]; r.Code != http.StatusCreated {
+	core.Submit(core.now, 5, "wk-900000", job(awaits...), "")
+	if r := serve(t, core, keys)[5]; r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
 	if len(keys) < 10 {
@@ -212,15 +219,15 @@
 	if j := holding(t, all).jobs.Get("wk-900000"); j != nil {
 		t.Fatal("a job whose awaited names cannot be read is taken for one that may start")
 	}
-	c.Cancel(c.now, 6, "wk-000007")
-	serve(t, c, keys)
+	core.Cancel(core.now, 6, "wk-000007")
+	serve(t, core, keys)
 	for k := range keys {
 		if strings.HasPrefix(k, chunkPrefix) {
 			t.Fatalf("%s is left", k)
 		}
 	}
-	if c.jobs.Get("wk-900000").Record.Status != jobs.Cancelled {
-		t.Fatal(c.jobs.Get("wk-900000").Record.Status)
+	if core.jobs.Get("wk-900000").Record.Status != jobs.Cancelled {
+		t.Fatal(core.jobs.Get("wk-900000").Record.Status)
 	}
 }
 
@@ -252,11 +259,11 @@
 		items = append(items, store.Event{Key: k, Value: store.Value(values[k]), Stamp: uint64(len(items) + 1)})
 	}
 	c.OnList(1, List{}, store.OK, 100, items, false)
-	j := c.jobs.Get("wk-000412")
-	if j == nil || j.Finished() != 615 || !j.IsStored(1499) || j.IsStored(512) || j.OpenDependencies != 0 || j.Spec().Deadline != 900*units.Second ||
+	job := c.jobs.Get("wk-000412")
+	if job == nil || job.Finished() != 615 || !job.IsStored(1499) || job.IsStored(512) || job.OpenDependencies != 0 || job.Spec().Deadline != 900*units.Second ||
 		c.jobs.Get("wk-000398").Record.Status != jobs.Done || c.jobs.Get("wk-000405").Record.Demand[0] != 1000 ||
 		c.election.Record().Term != 3 || c.shardRecords.Assignment(1).ReleasedBy != "stagehand-0" || c.shardRecords.Allocation(0).Fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.peers.OlderThan(peering.ReleaseDependencies) != "stagehand-1" {
-		t.Fatalf("%+v", j)
+		t.Fatalf("%+v", job)
 	}
 	type oldRecord struct {
 		Status    string          `json:"status"`
@@ -266,7 +273,7 @@
 		Spec      json.RawMessage `json:"spec"`
 	}
 	var was, is oldRecord
-	if json.Unmarshal(store.Value(values[jobPrefix+"wk-000412"]), &was) != nil || json.Unmarshal(j.Record.Encode(), &is) != nil {
+	if json.Unmarshal(store.Value(values[jobPrefix+"wk-000412"]), &was) != nil || json.Unmarshal(job.Record.Encode(), &is) != nil {
 		t.Fatal("unreadable")
 	}
 	var a, z any
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -74,41 +74,41 @@
 
 // learn takes one change of the copy. Records that cannot be read are logged
 // and skipped: they end no process.
-func (c *Core) learn(e store.Event) {
-	c.rollback.Note(e)
+func (c *Core) learn(event store.Event) {
+	c.rollback.Note(event)
 	var err error
 	switch {
-	case e.Key == leaderKeyFirst || e.Key == keys.LeaderSinceArchive:
-		err = c.election.Learn(e)
-	case e.Key == keys.ArchiveMark:
-		err = c.archive.LearnMark(e)
-	case strings.HasPrefix(e.Key, memberPrefix):
-		err = c.membership.Learn(c.now, e.Key[len(memberPrefix):], e)
-	case strings.HasPrefix(e.Key, assignmentPrefix):
-		err = c.learnAssignment(e)
-	case strings.HasPrefix(e.Key, configPrefix):
-		err = c.config.Learn(c.now, e)
-	case strings.HasPrefix(e.Key, overridePrefix):
-		err = c.learnOverride(e)
-	case strings.HasPrefix(e.Key, standbyPrefix):
-		err = c.learnStandby(e)
-	case strings.HasPrefix(e.Key, allocationPrefix):
-		err = c.learnAllocation(e)
-	case e.Key == termKey:
-		err = c.election.LearnTerm(e)
-	case strings.HasPrefix(e.Key, jobPrefix):
-		err = c.jobs.LearnRecord(e.Key[len(jobPrefix):], e)
-	case strings.HasPrefix(e.Key, chunkPrefix):
-		err = c.jobs.LearnChunk(e)
-	case strings.HasPrefix(e.Key, progressPrefix):
-		err = c.jobs.LearnProgress(e.Key[len(progressPrefix):], e)
-	case strings.HasPrefix(e.Key, machinePrefix):
-		err = c.learnMachines(e.Key, e)
-	case strings.HasPrefix(e.Key, typePrefix), strings.HasPrefix(e.Key, keys.TypePrefixWithArchive):
-		err = c.learnType(e)
+	case event.Key == leaderKeyFirst || event.Key == keys.LeaderSinceArchive:
+		err = c.election.Learn(event)
+	case event.Key == keys.ArchiveMark:
+		err = c.archive.LearnMark(event)
+	case strings.HasPrefix(event.Key, memberPrefix):
+		err = c.membership.Learn(c.now, event.Key[len(memberPrefix):], event)
+	case strings.HasPrefix(event.Key, assignmentPrefix):
+		err = c.learnAssignment(event)
+	case strings.HasPrefix(event.Key, configPrefix):
+		err = c.config.Learn(c.now, event)
+	case strings.HasPrefix(event.Key, overridePrefix):
+		err = c.learnOverride(event)
+	case strings.HasPrefix(event.Key, standbyPrefix):
+		err = c.learnStandby(event)
+	case strings.HasPrefix(event.Key, allocationPrefix):
+		err = c.learnAllocation(event)
+	case event.Key == termKey:
+		err = c.election.LearnTerm(event)
+	case strings.HasPrefix(event.Key, jobPrefix):
+		err = c.jobs.LearnRecord(event.Key[len(jobPrefix):], event)
+	case strings.HasPrefix(event.Key, chunkPrefix):
+		err = c.jobs.LearnChunk(event)
+	case strings.HasPrefix(event.Key, progressPrefix):
+		err = c.jobs.LearnProgress(event.Key[len(progressPrefix):], event)
+	case strings.HasPrefix(event.Key, machinePrefix):
+		err = c.learnMachines(event.Key, event)
+	case strings.HasPrefix(event.Key, typePrefix), strings.HasPrefix(event.Key, keys.TypePrefixWithArchive):
+		err = c.learnType(event)
 	}
 	if err != nil {
-		c.log.Error("unusable record", "key", e.Key, "err", err)
+		c.log.Error("unusable record", "key", event.Key, "err", err)
 	}
 }
 
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -34,12 +34,12 @@
 	commits  []Commit // that are not answered
 }
 
-func newIdleFleet(t testing.TB, z, y int) *idleFleet {
-	f := &idleFleet{t: t, answers: map[RequestID]Reply{}, started: map[RequestID]int{}}
+func newIdleFleet(t testing.TB, inZoneZ, inZoneY int) *idleFleet {
+	idle := &idleFleet{t: t, answers: map[RequestID]Reply{}, started: map[RequestID]int{}}
 	values := map[string]any{}
-	for i := 0; i < z+y; i++ {
+	for i := 0; i < inZoneZ+inZoneY; i++ {
 		zone := "z"
-		if i >= z {
+		if i >= inZoneZ {
 			zone = "y"
 		}
 		key := fmt.Sprintf("%sr-%s-%05d", machinePrefix, zone, i/fleet.MaxGroup)
@@ -47,14 +47,14 @@
 		g.Type, g.Zone, g.Up = "big", zone, append(g.Up, machineName(i))
 		values[key] = g
 	}
-	f.c = holding(t, values)
-	f.shard = f.c.owned[0]
-	for i := range z + y {
-		m := f.shard.reconciler.Machine(machineName(i))
-		f.c.Heartbeat(f.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: f.shard.fencingToken, Notice: units.Never})
+	idle.c = holding(t, values)
+	idle.shard = idle.c.owned[0]
+	for i := range inZoneZ + inZoneY {
+		m := idle.shard.reconciler.Machine(machineName(i))
+		idle.c.Heartbeat(idle.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.Never})
 	}
-	f.collect()
-	return f
+	idle.collect()
+	return idle
 }
 
 func machineName(i int) string { return fmt.Sprintf("n-%05d", i) }
@@ -109,28 +109,28 @@
 	for _, machines := range []int{reconcile.MaxOffers, reconcile.MaxOffers + 1, reconcile.MaxPending, reconcile.MaxPending + 1} {
 		pending := min(machines, reconcile.MaxPending)
 		for _, tasks := range []int{0, 1, 1 + rng.IntN(pending), pending} {
-			f := newIdleFleet(t, machines, 0)
-			if f.shard.reconciler.Pending() != pending || f.answered != machines-pending || f.starts != 0 {
-				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, f.shard.reconciler.Pending(), f.answered)
+			idle := newIdleFleet(t, machines, 0)
+			if idle.shard.reconciler.Pending() != pending || idle.answered != machines-pending || idle.starts != 0 {
+				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.Pending(), idle.answered)
 			}
 			if machines > pending {
-				if _, ok := f.answers[RequestID(1000+pending)]; !ok {
+				if _, ok := idle.answers[RequestID(1000+pending)]; !ok {
 					t.Fatal("the heartbeat beyond the limit is not the one that was answered")
 				}
 			}
 			if tasks > 0 {
-				f.submit(tasks, "")
+				idle.submit(tasks, "")
 			}
 			started := 0
 			for range int(pendingTime/(units.Second/20)) + 1 {
-				f.look()
-				started += f.starts
-				if f.starts > reconcile.MaxOffers {
-					t.Fatalf("%d machines were given work at one look", f.starts)
+				idle.look()
+				started += idle.starts
+				if idle.starts > reconcile.MaxOffers {
+					t.Fatalf("%d machines were given work at one look", idle.starts)
 				}
 			}
-			if started != tasks || len(f.answers) != machines || f.shard.reconciler.Pending() != 0 {
-				t.Errorf("%d machines, %d tasks: %d started, %d heartbeats answered, %d pending", machines, tasks, started, len(f.answers), f.shard.reconciler.Pending())
+			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.Pending() != 0 {
+				t.Errorf("%d machines, %d tasks: %d started, %d heartbeats answered, %d pending", machines, tasks, started, len(idle.answers), idle.shard.reconciler.Pending())
 			}
 		}
 	}
@@ -161,28 +161,28 @@
 func BenchmarkPendingHeartbeats(b *testing.B) {
 	for _, machines := range []int{reconcile.MaxOffers, reconcile.MaxPending} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			f := newIdleFleet(b, machines, 0)
+			idle := newIdleFleet(b, machines, 0)
 			for range 100 {
-				f.submit(1, "nowhere")
+				idle.submit(1, "nowhere")
 			}
-			f.look()
-			reconciler, request := f.shard.reconciler, reconcile.RequestID(0)
+			idle.look()
+			reconciler, request := idle.shard.reconciler, reconcile.RequestID(0)
 			var spent time.Duration
 			for b.Loop() {
 				reconciler.TakePending()
-				f.c.advance(f.c.now + units.Second)
+				idle.c.advance(idle.c.now + units.Second)
 				for i := range machines {
 					request++
 					machine := reconciler.Machine(machineName(i))
-					machine.LastSeen = f.c.now
-					if !reconciler.KeepIdle(f.c.now, request, machine) {
+					machine.LastSeen = idle.c.now
+					if !reconciler.KeepIdle(idle.c.now, request, machine) {
 						b.Fatal("a heartbeat is not kept")
 					}
 				}
-				f.shard.scheduler.TasksReady()
-				f.shard.scheduler.RankReady()
+				idle.shard.scheduler.TasksReady()
+				idle.shard.scheduler.RankReady()
 				from := processorTime(b)
-				reconciler.OfferWork(f.c.now, true)
+				reconciler.OfferWork(idle.c.now, true)
 				spent += processorTime(b) - from
 				if reconciler.Pending() != machines {
 					b.Fatal("a machine was given work")
@@ -200,12 +200,12 @@
 	if reconcile.MaxUnknown < fleet.FullShard {
 		t.Errorf("%d unknown machines are remembered", reconcile.MaxUnknown)
 	}
-	c := holding(t, nil)
+	core := holding(t, nil)
 	req := RequestID(1000)
 	report := func(i int) int {
 		req++
-		c.Heartbeat(c.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.Never})
-		for _, e := range c.Drain() {
+		core.Heartbeat(core.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.Never})
+		for _, e := range core.Drain() {
 			if r, ok := e.(Reply); ok && r.Request == req {
 				return r.Code
 			}
@@ -217,10 +217,10 @@
 			t.Fatalf("machine %d is answered %d", i, code)
 		}
 	}
-	if n := c.owned[0].reconciler.Unknown(); n != reconcile.MaxUnknown {
+	if n := core.owned[0].reconciler.Unknown(); n != reconcile.MaxUnknown {
 		t.Errorf("%d are remembered", n)
 	}
-	c.Tick(c.now+reconcile.AdoptAfter, c.wall+reconcile.AdoptAfter)
+	core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
 	for i := range reconcile.MaxUnknown {
 		if code := report(i); code != 200 {
 			t.Fatalf("machine %d is answered %d", i, code)
@@ -230,7 +230,7 @@
 		if code := report(reconcile.MaxUnknown); code != want {
 			t.Errorf("the one beyond is answered %d, want %d", code, want)
 		}
-		c.Tick(c.now+reconcile.AdoptAfter, c.wall+reconcile.AdoptAfter)
+		core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
 	}
 }
 
@@ -239,43 +239,43 @@
 // one. The shard is released instead, and its next assignment starts the rest.
 func TestLastAttemptOfAnAssignment(t *testing.T) {
 	const left = 3
-	f := newIdleFleet(t, 2*left, 0)
-	f.submit(2*left, "")
-	j := f.c.jobs.Get("wk-000001")
-	f.shard.attempts = uint64(sort.Search(1<<40, func(n int) bool { return authority.AttemptsUsedUp(uint64(n)) }) - left)
-	f.look()
-	if f.starts != left || j.Placed() != left {
-		t.Fatalf("%d tasks started with %d numbers left", f.starts, left)
+	idle := newIdleFleet(t, 2*left, 0)
+	idle.submit(2*left, "")
+	j := idle.c.jobs.Get("wk-000001")
+	idle.shard.attempts = uint64(sort.Search(1<<40, func(n int) bool { return authority.AttemptsUsedUp(uint64(n)) }) - left)
+	idle.look()
+	if idle.starts != left || j.Placed() != left {
+		t.Fatalf("%d tasks started with %d numbers left", idle.starts, left)
 	}
 	last := uint64(0)
 	for i := range 2 * left {
-		for id, a := range f.shard.reconciler.Machine(machineName(i)).Tasks {
-			if a.Number <= last && last != 0 || a.Number >= authority.AttemptNumber(f.shard.fencingToken+1, 0) || a.Number <= authority.AttemptNumber(f.shard.fencingToken, 0) {
+		for id, a := range idle.shard.reconciler.Machine(machineName(i)).Tasks {
+			if a.Number <= last && last != 0 || a.Number >= authority.AttemptNumber(idle.shard.fencingToken+1, 0) || a.Number <= authority.AttemptNumber(idle.shard.fencingToken, 0) {
 				t.Errorf("%s has attempt %d after %d", id, a.Number, last)
 			}
 			last = a.Number
 		}
 	}
-	f.c.Tick(f.c.now+units.Second/20, f.c.wall+units.Second/20)
-	released, stored := f.shard.releasing, false // the release is sent once the writes before it are answered
+	idle.c.Tick(idle.c.now+units.Second/20, idle.c.wall+units.Second/20)
+	released, stored := idle.shard.releasing, false // the release is sent once the writes before it are answered
 	for range 20 {
-		for _, commit := range f.commits {
+		for _, commit := range idle.commits {
 			stored = stored || slices.ContainsFunc(commit.Txn.Changes, func(change store.Change) bool {
 				return change.Key == assignmentKey(0) && string(change.Value) == string(store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}))
 			})
-			f.c.OnCommit(f.c.now, commit.Queue, commit.Txn, store.Unknown, 0, nil)
+			idle.c.OnCommit(idle.c.now, commit.Queue, commit.Txn, store.Unknown, 0, nil)
 		}
-		f.commits = nil
-		f.look()
+		idle.commits = nil
+		idle.look()
 	}
 	if !released || !stored {
 		t.Fatalf("released %v, being stored %v", released, stored)
 	}
 	// That is stored, and the leader assigns the shard anew.
-	f.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}), Stamp: 300})
-	f.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 1}), Stamp: 301})
-	shard := f.c.owned[0]
-	if shard == nil || shard == f.shard || shard.attempts != 0 || shard.fencingToken <= f.shard.fencingToken {
+	idle.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}), Stamp: 300})
+	idle.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 1}), Stamp: 301})
+	shard := idle.c.owned[0]
+	if shard == nil || shard == idle.shard || shard.attempts != 0 || shard.fencingToken <= idle.shard.fencingToken {
 		t.Fatalf("next assignment %+v", shard)
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -5,41 +5,41 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// membershipHost is what this controller does for its seat, and what the seat tells it.
+// membershipHost is what this controller does for its membership, and what that brings about.
 type membershipHost struct{ *Core }
 
-// Emit implements seats.Host.
+// Emit implements membership.Host.
 func (c membershipHost) Emit(e any) { c.emit(e) }
 
-// Store implements seats.Host.
+// Store implements membership.Host.
 func (c membershipHost) Store(w *store.Write) { c.queues[ControlQueue].Add(w) }
 
-// Version implements seats.Host.
+// Version implements membership.Host.
 func (c membershipHost) Version(key string) uint64 { return c.cache.Version(key) }
 
-// CacheAge implements seats.Host.
+// CacheAge implements membership.Host.
 func (c membershipHost) CacheAge() (since, age units.Microseconds, ok bool) {
 	return c.cache.LoadedAt(), c.stateAge(), c.cache.Loaded()
 }
 
-// Refresh implements seats.Host.
+// Refresh implements membership.Host.
 func (c membershipHost) Refresh() { c.readFresh(nil) }
 
-// RequestVotes implements seats.Host.
+// RequestVotes implements membership.Host.
 func (c membershipHost) RequestVotes(node string, seat uint64) {
 	c.broadcast(PeerPermitAsk{Node: node, Seat: seat})
 }
 
-// Joined implements seats.Host. The record is seen by others before its answer is here:
-// where that is slow, a leader may have granted a block to the seat meanwhile, and nobody
-// would hold it for as long as the seat stands.
+// Joined implements membership.Host. The record is seen by others before its answer is here:
+// where that is slow, a leader may have assigned a shard to the membership meanwhile, and nobody
+// would own it for as long as the membership stands.
 func (c membershipHost) Joined() {
 	for _, k := range c.shardRecords.Shards() {
 		c.take(k)
 	}
 }
 
-// Lost implements seats.Host.
+// Lost implements membership.Host.
 func (c membershipHost) Lost() {
 	c.election.MembershipLost()
 	for _, k := range sortedShards(c.owned) {
@@ -48,11 +48,11 @@
 	c.queues[ControlQueue].Clear()
 }
 
-// PeerRelease implements seats.Host.
+// PeerRelease implements membership.Host.
 func (c membershipHost) PeerRelease(node string, release int) { c.peers.NoteRelease(node, release) }
 
-// shortFor is how many times its lease a majority's promises may carry a seat past its last
-// renewal. What a zone holds that is cut off with most controllers is free that much later;
+// shortFor is how many times its lease a majority's peer leases may carry a membership past its last
+// renewal. What is owned in a zone that is cut off with most controllers is free that much later;
 // an outage of the state service during which a controller is missing stops all work that
 // much earlier.
 const shortFor = 3
@@ -60,7 +60,7 @@
 // freshFor is how old the copy of the state service's keys may become before it is read.
 const freshFor = 2 * units.Second
 
-// extension is for how long a holder may answer workers after the time up to which it knows
+// extension is for how long an owner may answer workers after the time up to which it knows
 // every cancellation: what it runs must still be gone in time, a worker's lease after its
 // last answer.
 func (c *Core) extension() units.Microseconds {
@@ -68,7 +68,7 @@
 }
 
 // ValidUntil is when this node may no longer answer workers, as known at present: the
-// authority of its seat ends, or a cancellation may have been told that it has not heard of.
+// authority of its membership ends, or a cancellation may have been confirmed that it does not know of.
 func (c *Core) ValidUntil() units.Microseconds {
 	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.extension()))
 }
@@ -85,18 +85,18 @@
 	c.membership.OnRenew(c.now, id, c.noteOutcome(o))
 }
 
-// drop stops holding a block.
+// drop stops owning a shard.
 func (c *Core) drop(shard *ownedShard) {
 	delete(c.owned, shard.number)
 	shard.replication.Close(c.now)
-	c.log.Info("block given up", "block", shard.number)
+	c.log.Info("shard no longer owned", "shard", shard.number)
 	c.redirectPending(shard)
 	for j := range c.jobs.Active() {
 		if j.Record.Shard == shard.number {
 			j.ClearPlacements()
 		}
 	}
-	for _, m := range shard.reconciler.Machines() { // what runs there of jobs that are over is the next holder's to count
+	for _, m := range shard.reconciler.Machines() { // what runs there of jobs that are over is the next owner's to count
 		for id := range m.Tasks {
 			if j := c.jobs.Get(id.Job); j != nil && !j.Active() {
 				j.Release(id.Task)
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -13,7 +13,7 @@
 )
 
 // Operators say what they know of a zone by a record, so that every controller knows it and
-// the next holder too.
+// the next owner too.
 
 const overridePrefix = keys.OverridePrefix
 
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -13,7 +13,7 @@
 // removal; one about a zone in which nothing is offered is refused with those that there are.
 func TestOperatorOverride(t *testing.T) {
 	items := map[string]store.Event{typePrefix + "big": {Key: typePrefix + "big", Value: store.Value(fleet.Type{Name: "big", Zones: []string{"a", "b"}}), Stamp: 3}}
-	c := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
+	core := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	say := func(zone string, w zones.Override) error {
 		x, err := OverrideZone(items, zone, w)
 		if err != nil {
@@ -25,7 +25,7 @@
 		}
 		e := store.Event{Key: ch.Key, Value: ch.Value, Stamp: items[ch.Key].Stamp + 1}
 		items[ch.Key] = e
-		c.learn(e)
+		core.learn(e)
 		return nil
 	}
 	if err := say("x", zones.OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
@@ -35,8 +35,8 @@
 		if err := say("b", w); err != nil {
 			t.Fatal(err)
 		}
-		if c.zones.Lost("b") != (w == zones.OverrideLost) || c.zones.Returning("b") != (w == zones.OverrideReturning) {
-			t.Errorf("after %q: lost %v, returning %v", w, c.zones.Lost("b"), c.zones.Returning("b"))
+		if core.zones.Lost("b") != (w == zones.OverrideLost) || core.zones.Returning("b") != (w == zones.OverrideReturning) {
+			t.Errorf("after %q: lost %v, returning %v", w, core.zones.Lost("b"), core.zones.Returning("b"))
 		}
 	}
 	if err := say("b", "soon"); err == nil {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -12,15 +12,24 @@
 
 // What controllers send each other, see package peering.
 type (
-	PeerStatus    = peering.PeerStatus
-	BlockStatus   = peering.BlockStatus
-	PeerPromise   = peering.PeerPromise
+	// PeerStatus is a controller's heartbeat to the others.
+	PeerStatus = peering.PeerStatus
+	// BlockStatus is the part of it on one shard.
+	BlockStatus = peering.BlockStatus
+	// PeerPromise grants a peer lease.
+	PeerPromise = peering.PeerPromise
+	// PeerPermitAsk asks for a takeover vote.
 	PeerPermitAsk = peering.PeerPermitAsk
-	PeerPermit    = peering.PeerPermit
-	PeerRelease   = peering.PeerRelease
-	PeerAsk       = peering.PeerAsk
-	PeerAnswer    = peering.PeerAnswer
-	AskKind       = peering.AskKind
+	// PeerPermit is a takeover vote.
+	PeerPermit = peering.PeerPermit
+	// PeerRelease asks an owner to release a shard.
+	PeerRelease = peering.PeerRelease
+	// PeerAsk forwards a user's request.
+	PeerAsk = peering.PeerAsk
+	// PeerAnswer answers it.
+	PeerAnswer = peering.PeerAnswer
+	// AskKind is what a user wants.
+	AskKind = peering.AskKind
 )
 
 // Kinds of requests that are forwarded.
@@ -131,36 +140,36 @@
 	if !c.peers.Knows(from) {
 		return
 	}
-	switch m := message.(type) {
+	switch received := message.(type) {
 	case PeerStatus:
-		c.onStatus(from, m)
+		c.onStatus(from, received)
 	case PeerPromise:
-		c.membership.PeerLeaseGranted(now, from, m.Seat, m.Sent)
-		c.config.PeerKnows(m.ConfigKnown) // before the others' word lengthens this owner's authority
-		c.receiveCancellations(from, m)
+		c.membership.PeerLeaseGranted(now, from, received.Seat, received.Sent)
+		c.config.PeerKnows(received.ConfigKnown) // before the others' word lengthens this owner's authority
+		c.receiveCancellations(from, received)
 	case PeerPermitAsk:
 		// Of no controller: whoever asks waits until its time is over.
-		if (m.Node == c.cfg.Node || c.peers.Knows(m.Node)) && c.membership.VoteRequested(now, m.Node, m.Seat) {
-			c.emit(SendPeer{from, PeerPermit(m)})
+		if (received.Node == c.cfg.Node || c.peers.Knows(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
+			c.emit(SendPeer{from, PeerPermit(received)})
 		}
 	case PeerPermit:
-		c.membership.VoteReceived(from, m.Node, m.Seat)
+		c.membership.VoteReceived(from, received.Node, received.Seat)
 	case PeerRelease:
-		if shard := c.owned[m.Block]; shard != nil && shard.assignment == m.Grant {
+		if shard := c.owned[received.Block]; shard != nil && shard.assignment == received.Grant {
 			c.release(shard, "the leader asks for it")
 		}
 	case PeerStarts:
-		c.receiveStarts(from, m)
+		c.receiveStarts(from, received)
 	case PeerKnown:
-		if shard := c.owned[m.Block]; shard != nil {
-			shard.replication.OnAck(now, from, m)
+		if shard := c.owned[received.Block]; shard != nil {
+			shard.replication.OnAck(now, from, received)
 		}
 	case PeerPicture:
-		c.transfers.Receive(m)
+		c.transfers.Receive(received)
 	case PeerAsk:
-		c.onForwarded(from, m)
+		c.onForwarded(from, received)
 	case PeerAnswer:
-		c.onForwardedAnswer(m)
+		c.onForwardedAnswer(received)
 	}
 }
 
@@ -189,37 +198,37 @@
 }
 
 // onForwarded serves a user's request that another controller has forwarded.
-func (c *Core) onForwarded(from string, m PeerAsk) {
-	if !jobs.ValidID(m.Job) || m.Spec != nil && !m.Spec.Sane() {
+func (c *Core) onForwarded(from string, ask PeerAsk) {
+	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Sane() {
 		return
 	}
-	request, ok := c.forwarder.Receive(peering.Origin{Node: from, ID: m.ID})
+	request, ok := c.forwarder.Receive(peering.Origin{Node: from, ID: ask.ID})
 	if !ok {
 		return
 	}
-	switch m.Kind {
+	switch ask.Kind {
 	case AskSubmit:
-		c.Submit(c.now, request, m.Job, m.Spec, m.Bad)
+		c.Submit(c.now, request, ask.Job, ask.Spec, ask.Bad)
 	case AskQuery:
-		c.Query(c.now, request, m.Job)
+		c.Query(c.now, request, ask.Job)
 	case AskCancel:
-		c.Cancel(c.now, request, m.Job)
+		c.Cancel(c.now, request, ask.Job)
 	default:
 		c.forwarder.Finish(request) // of a later release
 	}
 }
 
 // onForwardedAnswer answers a user whose request another controller has served.
-func (c *Core) onForwardedAnswer(m PeerAnswer) {
-	request, ok := c.forwarder.Answered(m.ID)
+func (c *Core) onForwardedAnswer(answer PeerAnswer) {
+	request, ok := c.forwarder.Answered(answer.ID)
 	if !ok {
 		return
 	}
-	if m.Body != nil {
-		c.emit(Reply{Request: request, Code: m.Code, Body: *m.Body})
+	if answer.Body != nil {
+		c.emit(Reply{Request: request, Code: answer.Code, Body: *answer.Body})
 		return
 	}
-	c.emit(Reply{Request: request, Code: m.Code, Body: Problem{m.Text}, RetryAfter: m.RetryAfter})
+	c.emit(Reply{Request: request, Code: answer.Code, Body: Problem{answer.Text}, RetryAfter: answer.RetryAfter})
 }
 
 // send answers a request, wherever it came from.
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -15,9 +15,10 @@
 
 // Messages between controllers of what an owner starts, see package replication.
 type (
-	// PeerStarts tells a standby what may have been started; PeerKnown answers it.
+	// PeerStarts tells a standby what may have been started.
 	PeerStarts = replication.Message
-	PeerKnown  = replication.Ack
+	// PeerKnown answers PeerStarts.
+	PeerKnown = replication.Ack
 )
 
 // replicationHost is the owner of a shard, for the stream to its standby.
@@ -26,7 +27,7 @@
 	shard *ownedShard
 }
 
-// startReply is an answer to a report, with something to start.
+// startReply is the response to a heartbeat, with something to start.
 type startReply struct {
 	req    RequestID
 	orders HeartbeatResponse
@@ -122,7 +123,7 @@
 	f.reply(x.req, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
-// answerHeartbeat answers a report. One that starts something waits until whoever follows knows.
+// answerHeartbeat answers a heartbeat. A response that starts something waits until the standby knows.
 func (c *Core) answerHeartbeat(shard *ownedShard, m *fleet.Machine, req RequestID, o HeartbeatResponse) {
 	starts := slices.ContainsFunc(o.Commands, func(x fleet.Command) bool { return x.Op == fleet.Start })
 	if !starts || !c.guarded(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, m.Name, startReply{req, o}) {
--- a/internal/core/retire.go
+++ b/internal/core/retire.go
@@ -23,7 +23,7 @@
 }
 
 // Retired reports whether the process of a controller that retires may end: everything is
-// another's, and each worker has had the time to report once more and be sent on. One that
+// another's, and each worker has had the time for one more heartbeat, which is redirected. One that
 // finds nobody here tries the next controller a second later.
 func (c *Core) Retired(now units.Microseconds) bool {
 	c.advance(now)
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -165,7 +165,7 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Owns reports whether this node may answer workers of a block at present.
+// Owns reports whether this controller may answer workers of a shard at present.
 func (c *Core) Owns(now units.Microseconds, k int) bool {
 	shard := c.owned[k]
 	return shard != nil && shard.ready && !shard.releasing && now < c.ValidUntil()
@@ -183,7 +183,7 @@
 }
 
 // jobOver forgets a job that is done or cancelled. Its tasks on machines keep
-// counting against the team until the machines report them gone.
+// counting against the team until the machines' heartbeats no longer show them.
 func (shard *ownedShard) jobOver(c *Core, j *jobs.Job, s jobs.Status) {
 	shard.dropJob(j)
 	spec := j.Spec()
@@ -191,13 +191,13 @@
 		"took_s", (c.wall - j.Since).Seconds(), "waited_s", (j.Since - j.Record.Submitted).Seconds(), "deadline_s", spec.Deadline.Seconds())
 }
 
-// dropJob forgets a job that is over or another block's now.
+// dropJob forgets a job that is over or another shard's now.
 func (shard *ownedShard) dropJob(j *jobs.Job) {
 	shard.scheduler.Remove(cmp.Or(shard.active[j.ID], j))
 	delete(shard.active, j.ID)
 }
 
-// tickShard does what a holder does as time passes.
+// tickShard does what an owner does as time passes.
 func (c *Core) tickShard(shard *ownedShard) {
 	if shard.releasing {
 		if shard.reconciler.PendingOverdue(c.now) {
@@ -227,7 +227,7 @@
 	if shard.scheduler.Tick() {
 		for _, j := range shard.scheduler.Jobs() {
 			if j.AllFinished() && c.guarded(guard.CompleteAgain) {
-				// Not only when its last task ends: an earlier holder may have
+				// Not only when its last task ends: an earlier owner may have
 				// stored that and ended before it could store the job's end.
 				shard.writer.CloseJob(j)
 			}
@@ -247,8 +247,8 @@
 	c.tickCloud(shard)
 }
 
-// setRates divides the budgets of the outside services by the open blocks that
-// this node holds.
+// setRates divides the budgets of the outside services by the open shards that
+// this controller owns.
 func (c *Core) setRates() {
 	open, mine := 0, 0
 	for _, k := range c.shardRecords.Open() {
@@ -261,8 +261,8 @@
 	if open > 0 {
 		part = max(float64(mine), 0.5) / float64(max(open, mine))
 	}
-	// Submissions come in bursts that seldom meet the holders' changes: together
-	// the lanes may ask for more than the budget.
+	// Submissions come in bursts that seldom meet the owners' changes: together
+	// the queues may ask for more than the budget.
 	c.queues[UserQueue].Rate = c.cfg.WriteRate / float64(2*c.cfg.Size)
 	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * part
 	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * archive.WriteShare
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -74,15 +74,15 @@
 // shows hardly any.
 func TestDeprovisionedMachineIsNotWaitedFor(t *testing.T) {
 	names := []string{"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		gone   int // the last ones
 		rented units.Microseconds
 		want   int
 	}{{1, 100 * units.Second, 1}, {3, 100 * units.Second, 3}, {3, 2 * units.Second, 0}, {5, 100 * units.Second, 0}} {
-		lives := len(names) - c.gone
+		lives := len(names) - test.gone
 		k := holding(t, map[string]any{
 			machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names[:lives], ProvisionedAt: 900 * units.Second},
-			machinePrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[lives:], ProvisionedAt: 1000*units.Second - c.rented},
+			machinePrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[lives:], ProvisionedAt: 1000*units.Second - test.rented},
 		})
 		k.cfg.Lease, k.cfg.HeartbeatInterval, k.cfg.ListLag = 60*units.Second, 6*units.Second, 3*units.Second
 		shard := k.owned[0]
@@ -105,8 +105,8 @@
 				}
 			}
 		}
-		if returned != c.want || len(shard.reconciler.Unreconciled()) != c.gone {
-			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", c.gone, c.rented.Seconds(), returned, len(shard.reconciler.Unreconciled()))
+		if returned != test.want || len(shard.reconciler.Unreconciled()) != test.gone {
+			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", test.gone, test.rented.Seconds(), returned, len(shard.reconciler.Unreconciled()))
 		}
 	}
 }
@@ -115,48 +115,48 @@
 // with when to come back, known ones are answered as ever, and once there is room again, or
 // the other is heard no more, the next is taken.
 func TestFullMemory(t *testing.T) {
-	c := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
-	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
+	core := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
+	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 	spec := job()
-	submit := func(req RequestID, id string) { c.Submit(c.now, req, id, spec, "") }
-	for i, set := range []func(full bool){c.SetFull, func(full bool) { c.OnPeer(c.now, "b", PeerStatus{Full: full}) }} {
+	submit := func(req RequestID, id string) { core.Submit(core.now, req, id, spec, "") }
+	for i, set := range []func(full bool){core.SetFull, func(full bool) { core.OnPeer(core.now, "b", PeerStatus{Full: full}) }} {
 		set(true)
 		submit(RequestID(10+i), "wk-000002")
-		if r := replyTo(t, c, RequestID(10+i)); r.Code != 503 || r.RetryAfter != admission.LongRetryAfter {
+		if r := replyTo(t, core, RequestID(10+i)); r.Code != 503 || r.RetryAfter != admission.LongRetryAfter {
 			t.Errorf("new job: %+v", r)
 		}
 		submit(RequestID(20+i), "wk-000001")
 		code := 0
 		for range 20 {
-			for _, e := range c.Drain() {
+			for _, e := range core.Drain() {
 				switch e := e.(type) {
 				case Watch:
-					c.OnChanges(c.now, e, store.OK, 101, nil, false)
+					core.OnChanges(core.now, e, store.OK, 101, nil, false)
 				case Reply:
 					code = e.Code
 				}
 			}
-			c.Tick(c.now+TickEvery, c.wall+TickEvery)
+			core.Tick(core.now+TickEvery, core.wall+TickEvery)
 		}
 		if code != 200 {
 			t.Errorf("known job: %d", code)
 		}
 		set(false)
-		if c.admission.AnyMemoryFull() {
+		if core.admission.AnyMemoryFull() {
 			t.Error("crowded still")
 		}
 	}
-	c.OnPeer(c.now, "b", PeerStatus{Full: true})
-	if !c.admission.AnyMemoryFull() {
+	core.OnPeer(core.now, "b", PeerStatus{Full: true})
+	if !core.admission.AnyMemoryFull() {
 		t.Error("not crowded while another is full")
 	}
-	c.advance(c.now + 2*peering.AliveFor)
-	if c.admission.AnyMemoryFull() {
+	core.advance(core.now + 2*peering.AliveFor)
+	if core.admission.AnyMemoryFull() {
 		t.Error("crowded by one that is heard no more")
 	}
 	submit(30, "wk-000002")
 	taken := false
-	for _, e := range c.Drain() {
+	for _, e := range core.Drain() {
 		w, ok := e.(Commit)
 		taken = taken || ok && w.Txn.Changes[0].Key == jobPrefix+"wk-000002"
 	}
@@ -192,16 +192,16 @@
 // missed the grant and held nothing as long as its seat stood: no work started,
 // though everything worked (rehearsals/drawn.toml, seed 407).
 func TestAssignmentBeforeMembershipIsAnswered(t *testing.T) {
-	c := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * units.Second,
+	core := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * units.Second,
 		Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CancelWithin: 40 * units.Second})
-	c.Tick(units.Second, 1000*units.Second)
-	c.OnList(c.now, List{}, store.OK, 100, []store.Event{{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: 1, Node: "b", MemberID: 9}), Stamp: 10}}, false)
-	c.Drain()
-	c.Tick(c.now+TickEvery, c.wall+TickEvery)
-	c.Drain()
-	c.OnLease(c.now, store.OK, 5)
+	core.Tick(units.Second, 1000*units.Second)
+	core.OnList(core.now, List{}, store.OK, 100, []store.Event{{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: 1, Node: "b", MemberID: 9}), Stamp: 10}}, false)
+	core.Drain()
+	core.Tick(core.now+TickEvery, core.wall+TickEvery)
+	core.Drain()
+	core.OnLease(core.now, store.OK, 5)
 	var seat Commit
-	for _, e := range c.Drain() {
+	for _, e := range core.Drain() {
 		if cm, ok := e.(Commit); ok {
 			seat = cm
 		}
@@ -209,14 +209,14 @@
 	if seat.Txn == nil {
 		t.Fatal("no seat is taken")
 	}
-	c.OnChanges(c.now, Watch{After: 100}, store.OK, 102, []store.Event{
+	core.OnChanges(core.now, Watch{After: 100}, store.OK, 102, []store.Event{
 		{Key: memberPrefix + "a", Value: seat.Txn.Changes[0].Value, Stamp: 101},
 		{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 101}), Stamp: 102}}, false)
-	if c.owned[0] != nil {
+	if core.owned[0] != nil {
 		t.Fatal("held without a seat")
 	}
-	c.OnCommit(c.now, seat.Queue, seat.Txn, store.OK, 101, nil)
-	if shard := c.owned[0]; shard == nil || shard.assignment != 102 {
+	core.OnCommit(core.now, seat.Queue, seat.Txn, store.OK, 101, nil)
+	if shard := core.owned[0]; shard == nil || shard.assignment != 102 {
 		t.Fatalf("held: %+v", shard)
 	}
 }
@@ -227,52 +227,52 @@
 func TestLostWritesAreWrittenAgain(t *testing.T) {
 	done := jobs.Record{Status: jobs.Done, Tasks: 1}
 	early, late := pending(job()), pending(job())
-	c := holding(t, map[string]any{jobPrefix + "wk-000001": early, machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}})
-	c.OnChanges(c.now, Watch{After: 101}, store.OK, 120, []store.Event{
+	core := holding(t, map[string]any{jobPrefix + "wk-000001": early, machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}})
+	core.OnChanges(core.now, Watch{After: 101}, store.OK, 120, []store.Event{
 		{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Node: "a", MemberID: 1}), Stamp: 105},
 		{Key: jobPrefix + "wk-000002", Value: store.Value(late), Stamp: 110},
 		{Key: jobPrefix + "wk-000001", Value: store.Value(done), Stamp: 115},
 		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), Stamp: 118}}, false)
-	c.Drain()
-	c.OnChanges(c.now, Watch{After: 101, Known: 101}, store.OK, 110, nil, false)
-	if c.cache.Recovering() {
+	core.Drain()
+	core.OnChanges(core.now, Watch{After: 101, Known: 101}, store.OK, 110, nil, false)
+	if core.cache.Recovering() {
 		t.Fatal("an answer that was under way is taken for a service that went back")
 	}
-	c.OnChanges(c.now, Watch{After: 120, Known: 120}, store.OK, 107, nil, false)
+	core.OnChanges(core.now, Watch{After: 120, Known: 120}, store.OK, 107, nil, false)
 	lists := false
-	for _, e := range c.Drain() {
+	for _, e := range core.Drain() {
 		_, ok := e.(List)
 		lists = lists || ok
 	}
 	if !lists {
 		t.Fatal("a revision below a known one was not noticed")
 	}
-	c.OnList(c.now, List{}, store.OK, 108, []store.Event{
+	core.OnList(core.now, List{}, store.OK, 108, []store.Event{
 		{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a"}), Stamp: 1},
 		{Key: jobPrefix + "wk-000001", Value: store.Value(early), Stamp: 1},
 		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), Stamp: 2}}, false)
-	if c.jobs.Get("wk-000001").Active() || c.jobs.Get("wk-000002") == nil || c.owned[0] == nil {
+	if core.jobs.Get("wk-000001").Active() || core.jobs.Get("wk-000002") == nil || core.owned[0] == nil {
 		t.Fatal("what was lost is forgotten")
 	}
 	written, rev := map[string]uint64{}, uint64(108)
 	for range 100 {
-		c.Tick(c.now+TickEvery, c.wall+TickEvery)
-		for _, e := range c.Drain() {
-			cm, ok := e.(Commit)
+		core.Tick(core.now+TickEvery, core.wall+TickEvery)
+		for _, e := range core.Drain() {
+			commit, ok := e.(Commit)
 			if !ok {
 				continue
 			}
 			guards := map[string]uint64{}
-			for _, g := range cm.Txn.Guards {
+			for _, g := range commit.Txn.Guards {
 				guards[g.Key] = g.Version
 			}
 			rev++
-			for _, ch := range cm.Txn.Changes {
+			for _, ch := range commit.Txn.Changes {
 				if _, again := written[ch.Key]; !again {
 					written[ch.Key] = guards[ch.Key]
 				}
 			}
-			c.OnCommit(c.now, cm.Queue, cm.Txn, store.OK, rev, nil)
+			core.OnCommit(core.now, commit.Queue, commit.Txn, store.OK, rev, nil)
 		}
 	}
 	for key, guard := range map[string]uint64{jobPrefix + "wk-000001": 1, jobPrefix + "wk-000002": 0, machinePrefix + "r-1": 2, assignmentKey(0): 0} {
@@ -280,7 +280,7 @@
 			t.Errorf("%s: written %v, guarded by version %d, want %d", key, ok, got, guard)
 		}
 	}
-	if shard := c.owned[0]; shard == nil || shard.assignment != c.shardRecords.Assignment(0).Version {
+	if shard := core.owned[0]; shard == nil || shard.assignment != core.shardRecords.Assignment(0).Version {
 		t.Error("the block is not held under the version that it has now")
 	}
 }
@@ -289,28 +289,28 @@
 // records.
 func holding(t testing.TB, values map[string]any) *Core {
 	t.Helper()
-	c := New(Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, NextWriteRate: 20, Teams: []Team{{Name: "t"}},
+	core := New(Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, NextWriteRate: 20, Teams: []Team{{Name: "t"}},
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CloudRate: 5,
 		Scale: autoscaler.Params{AverageOver: 15 * units.Second, WorkPerSlot: 20 * units.Second, ScaleInAfter: 5 * units.Second}})
-	c.Tick(units.Second, 1000*units.Second)
+	core.Tick(units.Second, 1000*units.Second)
 	var items []store.Event
 	for _, k := range sortedKeys(values) {
 		items = append(items, store.Event{Key: k, Value: store.Value(values[k]), Stamp: uint64(len(items) + 1)})
 	}
-	c.OnTypes(c.now, store.OK, []fleet.Type{{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2, Boot: 10 * units.Second}})
-	c.OnLease(c.now, store.OK, 7)
-	for _, e := range c.Drain() {
+	core.OnTypes(core.now, store.OK, []fleet.Type{{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2, Boot: 10 * units.Second}})
+	core.OnLease(core.now, store.OK, 7)
+	for _, e := range core.Drain() {
 		if w, ok := e.(Commit); ok {
-			c.OnCommit(c.now, w.Queue, w.Txn, store.OK, 1, nil)
+			core.OnCommit(core.now, w.Queue, w.Txn, store.OK, 1, nil)
 			items = append(items, store.Event{Key: memberPrefix + "a", Value: w.Txn.Changes[0].Value, Stamp: 1})
 		}
 	}
 	items = append(items, store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Node: "a", MemberID: 1}), Stamp: 100})
-	c.OnList(c.now, List{}, store.OK, 100, items, false)
-	c.Drain()
-	c.OnChanges(c.now, Watch{After: 100, Fresh: true}, store.OK, 101, nil, false)
-	c.Drain()
-	return c
+	core.OnList(core.now, List{}, store.OK, 100, items, false)
+	core.Drain()
+	core.OnChanges(core.now, Watch{After: 100, Fresh: true}, store.OK, 101, nil, false)
+	core.Drain()
+	return core
 }
 
 // replyTo returns the answer to a request.
@@ -328,20 +328,20 @@
 // While the copy is taken anew it shows blocks as of another time than seats: a leader gives
 // nothing away until it is whole again.
 func TestTornCopy(t *testing.T) {
-	c := holding(t, nil)
-	serve(t, c, map[string]store.Event{})
-	if !c.election.Leads() {
+	core := holding(t, nil)
+	serve(t, core, map[string]store.Event{})
+	if !core.election.Leads() {
 		t.Fatal("nobody leads")
 	}
-	c.cfg.Size, c.cfg.LeaderTTL = 3, 2*units.Second
-	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b", "c"}})
+	core.cfg.Size, core.cfg.LeaderTTL = 3, 2*units.Second
+	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b", "c"}})
 	commits := func() (n int) {
 		for range 100 {
-			c.Tick(c.now+TickEvery, c.wall+TickEvery)
-			for _, e := range c.Drain() {
+			core.Tick(core.now+TickEvery, core.wall+TickEvery)
+			for _, e := range core.Drain() {
 				switch e := e.(type) {
 				case Watch: // nothing has changed
-					c.OnChanges(c.now, e, store.OK, c.cache.Revision, nil, false)
+					core.OnChanges(core.now, e, store.OK, core.cache.Revision, nil, false)
 				case Commit:
 					n++
 				}
@@ -349,9 +349,9 @@
 		}
 		return n
 	}
-	c.OnChanges(c.now, Watch{After: c.cache.Revision}, store.Failed, 0, nil, true)
+	core.OnChanges(core.now, Watch{After: core.cache.Revision}, store.Failed, 0, nil, true)
 	// A page of the new listing: the block is another's, whose seat is on a later one.
-	c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 7, Node: "b", MemberID: 1 << 50}), Stamp: 1 << 51})
+	core.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 7, Node: "b", MemberID: 1 << 50}), Stamp: 1 << 51})
 	if n := commits(); n > 0 {
 		t.Errorf("%d transactions of a leader whose copy is not whole", n)
 	}
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -17,9 +17,12 @@
 
 // Messages between controllers of what may run on a shard's machines, see package transfer.
 type (
-	PeerPicture    = transfer.Message
+	// PeerPicture is a part of a shard's snapshot.
+	PeerPicture = transfer.Message
+	// MachinePicture is what may run on one machine.
 	MachinePicture = replication.MachinePicture
-	TasksDone      = replication.TasksDone
+	// TasksDone are finished tasks of a job that are not stored yet.
+	TasksDone = replication.TasksDone
 )
 
 // PictureTasks bounds the tasks and machines in one message.
@@ -103,7 +106,7 @@
 	c.emit(SendPeer{from, ack})
 }
 
-// redirectPending answers the reports that wait while a shard is being released: by the shard's next
+// redirectPending answers the heartbeats that wait while a shard is being released: by the shard's next
 // owner, once that is known.
 func (c *Core) redirectPending(shard *ownedShard) {
 	to := c.ownerOf(shard.number)
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -84,20 +84,20 @@
 	c.advance(c.now + units.Second/fleetHeartbeats)
 	c.wall += units.Second / fleetHeartbeats
 	f.heartbeats++
-	m := shard.reconciler.Machine(f.names[f.heartbeats%len(f.names)])
-	m.LastSeen = c.now
-	if tasks := m.TaskIDs(); len(tasks) > 0 {
+	machine := shard.reconciler.Machine(f.names[f.heartbeats%len(f.names)])
+	machine.LastSeen = c.now
+	if tasks := machine.TaskIDs(); len(tasks) > 0 {
 		id := tasks[f.heartbeats%len(tasks)]
 		j := c.jobs.Get(id.Job)
 		j.Finish(id.Task, c.jobs.Layout())
-		shard.reconciler.Remove(c.now, m, id)
+		shard.reconciler.Remove(c.now, machine, id)
 		if j.AllFinished() {
 			c.learn(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
 			f.submit(true)
 		}
 	}
-	f.started += len(shard.scheduler.Fill(m))
-	shard.scheduler.Preempt(m)
+	f.started += len(shard.scheduler.Fill(machine))
+	shard.scheduler.Preempt(machine)
 }
 
 // processorTime is what this process has used so far; other processes' load does not count.
