--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math/rand/v2"
 
 	"shalestage.example/shalestage/internal/core/units"
 	"shalestage.example/shalestage/internal/scenario"
@@ -31,12 +30,29 @@
 	return []*Node{w.node(node)}
 }
 
-// Fault lets something go wrong now.
+// Fault injects a fault now.
 func (w *World) Fault(f scenario.Fault) {
 	w.Check.Note(w.now, "fault: %s", f)
+	w.faultComes(f)
+	switch f.Kind {
+	case scenario.Cut:
+		w.cut(f)
+	case scenario.ZoneApart, scenario.ZoneLost:
+		w.apart(f)
+	case scenario.LateReports:
+		w.copies.until, w.copies.share, w.copies.forNext = w.now+units.Seconds(f.ForS), f.Share, f.ForNext
+	case scenario.Surge: // in the jobs' times already
+	default:
+		if !w.controllerFault(f) && !w.stateFault(f) && !w.userFault(f) {
+			w.siteFault(f)
+		}
+	}
+}
+
+// controllerFault injects a fault of controllers' processes, and reports whether it is one.
+func (w *World) controllerFault(f scenario.Fault) bool {
 	last := units.Seconds(f.ForS)
 	until := w.now + last
-	w.faultComes(f)
 	switch f.Kind {
 	case scenario.ControllerCrash:
 		for _, n := range w.nodesOf(f.Node) {
@@ -62,10 +78,16 @@
 		for _, n := range w.nodesOf(f.Node) {
 			n.jump()
 		}
-	case scenario.Cut:
-		w.cut(f)
-	case scenario.ZoneApart, scenario.ZoneLost:
-		w.apart(f)
+	default:
+		return false
+	}
+	return true
+}
+
+// stateFault injects a fault of the state service, and reports whether it is one.
+func (w *World) stateFault(f scenario.Fault) bool {
+	until := w.now + units.Seconds(f.ForS)
+	switch f.Kind {
 	case scenario.StateOutage:
 		w.State.Down(w.now, until)
 		w.takeState()
@@ -83,8 +105,17 @@
 		w.unanswered, w.unansweredShare = until, cmp.Or(f.Share, 1)
 	case scenario.StateLose:
 		w.State.Lose(w.now, f.LosePrefix(), max(f.Count, 1))
-	case scenario.LateReports:
-		w.copies.until, w.copies.share, w.copies.forNext = until, f.Share, f.ForNext
+	default:
+		return false
+	}
+	return true
+}
+
+// userFault lets users or the operator do something, and reports whether the fault says so.
+func (w *World) userFault(f scenario.Fault) bool {
+	last := units.Seconds(f.ForS)
+	until := w.now + last
+	switch f.Kind {
 	case scenario.PollStorm:
 		w.Crowd.Storm(f.Times)
 		w.after(last, func() { w.Crowd.Storm(1) })
@@ -98,18 +129,23 @@
 		w.Crowd.LookClosely(until)
 	case scenario.ConfigSet:
 		w.configSet(f)
-	case scenario.Surge: // in the jobs' times already
 	default:
-		if err := w.S.SiteFault(w.now, w.Site, f); err != nil {
-			panic(err) // the scenario was checked
-		}
-		w.takeSite()
-		if f.Kind == scenario.SpotRate {
-			w.after(last, func() {
-				w.Site.Cloud.SetReclaimRate(w.now, w.S.Cloud.SpotPerHour)
-				w.takeSite()
-			})
-		}
+		return false
+	}
+	return true
+}
+
+// siteFault injects a fault of machines or of the cloud provider.
+func (w *World) siteFault(f scenario.Fault) {
+	if err := w.S.SiteFault(w.now, w.Site, f); err != nil {
+		panic(err) // the scenario was checked
+	}
+	w.takeSite()
+	if f.Kind == scenario.SpotRate {
+		w.after(units.Seconds(f.ForS), func() {
+			w.Site.Cloud.SetReclaimRate(w.now, w.S.Cloud.SpotPerHour)
+			w.takeSite()
+		})
 	}
 }
 
@@ -166,141 +202,3 @@
 		}
 	}
 }
-
-// settled draws when a fault comes and how long it lasts, where that is left open.
-func settled(f scenario.Fault, rng *rand.Rand) scenario.Fault {
-	if f.AtToS > f.AtS {
-		f.AtS = span(rng, f.AtS, f.AtToS)
-	}
-	if f.ForToS > f.ForS {
-		f.ForS = span(rng, f.ForS, f.ForToS)
-	}
-	f.AtToS, f.ForToS = 0, 0
-	return f
-}
-
-// calm is when all troubles are over. What is done late by them has had its time, too.
-func calm(faults []scenario.Fault) units.Microseconds {
-	last := 0.0
-	for _, f := range faults {
-		last = max(last, f.AtS+f.ForS)
-	}
-	return units.Seconds(last) + 60*units.Second
-}
-
-// Drawn draws faults of every kind that the protocol allows. With pairs, two kinds
-// come together a few times; one seed after another goes through all pairs.
-func Drawn(s *scenario.Scenario, seed uint64, rng *rand.Rand) []scenario.Fault {
-	var out []scenario.Fault
-	gap := s.Draw.GapS
-	if gap == 0 {
-		gap = 10
-	}
-	kinds := len(shapes)
-	for at := s.Draw.FromS + span(rng, 0, gap); at < s.Draw.ToS; at += span(rng, 0.2*gap, 1.8*gap) {
-		if !s.Draw.Pairs {
-			out = append(out, draw(rng.IntN(kinds), at, rng))
-			continue
-		}
-		n := int(seed % uint64(kinds*(kinds+1)/2))
-		a := 0
-		for ; n >= kinds-a; a++ {
-			n -= kinds - a
-		}
-		out = append(out, draw(a, at, rng), draw(a+n, at+span(rng, 0, 3), rng))
-	}
-	return out
-}
-
-func span(rng *rand.Rand, a, b float64) float64 {
-	return float64(int((a+(b-a)*rng.Float64())*1000)) / 1000
-}
-
-func pick(rng *rand.Rand, of ...string) string { return of[rng.IntN(len(of))] }
-
-// shapes are the kinds of faults that are drawn, each with what is drawn for it.
-var shapes = []func(f *scenario.Fault, rng *rand.Rand){
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, someNode(rng)
-	},
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, "all" },
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerRetire, 0, someNode(rng)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.EveryS = scenario.ControllerRoll, 0, span(rng, 1, 6)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.ControllerFreeze, someNode(rng) },
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerFreeze, span(rng, 0.1, 2.5), someNode(rng)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Times, f.Node = scenario.ControllerSlow, span(rng, 2, 6), someNode(rng)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateOutage, span(rng, 1, 45) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.StateRefuse, someNode(rng) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.DelayMS = scenario.StateSlow, span(rng, 50, 600) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateLate, span(rng, 0.5, 5) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateUnanswered, span(rng, 0.5, 5) },
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share = scenario.StateLate, span(rng, 0.05, 0.5)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, span(rng, 0.02, 0.1), someNode(rng)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Count = scenario.MachineDeaf, 1+rng.IntN(4)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Share = scenario.LateReports, span(rng, 0.1, 0.6) },
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.CloudDown },
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.NoCapacity },
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Count = scenario.MachineStop, 0, 1+rng.IntN(2)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Count = scenario.MachineHang, 1+rng.IntN(3) },
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Count = scenario.MachineSick, 0, 1 },
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Count, f.Times = scenario.MachineSlow, 0, 1+rng.IntN(2), span(rng, 2, 8)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Share = scenario.SpotWave, 0, span(rng, 0.3, 1)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.PerHour = scenario.SpotRate, span(rng, 20, 200) },
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Node = scenario.ClockJump, 0, "any" },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Times = scenario.PollStorm, span(rng, 5, 30) },
-	cutTo(scenario.PartyState), cutTo(scenario.PartyCloud), cutTo(scenario.PartyWorkers), cutTo(scenario.PartyPeers), cutTo(scenario.PartyUsers),
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Count, f.HangS = scenario.CancelNow, 0, 1+rng.IntN(6), float64(rng.IntN(2))*span(rng, 1, 25)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share = scenario.CancelAtEnd, span(rng, 0.2, 1)
-	},
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.OddRequests },
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.CloseLooks },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Count = scenario.MachineMute, 1+rng.IntN(4) },
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share = scenario.StateUnanswered, span(rng, 0.05, 0.5)
-	},
-	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share, f.ForNext = scenario.LateReports, span(rng, 0.1, 0.6), true
-	},
-	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.QuickBoots },
-}
-
-func someNode(rng *rand.Rand) string { return pick(rng, "any", "any", "holder", "leader") }
-
-func cutTo(party string) func(f *scenario.Fault, rng *rand.Rand) {
-	return func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Between = scenario.Cut, []string{someNode(rng), party}
-		if f.Mode, f.DelayMS = pick(rng, "hold", "drop", "reset", "delay", "trickle"), span(rng, 1, 8); f.Mode == "delay" {
-			f.DelayMS *= 100
-		}
-		f.Direction = pick(rng, "both", "both", "there", "back")
-	}
-}
-
-func draw(shape int, at float64, rng *rand.Rand) scenario.Fault {
-	f := scenario.Fault{AtS: at, ForS: span(rng, 1, 25)}
-	shapes[shape](&f, rng)
-	return f
-}
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -8,8 +8,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net/http"
-	"slices"
 	"strings"
 
 	"shalestage.example/shalestage/internal/config"
@@ -21,10 +19,8 @@
 	"shalestage.example/shalestage/internal/emulator/account"
 	"shalestage.example/shalestage/internal/emulator/balance"
 	"shalestage.example/shalestage/internal/emulator/check"
-	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 	"shalestage.example/shalestage/internal/emulator/eventqueue"
 	"shalestage.example/shalestage/internal/emulator/kv"
-	"shalestage.example/shalestage/internal/emulator/machine"
 	"shalestage.example/shalestage/internal/emulator/meter"
 	"shalestage.example/shalestage/internal/emulator/site"
 	"shalestage.example/shalestage/internal/emulator/traffic"
@@ -208,123 +204,6 @@
 	w.Check.Advance(until)
 }
 
-// takeState hands watches their answers.
-func (w *World) takeState() {
-	for _, c := range w.State.Drain() {
-		if f := w.answers[c.ID]; f != nil {
-			delete(w.answers, c.ID)
-			f(c)
-		}
-	}
-}
-
-func machineOf(m *cloudprovider.Machine) check.Machine {
-	return check.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-}
-
-// takeSite carries out what machines do.
-func (w *World) takeSite() {
-	for _, e := range w.Site.Drain() {
-		switch e := e.(type) {
-		case site.Send:
-			w.report(e)
-		case site.Began:
-			w.starts++
-			w.began(machineOf(e.Machine), e.Task)
-			if m := w.opt.Meter; m != nil {
-				m.Began(w.now, e.Machine.Name, e.Task)
-			}
-			if a := w.opt.Account; a != nil {
-				a.Began(e.Machine.Name, e.Task, cpus(w.Site.Book[e.Task.Job].Spec.Demand))
-			}
-		case site.Ended:
-			w.Check.TaskEnded(w.now, machineOf(e.Machine), e.Task, e.Completed)
-			if e.Completed {
-				w.happened(scenario.TaskDone)
-				w.ended(e.Task.Job)
-			}
-			w.taskEnded(e)
-			if m := w.opt.Meter; m != nil {
-				m.Ended(w.now, e.Machine.Name, e.Task, e.Completed)
-			}
-			if a := w.opt.Account; a != nil {
-				a.Ended(e.Machine.Name, e.Task, e.Completed)
-			}
-		}
-	}
-}
-
-// report brings a worker's report to a controller and its answer back.
-func (w *World) report(e site.Send) {
-	n := w.node(e.Node)
-	arrives := func(req core.RequestID) { n.report(req, e.Body) }
-	zone := scenario.ZoneParty(e.Body.Zone)
-	failed := func() {
-		w.Site.Answer(w.now, e.Machine, e.Number, machine.Response{})
-		w.takeSite()
-	}
-	lost := w.noise && w.chance(0.003)
-	if w.now < w.copies.until && w.chance(w.copies.share) {
-		if w.copies.forNext {
-			w.keepReport(e.Body)
-		} else {
-			w.after(w.span(2, 3*w.S.Workers.LeaseS), func() {
-				n.ask(arrives, 0, func(core.Reply) {})
-			})
-		}
-	}
-	w.net.request(zone, n.Name, machine.ResponseTimeout, func(answer func(func())) {
-		if n.life == 0 {
-			answer(failed) // the connection is refused
-			return
-		}
-		if w.noise && w.chance(0.005) { // it comes late, when nobody waits
-			w.after(w.span(1, 90), func() { n.ask(arrives, 0, func(core.Reply) {}) })
-			return
-		}
-		w.gotReport(n, e.Body)
-		n.ask(arrives, 4*second, func(r core.Reply) {
-			if lost {
-				return
-			}
-			a := machine.Response{Code: r.Code, NoFencingToken: true}
-			switch b := r.Body.(type) {
-			case core.HeartbeatResponse:
-				a.FencingToken, a.NoFencingToken, a.Commands = b.FencingToken, false, b.Commands
-				w.acted(b.FencingToken)
-			case core.Redirect:
-				a.RedirectTo = b.Node
-			}
-			sent := w.now
-			answer(func() {
-				w.answered(e.Machine, a.Commands)
-				w.answerArrives(sent, r)
-				w.Site.Answer(w.now, e.Machine, e.Number, a)
-				w.takeSite()
-			})
-		})
-	}, func(f func()) {
-		if f != nil {
-			f()
-		} else {
-			failed()
-		}
-	})
-}
-
-// report hands a worker's report to the core.
-func (n *Node) report(req core.RequestID, body *fleet.Heartbeat) {
-	n.w.reportArrives(n, body)
-	if f := n.w.opt.Break.Report; f != nil {
-		seen := *body
-		seen.Tasks = slices.Clone(seen.Tasks)
-		f(&seen)
-		body = &seen
-	}
-	n.w.opt.Traffic.As("do report")
-	n.core.Heartbeat(n.local(), req, body)
-}
-
 func (w *World) node(name string) *Node {
 	for _, n := range w.Nodes {
 		if n.Name == name {
@@ -334,151 +213,6 @@
 	return nil
 }
 
-// takeCrowd carries out what users do.
-func (w *World) takeCrowd() {
-	for _, e := range w.Crowd.Drain() {
-		if call, ok := e.(user.Call); ok {
-			w.call(call, nil)
-		} else {
-			user.Tell(w.Check, w.now, e)
-			if t, ok := e.(user.Told); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
-				w.cancelToldPastCut()
-				if t.Status == jobs.Cancelled {
-					w.cancelTold(t.ID)
-				}
-			}
-			if _, ok := e.(user.Looked); ok {
-				w.happened(scenario.CloseLook)
-			}
-			w.meter(e)
-		}
-	}
-}
-
-// call brings a user's call to a controller that the balancer chooses.
-func (w *World) call(e user.Call, tried []int) {
-	failed := func() {
-		w.Crowd.Failed(w.now, e.Number)
-		w.takeCrowd()
-	}
-	if e.Node != "" {
-		w.callNode(e, failed)
-		return
-	}
-	i := w.front.Choose(w.now, tried)
-	if i < 0 {
-		w.after(millis, failed)
-		return
-	}
-	n := w.Nodes[i]
-	connects := w.net.open("users", n.Name)
-	if n.life == 0 {
-		connects = refused
-	}
-	if connects != carried {
-		wait := millis
-		if connects == dropped {
-			wait = balance.AcceptWithin
-		}
-		w.after(wait, func() {
-			w.front.Failed(w.now, i)
-			w.call(e, append(tried, i))
-		})
-		return
-	}
-	w.front.Opened(i)
-	w.serveCall(e, n, failed, func() { w.front.Closed(i) })
-}
-
-// callNode brings a user's call to one controller, past the balancer.
-func (w *World) callNode(e user.Call, failed func()) {
-	n := w.node(e.Node)
-	connects := w.net.open("users", n.Name)
-	if n.life == 0 || connects != carried {
-		w.after(millis, failed)
-		return
-	}
-	w.serveCall(e, n, failed, func() {})
-}
-
-// serveCall lets a controller answer a user's call; closed is told when the connection ends.
-func (w *World) serveCall(e user.Call, n *Node, failed, closed func()) {
-	w.net.request("users", n.Name, e.Wait+second, func(answer func(func())) {
-		within := 4 * second
-		if e.Kind == user.Poll {
-			within = 1900 * millis
-		}
-		w.gotCall(n, e)
-		n.ask(func(req core.RequestID) {
-			if f := w.opt.Break.Answer; f != nil {
-				if r := f(e); r != nil {
-					r.Request = req
-					n.effect(*r)
-					return
-				}
-			}
-			switch e.Kind {
-			case user.Submit:
-				spec, bad := e.Spec, ""
-				if spec == nil {
-					bad = "cores: missing"
-				}
-				if f := w.opt.Break.Spec; f != nil && spec != nil {
-					wrong := *spec
-					f(&wrong)
-					spec = &wrong
-				}
-				n.core.Submit(n.local(), req, e.ID, spec, bad)
-			case user.Poll:
-				n.core.Query(n.local(), req, e.ID)
-			case user.Cancel:
-				n.core.Cancel(n.local(), req, e.ID)
-			}
-		}, within, func(r core.Reply) {
-			a := user.Answer{Code: r.Code, RetryAfter: r.RetryAfter}
-			if b, ok := r.Body.(core.JobAnswer); ok {
-				a.Status = b.Status
-			}
-			answer(func() {
-				w.Crowd.Answer(w.now, e.Number, a)
-				w.takeCrowd()
-			})
-		})
-	}, func(f func()) {
-		closed()
-		if f != nil {
-			f()
-		} else {
-			failed()
-		}
-	})
-}
-
-// takeFront carries out what the balancer does.
-func (w *World) takeFront() {
-	for _, e := range w.front.Drain() {
-		if p, ok := e.(balance.Probe); ok {
-			n := w.Nodes[p.Node]
-			w.net.request("users", n.Name, balance.ProbeWithin, func(answer func(func())) {
-				if n.life == 0 {
-					answer(func() { w.front.Probed(w.now, p.Node, false) })
-					return
-				}
-				n.awake(func() {
-					ok := n.core.Ready(n.local())
-					answer(func() { w.front.Probed(w.now, p.Node, ok) })
-				})
-			}, func(f func()) {
-				if f == nil {
-					w.front.Probed(w.now, p.Node, false)
-				} else {
-					f()
-				}
-			})
-		}
-	}
-}
-
 // Holder returns the controller that holds a block, if any does.
 func (w *World) Holder(k int) *Node {
 	for _, n := range w.Nodes {
