--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,7 +36,7 @@
 }
 
 // Handler serves the interface; more are further figures.
-func Handler(n Node, log *slog.Logger, more ...prometheus.Collector) http.Handler {
+func Handler(n Node, log *slog.Logger, collectors ...prometheus.Collector) http.Handler {
 	r := chi.NewRouter()
 	if log.Enabled(context.Background(), slog.LevelDebug) {
 		r.Use(logRequests(log))
@@ -58,10 +58,10 @@
 		write(w, n.Submit(req.Context(), id, spec, bad))
 	})
 	r.Get(wire.JobsPath+"/{id}", func(w http.ResponseWriter, req *http.Request) {
-		byID(w, req, n.Query)
+		withJobID(w, req, n.Query)
 	})
 	r.Post(wire.JobsPath+"/{id}/abort", func(w http.ResponseWriter, req *http.Request) {
-		byID(w, req, n.Cancel)
+		withJobID(w, req, n.Cancel)
 	})
 	r.Post(wire.HeartbeatPath, func(w http.ResponseWriter, req *http.Request) {
 		body, ok := read(w, req)
@@ -82,7 +82,7 @@
 		}
 		write(w, core.Reply{Code: http.StatusOK})
 	})
-	r.Method(http.MethodGet, metricsPath, metrics(n, more...))
+	r.Method(http.MethodGet, metricsPath, metrics(n, collectors...))
 	return r
 }
 
@@ -90,23 +90,23 @@
 func logRequests(log *slog.Logger) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-			began := time.Now()
-			ww := middleware.NewWrapResponseWriter(w, req.ProtoMajor)
-			next.ServeHTTP(ww, req)
+			start := time.Now()
+			wrapped := middleware.NewWrapResponseWriter(w, req.ProtoMajor)
+			next.ServeHTTP(wrapped, req)
 			if req.URL.Path != wire.HeartbeatPath {
-				log.Debug("request", "method", req.Method, "path", req.URL.Path, "code", ww.Status(), "took", time.Since(began))
+				log.Debug("request", "method", req.Method, "path", req.URL.Path, "code", wrapped.Status(), "took", time.Since(start))
 			}
 		})
 	}
 }
 
-func byID(w http.ResponseWriter, req *http.Request, f func(context.Context, string) core.Reply) {
+func withJobID(w http.ResponseWriter, req *http.Request, call func(context.Context, string) core.Reply) {
 	id := chi.URLParam(req, "id")
 	if !jobs.ValidID(id) {
 		write(w, core.Reply{Code: http.StatusNotFound, Body: core.Problem{Text: "no such job"}})
 		return
 	}
-	write(w, f(req.Context(), id))
+	write(w, call(req.Context(), id))
 }
 
 // read takes a request's body. One that is too long is malformed.
@@ -125,43 +125,43 @@
 
 func write(w http.ResponseWriter, r core.Reply) {
 	var body any
-	switch b := r.Body.(type) {
+	switch answer := r.Body.(type) {
 	case core.JobAnswer:
-		s := wire.JobStatus{ID: b.ID, Status: wire.Status(b.Status)}
-		if b.Counts {
-			s.Done, s.Running = &b.Done, &b.Running
+		status := wire.JobStatus{ID: answer.ID, Status: wire.Status(answer.Status)}
+		if answer.Counts {
+			status.Done, status.Running = &answer.Done, &answer.Running
 		}
-		body = s
+		body = status
 	case core.HeartbeatResponse:
-		o := wire.Orders{FencingToken: b.FencingToken, Commands: []wire.Command{}}
-		for _, c := range b.Commands {
-			o.Commands = append(o.Commands, wire.EncodeCommand(c))
+		orders := wire.Orders{FencingToken: answer.FencingToken, Commands: []wire.Command{}}
+		for _, c := range answer.Commands {
+			orders.Commands = append(orders.Commands, wire.EncodeCommand(c))
 		}
-		body = o
+		body = orders
 	case core.Redirect:
-		body = wire.Redirect{Node: b.Node}
+		body = wire.Redirect{Node: answer.Node}
 	case core.Problem:
-		body = wire.Problem{Error: b.Text}
+		body = wire.Problem{Error: answer.Text}
 	default:
 		body = struct{}{}
 	}
-	out, err := json.Marshal(body)
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	h := w.Header()
-	h.Set("Content-Type", "application/json")
-	h.Set("Content-Length", strconv.Itoa(len(out)))
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set("Content-Length", strconv.Itoa(len(encoded)))
 	if r.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
+		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(r.Code)
-	_, _ = w.Write(out) // the client may be gone
+	_, _ = w.Write(encoded) // the client may be gone
 }
 
-// kindOf tells who sends a request.
-func kindOf(r *http.Request) gate.Kind {
+// peerKind tells who sends a request.
+func peerKind(r *http.Request) gate.Kind {
 	switch r.URL.Path {
 	case wire.HeartbeatPath:
 		return gate.Machine
@@ -183,6 +183,6 @@
 		IdleTimeout:       time.Duration(idle) * time.Microsecond,
 		MaxHeaderBytes:    16 << 10,
 	}
-	g.Protect(s, kindOf)
+	g.Protect(s, peerKind)
 	return s.Serve(g)
 }
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -26,38 +26,38 @@
 }
 
 var (
-	descSeated      = desc("seated", "1 while the controller has a seat in the state service.")
-	descLeading     = desc("leading", "1 while the controller leases blocks to the others.")
-	descFull        = desc("memory_full", "1 while no new jobs are accepted, as memory is nearly full.")
-	descKnownJobs   = desc("jobs_known", "Jobs in the controller's copy, final ones included.")
-	descKeptDone    = desc("jobs_kept_done", "Jobs that are over and not packed.")
-	descPacked      = desc("jobs_packed", "Packed jobs that the filter holds.")
-	descLooked      = desc("buckets_read", "Buckets of packed jobs read since the start.")
-	descShed        = desc("lookups_refused", "Look-ups of packed jobs refused since the start, as there were too many.")
-	descActiveJobs  = desc("jobs_active", "Jobs that are not over, of all blocks.")
-	descAwaitJobs   = desc("jobs_awaiting", "Jobs that wait for other jobs to be done, of all blocks.")
-	descWrites      = desc("writes_waiting", "Changes that wait for the state service.")
-	descTasks       = desc("block_tasks", "Tasks of a held block.", "block", "state")
-	descUnaccounted = desc("block_machines_unaccounted", "Machines of a held block on which earlier holders' tasks may run.", "block")
-	descFollowed    = desc("block_followed", "1 while another controller knows all that is started in a held block.", "block")
-	descZone        = desc("zone_state", "1 for the state that a zone is in, as this controller sees it: serving, doubt, lost or back.", "zone", "state")
-	descZoneFor     = desc("zone_state_seconds", "How long a zone has been in its state.", "zone")
-	descZoneTimes   = desc("zone_times_lost", "How often a zone was lost lately.", "zone")
-	descZoneHeard   = desc("zone_machines", "Machines of a zone that are up, as a holder of blocks sees them.", "zone", "heard")
-	descMachines    = desc("block_machines", "Machines of a held block.", "block", "kind", "state")
-	descCPUs        = desc("block_cpus", "CPUs of a held block's machines.", "block", "kind", "state")
+	descSeated         = desc("seated", "1 while the controller has a seat in the state service.")
+	descLeading        = desc("leading", "1 while the controller leases blocks to the others.")
+	descFull           = desc("memory_full", "1 while no new jobs are accepted, as memory is nearly full.")
+	descKnownJobs      = desc("jobs_known", "Jobs in the controller's copy, final ones included.")
+	descFinishedJobs   = desc("jobs_kept_done", "Jobs that are over and not packed.")
+	descPacked         = desc("jobs_packed", "Packed jobs that the filter holds.")
+	descLookups        = desc("buckets_read", "Buckets of packed jobs read since the start.")
+	descRefusedLookups = desc("lookups_refused", "Look-ups of packed jobs refused since the start, as there were too many.")
+	descActiveJobs     = desc("jobs_active", "Jobs that are not over, of all blocks.")
+	descAwaitJobs      = desc("jobs_awaiting", "Jobs that wait for other jobs to be done, of all blocks.")
+	descWrites         = desc("writes_waiting", "Changes that wait for the state service.")
+	descTasks          = desc("block_tasks", "Tasks of a held block.", "block", "state")
+	descUnreconciled   = desc("block_machines_unaccounted", "Machines of a held block on which earlier holders' tasks may run.", "block")
+	descFollowed       = desc("block_followed", "1 while another controller knows all that is started in a held block.", "block")
+	descZone           = desc("zone_state", "1 for the state that a zone is in, as this controller sees it: serving, doubt, lost or back.", "zone", "state")
+	descZoneFor        = desc("zone_state_seconds", "How long a zone has been in its state.", "zone")
+	descZoneTimes      = desc("zone_times_lost", "How often a zone was lost lately.", "zone")
+	descZoneMachines   = desc("zone_machines", "Machines of a zone that are up, as a holder of blocks sees them.", "zone", "heard")
+	descMachines       = desc("block_machines", "Machines of a held block.", "block", "kind", "state")
+	descCPUs           = desc("block_cpus", "CPUs of a held block's machines.", "block", "kind", "state")
 )
 
 // Describe implements prometheus.Collector.
 func (c collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descSeated, descLeading, descFull, descKnownJobs, descKeptDone, descPacked, descLooked, descShed, descActiveJobs, descAwaitJobs, descWrites, descTasks, descUnaccounted, descFollowed, descZone, descZoneFor, descZoneTimes, descZoneHeard, descMachines, descCPUs} {
+	for _, d := range []*prometheus.Desc{descSeated, descLeading, descFull, descKnownJobs, descFinishedJobs, descPacked, descLookups, descRefusedLookups, descActiveJobs, descAwaitJobs, descWrites, descTasks, descUnreconciled, descFollowed, descZone, descZoneFor, descZoneTimes, descZoneMachines, descMachines, descCPUs} {
 		ch <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
-	s, ok := c.node.Stats(context.Background())
+	stats, ok := c.node.Stats(context.Background())
 	if !ok {
 		return // too much to do: the figures are missing for once
 	}
@@ -65,31 +65,31 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	flag := map[bool]float64{true: 1}
-	put(descSeated, flag[s.Member])
-	put(descLeading, flag[s.Leading])
-	put(descFull, flag[s.Full])
-	put(descKnownJobs, float64(s.KnownJobs))
-	put(descKeptDone, float64(s.FinishedJobs))
-	put(descPacked, float64(s.ArchivedIDs))
-	put(descLooked, float64(s.ArchiveReads))
-	put(descShed, float64(s.ArchiveShed))
-	put(descActiveJobs, float64(s.ActiveJobs))
-	put(descAwaitJobs, float64(s.BlockedJobs))
-	put(descWrites, float64(s.Writes))
-	for _, z := range s.Zones {
+	put(descSeated, flag[stats.Member])
+	put(descLeading, flag[stats.Leading])
+	put(descFull, flag[stats.Full])
+	put(descKnownJobs, float64(stats.KnownJobs))
+	put(descFinishedJobs, float64(stats.FinishedJobs))
+	put(descPacked, float64(stats.ArchivedIDs))
+	put(descLookups, float64(stats.ArchiveReads))
+	put(descRefusedLookups, float64(stats.ArchiveShed))
+	put(descActiveJobs, float64(stats.ActiveJobs))
+	put(descAwaitJobs, float64(stats.BlockedJobs))
+	put(descWrites, float64(stats.Writes))
+	for _, z := range stats.Zones {
 		for _, st := range zones.States {
 			put(descZone, flag[z.State == st], z.Zone, st.String())
 		}
 		put(descZoneFor, z.For.Seconds(), z.Zone)
 		put(descZoneTimes, float64(z.Times), z.Zone)
-		put(descZoneHeard, float64(z.Responsive), z.Zone, "yes")
-		put(descZoneHeard, float64(z.Up-z.Responsive), z.Zone, "no")
+		put(descZoneMachines, float64(z.Responsive), z.Zone, "yes")
+		put(descZoneMachines, float64(z.Up-z.Responsive), z.Zone, "no")
 	}
-	for _, b := range s.Shards {
+	for _, b := range stats.Shards {
 		n := strconv.Itoa(b.Shard)
 		put(descTasks, float64(b.Waiting), n, "waiting")
 		put(descTasks, float64(b.Placed), n, "placed")
-		put(descUnaccounted, float64(b.Unreconciled), n)
+		put(descUnreconciled, float64(b.Unreconciled), n)
 		put(descFollowed, flag[b.Standby != ""], n)
 		for _, p := range []struct {
 			kind string
@@ -105,9 +105,9 @@
 }
 
 // metrics serves the figures in the text form that Prometheus reads.
-func metrics(n Node, more ...prometheus.Collector) http.Handler {
+func metrics(n Node, extra ...prometheus.Collector) http.Handler {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collector{n}, collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	r.MustRegister(more...)
+	r.MustRegister(extra...)
 	return promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: 1})
 }
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -11,30 +11,30 @@
 
 // Core returns what the settings tell a controller's core.
 func (s *Settings) Core(log *slog.Logger) core.Config {
-	d, t := s.Deployment, s.Tuning
-	now, later := d.State.Limits, d.State.Later()
-	c := core.Config{
-		Node: s.Node, Size: d.Size, Zones: d.Zones, Home: s.Zone, PeerZones: map[string]string{},
-		Lease: s.LeaseTime(), HeartbeatInterval: units.Seconds(d.Workers.ReportS),
-		CancelWithin: units.Seconds(d.Workers.CancelS),
-		LeaderTTL:    units.Seconds(t.LeaseS), ListLag: units.Seconds(d.Cloud.ListLagS),
+	deployment, t := s.Deployment, s.Tuning
+	now, later := deployment.State.Limits, deployment.State.Later()
+	settings := core.Config{
+		Node: s.Node, Size: deployment.Size, Zones: deployment.Zones, Home: s.Zone, PeerZones: map[string]string{},
+		Lease: s.LeaseTime(), HeartbeatInterval: units.Seconds(deployment.Workers.HeartbeatS),
+		CancelWithin: units.Seconds(deployment.Workers.CancelS),
+		LeaderTTL:    units.Seconds(t.LeaderLeaseS), ListLag: units.Seconds(deployment.Cloud.ListLagS),
 		TxnOps: min(now.TxnOps, later.TxnOps), ValueKB: now.ValueKB, ValueMax: int(min(now.ValueKB, later.ValueKB) * 1024),
-		StateRate: now.RPS, WriteRate: now.WriteRPS, NextStateRate: later.RPS, NextWriteRate: later.WriteRPS, CloudRate: d.Cloud.RPS,
+		StateRate: now.RPS, WriteRate: now.WriteRPS, NextStateRate: later.RPS, NextWriteRate: later.WriteRPS, CloudRate: deployment.Cloud.RPS,
 		Pack:          binpack.Params{Fairness: t.Fairness, EpsilonScale: t.EpsilonScale, ImagePenalty: t.ImagePenalty},
-		Scale:         autoscaler.Params{Headroom: t.SpareShare, AverageOver: units.Seconds(t.DemandS), WorkPerSlot: units.Seconds(t.WorthS), ScaleInAfter: units.Seconds(t.IdleS)},
-		ShardMachines: s.BlockMachines(), SequentialFraction: t.RoundShare,
-		KeepFinished: int(t.KeepDone), ArchiveSettleTime: units.Seconds(t.PackSettleS),
+		Scale:         autoscaler.Params{Headroom: t.SpareFraction, AverageOver: units.Seconds(t.DemandWindowS), WorkPerSlot: units.Seconds(t.WorthS), ScaleInAfter: units.Seconds(t.IdleReturnS)},
+		ShardMachines: s.MachinesPerShard(), SequentialFraction: t.RoundFraction,
+		KeepFinished: int(t.KeepFinished), ArchiveSettleTime: units.Seconds(t.PackSettleS),
 		Log: log,
 	}
 	for _, p := range s.Peers {
-		c.Peers = append(c.Peers, p.Node)
-		c.PeerZones[p.Node] = p.Zone
+		settings.Peers = append(settings.Peers, p.Node)
+		settings.PeerZones[p.Node] = p.Zone
 	}
-	for _, tm := range d.Teams {
-		c.Teams = append(c.Teams, teamOf(tm))
+	for _, team := range deployment.Teams {
+		settings.Teams = append(settings.Teams, teamOf(team))
 	}
-	for _, o := range d.Objectives {
-		c.Objectives = append(c.Objectives, objectiveOf(o))
+	for _, o := range deployment.Objectives {
+		settings.Objectives = append(settings.Objectives, objectiveOf(o))
 	}
-	return c
+	return settings
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -114,46 +114,46 @@
 
 // Request returns the change that a patch asks for, or an error that names the wrong field.
 func (p Patch) Request() (configuration.Request, error) {
-	r := configuration.Request{By: p.By, Base: p.Version}
+	request := configuration.Request{By: p.By, Base: p.Version}
 	for _, t := range p.Teams {
-		ch := configuration.TeamChange{Name: t.Name, Remove: t.Remove}
-		for _, a := range []struct {
+		change := configuration.TeamChange{Name: t.Name, Remove: t.Remove}
+		for _, field := range []struct {
 			name string
 			from *float64
 			to   **int64
-		}{{"cpus", t.CPUs, &ch.GuaranteeCPU}, {"cpus_max", t.CPUsMax, &ch.LimitCPU}, {"gpus", t.GPUs, &ch.GuaranteeGPU}, {"gpus_max", t.GPUsMax, &ch.LimitGPU}} {
-			if a.from == nil {
+		}{{"cpus", t.CPUs, &change.GuaranteeCPU}, {"cpus_max", t.CPUsMax, &change.LimitCPU}, {"gpus", t.GPUs, &change.GuaranteeGPU}, {"gpus_max", t.GPUsMax, &change.LimitGPU}} {
+			if field.from == nil {
 				continue
 			}
-			v, err := amount("teams["+t.Name+"]."+a.name, *a.from)
+			v, err := amount("teams["+t.Name+"]."+field.name, *field.from)
 			if err != nil {
-				return r, err
+				return request, err
 			}
-			*a.to = &v
+			*field.to = &v
 		}
-		r.Teams = append(r.Teams, ch)
+		request.Teams = append(request.Teams, change)
 	}
-	return r, nil
+	return request, nil
 }
 
 // Request returns the change that a whole document asks for.
 func (d Document) Request() (configuration.Request, error) {
-	r := configuration.Request{By: d.By, Base: d.Version, Whole: &configuration.Content{}}
+	request := configuration.Request{By: d.By, Base: d.Version, Whole: &configuration.Content{}}
 	for _, t := range d.Teams {
 		for name, v := range map[string]float64{"cpus": t.CPUs, "cpus_max": t.CPUsMax, "gpus": t.GPUs, "gpus_max": t.GPUsMax} {
 			if _, err := amount("teams["+t.Name+"]."+name, v); err != nil {
-				return r, err
+				return request, err
 			}
 		}
-		r.Whole.Teams = append(r.Whole.Teams, teamOf(t))
+		request.Whole.Teams = append(request.Whole.Teams, teamOf(t))
 	}
 	for i, o := range d.Objectives {
 		if !(o.WithinS >= 0 && o.WithinS <= 1e9) {
-			return r, &configuration.Invalid{Field: fmt.Sprintf("objectives[%d].within_s", i), Reason: fmt.Sprintf("want 0 to 1e9, got %g", o.WithinS)}
+			return request, &configuration.Invalid{Field: fmt.Sprintf("objectives[%d].within_s", i), Reason: fmt.Sprintf("want 0 to 1e9, got %g", o.WithinS)}
 		}
-		r.Whole.Objectives = append(r.Whole.Objectives, objectiveOf(o))
+		request.Whole.Objectives = append(request.Whole.Objectives, objectiveOf(o))
 	}
-	return r, nil
+	return request, nil
 }
 
 func teamOf(t Team) core.Team {
@@ -167,22 +167,22 @@
 }
 
 // NewDocument returns a version as a document.
-func NewDocument(version uint64, c configuration.Content) Document {
-	d := Document{Version: &version, Teams: []Team{}, Objectives: []Objective{}}
-	for _, t := range c.Teams {
+func NewDocument(version uint64, content configuration.Content) Document {
+	document := Document{Version: &version, Teams: []Team{}, Objectives: []Objective{}}
+	for _, t := range content.Teams {
 		if t.Removed != 0 {
-			d.Removed = append(d.Removed, t.Name)
+			document.Removed = append(document.Removed, t.Name)
 			continue
 		}
-		units := func(milli int64) float64 { return float64(milli) / 1000 }
-		d.Teams = append(d.Teams, Team{Name: t.Name, CPUs: units(t.Guarantee[binpack.CPU]), CPUsMax: units(t.Limit[binpack.CPU]),
-			GPUs: units(t.Guarantee[binpack.GPU]), GPUsMax: units(t.Limit[binpack.GPU])})
+		fromMilli := func(milli int64) float64 { return float64(milli) / 1000 }
+		document.Teams = append(document.Teams, Team{Name: t.Name, CPUs: fromMilli(t.Guarantee[binpack.CPU]), CPUsMax: fromMilli(t.Limit[binpack.CPU]),
+			GPUs: fromMilli(t.Guarantee[binpack.GPU]), GPUsMax: fromMilli(t.Limit[binpack.GPU])})
 	}
-	slices.SortFunc(d.Teams, func(a, b Team) int { return cmp.Compare(a.Name, b.Name) })
-	for _, o := range c.Objectives {
-		d.Objectives = append(d.Objectives, Objective{Kind: string(o.Kind), Class: o.Class, WithinS: o.Within.Seconds(), Share: o.Share, Times: o.Times})
+	slices.SortFunc(document.Teams, func(a, b Team) int { return cmp.Compare(a.Name, b.Name) })
+	for _, o := range content.Objectives {
+		document.Objectives = append(document.Objectives, Objective{Kind: string(o.Kind), Class: o.Class, WithinS: o.Within.Seconds(), Share: o.Share, Times: o.Times})
 	}
-	return d
+	return document
 }
 
 // NewStatus returns a status as it is told.
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -96,14 +96,14 @@
 	out := &config.Settings{Node: NodeName(i), Zone: n.Zones[i%len(n.Zones)], Listen: a.Listen, PeerListen: a.Internal,
 		Services: config.Services{Cloud: a.Cloud, State: a.State}, Tuning: config.DefaultTuning(),
 		Deployment: config.Deployment{Size: n.Count, Zones: n.Zones,
-			Workers:    config.Workers{ReportS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS},
+			Workers:    config.Workers{HeartbeatS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS},
 			State:      config.State{Limits: config.Limits(s.State.Limits), Next: config.Limits(s.State.Next)},
 			Cloud:      config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
 			Quota:      config.Quota{CPU: n.CPU, RAMMB: n.MemoryMB, FDLimit: n.Sockets},
 			ClockErrMs: n.ClockErrorMS}}
 	out.Tuning, _ = s.tuning() // checked when the file was read
-	out.Tuning.LeaseS, out.Tuning.BlockSize = n.LeaseS, n.BlockMachines
-	out.Tuning.KeepDone, out.Tuning.PackSettleS = n.KeepDone, n.PackSettleS
+	out.Tuning.LeaderLeaseS, out.Tuning.MachinesPerShard = n.LeaseS, n.BlockMachines
+	out.Tuning.KeepFinished, out.Tuning.PackSettleS = n.KeepDone, n.PackSettleS
 	for k := range n.Count {
 		if k != i {
 			name := NodeName(k)
