--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -37,7 +37,7 @@
 
 // unavailable tells a user at once that the request could not be taken.
 func (c *Core) unavailable(req RequestID, why string) {
-	admissionHost{c}.Refuse(req, admission.NotNow(why))
+	admissionHost{c}.Refuse(req, admission.TemporaryRefusal(why))
 }
 
 // admissionHost is what admission needs of this controller.
@@ -55,8 +55,8 @@
 	c.send(Reply{Request: req, Code: refusal.Reason.HTTPStatus(), Body: Problem{refusal.Text}, RetryAfter: refusal.RetryAfter})
 }
 
-// ForwardFirst implements admission.Host.
-func (c admissionHost) ForwardFirst(req RequestID) bool { return c.shouldForward(req) }
+// ShouldForward implements admission.Host.
+func (c admissionHost) ShouldForward(req RequestID) bool { return c.shouldForward(req) }
 
 // Forward implements admission.Host.
 func (c admissionHost) Forward(r admission.Request) { c.forward(r) }
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -62,9 +62,9 @@
 	// Answer and Refuse end a request.
 	Answer(request RequestID, accepted bool, answer JobAnswer)
 	Refuse(request RequestID, refusal *Refusal)
-	// ForwardFirst reports whether another controller can serve the request now, and this one, as the
+	// ShouldForward reports whether another controller can serve the request now, and this one, as the
 	// state service has not answered it for a while, can't.
-	ForwardFirst(request RequestID) bool
+	ShouldForward(request RequestID) bool
 	// Forward gives a request to a controller that the state service serves, or refuses it.
 	Forward(r Request)
 
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -45,7 +45,7 @@
 	f.answers, f.accepted = append(f.answers, answer), append(f.accepted, accepted)
 }
 func (f *fakeHost) Refuse(_ RequestID, refusal *Refusal) { f.refusals = append(f.refusals, refusal) }
-func (f *fakeHost) ForwardFirst(RequestID) bool          { return f.unserved }
+func (f *fakeHost) ShouldForward(RequestID) bool         { return f.unserved }
 func (f *fakeHost) Forward(r Request)                    { f.forwarded = append(f.forwarded, r) }
 func (f *fakeHost) Job(id string) *jobs.Job              { return f.jobs[id] }
 func (f *fakeHost) OwnsShard(int) bool                   { return true }
--- a/internal/core/admission/answers.go
+++ b/internal/core/admission/answers.go
@@ -68,8 +68,8 @@
 	LongRetryAfter = 5 * units.Second
 )
 
-// NotNow returns the refusal of a request that could not be served in time.
-func NotNow(why string) *Refusal {
+// TemporaryRefusal returns the refusal of a request that could not be served in time.
+func TemporaryRefusal(why string) *Refusal {
 	return &Refusal{Reason: Unavailable, Text: why, RetryAfter: RetryAfter}
 }
 
--- a/internal/core/admission/cancel.go
+++ b/internal/core/admission/cancel.go
@@ -10,7 +10,7 @@
 func (h *Handler) Cancel(request RequestID, id string) {
 	job := h.host.Job(id)
 	switch {
-	case (job == nil || job.Active()) && h.host.ForwardFirst(request):
+	case (job == nil || job.Active()) && h.host.ShouldForward(request):
 		h.host.Forward(Request{ID: request, Kind: Cancel, Job: id})
 	case job == nil:
 		h.cancelUnknown(request, id)
@@ -54,7 +54,7 @@
 		},
 	})
 	if !queued {
-		h.host.Refuse(request, NotNow("too many requests"))
+		h.host.Refuse(request, TemporaryRefusal("too many requests"))
 	}
 }
 
@@ -63,7 +63,7 @@
 func (h *Handler) answerAfterConflict(request RequestID, job *jobs.Job) {
 	h.host.ReadFresh(func(ok bool) {
 		if !ok || job.Active() {
-			h.host.Refuse(request, NotNow("try again"))
+			h.host.Refuse(request, TemporaryRefusal("try again"))
 			return
 		}
 		h.answerJob(request, job, false)
--- a/internal/core/admission/query.go
+++ b/internal/core/admission/query.go
@@ -13,7 +13,7 @@
 		h.answerArchived(request, id, outcome, true)
 		return
 	}
-	if h.host.ForwardFirst(request) {
+	if h.host.ShouldForward(request) {
 		h.host.Forward(Request{ID: request, Kind: Query, Job: id})
 		return
 	}
--- a/internal/core/admission/storing.go
+++ b/internal/core/admission/storing.go
@@ -9,21 +9,21 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// storedForm is how a new job is stored: first the chunks of its description, where one value does
+// encodedJob is how a new job is stored: first the chunks of its description, where one value does
 // not take that, and then the record, which makes the job visible.
-type storedForm struct {
+type encodedJob struct {
 	record       jobs.Record
 	value        json.RawMessage // of the record
 	chunks       []json.RawMessage
-	queued       int    // chunks that are stored, or need not be
+	nextChunk    int    // chunks that are stored, or need not be
 	firstVersion uint64 // of the first chunk's key; 0: none is stored
-	// present says that the first chunk was there before: another controller stores, or has stored,
+	// firstPresent says that the first chunk was there before: another controller stores, or has stored,
 	// the same.
-	present bool
+	firstPresent bool
 }
 
-func newStoredForm(record jobs.Record, valueMax int) storedForm {
-	form := storedForm{record: record, value: record.Encode()}
+func encodeJob(record jobs.Record, valueMax int) encodedJob {
+	form := encodedJob{record: record, value: record.Encode()}
 	if len(form.value) > valueMax {
 		form.record, form.chunks = record.Split(valueMax)
 		form.value = form.record.Encode()
@@ -32,12 +32,12 @@
 }
 
 // complete reports whether all chunks are stored, so that the record may follow.
-func (f *storedForm) complete() bool { return f.queued == len(f.chunks) }
+func (f *encodedJob) complete() bool { return f.nextChunk == len(f.chunks) }
 
 // store stores what is next of a new job: chunks of its description, if there are any, and then the
 // record.
 func (h *Handler) store(sub *submission) {
-	if sub.form.complete() {
+	if sub.encoded.complete() {
 		h.storeRecord(sub)
 		return
 	}
@@ -47,16 +47,16 @@
 // guards are those of everything that is stored of a new job. The first also keeps late chunks
 // from an accepted job, and the second a late record from one that was over and archived meanwhile.
 func (s *submission) guards() []store.Guard {
-	return []store.Guard{{Key: keys.Job(s.Job)}, {Key: keys.ArchiveMark, Version: s.mark}}
+	return []store.Guard{{Key: keys.Job(s.Job)}, {Key: keys.ArchiveMark, Version: s.markVersion}}
 }
 
 func (h *Handler) storeRecord(sub *submission) {
-	w := &store.Write{Guards: sub.guards(), Changes: []store.Change{{Key: keys.Job(sub.Job), Value: sub.form.value}}}
-	if sub.form.firstVersion != 0 { // who deletes chunks without a record begins with that one
-		w.Guards = append(w.Guards, store.Guard{Key: chunks.Key(sub.Job, sub.form.record.Checksum, 0), Version: sub.form.firstVersion})
+	w := &store.Write{Guards: sub.guards(), Changes: []store.Change{{Key: keys.Job(sub.Job), Value: sub.encoded.value}}}
+	if sub.encoded.firstVersion != 0 { // who deletes chunks without a record begins with that one
+		w.Guards = append(w.Guards, store.Guard{Key: chunks.Key(sub.Job, sub.encoded.record.Checksum, 0), Version: sub.encoded.firstVersion})
 	}
 	h.queue(sub, w, func(uint64) {
-		status := sub.form.record.Status
+		status := sub.encoded.record.Status
 		if job := h.host.Job(sub.Job); job != nil && !job.Active() {
 			status = job.Record.Status // it depends on a cancelled one
 		}
@@ -69,17 +69,17 @@
 // each other from storing the record. Others are passed over only where the first was there: else
 // they may be about to be deleted.
 func (h *Handler) storeChunks(sub *submission) {
-	form := &sub.form
-	first := form.queued == 0
+	form := &sub.encoded
+	first := form.nextChunk == 0
 	if first {
 		form.firstVersion = h.host.Version(chunks.Key(sub.Job, form.record.Checksum, 0))
-		form.present = form.firstVersion != 0
+		form.firstPresent = form.firstVersion != 0
 	}
 	w := &store.Write{Guards: sub.guards()}
-	for ; len(w.Changes) < h.cfg.TxnOps && !form.complete(); form.queued++ {
-		key := chunks.Key(sub.Job, form.record.Checksum, form.queued)
-		if !form.present || h.host.Version(key) == 0 {
-			w.Changes = append(w.Changes, store.Change{Key: key, Value: form.chunks[form.queued]})
+	for ; len(w.Changes) < h.cfg.TxnOps && !form.complete(); form.nextChunk++ {
+		key := chunks.Key(sub.Job, form.record.Checksum, form.nextChunk)
+		if !form.firstPresent || h.host.Version(key) == 0 {
+			w.Changes = append(w.Changes, store.Change{Key: key, Value: form.chunks[form.nextChunk]})
 		}
 	}
 	if len(w.Changes) == 0 {
@@ -87,7 +87,7 @@
 		return
 	}
 	h.queue(sub, w, func(revision uint64) {
-		if first && !form.present {
+		if first && !form.firstPresent {
 			form.firstVersion = revision
 		}
 		h.store(sub)
@@ -103,12 +103,12 @@
 		case store.Failed: // another controller, or an earlier try, was first; or the mark is a new one
 			h.retry(sub)
 		case store.TooLarge:
-			h.host.Refuse(sub.ID, NotNow("the state service takes no value of that size"))
+			h.host.Refuse(sub.ID, TemporaryRefusal("the state service takes no value of that size"))
 		default:
 			h.host.Forward(sub.Request)
 		}
 	}
 	if !h.host.Queue(w) {
-		h.host.Refuse(sub.ID, NotNow("too many submissions"))
+		h.host.Refuse(sub.ID, TemporaryRefusal("too many submissions"))
 	}
 }
--- a/internal/core/admission/submit.go
+++ b/internal/core/admission/submit.go
@@ -12,11 +12,11 @@
 // submission is one on its way through the steps of this file and of storing.go.
 type submission struct {
 	Request
-	attempts int
-	fresh    bool            // the copy of the state service's keys is newer than the request
-	mark     uint64          // version of the archive's mark when the archive was asked
-	absent   map[string]bool // jobs that are proven not to be archived, as long as that is its version
-	form     storedForm
+	attempts    int
+	fresh       bool            // the copy of the state service's keys is newer than the request
+	markVersion uint64          // version of the archive's mark when the archive was asked
+	notArchived map[string]bool // jobs that are proven not to be archived, as long as that is its version
+	encoded     encodedJob
 }
 
 // Submit takes a submission. A known job is answered with its state, whatever the body is.
@@ -25,7 +25,7 @@
 		h.Query(r.ID, r.Job)
 		return
 	}
-	if h.host.ForwardFirst(r.ID) {
+	if h.host.ShouldForward(r.ID) {
 		h.host.Forward(r)
 		return
 	}
@@ -36,17 +36,17 @@
 // answers are at hand, or their absence is proven for whoever guards the mark of that time.
 func (h *Handler) resolve(sub *submission) {
 	index := h.host.Archive()
-	_, sub.mark = index.Mark()
+	_, sub.markVersion = index.Mark()
 	if !index.On() {
-		h.judge(sub, true)
+		h.answerOrAdmit(sub, true)
 		return
 	}
-	if h.host.Revision() < sub.mark { // the copy may lack what was accepted before the mark
+	if h.host.Revision() < sub.markVersion { // the copy may lack what was accepted before the mark
 		h.host.ReadFresh(func(ok bool) {
 			if ok {
 				h.resolve(sub)
 			} else {
-				h.judge(sub, false)
+				h.answerOrAdmit(sub, false)
 			}
 		})
 		return
@@ -55,11 +55,11 @@
 	if sub.Spec != nil {
 		names = append(names, sub.Spec.Awaits...)
 	}
-	sub.absent = map[string]bool{}
+	sub.notArchived = map[string]bool{}
 	pending, resolved := 1, true // the one more is this function's own
 	finish := func() {
 		if pending--; pending == 0 {
-			h.judge(sub, resolved)
+			h.answerOrAdmit(sub, resolved)
 		}
 	}
 	for _, id := range names {
@@ -70,7 +70,7 @@
 		index.Find(id, true, func(verdict archive.Verdict, _ archive.Answer) {
 			resolved = resolved && verdict != archive.Unknown
 			if verdict == archive.Absent {
-				sub.absent[id] = true
+				sub.notArchived[id] = true
 			}
 			finish()
 		})
@@ -78,8 +78,8 @@
 	finish()
 }
 
-// judge answers a submission of a job that is known by now, and accepts or refuses a new one.
-func (h *Handler) judge(sub *submission, resolved bool) {
+// answerOrAdmit answers a submission of a job that is known by now, and accepts or refuses a new one.
+func (h *Handler) answerOrAdmit(sub *submission, resolved bool) {
 	job := h.host.Job(sub.Job)
 	outcome, archived := h.host.Archive().Known(sub.Job)
 	switch {
@@ -92,14 +92,14 @@
 	case !resolved:
 		h.host.Forward(sub.Request)
 	default:
-		h.judgeNew(sub)
+		h.admitOrRefuse(sub)
 	}
 }
 
-// judgeNew accepts or refuses a job that is not known. Before a refusal a read makes sure that
+// admitOrRefuse accepts or refuses a job that is not known. Before a refusal a read makes sure that
 // no other controller has accepted it, nor a job that it depends on.
-func (h *Handler) judgeNew(sub *submission) {
-	refusal := h.refusal(sub)
+func (h *Handler) admitOrRefuse(sub *submission) {
+	refusal := h.validate(sub)
 	switch {
 	case refusal == nil:
 		h.accept(sub)
@@ -125,21 +125,21 @@
 // retry begins again with a submission that was not stored for what others stored.
 func (h *Handler) retry(sub *submission) {
 	if sub.attempts++; sub.attempts > maxAttempts {
-		h.host.Refuse(sub.ID, NotNow("try again"))
+		h.host.Refuse(sub.ID, TemporaryRefusal("try again"))
 		return
 	}
 	h.resolveFresh(sub)
 }
 
-// refusal says why a job cannot be accepted, for what it is; nil: it can.
-func (h *Handler) refusal(sub *submission) *Refusal {
+// validate says why a job cannot be accepted, for what it is; nil: it can.
+func (h *Handler) validate(sub *submission) *Refusal {
 	if sub.Spec == nil {
 		return &Refusal{Reason: Malformed, Text: sub.Malformed}
 	}
 	if !h.host.TypesKnown() {
-		return NotNow("machine types are not known yet")
+		return TemporaryRefusal("machine types are not known yet")
 	}
-	if why := h.infeasible(sub.Spec, sub.absent); why != "" {
+	if why := h.infeasibleWithDependencies(sub.Spec, sub.notArchived); why != "" {
 		return &Refusal{Reason: Infeasible, Text: why}
 	}
 	return nil
@@ -164,9 +164,9 @@
 	return ""
 }
 
-// infeasible says why a job can never run, or "". Dependencies that are not proven absent may be
+// infeasibleWithDependencies says why a job can never run, or "". Dependencies that are not proven absent may be
 // archived, or are to be looked up again.
-func (h *Handler) infeasible(spec *jobs.Spec, absent map[string]bool) string {
+func (h *Handler) infeasibleWithDependencies(spec *jobs.Spec, absent map[string]bool) string {
 	if why := h.Infeasible(spec); why != "" {
 		return why
 	}
@@ -185,37 +185,37 @@
 // accept stores a new job unless this controller cannot take one at present. Where it is not sure
 // that the job is stored the user is to ask again; asking again does no harm.
 func (h *Handler) accept(sub *submission) {
-	if refusal := h.notNow(); refusal != nil {
+	if refusal := h.notReadyRefusal(); refusal != nil {
 		h.host.Refuse(sub.ID, refusal)
 		return
 	}
 	shard := h.host.LeastLoadedShard()
 	spec, cancelled, ok := h.dropFinishedDependencies(sub.Spec)
 	// Nothing is accepted without a proof that it is not archived.
-	if !ok || h.host.Archive().On() && !sub.absent[sub.Job] {
-		h.host.Refuse(sub.ID, NotNow("try again"))
+	if !ok || h.host.Archive().On() && !sub.notArchived[sub.Job] {
+		h.host.Refuse(sub.ID, TemporaryRefusal("try again"))
 		return
 	}
 	record := jobs.Record{Status: jobs.Pending, Shard: shard, Tasks: spec.Tasks, Submitted: h.host.WallClock(), Spec: spec}
 	if cancelled {
 		record = jobs.Record{Status: jobs.Cancelled, Tasks: spec.Tasks, Team: spec.Team, Demand: spec.Demand}
 	}
-	sub.form = newStoredForm(record, h.cfg.ValueMax)
-	if older := h.host.OlderPeer(); older != "" && (len(sub.form.chunks) > 0 || len(spec.Awaits) > 0) {
+	sub.encoded = encodeJob(record, h.cfg.ValueMax)
+	if older := h.host.OlderPeer(); older != "" && (len(sub.encoded.chunks) > 0 || len(spec.Awaits) > 0) {
 		// It would start the job at once, or could not read it.
-		h.host.Refuse(sub.ID, NotNow("controller "+older+" still runs an older release"))
+		h.host.Refuse(sub.ID, TemporaryRefusal("controller "+older+" still runs an older release"))
 		return
 	}
 	h.store(sub)
 }
 
-// notNow says why no job can be accepted at present; nil: one can.
-func (h *Handler) notNow() *Refusal {
+// notReadyRefusal says why no job can be accepted at present; nil: one can.
+func (h *Handler) notReadyRefusal() *Refusal {
 	if h.AnyMemoryFull() {
 		return &Refusal{Reason: Unavailable, Text: "a controller's memory is nearly full", RetryAfter: LongRetryAfter}
 	}
 	if !h.host.ConfigurationCurrent() {
-		return NotNow("the present configuration is not known")
+		return TemporaryRefusal("the present configuration is not known")
 	}
 	return nil
 }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -16,8 +16,8 @@
 // Version implements cancellations.Host.
 func (c cancellationsHost) Version(key string) uint64 { return c.cache.Version(key) }
 
-// Learn implements cancellations.Host.
-func (c cancellationsHost) Learn(record store.Event) { c.cache.Learn(record) }
+// ApplyCancellation implements cancellations.Host.
+func (c cancellationsHost) ApplyCancellation(record store.Event) { c.cache.Learn(record) }
 
 // cancellationsFor answers a controller that asks for a peer lease.
 func (c *Core) cancellationsFor(status PeerStatus) cancellations.Update {
@@ -31,7 +31,7 @@
 // receiveCancellations takes such an answer. When it was asked for counts only where this process has
 // asked: a membership is one process's, and clocks begin anew with each.
 func (c *Core) receiveCancellations(from string, promise PeerPromise) {
-	understood := cancellations.Learn(cancellationsHost{c}, c.log, from, promise.Told.List)
+	understood := cancellations.Apply(cancellationsHost{c}, c.log, from, promise.Told.List)
 	if understood && promise.Seat != 0 && promise.Seat == c.membership.ID() {
 		c.cancellations.Receive(c.now, from, promise.Sent, promise.Told, c.cache.Revision)
 	}
--- a/internal/core/cancellations/cancellations.go
+++ b/internal/core/cancellations/cancellations.go
@@ -27,9 +27,9 @@
 	// are listed at once: with their records they stay far below a frame between controllers.
 	maxKept   = 4096
 	maxListed = 128
-	// rollbackDoubt is for how long no list counts as whole after the state service went back behind
+	// rollbackGrace is for how long no list counts as whole after the state service went back behind
 	// its answers: until then not all controllers go by the same revisions.
-	rollbackDoubt = 10 * units.Second
+	rollbackGrace = 10 * units.Second
 )
 
 // Config says what is kept.
@@ -67,7 +67,7 @@
 
 // Record takes a stored cancellation that is newer than the copy of the state service's keys.
 func (t *Tracker) Record(e store.Event) {
-	i, there := slices.BinarySearchFunc(t.recent, e, order)
+	i, there := slices.BinarySearchFunc(t.recent, e, compareEvents)
 	if there {
 		return
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-func order(a, b store.Event) int {
+func compareEvents(a, b store.Event) int {
 	return cmp.Or(cmp.Compare(a.Stamp, b.Stamp), strings.Compare(a.Key, b.Key))
 }
 
@@ -88,8 +88,8 @@
 	t.rolledBackAt = max(now, 1)
 }
 
-func (t *Tracker) doubtful(now units.Microseconds) bool {
-	return t.rolledBackAt != 0 && now-t.rolledBackAt < rollbackDoubt
+func (t *Tracker) inRollbackGrace(now units.Microseconds) bool {
+	return t.rolledBackAt != 0 && now-t.rolledBackAt < rollbackGrace
 }
 
 // UpdateFor answers a controller that knows every cancellation up to since. The copy of the keys
@@ -105,7 +105,7 @@
 	})
 	update.List = slices.Clone(t.recent[i:min(i+t.cfg.Listed, len(t.recent))])
 	// What was stored before the copy was listed, or is no longer kept, may be missing.
-	if !complete || since < max(loadedFrom, t.droppedUpTo) || t.doubtful(now) {
+	if !complete || since < max(loadedFrom, t.droppedUpTo) || t.inRollbackGrace(now) {
 		return update
 	}
 	update.Whole = i+len(update.List) == len(t.recent)
@@ -124,7 +124,7 @@
 // controller's clock. The list is true in any case; the rest counts only where it goes on
 // from what is known.
 func (t *Tracker) Receive(now units.Microseconds, from string, asked units.Microseconds, update Update, revision uint64) {
-	if update.Since > t.KnownRevision(revision) || asked > now || t.doubtful(now) || t.rolledBackAt != 0 && asked <= t.rolledBackAt {
+	if update.Since > t.KnownRevision(revision) || asked > now || t.inRollbackGrace(now) || t.rolledBackAt != 0 && asked <= t.rolledBackAt {
 		return
 	}
 	t.peersUpTo = max(t.peersUpTo, update.Upto)
--- a/internal/core/cancellations/cancellations_test.go
+++ b/internal/core/cancellations/cancellations_test.go
@@ -35,7 +35,7 @@
 		want         bool
 	}{{units.Second, units.Second, false}, {11 * units.Second, -units.Second, false}, {11 * units.Second, 10 * units.Second, true}} {
 		at := now + test.after
-		if got := tracker.UpdateFor(at, 5, 3, 6, true).Whole; got != (test.after > rollbackDoubt) {
+		if got := tracker.UpdateFor(at, 5, 3, 6, true).Whole; got != (test.after > rollbackGrace) {
 			t.Errorf("after %d: all is told: %v", test.after, got)
 		}
 		tracker.Receive(at, "b", now+test.asked, Update{Since: 4, Upto: 9, Whole: true}, 4)
--- a/internal/core/cancellations/receive.go
+++ b/internal/core/cancellations/receive.go
@@ -15,26 +15,26 @@
 	Job(id string) *jobs.Job
 	// Version is that of a key in the copy of the state service's keys, and Learn takes a newer one.
 	Version(key string) uint64
-	Learn(record store.Event)
+	ApplyCancellation(record store.Event)
 }
 
-// Learn has the copy of the state service's keys take the cancellations that another controller has
+// Apply has the copy of the state service's keys take the cancellations that another controller has
 // listed. An owner that the state service does not serve learns of them in no other way, while
-// others go on confirming them to users: its tasks stop with the next heartbeats. Learn reports
+// others go on confirming them to users: its tasks stop with the next heartbeats. Apply reports
 // whether all were understood; where one was not, nothing that the list says of its being whole
 // counts.
-func Learn(host Host, log *slog.Logger, from string, list []store.Event) bool {
+func Apply(host Host, log *slog.Logger, from string, list []store.Event) bool {
 	for _, record := range list {
-		if !learn(host, log, from, record) {
+		if !applyOne(host, log, from, record) {
 			return false
 		}
 	}
 	return true
 }
 
-// learn takes one and reports whether it is a cancellation. A job that is not known here yet is so
+// applyOne takes one and reports whether it is a cancellation. A job that is not known here yet is so
 // from now on, as cancelled: its acceptance may come later, with a watch that was held up.
-func learn(host Host, log *slog.Logger, from string, record store.Event) bool {
+func applyOne(host Host, log *slog.Logger, from string, record store.Event) bool {
 	id, isJob := strings.CutPrefix(record.Key, keys.JobPrefix)
 	decoded, err := jobs.DecodeRecord(record.Value)
 	if !isJob || !jobs.ValidID(id) || err != nil || decoded.Status != jobs.Cancelled || record.Stamp == 0 {
@@ -47,7 +47,7 @@
 	}
 	if host.Version(record.Key) < record.Stamp {
 		log.Info("cancellation learnt from another controller", "controller", from, "job", id)
-		host.Learn(record)
+		host.ApplyCancellation(record)
 	}
 	return true
 }
--- a/internal/core/demand/slots.go
+++ b/internal/core/demand/slots.go
@@ -64,7 +64,7 @@
 		placed, ready = placed-lost, ready+lost
 	}
 	if job.Suspect() {
-		ready = job.Trials()
+		ready = job.StartLimit()
 		return workload{placed, ready, placed + ready}
 	}
 	return workload{placed, ready, max(slots, placed)}
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -31,7 +31,7 @@
 		ArchiveReads: archived.Reads,
 		ArchiveShed:  archived.Refused,
 		ActiveJobs:   c.jobs.ActiveLen(),
-		BlockedJobs:  c.jobs.Blocked(),
+		BlockedJobs:  c.jobs.BlockedLen(),
 		Zones:        c.zones.Stats(),
 	}
 	for _, queue := range c.queues {
--- a/internal/core/introspect/explain.go
+++ b/internal/core/introspect/explain.go
@@ -45,7 +45,7 @@
 	var text strings.Builder
 	job := state.Job
 	fmt.Fprintf(&text, "%s: %s, finished %d of %d, ready %d, placed %d, awaits reconciliation %v, not before %.1f, now %.1f, failed on %d machines",
-		job.ID, job.Record.Status, job.Finished(), job.Record.Tasks, job.Ready(), job.Placed(), job.Unreconciled, job.NotBefore.Seconds(), state.Now.Seconds(), len(job.Errors))
+		job.ID, job.Record.Status, job.Finished(), job.Record.Tasks, job.Ready(), job.Placed(), job.Unreconciled, job.NotBefore.Seconds(), state.Now.Seconds(), len(job.MachineFailures))
 	if job.OpenDependencies > 0 {
 		fmt.Fprintf(&text, ", waits for %d of %v", job.OpenDependencies, job.Spec().Awaits)
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -37,22 +37,22 @@
 	}
 }
 
-// JobCompleting implements registry.Host.
-func (c jobsHost) JobCompleting(job *jobs.Job, status jobs.Status) {
+// JobFinalizing implements registry.Host.
+func (c jobsHost) JobFinalizing(job *jobs.Job, status jobs.Status) {
 	if shard := c.owned[job.Record.Shard]; shard != nil {
 		shard.jobOver(c.Core, job, status)
 	}
 }
 
-// JobOver implements registry.Host: the job is archived some day.
-func (c jobsHost) JobOver(id string) { c.archive.JobOver(c.now, id) }
+// JobFinalized implements registry.Host: the job is archived some day.
+func (c jobsHost) JobFinalized(id string) { c.archive.JobOver(c.now, id) }
 
 // JobArchived implements registry.Host.
 func (c jobsHost) JobArchived(job *jobs.Job) { c.archive.JobArchived(job) }
 
-// CancellationLearnt implements registry.Host. What the copy of the state service's keys already had
+// CancellationObserved implements registry.Host. What the copy of the state service's keys already had
 // is known to every controller that has read as far.
-func (c jobsHost) CancellationLearnt(record store.Event) {
+func (c jobsHost) CancellationObserved(record store.Event) {
 	if record.Stamp > c.cache.Revision {
 		c.cancellations.Record(record)
 	}
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -62,14 +62,14 @@
 		case dependency.Record.Status == Cancelled:
 			cancelled = id
 		default:
-			job.startAfter(dependency, now)
+			job.advanceSince(dependency, now)
 		}
 	}
 	return cancelled
 }
 
-// startAfter lets the job's times count from the end of one that it depends on.
-func (j *Job) startAfter(dependency *Job, now units.Microseconds) {
+// advanceSince lets the job's times count from the end of one that it depends on.
+func (j *Job) advanceSince(dependency *Job, now units.Microseconds) {
 	finishedAt := dependency.Record.FinishedAt
 	if finishedAt == 0 {
 		finishedAt = now // stored by a release that noted no time
@@ -77,9 +77,9 @@
 	j.Since = max(j.Since, finishedAt)
 }
 
-// JobOver takes in that a job is final. It returns the jobs that may start now, and
+// JobFinalized takes in that a job is final. It returns the jobs that may start now, and
 // those that are cancelled with it.
-func (g *DependencyGraph) JobOver(job *Job, now units.Microseconds) (ready, cancelled []*Job) {
+func (g *DependencyGraph) JobFinalized(job *Job, now units.Microseconds) (ready, cancelled []*Job) {
 	for queue := []*Job{job}; len(queue) > 0; queue = queue[1:] {
 		over := queue[0]
 		g.dropReferences(over)
@@ -92,7 +92,7 @@
 				queue = append(queue, dependent)
 			default:
 				dependent.OpenDependencies--
-				dependent.startAfter(over, now)
+				dependent.advanceSince(over, now)
 				if dependent.OpenDependencies == 0 {
 					ready = append(ready, dependent)
 				}
--- a/internal/core/jobs/dependencies_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -99,7 +99,7 @@
 }
 
 func (m *graphMachine) over(t *rapid.T, job *Job) {
-	ready, cancelled := m.graph.JobOver(job, 77)
+	ready, cancelled := m.graph.JobFinalized(job, 77)
 	for _, dependent := range ready {
 		m.ready[dependent.ID] = true
 	}
@@ -185,7 +185,7 @@
 			t.Errorf("%s: %+v is asked of the first", name, a)
 		}
 		jobs["0"].Finalize(Record{Status: Cancelled}, 1)
-		if _, off := graph.JobOver(jobs["0"], 1); len(off) != n-1 || graph.BlockedLen() != 0 {
+		if _, off := graph.JobFinalized(jobs["0"], 1); len(off) != n-1 || graph.BlockedLen() != 0 {
 			t.Errorf("%s: %d cancelled, %d wait", name, len(off), graph.BlockedLen())
 		}
 	}
--- a/internal/core/jobs/failures.go
+++ b/internal/core/jobs/failures.go
@@ -7,14 +7,16 @@
 
 // Suspect reports whether the job has failed and nothing of it has worked: the
 // job or the machine may be at fault.
-func (j *Job) Suspect() bool { return !j.Worked && (j.Failing || len(j.Errors) > 0) }
+func (j *Job) Suspect() bool { return !j.AnyTaskSucceeded && (j.Failing || len(j.MachineFailures) > 0) }
 
 // FailsEverywhere reports whether the job has failed on several machines and
 // worked on none.
-func (j *Job) FailsEverywhere() bool { return !j.Worked && (j.Failing || len(j.Errors) > 1) }
+func (j *Job) FailsEverywhere() bool {
+	return !j.AnyTaskSucceeded && (j.Failing || len(j.MachineFailures) > 1)
+}
 
-// Trials returns how many more tasks may start: few, while the job is suspect.
-func (j *Job) Trials() int {
+// StartLimit returns how many more tasks may start: few, while the job is suspect.
+func (j *Job) StartLimit() int {
 	switch {
 	case j.FailsEverywhere():
 		return max(0, min(len(j.ready), 1-len(j.places)))
@@ -25,16 +27,16 @@
 }
 
 // FailedOn records that a task failed on a machine, and nothing of the job has worked.
-func (j *Job) FailedOn(machine string) { j.Errors[machine]++ }
+func (j *Job) FailedOn(machine string) { j.MachineFailures[machine]++ }
 
-// MachineReplaced records that a machine was quarantined on account of this job alone.
-func (j *Job) MachineReplaced() { j.Replaced++ }
+// MachineQuarantined records that a machine was quarantined on account of this job alone.
+func (j *Job) MachineQuarantined() { j.QuarantineCount++ }
 
-// FailuresExplained drops a machine's failures, as the machine is at fault. It reports whether the
+// ClearMachineFailures drops a machine's failures, as the machine is at fault. It reports whether the
 // job no longer counts as one that fails everywhere, of which that was stored.
-func (j *Job) FailuresExplained(machine string) (restored bool) {
-	delete(j.Errors, machine)
-	if j.Failing && len(j.Errors) < 2 {
+func (j *Job) ClearMachineFailures(machine string) (restored bool) {
+	delete(j.MachineFailures, machine)
+	if j.Failing && len(j.MachineFailures) < 2 {
 		j.Failing = false
 		return true
 	}
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -33,17 +33,17 @@
 	zones      map[string]int     // tasks that may be running, by zone
 	DirtySince units.Microseconds // finished tasks wait to be stored; 0: none do
 
-	Errors      map[string]int     // machines on which tasks failed, while none has worked
-	Worked      bool               // some task completed
-	Started     bool               // some task ran, as far as this controller knows
-	Failing     bool               // it is stored that the job fails everywhere
-	Replaced    int                // machines quarantined on account of this job alone
-	NotBefore   units.Microseconds // a task failed or was refused lately: none is started before this
-	MeanRuntime units.Microseconds // of the tasks that completed; 0: too few yet
-	runCount    int
-	runSum      units.Microseconds
-
-	Closing      bool // its end is being stored
+	MachineFailures  map[string]int     // machines on which tasks failed, while none has worked
+	AnyTaskSucceeded bool               // some task completed
+	Started          bool               // some task ran, as far as this controller knows
+	Failing          bool               // it is stored that the job fails everywhere
+	QuarantineCount  int                // machines quarantined on account of this job alone
+	NotBefore        units.Microseconds // a task failed or was refused lately: none is started before this
+	MeanRuntime      units.Microseconds // of the tasks that completed; 0: too few yet
+	runCount         int
+	runSum           units.Microseconds
+
+	Finalizing   bool // its end is being stored
 	Unreconciled bool // an earlier owner may have started it: not before all machines are reconciled
 	Migrating    bool // to another shard: not started here
 
@@ -86,7 +86,7 @@
 // Migratable reports whether nothing of the job runs and all that is done is
 // stored, so that another controller can own it.
 func (j *Job) Migratable() bool {
-	return !j.Unreconciled && !j.Closing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
+	return !j.Unreconciled && !j.Finalizing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
 }
 
 // Placed returns how many tasks may be running.
@@ -119,15 +119,15 @@
 	j.ready = nil
 	j.dirty, j.DirtySince = map[int]bool{}, 0
 	j.zones = map[string]int{}
-	j.Errors = map[string]int{}
-	j.Closing, j.Unreconciled, j.Migrating = false, false, false
+	j.MachineFailures = map[string]int{}
+	j.Finalizing, j.Unreconciled, j.Migrating = false, false, false
 }
 
 // Reset prepares the job for a new owner: every unfinished task is ready.
 func (j *Job) Reset() {
 	j.ClearPlacements()
-	j.Worked = j.Worked || j.finished.Len() > 0
-	j.Started = j.Started || j.Worked
+	j.AnyTaskSucceeded = j.AnyTaskSucceeded || j.finished.Len() > 0
+	j.Started = j.Started || j.AnyTaskSucceeded
 	if j.Active() {
 		for t := j.Record.Tasks - 1; t >= 0; t-- {
 			if !j.finished.Has(t) {
@@ -147,7 +147,7 @@
 
 // Adopt records a task that a machine lists although it was not placed there.
 func (j *Job) Adopt(task int, p Place) {
-	j.unready(task)
+	j.removeReady(task)
 	j.place(task, p)
 }
 
@@ -160,7 +160,7 @@
 	j.Started = j.Started || p.Live
 }
 
-func (j *Job) unready(task int) {
+func (j *Job) removeReady(task int) {
 	if i := slices.Index(j.ready, task); i >= 0 {
 		j.ready = slices.Delete(j.ready, i, i+1)
 	}
@@ -192,23 +192,23 @@
 	if !j.Active() || task >= j.Record.Tasks || !j.finished.Add(task) {
 		return
 	}
-	j.Worked, j.Started = true, true
-	j.Errors = map[string]int{}
-	j.dirty[layout.Of(task, j.Record.Tasks).First] = true
+	j.AnyTaskSucceeded, j.Started = true, true
+	j.MachineFailures = map[string]int{}
+	j.dirty[layout.PartFor(task, j.Record.Tasks).First] = true
 	if _, ok := j.places[task]; ok {
 		return // released once its machine's heartbeat has been taken in
 	}
-	j.unready(task)
+	j.removeReady(task)
 }
 
-// meanOf is from how many tasks on a mean says something of the others.
-const meanOf = 3
+// minMeanSamples is from how many tasks on a mean says something of the others.
+const minMeanSamples = 3
 
 // AddRuntime records how long a task ran.
 func (j *Job) AddRuntime(took units.Microseconds) {
 	j.runCount++
 	j.runSum += took
-	if j.runCount >= meanOf {
+	if j.runCount >= minMeanSamples {
 		j.MeanRuntime = j.runSum / units.Microseconds(j.runCount)
 	}
 }
@@ -216,16 +216,16 @@
 // Finalize makes the job final: only its status is kept.
 func (j *Job) Finalize(record Record, version uint64) {
 	j.Record, j.Version = record, version
-	j.ready, j.dirty, j.Errors = nil, nil, nil
+	j.ready, j.dirty, j.MachineFailures = nil, nil, nil
 	j.finished, j.stored = Set{}, Set{}
 	if len(j.places) == 0 {
 		j.places, j.zones = nil, nil
 	}
 }
 
-// Complete makes the job final by its own record, whether or not it was cancelled through another
+// FinalizeByRecord makes the job final by its own record, whether or not it was cancelled through another
 // before.
-func (j *Job) Complete(record Record, version uint64) {
+func (j *Job) FinalizeByRecord(record Record, version uint64) {
 	j.Finalize(record, version)
 	j.CancelledBy = ""
 }
@@ -246,11 +246,11 @@
 	j.ClearPlacements()
 }
 
-// Archive keeps the job, whose record has been archived, for its tasks that may run.
-func (j *Job) Archive() { j.Archived = true }
+// MarkArchived keeps the job, whose record has been archived, for its tasks that may run.
+func (j *Job) MarkArchived() { j.Archived = true }
 
-// SetClosing says whether the job's end is being stored.
-func (j *Job) SetClosing(closing bool) { j.Closing = closing }
+// SetFinalizing says whether the job's end is being stored.
+func (j *Job) SetFinalizing(closing bool) { j.Finalizing = closing }
 
 // SetMigrating says whether it is being stored that the job moves to another shard.
 func (j *Job) SetMigrating(migrating bool) { j.Migrating = migrating }
--- a/internal/core/jobs/job_test.go
+++ b/internal/core/jobs/job_test.go
@@ -59,7 +59,7 @@
 	f.Add([]byte(`{"status":"pending","tasks":1,"spec":{"tasks":1}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := DecodeRecord(b)
-		if err == nil && !r.Status.Final() && (r.Spec == nil || !r.Spec.Sane() || r.Tasks > MaxTasks) {
+		if err == nil && !r.Status.Final() && (r.Spec == nil || !r.Spec.Valid() || r.Tasks > MaxTasks) {
 			t.Fatalf("%s read as %+v", b, r)
 		}
 	})
--- a/internal/core/jobs/progress.go
+++ b/internal/core/jobs/progress.go
@@ -21,9 +21,9 @@
 	return n
 }
 
-// pieceTasks is how many tasks a record covers where TasksPerRecord would not
+// tasksPerPiece is how many tasks a record covers where TasksPerRecord would not
 // fit. It is the same under every limit, so that a key always means the same.
-const pieceTasks = 512
+const tasksPerPiece = 512
 
 // ProgressLayout says how the finished tasks of a job are divided among records. A
 // record is named by its number, and what is stored there is relative to
@@ -44,16 +44,16 @@
 	Base, First, End int
 }
 
-// Of returns the record to which a task of a job belongs.
-func (layout ProgressLayout) Of(task, tasks int) ProgressPart {
+// PartFor returns the record to which a task of a job belongs.
+func (layout ProgressLayout) PartFor(task, tasks int) ProgressPart {
 	number := task / layout.TasksPerRecord
 	part := ProgressPart{Name: strconv.Itoa(number), Base: number * layout.TasksPerRecord}
 	part.First, part.End = part.Base, min(part.Base+layout.TasksPerRecord, tasks)
-	if layout.Pieces && part.End-part.First > pieceTasks {
-		piece := (task - part.Base) / pieceTasks
+	if layout.Pieces && part.End-part.First > tasksPerPiece {
+		piece := (task - part.Base) / tasksPerPiece
 		part.Name = strings.Repeat("0", piece+1) + part.Name
-		part.First += piece * pieceTasks
-		part.End = min(part.First+pieceTasks, part.End)
+		part.First += piece * tasksPerPiece
+		part.End = min(part.First+tasksPerPiece, part.End)
 	}
 	return part
 }
@@ -66,7 +66,7 @@
 		names = append(names, strconv.Itoa(first/layout.TasksPerRecord))
 	}
 	for first := 0; first < tasks && layout.Pieces; {
-		part := layout.Of(first, tasks)
+		part := layout.PartFor(first, tasks)
 		if part.Name[0] == '0' && len(part.Name) > 1 {
 			names = append(names, part.Name)
 		}
@@ -97,8 +97,8 @@
 	return j.finished.AddRanges(progress.Tasks, first, end)
 }
 
-// AwaitStorage notes that finished tasks wait to be stored, and reports whether none did before.
-func (j *Job) AwaitStorage(now units.Microseconds) bool {
+// SetDirtySince notes that finished tasks wait to be stored, and reports whether none did before.
+func (j *Job) SetDirtySince(now units.Microseconds) bool {
 	if j.DirtySince != 0 {
 		return false
 	}
--- a/internal/core/jobs/progress_test.go
+++ b/internal/core/jobs/progress_test.go
@@ -33,7 +33,7 @@
 		job.finished = Set{}
 	}
 	for _, first := range job.TakeDirty() {
-		part := writer.Of(first, tasks)
+		part := writer.PartFor(first, tasks)
 		stored[part.Name] = job.FinishedRanges(part)
 		if len(stored[part.Name])+40 > limit {
 			t.Fatalf("%d bytes in %q for a limit of %d", len(stored[part.Name]), part.Name, limit)
--- a/internal/core/jobs/record.go
+++ b/internal/core/jobs/record.go
@@ -60,7 +60,7 @@
 
 // check reports why a record of an unfinished job cannot be worked with.
 func (r *Record) check() error {
-	if r.Spec == nil || !r.Spec.Sane() || r.Tasks != r.Spec.Tasks || r.Shard < 0 {
+	if r.Spec == nil || !r.Spec.Valid() || r.Tasks != r.Spec.Tasks || r.Shard < 0 {
 		return errNoDescription
 	}
 	return nil
--- a/internal/core/jobs/registry/learn.go
+++ b/internal/core/jobs/registry/apply.go
@@ -11,9 +11,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// LearnRecord takes a job's record as the state service has it: a new job, another shard, or the
+// ApplyRecord takes a job's record as the state service has it: a new job, another shard, or the
 // job's end. The record of a job with a long description counts once all chunks are there.
-func (r *Registry) LearnRecord(id string, event store.Event) error {
+func (r *Registry) ApplyRecord(id string, event store.Event) error {
 	if event.Value == nil {
 		r.recordRemoved(id)
 		return nil
@@ -33,10 +33,10 @@
 		job = r.add(id, record, event.Stamp)
 	}
 	if record.Status == jobs.Cancelled {
-		r.host.CancellationLearnt(event)
+		r.host.CancellationObserved(event)
 	}
 	if record.Status.Final() {
-		r.complete(job, record, event.Stamp)
+		r.finalize(job, record, event.Stamp)
 		return nil
 	}
 	job.RecordStored(event.Stamp)
@@ -68,7 +68,7 @@
 	if by := r.dependencies.Link(job, r.all, r.host.WallClock()); by != "" {
 		job.Cancel(by)
 		r.cancelledThroughDependency(job)
-		r.over(job)
+		r.finalized(job)
 		return
 	}
 	if job.OpenDependencies > 0 {
@@ -85,23 +85,23 @@
 	}
 }
 
-// complete takes a final record.
-func (r *Registry) complete(job *jobs.Job, record jobs.Record, version uint64) {
+// finalize takes a final record.
+func (r *Registry) finalize(job *jobs.Job, record jobs.Record, version uint64) {
 	if job.Active() {
-		r.host.JobCompleting(job, record.Status)
+		r.host.JobFinalizing(job, record.Status)
 	}
-	job.Complete(record, version)
+	job.FinalizeByRecord(record, version)
 	delete(r.pendingDeletion, job.ID)
-	r.over(job)
+	r.finalized(job)
 }
 
-// over takes in that a job is final: those that depend on it may start, or are cancelled too.
-func (r *Registry) over(job *jobs.Job) {
+// finalized takes in that a job is final: those that depend on it may start, or are cancelled too.
+func (r *Registry) finalized(job *jobs.Job) {
 	r.deactivate(job)
 	if r.chunks.Any(job.ID) {
 		r.pendingDeletion[job.ID] = true
 	}
-	ready, cancelled := r.dependencies.JobOver(job, r.host.WallClock())
+	ready, cancelled := r.dependencies.JobFinalized(job, r.host.WallClock())
 	for _, dependent := range cancelled {
 		r.deactivate(dependent)
 		r.cancelledThroughDependency(dependent)
@@ -115,7 +115,7 @@
 func (r *Registry) deactivate(job *jobs.Job) {
 	delete(r.active, job.ID)
 	r.runnable.Remove(job)
-	r.host.JobOver(job.ID)
+	r.host.JobFinalized(job.ID)
 }
 
 // cancelledThroughDependency notes that a job is cancelled with another. That follows from what is
@@ -135,14 +135,14 @@
 	}
 	r.host.JobArchived(job)
 	if job.Placed() > 0 {
-		job.Archive() // its tasks count until their machines no longer list them
+		job.MarkArchived() // its tasks count until their machines no longer list them
 		return
 	}
 	delete(r.all, id)
 }
 
-// LearnProgress takes a record of finished tasks. name is JOB/CHUNK.
-func (r *Registry) LearnProgress(name string, event store.Event) error {
+// ApplyProgress takes a record of finished tasks. name is JOB/CHUNK.
+func (r *Registry) ApplyProgress(name string, event store.Event) error {
 	id, chunk, isRecord := strings.Cut(name, "/")
 	job := r.all[id]
 	number, err := strconv.Atoi(chunk)
@@ -159,9 +159,9 @@
 	return job.LoadProgress(number, r.cfg.Layout, record)
 }
 
-// LearnChunk takes a chunk of a description, or its removal. Its record is stored later, but may
+// ApplyChunk takes a chunk of a description, or its removal. Its record is stored later, but may
 // be listed earlier.
-func (r *Registry) LearnChunk(event store.Event) error {
+func (r *Registry) ApplyChunk(event store.Event) error {
 	if event.Value == nil {
 		r.chunkDeleted(event.Key)
 		return nil
@@ -175,7 +175,7 @@
 	case job != nil && !job.Active():
 		r.pendingDeletion[id] = true
 	case waits:
-		return r.LearnRecord(id, record)
+		return r.ApplyRecord(id, record)
 	}
 	return nil
 }
--- a/internal/core/jobs/registry/objectives.go
+++ b/internal/core/jobs/registry/objectives.go
@@ -6,16 +6,16 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// propagateEvery is how often objectives pass along the dependencies.
-const propagateEvery = units.Second / 2
+// propagateInterval is how often objectives pass along the dependencies.
+const propagateInterval = units.Second / 2
 
 // PropagationDue reports whether it is time for PropagateObjectives.
-func (r *Registry) PropagationDue() bool { return r.host.Now() >= r.propagateAt }
+func (r *Registry) PropagationDue() bool { return r.host.Now() >= r.nextPropagationAt }
 
 // PropagateObjectives lets deadlines and priorities pass back from jobs that wait to those that they
 // depend on. stepTime is how long a job is expected to take once it may start.
 func (r *Registry) PropagateObjectives(stepTime func(*jobs.Job) units.Microseconds) {
-	r.propagateAt = r.host.Now() + propagateEvery
+	r.nextPropagationAt = r.host.Now() + propagateInterval
 	r.dependencies.Propagate(r.all, r.ownObjectives, stepTime)
 }
 
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -3,9 +3,9 @@
 // descriptions, and what is left in the state service of jobs that are over. Nobody else writes
 // any of these.
 //
-// What is learnt from the state service comes in by LearnRecord, LearnProgress and LearnChunk, in the
+// What is learnt from the state service comes in by ApplyRecord, ApplyProgress and ApplyChunk, in the
 // order of the copy; what follows for the rest of the controller goes out by Host. A job's life
-// stands in learn.go, what is deleted behind it in garbage.go, and how deadlines and priorities
+// stands in apply.go, what is deleted behind it in garbage.go, and how deadlines and priorities
 // pass along dependencies in objectives.go. The package is pure: it has no clock of its own.
 package registry
 
@@ -35,15 +35,15 @@
 	JobRunnable(job *jobs.Job)
 	// JobLeavesShard takes the job from its shard, as another shard is to have it.
 	JobLeavesShard(job *jobs.Job)
-	// JobCompleting takes the job from its shard, as its record has become final. The job's
+	// JobFinalizing takes the job from its shard, as its record has become final. The job's
 	// description is still there.
-	JobCompleting(job *jobs.Job, status jobs.Status)
-	// JobOver says that a job is final, by its own record or through another.
-	JobOver(id string)
+	JobFinalizing(job *jobs.Job, status jobs.Status)
+	// JobFinalized says that a job is final, by its own record or through another.
+	JobFinalized(id string)
 	// JobArchived says that the record of a job that is over has been removed by the archiver.
 	JobArchived(job *jobs.Job)
-	// CancellationLearnt says that a record is a cancellation.
-	CancellationLearnt(record store.Event)
+	// CancellationObserved says that a record is a cancellation.
+	CancellationObserved(record store.Event)
 }
 
 // Config is what stays the same for the registry's life.
@@ -60,13 +60,13 @@
 	cfg  Config
 	host Host
 
-	all             map[string]*jobs.Job // those that are not archived
-	active          map[string]*jobs.Job // those that are not final
-	runnable        ranking.Order        // active ones without open dependencies
-	dependencies    jobs.DependencyGraph
-	chunks          *chunks.Store
-	pendingDeletion map[string]bool    // jobs that are over and of which something is to be deleted
-	propagateAt     units.Microseconds // objectives pass along the dependencies not before
+	all               map[string]*jobs.Job // those that are not archived
+	active            map[string]*jobs.Job // those that are not final
+	runnable          ranking.Order        // active ones without open dependencies
+	dependencies      jobs.DependencyGraph
+	chunks            *chunks.Store
+	pendingDeletion   map[string]bool    // jobs that are over and of which something is to be deleted
+	nextPropagationAt units.Microseconds // objectives pass along the dependencies not before
 }
 
 // New returns a registry that knows no job.
@@ -106,11 +106,11 @@
 // Layout says how the finished tasks of a job are divided among progress records.
 func (r *Registry) Layout() jobs.ProgressLayout { return r.cfg.Layout }
 
-// Blocked is the number of jobs that wait for others.
-func (r *Registry) Blocked() int { return r.dependencies.BlockedLen() }
+// BlockedLen is the number of jobs that wait for others.
+func (r *Registry) BlockedLen() int { return r.dependencies.BlockedLen() }
 
-// Awaited reports whether any job waits for the named one.
-func (r *Registry) Awaited(id string) bool { return r.dependencies.HasDependents(id) }
+// HasDependents reports whether any job waits for the named one.
+func (r *Registry) HasDependents(id string) bool { return r.dependencies.HasDependents(id) }
 
 // Retained reports whether the record of a job that is over must stay: an unfinished job's
 // description names it, so that whoever learns that one has to learn how this one ended; or
--- a/internal/core/jobs/registry/registry_test.go
+++ b/internal/core/jobs/registry/registry_test.go
@@ -26,15 +26,15 @@
 }
 func (f *fakeHost) JobRunnable(job *jobs.Job)    { f.calls = append(f.calls, "runnable "+job.ID) }
 func (f *fakeHost) JobLeavesShard(job *jobs.Job) { f.calls = append(f.calls, "leaves "+job.ID) }
-func (f *fakeHost) JobCompleting(job *jobs.Job, status jobs.Status) {
+func (f *fakeHost) JobFinalizing(job *jobs.Job, status jobs.Status) {
 	if job.Spec() == nil {
 		f.calls = append(f.calls, "too late")
 	}
 	f.calls = append(f.calls, string(status)+" "+job.ID)
 }
-func (f *fakeHost) JobOver(id string)         { f.calls = append(f.calls, "over "+id) }
+func (f *fakeHost) JobFinalized(id string)    { f.calls = append(f.calls, "over "+id) }
 func (f *fakeHost) JobArchived(job *jobs.Job) { f.calls = append(f.calls, "archived "+job.ID) }
-func (f *fakeHost) CancellationLearnt(e store.Event) {
+func (f *fakeHost) CancellationObserved(e store.Event) {
 	f.calls = append(f.calls, "cancellation "+e.Key)
 }
 
@@ -69,7 +69,7 @@
 
 func learn(t *testing.T, r *Registry, id string, record jobs.Record, version uint64) {
 	t.Helper()
-	if err := r.LearnRecord(id, store.Event{Value: record.Encode(), Stamp: version}); err != nil {
+	if err := r.ApplyRecord(id, store.Event{Value: record.Encode(), Stamp: version}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -89,15 +89,15 @@
 	host.expect(t)
 	learn(t, r, "wk-000001", pending(0), 6)
 	host.expect(t, "runnable wk-000001")
-	if r.Len() != 2 || r.ActiveLen() != 2 || ids(r.ActiveByID()) != "wk-000001 wk-000002" || ids(r.Runnable()) != "wk-000001" || r.Blocked() != 1 || !r.Awaited("wk-000001") {
-		t.Fatalf("%d jobs, %s runnable, %d blocked", r.Len(), ids(r.Runnable()), r.Blocked())
+	if r.Len() != 2 || r.ActiveLen() != 2 || ids(r.ActiveByID()) != "wk-000001 wk-000002" || ids(r.Runnable()) != "wk-000001" || r.BlockedLen() != 1 || !r.HasDependents("wk-000001") {
+		t.Fatalf("%d jobs, %s runnable, %d blocked", r.Len(), ids(r.Runnable()), r.BlockedLen())
 	}
 	learn(t, r, "wk-000001", pending(1), 7)
 	host.expect(t, "leaves wk-000001", "runnable wk-000001")
 	if a := r.Get("wk-000001"); a.Record.Shard != 1 || a.Version != 7 || a.Objectives.LastDue != 120*units.Second {
 		t.Fatalf("%+v", a)
 	}
-	if err := r.LearnProgress("wk-000001/0", store.Event{Value: []byte(`{"tasks":"0-9","failing":true}`)}); err != nil {
+	if err := r.ApplyProgress("wk-000001/0", store.Event{Value: []byte(`{"tasks":"0-9","failing":true}`)}); err != nil {
 		t.Fatal(err)
 	}
 	if a := r.Get("wk-000001"); a.Finished() != 10 || !a.IsStored(9) || !a.Failing {
@@ -114,7 +114,7 @@
 	if r.Retained("wk-000001") || r.ActiveLen() != 0 {
 		t.Error("a job is retained that nobody names any more")
 	}
-	if err := r.LearnRecord("wk-000001", store.Event{}); err != nil {
+	if err := r.ApplyRecord("wk-000001", store.Event{}); err != nil {
 		t.Fatal(err)
 	}
 	host.expect(t, "archived wk-000001")
@@ -132,14 +132,14 @@
 func TestUnusableRecords(t *testing.T) {
 	r, host := newRegistry()
 	for _, value := range []string{`{`, `{"status":"running"}`, `{"status":"pending","tasks":1}`, `{"status":"pending","tasks":1,"parts":1}`, `{"status":"pending","tasks":1,"parts":1000,"sum":"x"}`} {
-		if err := r.LearnRecord("wk-000001", store.Event{Value: []byte(value)}); err == nil {
+		if err := r.ApplyRecord("wk-000001", store.Event{Value: []byte(value)}); err == nil {
 			t.Errorf("%s is taken", value)
 		}
 	}
 	learn(t, r, "wk-000001", pending(0), 5)
 	host.expect(t, "runnable wk-000001")
 	for name, value := range map[string]string{"wk-000001/x": `{}`, "wk-000001/9": `{"tasks":"0"}`, "wk-000001/0": `{"tasks":"999"}`, "wk-000001/00": `{`} {
-		if err := r.LearnProgress(name, store.Event{Value: []byte(value)}); err == nil {
+		if err := r.ApplyProgress(name, store.Event{Value: []byte(value)}); err == nil {
 			t.Errorf("%s %s is taken", name, value)
 		}
 	}
@@ -203,7 +203,7 @@
 				learn(t, r, "wk-000001", record, 50)
 			}
 			if i < len(list) {
-				if err := r.LearnChunk(list[i]); err != nil {
+				if err := r.ApplyChunk(list[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -238,7 +238,7 @@
 	record, list := longRecord("wk-000001")
 	r, host := newRegistry()
 	for _, e := range list {
-		if err := r.LearnChunk(e); err != nil {
+		if err := r.ApplyChunk(e); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -271,7 +271,7 @@
 		}
 		w.done[0](store.OK)
 		for _, change := range w.changes {
-			if err := r.LearnChunk(store.Event{Key: change.Key}); err != nil {
+			if err := r.ApplyChunk(store.Event{Key: change.Key}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -284,7 +284,7 @@
 	r, host = newRegistry()
 	collection = OrphanCollection{}
 	for _, e := range list {
-		if err := r.LearnChunk(e); err != nil {
+		if err := r.ApplyChunk(e); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/core/jobs/spec.go
+++ b/internal/core/jobs/spec.go
@@ -62,9 +62,9 @@
 	Awaits     []string           `json:"awaits,omitempty"`   // jobs that must be done before any task starts
 }
 
-// Sane reports whether a description that came from another process can be
+// Valid reports whether a description that came from another process can be
 // worked with.
-func (s *Spec) Sane() bool {
+func (s *Spec) Valid() bool {
 	for _, v := range s.Demand {
 		if v < 0 {
 			return false
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -97,11 +97,11 @@
 	case event.Key == termKey:
 		err = c.election.LearnTerm(event)
 	case strings.HasPrefix(event.Key, jobPrefix):
-		err = c.jobs.LearnRecord(event.Key[len(jobPrefix):], event)
+		err = c.jobs.ApplyRecord(event.Key[len(jobPrefix):], event)
 	case strings.HasPrefix(event.Key, chunkPrefix):
-		err = c.jobs.LearnChunk(event)
+		err = c.jobs.ApplyChunk(event)
 	case strings.HasPrefix(event.Key, progressPrefix):
-		err = c.jobs.LearnProgress(event.Key[len(progressPrefix):], event)
+		err = c.jobs.ApplyProgress(event.Key[len(progressPrefix):], event)
 	case strings.HasPrefix(event.Key, machinePrefix):
 		err = c.learnMachines(event.Key, event)
 	case strings.HasPrefix(event.Key, typePrefix), strings.HasPrefix(event.Key, keys.TypePrefixWithArchive):
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -199,7 +199,7 @@
 
 // onForwarded serves a user's request that another controller has forwarded.
 func (c *Core) onForwarded(from string, ask PeerAsk) {
-	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Sane() {
+	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Valid() {
 		return
 	}
 	request, ok := c.forwarder.Receive(peering.Origin{Node: from, ID: ask.ID})
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -4,7 +4,7 @@
 //
 // What it decides by is kept with the machines (fleet.Machine: Failed, FailedAt, Proven,
 // Quarantined; a slow machine is quarantined by fleet.Machine.Ran) and the jobs (jobs.Job: Errors,
-// Worked, Failing, Replaced, NotBefore). Nobody else writes those of the machines.
+// AnyTaskSucceeded, Failing, QuarantineCount, NotBefore). Nobody else writes those of the machines.
 package quarantine
 
 import (
@@ -66,22 +66,22 @@
 //     worked, and few of them.
 func (a *Attribution) TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
 	now := a.host.Now()
-	again := job.Errors[machine.Name] > 0 && attempt.Started > machine.FailedAt
+	again := job.MachineFailures[machine.Name] > 0 && attempt.Started > machine.FailedAt
 	machine.FailedAt = now
 	a.log.Debug("task failed", "job", job.ID, "machine", machine.Name)
-	if job.Worked {
+	if job.AnyTaskSucceeded {
 		a.quarantine(machine)
 		return
 	}
 	known := job.FailsEverywhere()
 	job.FailedOn(machine.Name)
-	if again && (!known || !machine.Proven && job.Replaced < maxReplaced) {
-		job.MachineReplaced()
+	if again && (!known || !machine.Proven && job.QuarantineCount < maxReplaced) {
+		job.MachineQuarantined()
 		machine.Quarantined = true // what speaks against the job stays
 		a.log.Warn("machine quarantined: a job fails there again", "machine", machine.Name, "job", job.ID)
 	}
 	if job.FailsEverywhere() {
-		job.RetryAt(now + backoff(len(job.Errors)))
+		job.RetryAt(now + backoff(len(job.MachineFailures)))
 		if !known {
 			a.log.Warn("job fails everywhere", "job", job.ID, "class", job.Spec().Class, "team", job.Spec().Team)
 			a.host.StoreFailing(job)
@@ -106,7 +106,7 @@
 func (a *Attribution) openCases(machine *fleet.Machine) int {
 	open := 0
 	for id := range machine.Failed {
-		if job := a.host.Job(id); job != nil && job.Active() && !job.Worked && !job.FailsEverywhere() {
+		if job := a.host.Job(id); job != nil && job.Active() && !job.AnyTaskSucceeded && !job.FailsEverywhere() {
 			open++
 		}
 	}
@@ -123,10 +123,10 @@
 	a.log.Warn("machine quarantined: it fails its tasks", "machine", machine.Name)
 	now := a.host.Now()
 	for _, job := range a.host.ActiveJobs() {
-		if job.Errors[machine.Name] == 0 {
+		if job.MachineFailures[machine.Name] == 0 {
 			continue
 		}
-		if job.FailuresExplained(machine.Name) {
+		if job.ClearMachineFailures(machine.Name) {
 			a.host.StoreFailing(job)
 		}
 		if !job.FailsEverywhere() {
@@ -152,7 +152,7 @@
 // exonerate blames the machines on which a suspect job failed, as a task of it has completed, unless
 // something has worked there since.
 func (a *Attribution) exonerate(job *jobs.Job) {
-	for _, name := range slices.Sorted(maps.Keys(job.Errors)) {
+	for _, name := range slices.Sorted(maps.Keys(job.MachineFailures)) {
 		if machine := a.host.Machine(name); machine != nil && machine.Failed[job.ID] {
 			a.quarantine(machine)
 		}
@@ -163,8 +163,8 @@
 
 // Trials is how many tasks of a suspect job may start on a machine.
 func Trials(now units.Microseconds, machine *fleet.Machine, job *jobs.Job) int {
-	if job.Errors[machine.Name] > 0 && now-machine.FailedAt < retrySame {
+	if job.MachineFailures[machine.Name] > 0 && now-machine.FailedAt < retrySame {
 		return 0
 	}
-	return job.Trials()
+	return job.StartLimit()
 }
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -76,7 +76,7 @@
 				attribution.TaskFailed(machine, job, fleet.Attempt{Started: machine.FailedAt})
 			case "+":
 				attribution.TaskWorked(machine, job, fleet.Attempt{Started: started + 1})
-				job.Worked = true
+				job.AnyTaskSucceeded = true
 			}
 		}
 		quarantined, failing := "", ""
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -99,7 +99,7 @@
 		if job.Ready() == 0 || !s.startable(now, job) {
 			continue
 		}
-		s.readyTasks += job.Trials()
+		s.readyTasks += job.StartLimit()
 		s.reserve(wall, job)
 		s.queue.Propose(ranking.Candidate{
 			Job:     job,
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -56,7 +56,7 @@
 func (h writerHost) TaskFinished(job string, task int) { h.shard.replication.TaskDone(job, task) }
 
 // Awaited implements shardstore.Host.
-func (h writerHost) Awaited(job string) bool { return h.jobs.Awaited(job) }
+func (h writerHost) Awaited(job string) bool { return h.jobs.HasDependents(job) }
 
 // garbageHost collects garbage under the assignment of the first shard.
 type garbageHost struct {
--- a/internal/core/shardstore/progress.go
+++ b/internal/core/shardstore/progress.go
@@ -24,7 +24,7 @@
 
 // StoreProgress has a job's marked records stored soon, unless that is planned already.
 func (w *Writer) StoreProgress(job *jobs.Job) {
-	if job.AwaitStorage(w.host.Now()) {
+	if job.SetDirtySince(w.host.Now()) {
 		w.unstoredJobs = append(w.unstoredJobs, job)
 	}
 }
@@ -35,7 +35,7 @@
 	if job.Finished() == 0 {
 		return
 	}
-	for first := 0; first < job.Record.Tasks; first = w.cfg.Layout.Of(first, job.Record.Tasks).End {
+	for first := 0; first < job.Record.Tasks; first = w.cfg.Layout.PartFor(first, job.Record.Tasks).End {
 		job.MarkDirty(first)
 	}
 	w.StoreProgress(job)
@@ -64,7 +64,7 @@
 // writeProgress stores the finished tasks of the record that begins with a task. It covers all
 // that is finished now; what is added before it is sent goes into the next one.
 func (w *Writer) writeProgress(job *jobs.Job, first int) {
-	part := w.cfg.Layout.Of(first, job.Record.Tasks)
+	part := w.cfg.Layout.PartFor(first, job.Record.Tasks)
 	key := keys.Progress(job.ID, part.Name)
 	value := jobs.Progress{Tasks: job.FinishedRanges(part), Failing: part.Base == 0 && job.FailsEverywhere()}
 	// The job's record is guarded as well: once that is final, those of its progress are
@@ -80,7 +80,7 @@
 // CloseJob stores that a job is done, and deletes its records of finished tasks, unless that is
 // under way. Users are told only once the copy shows that it is stored.
 func (w *Writer) CloseJob(job *jobs.Job) {
-	if !job.Active() || job.Closing {
+	if !job.Active() || job.Finalizing {
 		return
 	}
 	key := keys.Job(job.ID)
@@ -92,9 +92,9 @@
 			changes = append(changes, store.Change{Key: progress})
 		}
 	}
-	job.SetClosing(true)
+	job.SetFinalizing(true)
 	write := w.guarded([]string{key}, changes)
 	write.First = w.host.Awaited(job.ID) // those that wait for it start once that is stored
-	write.Done = func(store.Outcome, uint64) { job.SetClosing(false) }
+	write.Done = func(store.Outcome, uint64) { job.SetFinalizing(false) }
 	w.host.Enqueue(write)
 }
--- a/internal/core/shardstore/shardstore_test.go
+++ b/internal/core/shardstore/shardstore_test.go
@@ -235,7 +235,7 @@
 			w.TaskFinished(job, task)
 		}
 		w.CloseJob(job)
-		if !job.Active() || !job.Closing {
+		if !job.Active() || !job.Finalizing {
 			t.Fatal("over before that is stored")
 		}
 		writes := owner.settle(t, store.Unknown)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -118,7 +118,7 @@
 			s.Site()
 			s.Check()
 			for _, j := range s.Jobs {
-				if spec := j.Spec(); !spec.Sane() {
+				if spec := j.Spec(); !spec.Valid() {
 					t.Errorf("job %+v gives %+v", j, spec)
 				}
 			}
