--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,14 +1,14 @@
-// Package admission takes users' requests: submissions, queries and cancellations of jobs. A
-// request goes forward from step to step, each of which may wait for an answer from outside:
+// Package admission serves users' requests: submissions, queries and cancellations of jobs. A
+// request passes through steps, each of which may wait for an asynchronous answer:
 //
-//   - a submission is resolved against the archive (resolve), judged (judge, refusal), made into a
-//     record (accept), stored (store), and answered;
-//   - a query is answered by what is known, if that is final or as new as the query;
-//   - a cancellation is stored, and then answered.
+//   - a submission looks up the job and its dependencies in the archive (resolve), is answered, accepted
+//     or refused (answerOrAdmit, validate), is encoded as a record (accept), stored (store) and answered;
+//   - a query is answered from memory if the known state is final or at least as new as the query;
+//   - a cancellation is stored and then answered.
 //
-// Nothing is confirmed before it is stored, and no answer is older than the request. A
-// controller that the state service does not serve forwards requests to one that it does. Whether a
-// request is served or refused, and with which HTTP status, is in answers.go.
+// Nothing is confirmed to the user before it is stored, and no answer is older than its request. A
+// controller that cannot reach the state service forwards requests to one that can. The file
+// answers.go decides whether a request is served or refused, and with which HTTP status.
 package admission
 
 import (
@@ -22,10 +22,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// RequestID names a request that waits for an answer.
+// RequestID identifies a pending request.
 type RequestID uint64
 
-// Kind is what a user wants. Its values are sent between controllers.
+// Kind is the operation that a user requests. Its values are sent between controllers.
 type Kind int
 
 // Kinds of requests.
@@ -35,100 +35,104 @@
 	Cancel
 )
 
-// Request is a user's request as another controller can serve it too.
+// Request is a user's request in a form that can be forwarded to another controller.
 type Request struct {
 	ID        RequestID
 	Kind      Kind
 	Job       string
-	Spec      *jobs.Spec // of a submission; nil: malformed
-	Malformed string     // why
+	Spec      *jobs.Spec // of a submission; nil if the body was malformed
+	Malformed string     // why the body was malformed
 }
 
-// Archive is what a controller knows of archived jobs.
+// Archive looks up archived jobs.
 type Archive interface {
-	// On reports whether jobs are archived.
+	// On reports whether archiving is enabled.
 	On() bool
-	// Mark returns the archive's mark and the version of its key.
+	// Mark returns the archive's mark and the version of the key that holds it.
 	Mark() (archive.Mark, uint64)
-	// Known returns how an archived job ended, if that is at hand.
+	// Known returns how an archived job ended, if that is already in memory.
 	Known(id string) (archive.Answer, bool)
-	// Find looks that up; done may be called before it returns.
+	// Find looks up how an archived job ended. It may call done before it returns.
 	Find(id string, urgent bool, done func(archive.Verdict, archive.Answer))
 }
 
-// Host is what admission needs of its controller. Callbacks may be called before the method that
-// takes them returns, or later; each is called once.
+// Host is what admission needs from its controller. A callback may be called before the
+// method that takes it returns, or later; each callback is called exactly once.
 type Host interface {
-	// Answer and Refuse end a request.
+	// Answer and Refuse complete a request.
 	Answer(request RequestID, accepted bool, answer JobAnswer)
 	Refuse(request RequestID, refusal *Refusal)
-	// ShouldForward reports whether another controller can serve the request now, and this one, as the
-	// state service has not answered it for a while, can't.
+	// ShouldForward reports whether this controller has had no answer from the state service for
+	// a while, so that it cannot serve the request, and another controller can.
 	ShouldForward(request RequestID) bool
-	// Forward gives a request to a controller that the state service serves, or refuses it.
+	// Forward sends a request to a controller that can reach the state
+	// service, or refuses it if there is none.
 	Forward(r Request)
 
 	// Job returns a job whose record is not archived, or nil.
 	Job(id string) *jobs.Job
-	// OwnsShard reports whether this controller knows what runs of a shard's jobs.
+	// OwnsShard reports whether this controller owns the shard, and so knows which of its tasks run.
 	OwnsShard(shard int) bool
 	Archive() Archive
-	// ReadFresh tells whether the copy of the state service's keys has become newer than this call.
+	// ReadFresh calls done once the watch cache is at least as new as
+	// this call; ok is false if the read failed.
 	ReadFresh(done func(ok bool))
-	// Revision is the one up to which the copy is complete, and Version that of a key in it.
+	// Revision returns the revision up to which the watch cache is
+	// complete, and Version the version of a key in it.
 	Revision() uint64
 	Version(key string) uint64
-	// Queue has a change by a user stored, and reports whether the queue had room for it.
+	// Queue queues a write for a user's request, and reports whether the queue had room for it.
 	Queue(w *store.Write) bool
 
 	WallClock() units.Microseconds
-	// TeamLimit returns a team's quota in thousandths, where 0 means none; false: no such team.
+	// TeamLimit returns a team's quota in thousandths, where 0 means no
+	// limit; false if there is no such team.
 	TeamLimit(team string) (binpack.Vec, bool)
-	// TypesKnown reports whether any machine type is known, and Placeable whether a task runs on any.
+	// TypesKnown reports whether any machine type is known, and
+	// Placeable whether a task of the job fits any allowed type.
 	TypesKnown() bool
 	Placeable(spec *jobs.Spec) bool
-	// PeerMemoryFull reports whether another controller that is alive has no memory for more jobs.
+	// PeerMemoryFull reports whether the memory of another live controller is nearly full.
 	PeerMemoryFull() bool
-	// ConfigurationCurrent reports whether the configuration is known well enough to accept by it.
+	// ConfigurationCurrent reports whether the known configuration is recent enough to accept jobs by it.
 	ConfigurationCurrent() bool
-	// LeastLoadedShard is where a new job should go.
+	// LeastLoadedShard returns the shard that a new job is assigned to.
 	LeastLoadedShard() int
-	// OlderPeer names a controller whose release cannot work with jobs that have dependencies or are
-	// stored in chunks; "": none.
+	// OlderPeer returns the name of a controller whose release does not support jobs that
+	// have dependencies or are stored in chunks, or "" if there is none.
 	OlderPeer() string
 }
 
-// Config is what stays the same for the handler's life.
+// Config holds the handler's fixed settings.
 type Config struct {
-	ValueMax int // bytes that one value of the state service takes
-	TxnOps   int // changes that one transaction takes
-	// SkippedGuard is a check that is left out; only tests set it.
+	ValueMax int // maximum size of a value in the state service, in bytes
+	TxnOps   int // maximum number of changes in one transaction
+	// SkippedGuard is a safety check that is skipped. Only tests set it.
 	SkippedGuard guard.Guard
 	Log          *slog.Logger
 }
 
-// Handler serves users' requests. Use New.
+// Handler serves users' requests. Use New to create one.
 type Handler struct {
 	cfg        Config
 	host       Host
 	memoryFull bool // this process's memory is nearly full
 }
 
-// New returns a handler.
 func New(cfg Config, host Host) *Handler { return &Handler{cfg: cfg, host: host} }
 
-// SetMemoryFull says whether this process's memory is nearly full.
+// SetMemoryFull records whether this process's memory is nearly full.
 func (h *Handler) SetMemoryFull(full bool, knownJobs int) {
 	if full != h.memoryFull {
 		h.memoryFull = full
-		h.cfg.Log.Warn("memory", "nearly_full", full, "jobs", knownJobs)
+		h.cfg.Log.Warn("memory pressure changed", "nearly_full", full, "jobs", knownJobs)
 	}
 }
 
 // MemoryFull reports whether this process's memory is nearly full.
 func (h *Handler) MemoryFull() bool { return h.memoryFull }
 
-// AnyMemoryFull reports whether a controller that is alive has no memory for more jobs. Every
-// controller keeps every job's record, and the owner of its shard more than that: a job that
-// one accepts fills the memory of all.
+// AnyMemoryFull reports whether the memory of any live controller is nearly full. Every
+// controller keeps every job's record, and the owner of the job's shard keeps more than
+// that, so a job that one controller accepts uses memory on all of them.
 func (h *Handler) AnyMemoryFull() bool { return h.memoryFull || h.host.PeerMemoryFull() }
--- a/internal/core/admission/answers.go
+++ b/internal/core/admission/answers.go
@@ -8,7 +8,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// JobAnswer tells a job's state. Counts are given to queries only. It is sent between controllers.
+// JobAnswer is a job's state as reported to a user. Done and Running are valid only if Counts is
+// set, which it is in answers to queries only. JobAnswer is sent between controllers.
 type JobAnswer struct {
 	ID            string
 	Status        jobs.Status
@@ -16,18 +17,18 @@
 	Done, Running int
 }
 
-// Reason is why a request is refused.
+// Reason classifies why a request is refused.
 type Reason int
 
 // Reasons of refusals.
 const (
-	Malformed   Reason = iota // the request's body
+	Malformed   Reason = iota // the request's body is malformed
 	NoSuchJob                 // proven by a read that began after the request
 	Infeasible                // the job could never run
-	Unavailable               // at present
+	Unavailable               // the request cannot be served at present
 )
 
-// HTTPStatus is the one with which a refusal is answered.
+// HTTPStatus returns the HTTP status of a refusal.
 func (r Reason) HTTPStatus() int {
 	switch r {
 	case Malformed:
@@ -41,8 +42,8 @@
 	}
 }
 
-// AnswerStatus is the HTTP status of an answer that is no refusal: accepted says that a job has
-// just been stored.
+// AnswerStatus returns the HTTP status of an answer that is not a
+// refusal. accepted means that the request has just stored the job.
 func AnswerStatus(accepted bool) int {
 	if accepted {
 		return http.StatusCreated
@@ -50,31 +51,31 @@
 	return http.StatusOK
 }
 
-// Refusal says why a request is not served.
+// Refusal is the error that a refused request returns.
 type Refusal struct {
 	Reason     Reason
-	Text       string             // as the user reads it
-	RetryAfter units.Microseconds // when to come back; 0: it would be of no use
+	Text       string             // shown to the user
+	RetryAfter units.Microseconds // how long the client should wait before a retry; 0: a retry is of no use
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return r.Text }
 
 const (
-	// RetryAfter is when a user who could not be served should come back.
+	// RetryAfter is how long a client should wait before it retries a request that was refused temporarily.
 	RetryAfter = 1 * units.Second
-	// LongRetryAfter is when, where what is missing will take a while: memory, reads of the
-	// archive, the upgrade of a controller.
+	// LongRetryAfter is used where the cause takes longer to clear:
+	// memory, reads of the archive, the upgrade of a controller.
 	LongRetryAfter = 5 * units.Second
 )
 
-// TemporaryRefusal returns the refusal of a request that could not be served in time.
+// TemporaryRefusal returns the refusal of a request that cannot be served at present.
 func TemporaryRefusal(why string) *Refusal {
 	return &Refusal{Reason: Unavailable, Text: why, RetryAfter: RetryAfter}
 }
 
-// answerJob tells a known job's state. Of a shard that is not owned here it is not known what
-// runs: a job of which tasks are done counts as running.
+// answerJob answers with a known job's state. If this controller does not own the job's shard it does
+// not know which tasks run; a job with finished tasks is then reported as running.
 func (h *Handler) answerJob(request RequestID, job *jobs.Job, counts bool) {
 	answer := JobAnswer{ID: job.ID, Status: job.Record.Status, Counts: counts, Done: job.Finished()}
 	if job.Active() {
@@ -86,7 +87,7 @@
 	h.host.Answer(request, false, answer)
 }
 
-// answerArchived tells how an archived job ended.
+// answerArchived answers with how an archived job ended.
 func (h *Handler) answerArchived(request RequestID, id string, outcome archive.Answer, counts bool) {
 	answer := JobAnswer{ID: id, Status: outcome.Status, Counts: counts}
 	if outcome.Status == jobs.Done {
@@ -95,8 +96,8 @@
 	h.host.Answer(request, false, answer)
 }
 
-// findArchived answers a query or a cancellation of a job whose record is not there, as of
-// a read that began after the request came.
+// findArchived answers a query or a cancellation of a job that has no record. The
+// caller has found that by a read that began after the request arrived.
 func (h *Handler) findArchived(request RequestID, id string, counts bool) {
 	h.host.Archive().Find(id, false, func(verdict archive.Verdict, outcome archive.Answer) {
 		switch verdict {
--- a/internal/core/admission/cancel.go
+++ b/internal/core/admission/cancel.go
@@ -6,7 +6,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// Cancel cancels a job and answers once that is stored, or how the job ended before.
+// Cancel cancels a job. It answers once the cancellation is stored,
+// or with the job's final state if it had already ended.
 func (h *Handler) Cancel(request RequestID, id string) {
 	job := h.host.Job(id)
 	switch {
@@ -21,7 +22,8 @@
 	}
 }
 
-// cancelUnknown goes on once a read has shown whether the job was accepted by another controller.
+// cancelUnknown reads from the state service, since another
+// controller may have accepted the job, and then continues.
 func (h *Handler) cancelUnknown(request RequestID, id string) {
 	h.host.ReadFresh(func(ok bool) {
 		switch {
@@ -46,7 +48,7 @@
 			switch outcome {
 			case store.OK:
 				h.host.Answer(request, false, JobAnswer{ID: job.ID, Status: jobs.Cancelled})
-			case store.Failed: // done, or cancelled by another controller, meanwhile
+			case store.Failed: // done, or cancelled by another controller, in the meantime
 				h.answerAfterConflict(request, job)
 			default:
 				h.host.Forward(Request{ID: request, Kind: Cancel, Job: job.ID})
@@ -58,8 +60,8 @@
 	}
 }
 
-// answerAfterConflict tells how a job ended whose record has changed before its cancellation was
-// stored. Where it has not ended (it went to another shard) the user is to ask again.
+// answerAfterConflict answers a cancellation whose transaction failed because the job's record had changed.
+// If the job has not ended, it was moved to another shard, and the user is told to retry.
 func (h *Handler) answerAfterConflict(request RequestID, job *jobs.Job) {
 	h.host.ReadFresh(func(ok bool) {
 		if !ok || job.Active() {
--- a/internal/core/admission/query.go
+++ b/internal/core/admission/query.go
@@ -2,8 +2,8 @@
 
 import "shalestage.example/shalestage/internal/core/guard"
 
-// Query answers with a job's state. Only a final state may come from the copy of the state
-// service's keys as it is: any other must be at least as new as the query.
+// Query answers with a job's state. Only a final state may be answered from the watch cache
+// directly. Any other state must be at least as new as the query, so a read comes first.
 func (h *Handler) Query(request RequestID, id string) {
 	if job := h.host.Job(id); job != nil && !job.Active() {
 		h.answerJob(request, job, true)
@@ -30,7 +30,7 @@
 	})
 }
 
-// readBeforeAnswer goes on once a read that begins now has ended.
+// readBeforeAnswer calls then once a read that begins now has ended.
 func (h *Handler) readBeforeAnswer(then func(ok bool)) {
 	if h.cfg.SkippedGuard == guard.FreshRead {
 		then(true)
--- a/internal/core/admission/storing.go
+++ b/internal/core/admission/storing.go
@@ -9,33 +9,32 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// encodedJob is how a new job is stored: first the chunks of its description, where one value does
-// not take that, and then the record, which makes the job visible.
+// encodedJob is the stored form of a new job. A job spec that is too large for one value is
+// stored first, in chunks. The record is stored last and makes the job visible.
 type encodedJob struct {
 	record       jobs.Record
-	value        json.RawMessage // of the record
+	value        json.RawMessage // the encoded record
 	chunks       []json.RawMessage
-	nextChunk    int    // chunks that are stored, or need not be
-	firstVersion uint64 // of the first chunk's key; 0: none is stored
-	// firstPresent says that the first chunk was there before: another controller stores, or has stored,
-	// the same.
+	nextChunk    int    // index of the next chunk to store; those before it are stored already or need not be
+	firstVersion uint64 // version of the first chunk's key; 0: the chunk is not stored
+	// firstPresent means that the first chunk was already stored:
+	// another controller stores, or has stored, the same job.
 	firstPresent bool
 }
 
 func encodeJob(record jobs.Record, valueMax int) encodedJob {
-	form := encodedJob{record: record, value: record.Encode()}
-	if len(form.value) > valueMax {
-		form.record, form.chunks = record.Split(valueMax)
-		form.value = form.record.Encode()
+	encoded := encodedJob{record: record, value: record.Encode()}
+	if len(encoded.value) > valueMax {
+		encoded.record, encoded.chunks = record.Split(valueMax)
+		encoded.value = encoded.record.Encode()
 	}
-	return form
+	return encoded
 }
 
-// complete reports whether all chunks are stored, so that the record may follow.
+// complete reports whether all chunks are stored, so that the record can be written.
 func (f *encodedJob) complete() bool { return f.nextChunk == len(f.chunks) }
 
-// store stores what is next of a new job: chunks of its description, if there are any, and then the
-// record.
+// store writes the next part of a new job: the chunks of its spec, if there are any, and then the record.
 func (h *Handler) store(sub *submission) {
 	if sub.encoded.complete() {
 		h.storeRecord(sub)
@@ -44,63 +43,64 @@
 	h.storeChunks(sub)
 }
 
-// guards are those of everything that is stored of a new job. The first also keeps late chunks
-// from an accepted job, and the second a late record from one that was over and archived meanwhile.
+// guards returns the guards of every write of a new job. The first also prevents late chunks
+// from being stored for a job that was already accepted. The second also prevents a late record
+// from being stored for a job that has ended and been archived in the meantime.
 func (s *submission) guards() []store.Guard {
 	return []store.Guard{{Key: keys.Job(s.Job)}, {Key: keys.ArchiveMark, Version: s.markVersion}}
 }
 
 func (h *Handler) storeRecord(sub *submission) {
 	w := &store.Write{Guards: sub.guards(), Changes: []store.Change{{Key: keys.Job(sub.Job), Value: sub.encoded.value}}}
-	if sub.encoded.firstVersion != 0 { // who deletes chunks without a record begins with that one
+	if sub.encoded.firstVersion != 0 { // the deletion of orphaned chunks begins with the first chunk
 		w.Guards = append(w.Guards, store.Guard{Key: chunks.Key(sub.Job, sub.encoded.record.Checksum, 0), Version: sub.encoded.firstVersion})
 	}
 	h.queue(sub, w, func(uint64) {
 		status := sub.encoded.record.Status
 		if job := h.host.Job(sub.Job); job != nil && !job.Active() {
-			status = job.Record.Status // it depends on a cancelled one
+			status = job.Record.Status // cancelled because a dependency was cancelled
 		}
 		h.host.Answer(sub.ID, true, JobAnswer{ID: sub.Job, Status: status})
 	})
 }
 
-// storeChunks stores as many chunks as go into one transaction. Another controller may be storing
-// the same: written once more, the first chunk's version would change, and the two would keep
-// each other from storing the record. Others are passed over only where the first was there: else
-// they may be about to be deleted.
+// storeChunks stores as many chunks as fit into one transaction. Another controller may be storing the same
+// chunks. Rewriting the first chunk would change its version, and the two controllers would keep each other
+// from storing the record; so the first chunk is not written again. Other chunks that exist are skipped
+// only if the first one existed: otherwise they may be about to be deleted as orphans.
 func (h *Handler) storeChunks(sub *submission) {
-	form := &sub.encoded
-	first := form.nextChunk == 0
+	encoded := &sub.encoded
+	first := encoded.nextChunk == 0
 	if first {
-		form.firstVersion = h.host.Version(chunks.Key(sub.Job, form.record.Checksum, 0))
-		form.firstPresent = form.firstVersion != 0
+		encoded.firstVersion = h.host.Version(chunks.Key(sub.Job, encoded.record.Checksum, 0))
+		encoded.firstPresent = encoded.firstVersion != 0
 	}
 	w := &store.Write{Guards: sub.guards()}
-	for ; len(w.Changes) < h.cfg.TxnOps && !form.complete(); form.nextChunk++ {
-		key := chunks.Key(sub.Job, form.record.Checksum, form.nextChunk)
-		if !form.firstPresent || h.host.Version(key) == 0 {
-			w.Changes = append(w.Changes, store.Change{Key: key, Value: form.chunks[form.nextChunk]})
+	for ; len(w.Changes) < h.cfg.TxnOps && !encoded.complete(); encoded.nextChunk++ {
+		key := chunks.Key(sub.Job, encoded.record.Checksum, encoded.nextChunk)
+		if !encoded.firstPresent || h.host.Version(key) == 0 {
+			w.Changes = append(w.Changes, store.Change{Key: key, Value: encoded.chunks[encoded.nextChunk]})
 		}
 	}
 	if len(w.Changes) == 0 {
-		h.store(sub) // all are there
+		h.store(sub) // all chunks are already stored
 		return
 	}
 	h.queue(sub, w, func(revision uint64) {
-		if first && !form.firstPresent {
-			form.firstVersion = revision
+		if first && !encoded.firstPresent {
+			encoded.firstVersion = revision
 		}
 		h.store(sub)
 	})
 }
 
-// queue has a part of a new job stored and goes on with stored, which gets the revision.
+// queue queues a write of a part of a new job. Once it is stored, it calls stored with the revision.
 func (h *Handler) queue(sub *submission, w *store.Write, stored func(revision uint64)) {
 	w.Done = func(outcome store.Outcome, revision uint64) {
 		switch outcome {
 		case store.OK:
 			stored(revision)
-		case store.Failed: // another controller, or an earlier try, was first; or the mark is a new one
+		case store.Failed: // another controller or an earlier attempt was first, or the archive's mark has changed
 			h.retry(sub)
 		case store.TooLarge:
 			h.host.Refuse(sub.ID, TemporaryRefusal("the state service takes no value of that size"))
--- a/internal/core/admission/submit.go
+++ b/internal/core/admission/submit.go
@@ -6,20 +6,20 @@
 	"shalestage.example/shalestage/internal/core/quota"
 )
 
-// maxAttempts bounds how often a submission is judged again by itself.
+// maxAttempts limits how often one submission is attempted again after a conflicting write.
 const maxAttempts = 4
 
-// submission is one on its way through the steps of this file and of storing.go.
+// submission is the state of a submission while it passes through the steps in this file and in storing.go.
 type submission struct {
 	Request
 	attempts    int
-	fresh       bool            // the copy of the state service's keys is newer than the request
-	markVersion uint64          // version of the archive's mark when the archive was asked
-	notArchived map[string]bool // jobs that are proven not to be archived, as long as that is its version
+	fresh       bool            // the watch cache is newer than the request
+	markVersion uint64          // version of the archive's mark when the archive was searched
+	notArchived map[string]bool // jobs proven not to be archived as long as the mark has this version
 	encoded     encodedJob
 }
 
-// Submit takes a submission. A known job is answered with its state, whatever the body is.
+// Submit serves a submission. If the job is already known, the answer is its state, whatever the body is.
 func (h *Handler) Submit(r Request) {
 	if h.host.Job(r.Job) != nil {
 		h.Query(r.ID, r.Job)
@@ -32,8 +32,8 @@
 	h.resolve(&submission{Request: r})
 }
 
-// resolve finds out which of the job and its dependencies are archived. From then on the
-// answers are at hand, or their absence is proven for whoever guards the mark of that time.
+// resolve looks up the job and its dependencies in the archive. Each is then either known to be archived,
+// or proven not to be for a write that is guarded by the version of the archive's mark.
 func (h *Handler) resolve(sub *submission) {
 	index := h.host.Archive()
 	_, sub.markVersion = index.Mark()
@@ -41,7 +41,7 @@
 		h.answerOrAdmit(sub, true)
 		return
 	}
-	if h.host.Revision() < sub.markVersion { // the copy may lack what was accepted before the mark
+	if h.host.Revision() < sub.markVersion { // the watch cache may lack jobs that were accepted before the mark
 		h.host.ReadFresh(func(ok bool) {
 			if ok {
 				h.resolve(sub)
@@ -51,18 +51,18 @@
 		})
 		return
 	}
-	names := []string{sub.Job}
+	ids := []string{sub.Job}
 	if sub.Spec != nil {
-		names = append(names, sub.Spec.Awaits...)
+		ids = append(ids, sub.Spec.Awaits...)
 	}
 	sub.notArchived = map[string]bool{}
-	pending, resolved := 1, true // the one more is this function's own
+	pending, resolved := 1, true // starts at 1, so that finish cannot end before all lookups have begun
 	finish := func() {
 		if pending--; pending == 0 {
 			h.answerOrAdmit(sub, resolved)
 		}
 	}
-	for _, id := range names {
+	for _, id := range ids {
 		if h.host.Job(id) != nil {
 			continue
 		}
@@ -78,7 +78,8 @@
 	finish()
 }
 
-// answerOrAdmit answers a submission of a job that is known by now, and accepts or refuses a new one.
+// answerOrAdmit answers the submission if its job turns out to be
+// known; otherwise it accepts or refuses the job.
 func (h *Handler) answerOrAdmit(sub *submission, resolved bool) {
 	job := h.host.Job(sub.Job)
 	outcome, archived := h.host.Archive().Known(sub.Job)
@@ -96,8 +97,8 @@
 	}
 }
 
-// admitOrRefuse accepts or refuses a job that is not known. Before a refusal a read makes sure that
-// no other controller has accepted it, nor a job that it depends on.
+// admitOrRefuse accepts or refuses a job that is not known. Before it refuses, it makes a fresh
+// read, since another controller may have accepted the job or one that it depends on.
 func (h *Handler) admitOrRefuse(sub *submission) {
 	refusal := h.validate(sub)
 	switch {
@@ -110,7 +111,7 @@
 	}
 }
 
-// resolveFresh begins again after a read.
+// resolveFresh makes a fresh read and starts again at resolve.
 func (h *Handler) resolveFresh(sub *submission) {
 	h.host.ReadFresh(func(ok bool) {
 		if !ok {
@@ -122,7 +123,7 @@
 	})
 }
 
-// retry begins again with a submission that was not stored for what others stored.
+// retry starts again with a submission whose write conflicted with another one.
 func (h *Handler) retry(sub *submission) {
 	if sub.attempts++; sub.attempts > maxAttempts {
 		h.host.Refuse(sub.ID, TemporaryRefusal("try again"))
@@ -131,7 +132,7 @@
 	h.resolveFresh(sub)
 }
 
-// validate says why a job cannot be accepted, for what it is; nil: it can.
+// validate returns why the submitted job cannot be accepted, or nil if it can.
 func (h *Handler) validate(sub *submission) *Refusal {
 	if sub.Spec == nil {
 		return &Refusal{Reason: Malformed, Text: sub.Malformed}
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// Infeasible says why a job can never run, whatever it depends on, or "".
+// Infeasible returns why a job can never run, apart from its dependencies, or "" if it can.
 func (h *Handler) Infeasible(spec *jobs.Spec) string {
 	limit, known := h.host.TeamLimit(spec.Team)
 	if !known {
@@ -164,15 +165,16 @@
 	return ""
 }
 
-// infeasibleWithDependencies says why a job can never run, or "". Dependencies that are not proven absent may be
-// archived, or are to be looked up again.
-func (h *Handler) infeasibleWithDependencies(spec *jobs.Spec, absent map[string]bool) string {
+// infeasibleWithDependencies returns why a job can never run, including because of its
+// dependencies, or "" if it can. A dependency that is neither known nor proven absent from the
+// archive may be archived, or has to be looked up again, and is not held against the job.
+func (h *Handler) infeasibleWithDependencies(spec *jobs.Spec, notArchived map[string]bool) string {
 	if why := h.Infeasible(spec); why != "" {
 		return why
 	}
 	for _, id := range spec.Awaits {
 		switch job := h.host.Job(id); {
-		case job == nil && h.host.Archive().On() && !absent[id]:
+		case job == nil && h.host.Archive().On() && !notArchived[id]:
 		case job == nil:
 			return "awaits " + id + ", which was never accepted"
 		case job.Active() && job.Spec().Service:
@@ -182,8 +184,8 @@
 	return ""
 }
 
-// accept stores a new job unless this controller cannot take one at present. Where it is not sure
-// that the job is stored the user is to ask again; asking again does no harm.
+// accept stores a new job unless this controller cannot accept one at present. Where it is uncertain
+// whether the job was stored, the user is told to retry; a submission is idempotent.
 func (h *Handler) accept(sub *submission) {
 	if refusal := h.notReadyRefusal(); refusal != nil {
 		h.host.Refuse(sub.ID, refusal)
@@ -191,7 +193,7 @@
 	}
 	shard := h.host.LeastLoadedShard()
 	spec, cancelled, ok := h.dropFinishedDependencies(sub.Spec)
-	// Nothing is accepted without a proof that it is not archived.
+	// A job is accepted only with a proof that it is not archived.
 	if !ok || h.host.Archive().On() && !sub.notArchived[sub.Job] {
 		h.host.Refuse(sub.ID, TemporaryRefusal("try again"))
 		return
@@ -202,14 +204,15 @@
 	}
 	sub.encoded = encodeJob(record, h.cfg.ValueMax)
 	if older := h.host.OlderPeer(); older != "" && (len(sub.encoded.chunks) > 0 || len(spec.Awaits) > 0) {
-		// It would start the job at once, or could not read it.
+		// The older release would start the job before its dependencies are
+		// done, or could not read its record.
 		h.host.Refuse(sub.ID, TemporaryRefusal("controller "+older+" still runs an older release"))
 		return
 	}
 	h.store(sub)
 }
 
-// notReadyRefusal says why no job can be accepted at present; nil: one can.
+// notReadyRefusal returns why no job can be accepted at present, or nil if jobs can be.
 func (h *Handler) notReadyRefusal() *Refusal {
 	if h.AnyMemoryFull() {
 		return &Refusal{Reason: Unavailable, Text: "a controller's memory is nearly full", RetryAfter: LongRetryAfter}
@@ -220,19 +223,19 @@
 	return nil
 }
 
-// dropFinishedDependencies takes out of a description the dependencies that are over for so long
-// that they may be archived at any moment: those that are done need not be waited for.
-// cancelled reports that one was cancelled, and the job with it; ok is false where it is not known
-// how one ended.
-func (h *Handler) dropFinishedDependencies(described *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
+// dropFinishedDependencies returns the job spec without the dependencies that are
+// archived, or ended so long ago that they may be archived at any moment. Those that are
+// done need not be waited for. cancelled reports that one of them was cancelled, so that
+// the job is cancelled too. ok is false if it is not known how one of them ended.
+func (h *Handler) dropFinishedDependencies(submitted *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
 	index := h.host.Archive()
-	if len(described.Awaits) == 0 || !index.On() {
-		return described, false, true
+	if len(submitted.Awaits) == 0 || !index.On() {
+		return submitted, false, true
 	}
 	mark, _ := index.Mark()
-	remaining := *described
+	remaining := *submitted
 	remaining.Awaits = nil
-	for _, id := range described.Awaits {
+	for _, id := range submitted.Awaits {
 		var status jobs.Status
 		job := h.host.Job(id)
 		switch {
--- a/internal/core/cancellations/receive.go
+++ b/internal/core/cancellations/receive.go
@@ -9,20 +9,20 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// Host is what Learn needs of its controller.
+// Host is what Apply needs from its controller.
 type Host interface {
 	// Job returns a job that is known, or nil.
 	Job(id string) *jobs.Job
-	// Version is that of a key in the copy of the state service's keys, and Learn takes a newer one.
+	// Version returns the version of a key in the watch cache, and
+	// ApplyCancellation applies a newer record to the cache.
 	Version(key string) uint64
 	ApplyCancellation(record store.Event)
 }
 
-// Apply has the copy of the state service's keys take the cancellations that another controller has
-// listed. An owner that the state service does not serve learns of them in no other way, while
-// others go on confirming them to users: its tasks stop with the next heartbeats. Apply reports
-// whether all were understood; where one was not, nothing that the list says of its being whole
-// counts.
+// Apply applies the cancellations that another controller has listed to the watch cache. A shard's owner
+// that cannot reach the state service learns of them in no other way, while other controllers go on
+// confirming cancellations to users; the owner's tasks stop with the next heartbeats. Apply reports whether
+// all records were valid. If one was not, the caller must not rely on the list being complete.
 func Apply(host Host, log *slog.Logger, from string, list []store.Event) bool {
 	for _, record := range list {
 		if !applyOne(host, log, from, record) {
@@ -32,13 +32,13 @@
 	return true
 }
 
-// applyOne takes one and reports whether it is a cancellation. A job that is not known here yet is so
-// from now on, as cancelled: its acceptance may come later, with a watch that was held up.
+// applyOne applies one listed cancellation and reports whether it is one. A job that is not known here
+// is added as cancelled: its acceptance may arrive later, through a delayed watch.
 func applyOne(host Host, log *slog.Logger, from string, record store.Event) bool {
 	id, isJob := strings.CutPrefix(record.Key, keys.JobPrefix)
 	decoded, err := jobs.DecodeRecord(record.Value)
 	if !isJob || !jobs.ValidID(id) || err != nil || decoded.Status != jobs.Cancelled || record.Stamp == 0 {
-		log.Warn("invalid cancellation from another controller", "controller", from, "key", record.Key)
+		log.Warn("invalid cancellation in another controller's list", "controller", from, "key", record.Key)
 		return false
 	}
 	if job := host.Job(id); job != nil && job.Record.Status == jobs.Done {
@@ -46,7 +46,7 @@
 		return true
 	}
 	if host.Version(record.Key) < record.Stamp {
-		log.Info("cancellation learnt from another controller", "controller", from, "job", id)
+		log.Info("applying a cancellation listed by another controller", "controller", from, "job", id)
 		host.ApplyCancellation(record)
 	}
 	return true
--- a/internal/core/cancellations/trace.go
+++ b/internal/core/cancellations/trace.go
@@ -8,16 +8,16 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Describe tells all that a tracker holds, for exploring what may follow: times as how long ago they
-// are, those longer than most as most.
-func (t *Tracker) Describe(now, most units.Microseconds) string {
-	ago := func(t units.Microseconds) units.Microseconds { return min(now-t, most) }
-	out := fmt.Sprint(t.droppedUpTo, t.peersUpTo, ago(t.peersAsOf))
+// Describe returns the tracker's state as text, for a state-space exploration to
+// tell states apart. Times are written as ages, limited to maxAge.
+func (t *Tracker) Describe(now, maxAge units.Microseconds) string {
+	age := func(at units.Microseconds) units.Microseconds { return min(now-at, maxAge) }
+	out := fmt.Sprint(t.droppedUpTo, t.peersUpTo, age(t.peersAsOf))
 	for _, e := range t.recent {
 		out += fmt.Sprint(" ", e.Key, e.Stamp)
 	}
 	for _, n := range slices.Sorted(maps.Keys(t.completeAsOf)) {
-		out += fmt.Sprint(" ", n, ago(t.completeAsOf[n]))
+		out += fmt.Sprint(" ", n, age(t.completeAsOf[n]))
 	}
 	return out
 }
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -6,21 +6,21 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Objectives are what of time and priority is asked of a job: by its own user, and by
-// those of the jobs that depend on it.
+// Objectives are the priority and the due times of a job. They combine what
+// its own user asked for with what the jobs that depend on it need.
 type Objectives struct {
 	Priority Priority
-	Due      units.Microseconds // time of day by which it should be done; Never: none
-	LastDue  units.Microseconds // and by which it is still of some use
+	Due      units.Microseconds // time of day by which the job should be done; units.MaxTime: none
+	LastDue  units.Microseconds // time of day after which its result is of no use; units.MaxTime: none
 }
 
-// Tighten takes in what another asks for.
+// Tighten merges other into o: the higher priority and the earlier times.
 func (o *Objectives) Tighten(other Objectives) {
 	o.Priority = max(o.Priority, other.Priority)
 	o.Due, o.LastDue = min(o.Due, other.Due), min(o.LastDue, other.LastDue)
 }
 
-// Before returns the objectives of what must be done some time before.
+// Before returns the objectives with their times moved earlier by t.
 func (o Objectives) Before(t units.Microseconds) Objectives {
 	for _, d := range []*units.Microseconds{&o.Due, &o.LastDue} {
 		if *d != units.Never {
@@ -30,20 +30,18 @@
 	return o
 }
 
-// DependencyGraph keeps which unfinished jobs wait for which. Only what is stored passes
-// along it: a job is released by the stored ends of those that it depends on, and
-// cancelled by the stored cancellation of any, however far before it.
+// DependencyGraph tracks which unfinished jobs wait for which others. Only stored states
+// propagate along it: a job becomes ready once all its dependencies are stored as done, and is
+// cancelled once the cancellation of any direct or indirect dependency is stored.
 //
-// A job that waits has never been started: what cancels it from afar stops
-// nothing.
+// A job that waits has never been started, so its cancellation through a dependency stops no tasks.
 type DependencyGraph struct {
-	dependents map[string][]*Job // jobs that wait for the named one
-	references map[string]int    // unfinished jobs whose descriptions name it, done or not
+	dependents map[string][]*Job // jobs that wait for the job with this ID
+	references map[string]int    // number of unfinished jobs whose spec names the job with this ID, done or not
 }
 
-// Link takes in an unfinished job that was just learnt. The jobs that it depends on
-// may be known or, while a listing is taken in, not yet. It returns the name of
-// a cancelled one among them, if there is any.
+// Link adds a newly observed unfinished job. Its dependencies may not be known yet while the watch cache is
+// first being listed. Link returns the ID of a cancelled dependency, or "" if there is none.
 func (g *DependencyGraph) Link(job *Job, jobs map[string]*Job, now units.Microseconds) (cancelled string) {
 	job.Since = job.Record.Submitted
 	job.dependencies = job.Spec().Awaits
@@ -68,45 +66,47 @@
 	return cancelled
 }
 
-// advanceSince lets the job's times count from the end of one that it depends on.
+// advanceSince counts the job's waiting time from the end of a dependency, if that is later.
 func (j *Job) advanceSince(dependency *Job, now units.Microseconds) {
+	// advanceSince lets the job's waiting and turnaround times count
+	// from the end of a dependency, if that is later.
 	finishedAt := dependency.Record.FinishedAt
 	if finishedAt == 0 {
-		finishedAt = now // stored by a release that noted no time
+		finishedAt = now // stored by a release that did not record the time
 	}
 	j.Since = max(j.Since, finishedAt)
 }
 
-// JobFinalized takes in that a job is final. It returns the jobs that may start now, and
-// those that are cancelled with it.
+// JobFinalized updates the graph for a job that has become final. It returns the
+// jobs that may start now, and those that are cancelled with it.
 func (g *DependencyGraph) JobFinalized(job *Job, now units.Microseconds) (ready, cancelled []*Job) {
 	for queue := []*Job{job}; len(queue) > 0; queue = queue[1:] {
-		over := queue[0]
-		g.dropReferences(over)
-		for _, dependent := range g.dependents[over.ID] {
+		final := queue[0]
+		g.dropReferences(final)
+		for _, dependent := range g.dependents[final.ID] {
 			switch {
 			case !dependent.Active():
-			case over.Record.Status == Cancelled:
-				dependent.Cancel(over.ID)
+			case final.Record.Status == Cancelled:
+				dependent.Cancel(final.ID)
 				cancelled = append(cancelled, dependent)
 				queue = append(queue, dependent)
 			default:
 				dependent.OpenDependencies--
-				dependent.advanceSince(over, now)
+				dependent.advanceSince(final, now)
 				if dependent.OpenDependencies == 0 {
 					ready = append(ready, dependent)
 				}
 			}
 		}
-		delete(g.dependents, over.ID)
+		delete(g.dependents, final.ID)
 	}
 	return ready, cancelled
 }
 
-// Propagate lets objectives pass back along the graph: what a job that waits asks for, it
-// asks of those that it depends on, less the time that it takes itself. own is what a
-// job's user asks for. Every job comes after all that depend on it.
-func (g *DependencyGraph) Propagate(jobs map[string]*Job, own func(*Job) Objectives, takes func(*Job) units.Microseconds) {
+// Propagate passes objectives backwards along the graph: what a waiting job needs is also needed of its
+// dependencies, earlier by the time that the job itself takes. own returns the objectives that a job's user
+// asked for, duration the expected duration of a job. A job is visited after all jobs that depend on it.
+func (g *DependencyGraph) Propagate(jobs map[string]*Job, own func(*Job) Objectives, duration func(*Job) units.Microseconds) {
 	g.dropFinal()
 	pending, queue := g.beginPropagation(jobs, own)
 	for ; len(queue) > 0; queue = queue[1:] {
@@ -114,13 +114,13 @@
 		if job.OpenDependencies == 0 {
 			continue
 		}
-		asked := job.Objectives.Before(takes(job))
+		needed := job.Objectives.Before(duration(job))
 		for _, id := range job.Spec().Awaits {
 			dependency := jobs[id]
 			if dependency == nil || !dependency.Active() {
 				continue
 			}
-			dependency.Objectives.Tighten(asked)
+			dependency.Objectives.Tighten(needed)
 			if pending[dependency]--; pending[dependency] == 0 {
 				queue = append(queue, dependency)
 			}
@@ -128,15 +128,15 @@
 	}
 }
 
-// dropFinal drops dependents that are over.
+// dropFinal removes dependents that are final.
 func (g *DependencyGraph) dropFinal() {
 	for id, dependents := range g.dependents {
 		g.dependents[id] = slices.DeleteFunc(dependents, func(job *Job) bool { return !job.Active() })
 	}
 }
 
-// beginPropagation sets the objectives of all jobs that wait or are waited for to their own. It
-// returns how many dependents are to come before each, and those that none does.
+// beginPropagation resets the objectives of all jobs that wait or have dependents to their own. It returns
+// how many dependents have to be visited before each job, and the jobs that have none.
 func (g *DependencyGraph) beginPropagation(jobs map[string]*Job, own func(*Job) Objectives) (pending map[*Job]int, queue []*Job) {
 	pending = make(map[*Job]int, len(g.dependents))
 	begin := func(job *Job) {
@@ -156,18 +156,18 @@
 		for _, job := range dependents {
 			begin(job)
 		}
-		if len(dependents) == 0 { // the last is over, and what it asked for counts no more
+		if len(dependents) == 0 { // its last dependent is final, so their objectives no longer count
 			delete(g.dependents, id)
 		}
 	}
 	return pending, queue
 }
 
-// Referenced reports whether any unfinished job's description names the job: whoever
-// learns that description has to learn how the job ended.
+// Referenced reports whether the spec of any unfinished job names the job. Whoever reads that
+// spec from the state service must also be able to read how the named job ended.
 func (g *DependencyGraph) Referenced(id string) bool { return g.references[id] > 0 }
 
-// dropReferences notes that a job is over: how its dependencies ended is of no more use.
+// dropReferences removes a final job's references: how its dependencies ended is no longer needed.
 func (g *DependencyGraph) dropReferences(j *Job) {
 	for _, id := range j.dependencies {
 		if g.references[id]--; g.references[id] <= 0 {
@@ -177,10 +177,10 @@
 	j.dependencies = nil
 }
 
-// HasDependents reports whether any job waits for the named one.
+// HasDependents reports whether any job waits for the job with this ID.
 func (g *DependencyGraph) HasDependents(id string) bool { return len(g.dependents[id]) > 0 }
 
-// BlockedLen returns how many jobs wait for others.
+// BlockedLen returns the number of jobs that wait for dependencies.
 func (g *DependencyGraph) BlockedLen() int {
 	seen := map[*Job]bool{}
 	for _, dependents := range g.dependents {
--- a/internal/core/jobs/failures.go
+++ b/internal/core/jobs/failures.go
@@ -2,20 +2,19 @@
 
 import "shalestage.example/shalestage/internal/core/units"
 
-// Failures of a job of which nothing has worked yet: the job or the machines may be at fault, see
-// package quarantine, which decides.
+// This file counts failures of a job of which no task has succeeded yet. The job
+// or the machines may be at fault; package quarantine decides which.
 
-// Suspect reports whether the job has failed and nothing of it has worked: the
-// job or the machine may be at fault.
+// Suspect reports whether tasks of the job have failed and none has
+// succeeded: the job or the machine may be at fault.
 func (j *Job) Suspect() bool { return !j.AnyTaskSucceeded && (j.Failing || len(j.MachineFailures) > 0) }
 
-// FailsEverywhere reports whether the job has failed on several machines and
-// worked on none.
+// FailsEverywhere reports whether the job has failed on several machines and succeeded on none.
 func (j *Job) FailsEverywhere() bool {
 	return !j.AnyTaskSucceeded && (j.Failing || len(j.MachineFailures) > 1)
 }
 
-// StartLimit returns how many more tasks may start: few, while the job is suspect.
+// StartLimit returns how many more tasks may start. It is small while the job is suspect.
 func (j *Job) StartLimit() int {
 	switch {
 	case j.FailsEverywhere():
@@ -26,14 +25,14 @@
 	return len(j.ready)
 }
 
-// FailedOn records that a task failed on a machine, and nothing of the job has worked.
+// FailedOn records a failed task on a machine. It must be called only while no task of the job has succeeded.
 func (j *Job) FailedOn(machine string) { j.MachineFailures[machine]++ }
 
-// MachineQuarantined records that a machine was quarantined on account of this job alone.
+// MachineQuarantined records that a machine was quarantined because of this job alone.
 func (j *Job) MachineQuarantined() { j.QuarantineCount++ }
 
-// ClearMachineFailures drops a machine's failures, as the machine is at fault. It reports whether the
-// job no longer counts as one that fails everywhere, of which that was stored.
+// ClearMachineFailures drops the failures on a machine that turned out to be at fault. restored
+// reports that the job was stored as failing everywhere and no longer counts as such.
 func (j *Job) ClearMachineFailures(machine string) (restored bool) {
 	delete(j.MachineFailures, machine)
 	if j.Failing && len(j.MachineFailures) < 2 {
@@ -43,11 +42,11 @@
 	return false
 }
 
-// RetryAt has no task start before a time, whatever was said before.
+// RetryAt sets the time before which no task may start, replacing any earlier setting.
 func (j *Job) RetryAt(t units.Microseconds) { j.NotBefore = t }
 
-// DeferUntil has no task start before a time.
+// DeferUntil prevents tasks from starting before t. It never shortens an earlier delay.
 func (j *Job) DeferUntil(t units.Microseconds) { j.NotBefore = max(j.NotBefore, t) }
 
-// RetryNow lets tasks start from now on.
+// RetryNow ends any delay, so that tasks may start from now on.
 func (j *Job) RetryNow(now units.Microseconds) { j.NotBefore = min(j.NotBefore, now) }
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -1,6 +1,6 @@
-// Package jobs knows what a job is: what its user asked for (Spec), what is stored of it (Record,
+// Package jobs models a job: what its user asked for (Spec), its stored records (Record,
 // ProgressLayout), which of its tasks are ready, placed and finished (Job), and which jobs wait for
-// which (DependencyGraph). Package registry keeps all jobs of a controller.
+// which others (DependencyGraph). Package registry keeps all jobs of a controller.
 package jobs
 
 import (
@@ -14,51 +14,51 @@
 	Machine string
 	Attempt uint64
 	Zone    string
-	Live    bool // its machine has it with its image
+	Live    bool // the machine has reported the task as running, with its image loaded
 }
 
-// Job is an unfinished job in memory, or the mere status of a finished one. Its fields are written
-// by its own methods alone: what is learnt by package registry, attempts and failures by the owner of
-// its shard.
+// Job is an unfinished job in memory, or only the status of a finished one. Its fields
+// are written only by its methods. Package registry calls those that apply stored
+// records, and the owner of the job's shard those that track attempts and failures.
 type Job struct {
 	ID      string
 	Version uint64 // of the job's record
 	Record  Record
 
-	finished   Set // known to be done
-	stored     Set // done and stored
+	finished   Set // tasks known to be done
+	stored     Set // tasks that are done and stored as such
 	places     map[int]Place
 	ready      []int // tasks that may start, the next one last
 	dirty      map[int]bool
-	zones      map[string]int     // tasks that may be running, by zone
-	DirtySince units.Microseconds // finished tasks wait to be stored; 0: none do
+	zones      map[string]int     // number of tasks that may be running, by zone
+	DirtySince units.Microseconds // since when finished tasks have waited to be stored; 0: none wait
 
-	MachineFailures  map[string]int     // machines on which tasks failed, while none has worked
-	AnyTaskSucceeded bool               // some task completed
-	Started          bool               // some task ran, as far as this controller knows
+	MachineFailures  map[string]int     // failed tasks by machine, while no task has succeeded
+	AnyTaskSucceeded bool               // a task completed successfully
+	Started          bool               // a task has run, as far as this controller knows
 	Failing          bool               // it is stored that the job fails everywhere
-	QuarantineCount  int                // machines quarantined on account of this job alone
-	NotBefore        units.Microseconds // a task failed or was refused lately: none is started before this
-	MeanRuntime      units.Microseconds // of the tasks that completed; 0: too few yet
+	QuarantineCount  int                // number of machines quarantined because of this job alone
+	NotBefore        units.Microseconds // no task starts before this time, after a failure or a refused start
+	MeanRuntime      units.Microseconds // mean run time of the completed tasks; 0: too few have completed
 	runCount         int
-	runSum           units.Microseconds
-
-	Finalizing   bool // its end is being stored
-	Unreconciled bool // an earlier owner may have started it: not before all machines are reconciled
-	Migrating    bool // to another shard: not started here
-
-	OpenDependencies int                // jobs that it depends on and that are not stored as done; no task may start before
-	Since            units.Microseconds // time of day from which its times count, but for the deadline
-	CancelledBy      string             // the dependency whose cancellation cancelled this job
-	dependencies     []string           // as the graph counts them, until it is over
-	Archived         bool               // its record has been archived: kept only while tasks of it may run
-	Objectives       Objectives         // its own and those of the jobs that depend on it
+	runtimeSum       units.Microseconds
+
+	Finalizing   bool // its final record is being stored
+	Unreconciled bool // an earlier owner may have started tasks: none may start before all machines are reconciled
+	Migrating    bool // it is being moved to another shard: no task may start here
+
+	OpenDependencies int                // number of dependencies that are not stored as done; no task may start before it is 0
+	Since            units.Microseconds // time of day from which its waiting and turnaround times count; its deadline counts from submission
+	CancelledBy      string             // ID of the dependency whose cancellation cancelled this job
+	dependencies     []string           // IDs counted in the graph's references, until the job is final
+	Archived         bool               // its record has been archived; the job is kept only while its tasks may run
+	Objectives       Objectives         // combines its own and those of the jobs that depend on it
 }
 
-// Spec returns the job's description; nil once the job is final.
+// Spec returns the job spec, or nil once the job is final.
 func (j *Job) Spec() *Spec { return j.Record.Spec }
 
-// Active reports whether the job still has work to do.
+// Active reports whether the job is not final yet.
 func (j *Job) Active() bool { return !j.Record.Status.Final() }
 
 // Finished returns how many tasks are done.
@@ -72,7 +72,7 @@
 // IsFinished reports whether a task is done.
 func (j *Job) IsFinished(task int) bool { return j.Record.Status == Done || j.finished.Has(task) }
 
-// IsStored reports whether it is stored that a task is done.
+// IsStored reports whether a task is stored as done.
 func (j *Job) IsStored(task int) bool { return j.Record.Status == Done || j.stored.Has(task) }
 
 // AllFinished reports whether every task is done.
@@ -83,8 +83,8 @@
 // Ready returns how many tasks may start.
 func (j *Job) Ready() int { return len(j.ready) }
 
-// Migratable reports whether nothing of the job runs and all that is done is
-// stored, so that another controller can own it.
+// Migratable reports whether no task of the job may be running and all finished
+// tasks are stored, so that another controller can take the job over.
 func (j *Job) Migratable() bool {
 	return !j.Unreconciled && !j.Finalizing && len(j.places) == 0 && j.finished.Len() == j.stored.Len() && !j.AllFinished()
 }
@@ -95,7 +95,7 @@
 // PlacedIn returns how many tasks may be running in a zone.
 func (j *Job) PlacedIn(zone string) int { return j.zones[zone] }
 
-// Live returns how many tasks run, by the last heartbeats of their machines.
+// Live returns how many tasks run, according to the last heartbeats of their machines.
 func (j *Job) Live() int {
 	n := 0
 	for _, p := range j.places {
@@ -106,14 +106,13 @@
 	return n
 }
 
-// Place returns where a task may be running.
+// Place returns where a task may be running, and whether it may be running at all.
 func (j *Job) Place(task int) (Place, bool) {
 	p, ok := j.places[task]
 	return p, ok
 }
 
-// ClearPlacements forgets where tasks are. Only the owner of the job's shard keeps
-// the list of ready tasks.
+// ClearPlacements forgets where tasks run and which are ready: only the owner of the job's shard tracks that.
 func (j *Job) ClearPlacements() {
 	j.places = map[int]Place{}
 	j.ready = nil
@@ -123,7 +122,7 @@
 	j.Finalizing, j.Unreconciled, j.Migrating = false, false, false
 }
 
-// Reset prepares the job for a new owner: every unfinished task is ready.
+// Reset prepares the job for a new owner: every unfinished task becomes ready.
 func (j *Job) Reset() {
 	j.ClearPlacements()
 	j.AnyTaskSucceeded = j.AnyTaskSucceeded || j.finished.Len() > 0
@@ -137,7 +136,8 @@
 	}
 }
 
-// PlaceNext returns the next ready task and records where it goes.
+// PlaceNext removes the next ready task from the list and records its
+// placement. At least one task must be ready.
 func (j *Job) PlaceNext(p Place) int {
 	t := j.ready[len(j.ready)-1]
 	j.ready = j.ready[:len(j.ready)-1]
@@ -145,7 +145,7 @@
 	return t
 }
 
-// Adopt records a task that a machine lists although it was not placed there.
+// Adopt records a task that a machine reports although this controller has not placed it there.
 func (j *Job) Adopt(task int, p Place) {
 	j.removeReady(task)
 	j.place(task, p)
@@ -166,7 +166,7 @@
 	}
 }
 
-// SetLive records that a placed task is on its machine with its image.
+// SetLive records that the machine of a placed task reports it as running, with its image loaded.
 func (j *Job) SetLive(task int) {
 	p := j.places[task]
 	p.Live = true
@@ -174,7 +174,7 @@
 	j.Started = true
 }
 
-// Release records that an attempt is no longer anywhere; unless it is done the task is ready again.
+// Release records that an attempt no longer runs anywhere. Unless it is done, the task is ready again.
 func (j *Job) Release(task int) {
 	p, ok := j.places[task]
 	if !ok {
@@ -187,7 +187,7 @@
 	}
 }
 
-// Finish records that a task is done, wherever it was.
+// Finish records that a task is done, wherever it ran.
 func (j *Job) Finish(task int, layout ProgressLayout) {
 	if !j.Active() || task >= j.Record.Tasks || !j.finished.Add(task) {
 		return
@@ -196,24 +196,24 @@
 	j.MachineFailures = map[string]int{}
 	j.dirty[layout.PartFor(task, j.Record.Tasks).First] = true
 	if _, ok := j.places[task]; ok {
-		return // released once its machine's heartbeat has been taken in
+		return // released when the machine's heartbeat has been processed
 	}
 	j.removeReady(task)
 }
 
-// minMeanSamples is from how many tasks on a mean says something of the others.
+// minMeanSamples is the number of completed tasks from which their mean run time is used to predict others.
 const minMeanSamples = 3
 
-// AddRuntime records how long a task ran.
-func (j *Job) AddRuntime(took units.Microseconds) {
+// AddRuntime records the run time of a completed task.
+func (j *Job) AddRuntime(runtime units.Microseconds) {
 	j.runCount++
-	j.runSum += took
+	j.runtimeSum += runtime
 	if j.runCount >= minMeanSamples {
-		j.MeanRuntime = j.runSum / units.Microseconds(j.runCount)
+		j.MeanRuntime = j.runtimeSum / units.Microseconds(j.runCount)
 	}
 }
 
-// Finalize makes the job final: only its status is kept.
+// Finalize makes the job final and drops all but its record.
 func (j *Job) Finalize(record Record, version uint64) {
 	j.Record, j.Version = record, version
 	j.ready, j.dirty, j.MachineFailures = nil, nil, nil
@@ -223,37 +223,39 @@
 	}
 }
 
-// FinalizeByRecord makes the job final by its own record, whether or not it was cancelled through another
-// before.
+// FinalizeByRecord makes the job final by its own stored record, even
+// if it was cancelled through a dependency before.
 func (j *Job) FinalizeByRecord(record Record, version uint64) {
 	j.Finalize(record, version)
 	j.CancelledBy = ""
 }
 
-// Cancel makes a job final that depends on a cancelled one.
-func (j *Job) Cancel(through string) {
+// Cancel makes the job final because the given dependency was cancelled.
+func (j *Job) Cancel(dependency string) {
 	spec := j.Spec()
-	j.CancelledBy, j.OpenDependencies = through, 0
+	j.CancelledBy, j.OpenDependencies = dependency, 0
 	j.Finalize(Record{Status: Cancelled, Shard: j.Record.Shard, Tasks: j.Record.Tasks, Team: spec.Team, Demand: spec.Demand}, j.Version)
 }
 
-// RecordStored notes the version of a record that changes nothing but, maybe, the shard.
+// RecordStored sets the version of a stored record that changes nothing except possibly the shard.
 func (j *Job) RecordStored(version uint64) { j.Version = version }
 
-// AssignToShard gives the job to another shard: where its tasks are is for that one's owner to know.
+// AssignToShard moves the job to another shard. The placements are
+// cleared, as only that shard's owner tracks them.
 func (j *Job) AssignToShard(shard int) {
 	j.Record.Shard = shard
 	j.ClearPlacements()
 }
 
-// MarkArchived keeps the job, whose record has been archived, for its tasks that may run.
+// MarkArchived records that the job's record has been archived. The
+// job is kept while its tasks may be running.
 func (j *Job) MarkArchived() { j.Archived = true }
 
-// SetFinalizing says whether the job's end is being stored.
+// SetFinalizing sets whether the job's final record is being stored.
 func (j *Job) SetFinalizing(closing bool) { j.Finalizing = closing }
 
-// SetMigrating says whether it is being stored that the job moves to another shard.
+// SetMigrating sets whether the job's move to another shard is being stored.
 func (j *Job) SetMigrating(migrating bool) { j.Migrating = migrating }
 
-// SetUnreconciled says whether tasks may run on machines that are not reconciled.
+// SetUnreconciled sets whether tasks of the job may run on machines that are not reconciled yet.
 func (j *Job) SetUnreconciled(unreconciled bool) { j.Unreconciled = unreconciled }
--- a/internal/core/jobs/progress.go
+++ b/internal/core/jobs/progress.go
@@ -10,41 +10,41 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TasksPerRecord returns how many tasks one finished-task record covers, so that
-// even the worst pattern of ranges stays under the state service's value limit.
+// TasksPerRecord returns how many tasks one record of finished tasks covers. Even the longest text of
+// ranges that they can need stays below the state service's value limit, given in KiB.
 func TasksPerRecord(valueKB float64) int {
 	limit := int(valueKB*1024) - 64
 	n := 256
-	for n < 1<<17 && (n*2)/2*6 <= limit { // every other task: n/2 numbers of at most 5 digits and a comma
+	for n < 1<<17 && (n*2)/2*6 <= limit { // worst case, every other task: n/2 numbers of at most 5 digits, each with a comma
 		n *= 2
 	}
 	return n
 }
 
-// tasksPerPiece is how many tasks a record covers where TasksPerRecord would not
-// fit. It is the same under every limit, so that a key always means the same.
+// tasksPerPiece is how many tasks a record covers where a record of TasksPerRecord tasks would exceed the
+// value limit. It is the same for every limit, so that a key always covers the same tasks.
 const tasksPerPiece = 512
 
-// ProgressLayout says how the finished tasks of a job are divided among records. A
-// record is named by its number, and what is stored there is relative to
-// its first task: that is how every release reads it. Where the value
-// limit is too small for a whole record, its pieces have the record's number with
-// zeros before it, one more for each piece, which older releases read as the same
-// number: what is stored under one number in several records adds up. The number
-// without zeros is then left as an older release may have written it.
+// ProgressLayout defines how the finished tasks of a job are divided among records. A record is named by its
+// number, and its task numbers are relative to its first task; every release reads it that way.
+//
+// Where the value limit is too small for a whole record, the record is stored in pieces. The name of a
+// piece is the record's number with leading zeros, one more zero for each piece. Older releases parse
+// such a name as the same record number, and the tasks of all records with one number are merged. The
+// record without leading zeros then stays as an older release may have written it.
 type ProgressLayout struct {
 	TasksPerRecord int
-	Pieces         bool // records are stored in pieces of pieceTasks
+	Pieces         bool // records are stored in pieces of tasksPerPiece tasks
 }
 
-// ProgressPart is one record of finished tasks: those from First to before End, written
-// relative to Base.
+// ProgressPart is one stored record of finished tasks. It covers the
+// tasks in [First, End), written relative to Base.
 type ProgressPart struct {
 	Name             string
 	Base, First, End int
 }
 
-// PartFor returns the record to which a task of a job belongs.
+// PartFor returns the record that covers a task of a job with the given number of tasks.
 func (layout ProgressLayout) PartFor(task, tasks int) ProgressPart {
 	number := task / layout.TasksPerRecord
 	part := ProgressPart{Name: strconv.Itoa(number), Base: number * layout.TasksPerRecord}
@@ -58,8 +58,8 @@
 	return part
 }
 
-// Names returns the names of all records that a job of so many tasks may have,
-// whoever wrote them.
+// Names returns the names of all records that a job with this number
+// of tasks may have, whichever release wrote them.
 func (layout ProgressLayout) Names(tasks int) []string {
 	var names []string
 	for first := 0; first < tasks; first += layout.TasksPerRecord {
@@ -75,13 +75,13 @@
 	return names
 }
 
-// Progress is the stored form of one record of finished tasks.
+// Progress is the stored value of one record of finished tasks.
 type Progress struct {
 	Tasks   string `json:"tasks"`             // see Set.Ranges
-	Failing bool   `json:"failing,omitempty"` // of the first record: nothing has worked, on several machines
+	Failing bool   `json:"failing,omitempty"` // in the first record only: tasks failed on several machines and none has succeeded
 }
 
-// LoadProgress takes a stored record of finished tasks, by its number.
+// LoadProgress applies a stored record of finished tasks. number is the record's number.
 func (j *Job) LoadProgress(number int, layout ProgressLayout, progress Progress) error {
 	if number == 0 {
 		j.Failing = progress.Failing
@@ -97,7 +97,7 @@
 	return j.finished.AddRanges(progress.Tasks, first, end)
 }
 
-// SetDirtySince notes that finished tasks wait to be stored, and reports whether none did before.
+// SetDirtySince records that finished tasks wait to be stored, and reports whether none waited before.
 func (j *Job) SetDirtySince(now units.Microseconds) bool {
 	if j.DirtySince != 0 {
 		return false
@@ -106,8 +106,8 @@
 	return true
 }
 
-// TakeDirty returns the first tasks of the records that have finished tasks not yet
-// handed over for storing, and clears the list.
+// TakeDirty returns the first task of each record with finished tasks
+// that have not been queued for storing, and clears the list.
 func (j *Job) TakeDirty() []int {
 	first := slices.Sorted(maps.Keys(j.dirty))
 	clear(j.dirty)
@@ -115,7 +115,7 @@
 	return first
 }
 
-// MarkDirty puts a record back on the list of those to be stored.
+// MarkDirty adds the record that begins at the given task to the records to be stored.
 func (j *Job) MarkDirty(first int) { j.dirty[first] = true }
 
 // FinishedRanges returns the text to store for a record.
--- a/internal/core/jobs/registry/apply.go
+++ b/internal/core/jobs/registry/apply.go
@@ -11,8 +11,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// ApplyRecord takes a job's record as the state service has it: a new job, another shard, or the
-// job's end. The record of a job with a long description counts once all chunks are there.
+// ApplyRecord applies a job's stored record or its removal: a new job, a move to another shard, or the job's
+// end. If the job spec is stored in chunks, the record takes effect once all chunks have been applied.
 func (r *Registry) ApplyRecord(id string, event store.Event) error {
 	if event.Value == nil {
 		r.recordRemoved(id)
@@ -20,7 +20,7 @@
 	}
 	record, err := jobs.DecodeRecord(event.Value)
 	if err != nil {
-		return fmt.Errorf("record of a job: %w", err)
+		return fmt.Errorf("job record: %w", err)
 	}
 	job := r.all[id]
 	if record.Chunks > 0 && job == nil {
@@ -40,7 +40,7 @@
 		return nil
 	}
 	job.RecordStored(event.Stamp)
-	// One that was cancelled through another stays so, whatever its own record says.
+	// A job that was cancelled through a dependency stays cancelled, whatever its own record says.
 	if job.Active() && record.Shard != job.Record.Shard {
 		r.host.JobLeavesShard(job)
 		job.AssignToShard(record.Shard)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// add takes in a job that was not known.
+// add registers a job that was not known.
 func (r *Registry) add(id string, record jobs.Record, version uint64) *jobs.Job {
 	job := &jobs.Job{ID: id, Version: version, Record: record}
 	r.all[id] = job
@@ -61,12 +61,12 @@
 	return job
 }
 
-// link takes a new active job into the dependency graph. Where it may start, it joins its shard;
-// where it depends on a cancelled one, it is cancelled with it.
+// link adds a new active job to the dependency graph. The job joins its shard if it
+// may start, and is cancelled if one of its dependencies is cancelled.
 func (r *Registry) link(job *jobs.Job) {
 	job.Objectives = r.ownObjectives(job)
-	if by := r.dependencies.Link(job, r.all, r.host.WallClock()); by != "" {
-		job.Cancel(by)
+	if cancelledBy := r.dependencies.Link(job, r.all, r.host.WallClock()); cancelledBy != "" {
+		job.Cancel(cancelledBy)
 		r.cancelledThroughDependency(job)
 		r.finalized(job)
 		return
@@ -77,7 +77,7 @@
 	r.schedule(job)
 }
 
-// schedule gives a job without open dependencies to its shard.
+// schedule hands a job without open dependencies to its shard.
 func (r *Registry) schedule(job *jobs.Job) {
 	if job.OpenDependencies == 0 {
 		r.runnable.Add(job)
@@ -85,21 +85,22 @@
 	}
 }
 
-// finalize takes a final record.
+// finalize applies a final record.
 func (r *Registry) finalize(job *jobs.Job, record jobs.Record, version uint64) {
 	if job.Active() {
 		r.host.JobFinalizing(job, record.Status)
 	}
 	job.FinalizeByRecord(record, version)
-	delete(r.pendingDeletion, job.ID)
+	delete(r.pendingCleanup, job.ID)
 	r.finalized(job)
 }
 
-// finalized takes in that a job is final: those that depend on it may start, or are cancelled too.
+// finalized updates the registry for a job that has become final: its
+// dependents may start, or are cancelled too.
 func (r *Registry) finalized(job *jobs.Job) {
 	r.deactivate(job)
 	if r.chunks.Any(job.ID) {
-		r.pendingDeletion[job.ID] = true
+		r.pendingCleanup[job.ID] = true
 	}
 	ready, cancelled := r.dependencies.JobFinalized(job, r.host.WallClock())
 	for _, dependent := range cancelled {
@@ -107,7 +108,7 @@
 		r.cancelledThroughDependency(dependent)
 	}
 	for _, dependent := range ready {
-		r.cfg.Log.Info("dependencies of a job are done", "job", dependent.ID, "last", job.ID)
+		r.cfg.Log.Info("dependencies of the job are done", "job", dependent.ID, "last", job.ID)
 		r.schedule(dependent)
 	}
 }
@@ -118,16 +119,16 @@
 	r.host.JobFinalized(job.ID)
 }
 
-// cancelledThroughDependency notes that a job is cancelled with another. That follows from what is
-// stored, here as on every other controller; that its own record comes to say so is left to garbage
-// collection.
+// cancelledThroughDependency schedules the storing of a cancellation that follows
+// from a dependency's. Every controller derives the cancellation from the stored
+// records; garbage collection writes it to the job's own record later.
 func (r *Registry) cancelledThroughDependency(job *jobs.Job) {
-	r.cfg.Log.Info("job cancelled through a dependency", "job", job.ID, "dependency", job.CancelledBy)
-	r.pendingDeletion[job.ID] = true
+	r.cfg.Log.Info("job cancelled because a dependency was cancelled", "job", job.ID, "dependency", job.CancelledBy)
+	r.pendingCleanup[job.ID] = true
 }
 
-// recordRemoved takes in that the record of a job is no longer stored: it has been archived.
-// Records of active jobs, and of those cancelled through another, are removed by nobody.
+// recordRemoved applies the removal of a job's record, which means that the job has been archived. Records
+// of active jobs, and of jobs whose cancellation through a dependency is not stored yet, are never removed.
 func (r *Registry) recordRemoved(id string) {
 	job := r.all[id]
 	if job == nil || job.Active() || job.CancelledBy != "" {
@@ -135,13 +136,14 @@
 	}
 	r.host.JobArchived(job)
 	if job.Placed() > 0 {
-		job.MarkArchived() // its tasks count until their machines no longer list them
+		job.MarkArchived() // its tasks are accounted for until their machines no longer report them
 		return
 	}
 	delete(r.all, id)
 }
 
-// ApplyProgress takes a record of finished tasks. name is JOB/CHUNK.
+// ApplyProgress applies a stored record of finished tasks. name has the form
+// JOB/NUMBER. Records of unknown and of final jobs are ignored.
 func (r *Registry) ApplyProgress(name string, event store.Event) error {
 	id, chunk, isRecord := strings.Cut(name, "/")
 	job := r.all[id]
@@ -154,13 +156,13 @@
 	}
 	var record jobs.Progress
 	if err := json.Unmarshal(event.Value, &record); err != nil {
-		return fmt.Errorf("finished tasks: %w", err)
+		return fmt.Errorf("decode finished tasks: %w", err)
 	}
 	return job.LoadProgress(number, r.cfg.Layout, record)
 }
 
-// ApplyChunk takes a chunk of a description, or its removal. Its record is stored later, but may
-// be listed earlier.
+// ApplyChunk applies a stored chunk of a job spec, or its removal. The job's
+// record is stored after its chunks but may be listed before them.
 func (r *Registry) ApplyChunk(event store.Event) error {
 	if event.Value == nil {
 		r.chunkDeleted(event.Key)
@@ -173,20 +175,20 @@
 	case err != nil:
 		return err
 	case job != nil && !job.Active():
-		r.pendingDeletion[id] = true
+		r.pendingCleanup[id] = true
 	case waits:
 		return r.ApplyRecord(id, record)
 	}
 	return nil
 }
 
-// chunkDeleted notes that a chunk is no longer stored.
+// chunkDeleted applies the removal of a chunk.
 func (r *Registry) chunkDeleted(key string) {
 	if !r.chunks.Deleted(key) {
 		return
 	}
 	id := chunks.Owner(key)
 	if job := r.all[id]; job != nil && job.CancelledBy == "" {
-		delete(r.pendingDeletion, id)
+		delete(r.pendingCleanup, id)
 	}
 }
--- a/internal/core/jobs/registry/garbage.go
+++ b/internal/core/jobs/registry/garbage.go
@@ -11,25 +11,25 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Writer queues a transaction under the assignment of the first shard. It fails once that has
-// ended, or one of the guarded keys has another version than this controller has seen; done is
-// called later, with its outcome.
+// Writer queues transactions that are guarded by the assignment of the first shard. A
+// transaction fails once the assignment has ended, or if a guarded key has another
+// version than the watch cache. done is called later with the outcome.
 type Writer interface {
 	Write(done func(store.Outcome), guarded []string, changes ...store.Change)
 }
 
 // GarbagePending reports whether CollectGarbage has anything to do.
-func (r *Registry) GarbagePending() bool { return len(r.pendingDeletion) > 0 }
+func (r *Registry) GarbagePending() bool { return len(r.pendingCleanup) > 0 }
 
-// CollectGarbage queues up to capacity changes that bring the state service up to date behind jobs that
-// are over: their own records say that they were cancelled through another, and chunks of their
-// descriptions go. What fails is tried again.
+// CollectGarbage queues up to capacity changes that clean up after final jobs: it
+// stores the cancellation of jobs that were cancelled through a dependency, and deletes
+// the chunks of job specs. Failed changes are retried by a later call.
 func (r *Registry) CollectGarbage(capacity int, w Writer) {
-	for _, id := range slices.Sorted(maps.Keys(r.pendingDeletion)) {
+	for _, id := range slices.Sorted(maps.Keys(r.pendingCleanup)) {
 		if capacity <= 0 {
 			return
 		}
-		delete(r.pendingDeletion, id)
+		delete(r.pendingCleanup, id)
 		if job := r.all[id]; job != nil && job.CancelledBy != "" {
 			r.storeCancellation(job, w)
 			capacity--
@@ -39,18 +39,18 @@
 	}
 }
 
-// storeCancellation has a job's record say that it was cancelled through another.
+// storeCancellation writes the cancellation of a job that was
+// cancelled through a dependency to the job's own record.
 func (r *Registry) storeCancellation(job *jobs.Job, w Writer) {
 	key := keys.Job(job.ID)
 	w.Write(func(o store.Outcome) {
 		if o != store.OK && job.CancelledBy != "" {
-			r.pendingDeletion[job.ID] = true
+			r.pendingCleanup[job.ID] = true
 		}
 	}, []string{key}, store.Change{Key: key, Value: job.Record.Encode()})
 }
 
-// deleteChunks removes chunks that nobody needs any more, as many as there is capacity for, and
-// returns how many.
+// deleteChunks deletes at most capacity chunks of a final job, and returns how many deletions it has queued.
 func (r *Registry) deleteChunks(id string, capacity int, w Writer) int {
 	chunkKeys := r.chunks.Keys(id)
 	chunkKeys = chunkKeys[:min(len(chunkKeys), capacity, r.cfg.TxnOps)]
@@ -64,31 +64,32 @@
 			}
 		}
 		if r.chunks.Any(id) {
-			r.pendingDeletion[id] = true
+			r.pendingCleanup[id] = true
 		}
 	}, chunkKeys, deletions(chunkKeys)...)
 	return len(chunkKeys)
 }
 
-// orphanInterval is the least time between two transactions that delete orphaned chunks; the copy
-// has followed the one before by then.
+// orphanInterval is the minimum time between two transactions that delete orphaned chunks.
+// In that time the watch cache normally catches up with the previous one.
 const orphanInterval = units.Second
 
-// OrphanCollection is how far the owner of the first shard has come with orphaned chunks. Each
-// ownership begins with the zero value.
+// OrphanCollection is the state of the deletion of orphaned chunks, kept by the
+// owner of the first shard. The zero value is used when ownership begins.
 type OrphanCollection struct {
 	job    string // whose chunks are being deleted; "": none
 	nextAt units.Microseconds
 }
 
-// Due reports whether it is time for CollectOrphans.
+// Due reports whether it is time to call CollectOrphans.
 func (o *OrphanCollection) Due(now units.Microseconds) bool { return now >= o.nextAt }
 
-// CollectOrphans deletes chunks of a description whose submission was given up half-way. The
-// record may still be on its way, sent by a controller that stands still, or late: it
-// guards the version of the first chunk, which goes before the others, and these go only
-// while it stays away. So a record is stored with all of its chunks or not at all.
-// It must not be called beside a controller whose release does not guard the first chunk.
+// CollectOrphans deletes the chunks of a job spec whose submission was abandoned before its record was
+// stored. The record may still be written late, for example by a controller that was paused. It is guarded
+// by the version of the first chunk, and the first chunk is deleted before the others, which are deleted
+// only while there is still no record. So a record is stored with all of its chunks or not at all.
+//
+// CollectOrphans must not run while another controller's release does not guard the first chunk.
 func (r *Registry) CollectOrphans(collection *OrphanCollection, w Writer) {
 	now := r.host.Now()
 	collection.nextAt = now + orphanInterval
@@ -111,17 +112,17 @@
 	w.Write(func(outcome store.Outcome) {
 		if outcome != store.OK {
 			collection.job = ""
-			r.chunks.Defer(r.host.Now(), id) // the submission has gone on, or nobody knows
+			r.chunks.Defer(r.host.Now(), id) // the submission has continued, or the outcome is unknown
 			return
 		}
-		// They are dropped here when the copy shows that they are deleted, and not now: the first
-		// may have been stored once more by then, and the others would be taken for ones
-		// without it.
-		r.cfg.Log.Info("chunks of an abandoned submission are deleted", "job", id, "chunks", count)
+		// The chunks are removed from memory only when the watch cache shows their
+		// deletion. If they were removed now, and the first chunk were stored again in the
+		// meantime, the remaining chunks would look as if they had no first chunk.
+		r.cfg.Log.Info("deleted chunks of an abandoned submission", "job", id, "chunks", count)
 	}, []string{keys.Job(id), first}, deletions(chunkKeys)...)
 }
 
-// deletions are changes that delete keys.
+// deletions returns changes that delete the given keys.
 func deletions(chunkKeys []string) []store.Change {
 	changes := make([]store.Change, len(chunkKeys))
 	for i, key := range chunkKeys {
--- a/internal/core/jobs/registry/objectives.go
+++ b/internal/core/jobs/registry/objectives.go
@@ -6,20 +6,20 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// propagateInterval is how often objectives pass along the dependencies.
+// propagateInterval is the minimum time between two propagations of objectives along the dependencies.
 const propagateInterval = units.Second / 2
 
-// PropagationDue reports whether it is time for PropagateObjectives.
+// PropagationDue reports whether it is time to call PropagateObjectives.
 func (r *Registry) PropagationDue() bool { return r.host.Now() >= r.nextPropagationAt }
 
-// PropagateObjectives lets deadlines and priorities pass back from jobs that wait to those that they
-// depend on. stepTime is how long a job is expected to take once it may start.
+// PropagateObjectives propagates deadlines and priorities from waiting jobs to their
+// dependencies. stepTime returns how long a job is expected to take once it may start.
 func (r *Registry) PropagateObjectives(stepTime func(*jobs.Job) units.Microseconds) {
 	r.nextPropagationAt = r.host.Now() + propagateInterval
 	r.dependencies.Propagate(r.all, r.ownObjectives, stepTime)
 }
 
-// ownObjectives is what a job's own user asks for.
+// ownObjectives returns what a job's own user asked for.
 func (r *Registry) ownObjectives(job *jobs.Job) jobs.Objectives {
 	spec := job.Spec()
 	own := jobs.Objectives{Priority: spec.Priority, Due: units.Never, LastDue: units.Never}
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -1,12 +1,11 @@
-// Package registry owns the jobs that a controller knows: all of them, those that are active, those
-// that may start in the order in which they could, who depends on whom, the chunks of long
-// descriptions, and what is left in the state service of jobs that are over. Nobody else writes
-// any of these.
+// Package registry owns the jobs that a controller knows: all jobs, the active ones, those that may start in
+// the order in which they became able to, the dependencies between them, the chunks of long job specs, and
+// what is still to be deleted or stored for final jobs. No other package writes any of these.
 //
-// What is learnt from the state service comes in by ApplyRecord, ApplyProgress and ApplyChunk, in the
-// order of the copy; what follows for the rest of the controller goes out by Host. A job's life
-// stands in apply.go, what is deleted behind it in garbage.go, and how deadlines and priorities
-// pass along dependencies in objectives.go. The package is pure: it has no clock of its own.
+// Changes of the state service are applied by ApplyRecord, ApplyProgress and ApplyChunk, in the order of the
+// watch cache. Consequences for the rest of the controller are reported through Host. The life cycle of a
+// job is in apply.go, cleanup after it in garbage.go, and the propagation of deadlines and priorities along
+// dependencies in objectives.go. The package is deterministic and has no clock of its own.
 package registry
 
 import (
@@ -23,71 +22,72 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is what the registry needs of its controller. Its methods are called in the midst of
-// learning a record: they may read the registry, and must not have it learn anything.
+// Host is what the registry needs from its controller. Its methods are called while a record is
+// being applied: they may read the registry, but must not apply anything to it.
 type Host interface {
-	// Now is the present time of this process, and WallClock the time of day.
+	// Now returns the present time of this process's clock, and WallClock the time of day.
 	Now() units.Microseconds
 	WallClock() units.Microseconds
-	// Objectives are the users' service-level objectives that are in force.
+	// Objectives returns the users' service-level objectives that are in force.
 	Objectives() []demand.Objective
-	// JobRunnable has the owner of the job's shard, if that is this controller, schedule it.
+	// JobRunnable schedules the job if this controller owns its shard.
 	JobRunnable(job *jobs.Job)
-	// JobLeavesShard takes the job from its shard, as another shard is to have it.
+	// JobLeavesShard removes the job from its shard before it moves to another.
 	JobLeavesShard(job *jobs.Job)
-	// JobFinalizing takes the job from its shard, as its record has become final. The job's
-	// description is still there.
+	// JobFinalizing removes the job from its shard, as its record has
+	// become final. The job spec is still set.
 	JobFinalizing(job *jobs.Job, status jobs.Status)
-	// JobFinalized says that a job is final, by its own record or through another.
+	// JobFinalized reports that a job is final, by its own record or through a dependency.
 	JobFinalized(id string)
-	// JobArchived says that the record of a job that is over has been removed by the archiver.
+	// JobArchived reports that the archiver has removed the record of a final job.
 	JobArchived(job *jobs.Job)
-	// CancellationObserved says that a record is a cancellation.
+	// CancellationObserved reports a record that is a cancellation.
 	CancellationObserved(record store.Event)
 }
 
-// Config is what stays the same for the registry's life.
+// Config holds the registry's fixed settings.
 type Config struct {
-	Layout jobs.ProgressLayout // of progress records
-	TxnOps int                 // changes that one transaction takes
-	// OrphanAge is for how long chunks must have been without a record before they are deleted.
+	Layout jobs.ProgressLayout // of the records of finished tasks
+	TxnOps int                 // maximum number of changes in one transaction
+	// OrphanAge is how long chunks must have been without a record before they are deleted.
 	OrphanAge units.Microseconds
 	Log       *slog.Logger
 }
 
-// Registry keeps jobs. Use New.
+// Registry keeps a controller's jobs. Use New to create one.
 type Registry struct {
 	cfg  Config
 	host Host
 
-	all               map[string]*jobs.Job // those that are not archived
-	active            map[string]*jobs.Job // those that are not final
-	runnable          ranking.Order        // active ones without open dependencies
+	all               map[string]*jobs.Job // jobs that are not archived, and archived ones whose tasks may still be running
+	active            map[string]*jobs.Job // jobs that are not final
+	runnable          ranking.Order        // active jobs without open dependencies
 	dependencies      jobs.DependencyGraph
 	chunks            *chunks.Store
-	pendingDeletion   map[string]bool    // jobs that are over and of which something is to be deleted
-	nextPropagationAt units.Microseconds // objectives pass along the dependencies not before
+	pendingCleanup   map[string]bool    // final jobs whose cancellation is to be stored or whose chunks are to be deleted
+	nextPropagationAt units.Microseconds // time of the next propagation of objectives
 }
 
-// New returns a registry that knows no job.
+// New returns an empty registry.
 func New(cfg Config, host Host) *Registry {
 	return &Registry{cfg: cfg, host: host, all: map[string]*jobs.Job{}, active: map[string]*jobs.Job{},
-		chunks: chunks.New(), pendingDeletion: map[string]bool{}}
+		chunks: chunks.New(), pendingCleanup: map[string]bool{}}
 }
 
-// Get returns a job, or nil where none of that name is known or its record has been archived.
+// Get returns a job, or nil if no job with this ID is known or its
+// record has been archived and none of its tasks may be running.
 func (r *Registry) Get(id string) *jobs.Job { return r.all[id] }
 
-// Len is the number of jobs.
+// Len returns the number of jobs.
 func (r *Registry) Len() int { return len(r.all) }
 
-// ActiveLen is the number of jobs that are not final.
+// ActiveLen returns the number of jobs that are not final.
 func (r *Registry) ActiveLen() int { return len(r.active) }
 
-// Active returns the jobs that are not final, in no order.
+// Active returns the jobs that are not final, in no particular order.
 func (r *Registry) Active() iter.Seq[*jobs.Job] { return maps.Values(r.active) }
 
-// ActiveByID returns the jobs that are not final, by name.
+// ActiveByID returns the jobs that are not final, sorted by ID.
 func (r *Registry) ActiveByID() []*jobs.Job {
 	sorted := make([]*jobs.Job, 0, len(r.active))
 	for _, id := range slices.Sorted(maps.Keys(r.active)) {
@@ -96,30 +96,30 @@
 	return sorted
 }
 
-// Runnable returns the active jobs without open dependencies in the order in which they could
-// first start. The list is the registry's own and stands until the next call.
+// Runnable returns the active jobs without open dependencies, ordered by when they could
+// first start. The list belongs to the registry and is valid until the next call.
 func (r *Registry) Runnable() []*jobs.Job {
 	r.runnable.Settle()
 	return r.runnable.Jobs()
 }
 
-// Layout says how the finished tasks of a job are divided among progress records.
+// Layout returns how the finished tasks of a job are divided among records.
 func (r *Registry) Layout() jobs.ProgressLayout { return r.cfg.Layout }
 
-// BlockedLen is the number of jobs that wait for others.
+// BlockedLen returns the number of jobs that wait for dependencies.
 func (r *Registry) BlockedLen() int { return r.dependencies.BlockedLen() }
 
-// HasDependents reports whether any job waits for the named one.
+// HasDependents reports whether any job waits for the job with this ID.
 func (r *Registry) HasDependents(id string) bool { return r.dependencies.HasDependents(id) }
 
-// Retained reports whether the record of a job that is over must stay: an unfinished job's
-// description names it, so that whoever learns that one has to learn how this one ended; or
-// something of it is yet to be deleted.
+// Retained reports whether the record of a final job must stay in the state service. It must if an
+// unfinished job's spec names it, since whoever reads that spec must also be able to read how the
+// named job ended, or if something of the job is still to be stored or deleted.
 func (r *Registry) Retained(id string) bool {
-	return r.dependencies.Referenced(id) || r.chunks.Any(id) || r.pendingDeletion[id]
+	return r.dependencies.Referenced(id) || r.chunks.Any(id) || r.pendingCleanup[id]
 }
 
-// TaskRemoved drops a job whose record has been archived once none of its tasks may be running.
+// TaskRemoved drops an archived job once none of its tasks may be running.
 func (r *Registry) TaskRemoved(job *jobs.Job) {
 	if job.Archived && job.Placed() == 0 {
 		delete(r.all, job.ID)
--- a/internal/core/jobs/set.go
+++ b/internal/core/jobs/set.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Set is a set of small numbers.
+// Set is a set of small non-negative integers, stored as a bitmap. The zero value is an empty set.
 type Set struct {
 	bits  []uint64
 	count int
@@ -17,7 +17,7 @@
 	return i/64 < len(s.bits) && s.bits[i/64]&(1<<(i%64)) != 0
 }
 
-// Add puts i into the set and reports whether it is new there.
+// Add adds i to the set and reports whether it was not in the set before.
 func (s *Set) Add(i int) bool {
 	if s.Has(i) {
 		return false
@@ -30,13 +30,13 @@
 	return true
 }
 
-// Len returns how many numbers are in the set.
+// Len returns the number of members.
 func (s *Set) Len() int { return s.count }
 
-// Ranges writes the members within [lo, hi) relative to lo, as "0-4,7".
+// Ranges returns the members in [first, end) as text such as "0-4,7", relative to first.
 func (s *Set) Ranges(first, end int) string { return s.rangesFrom(first, first, end) }
 
-// rangesFrom writes the members within [lo, hi) relative to base.
+// rangesFrom returns the members in [first, end) as text, relative to base.
 func (s *Set) rangesFrom(base, first, end int) string {
 	var b strings.Builder
 	for i := first; i < end; {
@@ -65,7 +65,8 @@
 	return b.String()
 }
 
-// AddRanges reads what Ranges wrote. Nothing is added when the text is malformed.
+// AddRanges adds the members that Ranges encoded relative to first. It returns an
+// error, and adds nothing, if the text is malformed or reaches end.
 func (s *Set) AddRanges(text string, first, end int) error {
 	if text == "" {
 		return nil
@@ -80,7 +81,7 @@
 		a, err1 := strconv.Atoi(start)
 		b, err2 := strconv.Atoi(stop)
 		if err1 != nil || err2 != nil || a < 0 || b < a || first+b >= end {
-			return fmt.Errorf("range %q", part)
+			return fmt.Errorf("invalid range %q", part)
 		}
 		spans = append(spans, span{a, b})
 	}
--- a/internal/core/jobs/spec.go
+++ b/internal/core/jobs/spec.go
@@ -11,10 +11,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Status of a job, as stored and as users see it.
+// Status is a job's status, as stored and as shown to users.
 type Status string
 
-// A job is Pending or Running until it is Done or Cancelled, which are final.
+// A job is Pending or Running until it becomes Done or Cancelled, which are final.
 const (
 	Pending   Status = "pending"
 	Running   Status = "running"
@@ -22,13 +22,13 @@
 	Cancelled Status = "cancelled"
 )
 
-// Final reports whether a job's status can no longer change.
+// Final reports whether a job with this status can no longer change.
 func (s Status) Final() bool { return s == Done || s == Cancelled }
 
-// Priority orders work; larger goes first.
+// Priority orders jobs; a higher value is scheduled first.
 type Priority int
 
-// The four priorities.
+// Priorities, lowest first.
 const (
 	Low Priority = iota
 	Normal
@@ -36,7 +36,7 @@
 	Production
 )
 
-// MaxTasks bounds the tasks of one job.
+// MaxTasks is the maximum number of tasks of one job.
 const MaxTasks = 100_000
 
 // Spec is what a user submitted, as stored in the job's record.
@@ -62,8 +62,7 @@
 	Awaits     []string           `json:"awaits,omitempty"`   // jobs that must be done before any task starts
 }
 
-// Valid reports whether a description that came from another process can be
-// worked with.
+// Valid reports whether a spec that was decoded from stored or received data can be used.
 func (s *Spec) Valid() bool {
 	for _, v := range s.Demand {
 		if v < 0 {
@@ -79,19 +78,19 @@
 		s.Priority >= Low && s.Priority <= Production
 }
 
-// AllowsType reports whether a job's tasks may run on a machine type.
+// AllowsType reports whether the job's tasks may run on a machine type.
 func (s *Spec) AllowsType(name string) bool {
 	return s.AnyType || slices.Contains(s.Types, name)
 }
 
-// Allows reports whether a job's tasks may run on a kind of machine, whatever
-// the job's other tasks do.
+// Allows reports whether the job's tasks may run on a kind of
+// machine, regardless of where its other tasks run.
 func (s *Spec) Allows(typ, zone string, spot bool) bool {
 	return (!spot || s.Spot) && (s.Zone == "" || s.Zone == zone) && s.AllowsType(typ)
 }
 
-// ZoneAllows reports whether one more task may go to a zone, given where the
-// job's other tasks may be running.
+// ZoneAllows reports whether one more task may be placed in a zone,
+// given where the job's other tasks may be running.
 func (j *Job) ZoneAllows(zone string) bool {
 	s := j.Spec()
 	if !s.OneZone && !s.Spread {
@@ -103,12 +102,12 @@
 	return !s.Spread || j.zones[zone] < (s.Tasks+1)/2
 }
 
-var idForm = regexp.MustCompile(`^wk-(\d{6}|[1-9]\d{6,17})$`)
+var idFormat = regexp.MustCompile(`^wk-(\d{6}|[1-9]\d{6,17})$`)
 
-// ValidID reports whether a job id has the form that users give ids.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+// ValidID reports whether a job ID has the required format.
+func ValidID(id string) bool { return idFormat.MatchString(id) }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job  string
 	Task int
@@ -116,7 +115,7 @@
 
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Task) }
 
-// ParseTaskID reads JOB/N.
+// ParseTaskID parses a task ID of the form JOB/N.
 func ParseTaskID(s string) (TaskID, error) {
 	job, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -3,7 +3,7 @@
 // until a task that it started later completes.
 //
 // What it decides by is kept with the machines (fleet.Machine: Failed, FailedAt, Proven,
-// Quarantined; a slow machine is quarantined by fleet.Machine.Ran) and the jobs (jobs.Job: Errors,
+// Quarantined; a slow machine is quarantined by fleet.Machine.Ran) and the jobs (jobs.Job: MachineFailures,
 // AnyTaskSucceeded, Failing, QuarantineCount, NotBefore). Nobody else writes those of the machines.
 package quarantine
 
