--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -15,14 +15,15 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fakeHost is a controller whose reads, lookups and writes wait for the test.
+// fakeHost is a controller whose reads and writes complete when the
+// test says so. Archive lookups complete at once.
 type fakeHost struct {
 	jobs     map[string]*jobs.Job
 	versions map[string]uint64
 	limits   map[string]binpack.Vec
 	older    string
 
-	typesUnknown, unplaceable, peerFull, configurationStale, unserved, queueFull bool
+	typesUnknown, unplaceable, peerFull, configurationStale, unreachable, queueFull bool
 
 	archiveOn bool
 	mark      uint64
@@ -45,7 +46,7 @@
 	f.answers, f.accepted = append(f.answers, answer), append(f.accepted, accepted)
 }
 func (f *fakeHost) Refuse(_ RequestID, refusal *Refusal) { f.refusals = append(f.refusals, refusal) }
-func (f *fakeHost) ShouldForward(RequestID) bool         { return f.unserved }
+func (f *fakeHost) ShouldForward(RequestID) bool         { return f.unreachable }
 func (f *fakeHost) Forward(r Request)                    { f.forwarded = append(f.forwarded, r) }
 func (f *fakeHost) Job(id string) *jobs.Job              { return f.jobs[id] }
 func (f *fakeHost) OwnsShard(int) bool                   { return true }
@@ -73,7 +74,7 @@
 	return limit, known
 }
 
-// As an archive, it has what is in archived, and every lookup is done at once.
+// fakeHost is also the archive: it holds the jobs in archived.
 func (f *fakeHost) On() bool                     { return f.archiveOn }
 func (f *fakeHost) Mark() (archive.Mark, uint64) { return archive.Mark{Cut: f.mark}, f.mark }
 func (f *fakeHost) Known(id string) (archive.Answer, bool) {
@@ -89,8 +90,8 @@
 	done(archive.Absent, archive.Answer{})
 }
 
-// read ends all reads that wait.
-func (f *fakeHost) read(ok bool) {
+// completeReads completes all pending reads.
+func (f *fakeHost) completeReads(ok bool) {
 	reads := f.reads
 	f.reads = nil
 	for _, done := range reads {
@@ -98,18 +99,18 @@
 	}
 }
 
-// finish ends the only write that waits.
-func (f *fakeHost) finish(t *testing.T, outcome store.Outcome, revision uint64) {
+// completeWrite completes the only pending write.
+func (f *fakeHost) completeWrite(t *testing.T, outcome store.Outcome, revision uint64) {
 	t.Helper()
 	if len(f.writes) != 1 {
-		t.Fatalf("%d writes wait", len(f.writes))
+		t.Fatalf("%d writes are pending", len(f.writes))
 	}
 	w := f.writes[0]
 	f.writes = nil
 	w.Done(outcome, revision)
 }
 
-func (f *fakeHost) open() bool { return len(f.answers)+len(f.refusals)+len(f.forwarded) == 0 }
+func (f *fakeHost) unanswered() bool { return len(f.answers)+len(f.refusals)+len(f.forwarded) == 0 }
 
 func newHandler(host Host) *Handler {
 	return New(Config{ValueMax: 2 << 10, TxnOps: 4, Log: slog.New(slog.DiscardHandler)}, host)
@@ -129,18 +130,18 @@
 	return jobOf(id, jobs.Record{Status: jobs.Pending, Tasks: 2, Spec: specOf()})
 }
 
-const name = "wk-000009"
+const newJobID = "wk-000009"
 
-// TestRefusals has submissions refused for each reason: with which status, for what the user reads,
-// and whether it is of use to come back. What speaks against the job itself is said only after a
-// read, as another controller may have accepted it.
+// TestRefusals checks the HTTP status, text and retry time of every reason to
+// refuse a submission. A refusal that is the fault of the job itself must come only
+// after a fresh read, since another controller may have accepted the job.
 func TestRefusals(t *testing.T) {
 	service := jobOf("wk-000002", jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, Service: true}})
 	for text, test := range map[string]struct {
 		set    func(f *fakeHost, r *Request)
 		status int
 		retry  units.Microseconds
-		read   bool // first
+		read   bool // a fresh read comes before the refusal
 	}{
 		"tasks: missing":                             {func(_ *fakeHost, r *Request) { r.Spec, r.Malformed = nil, "tasks: missing" }, http.StatusBadRequest, 0, true},
 		"machine types are not known yet":            {func(f *fakeHost, _ *Request) { f.typesUnknown = true }, http.StatusServiceUnavailable, RetryAfter, true},
@@ -159,14 +160,14 @@
 		"too many submissions": {func(f *fakeHost, _ *Request) { f.queueFull = true }, http.StatusServiceUnavailable, RetryAfter, false},
 	} {
 		host := newFakeHost()
-		request := Request{ID: 1, Kind: Submit, Job: name, Spec: specOf()}
+		request := Request{ID: 1, Kind: Submit, Job: newJobID, Spec: specOf()}
 		test.set(host, &request)
 		newHandler(host).Submit(request)
 		if test.read {
-			if !host.open() || len(host.reads) != 1 {
+			if !host.unanswered() || len(host.reads) != 1 {
 				t.Errorf("%s: answered before a read", text)
 			}
-			host.read(true)
+			host.completeReads(true)
 		}
 		if len(host.refusals) != 1 || len(host.answers) != 0 || len(host.writes) != 0 {
 			t.Errorf("%s: %d refusals, %d answers, %d writes", text, len(host.refusals), len(host.answers), len(host.writes))
@@ -179,86 +180,87 @@
 	}
 }
 
-// TestSubmissionIsAnsweredOnceStored follows one to its end: the 201 comes with the outcome of the
-// write and not before, by its guards only if nobody else has stored the job or moved the mark.
-func TestSubmissionIsAnsweredOnceStored(t *testing.T) {
+// TestSubmissionAnsweredAfterWrite guards against a 201 before the record is stored. The write must be
+// guarded, so that it fails if another controller has stored the job or the archive's mark has moved.
+func TestSubmissionAnsweredAfterWrite(t *testing.T) {
 	host := newFakeHost()
 	host.archiveOn, host.mark = true, 60
-	newHandler(host).Submit(Request{ID: 1, Job: name, Spec: specOf()})
-	if !host.open() || len(host.writes) != 1 {
+	newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf()})
+	if !host.unanswered() || len(host.writes) != 1 {
 		t.Fatalf("%+v", host)
 	}
 	w := host.writes[0]
-	if want := []store.Guard{{Key: keys.Job(name)}, {Key: keys.ArchiveMark, Version: 60}}; !slices.Equal(w.Guards, want) {
+	if want := []store.Guard{{Key: keys.Job(newJobID)}, {Key: keys.ArchiveMark, Version: 60}}; !slices.Equal(w.Guards, want) {
 		t.Errorf("guards %+v", w.Guards)
 	}
 	record, err := jobs.DecodeRecord(w.Changes[0].Value)
 	if err != nil || record.Status != jobs.Pending || record.Shard != 3 || record.Submitted != 1000*units.Second {
 		t.Errorf("%+v, %v", record, err)
 	}
-	host.finish(t, store.OK, 101)
-	if len(host.answers) != 1 || !host.accepted[0] || AnswerStatus(host.accepted[0]) != http.StatusCreated || host.answers[0] != (JobAnswer{ID: name, Status: jobs.Pending}) {
+	host.completeWrite(t, store.OK, 101)
+	if len(host.answers) != 1 || !host.accepted[0] || AnswerStatus(host.accepted[0]) != http.StatusCreated || host.answers[0] != (JobAnswer{ID: newJobID, Status: jobs.Pending}) {
 		t.Errorf("%+v", host.answers)
 	}
 }
 
-// TestOutcomesOfWrites has the write of a submission end in every way.
-func TestOutcomesOfWrites(t *testing.T) {
+// TestSubmissionWriteOutcomes checks the answer to a submission for every outcome of its write.
+func TestSubmissionWriteOutcomes(t *testing.T) {
 	for _, outcome := range []store.Outcome{store.Refused, store.Unknown} {
 		host := newFakeHost()
-		newHandler(host).Submit(Request{ID: 1, Job: name, Spec: specOf()})
-		host.finish(t, outcome, 0)
+		newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf()})
+		host.completeWrite(t, outcome, 0)
 		if len(host.forwarded) != 1 || len(host.answers)+len(host.refusals) != 0 {
 			t.Errorf("outcome %v: %+v", outcome, host)
 		}
 	}
 	host := newFakeHost()
-	newHandler(host).Submit(Request{ID: 1, Job: name, Spec: specOf()})
-	host.finish(t, store.TooLarge, 0)
+	newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf()})
+	host.completeWrite(t, store.TooLarge, 0)
 	if len(host.refusals) != 1 || host.refusals[0].Reason != Unavailable {
 		t.Errorf("too large: %+v", host.refusals)
 	}
 
-	// Others are first again and again: it is tried a few times, each after a read.
+	// Another write conflicts each time: the submission is retried up to
+	// maxAttempts times, after a fresh read each.
 	host = newFakeHost()
-	newHandler(host).Submit(Request{ID: 1, Job: name, Spec: specOf()})
+	newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf()})
 	for range maxAttempts {
-		host.finish(t, store.Failed, 0)
-		if !host.open() {
+		host.completeWrite(t, store.Failed, 0)
+		if !host.unanswered() {
 			t.Fatalf("given up early: %+v", host)
 		}
-		host.read(true)
+		host.completeReads(true)
 	}
-	host.finish(t, store.Failed, 0)
+	host.completeWrite(t, store.Failed, 0)
 	if len(host.refusals) != 1 || host.refusals[0].Text != "try again" {
 		t.Errorf("%+v", host.refusals)
 	}
 
-	// Another controller has accepted the same: its state is told, and not that it is new.
+	// Another controller has accepted the same job: the answer is its state, not 201.
 	host = newFakeHost()
-	newHandler(host).Submit(Request{ID: 1, Job: name, Spec: specOf()})
-	host.finish(t, store.Failed, 0)
-	host.jobs[name] = pendingJob(name)
-	host.read(true)
+	newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf()})
+	host.completeWrite(t, store.Failed, 0)
+	host.jobs[newJobID] = pendingJob(newJobID)
+	host.completeReads(true)
 	if len(host.answers) != 1 || host.accepted[0] || AnswerStatus(host.accepted[0]) != http.StatusOK {
 		t.Errorf("%+v", host.answers)
 	}
 }
 
-// TestLongDescription stores one in chunks: all of them before the record, which guards the version
-// of the first.
-func TestLongDescription(t *testing.T) {
+// TestChunkedSpecStoredBeforeRecord guards against a record that becomes visible before all chunks of its
+// job spec are stored. The record must also be guarded by the version of the first chunk.
+func TestChunkedSpecStoredBeforeRecord(t *testing.T) {
 	host := newFakeHost()
 	spec := specOf()
 	spec.Image = strings.Repeat("i", 9<<10)
-	newHandler(host).Submit(Request{ID: 1, Job: name, Spec: spec})
+	newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: spec})
 	stored, revision := 0, uint64(100)
 	for len(host.writes) == 1 && strings.HasPrefix(host.writes[0].Changes[0].Key, keys.ChunkPrefix) {
-		if stored += len(host.writes[0].Changes); len(host.writes[0].Changes) > 4 || !host.open() {
-			t.Fatalf("%d changes, open %v", len(host.writes[0].Changes), host.open())
+		if stored += len(host.writes[0].Changes); len(host.writes[0].Changes) > 4 || !host.unanswered() {
+			t.Fatalf("%d changes, unanswered %v", len(host.writes[0].Changes), host.unanswered())
 		}
 		revision++
-		host.finish(t, store.OK, revision)
+		host.completeWrite(t, store.OK, revision)
 	}
 	if len(host.writes) != 1 {
 		t.Fatalf("%d writes", len(host.writes))
@@ -268,15 +270,15 @@
 	if err != nil || record.Chunks != stored || stored < 5 || w.Guards[len(w.Guards)-1].Version != 101 {
 		t.Errorf("%d chunks stored, %+v, %v, guards %+v", stored, record, err, w.Guards)
 	}
-	host.finish(t, store.OK, revision+1)
+	host.completeWrite(t, store.OK, revision+1)
 	if len(host.answers) != 1 || !host.accepted[0] {
 		t.Errorf("%+v", host.answers)
 	}
 }
 
-// TestDependenciesThatMayBeArchived leaves out of the record those that are done for so long that
-// nobody may find their records any more, and cancels with those that were cancelled.
-func TestDependenciesThatMayBeArchived(t *testing.T) {
+// TestArchivedDependenciesDropped guards against a stored record that names dependencies whose own records
+// may be archived and no longer be found. Done ones are left out, and a cancelled one cancels the job.
+func TestArchivedDependenciesDropped(t *testing.T) {
 	for _, test := range []struct {
 		first, second jobs.Status
 		status        jobs.Status
@@ -286,7 +288,7 @@
 		host.archiveOn, host.mark = true, 60
 		host.archived["wk-000001"] = archive.Answer{Status: test.first}
 		host.jobs["wk-000002"] = jobOf("wk-000002", jobs.Record{Status: test.second, Tasks: 1, Spec: specOf()})
-		newHandler(host).Submit(Request{ID: 1, Job: name, Spec: specOf("wk-000001", "wk-000002")})
+		newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf("wk-000001", "wk-000002")})
 		if len(host.writes) != 1 {
 			t.Fatalf("%+v", host)
 		}
@@ -297,7 +299,8 @@
 	}
 }
 
-// TestQuery answers at once only with a final state, and with any other after a read.
+// TestQuery guards against stale answers: only a final state may be
+// answered at once, any other needs a fresh read.
 func TestQuery(t *testing.T) {
 	host := newFakeHost()
 	handler := newHandler(host)
@@ -314,63 +317,64 @@
 	if len(host.answers) != 2 || len(host.reads) != 2 {
 		t.Fatalf("%d answers, %d reads", len(host.answers), len(host.reads))
 	}
-	host.read(true)
+	host.completeReads(true)
 	if len(host.answers) != 3 || host.answers[2].Status != jobs.Pending || len(host.refusals) != 1 || host.refusals[0].Reason.HTTPStatus() != http.StatusNotFound {
 		t.Errorf("%+v, %+v", host.answers, host.refusals)
 	}
 	handler.Query(5, "wk-000003")
-	host.read(false)
+	host.completeReads(false)
 	if len(host.forwarded) != 1 || host.forwarded[0].Kind != Query || host.forwarded[0].Job != "wk-000003" {
-		t.Errorf("no read: %+v", host.forwarded)
+		t.Errorf("read failed: %+v", host.forwarded)
 	}
 }
 
-// TestCancel confirms a cancellation once it is stored, and tells how a job ended before.
+// TestCancel checks that a cancellation is confirmed only once it is stored, and
+// that the answer is the final state if the job has ended before.
 func TestCancel(t *testing.T) {
 	host := newFakeHost()
 	handler := newHandler(host)
 	job := pendingJob("wk-000001")
 	host.jobs["wk-000001"] = job
 	handler.Cancel(1, "wk-000001")
-	if !host.open() || len(host.writes) != 1 || host.writes[0].Guards[0] != (store.Guard{Key: keys.Job("wk-000001"), Version: 7}) {
+	if !host.unanswered() || len(host.writes) != 1 || host.writes[0].Guards[0] != (store.Guard{Key: keys.Job("wk-000001"), Version: 7}) {
 		t.Fatalf("%+v", host)
 	}
-	host.finish(t, store.OK, 101)
+	host.completeWrite(t, store.OK, 101)
 	if len(host.answers) != 1 || host.answers[0].Status != jobs.Cancelled {
 		t.Fatalf("%+v", host.answers)
 	}
 
 	handler.Cancel(2, "wk-000001")
-	host.finish(t, store.Failed, 0) // it has ended meanwhile, as the read shows
+	host.completeWrite(t, store.Failed, 0) // the job has ended in the meantime, as the read shows
 	if len(host.answers) != 1 || len(host.reads) != 1 {
 		t.Fatalf("%+v", host)
 	}
 	job.Finalize(jobs.Record{Status: jobs.Done, Tasks: 2}, 8)
-	host.read(true)
+	host.completeReads(true)
 	if len(host.answers) != 2 || host.answers[1].Status != jobs.Done {
 		t.Errorf("%+v", host.answers)
 	}
 
-	handler.Cancel(3, name) // another controller has accepted it
-	host.jobs[name] = pendingJob(name)
-	host.read(true)
-	host.finish(t, store.Unknown, 0)
+	handler.Cancel(3, newJobID) // another controller has accepted the job
+	host.jobs[newJobID] = pendingJob(newJobID)
+	host.completeReads(true)
+	host.completeWrite(t, store.Unknown, 0)
 	if len(host.forwarded) != 1 || host.forwarded[0].Kind != Cancel {
 		t.Errorf("%+v", host.forwarded)
 	}
 
 	host.queueFull = true
-	handler.Cancel(4, name)
+	handler.Cancel(4, newJobID)
 	if len(host.refusals) != 1 || host.refusals[0].Text != "too many requests" {
 		t.Errorf("%+v", host.refusals)
 	}
 }
 
-// TestUnservedForwards has the state service not answer: what is final is told, all else goes to
-// a controller that it serves.
-func TestUnservedForwards(t *testing.T) {
+// TestUnreachableStateServiceForwards checks a controller that gets no answer from the state service: it answers final
+// states itself and forwards everything else to a controller that can reach the state service.
+func TestUnreachableStateServiceForwards(t *testing.T) {
 	host := newFakeHost()
-	host.unserved = true
+	host.unreachable = true
 	handler := newHandler(host)
 	host.jobs["wk-000001"] = jobOf("wk-000001", jobs.Record{Status: jobs.Done, Tasks: 2})
 	handler.Submit(Request{ID: 1, Kind: Submit, Job: "wk-000001"})
@@ -379,9 +383,9 @@
 	if len(host.answers) != 3 || len(host.forwarded) != 0 {
 		t.Fatalf("%+v", host)
 	}
-	handler.Submit(Request{ID: 4, Kind: Submit, Job: name, Spec: specOf(), Malformed: "x"})
-	handler.Query(5, name)
-	handler.Cancel(6, name)
+	handler.Submit(Request{ID: 4, Kind: Submit, Job: newJobID, Spec: specOf(), Malformed: "x"})
+	handler.Query(5, newJobID)
+	handler.Cancel(6, newJobID)
 	if len(host.forwarded) != 3 || host.forwarded[0].Spec == nil || host.forwarded[0].Malformed != "x" || host.forwarded[1].Kind != Query || host.forwarded[2].Kind != Cancel || len(host.reads)+len(host.writes) != 0 {
 		t.Errorf("%+v", host.forwarded)
 	}
--- a/internal/core/jobs/dependencies_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -10,76 +10,78 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// graphModel is a graph's truth, by looking at everything each time.
+// graphModel is the reference model of a dependency graph. It computes every answer from all jobs.
 type graphModel struct {
 	dependencies map[string][]string
 	own          map[string]Objectives
-	stored       map[string]Status // final states that were stored
+	stored       map[string]Status // stored final states
 }
 
-// cancelled reports whether a job is cancelled, by itself or through others.
-func (p *graphModel) cancelled(id string) bool {
-	return p.stored[id] == Cancelled || slices.ContainsFunc(p.dependencies[id], p.cancelled)
+// cancelled reports whether a job is cancelled, by itself or through a dependency.
+func (model *graphModel) cancelled(id string) bool {
+	return model.stored[id] == Cancelled || slices.ContainsFunc(model.dependencies[id], model.cancelled)
 }
 
-func (p *graphModel) open(id string) bool { return p.stored[id] == "" && !p.cancelled(id) }
+func (model *graphModel) active(id string) bool {
+	return model.stored[id] == "" && !model.cancelled(id)
+}
 
-func (p *graphModel) waits(id string) bool {
-	return slices.ContainsFunc(p.dependencies[id], func(a string) bool { return p.stored[a] != Done })
+func (model *graphModel) waits(id string) bool {
+	return slices.ContainsFunc(model.dependencies[id], func(a string) bool { return model.stored[a] != Done })
 }
 
-// objectives is what is asked of a job, where each takes a second.
-func (p *graphModel) objectives(id string) Objectives {
-	out := p.own[id]
-	for d, awaits := range p.dependencies {
-		if slices.Contains(awaits, id) && p.open(d) {
-			out.Tighten(p.objectives(d).Before(units.Second))
+// objectives returns the objectives of a job, where each job takes one second.
+func (model *graphModel) objectives(id string) Objectives {
+	out := model.own[id]
+	for dependent, awaits := range model.dependencies {
+		if slices.Contains(awaits, id) && model.active(dependent) {
+			out.Tighten(model.objectives(dependent).Before(units.Second))
 		}
 	}
 	return out
 }
 
-// graphMachine has a graph and its truth go through the same changes.
+// graphMachine applies the same changes to a dependency graph and to its model.
 type graphMachine struct {
 	graph       DependencyGraph
-	truth       graphModel
+	model       graphModel
 	jobs        map[string]*Job
 	ready       map[string]bool
-	ids, unread []string
+	ids, unseen []string
 }
 
-// TestDependencyGraph: whatever graph jobs form, in whatever order they are learnt and end, each is
-// released exactly when all that it depends on are stored as done, cancelled exactly
-// when any before it is, and is asked for what those that depend on it ask for.
+// TestDependencyGraph checks random graphs whose jobs become known and end in random order. Each job
+// must be released exactly when all its dependencies are stored as done, be cancelled exactly when any
+// direct or indirect dependency is cancelled, and get the objectives of its dependents.
 func TestDependencyGraph(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &graphMachine{truth: graphModel{map[string][]string{}, map[string]Objectives{}, map[string]Status{}}, jobs: map[string]*Job{}, ready: map[string]bool{}}
-		t.Repeat(map[string]func(*rapid.T){"accept": m.accept, "learn": m.learn, "end": m.end, "": m.check})
+		m := &graphMachine{model: graphModel{map[string][]string{}, map[string]Objectives{}, map[string]Status{}}, jobs: map[string]*Job{}, ready: map[string]bool{}}
+		t.Repeat(map[string]func(*rapid.T){"accept": m.accept, "learn": m.observe, "end": m.end, "": m.check})
 	})
 }
 
 func (m *graphMachine) accept(t *rapid.T) {
 	id := fmt.Sprintf("wk-%06d", len(m.ids))
 	if len(m.ids) > 0 {
-		m.truth.dependencies[id] = rapid.SliceOfN(rapid.SampledFrom(m.ids), 0, 4).Draw(t, "awaits")
+		m.model.dependencies[id] = rapid.SliceOfN(rapid.SampledFrom(m.ids), 0, 4).Draw(t, "awaits")
 	}
-	m.truth.own[id] = Objectives{Priority(rapid.IntRange(0, 3).Draw(t, "priority")), units.Never, units.Never}
+	m.model.own[id] = Objectives{Priority(rapid.IntRange(0, 3).Draw(t, "priority")), units.Never, units.Never}
 	if rapid.Bool().Draw(t, "due") {
-		m.truth.own[id] = Objectives{Low, units.Microseconds(rapid.IntRange(0, 100).Draw(t, "at")) * units.Second, units.Never}
+		m.model.own[id] = Objectives{Low, units.Microseconds(rapid.IntRange(0, 100).Draw(t, "at")) * units.Second, units.Never}
 	}
 	m.ids = append(m.ids, id)
-	m.unread = append(m.unread, id)
+	m.unseen = append(m.unseen, id)
 }
 
-func (m *graphMachine) learn(t *rapid.T) {
-	if len(m.unread) == 0 {
+func (m *graphMachine) observe(t *rapid.T) {
+	if len(m.unseen) == 0 {
 		t.Skip()
 	}
-	i := rapid.IntRange(0, len(m.unread)-1).Draw(t, "which")
-	id := m.unread[i]
-	m.unread = slices.Delete(m.unread, i, i+1)
-	record := Record{Status: Pending, Tasks: 1, Spec: &Spec{Tasks: 1, Awaits: m.truth.dependencies[id]}}
-	if status := m.truth.stored[id]; status != "" {
+	i := rapid.IntRange(0, len(m.unseen)-1).Draw(t, "which")
+	id := m.unseen[i]
+	m.unseen = slices.Delete(m.unseen, i, i+1)
+	record := Record{Status: Pending, Tasks: 1, Spec: &Spec{Tasks: 1, Awaits: m.model.dependencies[id]}}
+	if status := m.model.stored[id]; status != "" {
 		record = Record{Status: status, Tasks: 1}
 	}
 	job := &Job{ID: id, Record: record}
@@ -89,7 +91,7 @@
 		m.over(t, job)
 		return
 	}
-	job.Objectives = m.truth.own[id]
+	job.Objectives = m.model.own[id]
 	if by := m.graph.Link(job, m.jobs, 77); by != "" {
 		job.Cancel(by)
 		m.over(t, job)
@@ -105,7 +107,7 @@
 	}
 	for _, dependent := range cancelled {
 		if dependent.CancelledBy == "" {
-			t.Fatalf("%s is cancelled through nothing", dependent.ID)
+			t.Fatalf("%s is cancelled, but not through a dependency", dependent.ID)
 		}
 	}
 }
@@ -116,47 +118,48 @@
 	}
 	id := rapid.SampledFrom(m.ids).Draw(t, "which")
 	status := Cancelled
-	if !m.truth.waits(id) && rapid.Bool().Draw(t, "done") {
+	if !m.model.waits(id) && rapid.Bool().Draw(t, "done") {
 		status = Done
 	}
-	if !m.truth.open(id) {
+	if !m.model.active(id) {
 		t.Skip()
 	}
-	m.truth.stored[id] = status
+	m.model.stored[id] = status
 	if job := m.jobs[id]; job != nil && job.Active() {
 		job.Finalize(Record{Status: status, Tasks: 1}, 1)
 		m.over(t, job)
 	}
 }
 
-// check compares all jobs, once all are read.
+// check compares all jobs with the model once all are known to the graph.
 func (m *graphMachine) check(t *rapid.T) {
-	if len(m.unread) > 0 {
+	if len(m.unseen) > 0 {
 		return
 	}
-	m.graph.Propagate(m.jobs, func(job *Job) Objectives { return m.truth.own[job.ID] }, func(*Job) units.Microseconds { return units.Second })
+	m.graph.Propagate(m.jobs, func(job *Job) Objectives { return m.model.own[job.ID] }, func(*Job) units.Microseconds { return units.Second })
 	for _, id := range m.ids {
 		job := m.jobs[id]
-		if job.Active() != m.truth.open(id) || (job.Record.Status == Cancelled) != m.truth.cancelled(id) {
+		if job.Active() != m.model.active(id) || (job.Record.Status == Cancelled) != m.model.cancelled(id) {
 			t.Fatalf("%s is %s", id, job.Record.Status)
 		}
 		if !job.Active() {
 			continue
 		}
-		waits := m.truth.waits(id)
+		waits := m.model.waits(id)
 		awaited := slices.ContainsFunc(m.ids, func(other string) bool {
-			return m.truth.open(other) && slices.Contains(m.truth.dependencies[other], id)
+			return m.model.active(other) && slices.Contains(m.model.dependencies[other], id)
 		})
 		if m.ready[id] == waits || (job.OpenDependencies > 0) != waits || m.graph.HasDependents(id) != awaited {
 			t.Fatalf("%s: ready %v, open dependencies %d, waits %v", id, m.ready[id], job.OpenDependencies, waits)
 		}
-		if job.Objectives != m.truth.objectives(id) {
-			t.Fatalf("%s: objectives %+v, want %+v", id, job.Objectives, m.truth.objectives(id))
+		if job.Objectives != m.model.objectives(id) {
+			t.Fatalf("%s: objectives %+v, want %+v", id, job.Objectives, m.model.objectives(id))
 		}
 	}
 }
 
-// A long chain and a wide fan end at once, without a stack as deep as the chain.
+// TestLongChainAndWideFan guards against recursion as deep as a chain of dependencies:
+// 50,000 jobs in one chain, or that all depend on one job, are cancelled at once.
 func TestLongChainAndWideFan(t *testing.T) {
 	for name, awaits := range map[string]func(i int) []string{
 		"chain": func(i int) []string { return []string{fmt.Sprint(i - 1)} },
@@ -182,11 +185,11 @@
 		}
 		graph.Propagate(jobs, own, func(*Job) units.Microseconds { return 1 })
 		if a := jobs["0"].Objectives; a.Priority != High || a.Due >= n*units.Second {
-			t.Errorf("%s: %+v is asked of the first", name, a)
+			t.Errorf("%s: objectives of the first job are %+v", name, a)
 		}
 		jobs["0"].Finalize(Record{Status: Cancelled}, 1)
-		if _, off := graph.JobFinalized(jobs["0"], 1); len(off) != n-1 || graph.BlockedLen() != 0 {
-			t.Errorf("%s: %d cancelled, %d wait", name, len(off), graph.BlockedLen())
+		if _, cancelled := graph.JobFinalized(jobs["0"], 1); len(cancelled) != n-1 || graph.BlockedLen() != 0 {
+			t.Errorf("%s: %d cancelled, %d wait", name, len(cancelled), graph.BlockedLen())
 		}
 	}
 }
--- a/internal/core/jobs/job_test.go
+++ b/internal/core/jobs/job_test.go
@@ -8,30 +8,30 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// What is stored of finished tasks reads back the same, and stays under the
-// state service's limit whatever the pattern.
+// TestRangesRoundTrip checks that finished tasks encoded as ranges decode to the same tasks, and
+// that the text stays below the value limit of the state service for any pattern.
 func TestRangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.IntRange(2, 64).Draw(t, "value_kb")
-		chunk := TasksPerRecord(float64(kb))
-		first := chunk * rapid.IntRange(0, 3).Draw(t, "chunk")
+		tasksPerRecord := TasksPerRecord(float64(kb))
+		first := tasksPerRecord * rapid.IntRange(0, 3).Draw(t, "chunk")
 		var set Set
 		step := rapid.IntRange(1, 5).Draw(t, "step")
-		for i := first; i < first+chunk; i += step {
+		for i := first; i < first+tasksPerRecord; i += step {
 			if step < 3 || rapid.IntRange(0, 9).Draw(t, "skip") > 0 {
 				set.Add(i)
 			}
 		}
-		text := set.Ranges(first, first+chunk)
+		text := set.Ranges(first, first+tasksPerRecord)
 		if len(text)+32 > kb*1024 {
 			t.Fatalf("%d bytes for a limit of %d KiB", len(text), kb)
 		}
-		var back Set
-		if err := back.AddRanges(text, first, first+chunk); err != nil {
+		var decoded Set
+		if err := decoded.AddRanges(text, first, first+tasksPerRecord); err != nil {
 			t.Fatal(err)
 		}
-		if back.Len() != set.Len() || back.Ranges(first, first+chunk) != text {
-			t.Fatalf("%q reads back as %q", text, back.Ranges(first, first+chunk))
+		if decoded.Len() != set.Len() || decoded.Ranges(first, first+tasksPerRecord) != text {
+			t.Fatalf("%q reads back as %q", text, decoded.Ranges(first, first+tasksPerRecord))
 		}
 	})
 }
@@ -44,11 +44,11 @@
 		var s Set
 		err := s.AddRanges(text, 0, 2048)
 		if err != nil && s.Len() > 0 {
-			t.Fatalf("%q is malformed and yet added %d", text, s.Len())
+			t.Fatalf("%q is malformed, but added %d tasks", text, s.Len())
 		}
 		for i := 2048; i < 4096; i++ {
 			if s.Has(i) {
-				t.Fatalf("%q reaches beyond its chunk", text)
+				t.Fatalf("%q reaches beyond its record", text)
 			}
 		}
 	})
@@ -65,8 +65,9 @@
 	})
 }
 
-// A job's tasks are each in one place only: ready, placed or finished.
-func TestJobAccounting(t *testing.T) {
+// TestTaskAccounting checks that each task of a job is in exactly one
+// state, ready, placed or finished, after any sequence of changes.
+func TestTaskAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "tasks")
 		job := &Job{ID: "wk-000001", Record: Record{Status: Pending, Tasks: n, Spec: &Spec{Tasks: n}}}
@@ -79,7 +80,7 @@
 				}
 				k := job.PlaceNext(Place{Machine: "m"})
 				if placed[k] || finished[k] {
-					t.Fatalf("task %d taken though placed or finished", k)
+					t.Fatalf("task %d is placed again though it is placed or finished", k)
 				}
 				placed[k] = true
 			},
@@ -119,7 +120,7 @@
 	})
 }
 
-func TestIDForms(t *testing.T) {
+func TestIDFormats(t *testing.T) {
 	for id, want := range map[string]bool{"wk-000412": true, "wk-1234567": true, "wk-412": false, "wk-0001234": false,
 		"job-000412": false, "wk-00041x": false, "": false, "wk-000412/3": false} {
 		if ValidID(id) != want {
--- a/internal/core/jobs/progress_test.go
+++ b/internal/core/jobs/progress_test.go
@@ -11,9 +11,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// productionRead reads a record of finished tasks as the releases before 0.3 do:
-// by its number and the old value limit alone.
-func productionRead(s *Set, name, ranges string, tasks int, formerKB float64) error {
+// readAsOlderRelease reads a record of finished tasks as the releases
+// before 0.3 do: by its number and the former value limit alone.
+func readAsOlderRelease(s *Set, name, ranges string, tasks int, formerKB float64) error {
 	n, err := strconv.Atoi(name)
 	if err != nil {
 		return err
@@ -22,7 +22,7 @@
 	return s.AddRanges(ranges, lo, min(lo+TasksPerRecord(formerKB), tasks))
 }
 
-// storeRound has a job finish some tasks and stores them as one release or the other does.
+// storeRound finishes some tasks of a job and stores them in the layout of one release.
 func storeRound(t *rapid.T, job *Job, writer ProgressLayout, limit int, stored map[string]string) {
 	tasks := job.Record.Tasks
 	step := rapid.IntRange(1, 4).Draw(t, "step")
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestProgressOfBothReleases: finished tasks that either release stores read back the same in both,
-// under the old value limit and the smaller one, and whichever of them writes next.
-func TestProgressOfBothReleases(t *testing.T) {
+// TestProgressReadableAcrossReleases checks that finished tasks stored by the older or the newer release, in
+// any order and under the former value limit or a smaller one, read back the same in both releases.
+func TestProgressReadableAcrossReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		formerKB := float64(rapid.SampledFrom([]int{2, 4, 8, 32}).Draw(t, "old_kb"))
 		newKB := min(formerKB, float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(t, "new_kb")))
@@ -60,64 +60,64 @@
 				storeRound(t, job, layout, int(newKB*1024), stored)
 			}
 		}
-		var production Set
+		var older Set
 		next := &Job{Record: job.Record}
 		names := layout.Names(tasks)
 		for name, text := range stored {
-			if err := productionRead(&production, name, text, tasks, formerKB); err != nil {
-				t.Fatalf("%q as production reads it: %v", name, err)
+			if err := readAsOlderRelease(&older, name, text, tasks, formerKB); err != nil {
+				t.Fatalf("%q as the older release reads it: %v", name, err)
 			}
 			n, _ := strconv.Atoi(name)
 			if err := next.LoadProgress(n, layout, Progress{Tasks: text}); err != nil {
 				t.Fatalf("%q: %v", name, err)
 			}
 			if !slices.Contains(names, name) {
-				t.Fatalf("%q would not be deleted", name)
+				t.Fatalf("%q is not in Names and would not be deleted", name)
 			}
 		}
-		if want := job.finished.Ranges(0, tasks); production.Ranges(0, tasks) != want || next.finished.Ranges(0, tasks) != want {
-			t.Fatalf("finished %s\nproduction reads %s\nthis release %s", want, production.Ranges(0, tasks), next.finished.Ranges(0, tasks))
+		if want := job.finished.Ranges(0, tasks); older.Ranges(0, tasks) != want || next.finished.Ranges(0, tasks) != want {
+			t.Fatalf("finished %s\nthe older release reads %s\nthis release %s", want, older.Ranges(0, tasks), next.finished.Ranges(0, tasks))
 		}
 	})
 }
 
-// A description of any size fits values of any size in parts, and no other text
-// is taken for it.
-func TestChunksOfDescription(t *testing.T) {
+// TestSpecChunksRoundTrip checks that a job spec of any size is stored in chunks within the value
+// limit and joins to the same spec, and that chunks of another text are rejected.
+func TestSpecChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := &Spec{Class: rapid.String().Draw(t, "class"), Team: strings.Repeat("\"<é\\", rapid.IntRange(0, 400).Draw(t, "team")), Tasks: 1}
 		for range rapid.IntRange(0, 5000).Draw(t, "awaits") {
 			spec.Awaits = append(spec.Awaits, "wk-000001")
 		}
 		limit := rapid.IntRange(200, 9000).Draw(t, "limit")
-		r, parts := Record{Status: Pending, Tasks: 1, Submitted: 5, Shard: 1, Spec: spec}.Split(limit)
+		r, chunks := Record{Status: Pending, Tasks: 1, Submitted: 5, Shard: 1, Spec: spec}.Split(limit)
 		var texts []string
-		for _, p := range parts {
-			if len(p) > limit {
-				t.Fatalf("a part of %d bytes for a limit of %d", len(p), limit)
+		for _, chunk := range chunks {
+			if len(chunk) > limit {
+				t.Fatalf("a chunk of %d bytes for a limit of %d", len(chunk), limit)
 			}
-			text, err := ChunkText(p)
+			text, err := ChunkText(chunk)
 			if err != nil {
 				t.Fatal(err)
 			}
 			texts = append(texts, text)
 		}
-		if len(parts) > MaxChunks {
+		if len(chunks) > MaxChunks {
 			t.Skip()
 		}
-		back, err := DecodeRecord(r.Encode())
-		if err != nil || len(r.Encode()) > 200 || back.Spec != nil {
+		decoded, err := DecodeRecord(r.Encode())
+		if err != nil || len(r.Encode()) > 200 || decoded.Spec != nil {
 			t.Fatalf("%s: %v", r.Encode(), err)
 		}
-		if err := back.Join(texts); err != nil {
+		if err := decoded.Join(texts); err != nil {
 			t.Fatal(err)
 		}
-		if string(store.Value(back.Spec)) != string(store.Value(spec)) {
-			t.Fatal("another description")
+		if string(store.Value(decoded.Spec)) != string(store.Value(spec)) {
+			t.Fatal("the joined job spec differs from the original")
 		}
 		texts[0] = "x" + texts[0]
-		if err := back.Join(texts); err == nil {
-			t.Fatal("other parts are taken")
+		if err := decoded.Join(texts); err == nil {
+			t.Fatal("chunks of another text are accepted")
 		}
 	})
 }
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -64,7 +64,7 @@
 	runnable          ranking.Order        // active jobs without open dependencies
 	dependencies      jobs.DependencyGraph
 	chunks            *chunks.Store
-	pendingCleanup   map[string]bool    // final jobs whose cancellation is to be stored or whose chunks are to be deleted
+	pendingCleanup    map[string]bool    // final jobs whose cancellation is to be stored or whose chunks are to be deleted
 	nextPropagationAt units.Microseconds // time of the next propagation of objectives
 }
 
--- a/internal/core/jobs/registry/registry_test.go
+++ b/internal/core/jobs/registry/registry_test.go
@@ -13,7 +13,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fakeHost notes what it is told, in order.
+// fakeHost records the calls of its methods, in order.
 type fakeHost struct {
 	now   units.Microseconds
 	calls []string
@@ -38,16 +38,16 @@
 	f.calls = append(f.calls, "cancellation "+e.Key)
 }
 
-// expect compares what the host was told since the last time.
+// expect compares the calls since the previous expect.
 func (f *fakeHost) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if !slices.Equal(f.calls, want) {
-		t.Fatalf("the host was told %q, want %q", f.calls, want)
+		t.Fatalf("host calls %q, want %q", f.calls, want)
 	}
 	f.calls = nil
 }
 
-// fakeWriter keeps what is written.
+// fakeWriter records the writes.
 type fakeWriter struct {
 	done    []func(store.Outcome)
 	guarded [][]string
@@ -67,7 +67,7 @@
 	return jobs.Record{Status: jobs.Pending, Shard: shard, Tasks: 300, Spec: &jobs.Spec{Class: "c", Tasks: 300, Deadline: 60 * units.Second, Awaits: dependencies}}
 }
 
-func learn(t *testing.T, r *Registry, id string, record jobs.Record, version uint64) {
+func applyRecord(t *testing.T, r *Registry, id string, record jobs.Record, version uint64) {
 	t.Helper()
 	if err := r.ApplyRecord(id, store.Event{Value: record.Encode(), Stamp: version}); err != nil {
 		t.Fatal(err)
@@ -82,17 +82,18 @@
 	return strings.Join(names, " ")
 }
 
-// TestLifeOfAJob has a job accepted, moved, done and archived, while another waits for it.
-func TestLifeOfAJob(t *testing.T) {
+// TestJobLifecycle follows a job that is accepted, moved to another
+// shard, done and archived, while another job depends on it.
+func TestJobLifecycle(t *testing.T) {
 	r, host := newRegistry()
-	learn(t, r, "wk-000002", pending(0, "wk-000001"), 5) // listed before what it depends on
+	applyRecord(t, r, "wk-000002", pending(0, "wk-000001"), 5) // listed before its dependency
 	host.expect(t)
-	learn(t, r, "wk-000001", pending(0), 6)
+	applyRecord(t, r, "wk-000001", pending(0), 6)
 	host.expect(t, "runnable wk-000001")
 	if r.Len() != 2 || r.ActiveLen() != 2 || ids(r.ActiveByID()) != "wk-000001 wk-000002" || ids(r.Runnable()) != "wk-000001" || r.BlockedLen() != 1 || !r.HasDependents("wk-000001") {
 		t.Fatalf("%d jobs, %s runnable, %d blocked", r.Len(), ids(r.Runnable()), r.BlockedLen())
 	}
-	learn(t, r, "wk-000001", pending(1), 7)
+	applyRecord(t, r, "wk-000001", pending(1), 7)
 	host.expect(t, "leaves wk-000001", "runnable wk-000001")
 	if a := r.Get("wk-000001"); a.Record.Shard != 1 || a.Version != 7 || a.Objectives.LastDue != 120*units.Second {
 		t.Fatalf("%+v", a)
@@ -104,15 +105,15 @@
 		t.Fatalf("%+v", a)
 	}
 	r.Get("wk-000001").Adopt(20, jobs.Place{Machine: "n-1"})
-	learn(t, r, "wk-000001", jobs.Record{Status: jobs.Done, Tasks: 300, FinishedAt: 2000 * units.Second}, 8)
+	applyRecord(t, r, "wk-000001", jobs.Record{Status: jobs.Done, Tasks: 300, FinishedAt: 2000 * units.Second}, 8)
 	host.expect(t, "done wk-000001", "over wk-000001", "runnable wk-000002")
 	if b := r.Get("wk-000002"); b.OpenDependencies != 0 || b.Since != 2000*units.Second || ids(r.Runnable()) != "wk-000002" || !r.Retained("wk-000001") {
 		t.Fatalf("%+v, retained %v", b, r.Retained("wk-000001"))
 	}
-	learn(t, r, "wk-000002", jobs.Record{Status: jobs.Cancelled, Tasks: 300}, 9)
+	applyRecord(t, r, "wk-000002", jobs.Record{Status: jobs.Cancelled, Tasks: 300}, 9)
 	host.expect(t, "cancellation ", "cancelled wk-000002", "over wk-000002")
 	if r.Retained("wk-000001") || r.ActiveLen() != 0 {
-		t.Error("a job is retained that nobody names any more")
+		t.Error("a job is retained though no unfinished job names it")
 	}
 	if err := r.ApplyRecord("wk-000001", store.Event{}); err != nil {
 		t.Fatal(err)
@@ -120,27 +121,27 @@
 	host.expect(t, "archived wk-000001")
 	a := r.Get("wk-000001")
 	if a == nil || !a.Archived {
-		t.Fatal("an archived job is forgotten while a task may run")
+		t.Fatal("an archived job is dropped while a task may run")
 	}
 	a.Release(20)
 	if r.TaskRemoved(a); r.Get("wk-000001") != nil {
-		t.Error("an archived job is kept")
+		t.Error("an archived job is kept though none of its tasks may run")
 	}
 }
 
-// TestUnusableRecords are refused and change nothing.
-func TestUnusableRecords(t *testing.T) {
+// TestUnusableRecordsRejected checks that malformed records return an error and change nothing.
+func TestUnusableRecordsRejected(t *testing.T) {
 	r, host := newRegistry()
 	for _, value := range []string{`{`, `{"status":"running"}`, `{"status":"pending","tasks":1}`, `{"status":"pending","tasks":1,"parts":1}`, `{"status":"pending","tasks":1,"parts":1000,"sum":"x"}`} {
 		if err := r.ApplyRecord("wk-000001", store.Event{Value: []byte(value)}); err == nil {
-			t.Errorf("%s is taken", value)
+			t.Errorf("%s is accepted", value)
 		}
 	}
-	learn(t, r, "wk-000001", pending(0), 5)
+	applyRecord(t, r, "wk-000001", pending(0), 5)
 	host.expect(t, "runnable wk-000001")
 	for name, value := range map[string]string{"wk-000001/x": `{}`, "wk-000001/9": `{"tasks":"0"}`, "wk-000001/0": `{"tasks":"999"}`, "wk-000001/00": `{`} {
 		if err := r.ApplyProgress(name, store.Event{Value: []byte(value)}); err == nil {
-			t.Errorf("%s %s is taken", name, value)
+			t.Errorf("%s %s is accepted", name, value)
 		}
 	}
 	if r.Len() != 1 || r.Get("wk-000001").Finished() != 0 {
@@ -148,19 +149,20 @@
 	}
 }
 
-// TestCancelledThroughDependencies has a chain cancelled with its first job, also where that is learnt
-// first, and stores so in their own records: again until it is stored.
-func TestCancelledThroughDependencies(t *testing.T) {
+// TestCancellationPropagatesToDependents checks that the cancellation of a job cancels the whole
+// chain of its dependents, including a job that is added after the cancellation. The
+// cancellation is written to the dependents' own records, and retried until it is stored.
+func TestCancellationPropagatesToDependents(t *testing.T) {
 	r, host := newRegistry()
-	learn(t, r, "wk-000001", pending(0), 5)
-	learn(t, r, "wk-000002", pending(0, "wk-000001"), 6)
-	learn(t, r, "wk-000003", pending(0, "wk-000002"), 7)
+	applyRecord(t, r, "wk-000001", pending(0), 5)
+	applyRecord(t, r, "wk-000002", pending(0, "wk-000001"), 6)
+	applyRecord(t, r, "wk-000003", pending(0, "wk-000002"), 7)
 	host.expect(t, "runnable wk-000001")
-	learn(t, r, "wk-000001", jobs.Record{Status: jobs.Cancelled, Tasks: 1}, 8)
+	applyRecord(t, r, "wk-000001", jobs.Record{Status: jobs.Cancelled, Tasks: 1}, 8)
 	host.expect(t, "cancellation ", "cancelled wk-000001", "over wk-000001", "over wk-000002", "over wk-000003")
-	learn(t, r, "wk-000004", pending(0, "wk-000003"), 9)
+	applyRecord(t, r, "wk-000004", pending(0, "wk-000003"), 9)
 	host.expect(t, "over wk-000004")
-	learn(t, r, "wk-000004", pending(1, "wk-000003"), 10) // another move of it changes nothing any more
+	applyRecord(t, r, "wk-000004", pending(1, "wk-000003"), 10) // a later move of a cancelled job changes nothing
 	host.expect(t)
 	if r.ActiveLen() != 0 || r.Get("wk-000003").CancelledBy != "wk-000002" || r.Get("wk-000004").CancelledBy != "wk-000003" || !r.GarbagePending() {
 		t.Fatalf("%d active", r.ActiveLen())
@@ -172,7 +174,7 @@
 	}
 	w.done[0](store.Refused)
 	w.done[1](store.OK)
-	learn(t, r, "wk-000003", jobs.Record{Status: jobs.Cancelled, Tasks: 1}, 11)
+	applyRecord(t, r, "wk-000003", jobs.Record{Status: jobs.Cancelled, Tasks: 1}, 11)
 	again := fakeWriter{}
 	r.CollectGarbage(9, &again)
 	if len(again.changes) != 2 || again.changes[0].Key != "shalestage/job/wk-000002" || again.changes[1].Key != "shalestage/job/wk-000004" || r.GarbagePending() {
@@ -180,7 +182,7 @@
 	}
 }
 
-// longRecord returns a record whose description is stored in chunks, and these.
+// longRecord returns a record whose job spec is stored in chunks, and the events of these chunks.
 func longRecord(id string) (jobs.Record, []store.Event) {
 	record := pending(0)
 	record.Spec.Image = strings.Repeat("i", 1000)
@@ -192,15 +194,15 @@
 	return record, events
 }
 
-// TestDescriptionInChunks learns a record before, among and after its chunks, and deletes these once
-// the job is over.
-func TestDescriptionInChunks(t *testing.T) {
+// TestChunkedSpecInAnyOrder applies a record before, between and after the chunks of its job spec. The job
+// must become runnable in each case, and its chunks must be deleted once it is final.
+func TestChunkedSpecInAnyOrder(t *testing.T) {
 	record, list := longRecord("wk-000001")
 	for at := range len(list) + 1 {
 		r, host := newRegistry()
 		for i := range len(list) + 1 {
 			if i == at {
-				learn(t, r, "wk-000001", record, 50)
+				applyRecord(t, r, "wk-000001", record, 50)
 			}
 			if i < len(list) {
 				if err := r.ApplyChunk(list[i]); err != nil {
@@ -212,9 +214,9 @@
 		if len(r.Get("wk-000001").Spec().Image) != 1000 {
 			t.Fatalf("%+v", r.Get("wk-000001").Spec())
 		}
-		learn(t, r, "wk-000001", jobs.Record{Status: jobs.Done, Tasks: 300}, 60)
+		applyRecord(t, r, "wk-000001", jobs.Record{Status: jobs.Done, Tasks: 300}, 60)
 		if !r.GarbagePending() || !r.Retained("wk-000001") {
-			t.Fatal("chunks of a job that is over are not to be deleted")
+			t.Fatal("chunks of a final job are not scheduled for deletion")
 		}
 		for rounds := 0; r.GarbagePending(); rounds++ {
 			var w fakeWriter
@@ -227,13 +229,14 @@
 			}
 		}
 		if r.Retained("wk-000001") {
-			t.Error("chunks are left")
+			t.Error("chunks of a final job are not all deleted")
 		}
 	}
 }
 
-// TestOrphanedChunks deletes chunks whose record never came, the first before the others and no
-// sooner than said; not where the record has come meanwhile, or somebody goes on storing them.
+// TestOrphanedChunks checks that chunks without a record are deleted after
+// OrphanAge, the first chunk before the others. They must stay if the record has
+// arrived in the meantime, or another controller goes on storing them.
 func TestOrphanedChunks(t *testing.T) {
 	record, list := longRecord("wk-000001")
 	r, host := newRegistry()
@@ -261,7 +264,7 @@
 	}
 	w.done[0](store.Failed)
 	if w := collect(); len(w.changes) != 0 {
-		t.Fatalf("a submission that goes on is deleted: %+v", w)
+		t.Fatalf("chunks of a submission in progress are deleted: %+v", w)
 	}
 	host.now += 10 * units.Second
 	for deleted := 0; deleted < len(list); {
@@ -288,20 +291,20 @@
 			t.Fatal(err)
 		}
 	}
-	learn(t, r, "wk-000001", record, 50)
+	applyRecord(t, r, "wk-000001", record, 50)
 	host.now += 20 * units.Second
 	if w := collect(); len(w.changes) != 0 {
 		t.Errorf("chunks of an accepted job are deleted: %+v", w)
 	}
 }
 
-// TestObjectivesPropagate at most twice a second, along the dependencies.
+// TestObjectivesPropagate checks that objectives propagate along the dependencies, at most twice a second.
 func TestObjectivesPropagate(t *testing.T) {
 	r, host := newRegistry()
-	learn(t, r, "wk-000001", pending(0), 5)
+	applyRecord(t, r, "wk-000001", pending(0), 5)
 	urgent := pending(0, "wk-000001")
 	urgent.Spec.Priority, urgent.Spec.Deadline = jobs.High, 30*units.Second
-	learn(t, r, "wk-000002", urgent, 6)
+	applyRecord(t, r, "wk-000002", urgent, 6)
 	if !r.PropagationDue() {
 		t.Fatal("not due")
 	}
@@ -310,7 +313,7 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if host.now += units.Second / 4; r.PropagationDue() {
-		t.Error("due again at once")
+		t.Error("due again after a quarter of a second")
 	}
 	if host.now += units.Second / 4; !r.PropagationDue() {
 		t.Error("not due after half a second")
