--- a/cmd/shalestage/zone.go
+++ b/cmd/shalestage/zone.go
@@ -35,7 +35,7 @@
 	items := map[string]store.Event{}
 	for _, prefix := range core.OverridePrefixes { // not the jobs
 		for after, more := "", true; more; {
-			out, _, page, again := c.List(ctx, prefix, after, core.ListPage)
+			out, _, page, again := c.List(ctx, prefix, after, core.ListPageSize)
 			if out != store.OK {
 				return exit{exitFailed, errors.New("the state service does not answer")}
 			}
@@ -58,7 +58,7 @@
 	} else if word == zones.NoOverride {
 		return unusable(fmt.Errorf("want one of %v or clear", zones.Overrides))
 	}
-	w, err := core.OverrideZone(items, o.Zone, word)
+	w, err := core.OverrideWrite(items, o.Zone, word)
 	if err != nil {
 		return unusable(err)
 	}
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -14,7 +14,7 @@
 	deployment, t := s.Deployment, s.Tuning
 	now, later := deployment.State.Limits, deployment.State.Later()
 	settings := core.Config{
-		Node: s.Node, Size: deployment.Size, Zones: deployment.Zones, Home: s.Zone, PeerZones: map[string]string{},
+		Node: s.Node, Size: deployment.Size, Zones: deployment.Zones, HomeZone: s.Zone, PeerZones: map[string]string{},
 		Lease: s.LeaseTime(), HeartbeatInterval: units.Seconds(deployment.Workers.HeartbeatS),
 		CancelWithin: units.Seconds(deployment.Workers.CancelS),
 		LeaderTTL:    units.Seconds(t.LeaderLeaseS), ListLag: units.Seconds(deployment.Cloud.ListLagS),
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -28,8 +28,8 @@
 	c.admission.Cancel(req, id)
 }
 
-// SetFull says whether this process's memory is nearly full.
-func (c *Core) SetFull(full bool) { c.admission.SetMemoryFull(full, c.jobs.Len()) }
+// SetMemoryFull says whether this process's memory is nearly full.
+func (c *Core) SetMemoryFull(full bool) { c.admission.SetMemoryFull(full, c.jobs.Len()) }
 
 func (c *Core) reply(req RequestID, code int, body any) {
 	c.send(Reply{Request: req, Code: code, Body: body})
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -30,7 +30,7 @@
 
 // receiveCancellations takes such an answer. When it was asked for counts only where this process has
 // asked: a membership is one process's, and clocks begin anew with each.
-func (c *Core) receiveCancellations(from string, promise PeerPromise) {
+func (c *Core) receiveCancellations(from string, promise PeerLeaseGrant) {
 	understood := cancellations.Learn(cancellationsHost{c}, c.log, from, promise.Told.List)
 	if understood && promise.Seat != 0 && promise.Seat == c.membership.ID() {
 		c.cancellations.Receive(c.now, from, promise.Sent, promise.Told, c.cache.Revision)
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -30,7 +30,7 @@
 	shard := core.owned[0]
 	seat := core.membership.ID()
 	receive := func(list ...store.Event) {
-		core.receiveCancellations("b", PeerPromise{Seat: seat, Sent: core.now, Told: cancellations.Update{Since: core.cache.Revision, Upto: 190, Whole: true, List: list}})
+		core.receiveCancellations("b", PeerLeaseGrant{Seat: seat, Sent: core.now, Told: cancellations.Update{Since: core.cache.Revision, Upto: 190, Whole: true, List: list}})
 	}
 	for _, e := range []store.Event{{}, {Key: jobPrefix + "wk-000001", Value: json.RawMessage(`{"status"`), Stamp: 150}, cancelled("../x", 150),
 		cancelled("wk-000001", 0), {Key: machinePrefix + "r-1", Value: cancelled("wk-000001", 150).Value, Stamp: 150}} {
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -17,10 +17,10 @@
 
 const configPrefix = keys.ConfigPrefix
 
-// MaxOver bounds the bytes that a status spends on teams above their share of a shard: half of a
+// MaxOverQuotaBytes bounds the bytes that a status spends on teams above their share of a shard: half of a
 // frame between controllers, as without statuses a controller loses its authority. It holds 481
 // teams with names of the greatest length. Beyond it the shard's use counts as not known.
-const MaxOver = 32 << 10
+const MaxOverQuotaBytes = 32 << 10
 
 // Bodies of replies about the configuration.
 type (
@@ -175,7 +175,7 @@
 	}
 	status.Config, status.ConfigKnown = c.config.Version(), c.config.Known()
 	complete := c.config.Falling() && c.configComplete()
-	room := MaxOver
+	room := MaxOverQuotaBytes
 	for i := range status.Blocks {
 		b := &status.Blocks[i]
 		if b.Use < 0 {
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -36,7 +36,7 @@
 // lacks: it starts and accepts nothing until it has it.
 func TestOwnerWithOlderConfiguration(t *testing.T) {
 	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
-	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerPromise{ConfigKnown: 3}} {
+	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerLeaseGrant{ConfigKnown: 3}} {
 		core := holding(t, nil)
 		core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 		shard := core.owned[0]
@@ -130,13 +130,13 @@
 		shard.quota.Charge(name, binpack.Vec{2000})
 	}
 	core.reconfigure(content)
-	s := PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
+	s := PeerStatus{Blocks: []ShardStatus{{Block: 0, Use: 2}}}
 	if core.addConfigStatus(&s); s.Blocks[0].Use != -1 || len(s.Blocks[0].Over) > 0 {
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
 	content.Teams = content.Teams[:100]
 	core.reconfigure(content)
-	s = PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
+	s = PeerStatus{Blocks: []ShardStatus{{Block: 0, Use: 2}}}
 	if core.addConfigStatus(&s); s.Blocks[0].Use != 2 || len(s.Blocks[0].Over) != 100 {
 		t.Errorf("use %g, %d teams", s.Blocks[0].Use, len(s.Blocks[0].Over))
 	}
@@ -145,7 +145,7 @@
 // TestTeamsOverAllocationAtTheLimit has as many teams with the longest names above their share
 // as a status has room for, and one more: then none is named, and the use is not known.
 func TestTeamsOverAllocationAtTheLimit(t *testing.T) {
-	const room = MaxOver / (configuration.MaxName + 4) // 4 bytes round each name
+	const room = MaxOverQuotaBytes / (configuration.MaxName + 4) // 4 bytes round each name
 	if room < 340 {
 		t.Errorf("room for %d teams", room)
 	}
@@ -159,7 +159,7 @@
 			shard.quota.Charge(name, binpack.Vec{2000})
 		}
 		c.reconfigure(content)
-		s := PeerStatus{Blocks: []BlockStatus{{Block: 0, Use: 2}}}
+		s := PeerStatus{Blocks: []ShardStatus{{Block: 0, Use: 2}}}
 		c.addConfigStatus(&s)
 		if b := s.Blocks[0]; teams <= room && (b.Use != 2 || len(b.Over) != teams) || teams > room && (b.Use != -1 || len(b.Over) != 0) {
 			t.Errorf("%d teams: use %g, %d named", teams, b.Use, len(b.Over))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,8 +41,8 @@
 // ListedMachine is a machine on the cloud's list.
 type ListedMachine = provisioner.Listed
 
-// TickEvery is how often the outer layers let time pass.
-const TickEvery = liveness.TickEvery
+// TickInterval is how often the outer layers let time pass.
+const TickInterval = liveness.TickEvery
 
 // Config is what the core is given at its start.
 type Config struct {
@@ -50,7 +50,7 @@
 	Size              int
 	Peers             []string
 	Zones             []string
-	Home              string            // this controller's zone
+	HomeZone          string            // this controller's zone
 	PeerZones         map[string]string // of the other controllers, by name
 	Teams             []Team
 	Objectives        []Objective
@@ -235,7 +235,7 @@
 	core.forwarder = peering.NewForwarder()
 	core.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
 		Peers: cfg.Peers, ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: core.extension() + units.Second, Log: cfg.Log}, configurationHost{core})
-	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.Home, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
+	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.HomeZone, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
 	core.reachability = liveness.NewReachability(cfg.HeartbeatInterval, core.leaseBound())
 	for i := range core.queues {
 		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -33,7 +33,7 @@
 	replies := map[RequestID]Reply{}
 	rev := uint64(core.now) // beyond that of any earlier call
 	for range 400 {
-		core.Tick(core.now+TickEvery, core.wall+TickEvery)
+		core.Tick(core.now+TickInterval, core.wall+TickInterval)
 		for _, effect := range core.Drain() {
 			switch effect := effect.(type) {
 			case Reply:
@@ -174,7 +174,7 @@
 	core.Submit(core.now, 7, "wk-000004", job("wk-000001"), "")
 	for _, e := range core.Drain() {
 		if m, ok := e.(SendPeer); ok {
-			if _, ask := m.Message.(PeerAsk); ask {
+			if _, ask := m.Message.(ForwardedRequest); ask {
 				t.Fatal("an older controller is asked to take a job that awaits others")
 			}
 		}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -128,7 +128,7 @@
 		c.release(shard, "another controller has none")
 		return
 	}
-	c.emit(SendPeer{owner, PeerRelease{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
+	c.emit(SendPeer{owner, ReleaseRequest{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
 }
 
 // Store implements shardplan.Host.
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -44,8 +44,8 @@
 // Reload implements watchcache.Host.
 func (c cacheHost) Reload(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
 
-// ListPage is how many keys are listed at once.
-const ListPage = watchcache.Page
+// ListPageSize is how many keys are listed at once.
+const ListPageSize = watchcache.Page
 
 // readFresh asks for a fresh read; f, if any, is told whether it worked.
 func (c *Core) readFresh(f func(ok bool)) { c.cache.ReadFresh(f) }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -27,7 +27,7 @@
 
 // RequestVotes implements membership.Host.
 func (c membershipHost) RequestVotes(node string, seat uint64) {
-	c.broadcast(PeerPermitAsk{Node: node, Seat: seat})
+	c.broadcast(TakeoverVoteRequest{Node: node, Seat: seat})
 }
 
 // Joined implements membership.Host. The record is seen by others before its answer is here:
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -17,7 +17,7 @@
 
 const overridePrefix = keys.OverridePrefix
 
-// OverridePrefixes are the prefixes of the keys that ZoneWords and SayZone look at.
+// OverridePrefixes are the prefixes of the keys that OperatorOverrides and OverrideWrite read.
 var OverridePrefixes = []string{typePrefix, keys.TypePrefixWithArchive, overridePrefix}
 
 // OperatorOverride is what an operator has said of a zone.
@@ -50,10 +50,10 @@
 	return out
 }
 
-// OverrideZone returns the write that stores an operator's word of a zone, given the keys of the
+// OverrideWrite returns the write that stores an operator's word of a zone, given the keys of the
 // state service. A zone in which no type of machine is offered is an error that names those
 // in which one is.
-func OverrideZone(items map[string]store.Event, zone string, word zones.Override) (*store.Write, error) {
+func OverrideWrite(items map[string]store.Event, zone string, word zones.Override) (*store.Write, error) {
 	known := map[string]bool{}
 	for k, e := range items {
 		var t fleet.Type
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -15,7 +15,7 @@
 	items := map[string]store.Event{typePrefix + "big": {Key: typePrefix + "big", Value: store.Value(fleet.Type{Name: "big", Zones: []string{"a", "b"}}), Stamp: 3}}
 	core := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	say := func(zone string, w zones.Override) error {
-		x, err := OverrideZone(items, zone, w)
+		x, err := OverrideWrite(items, zone, w)
 		if err != nil {
 			return err
 		}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -14,29 +14,29 @@
 type (
 	// PeerStatus is a controller's heartbeat to the others.
 	PeerStatus = peering.PeerStatus
-	// BlockStatus is the part of it on one shard.
-	BlockStatus = peering.BlockStatus
-	// PeerPromise grants a peer lease.
-	PeerPromise = peering.PeerPromise
-	// PeerPermitAsk asks for a takeover vote.
-	PeerPermitAsk = peering.PeerPermitAsk
-	// PeerPermit is a takeover vote.
-	PeerPermit = peering.PeerPermit
-	// PeerRelease asks an owner to release a shard.
-	PeerRelease = peering.PeerRelease
-	// PeerAsk forwards a user's request.
-	PeerAsk = peering.PeerAsk
-	// PeerAnswer answers it.
-	PeerAnswer = peering.PeerAnswer
-	// AskKind is what a user wants.
-	AskKind = peering.AskKind
+	// ShardStatus is the part of it on one shard.
+	ShardStatus = peering.BlockStatus
+	// PeerLeaseGrant grants a peer lease.
+	PeerLeaseGrant = peering.PeerPromise
+	// TakeoverVoteRequest asks for a takeover vote.
+	TakeoverVoteRequest = peering.PeerPermitAsk
+	// TakeoverVote is a takeover vote.
+	TakeoverVote = peering.PeerPermit
+	// ReleaseRequest asks an owner to release a shard.
+	ReleaseRequest = peering.PeerRelease
+	// ForwardedRequest forwards a user's request.
+	ForwardedRequest = peering.PeerAsk
+	// ForwardedResponse answers it.
+	ForwardedResponse = peering.PeerAnswer
+	// RequestKind is what a user wants.
+	RequestKind = peering.AskKind
 )
 
 // Kinds of requests that are forwarded.
 const (
-	AskSubmit = peering.AskSubmit
-	AskQuery  = peering.AskQuery
-	AskCancel = peering.AskCancel
+	RequestSubmit = peering.AskSubmit
+	RequestQuery  = peering.AskQuery
+	RequestCancel = peering.AskCancel
 )
 
 // SendPeer is the effect that sends a message to another controller; it may be lost.
@@ -85,7 +85,7 @@
 		if shard := c.owned[number]; shard.ready && len(shard.reconciler.Unreconciled()) == 0 {
 			use = shard.quota.LargestUse()
 		}
-		status.Blocks = append(status.Blocks, BlockStatus{Block: number, Share: c.shardRecords.Allocation(number).Version, Use: use})
+		status.Blocks = append(status.Blocks, ShardStatus{Block: number, Share: c.shardRecords.Allocation(number).Version, Use: use})
 	}
 	c.addConfigStatus(&status)
 	return status
@@ -131,7 +131,7 @@
 		return
 	}
 	id := c.forwarder.Send(c.now, r.ID)
-	c.emit(SendPeer{to, PeerAsk{ID: id, Kind: r.Kind, Job: r.Job, Spec: r.Spec, Bad: r.Malformed}})
+	c.emit(SendPeer{to, ForwardedRequest{ID: id, Kind: r.Kind, Job: r.Job, Spec: r.Spec, Bad: r.Malformed}})
 }
 
 // OnPeer takes a message of another controller.
@@ -143,32 +143,32 @@
 	switch received := message.(type) {
 	case PeerStatus:
 		c.onStatus(from, received)
-	case PeerPromise:
+	case PeerLeaseGrant:
 		c.membership.PeerLeaseGranted(now, from, received.Seat, received.Sent)
 		c.config.PeerKnows(received.ConfigKnown) // before the others' word lengthens this owner's authority
 		c.receiveCancellations(from, received)
-	case PeerPermitAsk:
+	case TakeoverVoteRequest:
 		// Of no controller: whoever asks waits until its time is over.
 		if (received.Node == c.cfg.Node || c.peers.Knows(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
-			c.emit(SendPeer{from, PeerPermit(received)})
+			c.emit(SendPeer{from, TakeoverVote(received)})
 		}
-	case PeerPermit:
+	case TakeoverVote:
 		c.membership.VoteReceived(from, received.Node, received.Seat)
-	case PeerRelease:
+	case ReleaseRequest:
 		if shard := c.owned[received.Block]; shard != nil && shard.assignment == received.Grant {
 			c.release(shard, "the leader asks for it")
 		}
-	case PeerStarts:
+	case ReplicationMessage:
 		c.receiveStarts(from, received)
-	case PeerKnown:
+	case ReplicationAck:
 		if shard := c.owned[received.Block]; shard != nil {
 			shard.replication.OnAck(now, from, received)
 		}
-	case PeerPicture:
+	case SnapshotMessage:
 		c.transfers.Receive(received)
-	case PeerAsk:
+	case ForwardedRequest:
 		c.onForwarded(from, received)
-	case PeerAnswer:
+	case ForwardedResponse:
 		c.onForwardedAnswer(received)
 	}
 }
@@ -177,7 +177,7 @@
 func (c *Core) onStatus(from string, status PeerStatus) {
 	c.peers.ReceiveStatus(c.now, from, status)
 	// In an outage one that was cut off may go on beside the one that owns the shard now.
-	owns := func(b BlockStatus) bool { return c.shardRecords.Assignment(b.Block).Node == from }
+	owns := func(b ShardStatus) bool { return c.shardRecords.Assignment(b.Block).Node == from }
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
 		c.zones.ReceivePeerView(status.Zones)
 	}
@@ -188,7 +188,7 @@
 	}
 	c.receiveConfigStatus(from, status)
 	if c.membership.GrantPeerLease(c.now, from, status.Seat) {
-		c.emit(SendPeer{from, PeerPromise{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.Known()}})
+		c.emit(SendPeer{from, PeerLeaseGrant{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.Known()}})
 	}
 	if c.election.Leads() {
 		for _, b := range status.Blocks {
@@ -198,7 +198,7 @@
 }
 
 // onForwarded serves a user's request that another controller has forwarded.
-func (c *Core) onForwarded(from string, ask PeerAsk) {
+func (c *Core) onForwarded(from string, ask ForwardedRequest) {
 	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Sane() {
 		return
 	}
@@ -207,11 +207,11 @@
 		return
 	}
 	switch ask.Kind {
-	case AskSubmit:
+	case RequestSubmit:
 		c.Submit(c.now, request, ask.Job, ask.Spec, ask.Bad)
-	case AskQuery:
+	case RequestQuery:
 		c.Query(c.now, request, ask.Job)
-	case AskCancel:
+	case RequestCancel:
 		c.Cancel(c.now, request, ask.Job)
 	default:
 		c.forwarder.Finish(request) // of a later release
@@ -219,7 +219,7 @@
 }
 
 // onForwardedAnswer answers a user whose request another controller has served.
-func (c *Core) onForwardedAnswer(answer PeerAnswer) {
+func (c *Core) onForwardedAnswer(answer ForwardedResponse) {
 	request, ok := c.forwarder.Answered(answer.ID)
 	if !ok {
 		return
@@ -238,7 +238,7 @@
 		c.emit(r)
 		return
 	}
-	answer := PeerAnswer{ID: origin.ID, Code: r.Code, RetryAfter: r.RetryAfter}
+	answer := ForwardedResponse{ID: origin.ID, Code: r.Code, RetryAfter: r.RetryAfter}
 	switch body := r.Body.(type) {
 	case JobAnswer:
 		answer.Body = &body
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -15,10 +15,10 @@
 
 // Messages between controllers of what an owner starts, see package replication.
 type (
-	// PeerStarts tells a standby what may have been started.
-	PeerStarts = replication.Message
-	// PeerKnown answers PeerStarts.
-	PeerKnown = replication.Ack
+	// ReplicationMessage tells a standby what may have been started.
+	ReplicationMessage = replication.Message
+	// ReplicationAck answers ReplicationMessage.
+	ReplicationAck = replication.Ack
 )
 
 // replicationHost is the owner of a shard, for the stream to its standby.
@@ -45,7 +45,7 @@
 			continue
 		}
 		cost := 0
-		if z := f.cfg.PeerZones[n]; z == f.cfg.Home {
+		if z := f.cfg.PeerZones[n]; z == f.cfg.HomeZone {
 			cost += 2
 		} else if !f.zones.Reachable(z) {
 			cost++
@@ -86,10 +86,10 @@
 }
 
 // UnstoredTasks implements replication.Host.
-func (f replicationHost) UnstoredTasks() (out []TasksDone) {
+func (f replicationHost) UnstoredTasks() (out []FinishedTasks) {
 	for _, id := range sortedKeys(f.shard.active) {
 		if tasks := transfer.UnstoredTasks(f.shard.active[id]); len(tasks) > 0 {
-			out = append(out, TasksDone{Job: id, Tasks: tasks})
+			out = append(out, FinishedTasks{Job: id, Tasks: tasks})
 		}
 	}
 	return out
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -52,7 +52,7 @@
 					c.Heartbeat(c.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: c.owned[0].fencingToken, Notice: units.Never})
 				}
 			}
-			c.Tick(c.now+TickEvery, c.wall+TickEvery)
+			c.Tick(c.now+TickInterval, c.wall+TickInterval)
 			for _, e := range c.Drain() {
 				if r, ok := e.(ScaleIn); ok {
 					for _, n := range r.Names {
@@ -91,7 +91,7 @@
 			if i < lives {
 				k.Heartbeat(k.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never})
 			}
-			k.Tick(k.now+TickEvery, k.wall+TickEvery)
+			k.Tick(k.now+TickInterval, k.wall+TickInterval)
 			for _, e := range k.Drain() {
 				switch e := e.(type) {
 				case ListMachines:
@@ -119,7 +119,7 @@
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 	spec := job()
 	submit := func(req RequestID, id string) { core.Submit(core.now, req, id, spec, "") }
-	for i, set := range []func(full bool){core.SetFull, func(full bool) { core.OnPeer(core.now, "b", PeerStatus{Full: full}) }} {
+	for i, set := range []func(full bool){core.SetMemoryFull, func(full bool) { core.OnPeer(core.now, "b", PeerStatus{Full: full}) }} {
 		set(true)
 		submit(RequestID(10+i), "wk-000002")
 		if r := replyTo(t, core, RequestID(10+i)); r.Code != 503 || r.RetryAfter != admission.LongRetryAfter {
@@ -136,7 +136,7 @@
 					code = e.Code
 				}
 			}
-			core.Tick(core.now+TickEvery, core.wall+TickEvery)
+			core.Tick(core.now+TickInterval, core.wall+TickInterval)
 		}
 		if code != 200 {
 			t.Errorf("known job: %d", code)
@@ -175,7 +175,7 @@
 		})
 		rents := false
 		for range 10 {
-			c.Tick(c.now+TickEvery, c.wall+TickEvery)
+			c.Tick(c.now+TickInterval, c.wall+TickInterval)
 			for _, e := range c.Drain() {
 				_, ok := e.(ScaleOut)
 				rents = rents || ok
@@ -197,7 +197,7 @@
 	core.Tick(units.Second, 1000*units.Second)
 	core.OnList(core.now, List{}, store.OK, 100, []store.Event{{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: 1, Node: "b", MemberID: 9}), Stamp: 10}}, false)
 	core.Drain()
-	core.Tick(core.now+TickEvery, core.wall+TickEvery)
+	core.Tick(core.now+TickInterval, core.wall+TickInterval)
 	core.Drain()
 	core.OnLease(core.now, store.OK, 5)
 	var seat Commit
@@ -256,7 +256,7 @@
 	}
 	written, rev := map[string]uint64{}, uint64(108)
 	for range 100 {
-		core.Tick(core.now+TickEvery, core.wall+TickEvery)
+		core.Tick(core.now+TickInterval, core.wall+TickInterval)
 		for _, e := range core.Drain() {
 			commit, ok := e.(Commit)
 			if !ok {
@@ -337,7 +337,7 @@
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b", "c"}})
 	commits := func() (n int) {
 		for range 100 {
-			core.Tick(core.now+TickEvery, core.wall+TickEvery)
+			core.Tick(core.now+TickInterval, core.wall+TickInterval)
 			for _, e := range core.Drain() {
 				switch e := e.(type) {
 				case Watch: // nothing has changed
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -17,16 +17,16 @@
 
 // Messages between controllers of what may run on a shard's machines, see package transfer.
 type (
-	// PeerPicture is a part of a shard's snapshot.
-	PeerPicture = transfer.Message
-	// MachinePicture is what may run on one machine.
-	MachinePicture = replication.MachinePicture
-	// TasksDone are finished tasks of a job that are not stored yet.
-	TasksDone = replication.TasksDone
+	// SnapshotMessage is a part of a shard's snapshot.
+	SnapshotMessage = transfer.Message
+	// MachineSnapshot is what may run on one machine.
+	MachineSnapshot = replication.MachinePicture
+	// FinishedTasks are finished tasks of a job that are not stored yet.
+	FinishedTasks = replication.TasksDone
 )
 
-// PictureTasks bounds the tasks and machines in one message.
-const PictureTasks = transfer.MessageSize
+// SnapshotMessageSize bounds the tasks and machines in one message.
+const SnapshotMessageSize = transfer.MessageSize
 
 // MaxShardMachines is the most machines that a shard may be set to carry.
 const MaxShardMachines = replication.MaxMachines
@@ -95,7 +95,7 @@
 }
 
 // receiveStarts takes what the owner of a shard has started.
-func (c *Core) receiveStarts(from string, m PeerStarts) {
+func (c *Core) receiveStarts(from string, m ReplicationMessage) {
 	if m.Block < 0 || m.Block >= keys.MaxShards || c.shardRecords.Assignment(m.Block).Node != from {
 		return
 	}
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -170,7 +170,7 @@
 		case core.PeerStatus:
 			x.ConfigKnown = 0
 			return x
-		case core.PeerPromise:
+		case core.PeerLeaseGrant:
 			x.ConfigKnown = 0
 			return x
 		}
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -31,7 +31,7 @@
 			}
 		}
 	case core.SendPeer:
-		if _, ok := e.Message.(core.PeerPicture); ok {
+		if _, ok := e.Message.(core.SnapshotMessage); ok {
 			w.happened(scenario.PictureSent)
 		}
 	case core.List:
--- a/internal/emulator/sim/follow_test.go
+++ b/internal/emulator/sim/follow_test.go
@@ -16,7 +16,7 @@
 		w := churning(seed)
 		w.opt.Break.Peer = func(m any) bool {
 			switch m.(type) {
-			case core.PeerStarts, core.PeerKnown:
+			case core.ReplicationMessage, core.ReplicationAck:
 				return w.rng.IntN(3) > 0
 			}
 			return true
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -81,7 +81,7 @@
 	n.state = rate.NewLimiter(rate.Limit(share), max(4, int(share)))
 	n.cloud = rate.NewLimiter(rate.Limit(w.S.Cloud.RPS*cloudMargin), max(1, int(w.S.Cloud.RPS)))
 	life := n.life
-	w.after(units.Microseconds(w.rng.Int64N(int64(core.TickEvery))), func() { n.tick(life) })
+	w.after(units.Microseconds(w.rng.Int64N(int64(core.TickInterval))), func() { n.tick(life) })
 }
 
 // jump lets the time of day jump within its bound.
@@ -135,7 +135,7 @@
 				n.Crash()
 				return
 			}
-			n.w.after(core.TickEvery, look)
+			n.w.after(core.TickInterval, look)
 		})
 	}
 	look()
@@ -190,7 +190,7 @@
 	n.core.Tick(n.local(), n.wall())
 	n.carryOut()
 	n.w.oneHolder()
-	n.w.after(max(core.TickEvery, n.busy-n.w.now), func() { n.tick(life) })
+	n.w.after(max(core.TickInterval, n.busy-n.w.now), func() { n.tick(life) })
 }
 
 // ask brings a request into the core; done gets the answer, or a 503 when there is
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -286,7 +286,7 @@
 func TestNewHolderAsks(t *testing.T) {
 	for seed := range uint64(10) {
 		w, _, old := busyUnder(t, seed)
-		w.opt.Break.Peer = func(m any) bool { _, starts := m.(core.PeerStarts); return !starts }
+		w.opt.Break.Peer = func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
 		old.core.StopReplication(old.local())
 		w.Run(w.now + 3*second)
 		before := w.Site.Running()
@@ -406,7 +406,7 @@
 // TestLateReportTakenForTrue leaves that check out, where nobody follows the holder: what a
 // follower knows of a machine's last report tells a late one as well.
 func TestLateReportTakenForTrue(t *testing.T) {
-	unfollowed := func(m any) bool { _, starts := m.(core.PeerStarts); return !starts }
+	unfollowed := func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
 	for seed := range uint64(10) {
 		if broken := lateReports(t, seed, Broken{Peer: unfollowed}); len(broken) > 0 {
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
@@ -581,14 +581,14 @@
 	for _, n := range w.Nodes {
 		for _, from := range []string{"node-0", "node-1", "node-2", "node-9", ""} {
 			for _, m := range []any{
-				core.PeerStatus{Seat: 1 << 60, Blocks: []core.BlockStatus{{Block: -1}, {Block: 1 << 40, Use: math.NaN()}, {Block: 0, Share: 1, Use: math.Inf(1)}, {Block: 1, Share: 1 << 60}}},
-				core.PeerPromise{Seat: 1, Sent: 1 << 60},
-				core.PeerPermitAsk{Node: "node-9", Seat: 1 << 60},
-				core.PeerPermit{Node: "node-0", Seat: 1},
-				core.PeerPermit{Node: "node-9", Seat: 1 << 60},
-				core.PeerRelease{Block: 0, Grant: 1},
-				core.PeerRelease{Block: -5, Grant: 0},
-				core.PeerAsk{Kind: 99, Job: "wk-000001"},
+				core.PeerStatus{Seat: 1 << 60, Blocks: []core.ShardStatus{{Block: -1}, {Block: 1 << 40, Use: math.NaN()}, {Block: 0, Share: 1, Use: math.Inf(1)}, {Block: 1, Share: 1 << 60}}},
+				core.PeerLeaseGrant{Seat: 1, Sent: 1 << 60},
+				core.TakeoverVoteRequest{Node: "node-9", Seat: 1 << 60},
+				core.TakeoverVote{Node: "node-0", Seat: 1},
+				core.TakeoverVote{Node: "node-9", Seat: 1 << 60},
+				core.ReleaseRequest{Block: 0, Grant: 1},
+				core.ReleaseRequest{Block: -5, Grant: 0},
+				core.ForwardedRequest{Kind: 99, Job: "wk-000001"},
 			} {
 				n.core.OnPeer(n.local(), from, m)
 				n.core.OnPeer(n.local(), from, m)
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -20,7 +20,7 @@
 	w := n.w
 	switch e := e.(type) {
 	case core.List:
-		n.list(core.Root, e.After, core.ListPage, func(o store.Outcome, rev uint64, items []store.Event, more bool) {
+		n.list(core.Root, e.After, core.ListPageSize, func(o store.Outcome, rev uint64, items []store.Event, more bool) {
 			n.core.OnList(n.local(), e, o, rev, items, more)
 		})
 	case core.ScanKeys:
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -56,7 +56,7 @@
 func (n *Node) callState(ctx context.Context, effect core.Effect) message {
 	switch effect := effect.(type) {
 	case core.List:
-		outcome, revision, items, more := n.state.List(ctx, core.Root, effect.After, core.ListPage)
+		outcome, revision, items, more := n.state.List(ctx, core.Root, effect.After, core.ListPageSize)
 		return func(c *core.Core, now units.Microseconds) { c.OnList(now, effect, outcome, revision, items, more) }
 	case core.Watch:
 		outcome, revision, events, compacted := n.state.Watch(ctx, core.Root, effect.After, effect.Wait)
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -73,7 +73,7 @@
 func TestSnapshotOfAFullShardIsReceived(t *testing.T) {
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
 	for range fleet.FullShard {
-		n.Receive("peer", core.PeerPicture{Machines: make([]core.MachinePicture, 1)})
+		n.Receive("peer", core.SnapshotMessage{Machines: make([]core.MachineSnapshot, 1)})
 	}
 	if len(n.control) != fleet.FullShard {
 		t.Fatalf("%d parts of %d wait", len(n.control), fleet.FullShard)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	tickEvery = time.Duration(core.TickEvery) * time.Microsecond
+	tickEvery = time.Duration(core.TickInterval) * time.Microsecond
 	// Every request is answered within the time that who asks waits: workers
 	// 4 s, users 5 s, or 2 s for a poll.
 	answerWithin = 4 * time.Second
@@ -106,10 +106,10 @@
 	defer tick.Stop()
 	defer n.calls.Wait()
 	for lastTick := n.now(); ctx.Err() == nil; {
-		if now := n.now(); now-lastTick >= core.TickEvery {
+		if now := n.now(); now-lastTick >= core.TickInterval {
 			lastTick = now
 			if n.memoryFull != nil {
-				n.core.SetFull(n.memoryFull())
+				n.core.SetMemoryFull(n.memoryFull())
 			}
 			n.core.Tick(now, units.Microseconds(time.Now().UnixMicro()))
 		} else if m := n.nextMessage(ctx, tick.C); m != nil {
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
 			m := core.PeerStatus{Seat: 1}
 			for k := range blocks {
-				m.Blocks = append(m.Blocks, core.BlockStatus{Block: k, Share: 1, Use: 0.5})
+				m.Blocks = append(m.Blocks, core.ShardStatus{Block: k, Share: 1, Use: 0.5})
 			}
 			size := 0
 			for b.Loop() {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -37,15 +37,15 @@
 	value any
 }{
 	{"shalestage.example/shalestage/internal/core.PeerStatus", core.PeerStatus{}},
-	{"shalestage.example/shalestage/internal/core.PeerPromise", core.PeerPromise{}},
-	{"shalestage.example/shalestage/internal/core.PeerPermitAsk", core.PeerPermitAsk{}},
-	{"shalestage.example/shalestage/internal/core.PeerPermit", core.PeerPermit{}},
-	{"shalestage.example/shalestage/internal/core.PeerRelease", core.PeerRelease{}},
-	{"shalestage.example/shalestage/internal/core.PeerAsk", core.PeerAsk{}},
-	{"shalestage.example/shalestage/internal/core.PeerAnswer", core.PeerAnswer{}},
-	{"shalestage.example/shalestage/internal/core.PeerPicture", core.PeerPicture{}},
-	{"shalestage.example/shalestage/internal/core/follow.Message", core.PeerStarts{}},
-	{"shalestage.example/shalestage/internal/core/follow.Ack", core.PeerKnown{}},
+	{"shalestage.example/shalestage/internal/core.PeerPromise", core.PeerLeaseGrant{}},
+	{"shalestage.example/shalestage/internal/core.PeerPermitAsk", core.TakeoverVoteRequest{}},
+	{"shalestage.example/shalestage/internal/core.PeerPermit", core.TakeoverVote{}},
+	{"shalestage.example/shalestage/internal/core.PeerRelease", core.ReleaseRequest{}},
+	{"shalestage.example/shalestage/internal/core.PeerAsk", core.ForwardedRequest{}},
+	{"shalestage.example/shalestage/internal/core.PeerAnswer", core.ForwardedResponse{}},
+	{"shalestage.example/shalestage/internal/core.PeerPicture", core.SnapshotMessage{}},
+	{"shalestage.example/shalestage/internal/core/follow.Message", core.ReplicationMessage{}},
+	{"shalestage.example/shalestage/internal/core/follow.Ack", core.ReplicationAck{}},
 }
 
 func init() {
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -36,12 +36,12 @@
 		}
 	}
 	for i := range fleet.FullShard {
-		l.Send("other", core.PeerPicture{Token: 1, Machines: []core.MachinePicture{{Name: fmt.Sprintf("n-%05d", i)}}})
+		l.Send("other", core.SnapshotMessage{Token: 1, Machines: []core.MachineSnapshot{{Name: fmt.Sprintf("n-%05d", i)}}})
 	}
 	for i := 0; i < fleet.FullShard; {
 		select {
 		case m := <-heard:
-			if p, ok := m.(core.PeerPicture); ok {
+			if p, ok := m.(core.SnapshotMessage); ok {
 				if want := fmt.Sprintf("n-%05d", i); p.Machines[0].Name != want {
 					t.Fatalf("%s comes where %s should", p.Machines[0].Name, want)
 				}
@@ -76,8 +76,8 @@
 // TestLargestMessagesFitAFrame has the largest messages that a full shard, or teams with the
 // longest names, can lead to. Each fits into a frame and comes as it was sent.
 func TestLargestMessagesFitAFrame(t *testing.T) {
-	machine := func(name string, tasks int) core.MachinePicture {
-		m := core.MachinePicture{Name: "n-" + strings.Repeat("9", 20) + name, Addr: "100.100.100.100:10000", Session: 1<<64 - 1, Seq: 1<<64 - 1}
+	machine := func(name string, tasks int) core.MachineSnapshot {
+		m := core.MachineSnapshot{Name: "n-" + strings.Repeat("9", 20) + name, Addr: "100.100.100.100:10000", Session: 1<<64 - 1, Seq: 1<<64 - 1}
 		for k := range tasks {
 			m.Tasks = append(m.Tasks, fleet.Task{ID: jobs.TaskID{Job: "wk-" + strings.Repeat("9", 18), Task: jobs.MaxTasks - 1 - k}, Attempt: 1<<64 - 1, State: fleet.Saving})
 		}
@@ -85,22 +85,22 @@
 	}
 	// A message is closed once it is full, so that one machine with all the tasks that a machine
 	// lists may come on top of one that is nearly so.
-	starts := core.PeerStarts{Block: 1, Token: 1<<64 - 1, Run: 1<<64 - 1, N: 1<<64 - 1, Whole: true}
+	starts := core.ReplicationMessage{Block: 1, Token: 1<<64 - 1, Run: 1<<64 - 1, N: 1<<64 - 1, Whole: true}
 	for i := range replication.MessageSize / 5 { // with a task each
 		starts.Machines = append(starts.Machines, machine(fmt.Sprint(i), 1))
 	}
 	starts.Machines[0] = machine("0", 0) // one short of full
 	starts.Machines = append(starts.Machines, machine("all", fleet.MaxListed))
-	picture := core.PeerPicture{Token: 1<<64 - 1, Machines: []core.MachinePicture{machine("all", fleet.MaxListed)}}
+	picture := core.SnapshotMessage{Token: 1<<64 - 1, Machines: []core.MachineSnapshot{machine("all", fleet.MaxListed)}}
 	status := core.PeerStatus{StateAge: 1 << 62, Seat: 1<<64 - 1, Sent: 1 << 62, Release: 8, Back: 1 << 62, Known: 1<<64 - 1, Config: 1<<64 - 1, ConfigKnown: 1<<64 - 1}
 	for i := range 30 {
 		status.Zones = append(status.Zones, zones.Status{Zone: fmt.Sprintf("%064d", i), State: 3, For: 1 << 62, Times: 100})
 	}
 	// As many blocks as there can be controllers, one of which has the teams above their share.
 	for k := range peering.MaxPeers + 1 {
-		status.Blocks = append(status.Blocks, core.BlockStatus{Block: k, Share: 1<<64 - 1, Use: 1.0 / 3})
+		status.Blocks = append(status.Blocks, core.ShardStatus{Block: k, Share: 1<<64 - 1, Use: 1.0 / 3})
 	}
-	for room := core.MaxOver; room >= configuration.MaxName+4; room -= configuration.MaxName + 4 {
+	for room := core.MaxOverQuotaBytes; room >= configuration.MaxName+4; room -= configuration.MaxName + 4 {
 		status.Blocks[0].Over = append(status.Blocks[0].Over, fmt.Sprintf("%0*d", configuration.MaxName, room))
 	}
 	if n := len(status.Blocks[0].Over); n < 340 {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,10 +21,10 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ask := core.PeerAsk{ID: rapid.Uint64().Draw(t, "id"), Kind: core.AskSubmit, Job: "wk-000001",
+		ask := core.ForwardedRequest{ID: rapid.Uint64().Draw(t, "id"), Kind: core.RequestSubmit, Job: "wk-000001",
 			Spec: &jobs.Spec{Class: rapid.String().Draw(t, "class"), Tasks: rapid.Int().Draw(t, "tasks")}}
 		status := core.PeerStatus{StateAge: units.Microseconds(rapid.Int64().Draw(t, "age")), Seat: rapid.Uint64().Draw(t, "seat"),
-			Blocks: []core.BlockStatus{{Block: 1, Share: 2, Use: rapid.Float64().Draw(t, "use")}}}
+			Blocks: []core.ShardStatus{{Block: 1, Share: 2, Use: rapid.Float64().Draw(t, "use")}}}
 		var b bytes.Buffer
 		for _, m := range []any{ask, status} {
 			f, err := Encode("me", m)
@@ -34,7 +34,7 @@
 			b.Write(f)
 		}
 		from, m, err := Decode(&b)
-		got, ok := m.(core.PeerAsk)
+		got, ok := m.(core.ForwardedRequest)
 		if err != nil || from != "me" || !ok || got.ID != ask.ID || got.Spec.Class != ask.Spec.Class || got.Spec.Tasks != ask.Spec.Tasks {
 			t.Fatalf("%q %+v %v", from, m, err)
 		}
@@ -56,15 +56,15 @@
 
 // TestEveryMessage passes each, and the largest part of a snapshot fits into a frame.
 func TestEveryMessage(t *testing.T) {
-	snapshot := core.PeerPicture{Block: 1, Token: 1 << 60}
-	for n := 0; len(snapshot.Machines) < core.PictureTasks/8; n++ {
-		m := core.MachinePicture{Name: fmt.Sprintf("n-%020d", n), Addr: "100.100.100.100:10000", Session: 1 << 60, Seq: 1 << 60}
+	snapshot := core.SnapshotMessage{Block: 1, Token: 1 << 60}
+	for n := 0; len(snapshot.Machines) < core.SnapshotMessageSize/8; n++ {
+		m := core.MachineSnapshot{Name: fmt.Sprintf("n-%020d", n), Addr: "100.100.100.100:10000", Session: 1 << 60, Seq: 1 << 60}
 		for k := range 8 {
 			m.Tasks = append(m.Tasks, fleet.Task{ID: jobs.TaskID{Job: fmt.Sprintf("wk-%040d", n), Task: 90_000 + k}, Attempt: 1 << 62, State: fleet.Running})
 		}
 		snapshot.Machines = append(snapshot.Machines, m)
 	}
-	done := core.PeerPicture{Done: []core.TasksDone{{Job: "wk-1", Tasks: []int{0, 99_999}}}}
+	done := core.SnapshotMessage{Done: []core.FinishedTasks{{Job: "wk-1", Tasks: []int{0, 99_999}}}}
 	all := []any{snapshot, done}
 	for _, m := range messages {
 		all = append(all, m.value)
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -29,15 +29,15 @@
 	spec := &jobs.Spec{Class: "train", Team: "vision", Priority: jobs.High, Tasks: 1500, Demand: binpack.Vec{4000, 0, 16000}, Types: []string{"g8"},
 		Zone: "a", OneZone: true, Spot: true, Image: "img-07", ImageMB: 6200, Estimate: 240e6, Checkpoint: 30e6, Save: 4e6, Deadline: 900e6}
 	for name, want := range map[string]any{
-		"status":     core.PeerStatus{StateAge: 7, Seat: 41, Sent: 12345678, Blocks: []core.BlockStatus{{Block: 1, Share: 9, Use: 0.25}, {Block: 0, Share: 3, Use: -1}}},
+		"status":     core.PeerStatus{StateAge: 7, Seat: 41, Sent: 12345678, Blocks: []core.ShardStatus{{Block: 1, Share: 9, Use: 0.25}, {Block: 0, Share: 3, Use: -1}}},
 		"deaf":       core.PeerStatus{StateAge: 7, Deaf: true},
-		"promise":    core.PeerPromise{Seat: 41, Sent: 12345678},
-		"permit_ask": core.PeerPermitAsk{Node: "stagehand-2", Seat: 17},
-		"permit":     core.PeerPermit{Node: "stagehand-2", Seat: 17},
-		"release":    core.PeerRelease{Block: 2, Grant: 77},
-		"ask":        core.PeerAsk{ID: 5, Kind: core.AskSubmit, Job: "wk-000412", Spec: spec},
-		"answer":     core.PeerAnswer{ID: 5, Code: 201, Body: &core.JobAnswer{ID: "wk-000412", Status: jobs.Pending, Counts: true, Done: 3, Running: 2}},
-		"refusal":    core.PeerAnswer{ID: 6, Code: 503, Text: "try again", RetryAfter: 1e6},
+		"promise":    core.PeerLeaseGrant{Seat: 41, Sent: 12345678},
+		"permit_ask": core.TakeoverVoteRequest{Node: "stagehand-2", Seat: 17},
+		"permit":     core.TakeoverVote{Node: "stagehand-2", Seat: 17},
+		"release":    core.ReleaseRequest{Block: 2, Grant: 77},
+		"ask":        core.ForwardedRequest{ID: 5, Kind: core.RequestSubmit, Job: "wk-000412", Spec: spec},
+		"answer":     core.ForwardedResponse{ID: 5, Code: 201, Body: &core.JobAnswer{ID: "wk-000412", Status: jobs.Pending, Counts: true, Done: 3, Running: 2}},
+		"refusal":    core.ForwardedResponse{ID: 6, Code: 503, Text: "try again", RetryAfter: 1e6},
 	} {
 		raw, err := hex.DecodeString(frames[name])
 		if err != nil {
@@ -61,7 +61,7 @@
 		Seat     uint64
 		Sent     units.Microseconds
 		Deaf     bool
-		Blocks   []core.BlockStatus
+		Blocks   []core.ShardStatus
 	}
 	oldSpec struct {
 		Class    string
@@ -71,7 +71,7 @@
 	}
 	oldAsk struct {
 		ID   uint64
-		Kind core.AskKind
+		Kind core.RequestKind
 		Job  string
 		Spec *oldSpec
 	}
@@ -82,14 +82,14 @@
 func TestProductionReads(t *testing.T) {
 	var b bytes.Buffer
 	enc, dec := gob.NewEncoder(&b), gob.NewDecoder(&b)
-	if err := enc.Encode(core.PeerStatus{Seat: 4, Sent: 5, Release: 3, Config: 7, ConfigKnown: 8, Blocks: []core.BlockStatus{{Block: 1, Use: 0.5, Over: []string{"red"}}}}); err != nil {
+	if err := enc.Encode(core.PeerStatus{Seat: 4, Sent: 5, Release: 3, Config: 7, ConfigKnown: 8, Blocks: []core.ShardStatus{{Block: 1, Use: 0.5, Over: []string{"red"}}}}); err != nil {
 		t.Fatal(err)
 	}
 	var s oldStatus
 	if err := dec.Decode(&s); err != nil || s.Seat != 4 || s.Sent != 5 || len(s.Blocks) != 1 || s.Blocks[0].Use != 0.5 {
 		t.Fatalf("%+v %v", s, err)
 	}
-	if err := enc.Encode(core.PeerAsk{ID: 6, Job: "wk-000001", Spec: &jobs.Spec{Class: "x", Tasks: 3, Awaits: []string{"wk-000002"}}}); err != nil {
+	if err := enc.Encode(core.ForwardedRequest{ID: 6, Job: "wk-000001", Spec: &jobs.Spec{Class: "x", Tasks: 3, Awaits: []string{"wk-000002"}}}); err != nil {
 		t.Fatal(err)
 	}
 	var a oldAsk
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -44,7 +44,7 @@
 // checker must notice.
 func TestGapUntold(t *testing.T) {
 	silent := func(m any) any {
-		if p, ok := m.(core.PeerPromise); ok {
+		if p, ok := m.(core.PeerLeaseGrant); ok {
 			p.Told = cancellations.Update{}
 			return p
 		}
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -48,7 +48,7 @@
 
 // untold tells no other controller of cancellations.
 func untold(m any) any {
-	if p, ok := m.(core.PeerPromise); ok {
+	if p, ok := m.(core.PeerLeaseGrant); ok {
 		p.Told = cancellations.Update{}
 		return p
 	}
