--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -162,7 +162,7 @@
 	}
 	if timed {
 		s, err := strconv.ParseInt(ended, base, 64)
-		if err != nil || s <= 0 || s > int64(units.Never/units.Second) {
+		if err != nil || s <= 0 || s > int64(units.MaxTime/units.Second) {
 			return bad()
 		}
 		answer.FinishedAt = units.Microseconds(s) * units.Second
--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -120,8 +120,8 @@
 
 // Renewed records that a renewal sent at the given time was granted.
 func (a *Authority) Renewed(sent units.Microseconds) {
-	a.until = max(a.until, sent+units.Shortest(a.TTL)-a.Margin)
-	a.short = max(a.short, sent+units.Shortest(a.Short)-a.Margin)
+	a.until = max(a.until, sent+units.MinWithDrift(a.TTL)-a.Margin)
+	a.short = max(a.short, sent+units.MinWithDrift(a.Short)-a.Margin)
 }
 
 // PeerLeaseGranted records a peer's lease, asked for at the given time.
@@ -129,7 +129,7 @@
 	if a.peerLeases == nil {
 		a.peerLeases = map[string]units.Microseconds{}
 	}
-	a.peerLeases[peer] = max(a.peerLeases[peer], asked+units.Shortest(PeerLeaseTime)-a.Margin)
+	a.peerLeases[peer] = max(a.peerLeases[peer], asked+units.MinWithDrift(PeerLeaseTime)-a.Margin)
 	if n := len(a.peerLeases) - a.Peers; a.Peers > 0 && n >= 0 {
 		until := slices.Sorted(maps.Values(a.peerLeases))
 		a.majorityUntil = until[n]
@@ -145,7 +145,7 @@
 // Until returns the time until which authority is certain, as known at present.
 func (a *Authority) Until() units.Microseconds {
 	if a.All == 0 {
-		return units.Never // there is nobody to give anything to
+		return units.MaxTime // there is nobody to give anything to
 	}
 	return max(a.until, min(a.majorityUntil, a.short), a.allUntil)
 }
@@ -178,7 +178,7 @@
 // Vote is asked by a controller that wants to give away what a member owns whose record is
 // gone.
 func (v *Voter) Vote(now units.Microseconds, member uint64) bool {
-	if now < v.leasedUntil && v.SkippedGuard != guard.VoteAfterPeerLease || now < units.Longest(PeerLeaseTime) {
+	if now < v.leasedUntil && v.SkippedGuard != guard.VoteAfterPeerLease || now < units.MaxWithDrift(PeerLeaseTime) {
 		return false
 	}
 	v.takenOver = max(v.takenOver, member)
--- a/internal/core/authority/authority_test.go
+++ b/internal/core/authority/authority_test.go
@@ -121,7 +121,7 @@
 
 func (m *leaseModel) decideAlone(t *rapid.T) {
 	_, peer := m.draw(t, "by")
-	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.Longest(shortInModel) && peer.v.Vote(peer.local(m.now), 1) {
+	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.MaxWithDrift(shortInModel) && peer.v.Vote(peer.local(m.now), 1) {
 		m.alone = true
 	}
 }
@@ -175,7 +175,7 @@
 			if rapid.Bool().Draw(t, p) {
 				asked := second("asked")
 				authority.PeerLeaseGranted(p, asked)
-				promised[p] = asked + units.Shortest(PeerLeaseTime) - authority.Margin
+				promised[p] = asked + units.MinWithDrift(PeerLeaseTime) - authority.Margin
 			}
 		}
 		now := second("now")
--- a/internal/core/authority/trace.go
+++ b/internal/core/authority/trace.go
@@ -30,5 +30,5 @@
 func (v *Voter) Trace(b []byte, now units.Microseconds) []byte {
 	b = remaining(b, "promised ", v.leasedUntil, now)
 	b = strconv.AppendUint(append(b, " over "...), v.takenOver, 10)
-	return remaining(b, " young ", units.Longest(PeerLeaseTime), now)
+	return remaining(b, " young ", units.MaxWithDrift(PeerLeaseTime), now)
 }
--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -78,8 +78,8 @@
 	return s
 }
 
-// Dominant is the largest of a demand's shares of a capacity.
-func Dominant(capacity, demand Vec) float64 {
+// DominantShare is the largest of a demand's shares of a capacity.
+func DominantShare(capacity, demand Vec) float64 {
 	var s float64
 	for i, c := range capacity {
 		if c > 0 {
--- a/internal/core/binpack/binpack_test.go
+++ b/internal/core/binpack/binpack_test.go
@@ -24,7 +24,7 @@
 	if s := Size(capacity, Vec{4_000, 0, 16_000}); !near(s, 0.5) {
 		t.Errorf("size %v, want 0.5", s)
 	}
-	if d := Dominant(capacity, Vec{4_000, 0, 32_000}); !near(d, 0.5) {
+	if d := DominantShare(capacity, Vec{4_000, 0, 32_000}); !near(d, 0.5) {
 		t.Errorf("dominant share %v, want 0.5", d)
 	}
 }
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -97,7 +97,7 @@
 		status.Waiting += len(b.queue.current.changes)
 	}
 	since, here := confirm.since(version)
-	late := here && b.now-since >= units.Longest(b.cfg.Bound)
+	late := here && b.now-since >= units.MaxWithDrift(b.cfg.Bound)
 	all := b.version >= version && !b.Behind()
 	status.Controllers = append(status.Controllers, ControllerStatus{Node: b.cfg.Node, InForce: b.version, Known: max(b.version, b.latestKnown), Done: all})
 	for _, n := range confirm.names {
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -181,7 +181,7 @@
 		if b.Use < 0 {
 			continue
 		}
-		over := c.owned[b.Block].quota.Exceeded()
+		over := c.owned[b.Block].quota.TeamsOverAllocation()
 		if complete {
 			c.config.SetOverQuota(b.Block, status.Config, over)
 		}
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -84,14 +84,14 @@
 	shard := c.owned[0]
 	allocate(t, c, 0, 0.25)
 	shard.quota.Charge("t", binpack.Vec{8000})
-	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 10_000 || len(shard.quota.Exceeded()) != 0 || shard.quota.LargestUse() != 0.2 {
-		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
+	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 10_000 || len(shard.quota.TeamsOverAllocation()) != 0 || shard.quota.MaxUtilization() != 0.2 {
+		t.Errorf("part %v, use %g, over %v", p, shard.quota.MaxUtilization(), shard.quota.TeamsOverAllocation())
 	}
 	for k, v := range configRecords(2, 20_000) {
 		c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: 200})
 	}
-	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 5000 || !slices.Equal(shard.quota.Exceeded(), []string{"t"}) || shard.quota.LargestUse() != 0.4 {
-		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
+	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 5000 || !slices.Equal(shard.quota.TeamsOverAllocation(), []string{"t"}) || shard.quota.MaxUtilization() != 0.4 {
+		t.Errorf("part %v, use %g, over %v", p, shard.quota.MaxUtilization(), shard.quota.TeamsOverAllocation())
 	}
 	if shard.quota.Allows("t", binpack.Vec{1}) {
 		t.Error("starts above its share")
--- a/internal/core/demand/demand.go
+++ b/internal/core/demand/demand.go
@@ -48,8 +48,8 @@
 	r.mean += (ratio - r.mean) / float64(min(r.tasks, ratioMemory))
 }
 
-// Learn takes in how long a task ran.
-func (e *Estimator) Learn(spec *jobs.Spec, took units.Microseconds) {
+// ObserveRuntime takes in how long a task ran.
+func (e *Estimator) ObserveRuntime(spec *jobs.Spec, took units.Microseconds) {
 	if spec.Service || spec.Estimate <= 0 || took <= 0 {
 		return
 	}
--- a/internal/core/demand/demand_test.go
+++ b/internal/core/demand/demand_test.go
@@ -14,7 +14,7 @@
 func jobOf(class string, tasks int) *jobs.Job {
 	job := &jobs.Job{ID: "wk-000001", Since: 1000 * second, Record: jobs.Record{Status: jobs.Pending, Tasks: tasks,
 		Spec: &jobs.Spec{Class: class, Team: "t", Tasks: tasks, Demand: binpack.Vec{1000}, Estimate: 10 * second}}}
-	job.Objectives = jobs.Objectives{Priority: jobs.Normal, Due: units.Never, LastDue: units.Never}
+	job.Objectives = jobs.Objectives{Priority: jobs.Normal, Due: units.MaxTime, LastDue: units.MaxTime}
 	job.Reset()
 	return job
 }
@@ -30,11 +30,11 @@
 		want         Urgency
 		allowed      units.Microseconds // TimeAllowed
 	}{
-		{"no objective", "other", 0, 0, 0, FirstAhead, 80 * second},
+		{"no objective", "other", 0, 0, 0, FirstAttainable, 80 * second},
 		{"time to spare", "done", 0, 0, 0, Relaxed, 60 * second},
-		{"less than half of the time", "done", 0, 0, 21 * second, FirstAhead, 39 * second},
+		{"less than half of the time", "done", 0, 0, 21 * second, FirstAttainable, 39 * second},
 		{"missed", "done", 0, 0, 51 * second, AllMissed, 9 * second},
-		{"should start soon", "start", 0, 0, 0, FirstAhead, 30 * second},
+		{"should start soon", "start", 0, 0, 0, FirstAttainable, 30 * second},
 		{"a deadline before", "done", 30 * second, 90 * second, 0, Relaxed, 30 * second},
 		{"the deadline is missed, another can be met", "done", 30 * second, 90 * second, 25 * second, FirstMissed, 5 * second},
 		{"all are missed", "done", 30 * second, 90 * second, 81 * second, AllMissed, -51 * second},
@@ -46,7 +46,7 @@
 		if got := estimator.Urgency(job.Since+test.age, job); got != test.want {
 			t.Errorf("%s: urgency %d, want %d", test.name, got, test.want)
 		}
-		if got := estimator.TimeAllowed(job.Since+test.age, job); got != test.allowed {
+		if got := estimator.TimeRemaining(job.Since+test.age, job); got != test.allowed {
 			t.Errorf("%s: %.0f s are left, want %.0f", test.name, got.Seconds(), test.allowed.Seconds())
 		}
 	}
@@ -61,7 +61,7 @@
 		if got := estimator.Runtime(job.Spec()); got != 10*second {
 			t.Errorf("%.0f s after %d tasks", got.Seconds(), n)
 		}
-		estimator.Learn(job.Spec(), 20*second)
+		estimator.ObserveRuntime(job.Spec(), 20*second)
 	}
 	if got := estimator.Runtime(job.Spec()); got != 20*second {
 		t.Errorf("%.0f s once it is learnt", got.Seconds())
--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -34,12 +34,12 @@
 // patience bounds the time that a job without any objective is given, in run times.
 const patience = 8
 
-// TimeAllowed is the time that is left for a job, by the earliest deadline that depends on it or by
+// TimeRemaining is the time that is left for a job, by the earliest deadline that depends on it or by
 // the strictest objective of its class.
-func (e *Estimator) TimeAllowed(wall units.Microseconds, job *jobs.Job) units.Microseconds {
+func (e *Estimator) TimeRemaining(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
 	run := e.Runtime(spec)
-	allowed := units.Never
+	allowed := units.MaxTime
 	for _, objective := range e.objectives {
 		if objective.Class != spec.Class || objective.Within <= 0 {
 			continue
@@ -51,7 +51,7 @@
 			allowed = min(allowed, objective.Within+run)
 		}
 	}
-	if allowed == units.Never && job.Objectives.Due == units.Never {
+	if allowed == units.MaxTime && job.Objectives.Due == units.MaxTime {
 		allowed = patience * run
 	}
 	return min(allowed-(wall-job.Since), job.Objectives.Due-wall)
@@ -62,14 +62,14 @@
 // comes last.
 type Urgency int
 
-// Urgencies.
+// NumUrgencies.
 const (
-	AllMissed   Urgency = iota
-	FirstMissed         // a later objective can still be met
-	Relaxed             // so can the first, with half of its time to spare
-	FirstAhead          // so can the first, or there is none
-	Overdue             // nothing of the job has started for long, see package scheduler
-	Urgencies           // how many there are
+	AllMissed       Urgency = iota
+	FirstMissed             // a later objective can still be met
+	Relaxed                 // so can the first, with half of its time to spare
+	FirstAttainable         // so can the first, or there is none
+	Overdue                 // nothing of the job has started for long, see package scheduler
+	NumUrgencies            // how many there are
 )
 
 // eachObjective calls f with each of a job's objectives: the time by which it should be done or,
@@ -80,7 +80,7 @@
 			f(objective.Within, objective.Kind == StartWithin)
 		}
 	}
-	if due := job.Objectives.Due; due != units.Never {
+	if due := job.Objectives.Due; due != units.MaxTime {
 		f(due-job.Since, false)
 		if last := job.Objectives.LastDue; last > due {
 			f(last-job.Since, false)
@@ -92,7 +92,7 @@
 func (e *Estimator) Urgency(wall units.Microseconds, job *jobs.Job) Urgency {
 	done := wall - job.Since + e.Runtime(job.Spec())
 	objectives, missed := 0, 0
-	first := units.Never
+	first := units.MaxTime
 	e.eachObjective(job, func(within units.Microseconds, start bool) {
 		if start {
 			first = 0 // its tasks should start soon: no time to spare
@@ -108,7 +108,7 @@
 	case missed == 0 && objectives > 0 && first-done > first/2:
 		return Relaxed
 	case missed == 0:
-		return FirstAhead
+		return FirstAttainable
 	case missed < objectives:
 		return FirstMissed
 	}
@@ -118,7 +118,7 @@
 // Slack is how long a job's tasks may wait for the next objective that they can still meet.
 func (e *Estimator) Slack(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	run, age := e.Runtime(job.Spec()), wall-job.Since
-	least := units.Never
+	least := units.MaxTime
 	e.eachObjective(job, func(within units.Microseconds, start bool) {
 		switch {
 		case !start:
@@ -133,11 +133,11 @@
 	return min(least, patience*max(run, units.Second))
 }
 
-// Idle reports whether a job uses the time that others leave: it has the lowest priority, nobody
+// IsIdleTime reports whether a job uses the time that others leave: it has the lowest priority, nobody
 // expects it by any time, and it has not waited for long.
-func (e *Estimator) Idle(wall units.Microseconds, job *jobs.Job) bool {
+func (e *Estimator) IsIdleTime(wall units.Microseconds, job *jobs.Job) bool {
 	spec := job.Spec()
-	if job.Objectives.Priority != jobs.Low || spec.Service || job.Objectives.Due != units.Never {
+	if job.Objectives.Priority != jobs.Low || spec.Service || job.Objectives.Due != units.MaxTime {
 		return false
 	}
 	for _, objective := range e.objectives {
@@ -145,5 +145,5 @@
 			return false
 		}
 	}
-	return e.TimeAllowed(wall, job) > 0
+	return e.TimeRemaining(wall, job) > 0
 }
--- a/internal/core/demand/slots.go
+++ b/internal/core/demand/slots.go
@@ -43,7 +43,7 @@
 		total := spec.Demand.Times(int64(work.slots))
 		perTeam[spec.Team] = perTeam[spec.Team].Add(total)
 		types := host.CompatibleTypes(spec)
-		group := autoscaler.Group{Class: spec.Class, Types: strings.Join(types, ","), Zone: spec.Zone, Spot: spec.Spot, Idle: e.Idle(wall, job)}
+		group := autoscaler.Group{Class: spec.Class, Types: strings.Join(types, ","), Zone: spec.Zone, Spot: spec.Spot, Idle: e.IsIdleTime(wall, job)}
 		needed[group] = e.add(needed[group], wall, job, work, total, types)
 	}
 	return needed
@@ -54,7 +54,7 @@
 	spec := job.Spec()
 	slots := job.Record.Tasks - job.Finished()
 	if run := e.Runtime(spec); !spec.Service && run > 0 {
-		rounds := e.sequentialFraction * e.TimeAllowed(wall, job).Seconds() / run.Seconds()
+		rounds := e.sequentialFraction * e.TimeRemaining(wall, job).Seconds() / run.Seconds()
 		if rounds > 1 {
 			slots = int(math.Ceil(float64(slots) / rounds))
 		}
--- a/internal/core/fleet/heartbeat.go
+++ b/internal/core/fleet/heartbeat.go
@@ -49,7 +49,7 @@
 	Incarnation  uint64
 	Seq          uint64 // counts heartbeats of an incarnation
 	FencingToken uint64
-	Notice       units.Microseconds // until the cloud reclaims it; Never: no notice
+	Notice       units.Microseconds // until the cloud reclaims it; MaxTime: no notice
 	Tasks        []Task
 }
 
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -31,7 +31,7 @@
 	LeaseEnd       units.Microseconds // its tasks have surely ended from then on
 	Reconciled     bool               // it sent a heartbeat under its owner's fencing token
 	Transferred    bool               // what may run on it is known from its last owner's snapshot
-	Notice         units.Microseconds // when the cloud reclaims it; Never: no notice
+	Notice         units.Microseconds // when the cloud reclaims it; MaxTime: no notice
 	Tasks          map[jobs.TaskID]Attempt
 	Listed         int // tasks in its last heartbeat, those that have exited too
 	IdleSince      units.Microseconds
@@ -73,7 +73,7 @@
 
 // New returns a machine that has sent no heartbeat yet.
 func New(name string, record Record, machineType *Type, now units.Microseconds) *Machine {
-	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, Notice: units.Never, IdleSince: now,
+	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, Notice: units.MaxTime, IdleSince: now,
 		Tasks: map[jobs.TaskID]Attempt{}}
 }
 
@@ -158,8 +158,8 @@
 	m.LastSeen, m.LeaseEnd = now, leaseEnd
 	m.Lost = false
 	m.Listed = len(heartbeat.Tasks)
-	m.Notice = units.Never
-	if heartbeat.Notice != units.Never {
+	m.Notice = units.MaxTime
+	if heartbeat.Notice != units.MaxTime {
 		m.Notice = now + heartbeat.Notice
 	}
 }
--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -20,17 +20,17 @@
 
 // Checks of what may still run.
 const (
-	UnreconciledMachines Guard = iota + 101 // what runs on earlier owners' machines is unknown until they are reconciled
-	JobZones                                // tasks of one job share a zone, or are spread
-	CompleteAgain                           // a job whose tasks are all stored as done is completed by a next owner too
-	StandbyKnows                            // a start waits until the standby knows of it
+	UnreconciledMachines  Guard = iota + 101 // what runs on earlier owners' machines is unknown until they are reconciled
+	ZoneConstraints                          // tasks of one job share a zone, or are spread
+	CompleteAfterFailover                    // a job whose tasks are all stored as done is completed by a next owner too
+	StandbyAcknowledged                      // a start waits until the standby knows of it
 )
 
 // Checks of authority and of freshness.
 const (
 	Authority          Guard = iota + 201 // an owner answers only while its membership surely stands
-	RenewalSent                           // a renewal of a lease counts from when it was sent
-	PeerLeaseSent                         // a peer lease counts from when it was asked for
+	RenewalSendTime                       // a renewal of a lease counts from when it was sent
+	PeerLeaseSendTime                     // a peer lease counts from when it was asked for
 	MemberRecord                          // a peer lease is granted only to a member whose record is there
 	VoteAfterPeerLease                    // no takeover vote while a peer lease runs
 	TakeoverMajority                      // a membership is over only by the votes of a majority
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -81,9 +81,9 @@
 	machine := accepted.Machine
 	proven := accepted.Standing == reconcile.Proven
 	switch {
-	case proven && machine.Notice != units.Never:
-		return shard.scheduler.EvictBeforeNotice(machine)
-	case machine.Notice != units.Never || !machine.Schedulable():
+	case proven && machine.Notice != units.MaxTime:
+		return shard.scheduler.EvictBeforeReclaim(machine)
+	case machine.Notice != units.MaxTime || !machine.Schedulable():
 		return nil
 	case proven:
 		commands := append(shard.scheduler.Fill(machine), shard.scheduler.Preempt(machine)...)
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -10,7 +10,7 @@
 // those of the jobs that depend on it.
 type Objectives struct {
 	Priority Priority
-	Due      units.Microseconds // time of day by which it should be done; Never: none
+	Due      units.Microseconds // time of day by which it should be done; MaxTime: none
 	LastDue  units.Microseconds // and by which it is still of some use
 }
 
@@ -23,7 +23,7 @@
 // Before returns the objectives of what must be done some time before.
 func (o Objectives) Before(t units.Microseconds) Objectives {
 	for _, d := range []*units.Microseconds{&o.Due, &o.LastDue} {
-		if *d != units.Never {
+		if *d != units.MaxTime {
 			*d -= t
 		}
 	}
--- a/internal/core/jobs/dependencies_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -63,9 +63,9 @@
 	if len(m.ids) > 0 {
 		m.truth.dependencies[id] = rapid.SliceOfN(rapid.SampledFrom(m.ids), 0, 4).Draw(t, "awaits")
 	}
-	m.truth.own[id] = Objectives{Priority(rapid.IntRange(0, 3).Draw(t, "priority")), units.Never, units.Never}
+	m.truth.own[id] = Objectives{Priority(rapid.IntRange(0, 3).Draw(t, "priority")), units.MaxTime, units.MaxTime}
 	if rapid.Bool().Draw(t, "due") {
-		m.truth.own[id] = Objectives{Low, units.Microseconds(rapid.IntRange(0, 100).Draw(t, "at")) * units.Second, units.Never}
+		m.truth.own[id] = Objectives{Low, units.Microseconds(rapid.IntRange(0, 100).Draw(t, "at")) * units.Second, units.MaxTime}
 	}
 	m.ids = append(m.ids, id)
 	m.unread = append(m.unread, id)
@@ -176,9 +176,9 @@
 		}
 		own := func(j *Job) Objectives {
 			if j.ID == fmt.Sprint(n-1) {
-				return Objectives{High, n * units.Second, units.Never}
+				return Objectives{High, n * units.Second, units.MaxTime}
 			}
-			return Objectives{Low, units.Never, units.Never}
+			return Objectives{Low, units.MaxTime, units.MaxTime}
 		}
 		graph.Propagate(jobs, own, func(*Job) units.Microseconds { return 1 })
 		if a := jobs["0"].Objectives; a.Priority != High || a.Due >= n*units.Second {
--- a/internal/core/jobs/registry/objectives.go
+++ b/internal/core/jobs/registry/objectives.go
@@ -22,7 +22,7 @@
 // ownObjectives is what a job's own user asks for.
 func (r *Registry) ownObjectives(job *jobs.Job) jobs.Objectives {
 	spec := job.Spec()
-	own := jobs.Objectives{Priority: spec.Priority, Due: units.Never, LastDue: units.Never}
+	own := jobs.Objectives{Priority: spec.Priority, Due: units.MaxTime, LastDue: units.MaxTime}
 	if spec.Deadline <= 0 {
 		return own
 	}
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -99,7 +99,7 @@
 // Runnable returns the active jobs without open dependencies in the order in which they could
 // first start. The list is the registry's own and stands until the next call.
 func (r *Registry) Runnable() []*jobs.Job {
-	r.runnable.Settle()
+	r.runnable.ApplyChanges()
 	return r.runnable.Jobs()
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -115,7 +115,7 @@
 func (c plannerHost) OwnQuotaUses() iter.Seq2[int, float64] {
 	return func(yield func(int, float64) bool) {
 		for number, shard := range c.owned {
-			if shard.ready && len(shard.reconciler.Unreconciled()) == 0 && !yield(number, shard.quota.LargestUse()) {
+			if shard.ready && len(shard.reconciler.Unreconciled()) == 0 && !yield(number, shard.quota.MaxUtilization()) {
 				return
 			}
 		}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -51,7 +51,7 @@
 	idle.shard = idle.c.owned[0]
 	for i := range inZoneZ + inZoneY {
 		m := idle.shard.reconciler.Machine(machineName(i))
-		idle.c.Heartbeat(idle.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.Never})
+		idle.c.Heartbeat(idle.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.MaxTime})
 	}
 	idle.collect()
 	return idle
@@ -204,7 +204,7 @@
 	req := RequestID(1000)
 	report := func(i int) int {
 		req++
-		core.Heartbeat(core.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.Never})
+		core.Heartbeat(core.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.MaxTime})
 		for _, e := range core.Drain() {
 			if r, ok := e.(Reply); ok && r.Request == req {
 				return r.Code
--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -98,7 +98,7 @@
 	for _, machine := range d.host.Machines() {
 		zone := machine.Record.Zone
 		responsive := machine.LastSeen != 0 && now-machine.LastSeen < deadline
-		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.Notice == units.Never {
+		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.Notice == units.MaxTime {
 			count := seen.zones[zone]
 			count.Up++
 			if responsive {
@@ -111,7 +111,7 @@
 		case now >= machine.LeaseEnd:
 			seen.expired = append(seen.expired, machine)
 		case machine.Deprovisioning:
-		case machine.Notice != units.Never:
+		case machine.Notice != units.MaxTime:
 			if now > machine.Notice+noticeGrace {
 				seen.unresponsive = append(seen.unresponsive, machine)
 			}
@@ -174,7 +174,7 @@
 func (d *Detector) releaseUnresponsive(now units.Microseconds, seen survey) {
 	count := map[string]int{} // unresponsive without notice, by zone
 	for _, machine := range seen.unresponsive {
-		if machine.Notice == units.Never {
+		if machine.Notice == units.MaxTime {
 			count[machine.Record.Zone]++
 		}
 	}
@@ -188,7 +188,7 @@
 	}
 	timeout := d.timeout()
 	for _, machine := range seen.unresponsive {
-		zone, reclaimed := machine.Record.Zone, machine.Notice != units.Never
+		zone, reclaimed := machine.Record.Zone, machine.Notice != units.MaxTime
 		if reclaimed || outweighed(zone) && now-d.suspectAt[zone] > timeout {
 			d.cfg.Log.Warn("machine unresponsive", "machine", machine.Name, "tasks", len(machine.Tasks), "notice", reclaimed)
 			d.provisioner.Release(machine)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -70,7 +70,7 @@
 // ValidUntil is when this node may no longer answer workers, as known at present: the
 // authority of its membership ends, or a cancellation may have been confirmed that it does not know of.
 func (c *Core) ValidUntil() units.Microseconds {
-	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.extension()))
+	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.MinWithDrift(c.extension()))
 }
 
 // OnLease takes a new lease's outcome.
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -142,7 +142,7 @@
 		return 0
 	}
 	if r.cfg.SkippedGuard == guard.Authority {
-		return units.Never
+		return units.MaxTime
 	}
 	return r.authority.Until()
 }
@@ -209,7 +209,7 @@
 	r.renewing = false
 	switch outcome {
 	case store.OK:
-		if r.cfg.SkippedGuard == guard.RenewalSent {
+		if r.cfg.SkippedGuard == guard.RenewalSendTime {
 			r.renewalSentAt = now
 		}
 		r.authority.Renewed(r.renewalSentAt)
@@ -301,7 +301,7 @@
 // at a time.
 func (r *Registry) PeerLeaseGranted(now units.Microseconds, from string, memberID uint64, asked units.Microseconds) {
 	if r.id != 0 && r.id == memberID && asked <= now {
-		if r.cfg.SkippedGuard == guard.PeerLeaseSent {
+		if r.cfg.SkippedGuard == guard.PeerLeaseSendTime {
 			asked = now
 		}
 		r.authority.PeerLeaseGranted(from, asked)
@@ -325,14 +325,14 @@
 		// The view is older than the shard's assignment, as while a listing goes on whose pages
 		// with memberships are still to come: the membership may stand. Where versions went back,
 		// it is over in time.
-		return now-known.since > units.Longest(r.cfg.Extend)+r.cfg.TTL && r.voter(node).Vote(now, id)
+		return now-known.since > units.MaxWithDrift(r.cfg.Extend)+r.cfg.TTL && r.voter(node).Vote(now, id)
 	case id == 0: // owned by a controller of a release that knows no memberships
-		return now-known.expiredAt > units.Longest(r.cfg.Extend)+r.cfg.TTL
+		return now-known.expiredAt > units.MaxWithDrift(r.cfg.Extend)+r.cfg.TTL
 	}
 	// A majority may carry it no longer, and all do not: this controller has granted it no peer
 	// lease that still runs, and never will again. (As Extend is at least as long as Short, that is
 	// also the last that a membership of another controller's is waited for.)
-	if now-known.expiredAt > units.Longest(r.cfg.Short) && r.voter(node).Vote(now, id) {
+	if now-known.expiredAt > units.MaxWithDrift(r.cfg.Short) && r.voter(node).Vote(now, id) {
 		return true
 	}
 	return r.majorityVotes(now, node, id)
@@ -406,8 +406,8 @@
 		known := r.views[node]
 		number("; "+node+" has ", known.id)
 		if known.id == 0 { // what counts is when it will have been gone for long enough
-			ahead(" gone ", known.expiredAt+units.Longest(r.cfg.Extend)+r.cfg.TTL)
-			ahead(" short ", known.expiredAt+units.Longest(r.cfg.Short))
+			ahead(" gone ", known.expiredAt+units.MaxWithDrift(r.cfg.Extend)+r.cfg.TTL)
+			ahead(" short ", known.expiredAt+units.MaxWithDrift(r.cfg.Short))
 			number(" after ", known.previousID)
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -83,7 +83,7 @@
 	for _, number := range sortedShards(c.owned) {
 		use := -1.0
 		if shard := c.owned[number]; shard.ready && len(shard.reconciler.Unreconciled()) == 0 {
-			use = shard.quota.LargestUse()
+			use = shard.quota.MaxUtilization()
 		}
 		status.Blocks = append(status.Blocks, BlockStatus{Block: number, Share: c.shardRecords.Allocation(number).Version, Use: use})
 	}
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -67,7 +67,7 @@
 	for _, name := range names {
 		machine := machines[name]
 		zoneLost := r.zones.Lost(machine.Record.Zone)
-		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.Notice != units.Never {
+		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.Notice != units.MaxTime {
 			continue
 		}
 		if !zoneLost && r.bootsSlowly(machine) && slow < FewOf(len(machines)) {
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -136,10 +136,10 @@
 	}
 }
 
-// TaskWorked takes in that a task completed. What a machine started since its last failure works, so
+// TaskSucceeded takes in that a task completed. What a machine started since its last failure works, so
 // that a quarantine ends; a job that was suspect is not at fault. The attempt is zero where it was
 // not known to be on the machine.
-func (a *Attribution) TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
+func (a *Attribution) TaskSucceeded(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
 	machine.Proven = true
 	if attempt.Started > machine.FailedAt {
 		machine.Failed, machine.Quarantined = nil, false
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -75,7 +75,7 @@
 			case "~":
 				attribution.TaskFailed(machine, job, fleet.Attempt{Started: machine.FailedAt})
 			case "+":
-				attribution.TaskWorked(machine, job, fleet.Attempt{Started: started + 1})
+				attribution.TaskSucceeded(machine, job, fleet.Attempt{Started: started + 1})
 				job.Worked = true
 			}
 		}
@@ -118,7 +118,7 @@
 	if n := Trials(shard.now, shard.machines["B"], job); n != 0 || len(shard.stored) != 1 {
 		t.Errorf("%d tasks are tried where it failed, stored %d times", n, len(shard.stored))
 	}
-	if attribution.TaskWorked(machine, job, fleet.Attempt{}); job.NotBefore != shard.now || shard.ready == 0 {
+	if attribution.TaskSucceeded(machine, job, fleet.Attempt{}); job.NotBefore != shard.now || shard.ready == 0 {
 		t.Errorf("it works, and is not before %.0f s", job.NotBefore.Seconds())
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -106,9 +106,9 @@
 	return limit
 }
 
-// Exceeded names the teams that use more than the shard's part of their limit, sorted: their limit
+// TeamsOverAllocation names the teams that use more than the shard's part of their limit, sorted: their limit
 // was lowered, or the allocation was.
-func (t *Tracker) Exceeded() []string {
+func (t *Tracker) TeamsOverAllocation() []string {
 	var names []string
 	teams := t.host.Teams()
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
@@ -119,9 +119,9 @@
 	return names
 }
 
-// LargestUse is the largest fraction of any team's whole limit that is in use in the shard: its
+// MaxUtilization is the largest fraction of any team's whole limit that is in use in the shard: its
 // allocation may shrink no further than that.
-func (t *Tracker) LargestUse() float64 {
+func (t *Tracker) MaxUtilization() float64 {
 	largest := 0.0
 	for name, team := range t.host.Teams() {
 		for i, limit := range team.Limit {
@@ -133,9 +133,9 @@
 	return largest
 }
 
-// BeyondNominal reports whether a team uses more CPUs or GPUs than the shard's part of its nominal
+// ExceedsNominal reports whether a team uses more CPUs or GPUs than the shard's part of its nominal
 // quota (the setting "guarantee"). A team that is not known has none.
-func (t *Tracker) BeyondNominal(team string) bool {
+func (t *Tracker) ExceedsNominal(team string) bool {
 	settings := t.host.Teams()[team]
 	if settings == nil {
 		return true
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -75,13 +75,13 @@
 	}{{2000, nil, 0.1, false}, {4000, nil, 0.2, true}, {10_000, nil, 0.5, true}, {10_001, []string{"limited"}, 10_001. / 20_000, true}} {
 		tracker.Release("limited", tracker.Usage("limited"))
 		tracker.Charge("limited", binpack.Vec{test.cpu})
-		if got := tracker.Exceeded(); !slices.Equal(got, test.exceeded) {
+		if got := tracker.TeamsOverAllocation(); !slices.Equal(got, test.exceeded) {
 			t.Errorf("%d: %v exceed their allocation", test.cpu, got)
 		}
-		if got := tracker.LargestUse(); got != test.use {
+		if got := tracker.MaxUtilization(); got != test.use {
 			t.Errorf("%d: use %g, want %g", test.cpu, got, test.use)
 		}
-		if got := tracker.BeyondNominal("limited"); got != test.beyond {
+		if got := tracker.ExceedsNominal("limited"); got != test.beyond {
 			t.Errorf("%d: beyond the nominal quota: %v", test.cpu, got)
 		}
 	}
--- a/internal/core/ranking/order.go
+++ b/internal/core/ranking/order.go
@@ -47,7 +47,7 @@
 	delete(o.members, job)
 	o.removed[job] = struct{}{}
 	if len(o.removed) > minRemoved+len(o.members) {
-		o.Settle() // nobody asks for the jobs: what was removed must not pile up
+		o.ApplyChanges() // nobody asks for the jobs: what was removed must not pile up
 	}
 }
 
@@ -60,8 +60,8 @@
 // Jobs returns the jobs as of the last Settle, the earliest first. The list is the order's own.
 func (o *Order) Jobs() []*jobs.Job { return o.sorted }
 
-// Settle sorts in what was added and drops what was removed.
-func (o *Order) Settle() {
+// ApplyChanges sorts in what was added and drops what was removed.
+func (o *Order) ApplyChanges() {
 	if len(o.removed) > 0 {
 		isRemoved := func(job *jobs.Job) bool {
 			_, removed := o.removed[job]
--- a/internal/core/ranking/queue.go
+++ b/internal/core/ranking/queue.go
@@ -107,11 +107,11 @@
 		class.ranked, class.exhausted = class.ranked[:0], 0
 	}
 	q.active = q.active[:0]
-	q.since = units.Never
+	q.since = units.MaxTime
 }
 
-// Propose puts a job of the queue into the ranking that was begun.
-func (q *Queue) Propose(c Candidate) {
+// AddCandidate puts a job of the queue into the ranking that was begun.
+func (q *Queue) AddCandidate(c Candidate) {
 	if q.classOf[c.Job] == nil {
 		return
 	}
@@ -152,9 +152,9 @@
 // Ranked returns the ranking. It is the queue's own and holds until the next is begun.
 func (q *Queue) Ranked() []Candidate { return q.ranked }
 
-// Since is when the first of the ranked jobs could first start: time of day; Never: none is
+// EarliestSince is when the first of the ranked jobs could first start: time of day; Never: none is
 // ranked.
-func (q *Queue) Since() units.Microseconds { return q.since }
+func (q *Queue) EarliestSince() units.Microseconds { return q.since }
 
 // cursor is how far Each has come with one equivalence class.
 type cursor struct {
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -42,7 +42,7 @@
 		if rng.IntN(3) > 0 {
 			continue
 		}
-		queue.Settle()
+		queue.ApplyChanges()
 		var want []*jobs.Job
 		for j := range there {
 			want = append(want, j)
@@ -66,7 +66,7 @@
 	for _, j := range ranked {
 		o := offer{j, rng.IntN(3), rng.IntN(3)}
 		all = append(all, o)
-		queue.Propose(Candidate{Job: j, Tier: o.tier, Deficit: float64(o.deficit)})
+		queue.AddCandidate(Candidate{Job: j, Tier: o.tier, Deficit: float64(o.deficit)})
 	}
 	queue.FinishRanking()
 	slices.SortStableFunc(all, func(a, b offer) int { return (b.tier-a.tier)*10 + b.deficit - a.deficit })
@@ -98,10 +98,10 @@
 		j.Reset()
 		queue.Add(j)
 	}
-	queue.Settle()
+	queue.ApplyChanges()
 	queue.BeginRanking()
 	for _, j := range queue.Jobs() {
-		queue.Propose(Candidate{Job: j})
+		queue.AddCandidate(Candidate{Job: j})
 	}
 	queue.FinishRanking()
 	any := func(*jobs.Spec) bool { return true }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -83,12 +83,12 @@
 
 // TaskWorked implements reconcile.JobHost.
 func (h reconcileHost) TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
-	h.shard.attribution.TaskWorked(machine, job, attempt)
+	h.shard.attribution.TaskSucceeded(machine, job, attempt)
 }
 
 // LearnRuntime implements reconcile.JobHost.
 func (h reconcileHost) LearnRuntime(job *jobs.Job, took units.Microseconds) {
-	h.shard.demand.Learn(job.Spec(), took)
+	h.shard.demand.ObserveRuntime(job.Spec(), took)
 }
 
 // TaskCompleted implements reconcile.JobHost.
@@ -98,7 +98,7 @@
 func (h reconcileHost) RankReady() { h.shard.scheduler.RankReady() }
 
 // NewWork implements reconcile.IdleHost.
-func (h reconcileHost) NewWork() bool { return h.shard.scheduler.OfferIdle() }
+func (h reconcileHost) NewWork() bool { return h.shard.scheduler.IdleOfferDue() }
 
 // Preferred implements reconcile.IdleHost.
 func (h reconcileHost) Preferred(machine, other *fleet.Machine) bool {
--- a/internal/core/reconcile/pending.go
+++ b/internal/core/reconcile/pending.go
@@ -58,7 +58,7 @@
 // KeepIdle keeps the heartbeat of a machine unanswered that is idle and may get work, and reports
 // whether it does.
 func (r *Reconciler) KeepIdle(now units.Microseconds, request RequestID, machine *fleet.Machine) bool {
-	idle := len(machine.Tasks) == 0 && machine.Listed == 0 && machine.Schedulable() && machine.Notice == units.Never
+	idle := len(machine.Tasks) == 0 && machine.Listed == 0 && machine.Schedulable() && machine.Notice == units.MaxTime
 	if !idle || r.Pending() >= MaxPending {
 		return false
 	}
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -102,7 +102,7 @@
 
 // heartbeat is one of n-1 that shows some tasks.
 func heartbeat(seq, fencingToken uint64, tasks ...fleet.Task) *fleet.Heartbeat {
-	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, Notice: units.Never, Tasks: tasks}
+	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, Notice: units.MaxTime, Tasks: tasks}
 }
 
 // TestAdmission has heartbeats come that an owner must not take in, each for its reason, and an
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -126,7 +126,7 @@
 // answerHeartbeat answers a heartbeat. A response that starts something waits until the standby knows.
 func (c *Core) answerHeartbeat(shard *ownedShard, m *fleet.Machine, req RequestID, o HeartbeatResponse) {
 	starts := slices.ContainsFunc(o.Commands, func(x fleet.Command) bool { return x.Op == fleet.Start })
-	if !starts || !c.guarded(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, m.Name, startReply{req, o}) {
+	if !starts || !c.guarded(guard.StandbyAcknowledged) || !shard.replication.DeferAnswer(c.now, m.Name, startReply{req, o}) {
 		c.reply(req, http.StatusOK, o)
 	}
 }
--- a/internal/core/scheduler/evict.go
+++ b/internal/core/scheduler/evict.go
@@ -27,7 +27,7 @@
 	mostlyEmpty := 2*machine.Used()[binpack.CPU] <= machine.Type.Capacity[binpack.CPU]
 	for _, id := range machine.TaskIDs() {
 		attempt, job := machine.Tasks[id], s.host.Job(id.Job)
-		if job == nil || !job.Active() || !preemptible(job) || !s.demand.Idle(wall, job) || attempt.Ran(now) < evictRun {
+		if job == nil || !job.Active() || !preemptible(job) || !s.demand.IsIdleTime(wall, job) || attempt.Ran(now) < evictRun {
 			return nil
 		}
 		if !mostlyEmpty && !s.host.TooExpensive(machine, job.Spec()) {
@@ -40,10 +40,10 @@
 	return fleet.AtMost(stops, fleet.MaxStops)
 }
 
-// EvictBeforeNotice stops the tasks of a machine that the cloud is about to reclaim, where they cannot
+// EvictBeforeReclaim stops the tasks of a machine that the cloud is about to reclaim, where they cannot
 // complete before: they start elsewhere now, not when the loss is sure. A task is given the time that
 // remains to save its progress, where that is enough.
-func (s *Scheduler) EvictBeforeNotice(machine *fleet.Machine) []fleet.Command {
+func (s *Scheduler) EvictBeforeReclaim(machine *fleet.Machine) []fleet.Command {
 	now := s.host.Now()
 	remaining := machine.Notice - now
 	var stops []fleet.Command
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -61,7 +61,7 @@
 	if job.Spec() == nil || job.Ready() == 0 || !s.startable(now, job) {
 		return 0
 	}
-	if machine.SpareSince != 0 && s.demand.Idle(wall, job) {
+	if machine.SpareSince != 0 && s.demand.IsIdleTime(wall, job) {
 		return 0 // the machine would be kept for that alone
 	}
 	pending := job.Ready() - s.headroom.take(job, class)
@@ -105,7 +105,7 @@
 	if !s.quota.Allows(job.Spec().Team, s.demandOnLimit(wall, job)) {
 		return false
 	}
-	return job.ZoneAllows(machine.Record.Zone) || s.config.SkippedGuard == guard.JobZones
+	return job.ZoneAllows(machine.Record.Zone) || s.config.SkippedGuard == guard.ZoneConstraints
 }
 
 // place starts the next ready task of a job on a machine.
--- a/internal/core/scheduler/headroom.go
+++ b/internal/core/scheduler/headroom.go
@@ -30,7 +30,7 @@
 		if !Preferred(other, machine) || len(h.machines) == maxPreferred {
 			break
 		}
-		if other == machine || !other.Schedulable() || other.Notice != units.Never {
+		if other == machine || !other.Schedulable() || other.Notice != units.MaxTime {
 			continue
 		}
 		if free := other.Free(); free[binpack.CPU] > 0 {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -96,7 +96,7 @@
 	if s.completionRate > 0 && units.Seconds(float64(s.readyTasks)/s.completionRate) < after {
 		return nil
 	}
-	if wall-s.queue.Since() < after {
+	if wall-s.queue.EarliestSince() < after {
 		return nil // none has waited for that long
 	}
 	suits := func(spec *jobs.Spec) bool {
@@ -178,7 +178,7 @@
 	if victim.Objectives.Priority < job.Objectives.Priority && (within || !victimWithin) {
 		return true
 	}
-	return within && !sameTeam && !victimWithin && s.quota.BeyondNominal(team)
+	return within && !sameTeam && !victimWithin && s.quota.ExceedsNominal(team)
 }
 
 // lostWork is the run time that is lost when an attempt is stopped now.
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -25,7 +25,7 @@
 func (s *Scheduler) sort() {
 	s.host.PropagateObjectives()
 	s.orderStale = false
-	s.queue.Settle()
+	s.queue.ApplyChanges()
 	own := s.queue.Jobs()
 	all := s.host.AllRunnable() // a nominal quota covers the earliest of a team's jobs in all shards
 	if all == nil {
@@ -53,9 +53,9 @@
 	}
 }
 
-// OfferIdle reports whether machines that are waiting for work should be filled: there are ranked
+// IdleOfferDue reports whether machines that are waiting for work should be filled: there are ranked
 // jobs that they were not offered yet. Each ranking is reported once.
-func (s *Scheduler) OfferIdle() bool {
+func (s *Scheduler) IdleOfferDue() bool {
 	offer := s.rankedUnserved && len(s.queue.Ranked()) > 0
 	s.rankedUnserved = false
 	return offer
@@ -101,9 +101,9 @@
 		}
 		s.readyTasks += job.Trials()
 		s.reserve(wall, job)
-		s.queue.Propose(ranking.Candidate{
+		s.queue.AddCandidate(ranking.Candidate{
 			Job:     job,
-			Tier:    s.tier(job)*int(demand.Urgencies) + int(s.urgency(wall, job)),
+			Tier:    s.tier(job)*int(demand.NumUrgencies) + int(s.urgency(wall, job)),
 			Deficit: s.deficit(job),
 		})
 	}
@@ -113,7 +113,7 @@
 // rankMachines collects the machines that are about to ask for work, the most preferred first.
 func (s *Scheduler) rankMachines(now units.Microseconds) {
 	for _, machine := range s.host.Machines() {
-		if machine.Schedulable() && machine.Notice == units.Never && s.zones.Reachable(machine.Record.Zone) &&
+		if machine.Schedulable() && machine.Notice == units.MaxTime && s.zones.Reachable(machine.Record.Zone) &&
 			now-machine.LastSeen <= s.config.HeartbeatDeadline && machine.Free()[binpack.CPU] > 0 {
 			s.preferred = append(s.preferred, machine)
 		}
@@ -164,7 +164,7 @@
 // deficit is how far a job is from its fair share (the paper's 3.4).
 func (s *Scheduler) deficit(job *jobs.Job) float64 {
 	spec := job.Spec()
-	return s.entitled.FairShare[spec.Team] - binpack.Dominant(s.capacity, spec.Demand)*float64(job.Placed())
+	return s.entitled.FairShare[spec.Team] - binpack.DominantShare(s.capacity, spec.Demand)*float64(job.Placed())
 }
 
 // computeShortfall finds the teams that have waited for long for their nominal quota, and how much
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -51,7 +51,7 @@
 // addJob adds a job that could start since a time of day.
 func (f *fakeShard) addJob(id string, record jobs.Record, since units.Microseconds) {
 	job := &jobs.Job{ID: id, Record: record, Since: since}
-	job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.Never, LastDue: units.Never}
+	job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.MaxTime, LastDue: units.MaxTime}
 	job.Reset()
 	f.jobs[id] = job
 	f.scheduler.Add(job)
--- a/internal/core/scheduler/stops_test.go
+++ b/internal/core/scheduler/stops_test.go
@@ -113,7 +113,7 @@
 		evict := shard.scheduler.EvictIdle
 		if test.notice > 0 {
 			machine.Notice = shard.now + test.notice
-			evict = shard.scheduler.EvictBeforeNotice
+			evict = shard.scheduler.EvictBeforeReclaim
 		}
 		stops := evict(machine)
 		if len(stops) != test.want || slices.ContainsFunc(stops, func(c fleet.Command) bool { return c.Op != fleet.Stop || c.Grace != test.grace }) {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -161,7 +161,9 @@
 
 // leaseBound is the time after which tasks of a machine that gets no answer
 // are surely gone.
-func (c *Core) leaseBound() units.Microseconds { return units.Longest(c.cfg.Lease) + units.Second/5 }
+func (c *Core) leaseBound() units.Microseconds {
+	return units.MaxWithDrift(c.cfg.Lease) + units.Second/5
+}
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
@@ -226,7 +228,7 @@
 	}
 	if shard.scheduler.Tick() {
 		for _, j := range shard.scheduler.Jobs() {
-			if j.AllFinished() && c.guarded(guard.CompleteAgain) {
+			if j.AllFinished() && c.guarded(guard.CompleteAfterFailover) {
 				// Not only when its last task ends: an earlier owner may have
 				// stored that and ended before it could store the job's end.
 				shard.writer.CloseJob(j)
--- a/internal/core/store/indoubt_test.go
+++ b/internal/core/store/indoubt_test.go
@@ -290,7 +290,7 @@
 		usual units.Microseconds
 		first units.Microseconds // at which the first read is due at the latest
 		reads int                // within a second
-	}{{2_000, 60_000, 3}, {10_000, 100_000, 3}, {400_000, units.Never, 0}} {
+	}{{2_000, 60_000, 3}, {10_000, 100_000, 3}, {400_000, units.MaxTime, 0}} {
 		queue := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 100}
 		now := units.Second
 		send := func() {
@@ -306,7 +306,7 @@
 			queue.Finish(now, OK, 1, nil)
 		}
 		send()
-		reads, first := 0, units.Never
+		reads, first := 0, units.MaxTime
 		for d := units.Microseconds(0); d < units.Second; d += 5_000 {
 			if queue.ReadDue(now + d) {
 				reads++
--- a/internal/core/units/units.go
+++ b/internal/core/units/units.go
@@ -10,8 +10,8 @@
 // Second is one second.
 const Second Microseconds = 1_000_000
 
-// Never is later than any time that occurs.
-const Never Microseconds = math.MaxInt64 / 4
+// MaxTime is later than any time that occurs.
+const MaxTime Microseconds = math.MaxInt64 / 4
 
 // Seconds turns a decimal number of seconds into microseconds.
 func Seconds(s float64) Microseconds { return Microseconds(math.Round(s * 1e6)) }
@@ -28,8 +28,8 @@
 // drift bounds how far two steady clocks part: each runs off by up to 0.05 %.
 const driftPerMille = 1
 
-// Longest is the most that a duration of m on another machine's clock can take on ours.
-func Longest(m Microseconds) Microseconds { return m + m*driftPerMille/1000 + 1 }
+// MaxWithDrift is the most that a duration of m on another machine's clock can take on ours.
+func MaxWithDrift(m Microseconds) Microseconds { return m + m*driftPerMille/1000 + 1 }
 
-// Shortest is the least that a duration of m on another machine's clock can take on ours.
-func Shortest(m Microseconds) Microseconds { return m - m*driftPerMille/1000 - 1 }
+// MinWithDrift is the least that a duration of m on another machine's clock can take on ours.
+func MinWithDrift(m Microseconds) Microseconds { return m - m*driftPerMille/1000 - 1 }
--- a/internal/core/watchcache/watchcache.go
+++ b/internal/core/watchcache/watchcache.go
@@ -117,7 +117,7 @@
 	answered   bool               // the service has ever answered
 	answeredAt units.Microseconds // when it last did
 	limitedAt  units.Microseconds // it last refused something as too much; 0: never
-	asOf       units.Microseconds // the copy shows all that was stored before; Never negated: it was never complete
+	asOf       units.Microseconds // the copy shows all that was stored before; MaxTime negated: it was never complete
 
 	highestRevision uint64             // that any answer has told
 	rollbackMark    units.Microseconds // time of day at which this node last noticed that the service went back: tells one time from the next
@@ -130,7 +130,7 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Cache{Replica: store.NewReplica(host.Learn), host: host, cfg: cfg, asOf: -units.Never}
+	return &Cache{Replica: store.NewReplica(host.Learn), host: host, cfg: cfg, asOf: -units.MaxTime}
 }
 
 // Loaded reports whether the copy is complete.
@@ -163,7 +163,7 @@
 // Age is how long ago the service last answered.
 func (c *Cache) Age(now units.Microseconds) units.Microseconds {
 	if !c.answered {
-		return units.Never
+		return units.MaxTime
 	}
 	return now - c.answeredAt
 }
--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -424,7 +424,7 @@
 	if z := p.zones[name]; z != nil {
 		return p.now - z.since
 	}
-	return units.Never
+	return units.MaxTime
 }
 
 // ReturnedFor is how long ago a zone came back; a zone that always served came back long ago.
@@ -432,7 +432,7 @@
 	if z := p.zones[name]; z != nil && z.returnedAt > 0 {
 		return p.now - z.returnedAt
 	}
-	return units.Never
+	return units.MaxTime
 }
 
 // ZoneStats is a zone as people see it.
--- a/internal/emulator/account/account.go
+++ b/internal/emulator/account/account.go
@@ -169,7 +169,7 @@
 // neither is it paid for.
 func (a *Account) gone(at units.Microseconds, m *machine) {
 	m.close()
-	if left := cloudprovider.MinimumCharge - (at - m.host.CreatedAt); left > 0 && m.host.DiedAt == units.Never && !m.host.Reclaimed {
+	if left := cloudprovider.MinimumCharge - (at - m.host.CreatedAt); left > 0 && m.host.DiedAt == units.MaxTime && !m.host.Reclaimed {
 		m.row.Spent[Least] += m.rate * left.Seconds() / 3600
 	}
 }
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -91,7 +91,7 @@
 	openAfterSweep  int                // how many of them dropFinished left
 	nextOpen        int                // which of them is looked at next, see CheckWaiting
 	freeSnapshots   []freeSnapshot     // of the last 90 s, the oldest first
-	faultsOverAt    units.Microseconds // Never: not known
+	faultsOverAt    units.Microseconds // MaxTime: not known
 	violations      []Violation
 	recorded        map[string]bool // rule and job, or rule and text, of each
 	history         []line
@@ -101,7 +101,7 @@
 
 // New returns a checker that has seen nothing.
 func New(config Config) *Checker {
-	c := &Checker{config: config, startOrders: map[jobs.TaskID]units.Microseconds{}, lastOrder: map[string]units.Microseconds{}, jobs: map[string]*jobRecord{}, usage: map[string]binpack.Vec{}, recorded: map[string]bool{}, digest: sha256.New(), faultsOverAt: units.Never}
+	c := &Checker{config: config, startOrders: map[jobs.TaskID]units.Microseconds{}, lastOrder: map[string]units.Microseconds{}, jobs: map[string]*jobRecord{}, usage: map[string]binpack.Vec{}, recorded: map[string]bool{}, digest: sha256.New(), faultsOverAt: units.MaxTime}
 	first := &configVersion{limits: map[string]binpack.Vec{}}
 	for _, t := range config.Teams {
 		first.limits[t.Name] = t.Limit
--- a/internal/emulator/check/limits.go
+++ b/internal/emulator/check/limits.go
@@ -16,7 +16,7 @@
 // configVersion is a version of the configuration as it was stored.
 type configVersion struct {
 	version   uint64
-	confirmed units.Microseconds // Never: not yet
+	confirmed units.Microseconds // MaxTime: not yet
 	limits    map[string]binpack.Vec
 	removed   map[string]bool // teams that take no new jobs
 }
@@ -39,7 +39,7 @@
 	if last.version >= version && (last.version > version || sameLimits(last, l)) {
 		return
 	}
-	v := &configVersion{version: version, confirmed: units.Never, limits: map[string]binpack.Vec{}, removed: map[string]bool{}}
+	v := &configVersion{version: version, confirmed: units.MaxTime, limits: map[string]binpack.Vec{}, removed: map[string]bool{}}
 	for _, t := range l.Teams {
 		v.limits[t.Name] = t.Limit
 	}
--- a/internal/emulator/cloudprovider/billing.go
+++ b/internal/emulator/cloudprovider/billing.go
@@ -31,7 +31,7 @@
 
 // charge is what a machine has cost by a time, as if it had lived for least at least.
 func (p *Provider) charge(now units.Microseconds, m *Machine, least units.Microseconds) float64 {
-	if m.DiedAt != units.Never {
+	if m.DiedAt != units.MaxTime {
 		return m.costAtDeath
 	}
 	history := p.types[m.Type]
@@ -55,7 +55,7 @@
 func (p *Provider) Spent(now units.Microseconds) float64 {
 	sum := p.spentOnDeleted
 	for _, m := range p.machines {
-		if m.DeletedAt == units.Never {
+		if m.DeletedAt == units.MaxTime {
 			sum += p.charge(now, m, 0)
 		}
 	}
--- a/internal/emulator/cloudprovider/cloudprovider.go
+++ b/internal/emulator/cloudprovider/cloudprovider.go
@@ -139,7 +139,7 @@
 func (p *Provider) SetReclaimRate(now units.Microseconds, perHour float64) {
 	p.config.ReclaimRate = perHour
 	for _, m := range p.machines {
-		if m.Spot && m.DeletedAt == units.Never {
+		if m.Spot && m.DeletedAt == units.MaxTime {
 			p.scheduleReclaim(now, m)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // boot lets the worker of a machine start that is there still.
 func (p *Provider) boot(at units.Microseconds, m *Machine) {
-	if m.DeletedAt == units.Never && m.DiedAt == units.Never {
+	if m.DeletedAt == units.MaxTime && m.DiedAt == units.MaxTime {
 		m.UpAt = at
 		p.effects = append(p.effects, MachineStarted{m})
 	}
--- a/internal/emulator/cloudprovider/machine.go
+++ b/internal/emulator/cloudprovider/machine.go
@@ -6,7 +6,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Machine is a machine that was created. Times are units.Never until they come.
+// Machine is a machine that was created. Times are units.MaxTime until they come.
 type Machine struct {
 	Name string
 	Addr string
@@ -41,7 +41,7 @@
 
 // create adds a machine: its speed, its faults and its boot time are drawn.
 func (p *Provider) create(now units.Microseconds, pool Pool, history *priceHistory) *Machine {
-	created := &Machine{Name: fmt.Sprintf("n-%06d", p.nextNumber), Pool: pool, CreatedAt: now, UpAt: units.Never, DiedAt: units.Never, DeletedAt: units.Never,
+	created := &Machine{Name: fmt.Sprintf("n-%06d", p.nextNumber), Pool: pool, CreatedAt: now, UpAt: units.MaxTime, DiedAt: units.MaxTime, DeletedAt: units.MaxTime,
 		Speed: 0.9 + 0.2*p.rng.Float64(), FetchSpeed: 0.67 + 0.66*p.rng.Float64(), integralAtCreation: history.integral(now)}
 	switch d := p.rng.Float64(); {
 	case d < p.config.FailingShare:
@@ -98,7 +98,7 @@
 // Reclaim reclaims a machine after a notice or, in a share of cases, at once without one. The
 // notice is right to within half.
 func (p *Provider) Reclaim(now units.Microseconds, m *Machine, notice units.Microseconds, silent float64) {
-	if m.DeletedAt != units.Never || m.DiedAt != units.Never {
+	if m.DeletedAt != units.MaxTime || m.DiedAt != units.MaxTime {
 		return
 	}
 	if p.rng.Float64() < silent {
@@ -111,13 +111,13 @@
 
 // reclaimNow reclaims a machine that was not deleted meanwhile.
 func (p *Provider) reclaimNow(now units.Microseconds, m *Machine) {
-	if m.DeletedAt != units.Never {
+	if m.DeletedAt != units.MaxTime {
 		return
 	}
 	died := m.DiedAt
 	m.Reclaimed = true
 	p.markDeleted(now, m, 0)
-	if died == units.Never {
+	if died == units.MaxTime {
 		p.effects = append(p.effects, MachineEnded{m})
 	}
 }
@@ -125,7 +125,7 @@
 // Kill lets a machine fail by itself: it is no longer billed, is listed as running for
 // failureDetection and then as failed, until it is deleted.
 func (p *Provider) Kill(now units.Microseconds, m *Machine) {
-	if m.DiedAt != units.Never || m.DeletedAt != units.Never {
+	if m.DiedAt != units.MaxTime || m.DeletedAt != units.MaxTime {
 		return
 	}
 	m.costAtDeath = p.charge(now, m, 0)
@@ -147,7 +147,7 @@
 func (p *Provider) Alive() []*Machine {
 	var out []*Machine
 	for _, m := range p.machines {
-		if m.UpAt != units.Never && m.DiedAt == units.Never && m.DeletedAt == units.Never {
+		if m.UpAt != units.MaxTime && m.DiedAt == units.MaxTime && m.DeletedAt == units.MaxTime {
 			out = append(out, m)
 		}
 	}
@@ -158,7 +158,7 @@
 func (p *Provider) Billed() []*Machine {
 	var out []*Machine
 	for _, m := range p.machines {
-		if m.DiedAt == units.Never && m.DeletedAt == units.Never {
+		if m.DiedAt == units.MaxTime && m.DeletedAt == units.MaxTime {
 			out = append(out, m)
 		}
 	}
--- a/internal/emulator/cloudprovider/requests.go
+++ b/internal/emulator/cloudprovider/requests.go
@@ -87,10 +87,10 @@
 	}
 	for _, n := range names {
 		m := p.byName[n]
-		if m == nil || m.DeletedAt != units.Never {
+		if m == nil || m.DeletedAt != units.MaxTime {
 			continue
 		}
-		alive := m.DiedAt == units.Never
+		alive := m.DiedAt == units.MaxTime
 		p.markDeleted(now, m, MinimumCharge)
 		if alive {
 			p.effects = append(p.effects, MachineEnded{m})
@@ -140,7 +140,7 @@
 // passes.
 func (p *Provider) dropDeleted(now units.Microseconds) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *Machine) bool {
-		if m.DeletedAt != units.Never && m.DeletedAt+2*p.config.ListLag+units.Second < now {
+		if m.DeletedAt != units.MaxTime && m.DeletedAt+2*p.config.ListLag+units.Second < now {
 			delete(p.byName, m.Name)
 			return true
 		}
--- a/internal/emulator/eventqueue/eventqueue.go
+++ b/internal/emulator/eventqueue/eventqueue.go
@@ -44,10 +44,10 @@
 	heap.Push(&q.entries, entry[T]{at, q.sequence, event})
 }
 
-// Next returns when the first event is due, units.Never if there is none.
+// Next returns when the first event is due, units.MaxTime if there is none.
 func (q *Queue[T]) Next() units.Microseconds {
 	if len(q.entries) == 0 {
-		return units.Never
+		return units.MaxTime
 	}
 	return q.entries[0].at
 }
--- a/internal/emulator/eventqueue/eventqueue_test.go
+++ b/internal/emulator/eventqueue/eventqueue_test.go
@@ -11,7 +11,7 @@
 // addition where they are due at the same time.
 func TestOrder(t *testing.T) {
 	var queue Queue[string]
-	if got := queue.Next(); got != units.Never {
+	if got := queue.Next(); got != units.MaxTime {
 		t.Errorf("empty queue: next event at %d, want units.Never", got)
 	}
 	queue.Add(30, "late")
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -106,7 +106,7 @@
 // Next implements model.
 func (l *LoneWorker) Next() units.Microseconds {
 	if l.worker == nil {
-		return units.Never
+		return units.MaxTime
 	}
 	return l.worker.Next()
 }
--- a/internal/emulator/machine/fault.go
+++ b/internal/emulator/machine/fault.go
@@ -32,7 +32,7 @@
 // Unreliable reports whether tasks fail on the machine, or the cloud has given notice that it
 // reclaims it.
 func (w *Worker) Unreliable() bool {
-	return w.fault.FailsTasks || w.reclaimAt != units.Never
+	return w.fault.FailsTasks || w.reclaimAt != units.MaxTime
 }
 
 // NoticeReclaim tells the worker that the cloud reclaims the machine after a time.
--- a/internal/emulator/machine/heartbeat.go
+++ b/internal/emulator/machine/heartbeat.go
@@ -62,8 +62,8 @@
 func (w *Worker) Status() (*fleet.Heartbeat, map[jobs.TaskID]bool) {
 	w.sequence++
 	status := &fleet.Heartbeat{Machine: w.config.Name, Addr: w.config.Addr, Type: w.config.Type, Zone: w.config.Zone, Spot: w.config.Spot,
-		Incarnation: w.incarnation, Seq: w.sequence, FencingToken: w.fencingToken, Notice: units.Never}
-	if w.reclaimAt != units.Never {
+		Incarnation: w.incarnation, Seq: w.sequence, FencingToken: w.fencingToken, Notice: units.MaxTime}
+	if w.reclaimAt != units.MaxTime {
 		status.Notice = max(w.reclaimAt-w.now, 0)
 	}
 	checkpointed := map[jobs.TaskID]bool{}
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -65,7 +65,7 @@
 	sequence         uint64
 	fencingToken     uint64
 	leaseRenewedAt   units.Microseconds // when the last heartbeat that got a response was sent
-	reclaimAt        units.Microseconds // when the cloud reclaims the machine, by its notice; Never: no notice
+	reclaimAt        units.Microseconds // when the cloud reclaims the machine, by its notice; MaxTime: no notice
 	hungUntil        units.Microseconds
 	pending          *pendingResponse // arrived while the machine hung
 	inboundCutUntil  units.Microseconds
@@ -93,7 +93,7 @@
 
 // New returns a worker that has just started, in its first incarnation.
 func New(config Config, fault Fault, uploads work.Book, now units.Microseconds, rng *rand.Rand) *Worker {
-	w := &Worker{config: config, fault: fault, uploads: uploads, rng: rng, now: now, incarnation: 1, leaseRenewedAt: now, reclaimAt: units.Never,
+	w := &Worker{config: config, fault: fault, uploads: uploads, rng: rng, now: now, incarnation: 1, leaseRenewedAt: now, reclaimAt: units.MaxTime,
 		free: config.Capacity, tasks: map[jobs.TaskID]*task{}, imageSizes: map[string]int64{}, fetches: map[string]*fetch{},
 		fetchedUntil: now, heartbeatDue: now, lastHeartbeat: now - changeInterval, tokenChangedAt: now - config.Lease}
 	if len(config.Nodes) > 0 {
@@ -108,7 +108,7 @@
 // Next returns when Advance is next of use.
 func (w *Worker) Next() units.Microseconds {
 	lease := w.leaseExpiry()
-	next := units.Never
+	next := units.MaxTime
 	switch {
 	case w.inFlight != 0:
 		next = min(next, w.sentAt+ResponseTimeout)
--- a/internal/emulator/machine/tasks.go
+++ b/internal/emulator/machine/tasks.go
@@ -173,7 +173,7 @@
 	case t.job.Finished(t.id.Task): // what completed once does so again at once
 		t.endsAt = w.now
 	case t.job.Spec.Service && !t.job.Broken && !w.fault.FailsTasks:
-		t.endsAt = units.Never
+		t.endsAt = units.MaxTime
 	default:
 		left := max(t.job.RunOf(t.id.Task)-t.progress, 0)
 		if t.job.Broken || w.fault.FailsTasks {
--- a/internal/emulator/site/site_test.go
+++ b/internal/emulator/site/site_test.go
@@ -142,7 +142,7 @@
 				}
 				have := map[cloudprovider.Pool]int{}
 				for _, m := range rented {
-					if m.DeletedAt == units.Never {
+					if m.DeletedAt == units.MaxTime {
 						have[m.Pool]++
 					}
 				}
@@ -227,7 +227,7 @@
 					}
 				}
 				for n := range listed {
-					if m := rented[n]; m != nil && m.DeletedAt == units.Never && !shown[n] {
+					if m := rented[n]; m != nil && m.DeletedAt == units.MaxTime && !shown[n] {
 						t.Fatalf("%s was listed once, is not gone, and is not listed", n)
 					}
 				}
--- a/internal/experiment/paper/cluster.go
+++ b/internal/experiment/paper/cluster.go
@@ -115,13 +115,13 @@
 		c.machines = append(c.machines, &machine{capacity: capacity, room: p.See(capacity, true)})
 		c.total = c.total.Add(p.See(capacity, true))
 	}
-	first := units.Never
+	first := units.MaxTime
 	for i := range jobs {
 		c.plans.Add(jobs[i].Arrives, event{job: c.state(i, &jobs[i])})
 		first = min(first, jobs[i].Arrives)
 	}
 	for c.left > 0 {
-		if c.now = c.plans.Next(); c.now == units.Never {
+		if c.now = c.plans.Next(); c.now == units.MaxTime {
 			panic("paper: nothing is planned and jobs are left: a task fits no machine")
 		}
 		// What happens at one moment is seen together, as a machine reports all that has
@@ -194,7 +194,7 @@
 			views = append(views, binpack.Job{Demand: j.seen, Pending: len(st.Runs) - j.next, Tier: tier, Cached: true,
 				// The packer multiplies it by the size of a task.
 				Work:    (j.left + j.work[j.stage+1]) / max(j.size, 1e-9),
-				Deficit: 1/float64(len(c.active)) - binpack.Dominant(c.total, j.held)})
+				Deficit: 1/float64(len(c.active)) - binpack.DominantShare(c.total, j.held)})
 			jobs = append(jobs, j)
 		}
 		took := false
--- a/internal/explore/authority/authority.go
+++ b/internal/explore/authority/authority.go
@@ -252,7 +252,7 @@
 // CacheAge implements seats.Host.
 func (p *process) CacheAge() (since, age units.Microseconds, ok bool) {
 	if p.w.o.Unserved && p.w.promising {
-		return 0, units.Never, true
+		return 0, units.MaxTime, true
 	}
 	return 0, 0, true
 }
--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -273,7 +273,7 @@
 }
 
 func (w *World) answersUntil() units.Microseconds {
-	return w.nodes[0].book.KnownUntil(w.local(0), w.read) + units.Shortest(extension)
+	return w.nodes[0].book.KnownUntil(w.local(0), w.read) + units.MinWithDrift(extension)
 }
 
 // Broken implements explore.World.
--- a/internal/wire/neighbours.go
+++ b/internal/wire/neighbours.go
@@ -94,7 +94,7 @@
 func EncodeHeartbeat(heartbeat *fleet.Heartbeat, checkpointed map[jobs.TaskID]bool) HeartbeatBody {
 	out := HeartbeatBody{Machine: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
 		Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, FencingToken: heartbeat.FencingToken, Tasks: []HeartbeatTask{}}
-	if heartbeat.Notice != units.Never {
+	if heartbeat.Notice != units.MaxTime {
 		v := heartbeat.Notice.Seconds()
 		out.Notice = &v
 	}
