--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -31,7 +31,7 @@
 // IsLeased reports whether a key and its value belong to a controller's lease: with
 // that they are gone.
 func IsLeased(e store.Event) bool {
-	return strings.HasPrefix(e.Key, keys.MemberPrefix) || e.Key == keys.LeaderSinceArchive || e.Key == keys.Leader && !election.Excludes(e.Value)
+	return strings.HasPrefix(e.Key, keys.MemberPrefix) || e.Key == keys.LeaderSinceArchive || e.Key == keys.Leader && !election.IsExclusionRecord(e.Value)
 }
 
 // typeKey is where a machine type is stored.
--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -101,15 +101,15 @@
 // less clock drift and a margin. Where the state service does not answer it rests on peer
 // leases: peers that make up a majority together with this controller will not, for a while,
 // vote for giving away what the member owns, and without a majority's votes nobody may do
-// so until Short has passed since the lease was last renewed. Beyond Short it takes the
+// so until MajorityExtension has passed since the lease was last renewed. Beyond MajorityExtension it takes the
 // peer leases of all: whoever is out of reach may be the one that the state service serves.
 // See docs/design.md for the argument.
 type Authority struct {
-	TTL    units.Microseconds
-	Margin units.Microseconds
-	Short  units.Microseconds // bound on what the peer leases of a majority add, from the last renewal
-	Peers  int                // peer leases that make a majority together with this controller
-	All    int                // peers
+	TTL               units.Microseconds
+	Margin            units.Microseconds
+	MajorityExtension units.Microseconds // bound on what the peer leases of a majority add, from the last renewal
+	MajorityPeers     int                // peer leases that make a majority together with this controller
+	AllPeers          int                // peers
 
 	until         units.Microseconds
 	short         units.Microseconds
@@ -121,7 +121,7 @@
 // Renewed records that a renewal sent at the given time was granted.
 func (a *Authority) Renewed(sent units.Microseconds) {
 	a.until = max(a.until, sent+units.Shortest(a.TTL)-a.Margin)
-	a.short = max(a.short, sent+units.Shortest(a.Short)-a.Margin)
+	a.short = max(a.short, sent+units.Shortest(a.MajorityExtension)-a.Margin)
 }
 
 // PeerLeaseGranted records a peer's lease, asked for at the given time.
@@ -130,10 +130,10 @@
 		a.peerLeases = map[string]units.Microseconds{}
 	}
 	a.peerLeases[peer] = max(a.peerLeases[peer], asked+units.Shortest(PeerLeaseTime)-a.Margin)
-	if n := len(a.peerLeases) - a.Peers; a.Peers > 0 && n >= 0 {
+	if n := len(a.peerLeases) - a.MajorityPeers; a.MajorityPeers > 0 && n >= 0 {
 		until := slices.Sorted(maps.Values(a.peerLeases))
 		a.majorityUntil = until[n]
-		if len(until) >= a.All {
+		if len(until) >= a.AllPeers {
 			a.allUntil = until[0]
 		}
 	}
@@ -144,7 +144,7 @@
 
 // Until returns the time until which authority is certain, as known at present.
 func (a *Authority) Until() units.Microseconds {
-	if a.All == 0 {
+	if a.AllPeers == 0 {
 		return units.Never // there is nobody to give anything to
 	}
 	return max(a.until, min(a.majorityUntil, a.short), a.allUntil)
--- a/internal/core/authority/authority_test.go
+++ b/internal/core/authority/authority_test.go
@@ -141,7 +141,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
 		model := &leaseModel{now: 100 * units.Second, controllers: make([]*voterNode, nodes), votes: map[int]bool{},
-			owner: Authority{TTL: 3 * units.Second, Margin: units.Second / 10, Short: shortInModel, Peers: nodes / 2, All: nodes - 1}}
+			owner: Authority{TTL: 3 * units.Second, Margin: units.Second / 10, MajorityExtension: shortInModel, MajorityPeers: nodes / 2, AllPeers: nodes - 1}}
 		for i := range model.controllers {
 			model.start(t, i, 1)
 		}
@@ -168,7 +168,7 @@
 func TestUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		second := func(name string) units.Microseconds { return units.Seconds(rapid.Float64Range(0, 30).Draw(t, name)) }
-		authority := Authority{TTL: 3 * units.Second, Margin: units.Second / 10, Short: second("short"), Peers: rapid.IntRange(1, 3).Draw(t, "peers"), All: 4}
+		authority := Authority{TTL: 3 * units.Second, Margin: units.Second / 10, MajorityExtension: second("short"), MajorityPeers: rapid.IntRange(1, 3).Draw(t, "peers"), AllPeers: 4}
 		authority.Renewed(second("renewed"))
 		promised := map[string]units.Microseconds{}
 		for _, p := range []string{"a", "b", "c", "d"} {
@@ -185,7 +185,7 @@
 				running++
 			}
 		}
-		want := now < authority.until || running >= authority.Peers && now < authority.short || running >= authority.All
+		want := now < authority.until || running >= authority.MajorityPeers && now < authority.short || running >= authority.AllPeers
 		if authority.Valid(now) != want || (now < authority.Until()) != want {
 			t.Fatalf("valid %v, until %v, now %v, want %v: %+v", authority.Valid(now), authority.Until(), now, want, authority)
 		}
--- a/internal/core/authority/trace.go
+++ b/internal/core/authority/trace.go
@@ -14,9 +14,9 @@
 	return strconv.AppendInt(append(b, what...), int64(max(0, t-now)), 10)
 }
 
-// Trace adds what an authority rests on, in times from now. Equal traces act the same from
+// AppendTrace adds what an authority rests on, in times from now. Equal traces act the same from
 // then on.
-func (a *Authority) Trace(b []byte, now units.Microseconds) []byte {
+func (a *Authority) AppendTrace(b []byte, now units.Microseconds) []byte {
 	b = remaining(b, "until ", a.until, now)
 	b = remaining(b, " short ", a.short, now)
 	b = remaining(b, " carried ", a.majorityUntil, now)
@@ -26,8 +26,8 @@
 	return b
 }
 
-// Trace adds what a voter owes, likewise.
-func (v *Voter) Trace(b []byte, now units.Microseconds) []byte {
+// AppendTrace adds what a voter owes, likewise.
+func (v *Voter) AppendTrace(b []byte, now units.Microseconds) []byte {
 	b = remaining(b, "promised ", v.leasedUntil, now)
 	b = strconv.AppendUint(append(b, " over "...), v.takenOver, 10)
 	return remaining(b, " young ", units.Longest(PeerLeaseTime), now)
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -18,7 +18,7 @@
 func allocate(t *testing.T, c *Core, shard int, fraction float64) {
 	t.Helper()
 	event := store.Event{Key: keys.Allocation(shard), Value: store.Value(authority.QuotaAllocation{Fraction: fraction}), Stamp: 1}
-	if err := c.shardRecords.LearnAllocation(shard, event); err != nil {
+	if err := c.shardRecords.ApplyAllocation(shard, event); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -228,7 +228,7 @@
 		ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{core})
 	core.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{core})
 	core.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: core.cfg.ValueMax, Log: cfg.Log}, core.shardRecords, plannerHost{core})
-	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: core.extension(), Short: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
+	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, UnvotedExpiry: core.extension(), MajorityExtension: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
 	core.rollback = rollback.New(rollbackHost{core}, cfg.Log)
 	core.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
 	core.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -142,9 +142,9 @@
 	})
 }
 
-// Learn takes what is stored at keys.Leader or at keys.LeaderSinceArchive. Only the key that holds the
+// ApplyRecord takes what is stored at keys.Leader or at keys.LeaderSinceArchive. Only the key that holds the
 // leader record at present counts.
-func (e *Election) Learn(event store.Event) error {
+func (e *Election) ApplyRecord(event store.Event) error {
 	e.stored[event.Key] = event
 	if event.Key != e.Key() {
 		return nil
@@ -174,9 +174,9 @@
 	return err
 }
 
-// LearnTerm takes the highest term as it is stored. It never falls, whatever is stored:
+// ApplyTerm takes the highest term as it is stored. It never falls, whatever is stored:
 // fencing tokens that workers have seen must not be given out again.
-func (e *Election) LearnTerm(event store.Event) error {
+func (e *Election) ApplyTerm(event store.Event) error {
 	if event.Value == nil {
 		return nil
 	}
@@ -200,4 +200,4 @@
 }
 
 // ExclusionNeeded reports whether keys.Leader does not keep older releases out yet.
-func (e *Election) ExclusionNeeded() bool { return !Excludes(e.stored[keys.Leader].Value) }
+func (e *Election) ExclusionNeeded() bool { return !IsExclusionRecord(e.stored[keys.Leader].Value) }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -51,9 +51,9 @@
 		for _, change := range w.Changes {
 			h.versions[change.Key] = revision
 			event := store.Event{Key: change.Key, Value: change.Value, Stamp: revision}
-			learn := election.Learn
+			learn := election.ApplyRecord
 			if change.Key == keys.Term {
-				learn = election.LearnTerm
+				learn = election.ApplyTerm
 			}
 			if err := learn(event); err != nil {
 				return err
@@ -107,21 +107,21 @@
 
 func (m *termsModel) TermStored(t *rapid.T) {
 	term := rapid.Uint64Range(0, 50).Draw(t, "term")
-	must(t, m.election.LearnTerm(m.event(keys.Term, store.Value(authority.Term{Term: term, Node: "b"}))))
+	must(t, m.election.ApplyTerm(m.event(keys.Term, store.Value(authority.Term{Term: term, Node: "b"}))))
 }
 
 func (m *termsModel) TermRemoved(t *rapid.T) {
-	must(t, m.election.LearnTerm(m.event(keys.Term, nil)))
+	must(t, m.election.ApplyTerm(m.event(keys.Term, nil)))
 }
 
 func (m *termsModel) TermIsGarbage(t *rapid.T) {
-	if err := m.election.LearnTerm(m.event(keys.Term, json.RawMessage(`"no"`))); err == nil {
+	if err := m.election.ApplyTerm(m.event(keys.Term, json.RawMessage(`"no"`))); err == nil {
 		t.Fatal("taken")
 	}
 }
 
 func (m *termsModel) LeaderRecordRemoved(t *rapid.T) {
-	must(t, m.election.Learn(m.event(keys.Leader, nil)))
+	must(t, m.election.ApplyRecord(m.event(keys.Leader, nil)))
 }
 
 func (m *termsModel) AnotherMembership(*rapid.T) {
@@ -219,7 +219,7 @@
 	if want := (store.Guard{Key: keys.Leader, Version: 101}); leadership.Guard() != want {
 		t.Fatalf("%+v", leadership.Guard())
 	}
-	if err := candidate.Learn(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(leadership.Record(7)), Stamp: 102}); err != nil || leadership.Guard().Version != 101 {
+	if err := candidate.ApplyRecord(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(leadership.Record(7)), Stamp: 102}); err != nil || leadership.Guard().Version != 101 {
 		t.Fatalf("another key counts: %+v, %v", leadership.Guard(), err)
 	}
 	host.archiving = true
@@ -232,7 +232,7 @@
 	if !candidate.ExclusionNeeded() {
 		t.Fatal("older releases are not kept out yet")
 	}
-	if err := candidate.Learn(store.Event{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord()), Stamp: 103}); err != nil || candidate.ExclusionNeeded() || !candidate.Leads() {
+	if err := candidate.ApplyRecord(store.Event{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord()), Stamp: 103}); err != nil || candidate.ExclusionNeeded() || !candidate.Leads() {
 		t.Fatalf("%v", err)
 	}
 	leadership.Write(nil, store.Change{Key: "x"})
@@ -243,7 +243,7 @@
 	if leadership.MayPlan(tooLargeRetry-1) || !leadership.MayPlan(tooLargeRetry) {
 		t.Fatal("does not wait after a write that was too large")
 	}
-	if err := candidate.Learn(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(authority.LeaderRecord{Term: 9, Node: "b"}), Stamp: 104}); err != nil || candidate.Leads() {
+	if err := candidate.ApplyRecord(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(authority.LeaderRecord{Term: 9, Node: "b"}), Stamp: 104}); err != nil || candidate.Leads() {
 		t.Fatalf("leads beside another: %v", err)
 	}
 }
--- a/internal/core/election/leadership.go
+++ b/internal/core/election/leadership.go
@@ -74,8 +74,8 @@
 	return authority.LeaderRecord{Term: l.term, Node: excludedNode}
 }
 
-// Excludes reports whether a leader record is the one that keeps older releases out.
-func Excludes(record []byte) bool {
+// IsExclusionRecord reports whether a leader record is the one that keeps older releases out.
+func IsExclusionRecord(record []byte) bool {
 	var r authority.LeaderRecord
 	return json.Unmarshal(record, &r) == nil && r.Node == excludedNode
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -40,7 +40,7 @@
 
 // Elected implements election.Host.
 func (c electionHost) Elected(lead *election.Leadership) {
-	c.planner.Lead(c.now, lead)
+	c.planner.StartTerm(c.now, lead)
 }
 
 // tickLead plans where this controller leads, and else campaigns where nobody does.
@@ -82,10 +82,12 @@
 func (c plannerHost) Controllers() []string { return c.everyone() }
 
 // CurrentMember implements shardplan.Members.
-func (c plannerHost) CurrentMember(node string) uint64 { return c.membership.Current(node) }
+func (c plannerHost) CurrentMember(node string) uint64 { return c.membership.CurrentID(node) }
 
 // MemberSince implements shardplan.Members.
-func (c plannerHost) MemberSince(node string) units.Microseconds { return c.membership.Since(node) }
+func (c plannerHost) MemberSince(node string) units.Microseconds {
+	return c.membership.KnownSince(node)
+}
 
 // MemberExpired implements shardplan.Members.
 func (c plannerHost) MemberExpired(node string, id uint64) bool {
@@ -97,8 +99,8 @@
 	return node == c.cfg.Node || c.peers.Alive(c.now, node)
 }
 
-// OutOfReach implements shardplan.Members.
-func (c plannerHost) OutOfReach(node string) bool { return c.peerUnreachable(node) }
+// UnreachableByWorkers implements shardplan.Members.
+func (c plannerHost) UnreachableByWorkers(node string) bool { return c.peerUnreachable(node) }
 
 // Outdated implements shardplan.Members.
 func (c plannerHost) Outdated(node string) bool { return c.incompatible(node) }
@@ -173,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.shardRecords.LearnAssignment(number, e); err != nil {
+	if err := c.shardRecords.ApplyAssignment(number, e); err != nil {
 		return err
 	}
 	assignment := c.shardRecords.Assignment(number)
@@ -212,7 +214,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.shardRecords.LearnAllocation(number, e); err != nil || e.Value == nil {
+	if err := c.shardRecords.ApplyAllocation(number, e); err != nil || e.Value == nil {
 		return err
 	}
 	c.setRates()
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -79,11 +79,11 @@
 	var err error
 	switch {
 	case event.Key == leaderKeyFirst || event.Key == keys.LeaderSinceArchive:
-		err = c.election.Learn(event)
+		err = c.election.ApplyRecord(event)
 	case event.Key == keys.ArchiveMark:
 		err = c.archive.LearnMark(event)
 	case strings.HasPrefix(event.Key, memberPrefix):
-		err = c.membership.Learn(c.now, event.Key[len(memberPrefix):], event)
+		err = c.membership.ApplyRecord(c.now, event.Key[len(memberPrefix):], event)
 	case strings.HasPrefix(event.Key, assignmentPrefix):
 		err = c.learnAssignment(event)
 	case strings.HasPrefix(event.Key, configPrefix):
@@ -95,7 +95,7 @@
 	case strings.HasPrefix(event.Key, allocationPrefix):
 		err = c.learnAllocation(event)
 	case event.Key == termKey:
-		err = c.election.LearnTerm(event)
+		err = c.election.ApplyTerm(event)
 	case strings.HasPrefix(event.Key, jobPrefix):
 		err = c.jobs.LearnRecord(event.Key[len(jobPrefix):], event)
 	case strings.HasPrefix(event.Key, chunkPrefix):
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -37,7 +37,7 @@
 // unreachable.
 func (c *Core) reachablePeer() bool {
 	for _, name := range c.peers.Names() {
-		if c.peers.Alive(c.now, name) && !c.peerUnreachable(name) && c.membership.Current(name) != 0 {
+		if c.peers.Alive(c.now, name) && !c.peerUnreachable(name) && c.membership.CurrentID(name) != 0 {
 			return true
 		}
 	}
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -64,11 +64,11 @@
 	Size    int // controllers, this one included
 	Release int
 	TTL     units.Microseconds
-	// Short is how long the peer leases of a majority may carry a membership past its last renewal.
-	// Extend is the time after which a membership that is older or newer than what is known here
-	// counts as expired without the others' votes: at least as long as Short.
-	Extend, Short units.Microseconds
-	Log           *slog.Logger
+	// MajorityExtension is how long the peer leases of a majority may carry a membership past its last renewal.
+	// UnvotedExpiry is the time after which a membership that is older or newer than what is known here
+	// counts as expired without the others' votes: at least as long as MajorityExtension.
+	UnvotedExpiry, MajorityExtension units.Microseconds
+	Log                              *slog.Logger
 	// SkippedGuard is a check that is left out; only tests set it.
 	SkippedGuard guard.Guard
 }
@@ -192,7 +192,7 @@
 				return
 			}
 			r.id, r.leaseID, r.renewing, r.nextRenewalAt = rev, id, false, sent+r.cfg.TTL/5
-			r.authority = authority.Authority{TTL: r.cfg.TTL, Margin: authorityMargin, Short: r.cfg.Short, Peers: r.cfg.Size / 2, All: r.cfg.Size - 1}
+			r.authority = authority.Authority{TTL: r.cfg.TTL, Margin: authorityMargin, MajorityExtension: r.cfg.MajorityExtension, MajorityPeers: r.cfg.Size / 2, AllPeers: r.cfg.Size - 1}
 			r.authority.Renewed(sent)
 			r.cfg.Log.Info("joined", "member", rev)
 			r.host.Joined()
@@ -230,8 +230,8 @@
 	r.host.Refresh()
 }
 
-// Learn takes the stored record of a controller's membership.
-func (r *Registry) Learn(now units.Microseconds, node string, event store.Event) error {
+// ApplyRecord takes the stored record of a controller's membership.
+func (r *Registry) ApplyRecord(now units.Microseconds, node string, event store.Event) error {
 	r.now = now
 	known := &view{since: now}
 	if event.Value == nil {
@@ -254,16 +254,16 @@
 	return nil
 }
 
-// Current returns the membership that a controller has, as far as is known here; 0: none.
-func (r *Registry) Current(node string) uint64 {
+// CurrentID returns the membership that a controller has, as far as is known here; 0: none.
+func (r *Registry) CurrentID(node string) uint64 {
 	if v := r.views[node]; v != nil {
 		return v.id
 	}
 	return 0
 }
 
-// Since is when it was learnt that a controller has the membership that it has.
-func (r *Registry) Since(node string) units.Microseconds {
+// KnownSince is when it was learnt that a controller has the membership that it has.
+func (r *Registry) KnownSince(node string) units.Microseconds {
 	if v := r.views[node]; v != nil {
 		return v.since
 	}
@@ -285,7 +285,7 @@
 // never grants it a lease again, nor does a process that has begun since and has forgotten whether it
 // had.
 func (r *Registry) GrantPeerLease(now units.Microseconds, node string, memberID uint64) bool {
-	current := r.Current(node)
+	current := r.CurrentID(node)
 	if r.cfg.SkippedGuard == guard.MemberRecord {
 		current = memberID
 	}
@@ -325,14 +325,14 @@
 		// The view is older than the shard's assignment, as while a listing goes on whose pages
 		// with memberships are still to come: the membership may stand. Where versions went back,
 		// it is over in time.
-		return now-known.since > units.Longest(r.cfg.Extend)+r.cfg.TTL && r.voter(node).Vote(now, id)
+		return now-known.since > units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL && r.voter(node).Vote(now, id)
 	case id == 0: // owned by a controller of a release that knows no memberships
-		return now-known.expiredAt > units.Longest(r.cfg.Extend)+r.cfg.TTL
+		return now-known.expiredAt > units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL
 	}
 	// A majority may carry it no longer, and all do not: this controller has granted it no peer
-	// lease that still runs, and never will again. (As Extend is at least as long as Short, that is
+	// lease that still runs, and never will again. (As UnvotedExpiry is at least as long as MajorityExtension, that is
 	// also the last that a membership of another controller's is waited for.)
-	if now-known.expiredAt > units.Longest(r.cfg.Short) && r.voter(node).Vote(now, id) {
+	if now-known.expiredAt > units.Longest(r.cfg.MajorityExtension) && r.voter(node).Vote(now, id) {
 		return true
 	}
 	return r.majorityVotes(now, node, id)
@@ -400,19 +400,19 @@
 		number(" renewing for ", uint64(now-r.renewalSentAt))
 	}
 	if r.id != 0 {
-		b = r.authority.Trace(append(b, "; "...), now)
+		b = r.authority.AppendTrace(append(b, "; "...), now)
 	}
 	for _, node := range slices.Sorted(maps.Keys(r.views)) {
 		known := r.views[node]
 		number("; "+node+" has ", known.id)
 		if known.id == 0 { // what counts is when it will have been gone for long enough
-			ahead(" gone ", known.expiredAt+units.Longest(r.cfg.Extend)+r.cfg.TTL)
-			ahead(" short ", known.expiredAt+units.Longest(r.cfg.Short))
+			ahead(" gone ", known.expiredAt+units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL)
+			ahead(" short ", known.expiredAt+units.Longest(r.cfg.MajorityExtension))
 			number(" after ", known.previousID)
 		}
 	}
 	for _, node := range slices.Sorted(maps.Keys(r.voters)) {
-		b = r.voters[node].Trace(append(b, "; voter for "+node+" "...), now)
+		b = r.voters[node].AppendTrace(append(b, "; voter for "+node+" "...), now)
 	}
 	for _, node := range slices.Sorted(maps.Keys(r.polls)) {
 		poll := r.polls[node]
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -26,11 +26,11 @@
 // stand, and counts as ended only when whatever could carry it is over, or a later one is
 // there.
 func TestOlderView(t *testing.T) {
-	registry := New(Config{Node: "a", Size: 3, TTL: 2 * units.Second, Extend: 20 * units.Second, Log: slog.New(slog.DiscardHandler)}, nobody{})
+	registry := New(Config{Node: "a", Size: 3, TTL: 2 * units.Second, UnvotedExpiry: 20 * units.Second, Log: slog.New(slog.DiscardHandler)}, nobody{})
 	now := 100 * units.Second
 	learn := func(memberID uint64) {
 		t.Helper()
-		if err := registry.Learn(now, "b", store.Event{Key: Prefix + "b", Value: json.RawMessage(`{"node":"b"}`), Stamp: memberID}); err != nil {
+		if err := registry.ApplyRecord(now, "b", store.Event{Key: Prefix + "b", Value: json.RawMessage(`{"node":"b"}`), Stamp: memberID}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -65,13 +65,13 @@
 	now := 100 * units.Second
 	host := &outage{}
 	begin := func(seen ...uint64) *Registry {
-		registry := New(Config{Node: "a", Size: 3, TTL: 2 * units.Second, Extend: 20 * units.Second, Short: 6 * units.Second, Log: slog.New(slog.DiscardHandler)}, host)
+		registry := New(Config{Node: "a", Size: 3, TTL: 2 * units.Second, UnvotedExpiry: 20 * units.Second, MajorityExtension: 6 * units.Second, Log: slog.New(slog.DiscardHandler)}, host)
 		for _, id := range seen {
 			e := store.Event{Key: Prefix + "b", Stamp: id}
 			if id != 0 {
 				e.Value = json.RawMessage(`{"node":"b"}`)
 			}
-			if err := registry.Learn(now, "b", e); err != nil {
+			if err := registry.ApplyRecord(now, "b", e); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -99,7 +99,7 @@
 	for _, node := range c.peers.Names() {
 		zone := c.cfg.PeerZones[node]
 		all[zone]++
-		if c.peers.Alive(c.now, node) || c.membership.Current(node) != 0 && c.stateAge() < peering.ServedFor {
+		if c.peers.Alive(c.now, node) || c.membership.CurrentID(node) != 0 && c.stateAge() < peering.ServedFor {
 			alive[zone]++
 		}
 	}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -59,7 +59,7 @@
 
 // Eligible implements replication.Host.
 func (f replicationHost) Eligible(n string) bool {
-	return f.peers.Alive(f.now, n) && f.membership.Current(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplicates && !f.peerUnreachable(n)
+	return f.peers.Alive(f.now, n) && f.membership.CurrentID(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplicates && !f.peerUnreachable(n)
 }
 
 // Send implements replication.Host.
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -41,7 +41,7 @@
 		shard := c.owned[number]
 		shard.replication.Stop(c.now)
 		for _, id := range sortedKeys(shard.active) {
-			shard.writer.StoreProgressAgain(shard.active[id])
+			shard.writer.StoreAllProgress(shard.active[id])
 		}
 		shard.writer.StoreAllGroups()
 	}
--- a/internal/core/shardplan/assign.go
+++ b/internal/core/shardplan/assign.go
@@ -151,7 +151,7 @@
 	if last.ReleasedBy != "" && !p.host.Responsive(node) {
 		cost += costUnresponsive
 	}
-	if node == last.ReleasedBy || p.host.OutOfReach(node) {
+	if node == last.ReleasedBy || p.host.UnreachableByWorkers(node) {
 		cost += costOutOfReach
 	}
 	if p.host.ToBeUpgraded(node) {
--- a/internal/core/shardplan/rebalance.go
+++ b/internal/core/shardplan/rebalance.go
@@ -47,7 +47,7 @@
 		switch {
 		case p.host.CurrentMember(node) == 0:
 		case len(byOwner[node]) == 0:
-			if now-p.host.MemberSince(node) > memberFor && p.host.Responsive(node) && !p.host.OutOfReach(node) {
+			if now-p.host.MemberSince(node) > memberFor && p.host.Responsive(node) && !p.host.UnreachableByWorkers(node) {
 				idle = node
 			}
 		case len(byOwner[node]) > 1:
--- a/internal/core/shardplan/records.go
+++ b/internal/core/shardplan/records.go
@@ -42,8 +42,8 @@
 	return &Records{assignments: map[int]Assignment{}, allocations: map[int]Allocation{}}
 }
 
-// LearnAssignment takes the stored assignment of a shard.
-func (r *Records) LearnAssignment(shard int, event store.Event) error {
+// ApplyAssignment takes the stored assignment of a shard.
+func (r *Records) ApplyAssignment(shard int, event store.Event) error {
 	if event.Value == nil {
 		delete(r.assignments, shard)
 		return nil
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// LearnAllocation takes the stored allocation of a shard.
-func (r *Records) LearnAllocation(shard int, event store.Event) error {
+// ApplyAllocation takes the stored allocation of a shard.
+func (r *Records) ApplyAllocation(shard int, event store.Event) error {
 	if event.Value == nil {
 		delete(r.allocations, shard)
 		return nil
--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -72,8 +72,8 @@
 	MemberExpired(node string, id uint64) bool
 	// Responsive reports whether this controller hears from one, itself included.
 	Responsive(node string) bool
-	// OutOfReach reports whether a controller is known to be out of the workers' reach.
-	OutOfReach(node string) bool
+	// UnreachableByWorkers reports whether a controller is known to be out of the workers' reach.
+	UnreachableByWorkers(node string) bool
 	// Outdated reports whether a controller runs a release that cannot own shards any more,
 	// ToBeUpgraded whether it runs an older one than this controller does.
 	Outdated(node string) bool
@@ -128,9 +128,9 @@
 	return &Planner{cfg: cfg, host: host, records: records, loads: loads{byShard: make([]load, cfg.Size)}}
 }
 
-// Lead says that this controller leads from now on. The plans of an earlier term are
+// StartTerm says that this controller leads from now on. The plans of an earlier term are
 // forgotten: another may have led meanwhile.
-func (p *Planner) Lead(now units.Microseconds, leadership *election.Leadership) {
+func (p *Planner) StartTerm(now units.Microseconds, leadership *election.Leadership) {
 	p.leadership = leadership
 	p.nextPlanAt, p.sharded, p.unshardedSince = 0, false, 0
 	p.uses = map[int]quotaUse{}
--- a/internal/core/shardplan/shardplan_test.go
+++ b/internal/core/shardplan/shardplan_test.go
@@ -65,7 +65,7 @@
 func (h *fakeHost) Now() units.Microseconds                 { return h.now }
 func (h *fakeHost) Member() (id, leaseID uint64)            { return h.members["a"], 1 }
 func (h *fakeHost) Archiving() bool                         { return false }
-func (h *fakeHost) Elected(leadership *election.Leadership) { h.planner.Lead(h.now, leadership) }
+func (h *fakeHost) Elected(leadership *election.Leadership) { h.planner.StartTerm(h.now, leadership) }
 func (h *fakeHost) Store(w *store.Write)                    { h.writes = append(h.writes, w) }
 func (h *fakeHost) Version(key string) uint64               { return h.versions[key] }
 func (h *fakeHost) ReadFresh(ended func(ok bool))           { h.reads = append(h.reads, ended) }
@@ -79,7 +79,7 @@
 	return h.expired[node]
 }
 func (h *fakeHost) Responsive(node string) bool            { return !h.silent[node] }
-func (h *fakeHost) OutOfReach(node string) bool            { return h.deaf[node] }
+func (h *fakeHost) UnreachableByWorkers(node string) bool  { return h.deaf[node] }
 func (h *fakeHost) Outdated(node string) bool              { return h.outdated[node] }
 func (h *fakeHost) ToBeUpgraded(node string) bool          { return h.old[node] }
 func (h *fakeHost) Standby(int) string                     { return h.standby }
@@ -105,15 +105,15 @@
 	var err error
 	switch {
 	case key == keys.Leader:
-		err = h.election.Learn(event)
+		err = h.election.ApplyRecord(event)
 	case key == keys.Term:
-		err = h.election.LearnTerm(event)
+		err = h.election.ApplyTerm(event)
 	case strings.HasPrefix(key, keys.AssignmentPrefix):
 		number, _ := keys.Shard(key, keys.AssignmentPrefix)
-		err = h.planner.records.LearnAssignment(number, event)
+		err = h.planner.records.ApplyAssignment(number, event)
 	case strings.HasPrefix(key, keys.AllocationPrefix):
 		number, _ := keys.Shard(key, keys.AllocationPrefix)
-		err = h.planner.records.LearnAllocation(number, event)
+		err = h.planner.records.ApplyAllocation(number, event)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -55,8 +55,8 @@
 // TaskFinished implements shardstore.Host.
 func (h writerHost) TaskFinished(job string, task int) { h.shard.replication.TaskDone(job, task) }
 
-// Awaited implements shardstore.Host.
-func (h writerHost) Awaited(job string) bool { return h.jobs.Awaited(job) }
+// HasDependents implements shardstore.Host.
+func (h writerHost) HasDependents(job string) bool { return h.jobs.Awaited(job) }
 
 // garbageHost collects garbage under the assignment of the first shard.
 type garbageHost struct {
@@ -64,15 +64,15 @@
 	orphans registry.OrphanCollection
 }
 
-// Pending implements shardstore.Garbage.
+// Pending implements shardstore.GarbageCollector.
 func (h *garbageHost) Pending() bool { return h.jobs.GarbagePending() }
 
-// Collect implements shardstore.Garbage.
+// Collect implements shardstore.GarbageCollector.
 func (h *garbageHost) Collect(capacity int, writer *shardstore.Writer) {
 	h.jobs.CollectGarbage(capacity, writer)
 }
 
-// CollectOrphans implements shardstore.Garbage. Releases before 0.6 guard nothing, so that nothing
+// CollectOrphans implements shardstore.GarbageCollector. Releases before 0.6 guard nothing, so that nothing
 // is deleted beside one of them.
 func (h *garbageHost) CollectOrphans(writer *shardstore.Writer) {
 	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.peers.AllRunFor(h.now, peering.ReleaseChunks, h.cfg.ArchiveSettleTime) {
--- a/internal/core/shardstore/progress.go
+++ b/internal/core/shardstore/progress.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// StoreProgressAgain has all of a job's finished tasks stored again, as the state service may
+// StoreAllProgress has all of a job's finished tasks stored again, as the state service may
 // have lost them.
-func (w *Writer) StoreProgressAgain(job *jobs.Job) {
+func (w *Writer) StoreAllProgress(job *jobs.Job) {
 	if job.Finished() == 0 {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 	job.SetClosing(true)
 	write := w.guarded([]string{key}, changes)
-	write.First = w.host.Awaited(job.ID) // those that wait for it start once that is stored
+	write.First = w.host.HasDependents(job.ID) // those that wait for it start once that is stored
 	write.Done = func(store.Outcome, uint64) { job.SetClosing(false) }
 	w.host.Enqueue(write)
 }
--- a/internal/core/shardstore/shardstore.go
+++ b/internal/core/shardstore/shardstore.go
@@ -39,12 +39,12 @@
 	GroupDeleted(key string)
 	// TaskFinished says that a task is done, which is not stored yet.
 	TaskFinished(job string, task int)
-	// Awaited reports whether other jobs wait until a job is stored as done.
-	Awaited(job string) bool
+	// HasDependents reports whether other jobs wait until a job is stored as done.
+	HasDependents(job string) bool
 }
 
-// Garbage is what is to be deleted behind jobs. It queues its changes by the Writer's Write.
-type Garbage interface {
+// GarbageCollector is what is to be deleted behind jobs. It queues its changes by the Writer's Write.
+type GarbageCollector interface {
 	// Pending reports whether Collect has anything to do.
 	Pending() bool
 	// Collect queues up to so many changes.
@@ -59,7 +59,7 @@
 	Layout jobs.ProgressLayout // of records of finished tasks
 	TxnOps int                 // changes that the state service takes in one transaction
 	// Garbage is nil where another shard's owner collects it.
-	Garbage Garbage
+	Garbage GarbageCollector
 }
 
 // flushEvery keeps transactions few, so that each carries several changes.
--- a/internal/core/shardstore/shardstore_test.go
+++ b/internal/core/shardstore/shardstore_test.go
@@ -41,7 +41,7 @@
 func (o *fakeOwner) Machine(name string) *fleet.Machine { return o.machines[name] }
 func (o *fakeOwner) GroupDeleted(key string)            { o.deleted = append(o.deleted, key) }
 func (o *fakeOwner) TaskFinished(_ string, task int)    { o.finished = append(o.finished, task) }
-func (o *fakeOwner) Awaited(job string) bool            { return job == "wk-000009" }
+func (o *fakeOwner) HasDependents(job string) bool      { return job == "wk-000009" }
 
 // settle tells the writes that wait their outcome, and checks that each is guarded by the
 // assignment.
@@ -214,7 +214,7 @@
 	if !slices.Equal(owner.finished, []int{1, 2}) {
 		t.Errorf("standby was told of %v", owner.finished)
 	}
-	w.StoreProgressAgain(job)
+	w.StoreAllProgress(job)
 	if owner.flush(w); len(owner.queue) != 1 {
 		t.Errorf("%d writes after the state service lost it", len(owner.queue))
 	}
--- a/internal/explore/authority/authority.go
+++ b/internal/explore/authority/authority.go
@@ -232,7 +232,7 @@
 	if w.o.Fault == Forgetful {
 		p.born -= 10 * second
 	}
-	p.s = membership.New(membership.Config{Node: name(i), Size: size, TTL: lease, Extend: extend, Short: carries, Log: slog.New(slog.DiscardHandler)}, p)
+	p.s = membership.New(membership.Config{Node: name(i), Size: size, TTL: lease, UnvotedExpiry: extend, MajorityExtension: carries, Log: slog.New(slog.DiscardHandler)}, p)
 	w.nodes[i] = p
 }
 
@@ -327,7 +327,7 @@
 	if e.Stamp > 0 {
 		e.Value = values[j]
 	}
-	_ = p.s.Learn(p.local(), name(j), e) // a value that was made here can be read
+	_ = p.s.ApplyRecord(p.local(), name(j), e) // a value that was made here can be read
 	p.flush()
 }
 
