--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -23,7 +23,7 @@
 // Before returns the objectives with their times moved earlier by t.
 func (o Objectives) Before(t units.Microseconds) Objectives {
 	for _, d := range []*units.Microseconds{&o.Due, &o.LastDue} {
-		if *d != units.Never {
+		if *d != units.MaxTime {
 			*d -= t
 		}
 	}
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -99,7 +99,7 @@
 // Runnable returns the active jobs without open dependencies, ordered by when they could
 // first start. The list belongs to the registry and is valid until the next call.
 func (r *Registry) Runnable() []*jobs.Job {
-	r.runnable.Settle()
+	r.runnable.ApplyChanges()
 	return r.runnable.Jobs()
 }
 
