--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -119,6 +119,7 @@
 	memoryFull bool // this process's memory is nearly full
 }
 
+// New returns a handler that reaches its controller through host.
 func New(cfg Config, host Host) *Handler { return &Handler{cfg: cfg, host: host} }
 
 // SetMemoryFull records whether this process's memory is nearly full.
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -370,7 +370,7 @@
 	}
 }
 
-// TestUnreachableStateServiceForwards checks a controller that gets no answer from the state service: it answers final
+// TestUnreachableStateServiceForwards checks a controller without answers from the state service: it answers final
 // states itself and forwards everything else to a controller that can reach the state service.
 func TestUnreachableStateServiceForwards(t *testing.T) {
 	host := newFakeHost()
--- a/internal/core/cancellations/cancellations.go
+++ b/internal/core/cancellations/cancellations.go
@@ -54,7 +54,7 @@
 
 	peersUpTo    uint64                        // every cancellation up to this revision is known from other controllers
 	peersAsOf    units.Microseconds            // every cancellation confirmed before this time is known from them
-	completeAsOf map[string]units.Microseconds // by controller: when it was sent the last request that it answered with a complete list
+	completeAsOf map[string]units.Microseconds // by controller: send time of the last request answered with a whole list
 	rolledBackAt units.Microseconds            // time of the last rollback of the state service; 0: never
 }
 
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -66,10 +66,8 @@
 	return cancelled
 }
 
-// advanceSince counts the job's waiting time from the end of a dependency, if that is later.
+// advanceSince lets the job's waiting and turnaround times count from the end of a dependency, if that is later.
 func (j *Job) advanceSince(dependency *Job, now units.Microseconds) {
-	// advanceSince lets the job's waiting and turnaround times count
-	// from the end of a dependency, if that is later.
 	finishedAt := dependency.Record.FinishedAt
 	if finishedAt == 0 {
 		finishedAt = now // stored by a release that did not record the time
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -47,12 +47,13 @@
 	Unreconciled bool // an earlier owner may have started tasks: none may start before all machines are reconciled
 	Migrating    bool // it is being moved to another shard: no task may start here
 
-	OpenDependencies int                // number of dependencies that are not stored as done; no task may start before it is 0
-	Since            units.Microseconds // time of day from which its waiting and turnaround times count; its deadline counts from submission
-	CancelledBy      string             // ID of the dependency whose cancellation cancelled this job
-	dependencies     []string           // IDs counted in the graph's references, until the job is final
-	Archived         bool               // its record has been archived; the job is kept only while its tasks may run
-	Objectives       Objectives         // combines its own and those of the jobs that depend on it
+	OpenDependencies int // dependencies not stored as done; no task starts before it is 0
+	// Since does not apply to the deadline, which counts from submission.
+	Since        units.Microseconds // time of day from which waiting and turnaround times count
+	CancelledBy  string             // ID of the dependency whose cancellation cancelled this job
+	dependencies []string           // IDs counted in the graph's references, until the job is final
+	Archived     bool               // its record has been archived; the job is kept only while its tasks may run
+	Objectives   Objectives         // combines its own and those of the jobs that depend on it
 }
 
 // Spec returns the job spec, or nil once the job is final.
--- a/internal/core/jobs/progress.go
+++ b/internal/core/jobs/progress.go
@@ -15,7 +15,7 @@
 func TasksPerRecord(valueKB float64) int {
 	limit := int(valueKB*1024) - 64
 	n := 256
-	for n < 1<<17 && (n*2)/2*6 <= limit { // worst case, every other task: n/2 numbers of at most 5 digits, each with a comma
+	for n < 1<<17 && (n*2)/2*6 <= limit { // worst case, every other task: n/2 numbers of at most 5 digits and a comma
 		n *= 2
 	}
 	return n
@@ -78,7 +78,7 @@
 // Progress is the stored value of one record of finished tasks.
 type Progress struct {
 	Tasks   string `json:"tasks"`             // see Set.Ranges
-	Failing bool   `json:"failing,omitempty"` // in the first record only: tasks failed on several machines and none has succeeded
+	Failing bool   `json:"failing,omitempty"` // in the first record: see Job.FailsEverywhere
 }
 
 // LoadProgress applies a stored record of finished tasks. number is the record's number.
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -59,12 +59,12 @@
 	cfg  Config
 	host Host
 
-	all               map[string]*jobs.Job // jobs that are not archived, and archived ones whose tasks may still be running
+	all               map[string]*jobs.Job // jobs that are not archived or whose tasks may be running
 	active            map[string]*jobs.Job // jobs that are not final
 	runnable          ranking.Order        // active jobs without open dependencies
 	dependencies      jobs.DependencyGraph
 	chunks            *chunks.Store
-	pendingCleanup    map[string]bool    // final jobs whose cancellation is to be stored or whose chunks are to be deleted
+	pendingCleanup    map[string]bool    // final jobs with a cancellation to store or chunks to delete
 	nextPropagationAt units.Microseconds // time of the next propagation of objectives
 }
 
