--- a/internal/core/authority/authority_test.go
+++ b/internal/core/authority/authority_test.go
@@ -9,139 +9,142 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// Tokens and attempts rise with the term and the lease number, whatever was used before.
-func TestTokensRise(t *testing.T) {
+// A later assignment must have a higher fencing token and higher attempt numbers than an earlier one,
+// whatever its term, its number and the attempts used before: workers reject lower tokens than they have
+// seen.
+func TestFencingTokensAndAttemptsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		term := rapid.Uint64Range(1, 1<<23).Draw(t, "term")
 		n := rapid.Uint64Range(0, assignmentsPerTerm-2).Draw(t, "number")
 		if FencingToken(term, n) >= FencingToken(term, n+1) || FencingToken(term, n) >= FencingToken(term+1, 0) {
-			t.Fatal("token does not rise")
+			t.Fatal("fencing token does not increase")
 		}
 		if AttemptNumber(FencingToken(term, n), rapid.Uint64Range(0, attemptsPerAssignment-1).Draw(t, "attempt")) >= AttemptNumber(FencingToken(term, n+1), 0) {
-			t.Fatal("attempt of a later assignment is not larger")
+			t.Fatal("attempt number of a later assignment is not higher")
 		}
 	})
 }
 
-// voterNode is a controller with a clock of its own in TestPeerLeases.
+// voterNode is a controller with a clock of its own in TestNoTakeoverWhileAuthorityIsValid.
 type voterNode struct {
-	v     Voter
-	born  units.Microseconds // on true time
-	rate  float64
-	seen  uint64 // the owner's membership as it last read it
-	last  uint64 // and as this process has ever seen it: in an outage that counts
-	alive bool
+	voter     Voter
+	startedAt units.Microseconds // in true time
+	rate      float64
+	seen      uint64 // id of the owner's membership as this controller last read it; 0: its record is deleted
+	lastSeen  uint64 // last id that this process has ever seen; it counts in an outage
+	alive     bool
 }
 
 func (n *voterNode) local(now units.Microseconds) units.Microseconds {
-	return units.Microseconds(float64(now-n.born) * n.rate)
+	return units.Microseconds(float64(now-n.startedAt) * n.rate)
 }
 
-// sentLease is a peer lease on its way to the owner.
+// sentLease is a granted peer lease in flight to the owner.
 type sentLease struct {
-	from  int
-	asked units.Microseconds // on the owner's clock
+	from    int
+	askedAt units.Microseconds // on the owner's clock
 }
 
-// leaseModel is the world of TestPeerLeases. The first controller is the owner.
+// leaseModel is the state of the cluster in TestNoTakeoverWhileAuthorityIsValid. The first controller is the
+// owner.
 type leaseModel struct {
-	now         units.Microseconds
-	controllers []*voterNode
-	owner       Authority
-	asked       []units.Microseconds
-	late        []sentLease
-	votes       map[int]bool
-	expired     bool // the membership's record is gone
-	expiredAt   units.Microseconds
-	alone       bool // one has taken the membership for over without the others' help
+	now            units.Microseconds
+	controllers    []*voterNode
+	owner          Authority
+	askedAt        []units.Microseconds
+	inFlight       []sentLease
+	votes          map[int]bool
+	expired        bool // the membership's record is deleted
+	expiredAt      units.Microseconds
+	expiredUnvoted bool // a controller has treated the membership as expired without the others' votes
 }
 
-const shortInModel = 8 * units.Second
+const modelMajorityExtension = 8 * units.Second
 
 func (m *leaseModel) start(t *rapid.T, i int, seen uint64) {
-	m.controllers[i] = &voterNode{born: m.now, rate: rapid.Float64Range(0.9995, 1.0005).Draw(t, "rate"), seen: seen, last: seen, alive: true}
+	m.controllers[i] = &voterNode{startedAt: m.now, rate: rapid.Float64Range(0.9995, 1.0005).Draw(t, "rate"), seen: seen, lastSeen: seen, alive: true}
 }
 
-func (m *leaseModel) draw(t *rapid.T, label string) (i int, peer *voterNode) {
+func (m *leaseModel) drawPeer(t *rapid.T, label string) (i int, peer *voterNode) {
 	i = rapid.IntRange(1, len(m.controllers)-1).Draw(t, label)
 	return i, m.controllers[i]
 }
 
 func (m *leaseModel) recordExpires(t *rapid.T) {
 	if m.now < 103*units.Second {
-		t.Skip() // the service keeps the record for the lease's time, by its own clock
+		t.Skip() // the state service keeps the record for the lease's duration, by its own clock
 	}
 	if !m.expired {
 		m.expired, m.expiredAt = true, m.now
 	}
-	_, peer := m.draw(t, "sees")
+	_, peer := m.drawPeer(t, "sees")
 	peer.seen = 0
 }
 
 func (m *leaseModel) grant(t *rapid.T) {
-	i, peer := m.draw(t, "by")
-	if len(m.asked) == 0 {
+	i, peer := m.drawPeer(t, "by")
+	if len(m.askedAt) == 0 {
 		t.Skip()
 	}
-	asked := m.asked[rapid.IntRange(0, len(m.asked)-1).Draw(t, "which")]
+	asked := m.askedAt[rapid.IntRange(0, len(m.askedAt)-1).Draw(t, "which")]
 	seen := peer.seen
 	if rapid.Bool().Draw(t, "in an outage") {
-		seen = peer.last
+		seen = peer.lastSeen
 	}
-	if peer.v.GrantPeerLease(peer.local(m.now), 1, seen) {
-		m.late = append(m.late, sentLease{i, asked})
+	if peer.voter.GrantPeerLease(peer.local(m.now), 1, seen) {
+		m.inFlight = append(m.inFlight, sentLease{i, asked})
 	}
 }
 
-func (m *leaseModel) arrive(t *rapid.T) {
-	if len(m.late) == 0 {
+func (m *leaseModel) deliver(t *rapid.T) {
+	if len(m.inFlight) == 0 {
 		t.Skip()
 	}
-	lease := m.late[rapid.IntRange(0, len(m.late)-1).Draw(t, "which")]
-	m.owner.PeerLeaseGranted([]string{"0", "1", "2", "3", "4"}[lease.from], lease.asked)
+	lease := m.inFlight[rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")]
+	m.owner.PeerLeaseGranted([]string{"0", "1", "2", "3", "4"}[lease.from], lease.askedAt)
 }
 
 func (m *leaseModel) restart(t *rapid.T) {
-	i, _ := m.draw(t, "node")
+	i, _ := m.drawPeer(t, "node")
 	seen := uint64(1)
 	if m.expired {
-		seen = 0 // it reads the state anew
+		seen = 0 // the new process reads the current state
 	}
 	m.start(t, i, seen)
 }
 
 func (m *leaseModel) vote(t *rapid.T) {
 	if !m.expired {
-		t.Skip() // whoever asks has seen that the record is gone
+		t.Skip() // a controller requests votes only after it has seen that the record is deleted
 	}
-	if i, peer := m.draw(t, "by"); peer.v.Vote(peer.local(m.now), 1) {
+	if i, peer := m.drawPeer(t, "by"); peer.voter.Vote(peer.local(m.now), 1) {
 		m.votes[i] = true
 	}
 }
 
-func (m *leaseModel) decideAlone(t *rapid.T) {
-	_, peer := m.draw(t, "by")
-	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.Longest(shortInModel) && peer.v.Vote(peer.local(m.now), 1) {
-		m.alone = true
+func (m *leaseModel) expireUnvoted(t *rapid.T) {
+	_, peer := m.drawPeer(t, "by")
+	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.Longest(modelMajorityExtension) && peer.voter.Vote(peer.local(m.now), 1) {
+		m.expiredUnvoted = true
 	}
 }
 
 func (m *leaseModel) check(t *rapid.T) {
-	if (m.alone || len(m.votes) > len(m.controllers)/2) && m.owner.Valid(m.controllers[0].local(m.now)) {
-		t.Fatal("another may take over while the first owner's authority is valid")
+	if (m.expiredUnvoted || len(m.votes) > len(m.controllers)/2) && m.owner.Valid(m.controllers[0].local(m.now)) {
+		t.Fatal("another controller may take over while the owner's authority is valid")
 	}
 }
 
-// One of several controllers keeps what membership 1 owns by peer leases alone, its
-// lease in the state service being gone: clocks drift, messages come late or
-// never, processes end and forget. In an outage they grant leases though they have seen the
-// record go, but for those that have started since. Once a majority has voted for giving its
-// shards to another, the first can never be valid again.
-func TestPeerLeases(t *testing.T) {
+// Once a majority has voted for the takeover of an owner's shards, the owner's authority must never be valid
+// again: two controllers would act on the same shards. The owner's lease in the state service has ended, and
+// peer leases alone extend membership 1. Clocks drift, messages are delayed or lost, processes end and lose
+// their votes. In an outage peers grant leases although they have seen that the record is deleted, except
+// those that have started since.
+func TestNoTakeoverWhileAuthorityIsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
 		model := &leaseModel{now: 100 * units.Second, controllers: make([]*voterNode, nodes), votes: map[int]bool{},
-			owner: Authority{TTL: 3 * units.Second, Margin: units.Second / 10, MajorityExtension: shortInModel, MajorityPeers: nodes / 2, AllPeers: nodes - 1}}
+			owner: Authority{TTL: 3 * units.Second, Margin: units.Second / 10, MajorityExtension: modelMajorityExtension, MajorityPeers: nodes / 2, AllPeers: nodes - 1}}
 		for i := range model.controllers {
 			model.start(t, i, 1)
 		}
@@ -150,42 +153,42 @@
 			"wait":        func(t *rapid.T) { model.now += units.Seconds(rapid.Float64Range(0, 1.5).Draw(t, "dt")) },
 			"record gone": model.recordExpires,
 			"ask": func(*rapid.T) {
-				model.asked = append(model.asked, model.controllers[0].local(model.now)) // also once authority has run out
+				model.askedAt = append(model.askedAt, model.controllers[0].local(model.now)) // also after authority has ended
 			},
 			"promise": model.grant,
-			"arrive":  model.arrive,
+			"arrive":  model.deliver,
 			"restart": model.restart,
 			"permit":  model.vote,
-			"alone":   model.decideAlone,
+			"alone":   model.expireUnvoted,
 			"":        model.check,
 		})
 	})
 }
 
-// Authority is valid exactly until the time that Until gives, by which calls that
-// wait for their turn are checked: the lease's, or that of the peer leases of a
-// majority within the bound, or that of the peer leases of all.
-func TestUntil(t *testing.T) {
+// Authority must be valid exactly until the time that Until returns, as queued calls are checked against that
+// time. It is the end of the lease, of the peer leases of a majority within MajorityExtension, or of the peer
+// leases of all peers, whichever is last.
+func TestValidMatchesUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		second := func(name string) units.Microseconds { return units.Seconds(rapid.Float64Range(0, 30).Draw(t, name)) }
 		authority := Authority{TTL: 3 * units.Second, Margin: units.Second / 10, MajorityExtension: second("short"), MajorityPeers: rapid.IntRange(1, 3).Draw(t, "peers"), AllPeers: 4}
 		authority.Renewed(second("renewed"))
-		promised := map[string]units.Microseconds{}
+		leaseEnds := map[string]units.Microseconds{}
 		for _, p := range []string{"a", "b", "c", "d"} {
 			if rapid.Bool().Draw(t, p) {
 				asked := second("asked")
 				authority.PeerLeaseGranted(p, asked)
-				promised[p] = asked + units.Shortest(PeerLeaseTime) - authority.Margin
+				leaseEnds[p] = asked + units.Shortest(PeerLeaseTime) - authority.Margin
 			}
 		}
 		now := second("now")
 		running := 0
-		for _, until := range promised {
+		for _, until := range leaseEnds {
 			if now < until {
 				running++
 			}
 		}
-		want := now < authority.until || running >= authority.MajorityPeers && now < authority.short || running >= authority.AllPeers
+		want := now < authority.leaseUntil || running >= authority.MajorityPeers && now < authority.extensionLimit || running >= authority.AllPeers
 		if authority.Valid(now) != want || (now < authority.Until()) != want {
 			t.Fatalf("valid %v, until %v, now %v, want %v: %+v", authority.Valid(now), authority.Until(), now, want, authority)
 		}
--- a/internal/core/authority/trace.go
+++ b/internal/core/authority/trace.go
@@ -8,27 +8,28 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// remaining adds how long a time is still to come, 0 once it is over: of no use any more, it
-// does not matter for how long.
-func remaining(b []byte, what string, t, now units.Microseconds) []byte {
-	return strconv.AppendInt(append(b, what...), int64(max(0, t-now)), 10)
+// appendRemaining appends a label and the microseconds from now until t. Once t has passed it appends 0, as
+// it does not matter how long ago that was.
+func appendRemaining(b []byte, label string, t, now units.Microseconds) []byte {
+	return strconv.AppendInt(append(b, label...), int64(max(0, t-now)), 10)
 }
 
-// AppendTrace adds what an authority rests on, in times from now. Equal traces act the same from
-// then on.
+// AppendTrace appends the state of an authority, with times relative to now. Authorities with equal traces
+// behave the same from then on.
 func (a *Authority) AppendTrace(b []byte, now units.Microseconds) []byte {
-	b = remaining(b, "until ", a.until, now)
-	b = remaining(b, " short ", a.short, now)
-	b = remaining(b, " carried ", a.majorityUntil, now)
+	b = appendRemaining(b, "until ", a.leaseUntil, now)
+	b = appendRemaining(b, " short ", a.extensionLimit, now)
+	b = appendRemaining(b, " carried ", a.majorityUntil, now)
 	for _, p := range slices.Sorted(maps.Keys(a.peerLeases)) {
-		b = remaining(append(append(b, ' '), p...), " ", a.peerLeases[p], now)
+		b = appendRemaining(append(append(b, ' '), p...), " ", a.peerLeases[p], now)
 	}
 	return b
 }
 
-// AppendTrace adds what a voter owes, likewise.
+// AppendTrace appends the state of a voter, with times relative to now. Voters with equal traces behave the
+// same from then on.
 func (v *Voter) AppendTrace(b []byte, now units.Microseconds) []byte {
-	b = remaining(b, "promised ", v.leasedUntil, now)
-	b = strconv.AppendUint(append(b, " over "...), v.takenOver, 10)
-	return remaining(b, " young ", units.Longest(PeerLeaseTime), now)
+	b = appendRemaining(b, "promised ", v.leasedUntil, now)
+	b = strconv.AppendUint(append(b, " over "...), v.highestVoted, 10)
+	return appendRemaining(b, " young ", units.Longest(PeerLeaseTime), now)
 }
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -1,15 +1,16 @@
-// Package election decides whether this controller leads. It owns the leader record as it
-// is stored, the highest term that was ever taken, and the campaign for the next one.
+// Package election decides whether this controller leads. It tracks the stored leader record and the highest
+// term ever taken, and campaigns for the next term.
 //
-// A controller campaigns while it is a member, its copy of the state service's keys is
-// fresh and no leader record stands. The record is attached to the lease of its
-// membership and goes with it; the term is stored beside it and stays. One transaction
-// writes both, guarded by the versions of both, so at most one candidate takes a term.
+// A controller campaigns while it has a membership, its watch cache is fresh and there is no leader record.
+// The leader record is attached to the lease of the leader's membership and is deleted with it; the term is
+// stored under a key of its own, without a lease, and is kept. One transaction writes both, guarded by the
+// versions of both, so at most one candidate takes a term.
 //
-// Leading needs no authority in time: all that a leader does is to write, and every write
-// is guarded by the version of its record (Leadership.Write).
+// A leader needs no time-based authority: all it does is write to the state service, and every write is
+// guarded by the version of its leader record (Leadership.Write).
 //
-// It is pure: events and the time go in by method calls, writes come out by its Host.
+// The package performs no I/O: events and the time are passed to its methods, and writes leave through its
+// Host.
 package election
 
 import (
@@ -23,55 +24,53 @@
 )
 
 const (
-	// freshFor is how old the copy of the state service's keys may be for a campaign: an
-	// older one may not show the record of the present leader, and the campaign's guards
-	// would only fail.
-	freshFor = units.Second
-	// tooLargeRetry is the pause after a write that the state service found too large: the
-	// same would come again.
-	tooLargeRetry = 5 * units.Second
+	// maxCacheAge is how old the watch cache may be for a campaign. An older one may miss the record of the
+	// present leader, and the guards of the campaign would only fail.
+	maxCacheAge = units.Second
+	// tooLargeRetryDelay is the delay after a write that the state service rejected as too large: an
+	// immediate retry would be just as large.
+	tooLargeRetryDelay = 5 * units.Second
 )
 
-// Host is the controller that takes part.
+// Host is the controller that takes part in the election.
 //
-// Store and Elected are called from Tick and from a write's Done, with the election's state
-// already written; Elected may read it and must not call Tick.
+// Store and Elected are called from Tick and from a write's Done, after the election has updated its state.
+// Elected may read the election's state and must not call Tick.
 type Host interface {
-	// Now is the present time.
+	// Now returns the present time.
 	Now() units.Microseconds
-	// Store queues a write with those that decide who may act.
+	// Store queues a write among those that decide which controller may act.
 	Store(w *store.Write)
-	// Version is the version of a key in the copy of the state service's keys; 0: it does
-	// not exist.
+	// Version returns the version of a key in the watch cache; 0: the key does not exist.
 	Version(key string) uint64
-	// CacheAge is how long ago the state service last answered.
+	// CacheAge returns how long ago the state service last answered.
 	CacheAge() units.Microseconds
-	// Member returns this controller's membership and the lease that it rests on; 0: none.
+	// Member returns the id of this controller's membership and the lease that it is attached to; 0: none.
 	Member() (id, leaseID uint64)
-	// Archiving reports whether the leader record is at keys.LeaderSinceArchive.
+	// Archiving reports whether the leader record is stored at keys.LeaderSinceArchive.
 	Archiving() bool
-	// Elected says that this controller leads from now on.
+	// Elected is called when this controller becomes the leader.
 	Elected(l *Leadership)
 }
 
-// Config names this controller.
+// Config identifies this controller.
 type Config struct {
 	Node string
 	Log  *slog.Logger
 }
 
-// Election is what a controller knows of who leads.
+// Election is a controller's view of who leads. Create it with New.
 type Election struct {
 	cfg         Config
 	host        Host
-	stored      map[string]store.Event // what is stored at keys.Leader and at keys.LeaderSinceArchive
-	record      authority.LeaderRecord // of the present leader; Node "" if none
+	stored      map[string]store.Event // last events of keys.Leader and keys.LeaderSinceArchive
+	record      authority.LeaderRecord // leader record in force; Node "" if there is no leader
 	highestTerm authority.Term
-	campaigning bool        // the record of a candidacy is being written
+	campaigning bool        // the leader record of a candidacy is being written
 	leadership  *Leadership // nil unless this controller leads
 }
 
-// New returns the election as a controller sees it that has read nothing yet.
+// New returns the election of a controller that has not read anything yet.
 func New(cfg Config, host Host) *Election {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -79,7 +78,7 @@
 	return &Election{cfg: cfg, host: host, stored: map[string]store.Event{}}
 }
 
-// Key is where the leader record is stored at present.
+// Key returns the key at which the leader record is stored at present.
 func (e *Election) Key() string {
 	if e.host.Archiving() {
 		return keys.LeaderSinceArchive
@@ -87,7 +86,7 @@
 	return keys.Leader
 }
 
-// Record returns the present leader's record; its Node is "" where nobody leads.
+// Record returns the present leader's record; its Node is "" if there is no leader.
 func (e *Election) Record() authority.LeaderRecord { return e.record }
 
 // HighestTerm returns the highest term that is known to have been taken.
@@ -96,25 +95,25 @@
 // Leads reports whether this controller leads.
 func (e *Election) Leads() bool { return e.leadership != nil }
 
-// Leadership returns what this controller may do as the leader; nil unless it leads.
+// Leadership returns this controller's leadership; nil unless it leads.
 func (e *Election) Leadership() *Leadership { return e.leadership }
 
-// Tick campaigns where nobody leads.
+// Tick campaigns if there is no leader.
 func (e *Election) Tick() {
 	id, leaseID := e.host.Member()
-	if e.leadership != nil || id == 0 || e.campaigning || !e.leaderless() || e.host.CacheAge() > freshFor {
+	if e.leadership != nil || id == 0 || e.campaigning || !e.leaderless() || e.host.CacheAge() > maxCacheAge {
 		return
 	}
 	e.campaign(id, leaseID)
 }
 
-// leaderless reports whether nobody leads, as far as this controller knows. A record of
-// its own was left by its last process, which has surely ended.
+// leaderless reports whether there is no leader as far as this controller knows. A record that names this
+// controller was left by its previous process, which has certainly ended.
 func (e *Election) leaderless() bool {
 	return e.record.Node == "" || e.record.Node == e.cfg.Node
 }
 
-// campaign writes a leader record for the term after the highest one.
+// campaign writes a leader record for the term after the highest known one.
 func (e *Election) campaign(id, leaseID uint64) {
 	e.campaigning = true
 	node, key, term := e.cfg.Node, e.Key(), e.highestTerm.Term+1
@@ -131,7 +130,7 @@
 		},
 		Done: func(o store.Outcome, rev uint64) {
 			e.campaigning = false
-			// The membership may have ended meanwhile, and the record with its lease.
+			// The membership may have ended meanwhile, and with its lease the record.
 			if member, _ := e.host.Member(); o != store.OK || member == 0 || key != e.Key() {
 				return
 			}
@@ -142,21 +141,24 @@
 	})
 }
 
-// ApplyRecord takes what is stored at keys.Leader or at keys.LeaderSinceArchive. Only the key that holds the
-// leader record at present counts.
+// ApplyRecord applies the event of keys.Leader or of keys.LeaderSinceArchive that the watch cache reports.
+// Only the key that holds the leader record at present decides who leads. The error is that of decoding the
+// record.
 func (e *Election) ApplyRecord(event store.Event) error {
 	e.stored[event.Key] = event
 	if event.Key != e.Key() {
 		return nil
 	}
-	return e.learnRecord(event)
+	return e.setRecord(event)
 }
 
-// ArchivingStarted says that the leader record is at keys.LeaderSinceArchive from now on, also where
-// there is none yet: what is at keys.Leader then names no leader.
-func (e *Election) ArchivingStarted() error { return e.learnRecord(e.stored[keys.LeaderSinceArchive]) }
+// ArchivingStarted makes the record at keys.LeaderSinceArchive the leader record, even if none is stored
+// there yet: what is stored at keys.Leader then names no leader.
+func (e *Election) ArchivingStarted() error { return e.setRecord(e.stored[keys.LeaderSinceArchive]) }
 
-func (e *Election) learnRecord(event store.Event) error {
+// setRecord replaces the leader record. It ends this controller's leadership if the record is of another
+// term.
+func (e *Election) setRecord(event store.Event) error {
 	e.record = authority.LeaderRecord{}
 	var err error
 	if event.Value != nil {
@@ -174,8 +176,8 @@
 	return err
 }
 
-// ApplyTerm takes the highest term as it is stored. It never falls, whatever is stored:
-// fencing tokens that workers have seen must not be given out again.
+// ApplyTerm applies the stored highest term. The known term never decreases, whatever is stored: fencing
+// tokens that workers have seen must not be issued again. The error is that of decoding the term.
 func (e *Election) ApplyTerm(event store.Event) error {
 	if event.Value == nil {
 		return nil
@@ -190,8 +192,8 @@
 	return nil
 }
 
-// MembershipLost says that this controller's membership has ended, and its leader record
-// with it.
+// MembershipLost ends the leadership with this controller's membership, whose lease the leader record is
+// attached to.
 func (e *Election) MembershipLost() {
 	e.leadership = nil
 	if e.record.Node == e.cfg.Node {
@@ -199,5 +201,5 @@
 	}
 }
 
-// ExclusionNeeded reports whether keys.Leader does not keep older releases out yet.
+// ExclusionNeeded reports whether the record at keys.Leader does not exclude older releases yet.
 func (e *Election) ExclusionNeeded() bool { return !IsExclusionRecord(e.stored[keys.Leader].Value) }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -13,7 +13,7 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// fakeHost is a controller with a state service of its own.
+// fakeHost is a controller with its own state service.
 type fakeHost struct {
 	now       units.Microseconds
 	age       units.Microseconds
@@ -37,8 +37,8 @@
 	return New(Config{Node: "a"}, host), host
 }
 
-// commit lets the state service answer the oldest write, which it refuses where a guard does
-// not hold. A membership's own record counts as unchanged.
+// commit completes the oldest write with an outcome, or with store.Failed if one of its guards does not hold.
+// The membership's own record counts as unchanged.
 func (h *fakeHost) commit(election *Election, outcome store.Outcome, revision uint64) error {
 	w := h.writes[0]
 	h.writes = h.writes[1:]
@@ -51,11 +51,11 @@
 		for _, change := range w.Changes {
 			h.versions[change.Key] = revision
 			event := store.Event{Key: change.Key, Value: change.Value, Stamp: revision}
-			learn := election.ApplyRecord
+			apply := election.ApplyRecord
 			if change.Key == keys.Term {
-				learn = election.ApplyTerm
+				apply = election.ApplyTerm
 			}
-			if err := learn(event); err != nil {
+			if err := apply(event); err != nil {
 				return err
 			}
 		}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// campaignTerm is the term for which the controller campaigns with a write.
+// campaignTerm returns the term for which the controller campaigns with a write.
 func (h *fakeHost) campaignTerm(t *rapid.T, write int) uint64 {
 	t.Helper()
 	var campaign authority.LeaderRecord
@@ -79,26 +79,26 @@
 	}
 }
 
-// Terms never fall, whatever is stored, and each campaign is for a term above all that
-// were known; the fencing tokens that this controller assigns only rise, through any
-// number of its leaderships.
-func TestTermsAndFencingTokensOnlyRise(t *testing.T) {
+// Terms must never decrease, whatever is stored, and each campaign must be for a term above all known ones.
+// The fencing tokens that this controller issues must increase over any number of its leaderships: workers
+// reject lower tokens than they have seen.
+func TestTermsAndFencingTokensNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		election, host := newElection()
 		t.Repeat(rapid.StateMachineActions(&termsModel{election: election, host: host, revision: 100}))
 	})
 }
 
-// termsModel is a controller whose state service stores anything.
+// termsModel is a controller whose state service may store anything.
 type termsModel struct {
-	election *Election
-	host     *fakeHost
-	revision uint64
-	highest  uint64 // term that was known
-	token    uint64 // that was assigned last
+	election  *Election
+	host      *fakeHost
+	revision  uint64
+	highest   uint64 // highest term known so far
+	lastToken uint64 // last fencing token issued
 }
 
-// event stores a value.
+// event stores a value and returns the event that reports it.
 func (m *termsModel) event(key string, value json.RawMessage) store.Event {
 	m.revision++
 	m.host.versions[key] = m.revision
@@ -116,7 +116,7 @@
 
 func (m *termsModel) TermIsGarbage(t *rapid.T) {
 	if err := m.election.ApplyTerm(m.event(keys.Term, json.RawMessage(`"no"`))); err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid term was accepted")
 	}
 }
 
@@ -127,7 +127,7 @@
 func (m *termsModel) AnotherMembership(*rapid.T) {
 	m.election.MembershipLost()
 	m.host.member = 0
-	for _, w := range m.host.writes { // as the write queue does with all that it drops
+	for _, w := range m.host.writes { // as the write queue does with all writes that it drops
 		w.Done(store.Refused, 0)
 	}
 	m.host.writes = nil
@@ -142,7 +142,7 @@
 		return
 	}
 	if term := m.host.campaignTerm(t, waiting); term <= m.highest {
-		t.Fatalf("campaigns for term %d, %d was taken", term, m.highest)
+		t.Fatalf("campaigns for term %d although term %d was taken", term, m.highest)
 	}
 }
 
@@ -162,10 +162,10 @@
 	}
 	for range 2 {
 		token := authority.FencingToken(leadership.Term(), leadership.NextAssignment())
-		if token <= m.token {
-			t.Fatalf("token %d after %d", token, m.token)
+		if token <= m.lastToken {
+			t.Fatalf("fencing token %d after %d", token, m.lastToken)
 		}
-		m.token = token
+		m.lastToken = token
 	}
 }
 
@@ -184,19 +184,19 @@
 	m.highest = m.election.HighestTerm().Term
 }
 
-// A controller campaigns only as a member, with a fresh copy of the state service's keys,
-// and where no other's record stands.
-func TestCampaign(t *testing.T) {
+// A controller must campaign only while it has a membership and a fresh watch cache, and no leader record
+// names another controller.
+func TestCampaignPreconditions(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(e *Election, host *fakeHost)
 		want   bool
 	}{
-		"nobody leads":             {func(*Election, *fakeHost) {}, true},
-		"no member":                {func(_ *Election, host *fakeHost) { host.member = 0 }, false},
-		"copy too old":             {func(_ *Election, host *fakeHost) { host.age = freshFor + 1 }, false},
-		"another leads":            {func(e *Election, _ *fakeHost) { e.record.Node = "b" }, false},
-		"left by its last process": {func(e *Election, _ *fakeHost) { e.record.Node = "a" }, true},
-		"campaigns already":        {func(e *Election, _ *fakeHost) { e.Tick() }, true},
+		"nobody leads":                 {func(*Election, *fakeHost) {}, true},
+		"no membership":                {func(_ *Election, host *fakeHost) { host.member = 0 }, false},
+		"watch cache too old":          {func(_ *Election, host *fakeHost) { host.age = maxCacheAge + 1 }, false},
+		"another leads":                {func(e *Election, _ *fakeHost) { e.record.Node = "b" }, false},
+		"left by its previous process": {func(e *Election, _ *fakeHost) { e.record.Node = "a" }, true},
+		"already campaigning":          {func(e *Election, _ *fakeHost) { e.Tick() }, true},
 	} {
 		e, host := newElection()
 		test.change(e, host)
@@ -207,8 +207,9 @@
 	}
 }
 
-// Every write of a leader is guarded by its record, also by the version that the record
-// has once it was written again at the key that holds it since the archive.
+// Every write of a leader must be guarded by the version of its leader record, so that it fails once another
+// controller leads. This includes the version of the record after it was written again, at the key that holds
+// it once jobs are archived.
 func TestLeaderWritesAreGuarded(t *testing.T) {
 	candidate, host := newElection()
 	candidate.Tick()
@@ -217,33 +218,33 @@
 	}
 	leadership := candidate.Leadership()
 	if want := (store.Guard{Key: keys.Leader, Version: 101}); leadership.Guard() != want {
-		t.Fatalf("%+v", leadership.Guard())
+		t.Fatalf("guard before archiving: %+v", leadership.Guard())
 	}
 	if err := candidate.ApplyRecord(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(leadership.Record(7)), Stamp: 102}); err != nil || leadership.Guard().Version != 101 {
-		t.Fatalf("another key counts: %+v, %v", leadership.Guard(), err)
+		t.Fatalf("the record at the other key is in force: %+v, %v", leadership.Guard(), err)
 	}
 	host.archiving = true
 	if err := candidate.ArchivingStarted(); err != nil || !candidate.Leads() {
-		t.Fatalf("leads no more: %v", err)
+		t.Fatalf("no longer leads: %v", err)
 	}
 	if want := (store.Guard{Key: keys.LeaderSinceArchive, Version: 102}); leadership.Guard() != want {
-		t.Fatalf("%+v", leadership.Guard())
+		t.Fatalf("guard after archiving has started: %+v", leadership.Guard())
 	}
 	if !candidate.ExclusionNeeded() {
-		t.Fatal("older releases are not kept out yet")
+		t.Fatal("exclusion record not reported as missing")
 	}
 	if err := candidate.ApplyRecord(store.Event{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord()), Stamp: 103}); err != nil || candidate.ExclusionNeeded() || !candidate.Leads() {
-		t.Fatalf("%v", err)
+		t.Fatalf("after the exclusion record was stored: %v", err)
 	}
 	leadership.Write(nil, store.Change{Key: "x"})
 	if leadership.MayPlan(0) || !leadership.Writing() || host.writes[0].Guards[0] != leadership.Guard() {
-		t.Fatalf("%+v", host.writes[0])
+		t.Fatalf("write of the leader: %+v", host.writes[0])
 	}
 	host.writes[0].Done(store.TooLarge, 0)
-	if leadership.MayPlan(tooLargeRetry-1) || !leadership.MayPlan(tooLargeRetry) {
-		t.Fatal("does not wait after a write that was too large")
+	if leadership.MayPlan(tooLargeRetryDelay-1) || !leadership.MayPlan(tooLargeRetryDelay) {
+		t.Fatal("no delay after a write that was too large")
 	}
 	if err := candidate.ApplyRecord(store.Event{Key: keys.LeaderSinceArchive, Value: store.Value(authority.LeaderRecord{Term: 9, Node: "b"}), Stamp: 104}); err != nil || candidate.Leads() {
-		t.Fatalf("leads beside another: %v", err)
+		t.Fatalf("still leads although another controller does: %v", err)
 	}
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,11 +1,12 @@
-// Package membership keeps a controller's membership, and what is known of the others'. A
-// membership is a record that is attached to a lease in the state service; its version tells one
-// process of a controller from the next. Shards and leadership are owned by a membership and end
-// with it. What it owned passes to others once its record is gone and a majority of the controllers
-// has voted for the takeover; peer leases and votes are those of package authority, and
-// docs/design.md, "Authority", says why that is safe.
+// Package membership maintains a controller's own membership and its view of the other controllers'
+// memberships. A membership is a record that is attached to a lease in the state service; the version of the
+// record distinguishes one process of a controller from the next. Shards and leadership are owned by a
+// membership and end with it. Others can take over what it owned once its record is deleted and a majority of
+// the controllers has voted for the takeover. Package authority implements peer leases and votes;
+// docs/design.md, "Authority", explains why takeovers are safe.
 //
-// The package is pure: answers and the time go in by method calls, effects come out by its host.
+// The package performs no I/O: answers and the time are passed to its methods, and effects leave through its
+// Host.
 package membership
 
 import (
@@ -22,58 +23,58 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Prefix is where memberships are stored, by the controllers' names.
+// Prefix is the key prefix of the membership records. The rest of the key is the controller's name.
 const Prefix = keys.MemberPrefix
 
-// Effects.
+// Effects that a Registry emits.
 type (
-	// OpenLease asks for a lease (OnLease).
+	// OpenLease requests a new lease. OnLease takes the outcome.
 	OpenLease struct{ TTL units.Microseconds }
-	// RenewLease extends a lease (OnRenew).
+	// RenewLease renews a lease. OnRenew takes the outcome.
 	RenewLease struct{ ID uint64 }
 	// CloseLease ends a lease; no answer is needed.
 	CloseLease struct{ ID uint64 }
 )
 
-// Host is the controller whose membership it is.
+// Host is the controller that the membership belongs to.
 type Host interface {
-	// Emit sends an effect.
+	// Emit sends an effect to be carried out.
 	Emit(e any)
-	// Store queues a write ahead of what users ask for.
+	// Store queues a write ahead of the writes of user requests.
 	Store(w *store.Write)
-	// Version is the version of a key in the copy of the state service's keys.
+	// Version returns the version of a key in the watch cache.
 	Version(key string) uint64
-	// CacheAge tells since when there is a copy (ok: there is one now), and how long ago the
-	// state service last answered.
+	// CacheAge returns since when the watch cache has been loaded, and how long ago the state service last
+	// answered; ok reports whether the cache is loaded now.
 	CacheAge() (since, age units.Microseconds, ok bool)
-	// Refresh asks for a fresh read.
+	// Refresh requests a fresh read of the state service.
 	Refresh()
-	// RequestVotes asks all other controllers to vote for taking over what a membership owned.
+	// RequestVotes asks all other controllers to vote for a takeover of what a membership owned.
 	RequestVotes(node string, memberID uint64)
 	// Joined is called once the membership is stored.
 	Joined()
-	// Lost is called once it has ended, with all that it owned.
+	// Lost is called once the membership has ended, and with it the ownership of everything it owned.
 	Lost()
-	// PeerRelease tells which release a controller runs.
+	// PeerRelease reports the release that a controller runs.
 	PeerRelease(node string, release int)
 }
 
-// Config is what stays the same for a registry's life.
+// Config holds the settings of a Registry. They do not change.
 type Config struct {
 	Node    string
-	Size    int // controllers, this one included
+	Size    int // number of controllers, this one included
 	Release int
 	TTL     units.Microseconds
-	// MajorityExtension is how long the peer leases of a majority may carry a membership past its last renewal.
-	// UnvotedExpiry is the time after which a membership that is older or newer than what is known here
-	// counts as expired without the others' votes: at least as long as MajorityExtension.
+	// UnvotedExpiry is the time after which a membership that is older or newer than the one known here
+	// counts as expired without the other controllers' votes. It is at least as long as MajorityExtension,
+	// which is how long the peer leases of a majority may extend a membership past its last renewal.
 	UnvotedExpiry, MajorityExtension units.Microseconds
 	Log                              *slog.Logger
-	// SkippedGuard is a check that is left out; only tests set it.
+	// SkippedGuard is a check to leave out; only tests set it.
 	SkippedGuard guard.Guard
 }
 
-// Registry is a controller's own membership and its view of the others. Use New.
+// Registry holds a controller's own membership and its view of the others. Create it with New.
 type Registry struct {
 	cfg  Config
 	host Host
@@ -83,26 +84,26 @@
 	leaseID          uint64 // lease in the state service
 	authority        authority.Authority
 	opening          bool
-	leaseRequestedAt units.Microseconds // when the lease was asked for
-	nextTryAt        units.Microseconds // not tried before
+	leaseRequestedAt units.Microseconds
+	nextTryAt        units.Microseconds // no attempt to join before this time
 	renewing         bool
 	nextRenewalAt    units.Microseconds
-	renewalSentAt    units.Microseconds // when the renewal under way was sent
+	renewalSentAt    units.Microseconds // when the renewal in flight was sent
 
 	views  map[string]*view
-	voters map[string]*authority.Voter // what is granted with regard to each controller
-	polls  map[string]*takeoverPoll
+	voters map[string]*authority.Voter // peer leases and votes granted, by the controller that they concern
+	polls  map[string]*takeoverPoll    // takeover polls by controller
 }
 
-// view is what this controller knows of another's membership.
+// view is what this controller knows of another controller's membership.
 type view struct {
-	id         uint64             // 0: none
-	since      units.Microseconds // when that was learnt
-	expiredAt  units.Microseconds // when the record was seen to be gone
-	previousID uint64             // the record that was there before, as this process has seen it; 0: none
+	id         uint64             // version of its record; 0: none
+	since      units.Microseconds // when this controller learned that
+	expiredAt  units.Microseconds // when this controller saw that the record is deleted
+	previousID uint64             // version of the previous record, as seen by this process; 0: none
 }
 
-// takeoverPoll collects the votes for taking over what a membership owned.
+// takeoverPoll collects the votes for a takeover of what a membership owned.
 type takeoverPoll struct {
 	memberID uint64
 	askedAt  units.Microseconds
@@ -110,16 +111,17 @@
 }
 
 const (
-	// authorityMargin allows for the state service's slack and this controller's own.
+	// authorityMargin allows for timing inaccuracies of the state service and of this controller.
 	authorityMargin = units.Second / 10
-	// pollLasts is how long a round of votes lasts.
-	pollLasts = units.Second / 4
-	// unservedAfter is how long the state service must not have answered this controller.
+	// pollDuration is the length of a round of votes.
+	pollDuration = units.Second / 4
+	// unservedAfter is the time without an answer from the state service after which it counts as not serving
+	// this controller.
 	unservedAfter = units.Second
-	// retryAfter is the time before the next try to join, retryLeaseAfter that after a lease
-	// was refused.
-	retryAfter      = units.Second / 5
-	retryLeaseAfter = units.Second / 2
+	// joinRetryDelay is the delay before the next attempt to join, leaseRetryDelay that after a refused
+	// lease.
+	joinRetryDelay  = units.Second / 5
+	leaseRetryDelay = units.Second / 2
 )
 
 // New returns the registry of a controller that has not joined yet.
@@ -127,16 +129,17 @@
 	return &Registry{cfg: cfg, host: host, views: map[string]*view{}, voters: map[string]*authority.Voter{}, polls: map[string]*takeoverPoll{}}
 }
 
-// ID is the version of this controller's record; 0 while it has no membership.
+// ID returns the version of this controller's membership record; 0 while it has no membership.
 func (r *Registry) ID() uint64 { return r.id }
 
-// LeaseID is the lease to which that is attached.
+// LeaseID returns the lease that the membership record is attached to.
 func (r *Registry) LeaseID() uint64 { return r.leaseID }
 
-// Valid reports whether this controller's membership surely stands.
+// Valid reports whether this controller's membership certainly exists at the given time.
 func (r *Registry) Valid(now units.Microseconds) bool { return now < r.Until() }
 
-// Until is when the authority of this controller's membership ends, as known at present.
+// Until returns the time until which the authority of this controller's membership is certain, as far as is
+// known now; 0 without a membership.
 func (r *Registry) Until() units.Microseconds {
 	if r.id == 0 {
 		return 0
@@ -147,7 +150,7 @@
 	return r.authority.Until()
 }
 
-// Tick joins, and renews the lease.
+// Tick joins if this controller has no membership, and renews the lease otherwise. It is called often.
 func (r *Registry) Tick(now units.Microseconds) {
 	r.now = now
 	if r.id != 0 {
@@ -169,12 +172,12 @@
 	r.host.Emit(OpenLease{r.cfg.TTL})
 }
 
-// OnLease takes a new lease's outcome and joins with it. A record of this controller's that is
-// there already was left by its last process, which has surely ended.
+// OnLease takes the outcome of OpenLease and stores the membership record under the new lease. If a record of
+// this controller already exists, its previous process left it, which has certainly ended.
 func (r *Registry) OnLease(now units.Microseconds, outcome store.Outcome, id uint64) {
 	r.now = now
 	if outcome != store.OK {
-		r.opening, r.nextTryAt = false, now+retryLeaseAfter
+		r.opening, r.nextTryAt = false, now+leaseRetryDelay
 		return
 	}
 	key := Prefix + r.cfg.Node
@@ -185,8 +188,8 @@
 		Done: func(outcome store.Outcome, rev uint64) {
 			r.opening = false
 			if outcome != store.OK {
-				// Ending the lease also keeps a late write from being carried out.
-				r.nextTryAt = r.now + retryAfter
+				// Closing the lease also prevents a delayed write from being carried out.
+				r.nextTryAt = r.now + joinRetryDelay
 				r.host.Emit(CloseLease{id})
 				r.host.Refresh()
 				return
@@ -194,13 +197,13 @@
 			r.id, r.leaseID, r.renewing, r.nextRenewalAt = rev, id, false, sent+r.cfg.TTL/5
 			r.authority = authority.Authority{TTL: r.cfg.TTL, Margin: authorityMargin, MajorityExtension: r.cfg.MajorityExtension, MajorityPeers: r.cfg.Size / 2, AllPeers: r.cfg.Size - 1}
 			r.authority.Renewed(sent)
-			r.cfg.Log.Info("joined", "member", rev)
+			r.cfg.Log.Info("joined the cluster", "member", rev)
 			r.host.Joined()
 		},
 	})
 }
 
-// OnRenew takes a renewal's outcome.
+// OnRenew takes the outcome of RenewLease.
 func (r *Registry) OnRenew(now units.Microseconds, id uint64, outcome store.Outcome) {
 	r.now = now
 	if r.id == 0 || r.leaseID != id {
@@ -215,22 +218,23 @@
 		r.authority.Renewed(r.renewalSentAt)
 		r.nextRenewalAt = r.renewalSentAt + r.cfg.TTL/5
 	case store.Failed:
-		r.lose("the lease has ended")
+		r.endMembership("lease expired")
 	default:
 		r.nextRenewalAt = now + r.cfg.TTL/10
 	}
 }
 
-// lose ends the membership, and with it all that this controller owns.
-func (r *Registry) lose(why string) {
+// endMembership ends the membership, and with it the ownership of everything that this controller owns.
+func (r *Registry) endMembership(why string) {
 	r.cfg.Log.Warn("membership lost", "member", r.id, "why", why)
 	r.host.Emit(CloseLease{r.leaseID})
-	r.id, r.nextTryAt = 0, r.now+retryAfter
+	r.id, r.nextTryAt = 0, r.now+joinRetryDelay
 	r.host.Lost()
 	r.host.Refresh()
 }
 
-// ApplyRecord takes the stored record of a controller's membership.
+// ApplyRecord applies the stored membership record of a controller as the watch cache reports it. The error
+// is that of decoding the record.
 func (r *Registry) ApplyRecord(now units.Microseconds, node string, event store.Event) error {
 	r.now = now
 	known := &view{since: now}
@@ -249,12 +253,12 @@
 	}
 	r.views[node] = known
 	if node == r.cfg.Node && r.id != 0 && known.id != r.id {
-		r.lose("the record is another process's or gone")
+		r.endMembership("member record deleted or replaced by another process")
 	}
 	return nil
 }
 
-// CurrentID returns the membership that a controller has, as far as is known here; 0: none.
+// CurrentID returns the id of a controller's membership as far as is known here; 0: none.
 func (r *Registry) CurrentID(node string) uint64 {
 	if v := r.views[node]; v != nil {
 		return v.id
@@ -262,7 +266,7 @@
 	return 0
 }
 
-// KnownSince is when it was learnt that a controller has the membership that it has.
+// KnownSince returns when this controller learned of the current membership of a controller.
 func (r *Registry) KnownSince(node string) units.Microseconds {
 	if v := r.views[node]; v != nil {
 		return v.since
@@ -270,6 +274,7 @@
 	return 0
 }
 
+// voter returns the voter concerning a controller, and creates it on first use.
 func (r *Registry) voter(node string) *authority.Voter {
 	voter := r.voters[node]
 	if voter == nil {
@@ -279,11 +284,12 @@
 	return voter
 }
 
-// GrantPeerLease is asked by a controller for its membership. Where the record is gone and the state
-// service serves this controller, another may soon own what the membership owned. In an outage none
-// can: the membership, which ended just before, may be carried on. Whoever has voted for its takeover
-// never grants it a lease again, nor does a process that has begun since and has forgotten whether it
-// had.
+// GrantPeerLease reports whether a controller gets the peer lease that it requests for its membership. If the
+// record is deleted and the state service serves this controller, the lease is refused: another controller
+// may soon own what the membership owned. During an outage no other controller can take over, so a membership
+// that ended just before it may be extended. A process that has voted for the takeover of a membership never
+// grants it a lease again, and neither does a process that started later and does not know whether it had
+// voted before.
 func (r *Registry) GrantPeerLease(now units.Microseconds, node string, memberID uint64) bool {
 	current := r.CurrentID(node)
 	if r.cfg.SkippedGuard == guard.MemberRecord {
@@ -297,8 +303,8 @@
 	return memberID != 0 && r.voter(node).GrantPeerLease(now, memberID, current)
 }
 
-// PeerLeaseGranted takes a controller's peer lease for a membership of this one's, which asked for it
-// at a time.
+// PeerLeaseGranted records a peer lease that another controller granted for a membership of this one; asked
+// is when this controller requested it.
 func (r *Registry) PeerLeaseGranted(now units.Microseconds, from string, memberID uint64, asked units.Microseconds) {
 	if r.id != 0 && r.id == memberID && asked <= now {
 		if r.cfg.SkippedGuard == guard.PeerLeaseSent {
@@ -308,12 +314,12 @@
 	}
 }
 
-// Expired reports whether a membership surely owns nothing any more, and seeks the votes of a
-// majority to make that sure.
+// Expired reports whether a membership certainly owns nothing any more. While that is not certain, it
+// collects the votes of a majority.
 func (r *Registry) Expired(now units.Microseconds, node string, id uint64) bool {
 	r.now = now
 	if node == r.cfg.Node {
-		return id != r.id // it was this controller's last process, or was given up
+		return id != r.id // the id of this controller's previous process, or of a membership that it has given up
 	}
 	known := r.viewOf(node)
 	switch {
@@ -322,24 +328,25 @@
 	case known.id > id:
 		return true // the controller has given it up, or its process has ended
 	case known.id != 0:
-		// The view is older than the shard's assignment, as while a listing goes on whose pages
-		// with memberships are still to come: the membership may stand. Where versions went back,
-		// it is over in time.
+		// This view is older than the shard's assignment. That happens while a listing is in progress whose
+		// pages with memberships are still to come, so the membership may exist. If versions in the state
+		// service went back, the membership expires after this time.
 		return now-known.since > units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL && r.voter(node).Vote(now, id)
-	case id == 0: // owned by a controller of a release that knows no memberships
+	case id == 0: // the owner runs a release without memberships
 		return now-known.expiredAt > units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL
 	}
-	// A majority may carry it no longer, and all do not: this controller has granted it no peer
-	// lease that still runs, and never will again. (As UnvotedExpiry is at least as long as MajorityExtension, that is
-	// also the last that a membership of another controller's is waited for.)
+	// The peer leases of a majority can no longer extend the membership, and those of all peers do not, as
+	// this controller has granted it no peer lease that still runs and will never grant one again. As
+	// UnvotedExpiry is at least as long as MajorityExtension, this is also the longest wait for another
+	// controller's deleted membership.
 	if now-known.expiredAt > units.Longest(r.cfg.MajorityExtension) && r.voter(node).Vote(now, id) {
 		return true
 	}
 	return r.majorityVotes(now, node, id)
 }
 
-// viewOf returns what is known of a controller's membership. One that was not there when the copy of
-// the state service's keys was first read counts as gone since then.
+// viewOf returns what is known of a controller's membership. A membership that did not exist when the watch
+// cache was first loaded counts as expired since then.
 func (r *Registry) viewOf(node string) *view {
 	known := r.views[node]
 	if known == nil {
@@ -350,11 +357,11 @@
 	return known
 }
 
-// majorityVotes reports whether a majority has voted for taking over what a membership owned, in the
-// present round of votes, and begins the next round once that is over.
+// majorityVotes reports whether a majority has voted, in the current round, for a takeover of what a
+// membership owned. It starts the next round when the current one is over.
 func (r *Registry) majorityVotes(now units.Microseconds, node string, id uint64) bool {
 	poll := r.polls[node]
-	if poll == nil || poll.memberID != id || now-poll.askedAt > pollLasts {
+	if poll == nil || poll.memberID != id || now-poll.askedAt > pollDuration {
 		poll = &takeoverPoll{memberID: id, askedAt: now, votes: map[string]bool{}}
 		r.polls[node] = poll
 		r.host.RequestVotes(node, id)
@@ -365,36 +372,36 @@
 	return len(poll.votes) > r.cfg.Size/2 || r.cfg.SkippedGuard == guard.TakeoverMajority
 }
 
-// VoteRequested answers a controller that wants to take over what a membership owned. The node is
-// one of the controllers.
+// VoteRequested reports whether this controller votes for a takeover of what a membership owned, as another
+// controller requests. The node is one of the controllers.
 func (r *Registry) VoteRequested(now units.Microseconds, node string, memberID uint64) bool {
 	r.now = now
 	if node == r.cfg.Node && memberID == r.id {
 		if r.id == 0 || r.Valid(now) {
 			return false
 		}
-		r.lose("another takes over and authority has run out")
+		r.endMembership("authority expired and another controller requested a takeover")
 	}
 	return r.voter(node).Vote(now, memberID)
 }
 
-// VoteReceived takes a controller's vote.
+// VoteReceived counts a controller's vote for a takeover.
 func (r *Registry) VoteReceived(from, node string, memberID uint64) {
 	if poll := r.polls[node]; poll != nil && poll.memberID == memberID {
 		poll.votes[from] = true
 	}
 }
 
-// Describe tells all that counts of a controller's membership, in times from now: for logs, and for
-// model checking, as equal descriptions act the same from then on.
+// Describe returns the whole state of a controller's membership, with times relative to now. Logs show it,
+// and model checking relies on it: registries with equal descriptions behave the same from then on.
 func (r *Registry) Describe(now units.Microseconds) string {
 	var b []byte
-	number := func(what string, node uint64) { b = strconv.AppendUint(append(b, what...), node, 10) }
-	ahead := func(what string, t units.Microseconds) { number(what, uint64(max(0, t-now))) }
+	number := func(label string, value uint64) { b = strconv.AppendUint(append(b, label...), value, 10) }
+	remaining := func(label string, t units.Microseconds) { number(label, uint64(max(0, t-now))) }
 	number("member ", r.id)
 	number(" lease ", r.leaseID)
-	ahead(" after ", r.nextTryAt)
-	ahead(" renews ", r.nextRenewalAt)
+	remaining(" after ", r.nextTryAt)
+	remaining(" renews ", r.nextRenewalAt)
 	b = strconv.AppendBool(append(b, " opening "...), r.opening)
 	if r.renewing {
 		number(" renewing for ", uint64(now-r.renewalSentAt))
@@ -405,9 +412,9 @@
 	for _, node := range slices.Sorted(maps.Keys(r.views)) {
 		known := r.views[node]
 		number("; "+node+" has ", known.id)
-		if known.id == 0 { // what counts is when it will have been gone for long enough
-			ahead(" gone ", known.expiredAt+units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL)
-			ahead(" short ", known.expiredAt+units.Longest(r.cfg.MajorityExtension))
+		if known.id == 0 { // what matters is when the record will have been deleted for long enough
+			remaining(" gone ", known.expiredAt+units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL)
+			remaining(" short ", known.expiredAt+units.Longest(r.cfg.MajorityExtension))
 			number(" after ", known.previousID)
 		}
 	}
@@ -417,7 +424,7 @@
 	for _, node := range slices.Sorted(maps.Keys(r.polls)) {
 		poll := r.polls[node]
 		number("; polls "+node+" ", poll.memberID)
-		ahead(" for ", poll.askedAt+pollLasts+1)
+		remaining(" for ", poll.askedAt+pollDuration+1)
 		for _, from := range slices.Sorted(maps.Keys(poll.votes)) {
 			b = append(append(b, ' '), from...)
 		}
