--- a/internal/core/shardplan/assign.go
+++ b/internal/core/shardplan/assign.go
@@ -8,11 +8,11 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// changesPerAssignment is how many changes the assignment of one shard may take: its own
-// and that of its first allocation.
+// changesPerAssignment is the number of changes that the assignment of one shard may need: the assignment
+// itself and the shard's first allocation.
 const changesPerAssignment = 2
 
-// transaction is a write of the leader in the making.
+// transaction collects the guards and changes of a write of the leader.
 type transaction struct {
 	guards  []store.Guard
 	changes []store.Change
@@ -26,8 +26,7 @@
 	t.guards = append(t.guards, store.Guard{Key: key, Version: version})
 }
 
-// assignShards gives shards that nobody owns to controllers, and reports whether there were
-// any that it could give.
+// assignShards assigns shards without an owner to controllers, and reports whether it assigned any.
 func (p *Planner) assignShards() bool {
 	var t transaction
 	assigned := map[string]int{}
@@ -50,8 +49,8 @@
 	return true
 }
 
-// needsOwner reports whether a shard is to be assigned: it is in use and never was, its
-// owner has released it, or the owner's membership has expired.
+// needsOwner reports whether a shard is to be assigned: it is in use and was never assigned, its owner has
+// released it, or the owner's membership has expired.
 func (p *Planner) needsOwner(shard int) bool {
 	last := p.records.Assignment(shard)
 	switch {
@@ -63,8 +62,8 @@
 	return p.host.MemberExpired(last.Node, last.MemberID)
 }
 
-// assign adds to a transaction what gives a shard to a controller. The guard on the new
-// owner's membership keeps a shard from being assigned to one that has just ended.
+// assign adds the assignment of a shard to a controller to a transaction. The guard on the new owner's
+// membership prevents an assignment to a member that has just ended.
 func (p *Planner) assign(t *transaction, shard int, last Assignment, owner string) {
 	next := authority.Assignment{Term: p.leadership.Term(), Number: p.leadership.NextAssignment(), Node: owner, MemberID: p.host.CurrentMember(owner)}
 	if last.Version != 0 {
@@ -87,26 +86,25 @@
 	p.cfg.Log.Info("shard assigned", "shard", shard, "to", owner, "term", next.Term, "number", next.Number)
 }
 
-// Costs of a controller as a shard's next owner.
+// Costs of choosing a controller as the next owner of a shard. The lowest sum wins.
 const (
-	costPerShard     = 2  // that it owns
-	costNotLastOwner = 1  // the last one knows the shard's machines and jobs
-	costStandby      = -2 // it knows all that runs
-	// costUnresponsive is for a shard that was released as no worker reached its owner:
-	// whether one reaches this controller is not known, and its zone and the leader's may
-	// not reach each other.
+	costPerShard     = 2  // for each shard that it owns
+	costNotLastOwner = 1  // the last owner knows the shard's machines and jobs
+	costStandby      = -2 // the standby knows all that runs in the shard
+	// costUnresponsive applies if the shard was released because no worker could reach its owner. Whether a
+	// worker can reach an unresponsive controller is not known, and its zone and the leader's may be
+	// partitioned from each other.
 	costUnresponsive = 3
-	costToBeUpgraded = 100 // its shards would change hands once more
-	// costOutOfReach is for one that workers do not reach, or that has just released the
-	// shard: it gets that only where there is no other.
-	costOutOfReach = 1000
+	costToBeUpgraded = 100 // its shards would be transferred once more
+	// costUnreachable applies to a controller that workers cannot reach, or that has just released the shard:
+	// it gets the shard only if there is no other controller.
+	costUnreachable = 1000
 )
 
-// ChooseOwner returns the controller that should own a shard: the one with the fewest, and
-// among those rather the shard's last owner. One that workers cannot reach, or that has just
-// released the shard, gets it only where there is no other: its own word that no worker
-// reaches it may come later than the release. assigned counts the shards that each is about
-// to get.
+// ChooseOwner returns the controller that should own a shard; "" if none can. It prefers the controller with
+// the fewest shards, and among those the last owner. A controller that workers cannot reach, or that has just
+// released the shard, gets it only if there is no other: its own report that no worker reaches it may arrive
+// after the release. assigned counts the shards that each controller is about to get.
 func (p *Planner) ChooseOwner(shard int, last Assignment, assigned map[string]int) string {
 	owned := p.shardsOwned()
 	for node, n := range assigned {
@@ -127,7 +125,7 @@
 	return best
 }
 
-// shardsOwned counts the shards of each controller under its present membership.
+// shardsOwned counts the shards that each controller owns under its present membership.
 func (p *Planner) shardsOwned() map[string]int {
 	owned := map[string]int{}
 	for _, shard := range p.records.Shards() {
@@ -138,8 +136,8 @@
 	return owned
 }
 
-// ownerCost is what speaks against a controller as the owner of a shard, but for what it
-// owns already.
+// ownerCost returns the cost of a controller as the owner of a shard, apart from the cost of the shards that
+// it already owns.
 func (p *Planner) ownerCost(node string, shard int, last Assignment) int {
 	cost := 0
 	if node != last.Node {
@@ -152,7 +150,7 @@
 		cost += costUnresponsive
 	}
 	if node == last.ReleasedBy || p.host.UnreachableByWorkers(node) {
-		cost += costOutOfReach
+		cost += costUnreachable
 	}
 	if p.host.ToBeUpgraded(node) {
 		cost += costToBeUpgraded
--- a/internal/core/shardplan/load.go
+++ b/internal/core/shardplan/load.go
@@ -6,24 +6,24 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// loadInterval is for how long measured loads are taken as they are.
+// loadInterval is how long measured loads are reused before they are measured again.
 const loadInterval = units.Second / 4
 
-// load is a shard's unfinished work and what it has for that.
+// load is the unfinished work of a shard and the capacity that it has for that.
 type load struct {
-	work     float64 // thousandths of a CPU times seconds
-	capacity float64 // thousandths of a CPU of its machines
+	work     float64 // in thousandths of a CPU times seconds
+	capacity float64 // of its machines, in thousandths of a CPU
 	machines int
 }
 
-// loads are those of all shards, as they were last measured, with the migrations that
-// this controller has decided since.
+// loads holds the loads of all shards as last measured, adjusted for the migrations that this controller has
+// decided since.
 type loads struct {
 	byShard []load
-	nextAt  units.Microseconds // they are measured again then
+	nextAt  units.Microseconds // time of the next measurement
 }
 
-// measure adds up the unfinished work and the machines of each shard.
+// measure adds up the unfinished work and the machines of each shard, unless the last measurement is recent.
 func (p *Planner) measure(now units.Microseconds) {
 	shards := p.shardCount()
 	if now < p.loads.nextAt && len(p.loads.byShard) == shards {
@@ -48,13 +48,13 @@
 	p.loads.byShard = byShard
 }
 
-// remainingWork is the work that a job has left.
+// remainingWork returns the unfinished work of a job, in thousandths of a CPU times seconds.
 func remainingWork(job *jobs.Job) float64 {
 	spec := job.Spec()
 	return float64(job.Record.Tasks-job.Finished()) * float64(spec.Demand[binpack.CPU]) * max(spec.Estimate.Seconds(), 1)
 }
 
-// machines counts the machines of all shards.
+// machines returns the number of machines of all shards.
 func (l *loads) machines() int {
 	n := 0
 	for _, shard := range l.byShard {
@@ -63,7 +63,7 @@
 	return n
 }
 
-// capacity adds up the CPU of all shards. It is never 0, so that it can divide.
+// capacity returns the CPU of all shards, in thousandths. It is never 0, so that it can be a divisor.
 func (l *loads) capacity() float64 {
 	sum := 1.0
 	for _, shard := range l.byShard {
@@ -72,21 +72,21 @@
 	return sum
 }
 
-// relative is a load's work for its capacity. A shard that has little capacity yet can
-// provision some.
+// relative returns the work of a load relative to its capacity. A shard that has little capacity yet counts
+// as having half of an average shard's, as it can provision machines.
 func (l *loads) relative(shard load) float64 {
 	least := l.capacity() / float64(2*len(l.byShard))
 	return shard.work / max(shard.capacity, least)
 }
 
-// NewJobShard returns the shard to which a new job goes.
+// NewJobShard returns the shard that a new job is put into.
 func (p *Planner) NewJobShard(now units.Microseconds) int {
 	p.measure(now)
 	return p.leastLoaded()
 }
 
-// leastLoaded returns the shard with the least work for its capacity among those that may
-// use a part of the limits. Where one shard can carry all, that is the first.
+// leastLoaded returns the shard with the least work relative to its capacity among those that may use a part
+// of the limits. If one shard can carry all the work, that is shard 0.
 func (p *Planner) leastLoaded() int {
 	if p.loads.machines() <= p.cfg.ShardMachines/2 {
 		return 0
--- a/internal/core/shardplan/migrate.go
+++ b/internal/core/shardplan/migrate.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// migrationsPerRound bounds the jobs that migrate from a shard in a round.
+	// migrationsPerRound limits how many jobs migrate from a shard in one round.
 	migrationsPerRound = 8
-	// unevenBy is how much more work for its capacity a shard must have than another before
-	// jobs migrate.
-	unevenBy = 1.3
+	// imbalanceFactor is how many times as much work relative to its capacity a shard must have than another
+	// before jobs migrate.
+	imbalanceFactor = 1.3
 )
 
-// OwnedShard is a shard that this controller owns. It stays the same value while the
-// controller owns the shard under one assignment.
+// OwnedShard is a shard that this controller owns. It remains the same value while the controller owns the
+// shard under one assignment.
 type OwnedShard interface {
 	Number() int
-	// Guard is the condition that the shard is still assigned to this controller.
+	// Guard returns the condition that the shard is still assigned to this controller.
 	Guard() store.Guard
-	// Owned reports whether the controller still owns it under the same assignment.
+	// Owned reports whether the controller still owns the shard under the same assignment.
 	Owned() bool
 }
 
-// Migrate gives jobs of a shard of which nothing is placed to the shard that has the least
-// work for its capacity. Such a job runs on none of this shard's machines, and on no other's:
-// so another owner may start it, once that is stored. ordered are the shard's jobs, those
-// that are served first at the beginning: the last ones migrate.
+// Migrate moves jobs of which nothing is placed from an owned shard to the shard with the least work relative
+// to its capacity. Such a job runs on no machine of this shard or of any other, so another owner may start it
+// once the migration is stored. ordered holds the shard's jobs, those that are served first at the beginning;
+// the last ones migrate.
 func (p *Planner) Migrate(now units.Microseconds, owned OwnedShard, ordered []*jobs.Job) {
 	p.measure(now)
 	from, target := owned.Number(), p.leastLoaded()
@@ -39,8 +39,8 @@
 	migrated := 0
 	for i := len(ordered) - 1; i >= 0 && migrated < migrationsPerRound; i-- {
 		job := ordered[i]
-		// The order may be from before a job went to another shard: migrated once more from
-		// here, under this assignment, it could be running there.
+		// The order may be older than a job's migration to another shard. The job could be running there when
+		// it is migrated from here once more, under this assignment.
 		if job.Record.Shard != from || !job.Active() || job.Migrating || !job.Migratable() {
 			continue
 		}
@@ -55,24 +55,24 @@
 	}
 }
 
-// worthMigrating reports whether a shard is closed, or has much more work for its capacity
-// than another would have with the job.
+// worthMigrating reports whether a shard is closed, or has so much more work relative to its capacity than
+// the target would have with the job that the job should migrate.
 func (p *Planner) worthMigrating(from, target int, work float64) bool {
 	into := p.loads.byShard[target]
 	into.work += work
-	closed := p.records.Allocation(from).Fraction < nothing
-	return closed || p.loads.relative(p.loads.byShard[from]) >= unevenBy*p.loads.relative(into)
+	closed := p.records.Allocation(from).Fraction < negligibleFraction
+	return closed || p.loads.relative(p.loads.byShard[from]) >= imbalanceFactor*p.loads.relative(into)
 }
 
-// storeMigration stores that a job belongs to another shard. Until the outcome is certain
-// the job is neither started here nor is the try given up: a transaction that comes late
-// would move a job that runs.
+// storeMigration stores that a job belongs to another shard. While the write is in doubt, the job is not
+// started here and the migration is not given up: a delayed transaction would move a job that is running.
 func (p *Planner) storeMigration(owned OwnedShard, job *jobs.Job, target int) {
 	job.SetMigrating(true)
 	key := keys.Job(job.ID)
 	record := job.Record
 	record.Shard = target
-	// Once the record says otherwise, whoever owns the job's shard now starts anew.
+	// Once the job's record names another shard, the owner of that shard schedules the job from the
+	// beginning.
 	pending := func() bool { return owned.Owned() && job.Active() && job.Record.Shard == owned.Number() }
 	p.host.Store(&store.Write{
 		Guards:  []store.Guard{{Key: key, Version: job.Version}, owned.Guard()},
--- a/internal/core/shardplan/rebalance.go
+++ b/internal/core/shardplan/rebalance.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// transferInterval is the least time between two shards that change hands among living
-	// owners, as each time nothing starts in one for a few seconds.
+	// transferInterval is the minimum time between two transfers of shards between live owners, as no task
+	// starts in a shard for a few seconds after each.
 	transferInterval = 10 * units.Second
-	// memberFor is how long a controller must have been a member before shards are
-	// transferred for its sake.
-	memberFor = 3 * units.Second
+	// minMemberTime is how long a controller must have been a member before another controller is asked to
+	// release a shard for it.
+	minMemberTime = 3 * units.Second
 )
 
-// rebalance asks a controller that owns several shards to release the one with the least
-// work while another owns none. What is released is assigned like any shard without an owner.
+// rebalance asks a controller that owns several shards to release the one with the least work if another
+// controller owns none. The released shard is assigned like any shard without an owner.
 func (p *Planner) rebalance(now units.Microseconds) {
 	if !p.sharded || now < p.nextTransferAt {
 		return
@@ -34,8 +34,8 @@
 	p.host.RequestRelease(shard, from)
 }
 
-// imbalance returns a controller that owns no shard and could, one that owns several, and
-// the latter's shards; "" where there is none.
+// imbalance returns a controller that owns no shard and could own one, a controller that owns several shards,
+// and the latter's shards. A name is "" if there is no such controller.
 func (p *Planner) imbalance(now units.Microseconds) (idle, from string, owned []int) {
 	byOwner := map[string][]int{}
 	for _, shard := range p.records.Shards() {
@@ -47,7 +47,7 @@
 		switch {
 		case p.host.CurrentMember(node) == 0:
 		case len(byOwner[node]) == 0:
-			if now-p.host.MemberSince(node) > memberFor && p.host.Responsive(node) && !p.host.UnreachableByWorkers(node) {
+			if now-p.host.MemberSince(node) > minMemberTime && p.host.Responsive(node) && !p.host.UnreachableByWorkers(node) {
 				idle = node
 			}
 		case len(byOwner[node]) > 1:
--- a/internal/core/shardplan/records.go
+++ b/internal/core/shardplan/records.go
@@ -18,31 +18,31 @@
 // Token returns the fencing token of an assignment.
 func (a Assignment) Token() uint64 { return authority.FencingToken(a.Term, a.Number) }
 
-// Allocation is the stored part of every team's limit that a shard may use, with its version.
+// Allocation is the stored fraction of every team's limit that a shard may use, with its version.
 type Allocation struct {
 	Fraction float64
 	Version  uint64 // 0: the shard has none
 }
 
-// nothing is a fraction of a limit that counts as none: fractions are sums of floats.
-const nothing = 1e-9
+// negligibleFraction is the fraction of a limit up to which a fraction counts as 0: fractions are sums of
+// floating-point numbers.
+const negligibleFraction = 1e-9
 
-// Open reports whether a shard may use anything of the limits.
-func (a Allocation) Open() bool { return a.Fraction > nothing }
+// Open reports whether a shard may use any part of the limits. Otherwise it is closed.
+func (a Allocation) Open() bool { return a.Fraction > negligibleFraction }
 
-// Records are the assignments and quota allocations of all shards as the copy of the state
-// service's keys shows them.
+// Records holds the assignments and quota allocations of all shards as the watch cache shows them.
 type Records struct {
 	assignments map[int]Assignment
 	allocations map[int]Allocation
 }
 
-// NewRecords returns the records as of before anything was read.
+// NewRecords returns records into which nothing has been read yet.
 func NewRecords() *Records {
 	return &Records{assignments: map[int]Assignment{}, allocations: map[int]Allocation{}}
 }
 
-// ApplyAssignment takes the stored assignment of a shard.
+// ApplyAssignment applies the stored assignment of a shard as the watch cache reports it.
 func (r *Records) ApplyAssignment(shard int, event store.Event) error {
 	if event.Value == nil {
 		delete(r.assignments, shard)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// ApplyAllocation takes the stored allocation of a shard.
+// ApplyAllocation applies the stored allocation of a shard as the watch cache reports it.
 func (r *Records) ApplyAllocation(shard int, event store.Event) error {
 	if event.Value == nil {
 		delete(r.allocations, shard)
@@ -70,16 +70,16 @@
 	return nil
 }
 
-// Assignment returns the assignment of a shard; that of a shard without one is zero.
+// Assignment returns the assignment of a shard, or the zero value if the shard has none.
 func (r *Records) Assignment(shard int) Assignment { return r.assignments[shard] }
 
-// Allocation returns the allocation of a shard; that of a shard without one is zero.
+// Allocation returns the allocation of a shard, or the zero value if the shard has none.
 func (r *Records) Allocation(shard int) Allocation { return r.allocations[shard] }
 
-// Shards returns the shards that have an assignment, in order.
+// Shards returns the shards that have an assignment, in ascending order.
 func (r *Records) Shards() []int { return slices.Sorted(maps.Keys(r.assignments)) }
 
-// Open returns the shards that may use a part of the limits, in order.
+// Open returns the shards that may use a part of the limits, in ascending order.
 func (r *Records) Open() []int {
 	var open []int
 	for shard, allocation := range r.allocations {
@@ -91,8 +91,8 @@
 	return open
 }
 
-// count returns how many shards there may be: least, or as many as were assigned when there
-// were more controllers.
+// count returns the number of shards that may exist: least, or more if more were assigned when there were
+// more controllers.
 func (r *Records) count(least int) int {
 	for shard := range r.assignments {
 		least = max(least, shard+1)
--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -1,17 +1,17 @@
-// Package shardplan decides how the machines, jobs and quotas of the cluster are divided
-// into shards, and who owns each.
+// Package shardplan decides how the machines, jobs and quotas of the cluster are divided into shards, and
+// which controller owns each shard.
 //
-// The leader (package election) assigns a shard whose owner's membership has expired to
-// another controller (assign.go), divides every team's limit among the shards in use
-// (allocate.go) and asks the owner of several shards to give one up for a controller that
-// owns none (rebalance.go). It does one of these at a time, and decides the next once the
-// copy of the state service's keys shows what the last one stored.
+// The leader (package election) assigns a shard whose owner's membership has expired to another controller
+// (assign.go), divides every team's limit among the shards in use (allocate.go) and asks the owner of several
+// shards to release one for a controller that owns none (rebalance.go). It takes one of these steps at a
+// time, and plans the next one once the watch cache shows what the last one stored.
 //
-// Every controller puts new jobs into the shard with the least work for its machines, and
-// moves jobs that have not started from the shards that it owns (migrate.go); both go by the
-// loads that it adds up for itself (load.go).
+// Every controller puts new jobs into the shard with the least work for its capacity, and migrates jobs that
+// have not started from the shards that it owns (migrate.go). Both use the loads that the controller computes
+// for itself (load.go).
 //
-// It is pure: the time goes in by method calls, writes and requests come out by its Host.
+// The package performs no I/O: the time is passed to its methods, and writes and requests leave through its
+// Host.
 package shardplan
 
 import (
@@ -27,35 +27,35 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the controller that plans. The planner calls it from Tick, Migrate and
-// NewJobShard, and from a migration's Done; it calls back into none of them, but for
-// ReadFresh, which calls its function later. The map is the host's own, to be read only.
+// Host is the controller that plans. The planner calls it from Tick, Migrate and NewJobShard, and from the
+// Done of a migration's write. The host calls none of these back; ReadFresh calls its function only later.
+// The map of MachineGroups belongs to the host and is read only.
 type Host interface {
-	// CacheAge is how long ago the state service last answered; complete is false while the
-	// copy of its keys is taken anew.
+	// CacheAge returns how long ago the state service last answered; complete is false while the watch cache
+	// is being reloaded.
 	CacheAge() (age units.Microseconds, complete bool)
-	// ActiveJobs are the jobs that are not over, in no order.
+	// ActiveJobs yields the jobs that have not ended, in no particular order.
 	ActiveJobs() iter.Seq[*jobs.Job]
-	// MachineGroups are the stored machines of all shards, by key.
+	// MachineGroups returns the stored machine groups of all shards, by key.
 	MachineGroups() map[string]fleet.Group
-	// Type is a machine type; nil: not known.
+	// Type returns a machine type; nil if it is not known.
 	Type(name string) *fleet.Type
-	// Limit is a team's limit; 0 in what it does not limit.
+	// Limit returns a team's limit; 0 in the dimensions that it does not limit.
 	Limit(team string) binpack.Vec
 
 	Members
 
-	// OwnQuotaUses are the largest uses of a team's limit in the shards that this controller
-	// owns, as far as they are known.
+	// OwnQuotaUses yields the shards that this controller owns and the largest fraction of a team's limit in
+	// use in each, as far as known.
 	OwnQuotaUses() iter.Seq2[int, float64]
-	// RequestRelease asks a shard's owner, this controller or another, to give it up.
+	// RequestRelease asks a shard's owner, this controller or another, to release it.
 	RequestRelease(shard int, owner string)
 
-	// Store queues a write with those that decide who may act.
+	// Store queues a write among those that decide which controller may act.
 	Store(w *store.Write)
-	// Version is the version of a key in the copy of the state service's keys.
+	// Version returns the version of a key in the watch cache.
 	Version(key string) uint64
-	// ReadFresh calls a function once a read that began after this call has ended.
+	// ReadFresh calls a function when a read of the state service has ended that began after this call.
 	ReadFresh(ended func(ok bool))
 }
 
@@ -63,64 +63,64 @@
 type Members interface {
 	// Controllers returns the names of all controllers, in the same order on each of them.
 	Controllers() []string
-	// CurrentMember is the membership that a controller has; 0: none. MemberSince is when
-	// that was learnt.
+	// CurrentMember returns the id of a controller's membership; 0: none. MemberSince returns when this
+	// controller learned of that membership.
 	CurrentMember(node string) uint64
 	MemberSince(node string) units.Microseconds
-	// MemberExpired reports whether a membership surely owns nothing any more, and seeks the
-	// votes of a majority to make that sure.
+	// MemberExpired reports whether a membership certainly owns nothing any more. While that is not certain,
+	// it collects the votes of a majority.
 	MemberExpired(node string, id uint64) bool
-	// Responsive reports whether this controller hears from one, itself included.
+	// Responsive reports whether this controller receives messages from a controller. It is true of itself.
 	Responsive(node string) bool
-	// UnreachableByWorkers reports whether a controller is known to be out of the workers' reach.
+	// UnreachableByWorkers reports whether it is known that workers cannot reach a controller.
 	UnreachableByWorkers(node string) bool
-	// Outdated reports whether a controller runs a release that cannot own shards any more,
-	// ToBeUpgraded whether it runs an older one than this controller does.
+	// Outdated reports whether a controller runs a release that can no longer own shards, ToBeUpgraded
+	// whether it runs an older release than this controller.
 	Outdated(node string) bool
 	ToBeUpgraded(node string) bool
-	// Standby names the controller that knows all that runs in a shard; "": none does.
+	// Standby returns the controller that holds a replica of everything that runs in a shard; "" if there is
+	// none.
 	Standby(shard int) string
 }
 
-// Config is what a planner is told at its start.
+// Config holds the settings of a Planner.
 type Config struct {
-	Size          int // controllers
-	ShardMachines int // machines beyond which several shards share the work
-	TxnOps        int // changes that one transaction may have
-	ValueMax      int // bytes of a stored value
+	Size          int // number of controllers
+	ShardMachines int // number of machines beyond which several shards share the work
+	TxnOps        int // changes that one transaction may contain
+	ValueMax      int // maximum size of a stored value in bytes
 	Log           *slog.Logger
 }
 
 const (
-	// planInterval is the least time between two looks at what is to be planned.
+	// planInterval is the minimum time between two planning steps.
 	planInterval = units.Second / 10
-	// freshFor is how old the copy of the state service's keys may be for plans: an older
-	// one shows expired memberships too late, and the guards of a write would fail.
-	freshFor = units.Second
-	// unshardedFor is for how long one shard must have been enough before the others are
-	// closed.
-	unshardedFor = 10 * units.Second
+	// maxCacheAge is how old the watch cache may be for planning. An older one shows expired memberships too
+	// late, and the guards of a write would fail.
+	maxCacheAge = units.Second
+	// unshardDelay is how long one shard must have been enough before the others are closed.
+	unshardDelay = 10 * units.Second
 )
 
-// Planner holds what a controller plans by.
+// Planner plans shards, quotas and migrations for a controller. Create it with New.
 type Planner struct {
 	cfg     Config
 	host    Host
 	records *Records
 	loads   loads
 
-	// Of use only while this controller leads; all of it begins anew with each term.
+	// Used only while this controller leads, and reset with each term.
 	leadership     *election.Leadership
 	nextPlanAt     units.Microseconds
 	sharded        bool               // several shards share the work
-	unshardedSince units.Microseconds // since when one shard would do
-	uses           map[int]quotaUse
-	targets        []float64          // parts of the limits that the shards should have
-	nextTargetsAt  units.Microseconds // targets do not change before
-	nextTransferAt units.Microseconds // no shard changes hands among living owners before
+	unshardedSince units.Microseconds // since when one shard is enough
+	uses           map[int]quotaUse   // reported quota uses by shard
+	targets        []float64          // fractions of the limits that the shards should have
+	nextTargetsAt  units.Microseconds // targets do not change before this time
+	nextTransferAt units.Microseconds // no shard is transferred between live owners before this time
 }
 
-// New returns a planner that does not lead.
+// New returns a planner that is not the leader's.
 func New(cfg Config, records *Records, host Host) *Planner {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -128,8 +128,8 @@
 	return &Planner{cfg: cfg, host: host, records: records, loads: loads{byShard: make([]load, cfg.Size)}}
 }
 
-// StartTerm says that this controller leads from now on. The plans of an earlier term are
-// forgotten: another may have led meanwhile.
+// StartTerm makes this controller's planner the leader's. It discards the plans of an earlier term, as
+// another controller may have led in between.
 func (p *Planner) StartTerm(now units.Microseconds, leadership *election.Leadership) {
 	p.leadership = leadership
 	p.nextPlanAt, p.sharded, p.unshardedSince = 0, false, 0
@@ -138,29 +138,28 @@
 	p.nextTransferAt = now + transferInterval
 }
 
-// Tick does one thing that is due. Only the leader calls it: shards whose owner's
-// membership has expired go to another first, then the quotas are divided, then shards are
-// transferred between living owners.
+// Tick takes one step that is due. Only the leader calls it. Shards whose owner's membership has expired are
+// reassigned first, then quotas are allocated, then shards are transferred between live owners.
 func (p *Planner) Tick(now units.Microseconds) {
-	// While the copy is taken anew it shows assignments as of another time than
-	// memberships: a shard that was just assigned would seem to be an expired member's.
+	// While the watch cache is being reloaded, it shows assignments and memberships as of different times: a
+	// shard that was just assigned would seem to belong to an expired member.
 	age, complete := p.host.CacheAge()
-	if now < p.nextPlanAt || !p.leadership.MayPlan(now) || !complete || age >= freshFor {
+	if now < p.nextPlanAt || !p.leadership.MayPlan(now) || !complete || age >= maxCacheAge {
 		return
 	}
 	p.nextPlanAt = now + planInterval
 	p.measure(now)
-	p.sharded = p.wantsShards(now)
+	p.sharded = p.shouldShard(now)
 	if p.assignShards() || p.allocateQuotas(now) {
 		return
 	}
 	p.rebalance(now)
 }
 
-// shardCount is the number of shards there may be.
+// shardCount returns the number of shards that may exist.
 func (p *Planner) shardCount() int { return p.records.count(p.cfg.Size) }
 
-// shardsInUse is the number of shards that should share the work.
+// shardsInUse returns the number of shards that should share the work.
 func (p *Planner) shardsInUse() int {
 	if p.sharded {
 		return p.cfg.Size
@@ -168,34 +167,34 @@
 	return 1
 }
 
-// wantsShards reports whether there are more machines than one controller can answer; they
-// are provisioned as work asks for them. Where a task needs more of a team's limit than a
-// part of it, the limits stay whole.
-func (p *Planner) wantsShards(now units.Microseconds) bool {
+// shouldShard reports whether there are more machines than one controller can serve. Machines are provisioned
+// as work demands them. If a task needs more of a team's limit than one shard's fraction, the limits are not
+// divided.
+func (p *Planner) shouldShard(now units.Microseconds) bool {
 	if p.cfg.Size == 1 {
 		return false
 	}
-	elsewhere := false
+	jobsElsewhere := false
 	for job := range p.host.ActiveJobs() {
 		if p.needsWholeLimit(job.Spec()) {
 			return false
 		}
-		elsewhere = elsewhere || job.Record.Shard != 0
+		jobsElsewhere = jobsElsewhere || job.Record.Shard != 0
 	}
 	machines := p.loads.machines()
 	if machines > p.cfg.ShardMachines {
 		p.unshardedSince = now
 		return true
 	}
-	if machines > p.cfg.ShardMachines/2 || elsewhere {
+	if machines > p.cfg.ShardMachines/2 || jobsElsewhere {
 		p.unshardedSince = now
 	}
-	sharded := p.sharded || p.records.Allocation(1).Fraction > 0 // an earlier leader's choice stands
-	return sharded && now-p.unshardedSince < unshardedFor
+	sharded := p.sharded || p.records.Allocation(1).Fraction > 0 // an earlier leader's decision stays in force
+	return sharded && now-p.unshardedSince < unshardDelay
 }
 
-// needsWholeLimit reports whether what a job starts at once does not fit into one shard's
-// part of its team's limit.
+// needsWholeLimit reports whether the tasks that a job starts at once do not fit into one shard's fraction of
+// its team's limit.
 func (p *Planner) needsWholeLimit(spec *jobs.Spec) bool {
 	demand := spec.Demand
 	if spec.Service {
--- a/internal/core/shardplan/shardplan_test.go
+++ b/internal/core/shardplan/shardplan_test.go
@@ -20,13 +20,13 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// fataler is a test, of the standard library or of rapid.
+// fataler is a test of the standard library or of rapid.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// fakeHost is controller "a" of a cluster, with a state service of its own.
+// fakeHost is controller "a" of a cluster, with its own state service.
 type fakeHost struct {
 	now      units.Microseconds
 	planner  *Planner
@@ -36,24 +36,24 @@
 	writes   []*store.Write
 	reads    []func(ok bool)
 
-	jobs     map[string]*jobs.Job
-	groups   map[string]fleet.Group
-	limit    binpack.Vec
-	members  map[string]uint64
-	expired  map[string]bool
-	silent   map[string]bool
-	deaf     map[string]bool
-	outdated map[string]bool
-	old      map[string]bool
-	standby  string
-	uses     map[int]float64
-	released map[int]string
+	jobs         map[string]*jobs.Job
+	groups       map[string]fleet.Group
+	limit        binpack.Vec
+	members      map[string]uint64
+	expired      map[string]bool
+	unresponsive map[string]bool
+	unreachable  map[string]bool
+	outdated     map[string]bool
+	olderRelease map[string]bool
+	standby      string
+	uses         map[int]float64
+	released     map[int]string
 }
 
 func newCluster(size int) *fakeHost {
 	h := &fakeHost{now: 100 * units.Second, revision: 100, versions: map[string]uint64{}, jobs: map[string]*jobs.Job{}, groups: map[string]fleet.Group{},
-		members: map[string]uint64{}, expired: map[string]bool{}, silent: map[string]bool{}, deaf: map[string]bool{}, outdated: map[string]bool{},
-		old: map[string]bool{}, uses: map[int]float64{}, released: map[int]string{}}
+		members: map[string]uint64{}, expired: map[string]bool{}, unresponsive: map[string]bool{}, unreachable: map[string]bool{}, outdated: map[string]bool{},
+		olderRelease: map[string]bool{}, uses: map[int]float64{}, released: map[int]string{}}
 	for i := range size {
 		h.members[string(rune('a'+i))] = uint64(i + 1)
 	}
@@ -78,10 +78,10 @@
 func (h *fakeHost) MemberExpired(node string, _ uint64) bool {
 	return h.expired[node]
 }
-func (h *fakeHost) Responsive(node string) bool            { return !h.silent[node] }
-func (h *fakeHost) UnreachableByWorkers(node string) bool  { return h.deaf[node] }
+func (h *fakeHost) Responsive(node string) bool            { return !h.unresponsive[node] }
+func (h *fakeHost) UnreachableByWorkers(node string) bool  { return h.unreachable[node] }
 func (h *fakeHost) Outdated(node string) bool              { return h.outdated[node] }
-func (h *fakeHost) ToBeUpgraded(node string) bool          { return h.old[node] }
+func (h *fakeHost) ToBeUpgraded(node string) bool          { return h.olderRelease[node] }
 func (h *fakeHost) Standby(int) string                     { return h.standby }
 func (h *fakeHost) OwnQuotaUses() iter.Seq2[int, float64]  { return maps.All(h.uses) }
 func (h *fakeHost) RequestRelease(shard int, owner string) { h.released[shard] = owner }
@@ -92,13 +92,13 @@
 // CacheAge implements election.Host.
 func (h *fakeHost) CacheAge() units.Microseconds { return 0 }
 
-// planningHost is the cluster as the planner's host.
+// planningHost is the fakeHost as the planner's host: its CacheAge differs from election.Host's.
 type planningHost struct{ *fakeHost }
 
 func (planningHost) CacheAge() (age units.Microseconds, complete bool) { return 0, true }
 
-// learn stores a value at the present revision and lets the controller learn of it.
-func (h *fakeHost) learn(t fataler, key string, value []byte) {
+// apply stores a value at the present revision and applies it to the controller.
+func (h *fakeHost) apply(t fataler, key string, value []byte) {
 	t.Helper()
 	h.versions[key] = h.revision
 	event := store.Event{Key: key, Value: value, Stamp: h.revision}
@@ -120,7 +120,7 @@
 	}
 }
 
-// answer lets the state service carry the oldest write out, or not.
+// answer completes the oldest write with an outcome, or with store.Failed if one of its guards does not hold.
 func (h *fakeHost) answer(t fataler, outcome store.Outcome) {
 	t.Helper()
 	w := h.writes[0]
@@ -133,13 +133,13 @@
 	if outcome == store.OK {
 		h.revision++
 		for _, change := range w.Changes {
-			h.learn(t, change.Key, change.Value)
+			h.apply(t, change.Key, change.Value)
 		}
 	}
 	w.Done(outcome, h.revision)
 }
 
-// plan lets the leader plan once, and the state service take what it writes.
+// plan has the leader plan once and stores what it writes.
 func (h *fakeHost) plan(t fataler) {
 	t.Helper()
 	h.now += planInterval
@@ -155,11 +155,11 @@
 	h.election.Tick()
 	h.answer(t, store.OK)
 	if !h.election.Leads() {
-		t.Fatal("nobody leads")
+		t.Fatal("the controller does not lead")
 	}
 }
 
-// machines gives each shard so many machines.
+// machines sets the number of machines of each shard.
 func (h *fakeHost) machines(counts ...int) {
 	for shard, n := range counts {
 		key := fmt.Sprint(shard)
@@ -167,10 +167,10 @@
 	}
 }
 
-// What the shards may use of the limits and what they still use never add up to more than
-// the limits, however capacity moves among them, reports are late, lost or of an earlier
-// allocation, and whatever becomes of the leader's writes. An owner lowers what it uses in
-// its own time, and never uses more than its allocation unless it did before.
+// The allocations of all shards, with what the shards still use beyond them, must never add up to more than
+// the limits: however capacity moves between shards, if reports are delayed, lost or about an earlier
+// allocation, and whatever the outcomes of the leader's writes. An owner reduces its use at its own pace, and
+// never uses more than its allocation unless it did before.
 func TestQuotasNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &quotaModel{cluster: newCluster(quotaShards)}
@@ -188,14 +188,14 @@
 
 const quotaShards = 3
 
-// quotaModel are shards whose owners use their parts of the limits.
+// quotaModel is a set of shards whose owners use their fractions of the limits.
 type quotaModel struct {
 	cluster *fakeHost
 	used    [quotaShards]float64
-	late    []quotaReport
+	delayed []quotaReport
 }
 
-// quotaReport is what an owner has sent of a shard.
+// quotaReport is an owner's report of a shard's quota use.
 type quotaReport struct {
 	shard   int
 	version uint64
@@ -249,7 +249,7 @@
 
 func (m *quotaModel) Report(t *rapid.T) {
 	shard := m.drawShard(t)
-	m.late = append(m.late, quotaReport{shard, m.allocation(shard).Version, m.used[shard]})
+	m.delayed = append(m.delayed, quotaReport{shard, m.allocation(shard).Version, m.used[shard]})
 }
 
 func (m *quotaModel) AllReport(*rapid.T) {
@@ -259,10 +259,10 @@
 }
 
 func (m *quotaModel) LateReport(t *rapid.T) {
-	if len(m.late) == 0 {
+	if len(m.delayed) == 0 {
 		t.Skip()
 	}
-	m.observe(m.late[rapid.IntRange(0, len(m.late)-1).Draw(t, "which")])
+	m.observe(m.delayed[rapid.IntRange(0, len(m.delayed)-1).Draw(t, "which")])
 }
 
 func (m *quotaModel) Check(t *rapid.T) {
@@ -270,13 +270,13 @@
 	for shard := range quotaShards {
 		sum += max(m.used[shard], m.allocation(shard).Fraction)
 	}
-	if sum > 1+2*rounding {
-		t.Fatalf("%v of the limits are used or may be: %v", sum, m.used)
+	if sum > 1+2*roundingTolerance {
+		t.Fatalf("%v of the limits is allocated or used: %v", sum, m.used)
 	}
 }
 
-// A shard goes to the controller that owns the fewest, and among those to the one that
-// costs least; one that workers cannot reach gets it only where there is no other.
+// A shard must go to the controller that owns the fewest, and among those to the one with the lowest cost. A
+// controller that workers cannot reach must get it only if there is no other.
 func TestChooseOwner(t *testing.T) {
 	assigned := func(node string) Assignment {
 		return Assignment{Assignment: authority.Assignment{Term: 1, Number: 1, Node: node}, Version: 1}
@@ -292,11 +292,11 @@
 		"the standby":                       {assigned("b"), nil, func(h *fakeHost) { h.standby = "c" }, "c"},
 		"not one without a membership":      {assigned("b"), nil, func(h *fakeHost) { h.members["b"] = 0 }, "a"},
 		"not one of an outdated release":    {assigned("b"), nil, func(h *fakeHost) { h.outdated["b"] = true }, "a"},
-		"not one that is to be upgraded":    {assigned("b"), nil, func(h *fakeHost) { h.old["b"] = true }, "a"},
-		"not one out of the workers' reach": {assigned("b"), nil, func(h *fakeHost) { h.deaf["b"] = true }, "a"},
-		"unless there is no other":          {assigned("b"), nil, func(h *fakeHost) { h.deaf = map[string]bool{"a": true, "b": true, "c": true} }, "b"},
+		"not one that is to be upgraded":    {assigned("b"), nil, func(h *fakeHost) { h.olderRelease["b"] = true }, "a"},
+		"not one that workers cannot reach": {assigned("b"), nil, func(h *fakeHost) { h.unreachable["b"] = true }, "a"},
+		"unless there is no other":          {assigned("b"), nil, func(h *fakeHost) { h.unreachable = map[string]bool{"a": true, "b": true, "c": true} }, "b"},
 		"not the one that released it": {
-			Assignment{Assignment: authority.Assignment{ReleasedBy: "a"}, Version: 1}, nil, func(h *fakeHost) { h.silent["b"] = true }, "c"},
+			Assignment{Assignment: authority.Assignment{ReleasedBy: "a"}, Version: 1}, nil, func(h *fakeHost) { h.unresponsive["b"] = true }, "c"},
 		"nobody": {assigned("b"), nil, func(h *fakeHost) { h.members = map[string]uint64{"a": 0, "b": 0, "c": 0} }, ""},
 	} {
 		h := newCluster(3)
@@ -307,30 +307,30 @@
 	}
 }
 
-// A shard whose owner's membership has expired is assigned anew under a higher fencing
-// token that names the one before; nothing else is touched.
+// A shard whose owner's membership has expired must be assigned again, under a higher fencing token that
+// names the previous one. No other assignment may change.
 func TestExpiredOwnerIsReplaced(t *testing.T) {
 	cluster := newCluster(3)
 	cluster.lead(t)
 	cluster.plan(t)
 	first := cluster.planner.records.Assignment(0)
 	if first.Node != "a" || cluster.planner.records.Allocation(0).Fraction != 1 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first assignment: %+v", first)
 	}
 	cluster.plan(t)
 	if again := cluster.planner.records.Assignment(0); again != first {
-		t.Fatalf("%+v after %+v", again, first)
+		t.Fatalf("assigned again without need: %+v after %+v", again, first)
 	}
 	cluster.expired["a"], cluster.members["a"] = true, 9
 	cluster.plan(t)
 	if next := cluster.planner.records.Assignment(0); next.MemberID != 9 || next.Token() <= first.Token() || next.PreviousToken != first.Token() || next.TransferredFrom != 0 {
-		t.Fatalf("%+v after %+v", next, first)
+		t.Fatalf("assignment after the owner expired: %+v after %+v", next, first)
 	}
 }
 
-// Once there are more machines than one shard takes, all controllers get shards and parts of
-// the limits; the owner of two is asked for one while another has none.
-func TestShardsAreSpread(t *testing.T) {
+// With more machines than one shard supports, all controllers must get shards and fractions of the limits.
+// The owner of two shards must be asked to release one while another controller owns none.
+func TestShardsAreDistributed(t *testing.T) {
 	cluster := newCluster(3)
 	cluster.members["c"] = 0
 	cluster.lead(t)
@@ -345,14 +345,14 @@
 	for shard := range 3 {
 		sum += cluster.planner.records.Allocation(shard).Fraction
 	}
-	if sum < 1-rounding || len(cluster.planner.records.Open()) != 3 {
-		t.Fatalf("%v of the limits for %v", sum, cluster.planner.records.Open())
+	if sum < 1-roundingTolerance || len(cluster.planner.records.Open()) != 3 {
+		t.Fatalf("%v of the limits is allocated to shards %v", sum, cluster.planner.records.Open())
 	}
 	cluster.members["c"] = 3
 	cluster.now += transferInterval
 	cluster.plan(t)
 	if len(cluster.released) != 1 {
-		t.Fatalf("asks for %v", cluster.released)
+		t.Fatalf("requested releases: %v", cluster.released)
 	}
 }
 
@@ -363,13 +363,14 @@
 func (*ownedShard) Guard() store.Guard { return store.Guard{Key: keys.Assignment(0)} }
 func (s *ownedShard) Owned() bool      { return !s.lost }
 
-// A job migrates to the shard with less work. Until it is certain that the transaction can
-// never be carried out, the job is not started here, whatever the answer was.
+// A job migrates to the shard with less work. Until it is certain that the transaction can never be carried
+// out, the job must not be started here, whatever the answer was: a delayed transaction would move a running
+// job.
 func TestMigrationInDoubt(t *testing.T) {
 	for _, test := range []struct {
 		outcome    store.Outcome
-		changed    bool // the job's record has another version by then
-		wantQueued bool // the migration is tried again
+		changed    bool // the job's record has another version when it is read
+		wantQueued bool // the migration is retried
 	}{
 		{store.Failed, false, false},
 		{store.TooLarge, false, false},
@@ -379,8 +380,8 @@
 		cluster := newCluster(2)
 		cluster.machines(10, 10)
 		cluster.revision++
-		cluster.learn(t, keys.Allocation(0), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
-		cluster.learn(t, keys.Allocation(1), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
+		cluster.apply(t, keys.Allocation(0), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
+		cluster.apply(t, keys.Allocation(1), store.Value(authority.QuotaAllocation{Fraction: 0.5}))
 		var ordered []*jobs.Job
 		for i := range 4 {
 			job := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Version: 7, Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{binpack.CPU: 100}}}}
@@ -402,11 +403,11 @@
 		}
 		write.Done(test.outcome, 0)
 		if !ordered[3].Migrating || len(cluster.reads) != 1 {
-			t.Fatalf("%v: %v, %d reads", test.outcome, ordered[3].Migrating, len(cluster.reads))
+			t.Fatalf("%v: migrating %v, %d reads", test.outcome, ordered[3].Migrating, len(cluster.reads))
 		}
 		cluster.reads[0](true)
 		if queued := len(cluster.writes) == 1; queued != test.wantQueued || ordered[3].Migrating != test.wantQueued {
-			t.Errorf("%v, changed %v: queued again %v", test.outcome, test.changed, queued)
+			t.Errorf("%v, record changed %v: migration queued again %v", test.outcome, test.changed, queued)
 		}
 	}
 }
--- a/internal/core/shardstore/groups.go
+++ b/internal/core/shardstore/groups.go
@@ -8,28 +8,29 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// machineGroup is how machines that were provisioned together are stored.
+// machineGroup is a group of machines that were provisioned together. They are stored in one record.
 type machineGroup struct {
-	key     string
-	kind    fleet.Group // without its machines
-	members []string    // those that the shard has no more are dropped when the group is next stored
-	queued  bool        // is among those to be stored
-	urgent  bool        // a machine that is up waits for it
+	key      string
+	template fleet.Group // record of the group without its machines
+	members  []string    // machine names; those that left the shard are dropped when the group is next stored
+	queued   bool        // the group is in changedGroups
+	urgent   bool        // a machine that is up waits for the group to be stored
 }
 
-// AddMachine notes that a machine belongs to a group, which is of this kind where it is new.
-// Nothing is stored for that alone.
-func (w *Writer) AddMachine(key, name string, kind fleet.Group) {
+// AddMachine adds a machine to a group, and creates the group from the template if it is new. That alone
+// stores nothing.
+func (w *Writer) AddMachine(key, name string, template fleet.Group) {
 	group := w.groups[key]
 	if group == nil {
-		group = &machineGroup{key: key, kind: kind}
+		group = &machineGroup{key: key, template: template}
 		w.groups[key] = group
 	}
 	group.members = append(group.members, name)
 }
 
-// StoreGroup has a group stored soon as it is by then. Tasks may start only on machines that a
-// next owner would know of: where one that is up waits for that, it is urgent.
+// StoreGroup schedules a group to be stored in the state that it has when it is written. Tasks may start only
+// on machines that the shard's next owner would know of, so a write is urgent if a machine that is up waits
+// for it.
 func (w *Writer) StoreGroup(key string, urgent bool) {
 	group := w.groups[key]
 	if group == nil {
@@ -42,14 +43,14 @@
 	}
 }
 
-// StoreAllGroups has every group stored again, as the state service may have lost it.
+// StoreAllGroups schedules every group to be stored again, as the state service may have lost it.
 func (w *Writer) StoreAllGroups() {
 	for _, key := range slices.Sorted(maps.Keys(w.groups)) {
 		w.StoreGroup(key, true)
 	}
 }
 
-// flushUrgentGroups writes the groups that machines wait for and returns the capacity left.
+// flushUrgentGroups writes the urgent groups and returns the remaining capacity.
 func (w *Writer) flushUrgentGroups(capacity int) int {
 	var rest []*machineGroup
 	for _, group := range w.changedGroups {
@@ -64,7 +65,7 @@
 	return capacity
 }
 
-// flushGroups writes the other groups and returns the capacity left.
+// flushGroups writes the other groups and returns the remaining capacity.
 func (w *Writer) flushGroups(capacity int) int {
 	for capacity > 0 && len(w.changedGroups) > 0 {
 		capacity--
@@ -75,10 +76,10 @@
 	return capacity
 }
 
-// writeGroup stores a group as it is now; without machines it is deleted.
+// writeGroup stores the present state of a group. A group without machines is deleted.
 func (w *Writer) writeGroup(group *machineGroup) {
 	group.queued, group.urgent = false, false
-	record := w.record(group)
+	record := w.groupRecord(group)
 	change := store.Change{Key: group.key}
 	if len(group.members) > 0 {
 		change.Value = store.Value(record)
@@ -90,10 +91,10 @@
 	w.Write(done, []string{group.key}, change)
 }
 
-// record is a group as it is to be stored. A machine counts as up from its first heartbeat on:
-// from then on tasks may start there.
-func (w *Writer) record(group *machineGroup) fleet.Group {
-	record := group.kind
+// groupRecord returns the record of a group that is to be stored. A machine counts as up from its first
+// heartbeat on: from then on tasks may start on it.
+func (w *Writer) groupRecord(group *machineGroup) fleet.Group {
+	record := group.template
 	group.members = slices.DeleteFunc(group.members, func(name string) bool {
 		machine := w.host.Machine(name)
 		return machine == nil || machine.Group != group.key
@@ -108,10 +109,10 @@
 	return record
 }
 
-// groupWritten takes the outcome of storing a group with some machines as up.
+// groupWritten handles the outcome of storing a group. up holds the machines that were stored as up.
 func (w *Writer) groupWritten(group *machineGroup, change store.Change, up []string, outcome store.Outcome) {
 	switch {
-	case outcome == store.TooLarge: // not again as it is
+	case outcome == store.TooLarge: // a retry would be just as large
 	case outcome != store.OK:
 		w.StoreGroup(group.key, len(up) > 0)
 	case change.Value == nil:
--- a/internal/core/shardstore/progress.go
+++ b/internal/core/shardstore/progress.go
@@ -7,30 +7,30 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// progressAge is how long finished tasks wait to be stored: their machines remember them until
-// then, so that nothing is lost if this owner ends.
-const progressAge = 2 * units.Second
+// progressDelay is how long finished tasks wait before they are stored. Their machines remember them until
+// they are stored, so nothing is lost if this owner fails.
+const progressDelay = 2 * units.Second
 
-// TaskFinished takes in that a task is done. A job is closed with its last one.
+// TaskFinished records that a task has finished. If it was the job's last one, the job is closed.
 func (w *Writer) TaskFinished(job *jobs.Job, task int) {
 	job.Finish(task, w.cfg.Layout)
 	w.host.TaskFinished(job.ID, task)
 	if job.AllFinished() {
-		w.CloseJob(job) // users wait for it
+		w.CloseJob(job) // at once, as users wait for it
 		return
 	}
 	w.StoreProgress(job)
 }
 
-// StoreProgress has a job's marked records stored soon, unless that is planned already.
+// StoreProgress schedules a job's marked records to be stored, unless that is already scheduled.
 func (w *Writer) StoreProgress(job *jobs.Job) {
 	if job.AwaitStorage(w.host.Now()) {
 		w.unstoredJobs = append(w.unstoredJobs, job)
 	}
 }
 
-// StoreAllProgress has all of a job's finished tasks stored again, as the state service may
-// have lost them.
+// StoreAllProgress schedules all finished tasks of a job to be stored again, as the state service may have
+// lost them.
 func (w *Writer) StoreAllProgress(job *jobs.Job) {
 	if job.Finished() == 0 {
 		return
@@ -41,17 +41,17 @@
 	w.StoreProgress(job)
 }
 
-// flushProgress writes the finished tasks that have waited for long enough, and returns the
-// capacity left.
+// flushProgress writes the finished tasks that have waited for progressDelay, and returns the remaining
+// capacity.
 func (w *Writer) flushProgress(capacity int) int {
 	for capacity > 0 && len(w.unstoredJobs) > 0 {
 		job := w.unstoredJobs[0]
-		if w.host.Now()-job.DirtySince < progressAge {
+		if w.host.Now()-job.DirtySince < progressDelay {
 			break
 		}
 		w.unstoredJobs = w.unstoredJobs[1:]
 		if !job.Active() || job.AllFinished() {
-			continue // its end is stored instead
+			continue // CloseJob stores the end of the job instead
 		}
 		for _, first := range job.TakeDirty() {
 			capacity--
@@ -61,14 +61,14 @@
 	return capacity
 }
 
-// writeProgress stores the finished tasks of the record that begins with a task. It covers all
-// that is finished now; what is added before it is sent goes into the next one.
+// writeProgress stores the finished tasks in the record that begins with the given task. It covers all tasks
+// finished by now; tasks that finish before it is sent go into the next write.
 func (w *Writer) writeProgress(job *jobs.Job, first int) {
 	part := w.cfg.Layout.Of(first, job.Record.Tasks)
 	key := keys.Progress(job.ID, part.Name)
 	value := jobs.Progress{Tasks: job.FinishedRanges(part), Failing: part.Base == 0 && job.FailsEverywhere()}
-	// The job's record is guarded as well: once that is final, those of its progress are
-	// deleted, and one that came late would stay for good.
+	// The write is guarded by the job's record, too: once that is final, the progress records are deleted,
+	// and a delayed write would leave one that is never deleted.
 	w.Write(func(outcome store.Outcome) {
 		if outcome != store.OK && outcome != store.TooLarge && job.Active() {
 			job.MarkDirty(first)
@@ -77,8 +77,8 @@
 	}, []string{key, keys.Job(job.ID)}, store.Change{Key: key, Value: store.Value(value)})
 }
 
-// CloseJob stores that a job is done, and deletes its records of finished tasks, unless that is
-// under way. Users are told only once the copy shows that it is stored.
+// CloseJob stores that a job is done and deletes its records of finished tasks, unless that is already in
+// flight. Users see the job as done only once the watch cache shows that it is stored.
 func (w *Writer) CloseJob(job *jobs.Job) {
 	if !job.Active() || job.Closing {
 		return
@@ -94,7 +94,7 @@
 	}
 	job.SetClosing(true)
 	write := w.guarded([]string{key}, changes)
-	write.First = w.host.HasDependents(job.ID) // those that wait for it start once that is stored
+	write.First = w.host.HasDependents(job.ID) // dependent jobs start once it is stored
 	write.Done = func(store.Outcome, uint64) { job.SetClosing(false) }
 	w.host.Enqueue(write)
 }
--- a/internal/core/shardstore/shardstore.go
+++ b/internal/core/shardstore/shardstore.go
@@ -1,15 +1,15 @@
-// Package shardstore stores what the owner of a shard has to have stored: which machines there
-// are, which tasks are finished, which jobs are done, and what is to be deleted behind those
-// that are over.
+// Package shardstore writes the state of a shard to the state service on behalf of the shard's owner: its
+// machines, its finished tasks, its finished jobs, and the deletion of records that finished jobs leave
+// behind.
 //
-// Every write is guarded by the assignment under which the shard is owned, and by the versions
-// of the keys on which it builds. No answer means that the outcome is unknown: the write may
-// still be carried out, at any later time. With its guards it fails then if the shard has
-// another owner or somebody has changed the keys, so it is safe to write again what is there by
-// then. Nothing counts as stored before the answer says so, or a read of the copy shows it.
+// Every write is guarded by the assignment under which the shard is owned, and by the versions of the keys
+// that it builds on. If no answer arrives, the outcome is unknown: the write may still be carried out at any
+// later time. Because of its guards it then fails if the shard has another owner or the keys have changed, so
+// it is safe to write again whatever the current state is. Nothing counts as stored before the answer says so
+// or the watch cache shows it.
 //
-// Deferred writes are made only as fast as the queue sends them: what is written is then as it
-// is at that time, and several changes of a key are one.
+// Deferred writes are queued only as fast as the queue sends them. Each stores the state at the time when it
+// is queued, so several changes of a key are combined in one write.
 package shardstore
 
 import (
@@ -19,71 +19,73 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the owner of the shard. Its methods are called while a Writer is half-way through a
-// step and must not call the Writer; outcomes of writes come later, from outside.
+// Host is the owner of the shard. Its methods are called while a Writer is in the middle of a step and must
+// not call the Writer. Outcomes of writes are delivered later, from outside such calls.
 type Host interface {
-	// Now is the steady time, Wall the time of day.
+	// Now returns the monotonic time, Wall the time of day.
 	Now() units.Microseconds
 	Wall() units.Microseconds
-	// Assignment is the condition that this node still owns the shard.
+	// Assignment returns the condition that this controller still owns the shard.
 	Assignment() store.Guard
-	// Version is a key's version in the copy, 0 if it does not exist.
+	// Version returns the version of a key in the watch cache, 0 if the key does not exist.
 	Version(key string) uint64
-	// Enqueue queues a write. Its outcome must not be told before Enqueue has returned.
+	// Enqueue queues a write. It must return before the write's Done is called.
 	Enqueue(write *store.Write)
-	// Capacity is how many deferred writes go with the queue's next transaction.
+	// Capacity returns how many deferred writes fit into the queue's next transaction.
 	Capacity() int
 	// Machine returns a machine of the shard, or nil.
 	Machine(name string) *fleet.Machine
-	// GroupDeleted says that a group of machines is surely stored no more.
+	// GroupDeleted is called once a machine group is certainly no longer stored.
 	GroupDeleted(key string)
-	// TaskFinished says that a task is done, which is not stored yet.
+	// TaskFinished is called when a task has finished, before that is stored.
 	TaskFinished(job string, task int)
 	// HasDependents reports whether other jobs wait until a job is stored as done.
 	HasDependents(job string) bool
 }
 
-// GarbageCollector is what is to be deleted behind jobs. It queues its changes by the Writer's Write.
+// GarbageCollector deletes the records that finished jobs leave behind. It queues its changes with the
+// Writer's Write.
 type GarbageCollector interface {
 	// Pending reports whether Collect has anything to do.
 	Pending() bool
-	// Collect queues up to so many changes.
+	// Collect queues at most capacity changes.
 	Collect(capacity int, writer *Writer)
-	// CollectOrphans deletes, from time to time, what submissions left that were abandoned
-	// half-way. It is called with every Flush.
+	// CollectOrphans periodically deletes the records of submissions that were abandoned before they were
+	// complete. It is called with every Flush.
 	CollectOrphans(writer *Writer)
 }
 
-// Config says how a shard is written.
+// Config holds the settings of a Writer.
 type Config struct {
-	Layout jobs.ProgressLayout // of records of finished tasks
-	TxnOps int                 // changes that the state service takes in one transaction
-	// Garbage is nil where another shard's owner collects it.
+	Layout jobs.ProgressLayout // layout of the records of finished tasks
+	TxnOps int                 // changes that the state service accepts in one transaction
+	// Garbage is nil if another shard's owner collects the garbage.
 	Garbage GarbageCollector
 }
 
-// flushEvery keeps transactions few, so that each carries several changes.
-const flushEvery = units.Second / 8
+// flushInterval is the minimum time between two flushes. It keeps transactions few, so that each carries
+// several changes.
+const flushInterval = units.Second / 8
 
-// Writer has everything stored that is to be stored of one shard under one assignment.
+// Writer writes the state of one shard under one assignment. Create it with New.
 type Writer struct {
 	cfg            Config
 	host           Host
-	groups         map[string]*machineGroup // stored machines, by key
-	changedGroups  []*machineGroup          // that are to be stored
-	unstoredJobs   []*jobs.Job              // with finished tasks that are to be stored, those that wait longest first
+	groups         map[string]*machineGroup // machine groups by key
+	changedGroups  []*machineGroup          // groups to be stored
+	unstoredJobs   []*jobs.Job              // jobs with finished tasks to be stored, the longest waiting first
 	nextFlushAt    units.Microseconds
-	storingRelease bool
+	storingRelease bool // a write of StoreRelease is in flight
 }
 
-// New returns a writer that has nothing to write yet.
+// New returns a writer with nothing to write yet.
 func New(cfg Config, host Host) *Writer {
 	return &Writer{cfg: cfg, host: host, groups: map[string]*machineGroup{}}
 }
 
-// Flush queues what is to be stored, as much as goes with the next transaction: machines that
-// are up, as tasks wait for that; then finished tasks, those that wait longest first; then other
-// changes of machines; then what is only deleted. It is called often.
+// Flush queues as much as fits into the next transaction, in this order: groups with machines that are up, as
+// tasks wait for these; finished tasks, the longest waiting first; other changes of groups; deletions. It is
+// called often.
 func (w *Writer) Flush() {
 	if w.cfg.Garbage != nil {
 		w.cfg.Garbage.CollectOrphans(w)
@@ -97,7 +99,7 @@
 	if capacity == 0 {
 		return
 	}
-	w.nextFlushAt = w.host.Now() + flushEvery
+	w.nextFlushAt = w.host.Now() + flushInterval
 	capacity = w.flushUrgentGroups(capacity)
 	capacity = w.flushProgress(capacity)
 	capacity = w.flushGroups(capacity)
@@ -106,8 +108,8 @@
 	}
 }
 
-// StoreRelease stores that this node gives the shard up. It may be called again and again until
-// the copy shows that it is so.
+// StoreRelease stores that this controller releases the shard. It may be called repeatedly until the watch
+// cache shows the release; only one write is in flight at a time.
 func (w *Writer) StoreRelease(released store.Change) {
 	if w.storingRelease {
 		return
@@ -120,8 +122,8 @@
 	})
 }
 
-// guarded returns a write that fails once the assignment has ended, or one of the keys has
-// another version than the copy shows.
+// guarded returns a write that fails if the assignment has ended or one of the keys has a version other than
+// the watch cache shows.
 func (w *Writer) guarded(keys []string, changes []store.Change) *store.Write {
 	write := &store.Write{Guards: []store.Guard{w.host.Assignment()}, Changes: changes}
 	for _, key := range keys {
@@ -130,7 +132,8 @@
 	return write
 }
 
-// Write queues a guarded write that nobody waits for; done is told the outcome later.
+// Write queues a guarded, deferred write, for changes that no user request is waiting for. done is called
+// with the outcome later.
 func (w *Writer) Write(done func(store.Outcome), keys []string, changes ...store.Change) {
 	write := w.guarded(keys, changes)
 	write.Deferred = true
--- a/internal/core/shardstore/shardstore_test.go
+++ b/internal/core/shardstore/shardstore_test.go
@@ -14,8 +14,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fakeOwner is the owner of shard 3 under version 40 of its assignment, with a queue that keeps
-// what is written until a test settles it.
+// fakeOwner is the owner of shard 3 under version 40 of its assignment. Its queue keeps writes until a test
+// completes them.
 type fakeOwner struct {
 	now, wall units.Microseconds
 	versions  map[string]uint64
@@ -43,9 +43,9 @@
 func (o *fakeOwner) TaskFinished(_ string, task int)    { o.finished = append(o.finished, task) }
 func (o *fakeOwner) HasDependents(job string) bool      { return job == "wk-000009" }
 
-// settle tells the writes that wait their outcome, and checks that each is guarded by the
-// assignment.
-func (o *fakeOwner) settle(t *testing.T, outcome store.Outcome) []*store.Write {
+// completeAll completes all queued writes with an outcome, checks that each is guarded by the assignment, and
+// returns them.
+func (o *fakeOwner) completeAll(t *testing.T, outcome store.Outcome) []*store.Write {
 	t.Helper()
 	settled := o.queue
 	o.queue = nil
@@ -66,13 +66,13 @@
 	return settled
 }
 
-// flush lets enough time pass for whatever waits.
+// flush advances the time beyond every delay and flushes the writer.
 func (o *fakeOwner) flush(w *Writer) {
 	o.now += 3 * units.Second
 	w.Flush()
 }
 
-// addMachine has a group of the writer get a machine that has sent a heartbeat or not.
+// addMachine adds a machine to a group of the writer; up reports whether the machine has sent a heartbeat.
 func (o *fakeOwner) addMachine(w *Writer, key, name string, up bool) *fleet.Machine {
 	machine := fleet.New(name, fleet.Record{Type: "big", Zone: "z"}, nil, o.now)
 	machine.Group = key
@@ -93,9 +93,9 @@
 	return g
 }
 
-// TestGroupIsWrittenUntilStored has the outcomes of writes of a group not known: it is written
-// again, guarded by the version that is there then, and its machine counts as stored only after
-// a write that surely was.
+// TestGroupIsWrittenUntilStored has writes of a group fail or end in doubt. The group must be written again,
+// guarded by the present version of its key, and its machine must count as stored only after a write that
+// certainly was.
 func TestGroupIsWrittenUntilStored(t *testing.T) {
 	owner := newFakeOwner()
 	w := New(Config{TxnOps: 8}, owner)
@@ -103,12 +103,12 @@
 	machine := owner.addMachine(w, key, "n-1", true)
 	owner.addMachine(w, key, "n-2", false)
 	w.StoreGroup(key, true)
-	w.StoreGroup(key, false) // once is enough
+	w.StoreGroup(key, false) // already scheduled: must not add a second write
 	for _, outcome := range []store.Outcome{store.Unknown, store.Failed, store.Refused, store.OK} {
-		owner.versions[key] += 5 // whoever has written it meanwhile
+		owner.versions[key] += 5 // another write has changed the key
 		owner.flush(w)
 		version := owner.versions[key]
-		writes := owner.settle(t, outcome)
+		writes := owner.completeAll(t, outcome)
 		if len(writes) != 1 || !writes[0].Deferred || !slices.Contains(writes[0].Guards, store.Guard{Key: key, Version: version}) {
 			t.Fatalf("%v: %d writes, %+v", outcome, len(writes), writes)
 		}
@@ -116,7 +116,7 @@
 			t.Errorf("%v: stored %+v", outcome, g)
 		}
 		if machine.Record.Up != (outcome == store.OK) {
-			t.Errorf("%v: known to be stored as up: %v", outcome, machine.Record.Up)
+			t.Errorf("%v: machine counts as stored as up: %v", outcome, machine.Record.Up)
 		}
 	}
 	owner.flush(w)
@@ -125,8 +125,9 @@
 	}
 }
 
-// TestGroupWithoutMachines is deleted where it was stored, and just forgotten where it was not.
-func TestGroupWithoutMachines(t *testing.T) {
+// TestEmptyGroupIsDeleted checks that a group without machines is deleted if it was stored, and only dropped
+// from memory if it was not.
+func TestEmptyGroupIsDeleted(t *testing.T) {
 	owner := newFakeOwner()
 	w := New(Config{TxnOps: 8}, owner)
 	stored, unknown := keys.MachinePrefix+"r-1", keys.MachinePrefix+"r-2"
@@ -137,18 +138,18 @@
 		w.StoreGroup(key, false)
 	}
 	owner.flush(w)
-	writes := owner.settle(t, store.OK)
+	writes := owner.completeAll(t, store.OK)
 	if len(writes) != 1 || writes[0].Changes[0].Key != stored || writes[0].Changes[0].Value != nil {
-		t.Fatalf("%+v", writes)
+		t.Fatalf("writes: %+v", writes)
 	}
 	if !slices.Equal(owner.deleted, []string{stored}) || len(w.groups) != 0 {
 		t.Errorf("deleted %v, kept %v", owner.deleted, slices.Collect(maps.Keys(w.groups)))
 	}
 }
 
-// TestMachinesThatWaitGoFirst has less capacity than there is to store: machines that are up,
-// then progress, then other machines.
-func TestMachinesThatWaitGoFirst(t *testing.T) {
+// TestFlushOrder has less capacity than there is to store. Groups with machines that are up must be written
+// first, as tasks wait for these, then progress, then other groups.
+func TestFlushOrder(t *testing.T) {
 	owner := newFakeOwner()
 	w := New(Config{TxnOps: 8, Layout: jobs.ProgressLayout{TasksPerRecord: 256}}, owner)
 	job := pendingJob("wk-000001", 2)
@@ -162,12 +163,12 @@
 	for range 6 {
 		owner.capacity = 1
 		owner.flush(w)
-		for _, write := range owner.settle(t, store.OK) {
+		for _, write := range owner.completeAll(t, store.OK) {
 			order = append(order, strings.TrimPrefix(write.Changes[0].Key, keys.Root))
 		}
 	}
 	if want := []string{"machine/n-2", "progress/wk-000001/0", "machine/n-1", "machine/n-3"}; !slices.Equal(order, want) {
-		t.Errorf("%v, want %v", order, want)
+		t.Errorf("write order %v, want %v", order, want)
 	}
 	owner.capacity = 0
 	w.StoreAllGroups()
@@ -183,25 +184,25 @@
 	return job
 }
 
-// TestProgressWaits has finished tasks stored after a moment, guarded by the job's record, and
-// again where the outcome is not known.
-func TestProgressWaits(t *testing.T) {
+// TestProgressIsDelayedAndRetried checks that finished tasks are stored after a delay, guarded by the job's
+// record, and again if the outcome is unknown or the state service has lost them.
+func TestProgressIsDelayedAndRetried(t *testing.T) {
 	owner := newFakeOwner()
 	w := New(Config{TxnOps: 8, Layout: jobs.ProgressLayout{TasksPerRecord: 256}}, owner)
 	job := pendingJob("wk-000001", 5)
 	owner.versions[keys.Job(job.ID)] = 11
 	w.TaskFinished(job, 1)
-	owner.now += progressAge - 1
+	owner.now += progressDelay - 1
 	if w.Flush(); len(owner.queue) != 0 {
-		t.Fatal("stored at once")
+		t.Fatal("stored without a delay")
 	}
 	w.TaskFinished(job, 2)
 	owner.flush(w)
 	key := keys.Progress(job.ID, "0")
 	for _, outcome := range []store.Outcome{store.Unknown, store.OK} {
-		writes := owner.settle(t, outcome)
+		writes := owner.completeAll(t, outcome)
 		if len(writes) != 1 || !slices.Contains(writes[0].Guards, store.Guard{Key: keys.Job(job.ID), Version: 11}) || !slices.Contains(writes[0].Guards, store.Guard{Key: key}) {
-			t.Fatalf("%v: %+v", outcome, writes)
+			t.Fatalf("%v: writes: %+v", outcome, writes)
 		}
 		if got := string(writes[0].Changes[0].Value); got != `{"tasks":"1-2"}` {
 			t.Errorf("%v: stored %s", outcome, got)
@@ -209,10 +210,10 @@
 		owner.flush(w)
 	}
 	if len(owner.queue) != 0 {
-		t.Error("stored once more")
+		t.Error("stored again after success")
 	}
 	if !slices.Equal(owner.finished, []int{1, 2}) {
-		t.Errorf("standby was told of %v", owner.finished)
+		t.Errorf("host was notified of finished tasks %v", owner.finished)
 	}
 	w.StoreAllProgress(job)
 	if owner.flush(w); len(owner.queue) != 1 {
@@ -220,8 +221,8 @@
 	}
 }
 
-// TestCloseJob stores the end of a job with its last task: one write at a time, which deletes
-// its progress too, and again where it is not surely stored.
+// TestCloseJob checks that the end of a job is stored with its last task, by one write at a time that also
+// deletes the job's progress, and again if it is not certainly stored.
 func TestCloseJob(t *testing.T) {
 	owner := newFakeOwner()
 	w := New(Config{TxnOps: 2, Layout: jobs.ProgressLayout{TasksPerRecord: 1}}, owner)
@@ -236,28 +237,28 @@
 		}
 		w.CloseJob(job)
 		if !job.Active() || !job.Closing {
-			t.Fatal("over before that is stored")
+			t.Fatal("job ended before its end was stored")
 		}
-		writes := owner.settle(t, store.Unknown)
+		writes := owner.completeAll(t, store.Unknown)
 		if len(writes) != 1 || writes[0].First != (id == "wk-000009") || !slices.Contains(writes[0].Guards, store.Guard{Key: keys.Job(id), Version: 11}) {
-			t.Fatalf("%+v", writes)
+			t.Fatalf("writes: %+v", writes)
 		}
 		record, err := jobs.DecodeRecord(writes[0].Changes[0].Value)
 		if err != nil || record.Status != jobs.Done || record.FinishedAt != owner.wall || record.Tasks != 3 {
 			t.Errorf("stored %+v, %v", record, err)
 		}
 		if len(writes[0].Changes) != 2 || writes[0].Changes[1].Key != keys.Progress(id, "0") || writes[0].Changes[1].Value != nil {
-			t.Errorf("more than the state service takes, or other keys: %+v", writes[0].Changes)
+			t.Errorf("too many changes for one transaction, or wrong keys: %+v", writes[0].Changes)
 		}
 		w.CloseJob(job)
-		if len(owner.settle(t, store.OK)) != 1 {
-			t.Error("not tried again")
+		if len(owner.completeAll(t, store.OK)) != 1 {
+			t.Error("not retried")
 		}
 	}
 }
 
-// TestStoreRelease has one write under way at a time, and tries again whatever the outcome: the
-// caller stops when the copy shows it.
+// TestStoreRelease checks that a release has only one write in flight and is written again whatever the
+// outcome: the caller stops when the watch cache shows the release.
 func TestStoreRelease(t *testing.T) {
 	owner := newFakeOwner()
 	w := New(Config{TxnOps: 8}, owner)
@@ -265,13 +266,13 @@
 		for range 3 {
 			w.StoreRelease(store.Change{Key: keys.Assignment(3), Value: json.RawMessage(`{}`)})
 		}
-		if writes := owner.settle(t, outcome); len(writes) != 1 {
-			t.Errorf("%d writes", len(writes))
+		if writes := owner.completeAll(t, outcome); len(writes) != 1 {
+			t.Errorf("%d writes in flight", len(writes))
 		}
 	}
 }
 
-// fakeGarbage is garbage of which each change deletes one key.
+// fakeGarbage deletes one key with each change.
 type fakeGarbage struct {
 	keys    []string
 	orphans int
@@ -292,9 +293,9 @@
 	}
 }
 
-// TestGarbageGoesLast has garbage deleted with the capacity that is left, under the assignment,
-// and orphans looked for even where nothing is to be stored.
-func TestGarbageGoesLast(t *testing.T) {
+// TestGarbageUsesRemainingCapacity checks that garbage is deleted only with the capacity that other writes
+// leave, and under the assignment. Orphans must be collected even if nothing is to be stored.
+func TestGarbageUsesRemainingCapacity(t *testing.T) {
 	owner := newFakeOwner()
 	garbage := &fakeGarbage{keys: []string{"a", "b", "c"}}
 	w := New(Config{TxnOps: 8, Garbage: garbage}, owner)
@@ -305,17 +306,17 @@
 	for _, outcome := range []store.Outcome{store.OK, store.Unknown, store.OK, store.OK} {
 		owner.capacity = 2
 		owner.flush(w)
-		for _, write := range owner.settle(t, outcome) {
+		for _, write := range owner.completeAll(t, outcome) {
 			order = append(order, write.Changes[0].Key)
 			if !write.Deferred || len(write.Guards) != 2 {
-				t.Errorf("%+v", write)
+				t.Errorf("not deferred, or wrong guards: %+v", write)
 			}
 		}
 	}
 	if want := []string{key, "a", "b", "c", "b", "c"}; !slices.Equal(order, want) {
-		t.Errorf("%v, want %v", order, want)
+		t.Errorf("write order %v, want %v", order, want)
 	}
 	if garbage.orphans != 4 {
-		t.Errorf("orphans were looked for %d times", garbage.orphans)
+		t.Errorf("orphans were collected %d times", garbage.orphans)
 	}
 }
