--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -58,9 +58,9 @@
 func (o *fakeHost) CacheAge() (since, age units.Microseconds, ok bool) { return 0, o.age, true }
 
 // TestPeerLeaseInOutage has a membership expire just before an outage of the state service. If all peers
-// refuse it further leases, all shards are without an owner, though nobody else can own them until the outage
-// is over. A controller that the state service serves must refuse. So must one that has voted for the
-// takeover, has seen a later membership, or has started since and may have lost the memory of either.
+// refuse it further leases, what it owned is without an owner, though nobody else can own that until the
+// outage is over. A controller that the state service serves must refuse. So must one that has voted for the
+// takeover, has seen a later membership, or has started since and may have forgotten either.
 func TestPeerLeaseInOutage(t *testing.T) {
 	now := 100 * units.Second
 	host := &fakeHost{}
