--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -121,8 +121,8 @@
 
 // Renewed records that the state service granted a renewal that was sent at the given time.
 func (a *Authority) Renewed(sent units.Microseconds) {
-	a.leaseUntil = max(a.leaseUntil, sent+units.Shortest(a.TTL)-a.Margin)
-	a.extensionLimit = max(a.extensionLimit, sent+units.Shortest(a.MajorityExtension)-a.Margin)
+	a.leaseUntil = max(a.leaseUntil, sent+units.MinWithDrift(a.TTL)-a.Margin)
+	a.extensionLimit = max(a.extensionLimit, sent+units.MinWithDrift(a.MajorityExtension)-a.Margin)
 }
 
 // PeerLeaseGranted records a peer's lease that was requested at the given time.
@@ -130,7 +130,7 @@
 	if a.peerLeases == nil {
 		a.peerLeases = map[string]units.Microseconds{}
 	}
-	a.peerLeases[peer] = max(a.peerLeases[peer], askedAt+units.Shortest(PeerLeaseTime)-a.Margin)
+	a.peerLeases[peer] = max(a.peerLeases[peer], askedAt+units.MinWithDrift(PeerLeaseTime)-a.Margin)
 	if n := len(a.peerLeases) - a.MajorityPeers; a.MajorityPeers > 0 && n >= 0 {
 		until := slices.Sorted(maps.Values(a.peerLeases))
 		a.majorityUntil = until[n]
@@ -146,7 +146,7 @@
 // Until returns the time until which authority is certain, as far as is known now.
 func (a *Authority) Until() units.Microseconds {
 	if a.AllPeers == 0 {
-		return units.Never // no other controller can take anything over
+		return units.MaxTime // no other controller can take anything over
 	}
 	return max(a.leaseUntil, min(a.majorityUntil, a.extensionLimit), a.allUntil)
 }
@@ -179,7 +179,7 @@
 // Vote reports whether this controller votes for a takeover of what a member owns whose record is deleted. A
 // vote rules out further peer leases for the member.
 func (v *Voter) Vote(now units.Microseconds, member uint64) bool {
-	if now < v.leasedUntil && v.SkippedGuard != guard.VoteAfterPeerLease || now < units.Longest(PeerLeaseTime) {
+	if now < v.leasedUntil && v.SkippedGuard != guard.VoteAfterPeerLease || now < units.MaxWithDrift(PeerLeaseTime) {
 		return false
 	}
 	v.highestVoted = max(v.highestVoted, member)
--- a/internal/core/authority/authority_test.go
+++ b/internal/core/authority/authority_test.go
@@ -124,7 +124,7 @@
 
 func (m *leaseModel) expireUnvoted(t *rapid.T) {
 	_, peer := m.drawPeer(t, "by")
-	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.Longest(modelMajorityExtension) && peer.voter.Vote(peer.local(m.now), 1) {
+	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.MaxWithDrift(modelMajorityExtension) && peer.voter.Vote(peer.local(m.now), 1) {
 		m.expiredUnvoted = true
 	}
 }
@@ -178,7 +178,7 @@
 			if rapid.Bool().Draw(t, p) {
 				asked := second("asked")
 				authority.PeerLeaseGranted(p, asked)
-				leaseEnds[p] = asked + units.Shortest(PeerLeaseTime) - authority.Margin
+				leaseEnds[p] = asked + units.MinWithDrift(PeerLeaseTime) - authority.Margin
 			}
 		}
 		now := second("now")
--- a/internal/core/authority/trace.go
+++ b/internal/core/authority/trace.go
@@ -31,5 +31,5 @@
 func (v *Voter) AppendTrace(b []byte, now units.Microseconds) []byte {
 	b = appendRemaining(b, "promised ", v.leasedUntil, now)
 	b = strconv.AppendUint(append(b, " over "...), v.highestVoted, 10)
-	return appendRemaining(b, " young ", units.Longest(PeerLeaseTime), now)
+	return appendRemaining(b, " young ", units.MaxWithDrift(PeerLeaseTime), now)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -117,7 +117,7 @@
 func (c plannerHost) OwnQuotaUses() iter.Seq2[int, float64] {
 	return func(yield func(int, float64) bool) {
 		for number, shard := range c.owned {
-			if shard.ready && len(shard.reconciler.Unreconciled()) == 0 && !yield(number, shard.quota.LargestUse()) {
+			if shard.ready && len(shard.reconciler.Unreconciled()) == 0 && !yield(number, shard.quota.MaxUtilization()) {
 				return
 			}
 		}
@@ -130,7 +130,7 @@
 		c.release(shard, "another controller has none")
 		return
 	}
-	c.emit(SendPeer{owner, PeerRelease{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
+	c.emit(SendPeer{owner, ReleaseRequest{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
 }
 
 // Store implements shardplan.Host.
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -145,7 +145,7 @@
 		return 0
 	}
 	if r.cfg.SkippedGuard == guard.Authority {
-		return units.Never
+		return units.MaxTime
 	}
 	return r.authority.Until()
 }
@@ -212,7 +212,7 @@
 	r.renewing = false
 	switch outcome {
 	case store.OK:
-		if r.cfg.SkippedGuard == guard.RenewalSent {
+		if r.cfg.SkippedGuard == guard.RenewalSendTime {
 			r.renewalSentAt = now
 		}
 		r.authority.Renewed(r.renewalSentAt)
@@ -307,7 +307,7 @@
 // is when this controller requested it.
 func (r *Registry) PeerLeaseGranted(now units.Microseconds, from string, memberID uint64, asked units.Microseconds) {
 	if r.id != 0 && r.id == memberID && asked <= now {
-		if r.cfg.SkippedGuard == guard.PeerLeaseSent {
+		if r.cfg.SkippedGuard == guard.PeerLeaseSendTime {
 			asked = now
 		}
 		r.authority.PeerLeaseGranted(from, asked)
@@ -331,15 +331,15 @@
 		// This view is older than the shard's assignment. That happens while a listing is in progress whose
 		// pages with memberships are still to come, so the membership may exist. If versions in the state
 		// service went back, the membership expires after this time.
-		return now-known.since > units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL && r.voter(node).Vote(now, id)
+		return now-known.since > units.MaxWithDrift(r.cfg.UnvotedExpiry)+r.cfg.TTL && r.voter(node).Vote(now, id)
 	case id == 0: // the owner runs a release without memberships
-		return now-known.expiredAt > units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL
+		return now-known.expiredAt > units.MaxWithDrift(r.cfg.UnvotedExpiry)+r.cfg.TTL
 	}
 	// The peer leases of a majority can no longer extend the membership, and those of all peers do not, as
 	// this controller has granted it no peer lease that still runs and will never grant one again. As
 	// UnvotedExpiry is at least as long as MajorityExtension, this is also the longest wait for another
 	// controller's deleted membership.
-	if now-known.expiredAt > units.Longest(r.cfg.MajorityExtension) && r.voter(node).Vote(now, id) {
+	if now-known.expiredAt > units.MaxWithDrift(r.cfg.MajorityExtension) && r.voter(node).Vote(now, id) {
 		return true
 	}
 	return r.majorityVotes(now, node, id)
@@ -413,8 +413,8 @@
 		known := r.views[node]
 		number("; "+node+" has ", known.id)
 		if known.id == 0 { // what matters is when the record will have been deleted for long enough
-			remaining(" gone ", known.expiredAt+units.Longest(r.cfg.UnvotedExpiry)+r.cfg.TTL)
-			remaining(" short ", known.expiredAt+units.Longest(r.cfg.MajorityExtension))
+			remaining(" gone ", known.expiredAt+units.MaxWithDrift(r.cfg.UnvotedExpiry)+r.cfg.TTL)
+			remaining(" short ", known.expiredAt+units.MaxWithDrift(r.cfg.MajorityExtension))
 			number(" after ", known.previousID)
 		}
 	}
