--- a/internal/core/authority/authority_test.go
+++ b/internal/core/authority/authority_test.go
@@ -35,6 +35,7 @@
 	alive     bool
 }
 
+// local returns the time on the controller's own clock.
 func (n *voterNode) local(now units.Microseconds) units.Microseconds {
 	return units.Microseconds(float64(now-n.startedAt) * n.rate)
 }
@@ -59,17 +60,21 @@
 	expiredUnvoted bool // a controller has treated the membership as expired without the others' votes
 }
 
+// modelMajorityExtension is the owner's MajorityExtension, which the peers know.
 const modelMajorityExtension = 8 * units.Second
 
+// start starts a new process of controller i, which has read the owner's membership as seen.
 func (m *leaseModel) start(t *rapid.T, i int, seen uint64) {
 	m.controllers[i] = &voterNode{startedAt: m.now, rate: rapid.Float64Range(0.9995, 1.0005).Draw(t, "rate"), seen: seen, lastSeen: seen, alive: true}
 }
 
+// drawPeer draws one of the controllers other than the owner.
 func (m *leaseModel) drawPeer(t *rapid.T, label string) (i int, peer *voterNode) {
 	i = rapid.IntRange(1, len(m.controllers)-1).Draw(t, label)
 	return i, m.controllers[i]
 }
 
+// recordExpires deletes the membership's record and lets one peer see that.
 func (m *leaseModel) recordExpires(t *rapid.T) {
 	if m.now < 103*units.Second {
 		t.Skip() // the state service keeps the record for the lease's duration, by its own clock
@@ -81,6 +86,7 @@
 	peer.seen = 0
 }
 
+// grant has a peer decide on a request for a peer lease, possibly an old one.
 func (m *leaseModel) grant(t *rapid.T) {
 	i, peer := m.drawPeer(t, "by")
 	if len(m.askedAt) == 0 {
@@ -96,6 +102,7 @@
 	}
 }
 
+// deliver delivers a granted peer lease to the owner, possibly late or repeatedly.
 func (m *leaseModel) deliver(t *rapid.T) {
 	if len(m.inFlight) == 0 {
 		t.Skip()
@@ -104,6 +111,7 @@
 	m.owner.PeerLeaseGranted([]string{"0", "1", "2", "3", "4"}[lease.from], lease.askedAt)
 }
 
+// restart replaces a peer's process, which loses its leases and votes.
 func (m *leaseModel) restart(t *rapid.T) {
 	i, _ := m.drawPeer(t, "node")
 	seen := uint64(1)
@@ -113,6 +121,7 @@
 	m.start(t, i, seen)
 }
 
+// vote requests a peer's vote for the takeover.
 func (m *leaseModel) vote(t *rapid.T) {
 	if !m.expired {
 		t.Skip() // a controller requests votes only after it has seen that the record is deleted
@@ -122,6 +131,8 @@
 	}
 }
 
+// expireUnvoted has a peer treat the membership as expired without the others' votes, once MajorityExtension
+// has passed.
 func (m *leaseModel) expireUnvoted(t *rapid.T) {
 	_, peer := m.drawPeer(t, "by")
 	if m.expired && peer.seen == 0 && m.now-m.expiredAt > units.MaxWithDrift(modelMajorityExtension) && peer.voter.Vote(peer.local(m.now), 1) {
