--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -286,10 +286,10 @@
 
 // GrantPeerLease reports whether a controller gets the peer lease that it requests for its membership. If the
 // record is deleted and the state service serves this controller, the lease is refused: another controller
-// may soon own what the membership owned. During an outage no other controller can take over, so a membership
-// that ended just before it may be extended. A process that has voted for the takeover of a membership never
-// grants it a lease again, and neither does a process that started later and does not know whether it had
-// voted before.
+// may soon own what the membership owned. During an outage of the state service no controller can take over,
+// so a membership that expired just before the outage may be extended. A process that has voted for the
+// takeover of a membership never grants it a lease again. Neither does a process that started after the
+// record was deleted, as it does not know whether its predecessor has voted.
 func (r *Registry) GrantPeerLease(now units.Microseconds, node string, memberID uint64) bool {
 	current := r.CurrentID(node)
 	if r.cfg.SkippedGuard == guard.MemberRecord {
--- a/internal/core/shardplan/allocate.go
+++ b/internal/core/shardplan/allocate.go
@@ -15,8 +15,8 @@
 	minTargetChange = 0.04
 	// roundingTolerance is by how much the fractions of a limit may exceed the whole of it when added up.
 	roundingTolerance = 1e-6
-	// minShareDivisor determines the smallest target: an even part of the limits divided by it. No shard in
-	// use gets less, so that a small shard can grow.
+	// minShareDivisor limits how small a target gets: a shard in use is weighted with at least an even part
+	// of the capacity divided by it, so that a small shard can grow.
 	minShareDivisor = 4
 )
 
--- a/internal/core/shardplan/load.go
+++ b/internal/core/shardplan/load.go
@@ -72,8 +72,8 @@
 	return sum
 }
 
-// relative returns the work of a load relative to its capacity. A shard that has little capacity yet counts
-// as having half of an average shard's, as it can provision machines.
+// relative returns the work of a load relative to its capacity. A shard counts as having at least half of an
+// average shard's capacity: one that has little yet can provision machines.
 func (l *loads) relative(shard load) float64 {
 	least := l.capacity() / float64(2*len(l.byShard))
 	return shard.work / max(shard.capacity, least)
