--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -1,7 +1,8 @@
-// Package binpack is the Tetris packer: which tasks go to a machine that has free capacity. It filters
-// jobs by distance from fair share and by what fits, and scores a task by its alignment with what
-// is free, blended with the work that remains of its job. Section numbers in comments are the
-// paper's. The package knows nothing but amounts; package scheduler decides what it is shown.
+// Package binpack implements the Tetris packer, which chooses the tasks that go to a
+// machine with free capacity. It filters jobs by distance from fair share and by whether
+// their tasks fit. It scores a task by its alignment with the free resources, combined with
+// the remaining work of its job. Section numbers in comments refer to the Tetris paper. The
+// package deals with resource amounts only; package scheduler prepares its input.
 package binpack
 
 import (
@@ -37,7 +38,7 @@
 	return v
 }
 
-// Fits reports whether a demand of v fits into what is free.
+// Fits reports whether a demand of v fits into the free amounts.
 func (v Vec) Fits(free Vec) bool {
 	for i := range v {
 		if v[i] > free[i] {
@@ -47,7 +48,7 @@
 	return true
 }
 
-// Times returns v taken n times.
+// Times returns v multiplied by n.
 func (v Vec) Times(n int64) Vec {
 	for i := range v {
 		v[i] *= n
@@ -55,8 +56,8 @@
 	return v
 }
 
-// Alignment is the dot product of what is free and a demand, each divided by the
-// machine's capacity, all resources weighed equally (3.2).
+// Alignment is the dot product of the free amounts and a demand, both
+// divided by the machine's capacity. All resources have equal weight (3.2).
 func Alignment(capacity, free, demand Vec) float64 {
 	var sum float64
 	for i, c := range capacity {
@@ -67,7 +68,7 @@
 	return sum
 }
 
-// Size is the sum of a demand's shares of a capacity (3.3.1).
+// Size is the sum over all resources of a demand's share of a capacity (3.3.1).
 func Size(capacity, demand Vec) float64 {
 	var s float64
 	for i, c := range capacity {
@@ -92,25 +93,25 @@
 // Params are the settings of the packer.
 type Params struct {
 	Fairness     float64 // f (3.4)
-	EpsilonScale float64 // factor on epsilon (3.3.2)
-	ImagePenalty float64 // the remote penalty, taken for an image that is not cached (3.2)
+	EpsilonScale float64 // factor applied to epsilon (3.3.2)
+	ImagePenalty float64 // fraction taken off the alignment if the image is not cached: the remote penalty (3.2)
 }
 
-// Job is what the packer sees of a job with pending tasks.
+// Job is the packer's view of a job with pending tasks.
 type Job struct {
 	Demand   Vec
 	Pending  int     // tasks that may start now
-	Work     float64 // seconds of estimated run time left, over all unfinished tasks
-	Deficit  float64 // fair share less what it holds: larger is further from fair share
-	Tier     int     // larger is served first, before any score
-	Cached   bool    // the machine has the image
-	Deferred bool    // served only when nothing else of its tier fits (it fails wherever it runs)
+	Work     float64 // estimated remaining run time of all unfinished tasks, in seconds
+	Deficit  float64 // fair share minus the share in use: larger is further below fair share
+	Tier     int     // larger tiers are served first, regardless of score
+	Cached   bool    // the machine has the image in its cache
+	Deferred bool    // served only when nothing else of its tier fits: its tasks may fail on every machine
 }
 
-// Fill gives one machine tasks until nothing fits. It names the job of each task to take, best first;
-// take reports whether rules outside the machine (the team's limit, zones) let the task go there, and
-// a job refused once is left out.
-func Fill(capacity, free Vec, jobs []Job, params Params, take func(job int) bool) {
+// Fill chooses tasks for one machine until nothing more fits. It calls accept with the job of
+// each task, best first. accept reports whether rules outside the package (the team's limit,
+// zones) allow the task on the machine. A job that was rejected once is not offered again.
+func Fill(capacity, free Vec, jobs []Job, params Params, accept func(job int) bool) {
 	current := packer{capacity: capacity, free: free, jobs: jobs, params: params, pending: make([]int, len(jobs))}
 	for i := range jobs {
 		current.pending[i] = jobs[i].Pending
@@ -119,7 +120,7 @@
 		group := current.firstGroup(order)
 		order = order[len(group):]
 		for chosen := current.best(group); chosen >= 0; chosen = current.best(group) {
-			if !take(chosen) {
+			if !accept(chosen) {
 				current.pending[chosen] = 0
 				continue
 			}
@@ -129,23 +130,24 @@
 	}
 }
 
-// packer is one call of Fill.
+// packer is the state of one call of Fill.
 type packer struct {
 	capacity, free Vec
 	jobs           []Job
 	params         Params
-	pending        []int       // tasks that may still start, by job; 0 once one was refused
-	scored         []candidate // kept for its memory
+	pending        []int       // tasks that may still start, by job; 0 once one was rejected
+	scored         []candidate // buffer, reused to avoid allocations
 }
 
-// candidate is a job whose next task fits, and what is scored of it.
+// candidate is a job whose next task fits, with the inputs of its score.
 type candidate struct {
 	job       int
-	alignment float64 // less the image penalty
-	work      float64 // remaining run time times the size of a task (3.3.1)
+	alignment float64 // after the image penalty
+	work      float64 // remaining run time multiplied by the size of a task (3.3.1)
 }
 
-// order returns the jobs by tier, the deferred last in theirs, then by distance from fair share.
+// order returns the jobs sorted by tier, within a tier the
+// deferred jobs last, then by distance from fair share.
 func (p *packer) order() []int {
 	order := make([]int, len(p.jobs))
 	for i := range order {
@@ -167,8 +169,8 @@
 	return order
 }
 
-// firstGroup returns the first jobs of an order that are scored against each other: those of one
-// tier that are alike deferred or not.
+// firstGroup returns the leading jobs of an order that are scored against each other:
+// those of the first job's tier that are deferred like it, or not deferred like it.
 func (p *packer) firstGroup(order []int) []int {
 	first := &p.jobs[order[0]]
 	n := 1
@@ -178,9 +180,9 @@
 	return order[:n]
 }
 
-// best returns the job whose task scores highest among the jobs furthest from fair share, or -1. The
-// cut counts the jobs that still have pending tasks (3.4). Where none of those within the cut fits,
-// the rest are looked at, so that capacity is not left free beside work that could use it.
+// best returns the job whose task scores highest among the jobs furthest below fair share, or -1. The
+// cut is a fraction of the jobs that still have pending tasks (3.4). If no task within the cut fits,
+// the remaining jobs are tried, so that capacity does not stay free while there is work for it.
 func (p *packer) best(group []int) int {
 	pending := 0
 	for _, job := range group {
@@ -197,9 +199,9 @@
 	return -1
 }
 
-// bestWithin returns the job whose task scores highest among the from-th up to the to-th job of a
-// group that still have pending tasks, of those whose task fits; or -1. The score is alignment less
-// remaining work weighed by epsilon (3.3.2).
+// bestWithin returns the job whose fitting task scores highest, or -1. Of the jobs of the
+// group that still have pending tasks, it considers those at positions from (inclusive) up to
+// to (exclusive). The score is alignment minus remaining work weighted by epsilon (3.3.2).
 func (p *packer) bestWithin(group []int, from, to int) int {
 	var sumAlignment, sumWork float64
 	seen := 0
@@ -227,7 +229,7 @@
 	return best
 }
 
-// score returns what a job's next task is scored by.
+// score computes the inputs of the score of a job's next task.
 func (p *packer) score(job int) candidate {
 	view := &p.jobs[job]
 	alignment := Alignment(p.capacity, p.free, view.Demand)
@@ -237,8 +239,8 @@
 	return candidate{job, alignment, Size(p.capacity, view.Demand) * view.Work}
 }
 
-// Epsilon is average alignment over average remaining work, or 0 without work (3.3.2). Both averages
-// are over the same tasks, so their sums serve.
+// Epsilon is average alignment divided by average remaining work, or 0 without work
+// (3.3.2). Both averages are over the same tasks, so the sums give the same quotient.
 func Epsilon(sumAlignment, sumWork float64) float64 {
 	if sumWork <= 0 {
 		return 0
--- a/internal/core/demand/demand.go
+++ b/internal/core/demand/demand.go
@@ -1,7 +1,7 @@
-// Package demand estimates what the work at hand needs: how long its tasks run (Runtime), by when
-// they should be done (TimeAllowed, Urgency, Slack), and so how many of them should run at once, by
-// the pools of machines that they may use (SlotsNeeded). It owns what was learnt of run times, and
-// decides nothing: the scheduler and the autoscaler do.
+// Package demand estimates what the current work needs: the run time of its tasks (Runtime), the
+// time by which they should be done (TimeRemaining, Urgency, Slack), and from these the number of
+// tasks that should run at once, by the machine pools that they may use (SlotsNeeded). It owns
+// the run times observed so far. It makes no decisions; the scheduler and the autoscaler do.
 package demand
 
 import (
@@ -11,60 +11,60 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Estimator is what is known of a shard's work: its users' objectives and how long it really runs.
+// Estimator holds the objectives of a shard's work and the observed run times.
 type Estimator struct {
 	objectives         []Objective
 	sequentialFraction float64
-	runtimes           map[string]*runtimeRatio // by class
+	ratios             map[string]*runtimeRatio // by class of jobs
 }
 
-// New returns an estimator that has learnt nothing. sequentialFraction is the fraction of a job's
-// time that scaling out counts on for tasks one after the other.
+// New returns an estimator without observations. sequentialFraction is the fraction of a job's
+// remaining time that scaling out plans to use for running its tasks one after the other.
 func New(objectives []Objective, sequentialFraction float64) *Estimator {
-	return &Estimator{objectives: objectives, sequentialFraction: sequentialFraction, runtimes: map[string]*runtimeRatio{}}
+	return &Estimator{objectives: objectives, sequentialFraction: sequentialFraction, ratios: map[string]*runtimeRatio{}}
 }
 
 // SetObjectives replaces the users' objectives.
 func (e *Estimator) SetObjectives(objectives []Objective) { e.objectives = objectives }
 
-// runtimeRatio learns how long tasks of a class really run, as a ratio to what their owners estimate
-// ("earlier runs of the same or similar jobs", the paper's 3.3.1).
+// runtimeRatio is the mean ratio of the observed run times of a class's tasks to their owners'
+// estimates ("earlier runs of the same or similar jobs", section 3.3.1 of the Tetris paper).
 type runtimeRatio struct {
-	mean  float64
-	tasks int
+	mean    float64
+	samples int
 }
 
 const (
-	// ratioMemory is how many tasks the mean looks back on.
-	ratioMemory = 50
-	// ratioMinTasks is how many tasks must have run before the mean is gone by.
-	ratioMinTasks = 5
-	// maxRatio bounds what a single task that hung adds.
+	// ratioWindow is the approximate number of recent tasks that determine the mean.
+	ratioWindow = 50
+	// minRatioSamples is the number of tasks that must have run before the mean is used.
+	minRatioSamples = 5
+	// maxRatio bounds the effect of a single task that hung.
 	maxRatio = 10
 )
 
 func (r *runtimeRatio) add(ratio float64) {
-	r.tasks++
-	r.mean += (ratio - r.mean) / float64(min(r.tasks, ratioMemory))
+	r.samples++
+	r.mean += (ratio - r.mean) / float64(min(r.samples, ratioWindow))
 }
 
-// ObserveRuntime takes in how long a task ran.
-func (e *Estimator) ObserveRuntime(spec *jobs.Spec, took units.Microseconds) {
-	if spec.Service || spec.Estimate <= 0 || took <= 0 {
+// ObserveRuntime records how long a task ran. Services and tasks without an estimate are ignored.
+func (e *Estimator) ObserveRuntime(spec *jobs.Spec, elapsed units.Microseconds) {
+	if spec.Service || spec.Estimate <= 0 || elapsed <= 0 {
 		return
 	}
-	ratio := e.runtimes[spec.Class]
+	ratio := e.ratios[spec.Class]
 	if ratio == nil {
 		ratio = &runtimeRatio{}
-		e.runtimes[spec.Class] = ratio
+		e.ratios[spec.Class] = ratio
 	}
-	ratio.add(math.Min(float64(took)/float64(spec.Estimate), maxRatio))
+	ratio.add(math.Min(float64(elapsed)/float64(spec.Estimate), maxRatio))
 }
 
-// Runtime is how long a task of a job is expected to run: the owner's estimate, corrected by what the
-// class has shown once a few tasks are through.
+// Runtime returns the expected run time of a job's task: the owner's estimate,
+// corrected by the observations of its class once there are minRatioSamples of them.
 func (e *Estimator) Runtime(spec *jobs.Spec) units.Microseconds {
-	if ratio := e.runtimes[spec.Class]; ratio != nil && ratio.tasks >= ratioMinTasks {
+	if ratio := e.ratios[spec.Class]; ratio != nil && ratio.samples >= minRatioSamples {
 		return units.Microseconds(float64(spec.Estimate) * ratio.mean)
 	}
 	return spec.Estimate
--- a/internal/core/demand/demand_test.go
+++ b/internal/core/demand/demand_test.go
@@ -57,7 +57,7 @@
 func TestRuntimeIsLearnt(t *testing.T) {
 	estimator := New(nil, 0)
 	job, other := jobOf("a", 1), jobOf("b", 1)
-	for n := range ratioMinTasks {
+	for n := range minRatioSamples {
 		if got := estimator.Runtime(job.Spec()); got != 10*second {
 			t.Errorf("%.0f s after %d tasks", got.Seconds(), n)
 		}
--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -5,19 +5,19 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// ObjectiveKind is what an objective is about; the text is that of the settings and of stored
-// configurations.
+// ObjectiveKind is the subject of an objective. The text
+// is used in the settings and in stored configurations.
 type ObjectiveKind string
 
 // Kinds of objectives.
 const (
 	StartWithin      ObjectiveKind = "wait"      // the tasks start within a time
-	FinishWithin     ObjectiveKind = "finished"  // the job is done within a time
-	KeepDeadline     ObjectiveKind = "deadline"  // the job is done within some times its own deadline
-	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; nothing goes by it
+	FinishWithin     ObjectiveKind = "finished"  // the job finishes within a time
+	KeepDeadline     ObjectiveKind = "deadline"  // the job finishes within a multiple of the time to its own deadline
+	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; not used by this package
 )
 
-// ObjectiveKinds are all kinds.
+// ObjectiveKinds returns all kinds.
 func ObjectiveKinds() []ObjectiveKind {
 	return []ObjectiveKind{StartWithin, FinishWithin, KeepDeadline, KeepNominalQuota}
 }
@@ -27,53 +27,54 @@
 	Kind   ObjectiveKind
 	Class  string
 	Within units.Microseconds
-	Times  float64 // of the deadline, for KeepDeadline
-	Share  float64 // of the jobs for which it is to hold; nothing goes by it
+	Times  float64 // multiple of the deadline, for KeepDeadline
+	Share  float64 // fraction of the jobs that should meet it; not used by this package
 }
 
-// patience bounds the time that a job without any objective is given, in run times.
-const patience = 8
+// defaultTimeFactor is the time that a job without any objective is
+// given, and an upper bound of Slack, as a multiple of its run time.
+const defaultTimeFactor = 8
 
-// TimeRemaining is the time that is left for a job, by the earliest deadline that depends on it or by
-// the strictest objective of its class.
+// TimeRemaining returns the time left for a job, from the earliest deadline that depends on
+// it and the strictest objective of its class. It is negative once that time has passed.
 func (e *Estimator) TimeRemaining(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
 	run := e.Runtime(spec)
-	allowed := units.MaxTime
+	remaining := units.MaxTime
 	for _, objective := range e.objectives {
 		if objective.Class != spec.Class || objective.Within <= 0 {
 			continue
 		}
 		switch objective.Kind {
 		case FinishWithin:
-			allowed = min(allowed, objective.Within)
+			remaining = min(remaining, objective.Within)
 		case StartWithin:
-			allowed = min(allowed, objective.Within+run)
+			remaining = min(remaining, objective.Within+run)
 		}
 	}
-	if allowed == units.MaxTime && job.Objectives.Due == units.MaxTime {
-		allowed = patience * run
+	if remaining == units.MaxTime && job.Objectives.Due == units.MaxTime {
+		remaining = defaultTimeFactor * run
 	}
-	return min(allowed-(wall-job.Since), job.Objectives.Due-wall)
+	return min(remaining-(wall-job.Since), job.Objectives.Due-wall)
 }
 
-// Urgency orders jobs of one tier; the larger goes first. Work that can still meet its first
-// objective goes before work that can only meet a later one, and work that can meet none any more
-// comes last.
+// Urgency orders the jobs of one tier; larger goes first. Work that can still meet its first objective
+// goes before work that can meet only a later one. Work that can meet none any more comes last.
 type Urgency int
 
 // NumUrgencies.
 const (
 	AllMissed       Urgency = iota
 	FirstMissed             // a later objective can still be met
-	Relaxed                 // so can the first, with half of its time to spare
-	FirstAttainable         // so can the first, or there is none
-	Overdue                 // nothing of the job has started for long, see package scheduler
-	NumUrgencies            // how many there are
+	Relaxed                 // the first objective can be met with half of its time to spare
+	FirstAttainable         // the first objective can be met, or there is none
+	Overdue                 // the job has waited for long without starting any task, see package scheduler
+	NumUrgencies            // number of urgencies
 )
 
-// eachObjective calls f with each of a job's objectives: the time by which it should be done or,
-// with start, its tasks should have started. All times are from when the job could first start.
+// eachObjective calls f for each of a job's objectives. within is the time
+// by which the job should be done or, if start is set, by which its tasks
+// should have started. It counts from when the job could first start.
 func (e *Estimator) eachObjective(job *jobs.Job, f func(within units.Microseconds, start bool)) {
 	for _, objective := range e.objectives {
 		if objective.Class == job.Spec().Class && (objective.Kind == StartWithin || objective.Kind == FinishWithin) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// Urgency tells which of a job's objectives can still be met; never Overdue.
+// Urgency classifies a job by the objectives that it can still meet. It never returns Overdue.
 func (e *Estimator) Urgency(wall units.Microseconds, job *jobs.Job) Urgency {
 	done := wall - job.Since + e.Runtime(job.Spec())
 	objectives, missed := 0, 0
@@ -115,7 +116,8 @@
 	return AllMissed
 }
 
-// Slack is how long a job's tasks may wait for the next objective that they can still meet.
+// Slack returns how long a job's tasks may wait without
+// missing the next objective that they can still meet.
 func (e *Estimator) Slack(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	run, age := e.Runtime(job.Spec()), wall-job.Since
 	least := units.MaxTime
@@ -124,17 +126,17 @@
 		case !start:
 			within -= run
 		case within <= 0:
-			return // no time is given
+			return // the objective has no time bound
 		}
 		if slack := within - age; slack >= 0 {
 			least = min(least, slack)
 		}
 	})
-	return min(least, patience*max(run, units.Second))
+	return min(least, defaultTimeFactor*max(run, units.Second))
 }
 
-// IsIdleTime reports whether a job uses the time that others leave: it has the lowest priority, nobody
-// expects it by any time, and it has not waited for long.
+// IsIdleTime reports whether a job is idle-time work, which uses only capacity that other work leaves
+// free: it has the lowest priority, no deadline and no objective, and has not waited for long.
 func (e *Estimator) IsIdleTime(wall units.Microseconds, job *jobs.Job) bool {
 	spec := job.Spec()
 	if job.Objectives.Priority != jobs.Low || spec.Service || job.Objectives.Due != units.MaxTime {
--- a/internal/core/demand/slots.go
+++ b/internal/core/demand/slots.go
@@ -10,23 +10,23 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is what the work is weighed against. None of its methods may call the Estimator.
+// Host provides what SlotsNeeded needs to know of the shard. Its methods must not call the Estimator.
 type Host interface {
-	// Limit is a team's limit, in thousandths; 0: none.
+	// Limit returns a team's limit, in thousandths; 0 means no limit.
 	Limit(team string) binpack.Vec
-	// LostTasks counts a job's tasks that are placed where nobody hears of them any more: they will
-	// have to start elsewhere.
+	// LostTasks returns how many of a job's tasks are placed on machines that
+	// no longer send heartbeats, so that they will have to start elsewhere.
 	LostTasks(job *jobs.Job) int
-	// CompatibleTypes names the types of machine that a job's tasks fit on and may use.
+	// CompatibleTypes returns the names of the machine types that a job's tasks fit on and may use.
 	CompatibleTypes(spec *jobs.Spec) []string
 }
 
-// workload is how many tasks of a job run, wait, and should run at once.
+// workload is the number of a job's tasks that are placed, that are ready, and that should run at once.
 type workload struct{ placed, ready, slots int }
 
-// SlotsNeeded adds up the work at hand, by the pools of machines that it may use; order are the jobs,
-// the earliest first. A job needs no more slots than let it be done in time: where there is time for
-// several tasks one after the other, fewer machines do.
+// SlotsNeeded adds up the slots that the jobs need, by the machine pools that they may use.
+// order lists the jobs, the earliest first. A job needs only as many slots as it takes to finish
+// in time: if there is time to run several tasks one after the other, fewer machines suffice.
 func (e *Estimator) SlotsNeeded(now, wall units.Microseconds, order []*jobs.Job, host Host) map[autoscaler.Group]autoscaler.Need {
 	needed := map[autoscaler.Group]autoscaler.Need{}
 	perTeam := map[string]binpack.Vec{}
@@ -44,12 +44,12 @@
 		perTeam[spec.Team] = perTeam[spec.Team].Add(total)
 		types := host.CompatibleTypes(spec)
 		group := autoscaler.Group{Class: spec.Class, Types: strings.Join(types, ","), Zone: spec.Zone, Spot: spec.Spot, Idle: e.IsIdleTime(wall, job)}
-		needed[group] = e.add(needed[group], wall, job, work, total, types)
+		needed[group] = e.addWork(needed[group], wall, job, work, total, types)
 	}
 	return needed
 }
 
-// workload is what a job would have run at once if its team had no limit.
+// workload returns a job's workload without regard to its team's limit.
 func (e *Estimator) workload(wall units.Microseconds, job *jobs.Job, host Host) workload {
 	spec := job.Spec()
 	slots := job.Record.Tasks - job.Finished()
@@ -70,8 +70,7 @@
 	return workload{placed, ready, max(slots, placed)}
 }
 
-// slotsWithin bounds the slots of a job by what its team's limit lets run at once beside the team's
-// earlier jobs.
+// slotsWithin bounds the slots of a job by what its team's limit leaves after the team's earlier jobs.
 func slotsWithin(limit, used, demand binpack.Vec, slots int) int {
 	for i, most := range limit {
 		if most > 0 && demand[i] > 0 {
@@ -81,8 +80,8 @@
 	return slots
 }
 
-// add returns a need with a job's work added.
-func (e *Estimator) add(need autoscaler.Need, wall units.Microseconds, job *jobs.Job, work workload, total binpack.Vec, types []string) autoscaler.Need {
+// addWork returns need with a job's work added.
+func (e *Estimator) addWork(need autoscaler.Need, wall units.Microseconds, job *jobs.Job, work workload, total binpack.Vec, types []string) autoscaler.Need {
 	run := e.Runtime(job.Spec())
 	need.Tasks += work.slots
 	need.Running += work.placed
--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -1,38 +1,38 @@
-// Package guard names checks of the core that tests leave out one at a time, to see that the rules
-// of the protocol break without them (TestPlantedMistakes in internal/rehearse). Nothing in the
-// settings can leave one out.
+// Package guard names the checks of the core that tests disable one at a
+// time, to verify that the protocol's invariants break without them
+// (TestPlantedMistakes in internal/rehearse). No setting can disable them.
 package guard
 
-// Guard is a check that is left out.
+// Guard is a check to disable.
 type Guard int
 
-// None leaves nothing out, as every deployment does.
+// None disables no check. Every deployment uses it.
 const None Guard = iota
 
 // Checks of what machines' heartbeats and probes say.
 const (
-	HeartbeatToken       Guard = iota + 1 // a heartbeat tells what is on a machine only under its owner's fencing token
-	HeartbeatOrder                        // a heartbeat that is older than the last one changes nothing
+	HeartbeatToken       Guard = iota + 1 // a heartbeat counts as a report of a machine's tasks only under its owner's fencing token
+	HeartbeatOrder                        // a heartbeat that is older than the last one has no effect
 	ExpiredAttempts                       // attempts that ended with a lease are dropped from later heartbeats
-	DeprovisionedMachine                  // a machine that the cloud has confirmed as returned is not taken in again
-	ProbeAnswer                           // the answer to a probe counts only before anything was started
+	DeprovisionedMachine                  // a machine whose deletion the cloud has confirmed is not registered again
+	ProbeAnswer                           // the answer to a probe counts only before any task was started
 )
 
 // Checks of what may still run.
 const (
-	UnreconciledMachines  Guard = iota + 101 // what runs on earlier owners' machines is unknown until they are reconciled
-	ZoneConstraints                          // tasks of one job share a zone, or are spread
-	CompleteAfterFailover                    // a job whose tasks are all stored as done is completed by a next owner too
-	StandbyAcknowledged                      // a start waits until the standby knows of it
+	UnreconciledMachines  Guard = iota + 101 // what runs on machines of earlier owners is unknown until they are reconciled
+	ZoneConstraints                          // tasks of a job run in one zone or are spread over zones, as its spec demands
+	CompleteAfterFailover                    // the next owner completes a job whose tasks are all stored as done
+	StandbyAcknowledged                      // a start command is sent only after the standby has acknowledged it
 )
 
 // Checks of authority and of freshness.
 const (
-	Authority          Guard = iota + 201 // an owner answers only while its membership surely stands
-	RenewalSendTime                       // a renewal of a lease counts from when it was sent
-	PeerLeaseSendTime                     // a peer lease counts from when it was asked for
-	MemberRecord                          // a peer lease is granted only to a member whose record is there
-	VoteAfterPeerLease                    // no takeover vote while a peer lease runs
-	TakeoverMajority                      // a membership is over only by the votes of a majority
-	FreshRead                             // users are answered only after a read that began after the request
+	Authority          Guard = iota + 201 // an owner answers only while its membership is certain to be valid
+	RenewalSendTime                       // a lease renewal counts from the time when it was sent
+	PeerLeaseSendTime                     // a peer lease counts from the time when it was requested
+	MemberRecord                          // a peer lease is granted only to a member whose record exists
+	VoteAfterPeerLease                    // no takeover vote is given while a peer lease is valid
+	TakeoverMajority                      // a membership ends early only by the votes of a majority
+	FreshRead                             // users are answered only from a read that began after the request
 )
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,10 +1,10 @@
-// Package quarantine decides whose fault a failed task is, the machine's or the job's, and
-// quarantines machines that fail what they start. Nothing more starts on a quarantined machine
-// until a task that it started later completes.
+// Package quarantine decides whether the machine or the job is at fault when a task fails,
+// and quarantines machines that fail the tasks they start. Nothing more starts on a
+// quarantined machine until a task that was started there after the last failure completes.
 //
-// What it decides by is kept with the machines (fleet.Machine: Failed, FailedAt, Proven,
-// Quarantined; a slow machine is quarantined by fleet.Machine.Ran) and the jobs (jobs.Job: Errors,
-// Worked, Failing, Replaced, NotBefore). Nobody else writes those of the machines.
+// The state behind these decisions is kept with the machines (fleet.Machine: Failed, FailedAt,
+// Proven, Quarantined) and the jobs (jobs.Job: Errors, Worked, Failing, Replaced, NotBefore). A slow
+// machine is quarantined by fleet.Machine.Ran. No other package writes these fields of the machines.
 package quarantine
 
 import (
@@ -18,35 +18,34 @@
 )
 
 const (
-	// retrySame is how long a job that failed on a machine is tried elsewhere only.
-	retrySame = 30 * units.Second
-	// longestBackoff bounds the pause between two trials of a job that fails everywhere.
-	longestBackoff = 60 * units.Second
-	// maxDoublings bounds how often that pause doubles, from a second on.
+	// retrySameMachineAfter is how long a job that failed on a machine is tried on other machines only.
+	retrySameMachineAfter = 30 * units.Second
+	// maxBackoff bounds the delay between two trials of a job that fails everywhere.
+	maxBackoff = 60 * units.Second
+	// maxDoublings bounds how often that delay doubles, starting from one second.
 	maxDoublings = 6
-	// maxReplaced bounds the machines that are given up for one job alone.
+	// maxReplaced bounds the machines that are quarantined on account of a single job.
 	maxReplaced = 3
 )
 
-// Host is what the rest of a shard's owner does for failure attribution. None of its methods may
-// call the Attribution.
+// Host is what failure attribution needs from the shard's owner. Its methods must not call the Attribution.
 type Host interface {
-	// Now is the steady time.
+	// Now returns the monotonic time.
 	Now() units.Microseconds
 	// Job returns a known job, or nil.
 	Job(id string) *jobs.Job
 	// Machine returns a machine of the shard, or nil.
 	Machine(name string) *fleet.Machine
-	// ActiveJobs are the shard's jobs that are not over, by id.
+	// ActiveJobs returns the shard's unfinished jobs by ID.
 	ActiveJobs() map[string]*jobs.Job
-	// StoreFailing has it stored with a job's progress whether it fails everywhere: the next owner
-	// need not find out by hundreds of tasks.
+	// StoreFailing stores, with the job's progress, whether the job fails everywhere.
+	// The next owner then does not have to rediscover it from hundreds of failed tasks.
 	StoreFailing(job *jobs.Job)
-	// TasksReady notes that tasks may start that could not before.
+	// TasksReady reports that tasks may start that could not start before.
 	TasksReady()
 }
 
-// Attribution is the failure attribution of one shard.
+// Attribution attributes the failures of one shard's tasks to machines or jobs.
 type Attribution struct {
 	host Host
 	log  *slog.Logger
@@ -55,34 +54,36 @@
 // New returns the failure attribution of a shard.
 func New(host Host, log *slog.Logger) *Attribution { return &Attribution{host, log} }
 
-// TaskFailed weighs whose fault a failed attempt is.
+// TaskFailed attributes a failed attempt to the machine or
+// the job, and quarantines the machine if it is at fault.
 //
-//   - A job that has worked elsewhere speaks against the machine, and so do two jobs that have
-//     failed on no other.
-//   - A job that has only ever failed, on several machines, speaks against itself and for them.
-//   - While it is open whose fault it is, the job goes on with a few tasks, on other machines.
-//     Where there is no other and it fails there once more, the machine is quarantined so that the
-//     job is tried on another; for a job that fails everywhere only one on which nothing ever
-//     worked, and few of them.
+//   - If the job has worked elsewhere, the machine is at fault. The same holds
+//     if two jobs have failed on it that have failed on no other machine.
+//   - If the job has failed on several machines and worked on none, the
+//     job is at fault, and its failures do not count against the machines.
+//   - While neither is known to be at fault, the job continues with a few tasks on other
+//     machines. If there is no other machine and it fails on the same one again, that machine is
+//     quarantined so that the job is tried on a new one. For a job that fails everywhere, this
+//     applies only to machines on which nothing has ever worked, and only to maxReplaced of them.
 func (a *Attribution) TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
 	now := a.host.Now()
-	again := job.Errors[machine.Name] > 0 && attempt.Started > machine.FailedAt
+	repeated := job.Errors[machine.Name] > 0 && attempt.Started > machine.FailedAt
 	machine.FailedAt = now
 	a.log.Debug("task failed", "job", job.ID, "machine", machine.Name)
 	if job.Worked {
 		a.quarantine(machine)
 		return
 	}
-	known := job.FailsEverywhere()
+	wasFailing := job.FailsEverywhere()
 	job.FailedOn(machine.Name)
-	if again && (!known || !machine.Proven && job.Replaced < maxReplaced) {
+	if repeated && (!wasFailing || !machine.Proven && job.Replaced < maxReplaced) {
 		job.MachineReplaced()
-		machine.Quarantined = true // what speaks against the job stays
+		machine.Quarantined = true // the job's failures still count against the job
 		a.log.Warn("machine quarantined: a job fails there again", "machine", machine.Name, "job", job.ID)
 	}
 	if job.FailsEverywhere() {
 		job.RetryAt(now + backoff(len(job.Errors)))
-		if !known {
+		if !wasFailing {
 			a.log.Warn("job fails everywhere", "job", job.ID, "class", job.Spec().Class, "team", job.Spec().Team)
 			a.host.StoreFailing(job)
 		}
@@ -92,29 +93,30 @@
 		machine.Failed = map[string]bool{}
 	}
 	machine.Failed[job.ID] = true
-	if a.openCases(machine) > 1 {
+	if a.unattributedFailures(machine) > 1 {
 		a.quarantine(machine)
 	}
 }
 
-// backoff is the pause before the next trial of a job that has failed on some machines.
+// backoff returns the delay before the next trial of a job that has failed on the given number of machines.
 func backoff(machines int) units.Microseconds {
-	return min(units.Second<<min(machines, maxDoublings), longestBackoff)
+	return min(units.Second<<min(machines, maxDoublings), maxBackoff)
 }
 
-// openCases counts the jobs that failed on a machine and have neither worked nor failed on several.
-func (a *Attribution) openCases(machine *fleet.Machine) int {
-	open := 0
+// unattributedFailures returns the number of jobs that failed on a machine
+// and have neither worked anywhere nor failed on several machines.
+func (a *Attribution) unattributedFailures(machine *fleet.Machine) int {
+	unattributed := 0
 	for id := range machine.Failed {
 		if job := a.host.Job(id); job != nil && job.Active() && !job.Worked && !job.FailsEverywhere() {
-			open++
+			unattributed++
 		}
 	}
-	return open
+	return unattributed
 }
 
-// quarantine has nothing more start on a machine. What failed there says nothing against the jobs
-// any more.
+// quarantine stops new tasks from starting on a machine.
+// The failures on it no longer count against the jobs.
 func (a *Attribution) quarantine(machine *fleet.Machine) {
 	if machine.Quarantined {
 		return
@@ -136,22 +138,22 @@
 	}
 }
 
-// TaskSucceeded takes in that a task completed. What a machine started since its last failure works, so
-// that a quarantine ends; a job that was suspect is not at fault. The attempt is zero where it was
-// not known to be on the machine.
+// TaskSucceeded records that a task completed. If the attempt started after the machine's
+// last failure, the machine works and its quarantine ends. A job that was suspect is not
+// at fault. attempt is the zero value if it was not known to be on the machine.
 func (a *Attribution) TaskSucceeded(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
 	machine.Proven = true
 	if attempt.Started > machine.FailedAt {
 		machine.Failed, machine.Quarantined = nil, false
 	}
 	if job.Suspect() {
-		a.exonerate(job)
+		a.blameMachines(job)
 	}
 }
 
-// exonerate blames the machines on which a suspect job failed, as a task of it has completed, unless
-// something has worked there since.
-func (a *Attribution) exonerate(job *jobs.Job) {
+// blameMachines quarantines the machines on which a suspect job failed, now that one
+// of its tasks has completed, except machines on which some task has completed since.
+func (a *Attribution) blameMachines(job *jobs.Job) {
 	for _, name := range slices.Sorted(maps.Keys(job.Errors)) {
 		if machine := a.host.Machine(name); machine != nil && machine.Failed[job.ID] {
 			a.quarantine(machine)
@@ -161,9 +163,9 @@
 	a.host.TasksReady()
 }
 
-// Trials is how many tasks of a suspect job may start on a machine.
+// Trials returns how many tasks of a suspect job may start on a machine.
 func Trials(now units.Microseconds, machine *fleet.Machine, job *jobs.Job) int {
-	if job.Errors[machine.Name] > 0 && now-machine.FailedAt < retrySame {
+	if job.Errors[machine.Name] > 0 && now-machine.FailedAt < retrySameMachineAfter {
 		return 0
 	}
 	return job.Trials()
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -106,12 +106,12 @@
 	if here, there := Trials(shard.now, machine, job), Trials(shard.now, shard.machines["B"], job); here != 0 || there != 2 {
 		t.Errorf("%d tasks are tried there and %d elsewhere, want 0 and 2", here, there)
 	}
-	if n := Trials(shard.now+retrySame, machine, job); n != 2 {
+	if n := Trials(shard.now+retrySameMachineAfter, machine, job); n != 2 {
 		t.Errorf("%d tasks are tried there later, want 2", n)
 	}
 	for i, name := range []string{"B", "C", "D", "E"} {
 		attribution.TaskFailed(shard.machines[name], job, fleet.Attempt{})
-		if want := shard.now + min(units.Second<<(i+2), longestBackoff); job.NotBefore != want {
+		if want := shard.now + min(units.Second<<(i+2), maxBackoff); job.NotBefore != want {
 			t.Errorf("after %d machines not before %.0f s, want %.0f", i+2, job.NotBefore.Seconds(), want.Seconds())
 		}
 	}
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,10 +1,12 @@
-// Package quota owns what counts against the teams' limits in one shard: the demand of all tasks
-// that may run on its machines, by team, and, for as long as a failover is not reconciled, the
-// capacity of the machines whose tasks are not known. It decides whether a team may start more.
+// Package quota accounts for the usage that counts against the teams' limits in one
+// shard. Usage is the demand of all tasks that may run on the shard's machines, by
+// team. Until a failover is reconciled, it also includes the capacity of the machines
+// whose tasks are not known. The package decides whether a team may start more tasks.
 //
-// A team's limit holds for all shards together. Each shard has an allocation, a part of every
-// limit, so that its owner can decide alone. As the parts of all shards add up to at most one and
-// every task that may run is counted, the shards together never exceed a limit, whoever fails.
+// A team's limit applies to all shards together. Each shard has an allocation, a
+// fraction of every limit, so that its owner can decide without asking others. The
+// allocations of all shards add up to at most 1, and every task that may run is counted.
+// Therefore the shards together never exceed a limit, whichever controller fails.
 package quota
 
 import (
@@ -16,30 +18,30 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 )
 
-// Host is what a shard's owner knows that its quotas depend on. None of its methods may call the
-// Tracker.
+// Host provides the state of the shard's owner that quotas
+// depend on. Its methods must not call the Tracker.
 type Host interface {
-	// Teams are the teams in force by name, those included that are removed and still have jobs.
+	// Teams returns the teams in force by name, including removed teams that still have jobs.
 	Teams() map[string]*configuration.Team
-	// Allocation is the part of every limit that the shard may use: 0 to 1.
+	// Allocation returns the fraction of every limit that the shard may use, from 0 to 1.
 	Allocation() float64
-	// MayStart reports whether the configuration in force lets a team start tasks in the shard: not
-	// while a limit was lowered and other shards may still use what it was.
+	// MayStart reports whether the configuration in force allows a team to start tasks in the shard.
+	// It does not after a limit was lowered, for as long as other shards may still use the old limit.
 	MayStart(team string) bool
-	// Machines are the shard's machines by name.
+	// Machines returns the shard's machines by name.
 	Machines() map[string]*fleet.Machine
-	// Unreconciled names the machines on which tasks may run that this owner does not know of.
+	// Unreconciled returns the names of the machines that may run tasks unknown to this owner.
 	Unreconciled() map[string]bool
 }
 
-// Tracker is what counts against the limits in one shard.
+// Tracker counts the usage against the limits in one shard.
 type Tracker struct {
 	host  Host
 	usage map[string]binpack.Vec // demand of tasks that may run, by team
 
 	unreconciledCapacity binpack.Vec // of the unreconciled machines whose type is known
-	unknownCapacity      bool        // there are others
-	unreconciledStale    bool        // both are to be added up anew
+	unknownCapacity      bool        // there are unreconciled machines whose type is not known
+	unreconciledStale    bool        // the two fields above must be recomputed
 }
 
 // New returns the tracker of a shard in which nothing runs.
@@ -47,43 +49,43 @@
 	return &Tracker{host: host, usage: map[string]binpack.Vec{}}
 }
 
-// Charge counts the demand of a task that may run from now on.
+// Charge adds the demand of a task that may run from now on.
 func (t *Tracker) Charge(team string, demand binpack.Vec) {
 	t.usage[team] = t.usage[team].Add(demand)
 }
 
-// Release takes back the demand of a task that surely runs no more.
+// Release subtracts the demand of a task that is known to have ended.
 func (t *Tracker) Release(team string, demand binpack.Vec) {
 	t.usage[team] = t.usage[team].Sub(demand)
 }
 
-// Usage is the demand of a team's tasks that may run in the shard.
+// Usage returns the demand of a team's tasks that may run in the shard.
 func (t *Tracker) Usage(team string) binpack.Vec { return t.usage[team] }
 
-// UnreconciledChanged notes that the set of unreconciled machines has changed, or the type of one
-// of them became known.
+// UnreconciledChanged records that the set of unreconciled machines
+// has changed, or that the type of one of them became known.
 func (t *Tracker) UnreconciledChanged() { t.unreconciledStale = true }
 
-// Allows reports whether a team may start tasks of a demand beside what it uses. Until all machines
-// are reconciled, those that are not may be full of its tasks; where the capacity of one of them is
-// not known, a team that has a limit starts nothing.
+// Allows reports whether a team may start tasks of the given demand in addition to its usage. Each
+// unreconciled machine may be full of the team's tasks, so its whole capacity counts as usage of
+// every team. If the capacity of one of them is not known, a team that has a limit may start nothing.
 func (t *Tracker) Allows(team string, demand binpack.Vec) bool {
 	settings := t.host.Teams()[team]
 	if settings == nil || !t.host.MayStart(team) {
 		return false
 	}
 	if t.unreconciledStale {
-		t.addUnreconciled()
+		t.sumUnreconciled()
 	}
 	if t.unknownCapacity && settings.Limit != (binpack.Vec{}) {
 		return false
 	}
-	use := t.usage[team].Add(demand).Add(t.unreconciledCapacity)
-	return WithinLimit(t.Allocation(settings.Limit), use)
+	usage := t.usage[team].Add(demand).Add(t.unreconciledCapacity)
+	return WithinLimit(t.Allocation(settings.Limit), usage)
 }
 
-// addUnreconciled adds up the capacity of the unreconciled machines.
-func (t *Tracker) addUnreconciled() {
+// sumUnreconciled adds up the capacity of the unreconciled machines.
+func (t *Tracker) sumUnreconciled() {
 	t.unreconciledCapacity, t.unknownCapacity, t.unreconciledStale = binpack.Vec{}, false, false
 	machines := t.host.Machines()
 	for name := range t.host.Unreconciled() {
@@ -95,7 +97,7 @@
 	}
 }
 
-// Allocation is the shard's part of a team's limit.
+// Allocation returns the shard's part of a team's limit.
 func (t *Tracker) Allocation(limit binpack.Vec) binpack.Vec {
 	fraction := t.host.Allocation()
 	for i := range limit {
@@ -106,8 +108,8 @@
 	return limit
 }
 
-// TeamsOverAllocation names the teams that use more than the shard's part of their limit, sorted: their limit
-// was lowered, or the allocation was.
+// TeamsOverAllocation returns the names of the teams that use more than the shard's part
+// of their limit, sorted. This happens after the limit or the allocation was lowered.
 func (t *Tracker) TeamsOverAllocation() []string {
 	var names []string
 	teams := t.host.Teams()
@@ -119,8 +121,8 @@
 	return names
 }
 
-// MaxUtilization is the largest fraction of any team's whole limit that is in use in the shard: its
-// allocation may shrink no further than that.
+// MaxUtilization returns the largest fraction of any team's total limit that
+// is in use in the shard. The shard's allocation must not shrink below it.
 func (t *Tracker) MaxUtilization() float64 {
 	largest := 0.0
 	for name, team := range t.host.Teams() {
@@ -134,21 +136,22 @@
 }
 
 // ExceedsNominal reports whether a team uses more CPUs or GPUs than the shard's part of its nominal
-// quota (the setting "guarantee"). A team that is not known has none.
+// quota (the setting "guarantee"). For an unknown team, which has no quota, it returns true.
 func (t *Tracker) ExceedsNominal(team string) bool {
 	settings := t.host.Teams()[team]
 	if settings == nil {
 		return true
 	}
-	fraction, use := t.host.Allocation(), t.usage[team]
-	return float64(use[binpack.CPU]) > fraction*float64(settings.Guarantee[binpack.CPU]) ||
-		float64(use[binpack.GPU]) > fraction*float64(settings.Guarantee[binpack.GPU])
+	fraction, usage := t.host.Allocation(), t.usage[team]
+	return float64(usage[binpack.CPU]) > fraction*float64(settings.Guarantee[binpack.CPU]) ||
+		float64(usage[binpack.GPU]) > fraction*float64(settings.Guarantee[binpack.GPU])
 }
 
-// WithinLimit reports whether a use stays within a limit, of which 0 means none.
-func WithinLimit(limit, use binpack.Vec) bool {
-	for i, most := range limit {
-		if most > 0 && use[i] > most {
+// WithinLimit reports whether a usage stays within a limit.
+// A limit of 0 means that the resource is not limited.
+func WithinLimit(limit, usage binpack.Vec) bool {
+	for i, bound := range limit {
+		if bound > 0 && usage[i] > bound {
 			return false
 		}
 	}
--- a/internal/core/ranking/entitlements.go
+++ b/internal/core/ranking/entitlements.go
@@ -5,32 +5,32 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 )
 
-// Entitlements are what the teams' nominal quotas give their jobs, as of when they were computed.
+// Entitlements are the shares that the teams' nominal quotas give to their jobs at the time of computation.
 type Entitlements struct {
-	FairShare     map[string]float64 // by team: the part of the whole that is fair for one of its jobs
-	WithinNominal map[string]bool    // by job: it is within its team's nominal quota together with the team's earlier jobs
+	FairShare     map[string]float64 // by team: the fraction of all capacity that is fair for one of its jobs
+	WithinNominal map[string]bool    // by job: it and the team's earlier jobs fit into the team's nominal quota
 }
 
-// Quotas are the teams' nominal quotas (the setting "guarantee"), in thousandths.
+// Quotas gives access to the teams' nominal quotas (the setting "guarantee"), in thousandths.
 type Quotas interface {
-	// Nominal returns a team's nominal quota; false: there is no such team.
+	// Nominal returns a team's nominal quota, or false if the team does not exist.
 	Nominal(team string) (binpack.Vec, bool)
-	// TotalNominal returns the CPU of all nominal quotas, and how many teams there are.
+	// TotalNominal returns the CPU of all nominal quotas and the number of teams.
 	TotalNominal() (cpu int64, teams int)
 }
 
-// teamDemand is what is known of a team's jobs on the way through all of them.
+// teamDemand accumulates the demand of a team's jobs while Entitle iterates over them.
 type teamDemand struct {
-	nominal   binpack.Vec
-	known     bool        // there is such a team
-	sum       binpack.Vec // that its jobs so far ask for
-	exhausted bool        // no later job is within the nominal quota
-	jobs      int         // that divide what is fair for the team
+	nominal    binpack.Vec
+	exists     bool        // the team exists
+	cumulative binpack.Vec // demand of its jobs so far
+	exhausted  bool        // no later job is within the nominal quota
+	jobs       int         // jobs that divide the team's fair share
 }
 
-// Entitle computes the entitlements of a shard's jobs, given these and the jobs of all shards, each
-// in the order in which they could first start; the two may be the same list. Each job and each of
-// their teams is looked at once: TestHeartbeatSteps in internal/core holds that to a bound.
+// Entitle computes the entitlements of a shard's jobs from these jobs and the jobs of all shards.
+// Both lists are ordered by the time from which the jobs could start, and may be the same list. Each
+// job and each team is visited once: TestHeartbeatSteps in internal/core enforces a bound on that.
 func Entitle(shardJobs, allJobs []*jobs.Job, quotas Quotas) Entitlements {
 	result := Entitlements{FairShare: map[string]float64{}, WithinNominal: map[string]bool{}}
 	teams := map[string]*teamDemand{}
@@ -70,21 +70,22 @@
 
 func newTeamDemand(name string, quotas Quotas) *teamDemand {
 	team := &teamDemand{}
-	team.nominal, team.known = quotas.Nominal(name)
-	team.exhausted = !team.known || team.nominal == (binpack.Vec{})
+	team.nominal, team.exists = quotas.Nominal(name)
+	team.exhausted = !team.exists || team.nominal == (binpack.Vec{})
 	return team
 }
 
-// fairShare is a team's share of the whole: by nominal quota where there are any, else equal.
+// fairShare returns a team's share of all capacity: in proportion
+// to its nominal quota if any team has one, otherwise equal.
 func (t *teamDemand) fairShare(totalCPU int64, teams int) float64 {
-	if totalCPU > 0 && t.known {
+	if totalCPU > 0 && t.exists {
 		return float64(t.nominal[binpack.CPU]) / float64(totalCPU)
 	}
 	return 1 / float64(max(teams, 1))
 }
 
-// covers adds a job to its team's and reports whether they are still within the nominal quota. Sums
-// only grow: once they are not, no later job is.
+// covers adds a job to its team's demand and reports whether the sum is still within the
+// nominal quota. The sum only grows: once it exceeds the quota, no later job is covered.
 func (t *teamDemand) covers(job *jobs.Job) bool {
 	if t.exhausted {
 		return false
@@ -92,11 +93,11 @@
 	spec := job.Spec()
 	tasks := spec.Tasks - job.Finished()
 	if job.FailsEverywhere() {
-		tasks = job.Placed() // it takes nothing from those behind it
+		tasks = job.Placed() // a job that fails everywhere takes no quota from later jobs
 	}
-	t.sum = t.sum.Add(spec.Demand.Times(int64(tasks)))
+	t.cumulative = t.cumulative.Add(spec.Demand.Times(int64(tasks)))
 	for i, quota := range t.nominal {
-		if t.sum[i] > quota && (quota != 0 || i == binpack.CPU) {
+		if t.cumulative[i] > quota && (quota != 0 || i == binpack.CPU) {
 			t.exhausted = true
 			return false
 		}
--- a/internal/core/ranking/order.go
+++ b/internal/core/ranking/order.go
@@ -8,22 +8,22 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 )
 
-// Order keeps jobs sorted by when they could first start, which must not change while they are in
-// it. Settle sorts in the jobs that were added; the others are not sorted again. The zero value is
-// empty.
+// Order keeps jobs sorted by the time from which they could start, which must
+// not change while they are members. ApplyChanges sorts the added jobs and
+// merges them in; the other jobs are not sorted again. The zero value is empty.
 type Order struct {
 	members map[*jobs.Job]struct{}
-	sorted  []*jobs.Job            // as of the last Settle
+	sorted  []*jobs.Job            // as of the last ApplyChanges
 	added   []*jobs.Job            // since then
 	removed map[*jobs.Job]struct{} // since then, still in sorted or added
 }
 
-// byStart compares jobs by when they could first start.
+// byStart compares jobs by the time from which they could start, then by ID.
 func byStart(x, y *jobs.Job) int {
 	return cmp.Or(cmp.Compare(x.Since, y.Since), strings.Compare(x.ID, y.ID))
 }
 
-// Add puts a job in, if it is not there.
+// Add adds a job. It does nothing if the job is a member already.
 func (o *Order) Add(job *jobs.Job) {
 	if _, member := o.members[job]; member {
 		return
@@ -39,7 +39,7 @@
 	o.added = append(o.added, job)
 }
 
-// Remove takes a job out, if it is there.
+// Remove removes a job. It does nothing if the job is not a member.
 func (o *Order) Remove(job *jobs.Job) {
 	if _, member := o.members[job]; !member {
 		return
@@ -47,20 +47,21 @@
 	delete(o.members, job)
 	o.removed[job] = struct{}{}
 	if len(o.removed) > minRemoved+len(o.members) {
-		o.ApplyChanges() // nobody asks for the jobs: what was removed must not pile up
+		o.ApplyChanges() // bounds the removed jobs if ApplyChanges is not called otherwise
 	}
 }
 
-// minRemoved is how many removed jobs are kept for the next Settle at least.
+// minRemoved is the number of removed jobs that are always kept until the next ApplyChanges.
 const minRemoved = 64
 
-// Len returns how many jobs there are.
+// Len returns the number of jobs.
 func (o *Order) Len() int { return len(o.members) }
 
-// Jobs returns the jobs as of the last Settle, the earliest first. The list is the order's own.
+// Jobs returns the jobs as of the last ApplyChanges, the
+// earliest first. The caller must not modify the slice.
 func (o *Order) Jobs() []*jobs.Job { return o.sorted }
 
-// ApplyChanges sorts in what was added and drops what was removed.
+// ApplyChanges merges the added jobs into the sorted list and drops the removed ones.
 func (o *Order) ApplyChanges() {
 	if len(o.removed) > 0 {
 		isRemoved := func(job *jobs.Job) bool {
@@ -75,15 +76,15 @@
 		return
 	}
 	slices.SortFunc(o.added, byStart)
-	before := len(o.sorted)
+	oldLen := len(o.sorted)
 	o.sorted = append(o.sorted, o.added...)
-	mergeFromEnd(o.sorted, before, o.added)
+	mergeFromEnd(o.sorted, oldLen, o.added)
 	clear(o.added)
 	o.added = o.added[:0]
 }
 
-// mergeFromEnd merges the first n jobs of a list with added, for which there is room behind them.
-// It stops where the rest is in its place, which is soon where the added jobs are the latest.
+// mergeFromEnd merges added into the first n jobs of list, which has free space for them at
+// its end. It stops when all added jobs are placed, which is soon if they are the latest.
 func mergeFromEnd(list []*jobs.Job, n int, added []*jobs.Job) {
 	at := len(list) - 1
 	for i, k := n-1, len(added)-1; k >= 0; at-- {
--- a/internal/core/ranking/queue.go
+++ b/internal/core/ranking/queue.go
@@ -1,8 +1,8 @@
-// Package ranking keeps the order in which a shard's waiting jobs are served: which jobs there are,
-// by when they could first start (Order); which of them are within their team's nominal quota
-// (Entitle); and, of those that may start tasks, a ranking in which a machine finds the first jobs
-// that fit it without a look at the others (Queue). It decides nothing: tiers and distances from
-// fair share are the scheduler's.
+// Package ranking keeps the order in which a shard's waiting jobs are served. Order sorts
+// the jobs by the time from which they could start. Entitle determines which of them are
+// within their team's nominal quota. Queue ranks the jobs that may start tasks, so that a
+// machine finds the first jobs that fit it without examining the others. The package
+// makes no decisions: the scheduler computes tiers and distances from fair share.
 package ranking
 
 import (
@@ -15,17 +15,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Candidate is a job with ready tasks and its place in the ranking.
+// Candidate is a job with ready tasks and its position in the ranking.
 type Candidate struct {
 	Job     *jobs.Job
-	Tier    int     // the larger is served first
-	Deficit float64 // within a tier, how far the job is from its fair share: the further first
+	Tier    int     // larger tiers are served first
+	Deficit float64 // distance below fair share; within a tier the larger is served first
 
 	suspect  bool
-	proposed int // its number among those proposed
+	sequence int // order in which the candidates were added
 }
 
-// constraints are all that decides whether a machine can take a job's tasks, whatever runs there.
+// constraints are everything that decides whether an empty machine can run a job's tasks.
 type constraints struct {
 	demand  binpack.Vec
 	types   string
@@ -42,28 +42,28 @@
 	return c
 }
 
-// equivalenceClass holds the ranked jobs of equal constraints: the same machines can take them.
+// equivalenceClass holds the ranked jobs of equal constraints, which can run on the same machines.
 type equivalenceClass struct {
 	constraints constraints
 	spec        *jobs.Spec // of any of its jobs
-	jobs        int        // in the queue
-	ranked      []int      // positions in the ranking, the first first
-	exhausted   int        // so many of them, the first, have no task left to start
+	jobs        int        // number of jobs in the queue
+	ranked      []int      // positions in the ranking, ascending
+	exhausted   int        // number of leading ranked jobs that have no task left to start
 }
 
-// Queue is a shard's active jobs and their ranking. The zero value is empty.
+// Queue holds a shard's active jobs and their ranking. The zero value is empty.
 type Queue struct {
 	Order
-	classOf map[*jobs.Job]*equivalenceClass
-	classes map[constraints]*equivalenceClass // of all jobs
-	ranked  []Candidate                       // the first to be served first
-	active  []*equivalenceClass               // those that have ranked jobs
-	since   units.Microseconds                // the least of the ranked jobs'
-	cursors []cursor                          // of Each, kept for its memory
-	steps   uint64
+	classOf       map[*jobs.Job]*equivalenceClass
+	classes       map[constraints]*equivalenceClass // of all jobs
+	ranked        []Candidate                       // in the order in which they are served
+	active        []*equivalenceClass               // the classes that have ranked jobs
+	earliestSince units.Microseconds                // minimum over the ranked jobs
+	cursors       []cursor                          // buffer of Each, reused to avoid allocations
+	steps         uint64
 }
 
-// Add puts a job into the queue, if it is not there.
+// Add adds a job to the queue. It does nothing if the job is queued already.
 func (q *Queue) Add(job *jobs.Job) {
 	if q.classOf[job] != nil {
 		return
@@ -82,7 +82,8 @@
 	q.classOf[job] = class
 }
 
-// Remove takes a job out of the queue, if it is there. It stays in the ranking until the next.
+// Remove removes a job from the queue, if it is queued.
+// The job stays in the ranking until the next one begins.
 func (q *Queue) Remove(job *jobs.Job) {
 	class := q.classOf[job]
 	if class == nil {
@@ -95,8 +96,8 @@
 	}
 }
 
-// Steps returns how many jobs and equivalence classes were looked at so far to rank and serve jobs:
-// what the ranking costs, in a measure that does not depend on the machine.
+// Steps returns the number of jobs and equivalence classes examined so far to rank and serve
+// jobs. It measures the cost of the ranking independently of the machine that runs it.
 func (q *Queue) Steps() uint64 { return q.steps }
 
 // BeginRanking empties the ranking.
@@ -107,23 +108,23 @@
 		class.ranked, class.exhausted = class.ranked[:0], 0
 	}
 	q.active = q.active[:0]
-	q.since = units.MaxTime
+	q.earliestSince = units.MaxTime
 }
 
-// AddCandidate puts a job of the queue into the ranking that was begun.
+// AddCandidate adds a job of the queue to the ranking in progress. Jobs that are not queued are ignored.
 func (q *Queue) AddCandidate(c Candidate) {
 	if q.classOf[c.Job] == nil {
 		return
 	}
-	c.suspect, c.proposed = c.Job.Suspect(), len(q.ranked)
+	c.suspect, c.sequence = c.Job.Suspect(), len(q.ranked)
 	q.ranked = append(q.ranked, c)
-	q.since = min(q.since, c.Job.Since)
+	q.earliestSince = min(q.earliestSince, c.Job.Since)
 }
 
-// FinishRanking orders what was proposed: by tier, those that fail last in theirs, then by distance
-// from fair share; those that are equal stay in the order in which they were proposed.
+// FinishRanking sorts the candidates by tier, within a tier the suspect jobs last, then
+// by distance from fair share. Equal candidates keep the order in which they were added.
 func (q *Queue) FinishRanking() {
-	slices.SortFunc(q.ranked, before)
+	slices.SortFunc(q.ranked, compareCandidates)
 	for i, c := range q.ranked {
 		class := q.classOf[c.Job]
 		if len(class.ranked) == 0 {
@@ -133,8 +134,8 @@
 	}
 }
 
-// before compares candidates by when they are served.
-func before(x, y Candidate) int {
+// compareCandidates orders candidates by when they are served.
+func compareCandidates(x, y Candidate) int {
 	switch {
 	case x.Tier != y.Tier:
 		return cmp.Compare(y.Tier, x.Tier)
@@ -146,37 +147,37 @@
 	case x.Deficit != y.Deficit:
 		return cmp.Compare(y.Deficit, x.Deficit)
 	}
-	return x.proposed - y.proposed
+	return x.sequence - y.sequence
 }
 
-// Ranked returns the ranking. It is the queue's own and holds until the next is begun.
+// Ranked returns the ranking. The slice belongs to the queue and is valid until the next BeginRanking.
 func (q *Queue) Ranked() []Candidate { return q.ranked }
 
-// EarliestSince is when the first of the ranked jobs could first start: time of day; Never: none is
-// ranked.
-func (q *Queue) EarliestSince() units.Microseconds { return q.since }
+// EarliestSince returns the earliest time of day from which a
+// ranked job could start, or units.MaxTime if no job is ranked.
+func (q *Queue) EarliestSince() units.Microseconds { return q.earliestSince }
 
-// cursor is how far Each has come with one equivalence class.
+// cursor is the position of Each within one equivalence class.
 type cursor struct {
 	class *equivalenceClass
-	next  int // of class.ranked
+	next  int // index into class.ranked
 }
 
 func (c cursor) position() int { return c.class.ranked[c.next] }
 
-// maxVisits bounds the jobs that are looked at for one machine, also where nearly none of them can
-// start anything.
+// maxVisits bounds the jobs that are examined for one
+// machine, even if almost none of them can start a task.
 const maxVisits = 1024
 
-// Each calls visit with the ranked jobs that may suit a machine, the first to be served first,
-// until visit returns false. suits tells by a job's description whether a machine could take its
-// tasks; it is asked once for each equivalence class. class is the same number for the jobs of one
-// class. Neither may call the queue.
-func (q *Queue) Each(suits func(*jobs.Spec) bool, visit func(c Candidate, class int) bool) {
+// Each calls visit for the ranked jobs that may run on a machine, in the order in which
+// they are served, until visit returns false. feasible reports from a job's description
+// whether the machine could run its tasks; it is called once per equivalence class. class
+// is the same number for all jobs of one class. Neither function may call the queue.
+func (q *Queue) Each(feasible func(*jobs.Spec) bool, visit func(c Candidate, class int) bool) {
 	cursors := q.cursors[:0]
 	for _, class := range q.active {
 		q.steps++
-		if q.skipExhausted(class); class.exhausted < len(class.ranked) && suits(class.spec) {
+		if q.skipExhausted(class); class.exhausted < len(class.ranked) && feasible(class.spec) {
 			cursors = append(cursors, cursor{class, class.exhausted})
 		}
 	}
@@ -198,9 +199,9 @@
 	q.cursors = cursors[:0]
 }
 
-// skipExhausted passes over the jobs that have given out their last ready task since the ranking. A
-// task of theirs that becomes ready again waits for the next ranking. Where rankings follow each
-// other at once there are few such jobs, and they are looked at again.
+// skipExhausted skips the jobs whose last ready task was started since the ranking. If one of
+// their tasks becomes ready again, it waits for the next ranking. Nothing is skipped while
+// rankings are not throttled: there are few such jobs then, and examining them again is cheap.
 func (q *Queue) skipExhausted(class *equivalenceClass) {
 	if q.MinInterval() == 0 {
 		return
@@ -211,7 +212,8 @@
 	}
 }
 
-// siftDown restores the heap of cursors, the least position first, after the i-th has grown.
+// siftDown restores the heap of cursors, which has the
+// smallest position first, after the i-th has increased.
 func siftDown(cursors []cursor, i int) {
 	for {
 		least := i
@@ -229,17 +231,17 @@
 }
 
 const (
-	// rankedPerSecond bounds how many jobs are looked at in a second for rankings.
-	rankedPerSecond = 40_000
-	// smallQueue is up to how many jobs rankings may follow each other at once.
+	// maxRankedPerSecond bounds the number of jobs that rankings examine per second.
+	maxRankedPerSecond = 40_000
+	// smallQueue is the number of jobs up to which rankings are not throttled.
 	smallQueue = 1000
 )
 
-// MinInterval is the least time between two rankings. It grows with the jobs, so that what rankings
-// take of the processor does not.
+// MinInterval returns the minimum time between two rankings. It grows with the
+// number of jobs, so that the processor time spent on rankings stays bounded.
 func (q *Queue) MinInterval() units.Microseconds {
 	if q.Len() <= smallQueue {
 		return 0
 	}
-	return units.Microseconds(q.Len()) * units.Second / rankedPerSecond
+	return units.Microseconds(q.Len()) * units.Second / maxRankedPerSecond
 }
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -71,16 +71,16 @@
 	queue.FinishRanking()
 	slices.SortStableFunc(all, func(a, b offer) int { return (b.tier-a.tier)*10 + b.deficit - a.deficit })
 	free := binpack.Vec{int64(rng.IntN(6))}
-	suits := func(s *jobs.Spec) bool { return s.Demand.Fits(free) && s.Allows("a", "z", true) }
+	feasible := func(s *jobs.Spec) bool { return s.Demand.Fits(free) && s.Allows("a", "z", true) }
 	var want, got []*jobs.Job
 	for _, o := range all {
-		if suits(o.job.Spec()) {
+		if feasible(o.job.Spec()) {
 			want = append(want, o.job)
 		}
 	}
 	most := 1 + rng.IntN(20)
 	want = want[:min(most, len(want))]
-	queue.Each(suits, func(c Candidate, _ int) bool {
+	queue.Each(feasible, func(c Candidate, _ int) bool {
 		got = append(got, c.Job)
 		return len(got) < most
 	})
--- a/internal/core/scheduler/evict.go
+++ b/internal/core/scheduler/evict.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// evictAfter is how long a machine must have been spare before the idle-time work there is
-	// stopped.
+	// evictAfter is how long a machine must have been spare before idle-time work on it is stopped.
 	evictAfter = 10 * units.Second
-	// evictRun is how long every such task must have run, so that saving and starting anew stays a
-	// small part of the time.
+	// evictRun is the minimum run time of every such task. It keeps the
+	// cost of saving and restarting a small fraction of the run time.
 	evictRun = 30 * units.Second
 )
 
-// EvictIdle stops the tasks of a machine that is kept for nothing but preemptible idle-time work,
-// where that work should rather go on elsewhere: the machine is expensive, or mostly empty. The
-// machine is returned to the cloud when nothing runs there any more.
+// EvictIdle returns the commands that stop the tasks of a spare machine that runs
+// only preemptible idle-time work, where that work should continue elsewhere
+// because the machine is too expensive or mostly empty. The machine is returned
+// to the cloud once it is empty. EvictIdle returns nil if any task must stay.
 func (s *Scheduler) EvictIdle(machine *fleet.Machine) []fleet.Command {
 	now, wall := s.host.Now(), s.host.Wall()
 	if machine.SpareSince == 0 || now-machine.SpareSince < evictAfter || len(machine.Tasks) == 0 {
@@ -40,9 +40,10 @@
 	return fleet.AtMost(stops, fleet.MaxStops)
 }
 
-// EvictBeforeReclaim stops the tasks of a machine that the cloud is about to reclaim, where they cannot
-// complete before: they start elsewhere now, not when the loss is sure. A task is given the time that
-// remains to save its progress, where that is enough.
+// EvictBeforeReclaim returns the commands that stop the tasks of a machine that the
+// cloud is about to reclaim, as far as they cannot complete before that. Stopping
+// them early lets them start elsewhere now instead of after the machine is lost. A
+// task gets the remaining time to save its progress, if that is long enough.
 func (s *Scheduler) EvictBeforeReclaim(machine *fleet.Machine) []fleet.Command {
 	now := s.host.Now()
 	remaining := machine.Notice - now
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -10,13 +10,13 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// maxCandidates bounds the jobs that are scored for one machine. They are those furthest from fair
-// share in the highest tiers, of those that fit.
+// maxCandidates bounds the jobs that are scored for one machine. Of the jobs that fit,
+// those of the highest tiers that are furthest below their fair share are scored.
 const maxCandidates = 64
 
-// Fill starts tasks on a machine that has free capacity, and returns the commands that do so. It
-// is the scheduler's main way: rank where that is due, filter the ranked jobs, score them, place
-// what scores best. The machine must be schedulable.
+// Fill returns the commands that start tasks on a machine with free capacity. It is the
+// main path of the scheduler: refresh an expired ranking, filter the ranked jobs, score
+// them, and place the tasks with the highest scores. The machine must be schedulable.
 func (s *Scheduler) Fill(machine *fleet.Machine) []fleet.Command {
 	if s.rankExpired() {
 		s.rank()
@@ -27,7 +27,7 @@
 	now, wall := s.host.Now(), s.host.Wall()
 	s.filter(now, wall, machine)
 	var commands []fleet.Command
-	binpack.Fill(machine.Type.Capacity, machine.Free(), s.views, s.config.Packing, func(chosen int) bool {
+	binpack.Fill(machine.Type.Capacity, machine.Free(), s.packerJobs, s.config.Packing, func(chosen int) bool {
 		job := s.candidates[chosen]
 		if !s.mayPlace(wall, machine, job, len(commands)) {
 			return false
@@ -38,52 +38,52 @@
 	return commands
 }
 
-// filter finds the first ranked jobs that may start tasks on a machine, and how the packer is to
-// see them.
+// filter collects the first ranked jobs that may start tasks on
+// a machine, together with the packer's input for each of them.
 func (s *Scheduler) filter(now, wall units.Microseconds, machine *fleet.Machine) {
 	free := machine.Free()
 	s.headroom.collect(s.preferred, machine)
-	s.candidates, s.views = s.candidates[:0], s.views[:0]
-	suits := func(spec *jobs.Spec) bool {
+	s.candidates, s.packerJobs = s.candidates[:0], s.packerJobs[:0]
+	feasible := func(spec *jobs.Spec) bool {
 		return spec.Demand.Fits(free) && spec.Allows(machine.Record.Type, machine.Record.Zone, machine.Record.Spot)
 	}
-	s.queue.Each(suits, func(candidate ranking.Candidate, class int) bool {
+	s.queue.Each(feasible, func(candidate ranking.Candidate, class int) bool {
 		if pending := s.pending(now, wall, machine, candidate.Job, class); pending > 0 {
-			s.consider(machine, candidate, pending)
+			s.addCandidate(machine, candidate, pending)
 		}
 		return len(s.candidates) < maxCandidates
 	})
 }
 
-// pending is how many tasks of a job may start on a machine now. What fits on preferred machines
-// that are about to ask for work is left to them.
+// pending returns how many tasks of a job may start on a machine now. Tasks that fit
+// on preferred machines which will ask for work soon are left to those machines.
 func (s *Scheduler) pending(now, wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, class int) int {
 	if job.Spec() == nil || job.Ready() == 0 || !s.startable(now, job) {
 		return 0
 	}
 	if machine.SpareSince != 0 && s.demand.IsIdleTime(wall, job) {
-		return 0 // the machine would be kept for that alone
+		return 0 // the machine would be kept for idle-time work alone
 	}
-	pending := job.Ready() - s.headroom.take(job, class)
+	pending := job.Ready() - s.headroom.claim(job, class)
 	if job.Suspect() {
 		pending = quarantine.Trials(now, machine, job)
 	}
 	if overdue(wall, job) {
-		pending = min(pending, 1) // the others have no more right than before
+		pending = min(pending, 1) // only the first task goes out of order
 	}
 	return pending
 }
 
-// consider adds a candidate to those that the packer is shown, and how it is to see it.
-func (s *Scheduler) consider(machine *fleet.Machine, candidate ranking.Candidate, pending int) {
+// addCandidate adds a job to the candidates and to the packer's input.
+func (s *Scheduler) addCandidate(machine *fleet.Machine, candidate ranking.Candidate, pending int) {
 	job := candidate.Job
 	spec := job.Spec()
 	tier := 2 * candidate.Tier
 	if !machine.Record.Spot && !spec.Spot {
-		tier++ // it can go nowhere else, other work can
+		tier++ // the job needs an on-demand machine, other jobs can use spot instances
 	}
 	s.candidates = append(s.candidates, job)
-	s.views = append(s.views, binpack.Job{
+	s.packerJobs = append(s.packerJobs, binpack.Job{
 		Demand:   spec.Demand,
 		Pending:  pending,
 		Work:     float64(job.Record.Tasks-job.Finished()) * s.demand.Runtime(spec).Seconds(),
@@ -94,10 +94,10 @@
 	})
 }
 
-// mayPlace reports whether one more task of a job may start on a machine beside those that were
-// started there just now: the response and the machine's next heartbeat stay within their bounds,
-// there is an attempt number left, the team stays within its limit, and the job's tasks in the
-// zones that they may share.
+// mayPlace reports whether one more task of a job may start on a machine, in
+// addition to the tasks started by this call of Fill. The response and the machine's
+// next heartbeat must stay within their size bounds, an attempt number must be left,
+// the team must stay within its limit, and the job's zone constraints must hold.
 func (s *Scheduler) mayPlace(wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, started int) bool {
 	if started == fleet.MaxStarts || machine.Listed+started >= fleet.MaxListed || s.host.AttemptsUsedUp() {
 		return false
@@ -108,7 +108,7 @@
 	return job.ZoneAllows(machine.Record.Zone) || s.config.SkippedGuard == guard.ZoneConstraints
 }
 
-// place starts the next ready task of a job on a machine.
+// place assigns the next ready task of a job to a machine and returns its start command.
 func (s *Scheduler) place(now, wall units.Microseconds, machine *fleet.Machine, job *jobs.Job) fleet.Command {
 	spec := job.Spec()
 	if overdue(wall, job) {
--- a/internal/core/scheduler/headroom.go
+++ b/internal/core/scheduler/headroom.go
@@ -9,20 +9,20 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// maxPreferred bounds the machines whose headroom is looked at for one machine.
+// maxPreferred bounds the preferred machines whose headroom is considered when filling one machine.
 const maxPreferred = 48
 
-// headroom is the free capacity of machines that are preferred to the one at hand and about to ask
-// for work themselves. Work that fits there waits for them, so that the others run empty and can
-// be returned to the cloud.
+// headroom is the free capacity of machines that are preferred to the one being
+// filled and will ask for work themselves soon. Work that fits there waits for them,
+// so that the less preferred machines become empty and can be returned to the cloud.
 type headroom struct {
 	machines  []*fleet.Machine
 	free      []binpack.Vec
-	exhausted map[int]bool // by equivalence class: no task of theirs fits any more, as free only shrinks
+	exhausted map[int]bool // by equivalence class: no further task fits; free only shrinks, so this stays true
 }
 
-// collect finds the headroom on the machines that are preferred to one; ranked are machines with
-// free capacity, the most preferred first.
+// collect gathers the headroom of the machines that are preferred to the given
+// machine. ranked lists the machines with free capacity, the most preferred first.
 func (h *headroom) collect(ranked []*fleet.Machine, machine *fleet.Machine) {
 	h.machines, h.free = h.machines[:0], h.free[:0]
 	clear(h.exhausted)
@@ -40,35 +40,35 @@
 	}
 }
 
-// take sets headroom aside for a job's ready tasks, and returns for how many. class is the number of
-// the job's equivalence class: the same machines can take the tasks of all its jobs.
-func (h *headroom) take(job *jobs.Job, class int) int {
+// claim reserves headroom for a job's ready tasks and returns the number of tasks that it covers.
+// class is the job's equivalence class: all jobs of a class can run on the same machines.
+func (h *headroom) claim(job *jobs.Job, class int) int {
 	if h.exhausted[class] {
 		return 0
 	}
 	spec := job.Spec()
-	waiting := job.Ready()
+	unplaced := job.Ready()
 	for i, machine := range h.machines {
 		if !spec.Allows(machine.Record.Type, machine.Record.Zone, machine.Record.Spot) {
 			continue
 		}
-		for waiting > 0 && spec.Demand.Fits(h.free[i]) {
+		for unplaced > 0 && spec.Demand.Fits(h.free[i]) {
 			h.free[i] = h.free[i].Sub(spec.Demand)
-			waiting--
+			unplaced--
 		}
 	}
-	if waiting > 0 {
+	if unplaced > 0 {
 		if h.exhausted == nil {
 			h.exhausted = map[int]bool{}
 		}
 		h.exhausted[class] = true
 	}
-	return job.Ready() - waiting
+	return job.Ready() - unplaced
 }
 
-// Preferred reports whether work should rather go to one machine than to another: to the one of
-// the lower cost, else to the smaller one, which runs empty sooner, else to the older one, so that
-// free capacity gathers on the youngest.
+// Preferred reports whether work should go to one machine rather than to other. Lower
+// cost wins. At equal cost the smaller machine wins because it becomes empty sooner,
+// then the older one, so that free capacity accumulates on the youngest machines.
 func Preferred(one, other *fleet.Machine) bool {
 	if a, b := costClass(one), costClass(other); a != b {
 		return a < b
@@ -79,7 +79,7 @@
 	return one.Name < other.Name
 }
 
-// costClass is what a machine costs by CPU, in steps of about a tenth.
+// costClass returns the price of a machine per CPU on a logarithmic scale, in steps of about a tenth.
 func costClass(machine *fleet.Machine) int {
 	if machine.Type == nil || machine.Type.Capacity[binpack.CPU] == 0 {
 		return 0
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// preemptAfter is how long a job's tasks must have waited, and by how much longer they would have
-	// to wait for capacity to come free by itself, before other tasks are stopped for them.
+	// preemptAfter is the minimum time that a job must have waited before tasks of other jobs are
+	// stopped for it. The estimated wait until capacity becomes free by itself must be at least as long.
 	preemptAfter = 30 * units.Second
-	// displaceAfter is the same where the others are preemptible.
+	// displaceAfter replaces preemptAfter where the tasks to stop are preemptible.
 	displaceAfter = 3 * units.Second
-	// preemptMemory is how long a stop is taken to be still under way.
-	preemptMemory = 3 * units.Second
-	// gainFactor is how many times the work that is lost with a victim the gaining task must be.
+	// stopTimeout is how long a stop is assumed to be in progress.
+	stopTimeout = 3 * units.Second
+	// gainFactor is the minimum ratio of the run time of the task that
+	// gains the capacity to the run time that is lost with a victim.
 	gainFactor = 4
 )
 
-// preemption counts the places made for a job that it has not taken yet.
+// preemption counts the places that stops are making for a job and that it has not used yet.
 type preemption struct {
 	places int
 	at     units.Microseconds
 }
 
-// victim is a task that may be stopped, and the run time that is lost with it.
+// victim is a task that may be stopped, and the run time that would be lost with it.
 type victim struct {
 	id      jobs.TaskID
 	attempt fleet.Attempt
 	lost    units.Microseconds
 }
 
-// preemptible reports whether a job uses what capacity others leave, and keeps its progress when it
-// makes room: stopping its tasks costs little.
+// preemptible reports whether stopping a job's tasks costs
+// little: the job has the lowest priority and saves checkpoints.
 func preemptible(job *jobs.Job) bool {
 	return job.Objectives.Priority == jobs.Low && job.Spec().Checkpoint > 0
 }
 
-// Preempt stops tasks of a machine to make room for a job that has a better right to it: one of
-// higher priority, or one within its team's nominal quota where another team runs beyond its own.
-// It stops what loses least, and nothing that would lose much beside what the job's task gains.
+// Preempt returns the commands that stop tasks of a machine for a job with
+// precedence: a job of higher priority, or one within its team's nominal quota
+// where the victim's team exceeds its own. It stops the tasks that lose the least
+// work, and none whose loss is large compared with the run time of the job's task.
 func (s *Scheduler) Preempt(machine *fleet.Machine) []fleet.Command {
 	if len(machine.Tasks) == 0 || len(s.queue.Ranked()) == 0 {
 		return nil
@@ -57,7 +59,7 @@
 	return s.preempt(machine, preemptAfter, func(*jobs.Job) bool { return true })
 }
 
-// runsPreemptible reports whether any task on a machine is of a preemptible job.
+// runsPreemptible reports whether any task on a machine belongs to a preemptible job.
 func (s *Scheduler) runsPreemptible(machine *fleet.Machine) bool {
 	for id := range machine.Tasks {
 		if job := s.host.Job(id.Job); job != nil && job.Active() && preemptible(job) {
@@ -67,50 +69,50 @@
 	return false
 }
 
-// preempt stops tasks of the jobs that it may for the job with the best right to the machine that
-// has waited, and would wait, for some time.
-func (s *Scheduler) preempt(machine *fleet.Machine, after units.Microseconds, may func(*jobs.Job) bool) []fleet.Command {
+// preempt stops tasks of eligible jobs for the first job in the ranking that
+// has waited for at least after and would have to wait that long again.
+func (s *Scheduler) preempt(machine *fleet.Machine, after units.Microseconds, eligible func(*jobs.Job) bool) []fleet.Command {
 	job := s.preemptor(machine, after)
 	if job == nil || job.Spec().Demand.Fits(machine.Free()) {
-		return nil // what fits starts, or something else keeps it from that
+		return nil // a task that fits is started by Fill, unless another rule forbids it
 	}
-	victims, costless := s.victims(machine, job, may)
-	made := s.preempted[job.ID]
-	most := 1
+	victims, costless := s.victims(machine, job, eligible)
+	previous := s.preemptions[job.ID]
+	maxPlaces := 1
 	if costless {
-		most = job.Ready() - made.places
+		maxPlaces = job.Ready() - previous.places
 	}
-	stops, places := s.stop(victims, machine.Free(), job.Spec().Demand, most)
+	stops, places := s.stop(victims, machine.Free(), job.Spec().Demand, maxPlaces)
 	if places == 0 {
 		return nil
 	}
-	s.preempted[job.ID] = preemption{made.places + places, s.host.Now()}
+	s.preemptions[job.ID] = preemption{previous.places + places, s.host.Now()}
 	s.config.Log.Info("preempting", "machine", machine.Name, "job", job.ID, "stopped", len(stops))
 	return stops
 }
 
-// preemptor returns the job with the best right to a machine's capacity among those that have
-// waited for some time and would still have to.
+// preemptor returns the first job in the ranking that could use a machine, has
+// waited for at least after and would have to wait that long again, or nil.
 func (s *Scheduler) preemptor(machine *fleet.Machine, after units.Microseconds) *jobs.Job {
 	now, wall := s.host.Now(), s.host.Wall()
 	if s.completionRate > 0 && units.Seconds(float64(s.readyTasks)/s.completionRate) < after {
 		return nil
 	}
 	if wall-s.queue.EarliestSince() < after {
-		return nil // none has waited for that long
+		return nil // no job has waited that long
 	}
-	suits := func(spec *jobs.Spec) bool {
+	feasible := func(spec *jobs.Spec) bool {
 		return spec.Allows(machine.Record.Type, machine.Record.Zone, machine.Record.Spot) && spec.Demand.Fits(machine.Type.Capacity)
 	}
 	var found *jobs.Job
-	s.queue.Each(suits, func(candidate ranking.Candidate, _ int) bool {
+	s.queue.Each(feasible, func(candidate ranking.Candidate, _ int) bool {
 		job := candidate.Job
 		spec := job.Spec()
 		if spec == nil || wall-job.Since < after || job.Suspect() || !s.startable(now, job) ||
 			!s.quota.Allows(spec.Team, spec.Demand) || !job.ZoneAllows(machine.Record.Zone) {
 			return true
 		}
-		if job.Ready() > s.placesMade(now, job) {
+		if job.Ready() > s.pendingPlaces(now, job) {
 			found = job
 		}
 		return found == nil
@@ -118,25 +120,25 @@
 	return found
 }
 
-// placesMade is for how many of a job's ready tasks others are being stopped. What was stopped
-// longer ago has ended; whoever took its place has a better right.
-func (s *Scheduler) placesMade(now units.Microseconds, job *jobs.Job) int {
-	made := s.preempted[job.ID]
-	if now-made.at > preemptMemory {
-		delete(s.preempted, job.ID)
+// pendingPlaces returns the number of a job's ready tasks for which stops are in progress. Stops
+// older than stopTimeout have ended: if another job uses their capacity, it had precedence.
+func (s *Scheduler) pendingPlaces(now units.Microseconds, job *jobs.Job) int {
+	previous := s.preemptions[job.ID]
+	if now-previous.at > stopTimeout {
+		delete(s.preemptions, job.ID)
 		return 0
 	}
-	return made.places
+	return previous.places
 }
 
-// victims returns the tasks of a machine that may be stopped for a job, those first that lose
-// least, and whether all of them are preemptible: nothing is lost by stopping several then.
-func (s *Scheduler) victims(machine *fleet.Machine, job *jobs.Job, may func(*jobs.Job) bool) (victims []victim, costless bool) {
+// victims returns the tasks of a machine that may be stopped for a job, least lost work first.
+// costless reports whether all of them are preemptible, so that stopping several loses nothing.
+func (s *Scheduler) victims(machine *fleet.Machine, job *jobs.Job, eligible func(*jobs.Job) bool) (victims []victim, costless bool) {
 	now, gain := s.host.Now(), s.demand.Runtime(job.Spec())
 	costless = true
 	for _, id := range machine.TaskIDs() {
 		attempt, owner := machine.Tasks[id], s.host.Job(id.Job)
-		if owner == nil || !owner.Active() || attempt.State == fleet.Saving || !may(owner) || !s.mayPreempt(job, owner) {
+		if owner == nil || !owner.Active() || attempt.State == fleet.Saving || !eligible(owner) || !s.mayPreempt(job, owner) {
 			continue
 		}
 		if lost := lostWork(now, owner.Spec(), attempt); lost < gain/gainFactor {
@@ -148,18 +150,18 @@
 	return victims, costless
 }
 
-// stop returns the commands that stop as few victims as make places for tasks of a demand, at most
-// some number of them, and how many places that makes.
-func (s *Scheduler) stop(victims []victim, free, need binpack.Vec, most int) (stops []fleet.Command, places int) {
-	var partial []fleet.Command // do not make another place yet
+// stop returns the commands that stop as few victims as necessary to make at most
+// maxPlaces places for tasks of the given demand, and the number of places made.
+func (s *Scheduler) stop(victims []victim, free, taskDemand binpack.Vec, maxPlaces int) (stops []fleet.Command, places int) {
+	var partial []fleet.Command // stops that have not made another place yet
 	for _, victim := range victims {
-		if places == most || len(stops)+len(partial) == fleet.MaxStops {
+		if places == maxPlaces || len(stops)+len(partial) == fleet.MaxStops {
 			break
 		}
 		free = free.Add(victim.attempt.Demand)
 		partial = append(partial, fleet.Command{Op: fleet.Stop, ID: victim.id, Attempt: victim.attempt.Number, Grace: s.host.Job(victim.id.Job).Spec().Save})
-		for places < most && need.Fits(free) {
-			free = free.Sub(need)
+		for places < maxPlaces && taskDemand.Fits(free) {
+			free = free.Sub(taskDemand)
 			places++
 			stops, partial = append(stops, partial...), nil
 		}
@@ -172,16 +174,16 @@
 	sameTeam := job.Spec().Team == victim.Spec().Team
 	team := victim.Spec().Team
 	if !sameTeam && s.quota.Usage(team)[binpack.CPU] <= s.shortfall[team] {
-		return false // all that it has is what it may use before all others
+		return false // the victim's team uses no more than it may use before all other teams
 	}
-	within, victimWithin := s.entitled.WithinNominal[job.ID], s.entitled.WithinNominal[victim.ID]
+	within, victimWithin := s.entitlements.WithinNominal[job.ID], s.entitlements.WithinNominal[victim.ID]
 	if victim.Objectives.Priority < job.Objectives.Priority && (within || !victimWithin) {
 		return true
 	}
 	return within && !sameTeam && !victimWithin && s.quota.ExceedsNominal(team)
 }
 
-// lostWork is the run time that is lost when an attempt is stopped now.
+// lostWork returns the run time that is lost if an attempt is stopped now.
 func lostWork(now units.Microseconds, spec *jobs.Spec, attempt fleet.Attempt) units.Microseconds {
 	if spec.Service || spec.Checkpoint > 0 {
 		return 0
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// rankEvery is the longest that a ranking is used; between rankings a heartbeat looks at the
-	// first few jobs and machines alone.
-	rankEvery = units.Second / 4
-	// rankGap is the least time between two rankings where tasks have become ready. Both are longer
-	// where there are so many jobs that rankings would take more and more of the processor.
-	rankGap = units.Second / 40
+	// maxRankAge is the maximum age of a ranking. Between rankings
+	// a heartbeat examines only the first jobs and machines.
+	maxRankAge = units.Second / 4
+	// minRankInterval is the minimum time between two rankings when tasks have become ready. Both
+	// intervals grow with the number of jobs, which bounds the processor time spent on rankings.
+	minRankInterval = units.Second / 40
 )
 
-// sort orders the jobs by when they could first start, and computes what changes slowly: which of
-// them are within their team's nominal quota together with the team's earlier jobs, the capacity
-// of the shard, and which teams are in shortfall. Jobs that wait for others count nowhere.
+// sort orders the jobs by the time from which they could start, and recomputes the state that changes
+// slowly: the jobs within their team's nominal quota (together with the team's earlier jobs), the
+// capacity of the shard, and the teams in shortfall. Jobs that wait for other jobs are not counted.
 func (s *Scheduler) sort() {
 	s.host.PropagateObjectives()
 	s.orderStale = false
 	s.queue.ApplyChanges()
-	own := s.queue.Jobs()
-	all := s.host.AllRunnable() // a nominal quota covers the earliest of a team's jobs in all shards
-	if all == nil {
-		all = own
+	shardJobs := s.queue.Jobs()
+	allJobs := s.host.AllRunnable() // a nominal quota covers a team's earliest jobs over all shards
+	if allJobs == nil {
+		allJobs = shardJobs
 	}
-	s.entitled = ranking.Entitle(own, all, s.host)
+	s.entitlements = ranking.Entitle(shardJobs, allJobs, s.host)
 	s.capacity = binpack.Vec{}
 	for _, machine := range s.host.Machines() {
 		if machine.Type != nil && !machine.Deprovisioning {
@@ -41,39 +41,40 @@
 	s.computeShortfall()
 }
 
-// RankDue reports whether tasks have become ready that the ranking should have soon.
+// RankDue reports whether tasks have become ready that the ranking should include now.
 func (s *Scheduler) RankDue() bool {
-	return s.readyUnranked && s.host.Now() >= s.rankedAt+max(rankGap, s.queue.MinInterval())
+	return s.readyUnranked && s.host.Now() >= s.rankedAt+max(minRankInterval, s.queue.MinInterval())
 }
 
-// RankReady ranks the jobs if tasks have become ready.
+// RankReady ranks the jobs if tasks have become ready since the last
+// ranking. Unlike RankDue it waits only for the queue's MinInterval.
 func (s *Scheduler) RankReady() {
 	if s.readyUnranked && s.host.Now() >= s.rankedAt+s.queue.MinInterval() {
 		s.rank()
 	}
 }
 
-// IdleOfferDue reports whether machines that are waiting for work should be filled: there are ranked
-// jobs that they were not offered yet. Each ranking is reported once.
+// IdleOfferDue reports whether machines that wait for work should be filled: the ranking has
+// newly ready tasks that they were not offered yet. It reports true once per such ranking.
 func (s *Scheduler) IdleOfferDue() bool {
-	offer := s.rankedUnserved && len(s.queue.Ranked()) > 0
-	s.rankedUnserved = false
+	offer := s.idleOfferPending && len(s.queue.Ranked()) > 0
+	s.idleOfferPending = false
 	return offer
 }
 
-// rankExpired reports whether the ranking is too old to fill a machine by it.
+// rankExpired reports whether the ranking is too old to be used for filling a machine.
 func (s *Scheduler) rankExpired() bool {
-	return s.host.Now() >= s.rankedAt+max(rankEvery, s.queue.MinInterval()) || s.RankDue()
+	return s.host.Now() >= s.rankedAt+max(maxRankAge, s.queue.MinInterval()) || s.RankDue()
 }
 
-// rank orders the jobs that have ready tasks by tier and distance from fair share, and the machines
-// that have free capacity by preference.
+// rank orders the jobs that have ready tasks by tier and distance from
+// fair share, and the machines that have free capacity by preference.
 func (s *Scheduler) rank() {
 	now, wall := s.host.Now(), s.host.Wall()
 	s.rankedAt = now
-	s.rankedUnserved = s.rankedUnserved || s.readyUnranked
+	s.idleOfferPending = s.idleOfferPending || s.readyUnranked
 	s.readyUnranked = false
-	if s.orderStale || s.entitled.WithinNominal == nil {
+	if s.orderStale || s.entitlements.WithinNominal == nil {
 		s.sort()
 	}
 	s.rankJobs(now, wall)
@@ -110,7 +111,7 @@
 	s.queue.FinishRanking()
 }
 
-// rankMachines collects the machines that are about to ask for work, the most preferred first.
+// rankMachines collects the machines that are expected to ask for work, the most preferred first.
 func (s *Scheduler) rankMachines(now units.Microseconds) {
 	for _, machine := range s.host.Machines() {
 		if machine.Schedulable() && machine.Notice == units.MaxTime && s.zones.Reachable(machine.Record.Zone) &&
@@ -121,30 +122,31 @@
 	sort.Slice(s.preferred, func(a, b int) bool { return Preferred(s.preferred[a], s.preferred[b]) })
 }
 
-// startable reports whether a job's ready tasks may start in the shard at present.
+// startable reports whether a job's ready tasks may start in the shard at the given time.
 func (s *Scheduler) startable(now units.Microseconds, job *jobs.Job) bool {
 	return job.Record.Shard == s.config.Shard && !job.Unreconciled && !job.Migrating && now >= job.NotBefore
 }
 
-// priorities is how many priorities there are: a step of right outweighs them all.
-const priorities = int(jobs.Production) + 1
+// numPriorities is the number of priorities. Shortfall and nominal quota
+// outrank every priority because each adds a multiple of it to the tier.
+const numPriorities = int(jobs.Production) + 1
 
-// tier orders jobs by right: those of a team in shortfall, then those within their team's nominal
-// quota, then by priority.
+// tier returns the precedence of a job, larger first: jobs of a team in
+// shortfall, then jobs within their team's nominal quota, then by priority.
 func (s *Scheduler) tier(job *jobs.Job) int {
 	tier := int(job.Objectives.Priority)
-	if s.entitled.WithinNominal[job.ID] {
-		tier += priorities
+	if s.entitlements.WithinNominal[job.ID] {
+		tier += numPriorities
 	}
 	if s.inShortfall(job.Spec()) {
-		tier += 2 * priorities
+		tier += 2 * numPriorities
 	}
 	return tier
 }
 
-// inShortfall reports whether one more task of a job stays within what its team, being in
-// shortfall, may use before all others. Where no team is, that is 0: a task that demands no CPU is
-// within it.
+// inShortfall reports whether one more task of a job stays within the CPU that its
+// team may use before all other teams because it is in shortfall. For teams that are
+// not in shortfall that amount is 0, which a task that demands no CPU satisfies.
 func (s *Scheduler) inShortfall(spec *jobs.Spec) bool {
 	cpu := spec.Demand[binpack.CPU]
 	if len(s.shortfall) == 0 && cpu > 0 {
@@ -153,7 +155,7 @@
 	return s.quota.Usage(spec.Team)[binpack.CPU]+cpu <= s.shortfall[spec.Team]
 }
 
-// urgency orders the jobs of one tier: those overdue, then by which objectives can still be met.
+// urgency orders the jobs of one tier: overdue jobs first, then by the objectives that can still be met.
 func (s *Scheduler) urgency(wall units.Microseconds, job *jobs.Job) demand.Urgency {
 	if overdue(wall, job) {
 		return demand.Overdue
@@ -161,22 +163,21 @@
 	return s.demand.Urgency(wall, job)
 }
 
-// deficit is how far a job is from its fair share (the paper's 3.4).
+// deficit returns how far a job is below its fair share (section 3.4 of the Tetris paper).
 func (s *Scheduler) deficit(job *jobs.Job) float64 {
 	spec := job.Spec()
-	return s.entitled.FairShare[spec.Team] - binpack.DominantShare(s.capacity, spec.Demand)*float64(job.Placed())
+	return s.entitlements.FairShare[spec.Team] - binpack.DominantShare(s.capacity, spec.Demand)*float64(job.Placed())
 }
 
-// computeShortfall finds the teams that have waited for long for their nominal quota, and how much
-// CPU each may use before all others. Where the machines there are cannot give all teams their
-// nominal quotas at once, each counts for its part of them: else what has the highest priority, as
-// long as it is within its own team's, leaves the other teams nothing at all
-// (TestTeamInShortfall).
+// computeShortfall finds the teams that have waited longer than preemptAfter for their nominal quota, and
+// how much CPU each may use before all other teams. If the machines cannot provide all nominal quotas at
+// once, each quota is scaled down in proportion. Otherwise a team whose work has the highest priority and
+// is within the team's own quota would leave nothing to the other teams (TestShortfallTeamNotStarved).
 func (s *Scheduler) computeShortfall() {
 	s.shortfall = map[string]int64{}
-	nominal, _ := s.host.TotalNominal()
-	present := s.capacity[binpack.CPU]
-	if nominal <= present {
+	nominalCPU, _ := s.host.TotalNominal()
+	availableCPU := s.capacity[binpack.CPU]
+	if nominalCPU <= availableCPU {
 		return
 	}
 	wall := s.host.Wall()
@@ -186,41 +187,42 @@
 			continue
 		}
 		if quota, known := s.host.Nominal(team); known {
-			s.shortfall[team] = int64(float64(quota[binpack.CPU]) * float64(present) / float64(nominal))
+			s.shortfall[team] = int64(float64(quota[binpack.CPU]) * float64(availableCPU) / float64(nominalCPU))
 		}
 	}
 }
 
 const (
-	// overdueAfter is how long a job may wait before its first task goes ahead of the other work of
-	// its tier.
+	// overdueAfter is how long a job may wait before its first
+	// task takes precedence over the other work of its tier.
 	overdueAfter = 120 * units.Second
-	// reserveFor is for how long after that its team's limit keeps room for it: a job that can start
-	// nowhere must not hold up its team for good.
-	reserveFor = 120 * units.Second
-	// overdueTasks is how many tasks such a job has at least: no more than one in that many goes out
-	// of order.
-	overdueTasks = 2
+	// reservationTime is how long after that the team's limit keeps capacity reserved
+	// for the job. A job that can start nowhere must not block its team forever.
+	reservationTime = 120 * units.Second
+	// minOverdueTasks is the minimum number of tasks of such a job. It
+	// bounds the share of tasks that start out of order to one in that many.
+	minOverdueTasks = 2
 )
 
-// overdue reports whether no task of a job has started although it has waited for long. Where
-// there is less capacity than work, the least remaining work and the objectives that can still be
-// met would otherwise put off a large job for as long as smaller ones arrive
-// (docs/incidents/2026-12-02-largest-starved.md, TestLargestJobStarts).
+// overdue reports whether a job has waited longer than overdueAfter without starting
+// any task. If there is less capacity than work, ordering by least remaining work and
+// attainable objectives would otherwise delay a large job for as long as smaller jobs
+// arrive (docs/incidents/2026-12-02-largest-starved.md, TestLargestJobNotStarved).
 func overdue(wall units.Microseconds, job *jobs.Job) bool {
-	return !job.Started && job.Placed() == 0 && !job.Suspect() && job.Record.Tasks >= overdueTasks && wall-job.Since > overdueAfter
+	return !job.Started && job.Placed() == 0 && !job.Suspect() && job.Record.Tasks >= minOverdueTasks && wall-job.Since > overdueAfter
 }
 
-// reserve has a team's limit keep room for the first task of the team's first overdue job.
+// reserve keeps part of a team's limit free for the first task of the team's first overdue job.
 func (s *Scheduler) reserve(wall units.Microseconds, job *jobs.Job) {
 	spec := job.Spec()
-	if _, reserved := s.reserved[spec.Team]; !reserved && overdue(wall, job) && wall-job.Since < overdueAfter+reserveFor {
+	if _, reserved := s.reserved[spec.Team]; !reserved && overdue(wall, job) && wall-job.Since < overdueAfter+reservationTime {
 		s.reserved[spec.Team] = spec.Demand
 	}
 }
 
-// demandOnLimit is what a team's limit must have left for one more task of a job: beside the task
-// itself what is reserved, which tasks of less demand would otherwise use up again and again.
+// demandOnLimit returns what a team's limit must have left for one more task of a job: the demand
+// of the task plus the team's reservation. Without the reservation, tasks of smaller demand would
+// repeatedly use up the capacity that an overdue job needs. The overdue job itself may use it.
 func (s *Scheduler) demandOnLimit(wall units.Microseconds, job *jobs.Job) binpack.Vec {
 	spec := job.Spec()
 	if overdue(wall, job) {
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -1,25 +1,25 @@
-// Package scheduler decides which task of one shard starts on which machine, and which tasks stop
-// so that others can start.
+// Package scheduler decides which tasks of one shard start on which
+// machine, and which tasks are stopped so that others can start.
 //
-// A decision is a row of small steps, each of which narrows or ranks:
+// A decision is a sequence of small steps, each of which filters or ranks:
 //
-//   - rank (rank.go): orders the jobs that have ready tasks by tier (shortfall of the team, nominal
-//     quota, priority), then by urgency, then by distance from fair share. It runs a few times a
-//     second, not for each heartbeat.
-//   - filter (fill.go): for a machine with free capacity, the first ranked jobs whose tasks fit it,
-//     less those that a preferred machine is about to take (headroom.go).
-//   - score: package binpack, the paper's alignment blended with remaining work under the
-//     fair-share filter.
-//   - place (fill.go): what binpack chooses starts, unless the team's limit or the job's zones
-//     forbid it.
+//   - rank (rank.go) orders the jobs that have ready tasks by tier (team in
+//     shortfall, nominal quota, priority), then by urgency, then by distance
+//     from fair share. It runs a few times per second, not on every heartbeat.
+//   - filter (fill.go) selects, for a machine with free capacity, the first ranked jobs
+//     whose tasks fit, except for tasks that preferred machines can take (headroom.go).
+//   - score (package binpack) combines the paper's alignment score with the
+//     remaining work of the job, among the jobs that pass the fair-share filter.
+//   - place (fill.go) starts the tasks that binpack chooses, unless
+//     the team's limit or the job's zone constraints forbid it.
 //
-// Where nothing is free, Preempt (preempt.go) stops tasks for a job with a better right to the
-// machine. EvictIdle and EvictBeforeNotice (evict.go) empty machines that nothing but idle-time work
-// keeps, or that the cloud is about to reclaim.
+// If nothing is free, Preempt (preempt.go) stops tasks for a job with
+// precedence. EvictIdle and EvictBeforeReclaim (evict.go) empty machines that
+// are kept for idle-time work alone or that the cloud is about to reclaim.
 //
-// The Scheduler owns the queue and the ranking of one shard for as long as a controller owns that
-// shard; all of it can be computed anew from the jobs and machines, so that a failover loses
-// nothing. It has no clock and does no input or output.
+// The Scheduler owns the queue and the ranking of one shard while a controller owns
+// that shard. All of its state can be recomputed from the jobs and machines, so a
+// failover loses nothing. The package does not read the clock and does no I/O.
 package scheduler
 
 import (
@@ -35,57 +35,56 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Config is what does not change while a shard is owned.
+// Config holds the settings that stay constant while a shard is owned.
 type Config struct {
 	Shard   int
 	Packing binpack.Params
-	// HeartbeatDeadline is for how long after its last heartbeat a machine counts as one that is
-	// about to send another.
+	// HeartbeatDeadline is how long after its last heartbeat
+	// a machine is still expected to send another one.
 	HeartbeatDeadline units.Microseconds
 	Log               *slog.Logger
-	// SkippedGuard is a check that is left out; only tests set it.
+	// SkippedGuard is a check that is disabled. Only tests set it.
 	SkippedGuard guard.Guard
 }
 
-// Zones is what is known of the zones of machines.
+// Zones reports the state of the zones that machines are in.
 type Zones interface {
-	// Reachable reports whether the machines of a zone can be heard at present.
+	// Reachable reports whether machines of a zone can currently be reached.
 	Reachable(zone string) bool
 	// DeclaredLost reports whether an operator has declared a zone lost.
 	DeclaredLost(zone string) bool
 }
 
-// Host is what the rest of the controller does for the scheduler. Of its methods only TaskPlaced
-// and PropagateObjectives change anything; neither may call the Scheduler, whose decision is half
-// made then.
+// Host is what the scheduler needs from the rest of the controller. Only TaskPlaced and PropagateObjectives
+// change state. They must not call the Scheduler, which is in the middle of a decision when it calls them.
 type Host interface {
-	// Nominal and TotalNominal are of the teams in force.
+	// Quotas are those of the teams in the configuration in force.
 	ranking.Quotas
-	// Now is the steady time at which the decision is made.
+	// Now returns the monotonic time of the decision.
 	Now() units.Microseconds
-	// Wall is the time of day then, from which jobs' ages and deadlines count.
+	// Wall returns the time of day of the decision, which the age and the deadline of a job refer to.
 	Wall() units.Microseconds
 	// Job returns a known job of any shard, or nil.
 	Job(id string) *jobs.Job
-	// Machines are the shard's machines by name.
+	// Machines returns the shard's machines by name.
 	Machines() map[string]*fleet.Machine
-	// AllRunnable returns the runnable jobs of all shards, the earliest first; nil where other
-	// shards have none.
+	// AllRunnable returns the runnable jobs of all shards,
+	// the earliest first, or nil if no other shard has any.
 	AllRunnable() []*jobs.Job
-	// PropagateObjectives passes deadlines and priorities from jobs to those that they depend on.
+	// PropagateObjectives passes the deadlines and priorities of jobs on to the jobs that they depend on.
 	PropagateObjectives()
 	// TooExpensive reports whether a machine costs too much for idle-time work of a job.
 	TooExpensive(machine *fleet.Machine, spec *jobs.Spec) bool
-	// NextAttempt returns the number of the next attempt. No two attempts of a task have the same,
-	// whoever owns the shard.
+	// NextAttempt returns the number of the next attempt. No two attempts
+	// of a task share a number, even after a failover of the shard.
 	NextAttempt() uint64
-	// AttemptsUsedUp reports whether there is no such number left: nothing may start.
+	// AttemptsUsedUp reports whether no attempt number is left, so that no task may start.
 	AttemptsUsedUp() bool
-	// TaskPlaced takes in that an attempt may run on a machine from now on.
+	// TaskPlaced records that an attempt may run on a machine from now on.
 	TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt)
 }
 
-// Scheduler is the queue of a shard's jobs and what was decided by it last.
+// Scheduler holds the queue of a shard's jobs and the latest ranking.
 type Scheduler struct {
 	config Config
 	host   Host
@@ -93,31 +92,31 @@
 	demand *demand.Estimator
 	zones  Zones
 
-	queue      ranking.Queue        // active jobs, and the order in which they are served
-	entitled   ranking.Entitlements // of the jobs, by their teams' nominal quotas
-	orderStale bool                 // jobs have come or gone since they were sorted
-	nextSortAt units.Microseconds
-	capacity   binpack.Vec      // of all machines that are to stay
-	shortfall  map[string]int64 // CPU that teams in shortfall may use before all others
-
-	rankedAt       units.Microseconds
-	readyUnranked  bool // tasks have become ready since the last ranking
-	rankedUnserved bool // the last rankings had newly ready tasks that idle machines were not offered yet
-	readyTasks     int  // of the ranked jobs
-	completionRate float64
-	reserved       map[string]binpack.Vec // by team: what its limit keeps free for the first task of an overdue job
-	preferred      []*fleet.Machine       // those with free capacity, the most preferred first
-	preempted      map[string]preemption  // by job: the places that were made for it
-
-	// Of the last call of Fill, kept for their memory.
+	queue        ranking.Queue        // active jobs in the order in which they are served
+	entitlements ranking.Entitlements // of the jobs, from their teams' nominal quotas
+	orderStale   bool                 // jobs were added or removed since the last sort
+	nextSortAt   units.Microseconds
+	capacity     binpack.Vec      // of all machines that are not being deprovisioned
+	shortfall    map[string]int64 // by team: CPU that the team may use before all other teams
+
+	rankedAt         units.Microseconds
+	readyUnranked    bool // tasks have become ready since the last ranking
+	idleOfferPending bool // a ranking had newly ready tasks that idle machines were not offered yet
+	readyTasks       int  // of the ranked jobs
+	completionRate   float64
+	reserved         map[string]binpack.Vec // by team: part of its limit kept free for the first task of an overdue job
+	preferred        []*fleet.Machine       // machines with free capacity, the most preferred first
+	preemptions      map[string]preemption  // by job: the places that stops are making for it
+
+	// Buffers of Fill, reused to avoid allocations.
 	headroom   headroom
 	candidates []*jobs.Job
-	views      []binpack.Job
+	packerJobs []binpack.Job
 }
 
-// New returns the scheduler of a shard without jobs.
+// New returns the scheduler of a shard that has no jobs yet.
 func New(config Config, host Host, tracker *quota.Tracker, estimator *demand.Estimator, zones Zones) *Scheduler {
-	return &Scheduler{config: config, host: host, quota: tracker, demand: estimator, zones: zones, preempted: map[string]preemption{}}
+	return &Scheduler{config: config, host: host, quota: tracker, demand: estimator, zones: zones, preemptions: map[string]preemption{}}
 }
 
 // Add puts a job of the shard into the queue.
@@ -126,28 +125,28 @@
 	s.orderStale, s.readyUnranked = true, true
 }
 
-// Remove takes a job out of the queue, if it is there.
+// Remove takes a job out of the queue. It does nothing if the job is not queued.
 func (s *Scheduler) Remove(job *jobs.Job) {
 	s.queue.Remove(job)
 	s.orderStale = true
 }
 
-// Jobs returns the jobs of the queue as they were last sorted, the earliest first. The list is the
-// scheduler's own.
+// Jobs returns the queued jobs in the order of the last sort,
+// the earliest first. The caller must not modify the slice.
 func (s *Scheduler) Jobs() []*jobs.Job { return s.queue.Jobs() }
 
-// Steps returns how many jobs and equivalence classes were looked at so far: what scheduling costs,
-// in a measure that does not depend on the machine (TestHeartbeatSteps in internal/core).
+// Steps returns the number of jobs and equivalence classes examined so far. It measures the cost
+// of scheduling independently of the machine that runs it (TestHeartbeatSteps in internal/core).
 func (s *Scheduler) Steps() uint64 { return s.queue.Steps() }
 
-// TasksReady notes that there are ready tasks that the ranking does not know of.
+// TasksReady records that tasks have become ready that the ranking does not include.
 func (s *Scheduler) TasksReady() { s.readyUnranked = true }
 
-// Reconfigured notes that teams, limits or objectives have changed: a limit that rose is used at
-// once.
+// Reconfigured records that teams, limits or objectives have
+// changed, so that a raised limit takes effect immediately.
 func (s *Scheduler) Reconfigured() { s.nextSortAt, s.readyUnranked = 0, true }
 
-// Tick sorts the jobs once a second, and reports whether it did.
+// Tick sorts the jobs once per second and reports whether it did so.
 func (s *Scheduler) Tick() bool {
 	now := s.host.Now()
 	if now < s.nextSortAt {
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -165,8 +165,8 @@
 	}
 	const largest = "wk-000000"
 	records := map[string]jobs.Record{largest: record(200, 4000)}
-	for i := 1; i <= 24/(overdueTasks-1); i++ {
-		records[fmt.Sprintf("wk-%06d", i)] = record(overdueTasks-1, 1000)
+	for i := 1; i <= 24/(minOverdueTasks-1); i++ {
+		records[fmt.Sprintf("wk-%06d", i)] = record(minOverdueTasks-1, 1000)
 	}
 	shard := newShard(t, binpack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}, []configuration.Team{{Name: "t", Limit: binpack.Vec{8000, 0, 0}}}, records)
 	machine := shard.machines["n-1"]
@@ -198,12 +198,12 @@
 	if _, all := fill(); all != 0 {
 		t.Errorf("%d small tasks take what is kept for the large job", all)
 	}
-	shard.wall += reserveFor
+	shard.wall += reservationTime
 	if _, all := fill(); all != 3 {
 		t.Errorf("%d small tasks start, want 3: room was kept for long enough", all)
 	}
 	end(3)
-	shard.wall -= reserveFor
+	shard.wall -= reservationTime
 	end(5)
 	if large, all := fill(); large != 1 || all != 5 {
 		t.Errorf("%d tasks of the large job among %d, want its first alone beside small ones", large, all)
