--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -94,7 +94,7 @@
 type Params struct {
 	Fairness     float64 // f (3.4)
 	EpsilonScale float64 // factor applied to epsilon (3.3.2)
-	ImagePenalty float64 // fraction taken off the alignment if the image is not cached: the remote penalty (3.2)
+	ImagePenalty float64 // fraction of the alignment lost if the image is not cached: remote penalty (3.2)
 }
 
 // Job is the packer's view of a job with pending tasks.
--- a/internal/core/binpack/binpack_test.go
+++ b/internal/core/binpack/binpack_test.go
@@ -13,8 +13,9 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// Worked by hand: 16 CPUs and 64 GB, of which 8 and 48 are free.
-func TestAlignmentByHand(t *testing.T) {
+// TestAlignmentWorkedExample guards against errors in the formulas. The values are
+// computed by hand for a machine of 16 CPUs and 64 GB, of which 8 CPUs and 48 GB are free.
+func TestAlignmentWorkedExample(t *testing.T) {
 	capacity, free := Vec{16_000, 0, 64_000}, Vec{8_000, 0, 48_000}
 	// 4 CPUs, 16 GB: 8/16*4/16 + 48/64*16/64 = 0.125 + 0.1875
 	if a := Alignment(capacity, free, Vec{4_000, 0, 16_000}); !near(a, 0.3125) {
@@ -29,7 +30,9 @@
 	}
 }
 
-func TestEpsilonByHand(t *testing.T) {
+// TestEpsilonWorkedExample guards against errors in the weight
+// of remaining work, and against division by zero without work.
+func TestEpsilonWorkedExample(t *testing.T) {
 	// Averages 0.3 and 60 over two tasks: 0.3/60.
 	if e := Epsilon(0.6, 120); !near(e, 0.005) {
 		t.Errorf("epsilon %v, want 0.005", e)
@@ -39,7 +42,7 @@
 	}
 }
 
-// order runs Fill on a 16-CPU machine and returns the order of jobs chosen.
+// order runs Fill on an empty machine of 16 CPUs and returns the chosen jobs in order.
 func order(p Params, jobs ...Job) []int {
 	var out []int
 	capacity := Vec{16_000, 0, 64_000}
@@ -47,7 +50,9 @@
 	return out
 }
 
-func TestFirstChoice(t *testing.T) {
+// TestFillFirstChoice guards against a wrong precedence of tier, deferral, fair share,
+// alignment, image cache and remaining work: each case decides between two jobs by one of them.
+func TestFillFirstChoice(t *testing.T) {
 	big := Job{Demand: Vec{8_000, 0, 32_000}, Pending: 1, Work: 10, Cached: true}
 	small := Job{Demand: Vec{4_000, 0, 16_000}, Pending: 1, Work: 10, Cached: true}
 	long := small
@@ -69,13 +74,13 @@
 		jobs []Job
 		want int
 	}{
-		{"the larger alignment", noEps, []Job{small, big}, 1},
+		{"larger alignment", noEps, []Job{small, big}, 1},
 		{"less remaining work", params, []Job{long, small}, 1},
-		{"without epsilon remaining work is nothing", noEps, []Job{long, small}, 0},
-		{"the image at hand", noEps, []Job{remote, big}, 1},
-		{"the job furthest from fair share", strict, []Job{big, fair}, 1},
-		{"priority before score", noEps, []Job{big, high}, 1},
-		{"a job that fails everywhere comes last", noEps, []Job{deferred, small}, 1},
+		{"remaining work is ignored without epsilon", noEps, []Job{long, small}, 0},
+		{"cached image", noEps, []Job{remote, big}, 1},
+		{"job furthest below fair share", strict, []Job{big, fair}, 1},
+		{"tier before score", noEps, []Job{big, high}, 1},
+		{"deferred job last", noEps, []Job{deferred, small}, 1},
 	} {
 		if got := order(test.p, test.jobs...); got[0] != test.want {
 			t.Errorf("%s: chose %v, want job %d first", test.name, got, test.want)
@@ -83,8 +88,9 @@
 	}
 }
 
-// The cut keeps the ceiling of (1-f)*J jobs; only when none of them fits may
-// the others have the room.
+// TestFairnessCut guards against jobs near their fair share taking capacity
+// from jobs further below it. Only the first ceil((1-f)*J) of J jobs are
+// considered; the others get the capacity only if none of those fits.
 func TestFairnessCut(t *testing.T) {
 	p := Params{Fairness: 0.5}
 	jobs := []Job{
@@ -99,12 +105,12 @@
 	}
 	jobs[0].Demand, jobs[1].Demand = Vec{20_000}, Vec{20_000}
 	if got := order(p, jobs...); len(got) != 2 || got[0] != 2 {
-		t.Errorf("chose %v, want the rest to use what the cut cannot", got)
+		t.Errorf("chose %v, want the jobs outside the cut to use the capacity", got)
 	}
 }
 
-// Whatever the cluster, Fill stays within room, pending tasks and what take
-// allows, and leaves no room that a permitted task fits.
+// TestFillInvariants checks for random jobs that Fill stays within the free capacity, the pending
+// tasks and what accept allows, and that no capacity stays free that a permitted task fits into.
 func TestFillInvariants(t *testing.T) {
 	vec := rapid.Custom(func(t *rapid.T) Vec {
 		return Vec{int64(rapid.IntRange(1, 20_000).Draw(t, "cpu")), int64(rapid.IntRange(0, 2_000).Draw(t, "gpu")),
@@ -133,7 +139,7 @@
 		})
 		for r, v := range free {
 			if v < 0 {
-				t.Fatalf("resource %d overdrawn by %d", r, -v)
+				t.Fatalf("resource %d exceeds the capacity by %d", r, -v)
 			}
 		}
 		for i, j := range jobs {
@@ -141,7 +147,7 @@
 				t.Fatalf("job %d: %d of %d pending tasks taken", i, taken[i], j.Pending)
 			}
 			if taken[i] < min(j.Pending, allowed[i]) && j.Demand.Fits(free) {
-				t.Fatalf("job %d has a task that fits what is left", i)
+				t.Fatalf("job %d still has a permitted task that fits the remaining capacity", i)
 			}
 		}
 	})
--- a/internal/core/demand/demand_test.go
+++ b/internal/core/demand/demand_test.go
@@ -10,7 +10,7 @@
 
 const second = units.Second
 
-// jobOf returns a job of a class that could first start at 1000 s and runs for 10 s.
+// jobOf returns a job of a class whose tasks run for 10 s and could start from 1000 s.
 func jobOf(class string, tasks int) *jobs.Job {
 	job := &jobs.Job{ID: "wk-000001", Since: 1000 * second, Record: jobs.Record{Status: jobs.Pending, Tasks: tasks,
 		Spec: &jobs.Spec{Class: class, Team: "t", Tasks: tasks, Demand: binpack.Vec{1000}, Estimate: 10 * second}}}
@@ -19,25 +19,25 @@
 	return job
 }
 
-// TestUrgency has jobs of several objectives age: they are the more urgent the fewer objectives they
-// can still meet, until they can meet none.
-func TestUrgency(t *testing.T) {
+// TestUrgencyByAttainableObjectives guards against a wrong order of jobs with objectives. Urgency
+// grows as the first objective approaches, and falls with each objective that can no longer be met.
+func TestUrgencyByAttainableObjectives(t *testing.T) {
 	estimator := New([]Objective{{Kind: FinishWithin, Class: "done", Within: 60 * second}, {Kind: StartWithin, Class: "start", Within: 20 * second}}, 0)
 	for _, test := range []struct {
 		name, class  string
-		due, lastDue units.Microseconds // from when it could first start
+		due, lastDue units.Microseconds // relative to when the job could first start
 		age          units.Microseconds
 		want         Urgency
-		allowed      units.Microseconds // TimeAllowed
+		remaining    units.Microseconds
 	}{
 		{"no objective", "other", 0, 0, 0, FirstAttainable, 80 * second},
-		{"time to spare", "done", 0, 0, 0, Relaxed, 60 * second},
-		{"less than half of the time", "done", 0, 0, 21 * second, FirstAttainable, 39 * second},
+		{"more than half of the time to spare", "done", 0, 0, 0, Relaxed, 60 * second},
+		{"less than half of the time to spare", "done", 0, 0, 21 * second, FirstAttainable, 39 * second},
 		{"missed", "done", 0, 0, 51 * second, AllMissed, 9 * second},
-		{"should start soon", "start", 0, 0, 0, FirstAttainable, 30 * second},
-		{"a deadline before", "done", 30 * second, 90 * second, 0, Relaxed, 30 * second},
-		{"the deadline is missed, another can be met", "done", 30 * second, 90 * second, 25 * second, FirstMissed, 5 * second},
-		{"all are missed", "done", 30 * second, 90 * second, 81 * second, AllMissed, -51 * second},
+		{"start objective", "start", 0, 0, 0, FirstAttainable, 30 * second},
+		{"deadline before the objective", "done", 30 * second, 90 * second, 0, Relaxed, 30 * second},
+		{"first deadline missed, a later one attainable", "done", 30 * second, 90 * second, 25 * second, FirstMissed, 5 * second},
+		{"all missed", "done", 30 * second, 90 * second, 81 * second, AllMissed, -51 * second},
 	} {
 		job := jobOf(test.class, 1)
 		if test.due > 0 {
@@ -46,51 +46,51 @@
 		if got := estimator.Urgency(job.Since+test.age, job); got != test.want {
 			t.Errorf("%s: urgency %d, want %d", test.name, got, test.want)
 		}
-		if got := estimator.TimeRemaining(job.Since+test.age, job); got != test.allowed {
-			t.Errorf("%s: %.0f s are left, want %.0f", test.name, got.Seconds(), test.allowed.Seconds())
+		if got := estimator.TimeRemaining(job.Since+test.age, job); got != test.remaining {
+			t.Errorf("%s: %.0f s are left, want %.0f", test.name, got.Seconds(), test.remaining.Seconds())
 		}
 	}
 }
 
-// TestRuntimeIsLearnt has tasks of a class run for twice as long as estimated: that counts from the
-// fifth on, for this class alone.
-func TestRuntimeIsLearnt(t *testing.T) {
+// TestRuntimeCorrectedByObservations guards against wrong run time estimates. Tasks of one class run for
+// twice their estimate. The expected run time must change after the fifth task, and for this class only.
+func TestRuntimeCorrectedByObservations(t *testing.T) {
 	estimator := New(nil, 0)
 	job, other := jobOf("a", 1), jobOf("b", 1)
 	for n := range minRatioSamples {
 		if got := estimator.Runtime(job.Spec()); got != 10*second {
-			t.Errorf("%.0f s after %d tasks", got.Seconds(), n)
+			t.Errorf("%.0f s after %d tasks, want the estimate", got.Seconds(), n)
 		}
 		estimator.ObserveRuntime(job.Spec(), 20*second)
 	}
 	if got := estimator.Runtime(job.Spec()); got != 20*second {
-		t.Errorf("%.0f s once it is learnt", got.Seconds())
+		t.Errorf("%.0f s after enough observations, want twice the estimate", got.Seconds())
 	}
 	if got := estimator.Runtime(other.Spec()); got != 10*second {
-		t.Errorf("%.0f s of a class of which nothing is known", got.Seconds())
+		t.Errorf("%.0f s for a class without observations, want the estimate", got.Seconds())
 	}
 }
 
-// fakeHost has a team with a limit of 6 CPUs, and lost tasks.
+// fakeHost has teams with a limit of 6 CPUs, and lost tasks.
 type fakeHost struct{ lost int }
 
 func (fakeHost) Limit(string) binpack.Vec            { return binpack.Vec{6000} }
 func (h fakeHost) LostTasks(*jobs.Job) int           { return h.lost }
 func (fakeHost) CompatibleTypes(*jobs.Spec) []string { return []string{"big", "small"} }
 
-// TestSlotsNeeded has one job after the other ask for slots: as many as are done in time, within the
-// team's limit.
-func TestSlotsNeeded(t *testing.T) {
+// TestSlotsNeededWithinTimeAndLimit guards against scaling out too far or too little.
+// Jobs must get as many slots as they need to finish in time, within their team's limit.
+func TestSlotsNeededWithinTimeAndLimit(t *testing.T) {
 	estimator := New([]Objective{{Kind: FinishWithin, Class: "c", Within: 40 * second}}, 0.5)
 	for _, test := range []struct {
 		name         string
 		tasks        []int // of the jobs
-		placed, lost int   // of the first
+		placed, lost int   // of the first job
 		slots, ready int
 	}{
-		{"two rounds are in time", []int{4}, 0, 0, 2, 4},
-		{"what runs goes on", []int{4}, 3, 0, 3, 1},
-		{"what is lost starts elsewhere", []int{4}, 3, 2, 2, 3},
+		{"two rounds finish in time", []int{4}, 0, 0, 2, 4},
+		{"placed tasks keep their slots", []int{4}, 3, 0, 3, 1},
+		{"lost tasks need slots again", []int{4}, 3, 2, 2, 3},
 		{"the limit bounds all jobs of the team", []int{8, 8}, 0, 0, 6, 16},
 	} {
 		var order []*jobs.Job
@@ -106,7 +106,7 @@
 		}
 		for group, need := range groups {
 			if need.Tasks != test.slots || need.Ready != test.ready || need.Total != (binpack.Vec{int64(test.slots) * 1000}) || group.Types != "big,small" {
-				t.Errorf("%s: %+v of %+v, want %d slots for %d that wait", test.name, need, group, test.slots, test.ready)
+				t.Errorf("%s: %+v of %+v, want %d slots and %d ready tasks", test.name, need, group, test.slots, test.ready)
 			}
 		}
 	}
--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -13,7 +13,7 @@
 const (
 	StartWithin      ObjectiveKind = "wait"      // the tasks start within a time
 	FinishWithin     ObjectiveKind = "finished"  // the job finishes within a time
-	KeepDeadline     ObjectiveKind = "deadline"  // the job finishes within a multiple of the time to its own deadline
+	KeepDeadline     ObjectiveKind = "deadline"  // the job finishes within a multiple of its own deadline
 	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; not used by this package
 )
 
--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -6,12 +6,12 @@
 // Guard is a check to disable.
 type Guard int
 
-// None disables no check. Every deployment uses it.
+// None disables no check. It is the value in every deployment.
 const None Guard = iota
 
 // Checks of what machines' heartbeats and probes say.
 const (
-	HeartbeatToken       Guard = iota + 1 // a heartbeat counts as a report of a machine's tasks only under its owner's fencing token
+	HeartbeatToken       Guard = iota + 1 // a heartbeat's task list counts only under its owner's fencing token
 	HeartbeatOrder                        // a heartbeat that is older than the last one has no effect
 	ExpiredAttempts                       // attempts that ended with a lease are dropped from later heartbeats
 	DeprovisionedMachine                  // a machine whose deletion the cloud has confirmed is not registered again
@@ -33,6 +33,6 @@
 	PeerLeaseSendTime                     // a peer lease counts from the time when it was requested
 	MemberRecord                          // a peer lease is granted only to a member whose record exists
 	VoteAfterPeerLease                    // no takeover vote is given while a peer lease is valid
-	TakeoverMajority                      // a membership ends early only by the votes of a majority
+	TakeoverMajority                      // a membership is declared over only by the votes of a majority
 	FreshRead                             // users are answered only from a read that began after the request
 )
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -2,9 +2,9 @@
 // and quarantines machines that fail the tasks they start. Nothing more starts on a
 // quarantined machine until a task that was started there after the last failure completes.
 //
-// The state behind these decisions is kept with the machines (fleet.Machine: Failed, FailedAt,
-// Proven, Quarantined) and the jobs (jobs.Job: Errors, Worked, Failing, Replaced, NotBefore). A slow
-// machine is quarantined by fleet.Machine.Ran. No other package writes these fields of the machines.
+// The state behind these decisions is kept with the machines (fleet.Machine: Failed, FailedAt, Proven,
+// Quarantined) and the jobs (jobs.Job: Errors, Worked, Failing, Replaced, NotBefore). No other package
+// writes these fields of the machines, except that fleet.Machine.Ran quarantines a slow machine.
 package quarantine
 
 import (
@@ -57,14 +57,14 @@
 // TaskFailed attributes a failed attempt to the machine or
 // the job, and quarantines the machine if it is at fault.
 //
-//   - If the job has worked elsewhere, the machine is at fault. The same holds
-//     if two jobs have failed on it that have failed on no other machine.
-//   - If the job has failed on several machines and worked on none, the
+//   - If a task of the job has completed elsewhere, the machine is at fault. The same holds if
+//     two jobs have failed on it that have completed no task and failed on no other machine.
+//   - If the job has failed on several machines and completed no task, the
 //     job is at fault, and its failures do not count against the machines.
-//   - While neither is known to be at fault, the job continues with a few tasks on other
-//     machines. If there is no other machine and it fails on the same one again, that machine is
-//     quarantined so that the job is tried on a new one. For a job that fails everywhere, this
-//     applies only to machines on which nothing has ever worked, and only to maxReplaced of them.
+//   - While neither is known to be at fault, the job continues with a few tasks on other machines.
+//     If there is no other machine and it fails on the same one again, that machine is quarantined
+//     so that the job is tried on a new one. For a job that fails everywhere, this applies only to
+//     machines on which no task has ever completed, and only to maxReplaced of them.
 func (a *Attribution) TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
 	now := a.host.Now()
 	repeated := job.Errors[machine.Name] > 0 && attempt.Started > machine.FailedAt
@@ -79,7 +79,7 @@
 	if repeated && (!wasFailing || !machine.Proven && job.Replaced < maxReplaced) {
 		job.MachineReplaced()
 		machine.Quarantined = true // the job's failures still count against the job
-		a.log.Warn("machine quarantined: a job fails there again", "machine", machine.Name, "job", job.ID)
+		a.log.Warn("machine quarantined: a job failed on it again", "machine", machine.Name, "job", job.ID)
 	}
 	if job.FailsEverywhere() {
 		job.RetryAt(now + backoff(len(job.Errors)))
@@ -103,8 +103,8 @@
 	return min(units.Second<<min(machines, maxDoublings), maxBackoff)
 }
 
-// unattributedFailures returns the number of jobs that failed on a machine
-// and have neither worked anywhere nor failed on several machines.
+// unattributedFailures returns the number of jobs that failed on a
+// machine, completed no task and did not fail on several machines.
 func (a *Attribution) unattributedFailures(machine *fleet.Machine) int {
 	unattributed := 0
 	for id := range machine.Failed {
@@ -122,7 +122,7 @@
 		return
 	}
 	machine.Quarantined = true
-	a.log.Warn("machine quarantined: it fails its tasks", "machine", machine.Name)
+	a.log.Warn("machine quarantined: tasks fail on it", "machine", machine.Name)
 	now := a.host.Now()
 	for _, job := range a.host.ActiveJobs() {
 		if job.Errors[machine.Name] == 0 {
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -12,12 +12,12 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fakeShard has machines and jobs of ten tasks, all by one letter.
+// fakeShard has machines A to E and jobs x and y of ten tasks each.
 type fakeShard struct {
 	now      units.Microseconds
 	machines map[string]*fleet.Machine
 	jobs     map[string]*jobs.Job
-	stored   []string // jobs of which it was stored whether they fail everywhere
+	stored   []string // jobs passed to StoreFailing
 	ready    int
 }
 
@@ -41,27 +41,27 @@
 func (s *fakeShard) StoreFailing(job *jobs.Job)         { s.stored = append(s.stored, job.ID) }
 func (s *fakeShard) TasksReady()                        { s.ready++ }
 
-// TestAttribution has tasks fail and complete, a second apart. Each event names a job, a machine and
-// what a task of the job did there: ! it failed, + it completed, ~ it failed and had been started
-// before the last failure.
-func TestAttribution(t *testing.T) {
+// TestFailureAttribution guards against blaming the wrong side for failed tasks. Tasks fail and
+// complete, one second apart. Each event names a job, a machine and an outcome: ! a task failed,
+// + a task completed, ~ a task failed that was started before the machine's last failure.
+func TestFailureAttribution(t *testing.T) {
 	for _, test := range []struct {
 		name, events string
 		quarantined  string // machines
 		failing      string // jobs that fail everywhere
 	}{
-		{"one failure is nobody's fault yet", "xA!", "", ""},
-		{"a job that has worked elsewhere", "xB+ xA!", "A", ""},
-		{"two jobs on one machine", "xA! yA!", "A", ""},
-		{"one job on two machines", "xA! xB!", "", "x"},
-		{"again on the same machine", "xA! xA!", "A", ""},
-		{"what was started before the first failure", "xA! xA~", "", ""},
-		{"a job that fails everywhere does not blame a machine for others", "xA! xB! yA!", "", "x"},
-		{"it works at last: the machine is to blame that failed it while that was open", "xA! xB! xC+", "A", ""},
-		{"something has worked there since", "xA! yA+ xB+", "", ""},
-		{"what a quarantined machine started later works", "xB+ xA! yA+", "", ""},
-		{"machines are given up for a job on which nothing works, three of them", "xA! xA! xB! xB! xC! xC! xD! xD!", "ABC", "x"},
-		{"and none that is proven", "yB+ xA! xB! xB!", "", "x"},
+		{"one failure is not attributed yet", "xA!", "", ""},
+		{"job has completed a task elsewhere", "xB+ xA!", "A", ""},
+		{"two jobs fail on one machine", "xA! yA!", "A", ""},
+		{"one job fails on two machines", "xA! xB!", "", "x"},
+		{"job fails again on the same machine", "xA! xA!", "A", ""},
+		{"second failed attempt had started before the first failure", "xA! xA~", "", ""},
+		{"failures of a job that fails everywhere do not count against a machine", "xA! xB! yA!", "", "x"},
+		{"completion blames the machine whose failure was not attributed", "xA! xB! xC+", "A", ""},
+		{"another task has completed on the machine since", "xA! yA+ xB+", "", ""},
+		{"later completion ends the quarantine", "xB+ xA! yA+", "", ""},
+		{"at most three unproven machines are quarantined for one job", "xA! xA! xB! xB! xC! xC! xD! xD!", "ABC", "x"},
+		{"no proven machine is quarantined for one job", "yB+ xA! xB! xB!", "", "x"},
 	} {
 		shard := newShard()
 		attribution := New(shard, slog.New(slog.DiscardHandler))
@@ -96,29 +96,30 @@
 	}
 }
 
-// TestTrials has a job fail: it is tried elsewhere only for a while, after longer and longer pauses
-// once it fails everywhere, and that is stored once.
-func TestTrials(t *testing.T) {
+// TestTrialsBackOff guards against a failing job that occupies machines.
+// After a failure it is tried only elsewhere for retrySameMachineAfter. Once
+// it fails everywhere, the delays grow and the state is stored exactly once.
+func TestTrialsBackOff(t *testing.T) {
 	shard := newShard()
 	attribution := New(shard, slog.New(slog.DiscardHandler))
 	job, machine := shard.jobs["x"], shard.machines["A"]
 	attribution.TaskFailed(machine, job, fleet.Attempt{})
 	if here, there := Trials(shard.now, machine, job), Trials(shard.now, shard.machines["B"], job); here != 0 || there != 2 {
-		t.Errorf("%d tasks are tried there and %d elsewhere, want 0 and 2", here, there)
+		t.Errorf("%d tasks may start on the failed machine and %d elsewhere, want 0 and 2", here, there)
 	}
 	if n := Trials(shard.now+retrySameMachineAfter, machine, job); n != 2 {
-		t.Errorf("%d tasks are tried there later, want 2", n)
+		t.Errorf("%d tasks may start on the failed machine later, want 2", n)
 	}
 	for i, name := range []string{"B", "C", "D", "E"} {
 		attribution.TaskFailed(shard.machines[name], job, fleet.Attempt{})
 		if want := shard.now + min(units.Second<<(i+2), maxBackoff); job.NotBefore != want {
-			t.Errorf("after %d machines not before %.0f s, want %.0f", i+2, job.NotBefore.Seconds(), want.Seconds())
+			t.Errorf("after failures on %d machines, retry at %.0f s, want %.0f", i+2, job.NotBefore.Seconds(), want.Seconds())
 		}
 	}
 	if n := Trials(shard.now, shard.machines["B"], job); n != 0 || len(shard.stored) != 1 {
-		t.Errorf("%d tasks are tried where it failed, stored %d times", n, len(shard.stored))
+		t.Errorf("%d tasks may start where the job failed, want 0; stored %d times, want 1", n, len(shard.stored))
 	}
 	if attribution.TaskSucceeded(machine, job, fleet.Attempt{}); job.NotBefore != shard.now || shard.ready == 0 {
-		t.Errorf("it works, and is not before %.0f s", job.NotBefore.Seconds())
+		t.Errorf("retry at %.0f s after a task completed, want immediately", job.NotBefore.Seconds())
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -80,8 +80,8 @@
 	if t.unknownCapacity && settings.Limit != (binpack.Vec{}) {
 		return false
 	}
-	usage := t.usage[team].Add(demand).Add(t.unreconciledCapacity)
-	return WithinLimit(t.Allocation(settings.Limit), usage)
+	total := t.usage[team].Add(demand).Add(t.unreconciledCapacity)
+	return WithinLimit(t.Allocation(settings.Limit), total)
 }
 
 // sumUnreconciled adds up the capacity of the unreconciled machines.
@@ -142,9 +142,9 @@
 	if settings == nil {
 		return true
 	}
-	fraction, usage := t.host.Allocation(), t.usage[team]
-	return float64(usage[binpack.CPU]) > fraction*float64(settings.Guarantee[binpack.CPU]) ||
-		float64(usage[binpack.GPU]) > fraction*float64(settings.Guarantee[binpack.GPU])
+	fraction, used := t.host.Allocation(), t.usage[team]
+	return float64(used[binpack.CPU]) > fraction*float64(settings.Guarantee[binpack.CPU]) ||
+		float64(used[binpack.GPU]) > fraction*float64(settings.Guarantee[binpack.GPU])
 }
 
 // WithinLimit reports whether a usage stays within a limit.
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 )
 
-// fakeHost is a shard with half of every limit.
+// fakeHost is a shard whose allocation is half of every limit.
 type fakeHost struct {
 	machines     map[string]*fleet.Machine
 	unreconciled map[string]bool
@@ -27,9 +27,10 @@
 func (h *fakeHost) Machines() map[string]*fleet.Machine { return h.machines }
 func (h *fakeHost) Unreconciled() map[string]bool       { return h.unreconciled }
 
-// TestUnreconciledMachinesCount has a machine whose tasks are not known: its whole capacity counts
-// against every limit, and while that is not known either, nothing of a limited team starts.
-func TestUnreconciledMachinesCount(t *testing.T) {
+// TestUnreconciledMachinesCountAgainstLimit guards against exceeding a limit after a failover.
+// The tasks on some machines are not known. The whole capacity of such a machine counts against
+// every limit; if the capacity is not known either, a team with a limit may start nothing.
+func TestUnreconciledMachinesCountAgainstLimit(t *testing.T) {
 	known := &fleet.Machine{Type: &fleet.Type{Capacity: binpack.Vec{6000, 0, 0}}}
 	for _, test := range []struct {
 		name         string
@@ -39,13 +40,13 @@
 		want         bool
 	}{
 		{"the shard's part of the limit", nil, "limited", 8000, true},
-		{"one more than that", nil, "limited", 8001, false},
-		{"beside a machine of known capacity", map[string]bool{"known": true}, "limited", 2000, true},
-		{"one more than is sure to be free", map[string]bool{"known": true}, "limited", 2001, false},
-		{"a machine whose type is not known", map[string]bool{"untyped": true}, "limited", 1, false},
-		{"a machine that is not known at all", map[string]bool{"missing": true}, "limited", 1, false},
+		{"above the shard's part of the limit", nil, "limited", 8001, false},
+		{"with an unreconciled machine of known capacity", map[string]bool{"known": true}, "limited", 2000, true},
+		{"above what that machine leaves", map[string]bool{"known": true}, "limited", 2001, false},
+		{"an unreconciled machine of unknown type", map[string]bool{"untyped": true}, "limited", 1, false},
+		{"an unreconciled machine without a record", map[string]bool{"missing": true}, "limited", 1, false},
 		{"no limit", map[string]bool{"missing": true}, "free", 1_000_000, true},
-		{"a team that is not known", nil, "other", 1, false},
+		{"unknown team", nil, "other", 1, false},
 	} {
 		host := &fakeHost{machines: map[string]*fleet.Machine{"known": known, "untyped": {}}, unreconciled: test.unreconciled}
 		tracker := New(host)
@@ -53,19 +54,20 @@
 		tracker.Charge("limited", binpack.Vec{3000, 0, 0})
 		tracker.Release("limited", binpack.Vec{1000, 0, 0})
 		if got := tracker.Allows(test.team, binpack.Vec{test.cpu}); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: allowed %v, want %v", test.name, got, test.want)
 		}
 		if host.mayNotStart = true; tracker.Allows(test.team, binpack.Vec{}) {
-			t.Errorf("%s: starts though the configuration in force does not let it", test.name)
+			t.Errorf("%s: allowed although the configuration in force forbids starts", test.name)
 		}
 	}
 }
 
-// TestUseBeyondTheAllocation reads the figures that the leader and preemption go by.
-func TestUseBeyondTheAllocation(t *testing.T) {
+// TestUsageBeyondAllocation guards against errors in the usage figures that the leader
+// and preemption rely on, at the boundaries of the nominal quota and the allocation.
+func TestUsageBeyondAllocation(t *testing.T) {
 	tracker := New(&fakeHost{})
 	if p := tracker.Allocation(binpack.Vec{20_000, 1, 0}); p != (binpack.Vec{10_000, 1, 0}) {
-		t.Errorf("allocation %v, want the half, and never 0 of what is limited", p)
+		t.Errorf("allocation %v, want half of each limit, and at least 1 where there is a limit", p)
 	}
 	for _, test := range []struct {
 		cpu      int64
@@ -76,13 +78,13 @@
 		tracker.Release("limited", tracker.Usage("limited"))
 		tracker.Charge("limited", binpack.Vec{test.cpu})
 		if got := tracker.TeamsOverAllocation(); !slices.Equal(got, test.exceeded) {
-			t.Errorf("%d: %v exceed their allocation", test.cpu, got)
+			t.Errorf("usage %d: teams %v exceed their allocation", test.cpu, got)
 		}
 		if got := tracker.MaxUtilization(); got != test.use {
-			t.Errorf("%d: use %g, want %g", test.cpu, got, test.use)
+			t.Errorf("usage %d: utilization %g, want %g", test.cpu, got, test.use)
 		}
 		if got := tracker.ExceedsNominal("limited"); got != test.beyond {
-			t.Errorf("%d: beyond the nominal quota: %v", test.cpu, got)
+			t.Errorf("usage %d: exceeds the nominal quota: %v", test.cpu, got)
 		}
 	}
 }
--- a/internal/core/ranking/entitlements_test.go
+++ b/internal/core/ranking/entitlements_test.go
@@ -8,7 +8,7 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 )
 
-// nominal are teams' nominal quotas of CPU.
+// nominal holds the nominal CPU quotas of teams.
 type nominal map[string]int64
 
 func (n nominal) Nominal(team string) (binpack.Vec, bool) {
@@ -23,9 +23,10 @@
 	return cpu, len(n)
 }
 
-// TestEntitle has the jobs of three teams, of 2 CPUs a task: the earliest of a team are within its
-// nominal quota, no later one is once one was not, and the jobs of other shards count too.
-func TestEntitle(t *testing.T) {
+// TestEntitleEarliestJobsFirst guards against entitlements given to the wrong jobs.
+// Tasks have 2 CPUs each. A team's earliest jobs are within its nominal quota, and
+// no job is after the first that is not. Earlier jobs in other shards count too.
+func TestEntitleEarliestJobsFirst(t *testing.T) {
 	job := func(number int, team string, tasks int) *jobs.Job {
 		j := &jobs.Job{ID: fmt.Sprint(number), Record: jobs.Record{Status: jobs.Pending, Tasks: tasks,
 			Spec: &jobs.Spec{Team: team, Tasks: tasks, Demand: binpack.Vec{2000}}}}
@@ -39,13 +40,13 @@
 		all    []*jobs.Job
 		within map[string]bool
 	}{
-		{"the shard alone", own, map[string]bool{"1": true, "2": true}},
+		{"one shard only", own, map[string]bool{"1": true, "2": true}},
 		{"an earlier job in another shard", elsewhere, map[string]bool{"0": true, "2": true}},
 	} {
 		got := Entitle(own, test.all, nominal{"a": 6000, "b": 2000})
 		for _, j := range test.all {
 			if got.WithinNominal[j.ID] != test.within[j.ID] {
-				t.Errorf("%s: job %s within: %v", test.name, j.ID, got.WithinNominal[j.ID])
+				t.Errorf("%s: job %s within nominal quota: %v", test.name, j.ID, got.WithinNominal[j.ID])
 			}
 		}
 		for team, want := range map[string]float64{"a": 0.75 / 3, "b": 0.25, "none": 0.5} {
--- a/internal/core/ranking/ranking_test.go
+++ b/internal/core/ranking/ranking_test.go
@@ -11,9 +11,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestOrderAgainstSorting lets jobs come and go, and compares the order with one that is sorted anew,
-// and what a machine is offered with a look at all jobs.
-func TestOrderAgainstSorting(t *testing.T) {
+// TestQueueMatchesFullSort guards against errors in the incremental order
+// and the ranking by equivalence class. It adds and removes random jobs, and
+// compares the order with a full sort and the offered jobs with a full scan.
+func TestQueueMatchesFullSort(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var queue Queue
 	there := map[*jobs.Job]bool{}
@@ -55,6 +56,7 @@
 	}
 }
 
+// compareOffers compares the jobs that Each offers with those found by a full sort and scan.
 func compareOffers(t *testing.T, queue *Queue, ranked []*jobs.Job, rng *rand.Rand) {
 	t.Helper()
 	type offer struct {
@@ -85,13 +87,14 @@
 		return len(got) < most
 	})
 	if !slices.Equal(got, want) {
-		t.Fatalf("%d jobs are offered, want %d", len(got), len(want))
+		t.Fatalf("%d jobs are offered, want %d, in ranking order", len(got), len(want))
 	}
 }
 
-// TestExhaustedJobsAreSkipped has jobs give out their last task: where many wait, they are not looked
-// at again and again, and a job behind them is found.
-func TestExhaustedJobsAreSkipped(t *testing.T) {
+// TestExhaustedJobsNotRescanned guards against quadratic cost. Jobs start
+// their last ready task one after the other. In a large queue they must not
+// be examined again for each later job, and the next job must still be found.
+func TestExhaustedJobsNotRescanned(t *testing.T) {
 	var queue Queue
 	for i := range 2 * smallQueue {
 		j := &jobs.Job{ID: fmt.Sprintf("wk-%06d", i), Record: jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1}}}
@@ -109,13 +112,13 @@
 	for i := range smallQueue {
 		queue.Each(any, func(c Candidate, _ int) bool {
 			if c.Job != queue.Jobs()[i] {
-				t.Fatalf("offered %s at %d", c.Job.ID, i)
+				t.Fatalf("offered %s at position %d", c.Job.ID, i)
 			}
 			c.Job.PlaceNext(jobs.Place{})
 			return false
 		})
 	}
 	if steps := queue.Steps() - from; steps > 4*smallQueue {
-		t.Errorf("%d steps for %d tasks", steps, smallQueue)
+		t.Errorf("%d steps for %d tasks, want at most 4 per task", steps, smallQueue)
 	}
 }
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -69,8 +69,8 @@
 	return false
 }
 
-// preempt stops tasks of eligible jobs for the first job in the ranking that
-// has waited for at least after and would have to wait that long again.
+// preempt stops tasks of eligible jobs for the first job in the ranking that has
+// waited for at least the duration after, and is expected to wait that long again.
 func (s *Scheduler) preempt(machine *fleet.Machine, after units.Microseconds, eligible func(*jobs.Job) bool) []fleet.Command {
 	job := s.preemptor(machine, after)
 	if job == nil || job.Spec().Demand.Fits(machine.Free()) {
@@ -87,12 +87,12 @@
 		return nil
 	}
 	s.preemptions[job.ID] = preemption{previous.places + places, s.host.Now()}
-	s.config.Log.Info("preempting", "machine", machine.Name, "job", job.ID, "stopped", len(stops))
+	s.config.Log.Info("preempting tasks", "machine", machine.Name, "job", job.ID, "stopped", len(stops))
 	return stops
 }
 
-// preemptor returns the first job in the ranking that could use a machine, has
-// waited for at least after and would have to wait that long again, or nil.
+// preemptor returns the first job in the ranking that could use a machine, has waited for at least
+// the duration after, and is expected to wait that long again. It returns nil if there is none.
 func (s *Scheduler) preemptor(machine *fleet.Machine, after units.Microseconds) *jobs.Job {
 	now, wall := s.host.Now(), s.host.Wall()
 	if s.completionRate > 0 && units.Seconds(float64(s.readyTasks)/s.completionRate) < after {
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -16,10 +16,11 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// big is the machine type of the tests: 16 CPUs, 64 GB.
+// big is the machine type of most tests: 16 CPUs and 64 GB of memory.
 var big = &fleet.Type{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2}
 
-// fakeShard is a shard with all of every limit, whose machines all send heartbeats.
+// fakeShard is a shard whose allocation is the whole of
+// every limit. Its machines send heartbeats all the time.
 type fakeShard struct {
 	scheduler *Scheduler
 	quota     *quota.Tracker
@@ -28,10 +29,10 @@
 	machines  map[string]*fleet.Machine
 	jobs      map[string]*jobs.Job
 	attempts  uint64
-	expensive bool // for idle-time work are the machines
+	expensive bool // result of TooExpensive
 }
 
-// newShard returns a shard with teams, a machine n-1 and jobs, which were submitted at the present.
+// newShard returns a shard with the given teams, one machine n-1, and the given jobs, submitted now.
 func newShard(tb testing.TB, packing binpack.Params, teams []configuration.Team, records map[string]jobs.Record) *fakeShard {
 	tb.Helper()
 	shard := &fakeShard{now: 10 * units.Second, wall: 1000 * units.Second, teams: map[string]*configuration.Team{},
@@ -48,7 +49,7 @@
 	return shard
 }
 
-// addJob adds a job that could start since a time of day.
+// addJob adds a job that could start from the time of day since.
 func (f *fakeShard) addJob(id string, record jobs.Record, since units.Microseconds) {
 	job := &jobs.Job{ID: id, Record: record, Since: since}
 	job.Objectives = jobs.Objectives{Priority: job.Spec().Priority, Due: units.MaxTime, LastDue: units.MaxTime}
@@ -63,7 +64,7 @@
 	f.machines[name] = machine
 }
 
-// remove ends a task that is on a machine, unfinished.
+// remove ends an unfinished task that is on a machine.
 func (f *fakeShard) remove(machine *fleet.Machine, id jobs.TaskID) {
 	attempt := machine.Tasks[id]
 	machine.Drop(id)
@@ -114,11 +115,11 @@
 	f.quota.Charge(attempt.Team, attempt.Demand)
 }
 
-// TestTeamInShortfall has two teams whose nominal quotas are more than the machines can give
-// together. The one with work of high priority used to get all of it for as long as it had any, as
-// all was within its quota, and nothing of the other's ever started. Now each has its part, once
-// its work has waited, and what runs of that is not stopped for the other.
-func TestTeamInShortfall(t *testing.T) {
+// TestShortfallTeamNotStarved guards against starvation of a team by one with work of higher priority.
+// The nominal quotas of two teams exceed what the machines provide. The work of higher priority is all
+// within its team's quota, so by priority alone it would get every machine. Once the other team has
+// waited, each must get its proportional part, and tasks within that part must not be preempted.
+func TestShortfallTeamNotStarved(t *testing.T) {
 	record := func(team string, tasks int, priority jobs.Priority) jobs.Record {
 		return jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: 1000 * units.Second,
 			Spec: &jobs.Spec{Team: team, Priority: priority, Tasks: tasks, AnyType: true, Demand: binpack.Vec{1000, 0, 1}, Estimate: 20 * units.Second}}
@@ -126,14 +127,14 @@
 	shard := newShard(t, binpack.Params{}, []configuration.Team{
 		{Name: "rich", Guarantee: binpack.Vec{30_000, 0, 0}}, {Name: "poor", Guarantee: binpack.Vec{10_000, 0, 0}},
 	}, map[string]jobs.Record{"wk-000001": record("rich", 30, jobs.High), "wk-000002": record("poor", 10, jobs.Low)})
-	// The machine has 16 CPUs: 12 for the one, 4 for the other.
+	// The machine has 16 CPUs: 12 for rich, 4 for poor.
 	first := func() string {
 		shard.scheduler.sort()
 		shard.scheduler.rank()
 		return shard.scheduler.queue.Ranked()[0].Job.Spec().Team
 	}
 	if got := first(); got != "rich" {
-		t.Errorf("%s goes first though nothing has waited", got)
+		t.Errorf("%s is ranked first, want rich: no job has waited yet", got)
 	}
 	shard.wall += preemptAfter + units.Second
 	poor, rich := shard.jobs["wk-000002"], shard.jobs["wk-000001"]
@@ -141,24 +142,24 @@
 		shard.use("poor", want)
 		shard.use("rich", 12_000)
 		if got := first(); (got == "poor") != (k == 0) {
-			t.Errorf("with %d in use %s goes first", want, got)
+			t.Errorf("with %d in use by poor, %s is ranked first", want, got)
 		}
 		if got := shard.scheduler.mayPreempt(rich, poor); got != (k == 2) {
-			t.Errorf("with %d in use, stopped for the other: %v", want, got)
+			t.Errorf("with %d in use by poor, rich may preempt it: %v", want, got)
 		}
 	}
 	shard.addMachine("n-2", &fleet.Type{Capacity: binpack.Vec{30_000, 0, 0}})
 	shard.use("poor", 0)
 	if first() != "rich" {
-		t.Error("there is room for all quotas, and priority does not count")
+		t.Error("poor is ranked first although there is capacity for all quotas; want order by priority")
 	}
 }
 
-// TestLargestJobStarts has a team at its limit whose small jobs keep coming. The least remaining
-// work put the large one off for as long as they came, and what its tasks need was never free at
-// once. Once it has waited for long its first task goes ahead of all else, the limit is kept free
-// for it meanwhile, and then it has no more right than before.
-func TestLargestJobStarts(t *testing.T) {
+// TestLargestJobNotStarved guards against starvation of a large job in a team at its limit whose small
+// jobs keep coming. Ordering by least remaining work delays the large job, and the capacity that its tasks
+// need is never free at once. After overdueAfter its first task must take precedence, with the limit
+// reserved for it until reservationTime is over. After that first task the job has no special precedence.
+func TestLargestJobNotStarved(t *testing.T) {
 	record := func(tasks int, cpu int64) jobs.Record {
 		return jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: 1000 * units.Second,
 			Spec: &jobs.Spec{Team: "t", Tasks: tasks, AnyType: true, Demand: binpack.Vec{cpu, 0, 1}, Estimate: 20 * units.Second}}
@@ -170,7 +171,7 @@
 	}
 	shard := newShard(t, binpack.Params{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5}, []configuration.Team{{Name: "t", Limit: binpack.Vec{8000, 0, 0}}}, records)
 	machine := shard.machines["n-1"]
-	// fill gives the machine work and returns how many tasks are of the large job.
+	// fill fills the machine and returns how many of the started tasks belong to the large job.
 	fill := func() (large, all int) {
 		shard.scheduler.sort()
 		shard.scheduler.rank()
@@ -191,25 +192,25 @@
 		}
 	}
 	if large, all := fill(); large != 0 || all != 8 {
-		t.Fatalf("%d tasks of the large job among the first %d", large, all)
+		t.Fatalf("%d tasks of the large job among the first %d, want 0 of 8", large, all)
 	}
 	shard.wall += overdueAfter + units.Second
 	end(3)
 	if _, all := fill(); all != 0 {
-		t.Errorf("%d small tasks take what is kept for the large job", all)
+		t.Errorf("%d small tasks use the capacity reserved for the large job", all)
 	}
 	shard.wall += reservationTime
 	if _, all := fill(); all != 3 {
-		t.Errorf("%d small tasks start, want 3: room was kept for long enough", all)
+		t.Errorf("%d small tasks start, want 3: the reservation has expired", all)
 	}
 	end(3)
 	shard.wall -= reservationTime
 	end(5)
 	if large, all := fill(); large != 1 || all != 5 {
-		t.Errorf("%d tasks of the large job among %d, want its first alone beside small ones", large, all)
+		t.Errorf("%d tasks of the large job among %d, want only its first, with 4 small ones", large, all)
 	}
 	end(1)
 	if large, all := fill(); large != 0 || all != 1 {
-		t.Errorf("%d tasks of the large job among %d, though it has started", large, all)
+		t.Errorf("%d tasks of the large job among %d, want 0 of 1: the job has started already", large, all)
 	}
 }
