--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -39,7 +39,7 @@
 // it and the strictest objective of its class. It is negative once that time has passed.
 func (e *Estimator) TimeRemaining(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
-	run := e.Runtime(spec)
+	runtime := e.Runtime(spec)
 	remaining := units.MaxTime
 	for _, objective := range e.objectives {
 		if objective.Class != spec.Class || objective.Within <= 0 {
@@ -49,11 +49,11 @@
 		case FinishWithin:
 			remaining = min(remaining, objective.Within)
 		case StartWithin:
-			remaining = min(remaining, objective.Within+run)
+			remaining = min(remaining, objective.Within+runtime)
 		}
 	}
 	if remaining == units.MaxTime && job.Objectives.Due == units.MaxTime {
-		remaining = defaultTimeFactor * run
+		remaining = defaultTimeFactor * runtime
 	}
 	return min(remaining-(wall-job.Since), job.Objectives.Due-wall)
 }
@@ -91,7 +91,7 @@
 
 // Urgency classifies a job by the objectives that it can still meet. It never returns Overdue.
 func (e *Estimator) Urgency(wall units.Microseconds, job *jobs.Job) Urgency {
-	done := wall - job.Since + e.Runtime(job.Spec())
+	completion := wall - job.Since + e.Runtime(job.Spec())
 	objectives, missed := 0, 0
 	first := units.MaxTime
 	e.eachObjective(job, func(within units.Microseconds, start bool) {
@@ -101,12 +101,12 @@
 		}
 		objectives++
 		first = min(first, within)
-		if done > within {
+		if completion > within {
 			missed++
 		}
 	})
 	switch {
-	case missed == 0 && objectives > 0 && first-done > first/2:
+	case missed == 0 && objectives > 0 && first-completion > first/2:
 		return Relaxed
 	case missed == 0:
 		return FirstAttainable
@@ -119,12 +119,12 @@
 // Slack returns how long a job's tasks may wait without
 // missing the next objective that they can still meet.
 func (e *Estimator) Slack(wall units.Microseconds, job *jobs.Job) units.Microseconds {
-	run, age := e.Runtime(job.Spec()), wall-job.Since
+	runtime, age := e.Runtime(job.Spec()), wall-job.Since
 	least := units.MaxTime
 	e.eachObjective(job, func(within units.Microseconds, start bool) {
 		switch {
 		case !start:
-			within -= run
+			within -= runtime
 		case within <= 0:
 			return // the objective has no time bound
 		}
@@ -132,7 +132,7 @@
 			least = min(least, slack)
 		}
 	})
-	return min(least, defaultTimeFactor*max(run, units.Second))
+	return min(least, defaultTimeFactor*max(runtime, units.Second))
 }
 
 // IsIdleTime reports whether a job is idle-time work, which uses only capacity that other work leaves
--- a/internal/core/demand/slots.go
+++ b/internal/core/demand/slots.go
@@ -53,8 +53,8 @@
 func (e *Estimator) workload(wall units.Microseconds, job *jobs.Job, host Host) workload {
 	spec := job.Spec()
 	slots := job.Record.Tasks - job.Finished()
-	if run := e.Runtime(spec); !spec.Service && run > 0 {
-		rounds := e.sequentialFraction * e.TimeRemaining(wall, job).Seconds() / run.Seconds()
+	if runtime := e.Runtime(spec); !spec.Service && runtime > 0 {
+		rounds := e.sequentialFraction * e.TimeRemaining(wall, job).Seconds() / runtime.Seconds()
 		if rounds > 1 {
 			slots = int(math.Ceil(float64(slots) / rounds))
 		}
@@ -82,14 +82,14 @@
 
 // addWork returns need with a job's work added.
 func (e *Estimator) addWork(need autoscaler.Need, wall units.Microseconds, job *jobs.Job, work workload, total binpack.Vec, types []string) autoscaler.Need {
-	run := e.Runtime(job.Spec())
+	runtime := e.Runtime(job.Spec())
 	need.Tasks += work.slots
 	need.Running += work.placed
 	need.Ready += work.ready
-	need.Waiting += run * units.Microseconds(work.ready)
+	need.Waiting += runtime * units.Microseconds(work.ready)
 	need.Slack += e.Slack(wall, job) * units.Microseconds(work.ready)
 	if !job.Spec().Service {
-		need.Rate += float64(work.placed) / max(run.Seconds(), 1)
+		need.Rate += float64(work.placed) / max(runtime.Seconds(), 1)
 	}
 	need.Total = need.Total.Add(total)
 	need.Types = types
--- a/internal/core/ranking/entitlements.go
+++ b/internal/core/ranking/entitlements.go
@@ -75,8 +75,8 @@
 	return team
 }
 
-// fairShare returns a team's share of all capacity: in proportion
-// to its nominal quota if any team has one, otherwise equal.
+// fairShare returns a team's share of all capacity: in proportion to its nominal quota
+// if any team has one, or an equal share if none has or the team does not exist.
 func (t *teamDemand) fairShare(totalCPU int64, teams int) float64 {
 	if totalCPU > 0 && t.exists {
 		return float64(t.nominal[binpack.CPU]) / float64(totalCPU)
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -94,8 +94,8 @@
 		if spec == nil {
 			continue
 		}
-		if run := s.demand.Runtime(spec).Seconds(); run > 0 {
-			s.completionRate += float64(job.Placed()) / run
+		if runtime := s.demand.Runtime(spec).Seconds(); runtime > 0 {
+			s.completionRate += float64(job.Placed()) / runtime
 		}
 		if job.Ready() == 0 || !s.startable(now, job) {
 			continue
