--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -98,7 +98,7 @@
  "quota":{"cpu":0.18,"ram_mb":179,"fd_limit":1800}}}`, strings.Join(others, ","), machines, peers+1, strings.Join(list, ",")))
 	}
 	s, err := Parse(with(configuration.MaxTeams, peering.MaxPeers, core.MaxShardMachines))
-	if err != nil || s.MachinesPerShard() != core.MaxShardMachines || core.MaxShardMachines < fleet.FullShard {
+	if err != nil || s.MachinesPerShard() != core.MaxShardMachines || core.MaxShardMachines < fleet.FullShardMachines {
 		t.Errorf("at the limits: %v", err)
 	}
 	for want, b := range map[string][]byte{
--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -22,11 +22,11 @@
 
 // Group is work that may use the same pools.
 type Group struct {
-	Class string
-	Types string // names of the types its tasks fit and may use, joined by commas
-	Zone  string // "" for any
-	Spot  bool
-	Idle  bool // it uses the capacity that others leave, and scales out by the cheapest pools only
+	Class    string
+	Types    string // names of the types its tasks fit and may use, joined by commas
+	Zone     string // "" for any
+	Spot     bool
+	IdleTime bool // it uses the capacity that others leave, and scales out by the cheapest pools only
 }
 
 // anyClass is the group without its class: all that may use the same pools.
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -134,7 +134,7 @@
 // Work that uses what others leave scales out by the cheapest pools only,
 // and keeps no dear machine; where there is no other, it still gets one.
 func TestIdleTimeWork(t *testing.T) {
-	g := Group{Class: "x", Spot: true, Idle: true}
+	g := Group{Class: "x", Spot: true, IdleTime: true}
 	work := map[Group]Need{g: need(40, 300*second)}
 	have := []Machine{
 		{Name: "dear", Pool: Pool{"big", "a", false}, Booted: true, Age: 300 * second, Idle: 60 * second},
--- a/internal/core/autoscaler/plan.go
+++ b/internal/core/autoscaler/plan.go
@@ -40,7 +40,7 @@
 		groups = append(groups, group)
 	}
 	slices.SortFunc(groups, func(a, b Group) int {
-		return cmp.Or(compareBool(a.Idle, b.Idle), compareBool(a.Spot, b.Spot),
+		return cmp.Or(compareBool(a.IdleTime, b.IdleTime), compareBool(a.Spot, b.Spot),
 			cmp.Compare(len(s.usual[a].types), len(s.usual[b].types)),
 			cmp.Compare(b.Zone, a.Zone), // any zone last
 			cmp.Compare(a.Class+a.Types, b.Class+b.Types))
@@ -101,7 +101,7 @@
 	usual := p.usual[group]
 	wanted := math.Max(float64(need.Tasks), usual.tasks*(1+p.params.Headroom))
 	limit := math.Inf(1)
-	if group.Idle {
+	if group.IdleTime {
 		limit = maxPremium * cheapest(usual.types, group.Spot, p.market.Types)
 	}
 	short := p.take(group, usual, takeLimits{slots: wanted, price: limit})
@@ -227,14 +227,14 @@
 	if limit > 0 {
 		count = min(count, limit)
 	}
-	return count, float64(count) * machineType.Rate(spot) / math.Min(float64(count)*each, wanted)
+	return count, float64(count) * machineType.PriceFor(spot) / math.Min(float64(count)*each, wanted)
 }
 
 // worthwhile is how many slots of a type of machine find enough work to be worth their price.
 func (p *planning) worthwhile(short shortfall, machineType *fleet.Type, spot bool) float64 {
 	boot := machineType.Boot.Seconds()
 	premium := perCPU(machineType, spot) / short.cheapest
-	if short.group.Idle && premium > maxPremium && !short.unserved {
+	if short.group.IdleTime && premium > maxPremium && !short.unserved {
 		return 0
 	}
 	// A dearer slot must find more work.
--- a/internal/core/autoscaler/price.go
+++ b/internal/core/autoscaler/price.go
@@ -23,7 +23,7 @@
 	if machineType == nil || machineType.Capacity[binpack.CPU] == 0 {
 		return math.Inf(1)
 	}
-	return machineType.Rate(spot) / float64(machineType.Capacity[binpack.CPU])
+	return machineType.PriceFor(spot) / float64(machineType.Capacity[binpack.CPU])
 }
 
 // cheapest is the price of a CPU of the cheapest offer of some types.
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -51,7 +51,7 @@
 		t.Fatal("the done job is not done, or the other not cancelled")
 	}
 	core.Drain()
-	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.Never,
+	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, ReclaimIn: units.Never,
 		Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000002"}, Attempt: 1, State: fleet.Running}}})
 	o, _ := replyTo(t, core, 9).Body.(HeartbeatResponse)
 	if len(o.Commands) != 1 || o.Commands[0].Op != fleet.Stop {
@@ -75,7 +75,7 @@
 	from, seq := core.now, uint64(0)
 	answered := func() bool {
 		seq++
-		core.Heartbeat(core.now, RequestID(seq), &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: core.owned[0].fencingToken, Notice: units.Never,
+		core.Heartbeat(core.now, RequestID(seq), &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: core.owned[0].fencingToken, ReclaimIn: units.Never,
 			Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
 		return replyTo(t, core, RequestID(seq)).Code == 200
 	}
@@ -101,12 +101,12 @@
 // TestManyExitedTasks has nothing stored for long: a machine's list, which may not grow beyond
 // a report's 64 KiB, gets no further tasks.
 func TestManyExitedTasks(t *testing.T) {
-	for listed, want := range map[int]int{fleet.MaxListed: 0, fleet.MaxListed - 10: 10} {
+	for listed, want := range map[int]int{fleet.MaxReportedTasks: 0, fleet.MaxReportedTasks - 10: 10} {
 		c := holding(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 2000, Spec: &jobs.Spec{Team: "t", Tasks: 2000, AnyType: true, Demand: binpack.Vec{1, 0, 1}}},
 		})
-		r := &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: c.owned[0].fencingToken, Notice: units.Never}
+		r := &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: c.owned[0].fencingToken, ReclaimIn: units.Never}
 		for i := range listed {
 			r.Tasks = append(r.Tasks, fleet.Task{ID: jobs.TaskID{Job: "wk-000001", Task: 1000 + i}, Attempt: uint64(i + 1), State: fleet.Exited, Cause: fleet.Completed})
 		}
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -109,7 +109,7 @@
 			return jobPrefix + knownJob, http.StatusOK
 		},
 		"end": func(core *Core) (string, int) {
-			core.Heartbeat(core.now, 2, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: core.owned[0].fencingToken, Notice: units.Never,
+			core.Heartbeat(core.now, 2, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: core.owned[0].fencingToken, ReclaimIn: units.Never,
 				Tasks: []fleet.Task{{ID: jobs.TaskID{Job: knownJob}, Attempt: 1, State: fleet.Exited, Cause: fleet.Completed}}})
 			return jobPrefix + knownJob, 0
 		},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -39,10 +39,10 @@
 type Objective = demand.Objective
 
 // ListedMachine is a machine on the cloud's list.
-type ListedMachine = provisioner.Listed
+type ListedMachine = provisioner.ListedMachine
 
 // TickEvery is how often the outer layers let time pass.
-const TickEvery = liveness.TickEvery
+const TickEvery = liveness.TickInterval
 
 // Config is what the core is given at its start.
 type Config struct {
--- a/internal/core/demand/slots.go
+++ b/internal/core/demand/slots.go
@@ -43,7 +43,7 @@
 		total := spec.Demand.Times(int64(work.slots))
 		perTeam[spec.Team] = perTeam[spec.Team].Add(total)
 		types := host.CompatibleTypes(spec)
-		group := autoscaler.Group{Class: spec.Class, Types: strings.Join(types, ","), Zone: spec.Zone, Spot: spec.Spot, Idle: e.Idle(wall, job)}
+		group := autoscaler.Group{Class: spec.Class, Types: strings.Join(types, ","), Zone: spec.Zone, Spot: spec.Spot, IdleTime: e.Idle(wall, job)}
 		needed[group] = e.add(needed[group], wall, job, work, total, types)
 	}
 	return needed
--- a/internal/core/fleet/heartbeat.go
+++ b/internal/core/fleet/heartbeat.go
@@ -49,7 +49,7 @@
 	Incarnation  uint64
 	Seq          uint64 // counts heartbeats of an incarnation
 	FencingToken uint64
-	Notice       units.Microseconds // until the cloud reclaims it; Never: no notice
+	ReclaimIn    units.Microseconds // until the cloud reclaims it; Never: no notice
 	Tasks        []Task
 }
 
@@ -78,9 +78,9 @@
 	MaxForgets = 200
 	MaxStops   = 100
 	MaxStarts  = 250
-	// MaxListed bounds the tasks that a machine lists, as a heartbeat may not be longer than
+	// MaxReportedTasks bounds the tasks that a machine lists, as a heartbeat may not be longer than
 	// 64 KiB either: while nothing can be stored, what has exited there stays listed.
-	MaxListed = 500
+	MaxReportedTasks = 500
 )
 
 // AtMost returns the first n of some commands.
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -31,9 +31,9 @@
 	LeaseEnd       units.Microseconds // its tasks have surely ended from then on
 	Reconciled     bool               // it sent a heartbeat under its owner's fencing token
 	Transferred    bool               // what may run on it is known from its last owner's snapshot
-	Notice         units.Microseconds // when the cloud reclaims it; Never: no notice
+	ReclaimAt      units.Microseconds // when the cloud reclaims it; Never: no notice
 	Tasks          map[jobs.TaskID]Attempt
-	Listed         int // tasks in its last heartbeat, those that have exited too
+	ReportedTasks  int // tasks in its last heartbeat, those that have exited too
 	IdleSince      units.Microseconds
 	Lost           bool   // its lease expired, and it sent no heartbeat since
 	ExpiredAttempt uint64 // the last attempt that surely ended with a lease
@@ -42,10 +42,10 @@
 	Unlisted       bool               // the cloud's list should show it and does not
 	SpareSince     units.Microseconds // since when the work at hand does not need it; 0: it does
 
-	Quarantined bool               // it fails what it starts: nothing more starts there
-	Failed      map[string]bool    // jobs of which nothing had worked yet and that failed here, since a task completed
-	FailedAt    units.Microseconds // last failure
-	Proven      bool               // some task completed here
+	Quarantined      bool               // it fails what it starts: nothing more starts there
+	Failed           map[string]bool    // jobs of which nothing had worked yet and that failed here, since a task completed
+	FailedAt         units.Microseconds // last failure
+	HasCompletedTask bool               // some task completed here
 
 	used   binpack.Vec // by Tasks
 	slow   int         // tasks in a row that took much longer than their job's others
@@ -54,26 +54,26 @@
 
 // Attempt is one attempt that may be on the machine.
 type Attempt struct {
-	Number  uint64
-	Team    string
-	Demand  binpack.Vec
-	State   State
-	Started units.Microseconds // when its start was sent, or when it was first seen
-	Live    units.Microseconds // when it was first seen with its image; 0: not yet
-	Adopted bool               // started by an earlier owner: how long it has run is not known
+	Number       uint64
+	Team         string
+	Demand       binpack.Vec
+	State        State
+	Started      units.Microseconds // when its start was sent, or when it was first seen
+	RunningSince units.Microseconds // when it was first seen with its image; 0: not yet
+	Adopted      bool               // started by an earlier owner: how long it has run is not known
 }
 
-// Ran is how long the attempt has run with its image.
-func (a Attempt) Ran(now units.Microseconds) units.Microseconds {
-	if a.Live == 0 {
+// Runtime is how long the attempt has run with its image.
+func (a Attempt) Runtime(now units.Microseconds) units.Microseconds {
+	if a.RunningSince == 0 {
 		return 0
 	}
-	return now - a.Live
+	return now - a.RunningSince
 }
 
 // New returns a machine that has sent no heartbeat yet.
 func New(name string, record Record, machineType *Type, now units.Microseconds) *Machine {
-	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, Notice: units.Never, IdleSince: now,
+	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, ReclaimAt: units.Never, IdleSince: now,
 		Tasks: map[jobs.TaskID]Attempt{}}
 }
 
@@ -88,15 +88,15 @@
 // Free returns the capacity that they do not use; the machine's type must be known.
 func (m *Machine) Free() binpack.Vec { return m.Type.Capacity.Sub(m.used) }
 
-// Put records an attempt that may be on the machine.
-func (m *Machine) Put(id jobs.TaskID, attempt Attempt) {
-	m.Drop(id)
+// SetAttempt records an attempt that may be on the machine.
+func (m *Machine) SetAttempt(id jobs.TaskID, attempt Attempt) {
+	m.RemoveAttempt(id)
 	m.Tasks[id] = attempt
 	m.used = m.used.Add(attempt.Demand)
 }
 
-// Drop records that an attempt is on the machine no more.
-func (m *Machine) Drop(id jobs.TaskID) {
+// RemoveAttempt records that an attempt is on the machine no more.
+func (m *Machine) RemoveAttempt(id jobs.TaskID) {
 	m.used = m.used.Sub(m.Tasks[id].Demand)
 	delete(m.Tasks, id)
 }
@@ -131,10 +131,10 @@
 	slowMargin = 2 * units.Second
 )
 
-// Ran takes in how long a task ran here and, unless 0, how long its job's
+// ObserveRuntime takes in how long a task ran here and, unless 0, how long its job's
 // tasks take on average, and reports whether the machine now counts as slow:
 // nothing more starts on it.
-func (m *Machine) Ran(took, usual units.Microseconds) bool {
+func (m *Machine) ObserveRuntime(took, usual units.Microseconds) bool {
 	switch {
 	case usual == 0:
 	case took > slowFactor*usual && took > usual+slowMargin:
@@ -157,10 +157,10 @@
 	m.Addr = heartbeat.Addr
 	m.LastSeen, m.LeaseEnd = now, leaseEnd
 	m.Lost = false
-	m.Listed = len(heartbeat.Tasks)
-	m.Notice = units.Never
-	if heartbeat.Notice != units.Never {
-		m.Notice = now + heartbeat.Notice
+	m.ReportedTasks = len(heartbeat.Tasks)
+	m.ReclaimAt = units.Never
+	if heartbeat.ReclaimIn != units.Never {
+		m.ReclaimAt = now + heartbeat.ReclaimIn
 	}
 }
 
--- a/internal/core/fleet/record.go
+++ b/internal/core/fleet/record.go
@@ -22,8 +22,8 @@
 	SpotPrice float64 `json:"spot_price"`
 }
 
-// Rate is the price of a machine of the type.
-func (t *Type) Rate(spot bool) float64 {
+// PriceFor is the price of a machine of the type.
+func (t *Type) PriceFor(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
@@ -51,9 +51,9 @@
 	ProvisionedAt units.Microseconds `json:"rented,omitempty"`
 }
 
-// FullShard is how many machines one shard carries at least. Whatever counts a shard's machines,
+// FullShardMachines is how many machines one shard carries at least. Whatever counts a shard's machines,
 // their connections or their heartbeats is sized by it; docs/CAPACITY.md, "Fixed limits", lists it.
-const FullShard = 4096
+const FullShardMachines = 4096
 
 // MaxGroup is how many machines one group may have: as many as the cloud provisions at once, so that
 // a group stays far below the state service's value limit.
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -23,8 +23,8 @@
 	accepted := shard.reconciler.Accept(c.now, heartbeat)
 	commands := accepted.Commands
 	commands = append(commands, c.schedule(shard, accepted)...)
-	idle := accepted.Standing == reconcile.Proven && len(commands) == 0
-	if idle && shard.reconciler.KeepIdle(c.now, reconcile.RequestID(request), accepted.Machine) {
+	idle := accepted.Status == reconcile.Confirmed && len(commands) == 0
+	if idle && shard.reconciler.HoldIdle(c.now, reconcile.RequestID(request), accepted.Machine) {
 		return // answered by OfferWork
 	}
 	c.answerHeartbeat(shard, accepted.Machine, request, HeartbeatResponse{FencingToken: shard.fencingToken, Commands: commands})
@@ -79,11 +79,11 @@
 // heartbeat was reconciled.
 func (c *Core) schedule(shard *ownedShard, accepted reconcile.Accepted) []fleet.Command {
 	machine := accepted.Machine
-	proven := accepted.Standing == reconcile.Proven
+	proven := accepted.Status == reconcile.Confirmed
 	switch {
-	case proven && machine.Notice != units.Never:
+	case proven && machine.ReclaimAt != units.Never:
 		return shard.scheduler.EvictBeforeNotice(machine)
-	case machine.Notice != units.Never || !machine.Schedulable():
+	case machine.ReclaimAt != units.Never || !machine.Schedulable():
 		return nil
 	case proven:
 		commands := append(shard.scheduler.Fill(machine), shard.scheduler.Preempt(machine)...)
@@ -91,7 +91,7 @@
 			commands = shard.scheduler.EvictIdle(machine)
 		}
 		return commands
-	case accepted.Standing == reconcile.Unproven && machine.Transferred:
+	case accepted.Status == reconcile.Unconfirmed && machine.Transferred:
 		// What may be on it is known without its word, from the shard's last owner.
 		return shard.scheduler.Fill(machine)
 	}
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -20,7 +20,7 @@
 			heartbeats := make([]fleet.Heartbeat, len(busy.names))
 			for i, name := range busy.names {
 				m := busy.shard.reconciler.Machine(name)
-				heartbeats[i] = fleet.Heartbeat{Machine: name, Type: "big", Zone: "z", Incarnation: 1, FencingToken: busy.shard.fencingToken, Notice: units.Never}
+				heartbeats[i] = fleet.Heartbeat{Machine: name, Type: "big", Zone: "z", Incarnation: 1, FencingToken: busy.shard.fencingToken, ReclaimIn: units.Never}
 				for _, id := range m.TaskIDs() {
 					heartbeats[i].Tasks = append(heartbeats[i].Tasks, fleet.Task{ID: id, Attempt: m.Tasks[id].Number, State: fleet.Running})
 				}
@@ -67,7 +67,7 @@
 	shard := core.owned[0]
 	core.OnScaleIn(core.now, ScaleIn{Names: []string{"n-1"}, Assignment: shard.assignment}, store.OK)
 	core.Drain()
-	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.Never,
+	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, ReclaimIn: units.Never,
 		Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
 	return core, replyTo(t, core, 9).Code
 }
@@ -82,7 +82,7 @@
 		})
 		core.cfg.SkippedGuard = leftOut
 		shard := core.owned[0]
-		r := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never}
+		r := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, ReclaimIn: units.Never}
 		core.Heartbeat(core.now, 9, &r)
 		j := core.jobs.Get("wk-000001")
 		if j.Placed() != 1 {
--- a/internal/core/introspect/introspect_test.go
+++ b/internal/core/introspect/introspect_test.go
@@ -145,7 +145,7 @@
 		m.LastSeen = units.Second
 	}
 	for task := range tasks {
-		m.Put(jobs.TaskID{Job: "wk-000001", Task: task}, fleet.Attempt{Number: 1, Demand: binpack.Vec{1000, 0, 1}})
+		m.SetAttempt(jobs.TaskID{Job: "wk-000001", Task: task}, fleet.Attempt{Number: 1, Demand: binpack.Vec{1000, 0, 1}})
 	}
 	return m
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -51,7 +51,7 @@
 	idle.shard = idle.c.owned[0]
 	for i := range inZoneZ + inZoneY {
 		m := idle.shard.reconciler.Machine(machineName(i))
-		idle.c.Heartbeat(idle.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.Never})
+		idle.c.Heartbeat(idle.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, ReclaimIn: units.Never})
 	}
 	idle.collect()
 	return idle
@@ -110,8 +110,8 @@
 		pending := min(machines, reconcile.MaxPending)
 		for _, tasks := range []int{0, 1, 1 + rng.IntN(pending), pending} {
 			idle := newIdleFleet(t, machines, 0)
-			if idle.shard.reconciler.Pending() != pending || idle.answered != machines-pending || idle.starts != 0 {
-				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.Pending(), idle.answered)
+			if idle.shard.reconciler.PendingCount() != pending || idle.answered != machines-pending || idle.starts != 0 {
+				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.PendingCount(), idle.answered)
 			}
 			if machines > pending {
 				if _, ok := idle.answers[RequestID(1000+pending)]; !ok {
@@ -129,8 +129,8 @@
 					t.Fatalf("%d machines were given work at one look", idle.starts)
 				}
 			}
-			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.Pending() != 0 {
-				t.Errorf("%d machines, %d tasks: %d started, %d heartbeats answered, %d pending", machines, tasks, started, len(idle.answers), idle.shard.reconciler.Pending())
+			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.PendingCount() != 0 {
+				t.Errorf("%d machines, %d tasks: %d started, %d heartbeats answered, %d pending", machines, tasks, started, len(idle.answers), idle.shard.reconciler.PendingCount())
 			}
 		}
 	}
@@ -169,13 +169,13 @@
 			reconciler, request := idle.shard.reconciler, reconcile.RequestID(0)
 			var spent time.Duration
 			for b.Loop() {
-				reconciler.TakePending()
+				reconciler.DrainPending()
 				idle.c.advance(idle.c.now + units.Second)
 				for i := range machines {
 					request++
 					machine := reconciler.Machine(machineName(i))
 					machine.LastSeen = idle.c.now
-					if !reconciler.KeepIdle(idle.c.now, request, machine) {
+					if !reconciler.HoldIdle(idle.c.now, request, machine) {
 						b.Fatal("a heartbeat is not kept")
 					}
 				}
@@ -184,7 +184,7 @@
 				from := processorTime(b)
 				reconciler.OfferWork(idle.c.now, true)
 				spent += processorTime(b) - from
-				if reconciler.Pending() != machines {
+				if reconciler.PendingCount() != machines {
 					b.Fatal("a machine was given work")
 				}
 			}
@@ -197,14 +197,14 @@
 // are remembered, and one more: all are sent on, and after a while those that are remembered are
 // taken in. The one beyond is remembered once there is room.
 func TestUnknownMachinesAtTheLimit(t *testing.T) {
-	if reconcile.MaxUnknown < fleet.FullShard {
+	if reconcile.MaxUnknown < fleet.FullShardMachines {
 		t.Errorf("%d unknown machines are remembered", reconcile.MaxUnknown)
 	}
 	core := holding(t, nil)
 	req := RequestID(1000)
 	report := func(i int) int {
 		req++
-		core.Heartbeat(core.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.Never})
+		core.Heartbeat(core.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), ReclaimIn: units.Never})
 		for _, e := range core.Drain() {
 			if r, ok := e.(Reply); ok && r.Request == req {
 				return r.Code
@@ -217,7 +217,7 @@
 			t.Fatalf("machine %d is answered %d", i, code)
 		}
 	}
-	if n := core.owned[0].reconciler.Unknown(); n != reconcile.MaxUnknown {
+	if n := core.owned[0].reconciler.UnknownCount(); n != reconcile.MaxUnknown {
 		t.Errorf("%d are remembered", n)
 	}
 	core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -27,10 +27,10 @@
 
 // unreachable reports whether a shard should be released as no worker reaches this node.
 func (c *Core) unreachable(shard *ownedShard) bool {
-	if c.cfg.Size == 1 || c.zones.ExplainsSilence() {
+	if c.cfg.Size == 1 || c.zones.AllZonesUnreachable() {
 		return false
 	}
-	return c.reachability.Unreachable(c.now, shard.reconciler.Up(), c.reachablePeer)
+	return c.reachability.ShouldReleaseShards(c.now, shard.reconciler.UpCount(), c.reachablePeer)
 }
 
 // reachablePeer reports whether another controller could take a shard over that has not found itself
@@ -48,7 +48,7 @@
 // reach.
 func (c *Core) peerUnreachable(node string) bool {
 	if node == c.cfg.Node {
-		return c.reachability.UnreachableNow(c.now)
+		return c.reachability.Unreachable(c.now)
 	}
 	return c.peers.Status(node).Deaf
 }
--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -98,7 +98,7 @@
 	for _, machine := range d.host.Machines() {
 		zone := machine.Record.Zone
 		responsive := machine.LastSeen != 0 && now-machine.LastSeen < deadline
-		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.Notice == units.Never {
+		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.ReclaimAt == units.Never {
 			count := seen.zones[zone]
 			count.Up++
 			if responsive {
@@ -111,8 +111,8 @@
 		case now >= machine.LeaseEnd:
 			seen.expired = append(seen.expired, machine)
 		case machine.Deprovisioning:
-		case machine.Notice != units.Never:
-			if now > machine.Notice+noticeGrace {
+		case machine.ReclaimAt != units.Never:
+			if now > machine.ReclaimAt+noticeGrace {
 				seen.unresponsive = append(seen.unresponsive, machine)
 			}
 		case responsive:
@@ -129,7 +129,7 @@
 // than what waits.
 func (d *Detector) releaseLastUnreconciled(now units.Microseconds) {
 	machines, unreconciled := d.host.Machines(), d.host.Unreconciled()
-	if len(unreconciled) == 0 || len(unreconciled) > provisioner.FewOf(len(machines)) {
+	if len(unreconciled) == 0 || len(unreconciled) > provisioner.MaxEarlyDeprovisions(len(machines)) {
 		return
 	}
 	timedOut := now-d.cfg.OwnedSince > HeartbeatDeadline(d.cfg.HeartbeatInterval)+probeGrace
@@ -139,7 +139,7 @@
 	for _, name := range slices.Sorted(maps.Keys(unreconciled)) {
 		if machine := machines[name]; machine != nil && !machine.Deprovisioning && machine.LastSeen == 0 {
 			d.cfg.Log.Warn("machine unresponsive since the shard was acquired", "machine", name)
-			d.provisioner.Release(machine)
+			d.provisioner.Deprovision(machine)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	}
 	d.cfg.Log.Warn("unreconciled machines are not on the cloud's list", "machines", len(unlisted))
 	for _, machine := range unlisted {
-		d.provisioner.Release(machine)
+		d.provisioner.Deprovision(machine)
 	}
 }
 
@@ -174,7 +174,7 @@
 func (d *Detector) releaseUnresponsive(now units.Microseconds, seen survey) {
 	count := map[string]int{} // unresponsive without notice, by zone
 	for _, machine := range seen.unresponsive {
-		if machine.Notice == units.Never {
+		if machine.ReclaimAt == units.Never {
 			count[machine.Record.Zone]++
 		}
 	}
@@ -188,10 +188,10 @@
 	}
 	timeout := d.timeout()
 	for _, machine := range seen.unresponsive {
-		zone, reclaimed := machine.Record.Zone, machine.Notice != units.Never
+		zone, reclaimed := machine.Record.Zone, machine.ReclaimAt != units.Never
 		if reclaimed || outweighed(zone) && now-d.suspectAt[zone] > timeout {
 			d.cfg.Log.Warn("machine unresponsive", "machine", machine.Name, "tasks", len(machine.Tasks), "notice", reclaimed)
-			d.provisioner.Release(machine)
+			d.provisioner.Deprovision(machine)
 		}
 	}
 }
--- a/internal/core/liveness/reachability.go
+++ b/internal/core/liveness/reachability.go
@@ -8,11 +8,11 @@
 import "shalestage.example/shalestage/internal/core/units"
 
 const (
-	// TickEvery is how often the outer layers let time pass.
-	TickEvery = units.Second / 20
+	// TickInterval is how often the outer layers let time pass.
+	TickInterval = units.Second / 20
 	// awakeStep is the most that one tick adds to the time without heartbeats: time for which this
 	// node stood still, or could not keep up, says nothing of the workers.
-	awakeStep = 2 * TickEvery
+	awakeStep = 2 * TickInterval
 	// manyMachines is how many machines are enough that all of them will not end, nor pause, at the
 	// same moment.
 	manyMachines = 20
@@ -60,12 +60,12 @@
 // AnyHeartbeat reports whether a heartbeat was accepted since a shard was last acquired.
 func (r *Reachability) AnyHeartbeat() bool { return r.anyHeartbeat }
 
-// Unreachable reports whether this node should let another controller try, as no worker reaches it;
+// ShouldReleaseShards reports whether this node should let another controller try, as no worker reaches it;
 // up is how many machines have come up. Of many machines some send heartbeats all the time, so that
 // a short while without tells. Where no other controller is known to be better off
 // (reachablePeer), it must not release its shards again and again: if the machines are really
 // deleted, their leases have to expire under one owner.
-func (r *Reachability) Unreachable(now units.Microseconds, up int, reachablePeer func() bool) bool {
+func (r *Reachability) ShouldReleaseShards(now units.Microseconds, up int, reachablePeer func() bool) bool {
 	allowed := 2*r.interval + units.Second
 	if r.anyHeartbeat && up >= manyMachines {
 		allowed = r.interval/2 + units.Second
@@ -81,7 +81,7 @@
 	r.releasedAt, r.unreachable = now, true
 }
 
-// UnreachableNow reports whether this node did so lately and no worker has reached it since.
-func (r *Reachability) UnreachableNow(now units.Microseconds) bool {
+// Unreachable reports whether this node did so lately and no worker has reached it since.
+func (r *Reachability) Unreachable(now units.Microseconds) bool {
 	return r.unreachable && now-r.releasedAt < unreachableFor
 }
--- a/internal/core/liveness/reachability_test.go
+++ b/internal/core/liveness/reachability_test.go
@@ -22,10 +22,10 @@
 	}{
 		{"a heartbeat's time", 2 * units.Second, true, manyMachines, 0, true, false},
 		{"many machines, at the bound", 3 * units.Second, true, manyMachines, 0, true, false},
-		{"many machines, past it", 3*units.Second + TickEvery, true, manyMachines, 0, true, true},
-		{"few machines", 3*units.Second + TickEvery, true, manyMachines - 1, 0, true, false},
-		{"no heartbeat yet", 3*units.Second + TickEvery, false, manyMachines, 0, true, false},
-		{"few machines, for long", 9*units.Second + TickEvery, true, 1, 0, true, true},
+		{"many machines, past it", 3*units.Second + TickInterval, true, manyMachines, 0, true, true},
+		{"few machines", 3*units.Second + TickInterval, true, manyMachines - 1, 0, true, false},
+		{"no heartbeat yet", 3*units.Second + TickInterval, false, manyMachines, 0, true, false},
+		{"few machines, for long", 9*units.Second + TickInterval, true, 1, 0, true, true},
 		{"no machine", 100 * units.Second, true, 0, 0, true, false},
 		{"released lately, nobody better off", 100 * units.Second, true, 1, 50 * units.Second, false, false},
 		{"released lately, another reachable", 100 * units.Second, true, 1, 50 * units.Second, true, true},
@@ -42,13 +42,13 @@
 			reachability.HeartbeatAccepted()
 		}
 		now := units.Microseconds(0)
-		for ; now < test.quietFor; now += TickEvery {
-			reachability.Tick(now + TickEvery)
+		for ; now < test.quietFor; now += TickInterval {
+			reachability.Tick(now + TickInterval)
 		}
 		if test.releasedAt > 0 {
 			now = 100 * units.Second
 		}
-		if got := reachability.Unreachable(now, test.up, func() bool { return test.peer }); got != test.want {
+		if got := reachability.ShouldReleaseShards(now, test.up, func() bool { return test.peer }); got != test.want {
 			t.Errorf("%s: unreachable %v", test.name, got)
 		}
 	}
@@ -59,7 +59,7 @@
 	reachability := NewReachability(4*units.Second, 10*units.Second)
 	reachability.Tick(units.Second)
 	reachability.Tick(100 * units.Second)
-	if reachability.Unreachable(100*units.Second, 1, func() bool { return true }) {
+	if reachability.ShouldReleaseShards(100*units.Second, 1, func() bool { return true }) {
 		t.Error("one late tick made this node unreachable")
 	}
 }
@@ -68,11 +68,11 @@
 func TestUnreachableNow(t *testing.T) {
 	reachability := NewReachability(4*units.Second, 10*units.Second)
 	reachability.ShardsReleased(units.Second)
-	if !reachability.UnreachableNow(2*units.Second) || reachability.UnreachableNow(units.Second+unreachableFor) {
+	if !reachability.Unreachable(2*units.Second) || reachability.Unreachable(units.Second+unreachableFor) {
 		t.Error("unreachable for another time than unreachableFor")
 	}
 	reachability.HeartbeatReceived()
-	if reachability.UnreachableNow(2 * units.Second) {
+	if reachability.Unreachable(2 * units.Second) {
 		t.Error("unreachable in spite of a heartbeat")
 	}
 }
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -64,7 +64,7 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(known))
-	if err := zones.Check(names, zone, word); err != nil {
+	if err := zones.ValidateOverride(names, zone, word); err != nil {
 		return nil, err
 	}
 	key := overridePrefix + zone
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -35,8 +35,8 @@
 		if err := say("b", w); err != nil {
 			t.Fatal(err)
 		}
-		if core.zones.Lost("b") != (w == zones.OverrideLost) || core.zones.Returning("b") != (w == zones.OverrideReturning) {
-			t.Errorf("after %q: lost %v, returning %v", w, core.zones.Lost("b"), core.zones.Returning("b"))
+		if core.zones.Lost("b") != (w == zones.OverrideLost) || core.zones.DeclaredReturning("b") != (w == zones.OverrideReturning) {
+			t.Errorf("after %q: lost %v, returning %v", w, core.zones.Lost("b"), core.zones.DeclaredReturning("b"))
 		}
 	}
 	if err := say("b", "soon"); err == nil {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -70,7 +70,7 @@
 
 // status is what the other controllers are to know of this one.
 func (c *Core) status() PeerStatus {
-	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: peering.Release,
+	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.Unreachable(c.now), Release: peering.Release,
 		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
 	// Also once authority has run out: while all still grant a peer lease, nobody has taken over.
 	if c.membership.ID() != 0 {
@@ -104,7 +104,7 @@
 		}
 	}
 	for zone, n := range all {
-		c.zones.Controllers(zone, n, alive[zone])
+		c.zones.SetControllers(zone, n, alive[zone])
 	}
 }
 
@@ -179,7 +179,7 @@
 	// In an outage one that was cut off may go on beside the one that owns the shard now.
 	owns := func(b BlockStatus) bool { return c.shardRecords.Assignment(b.Block).Node == from }
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
-		c.zones.ReceivePeerView(status.Zones)
+		c.zones.ApplyPeerStatuses(status.Zones)
 	}
 	c.peers.NoteRelease(from, status.Release)
 	if c.peers.RollbackNoticed(from, status.Back) {
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -33,7 +33,7 @@
 // SlotsNeeded implements provisioner.Host. While what earlier owners started is not known, neither
 // is what is needed.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
-	few := provisioner.FewOf(len(h.shard.reconciler.Machines()))
+	few := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
 	// What is in a zone that is lost may run on there, and has to be done elsewhere.
 	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
 		return nil, false
@@ -44,8 +44,8 @@
 // Types implements provisioner.Host.
 func (h provisionerHost) Types() map[string]*fleet.Type { return h.types }
 
-// Calls implements provisioner.Host.
-func (h provisionerHost) Calls() float64 { return h.cfg.CloudRate * h.cloudPart }
+// CallRate implements provisioner.Host.
+func (h provisionerHost) CallRate() float64 { return h.cfg.CloudRate * h.cloudPart }
 
 // Provisioned implements provisioner.Host.
 func (h provisionerHost) Provisioned(request string, record fleet.Record, names []string) {
--- a/internal/core/provisioner/list.go
+++ b/internal/core/provisioner/list.go
@@ -6,7 +6,7 @@
 
 // OnListMachines takes the machine list. It may be old: it proves only that a machine exists or has
 // failed, never that one is absent.
-func (r *Provisioner) OnListMachines(now units.Microseconds, request ListMachines, list []Listed) {
+func (r *Provisioner) OnListMachines(now units.Microseconds, request ListMachines, list []ListedMachine) {
 	r.now = now
 	for name, at := range r.deprovisioned {
 		if now-at > 4*r.cfg.ListLag+forgetDeprovisioned {
@@ -22,7 +22,7 @@
 }
 
 // takeListed takes in a machine of the list that is not known to be deleted.
-func (r *Provisioner) takeListed(listed Listed) {
+func (r *Provisioner) takeListed(listed ListedMachine) {
 	machine := r.host.Machines()[listed.Name]
 	if machine != nil && machine.Addr == "" {
 		machine.Addr = listed.Addr
@@ -35,7 +35,7 @@
 		r.queue = append(r.queue, listed.Name)
 	case listed.Failed:
 		if !machine.Deprovisioning {
-			r.Release(machine)
+			r.Deprovision(machine)
 		}
 	case machine == nil && r.orphaned(listed):
 		// Provisioned by a request that was carried out late, or whose answer was lost. Adopted: the
@@ -47,14 +47,14 @@
 
 // orphaned reports whether a machine that is not known has been there for so long that whoever
 // provisioned it would have stored it.
-func (r *Provisioner) orphaned(listed Listed) bool {
+func (r *Provisioner) orphaned(listed ListedMachine) bool {
 	return listed.Age > 2*r.cfg.ListLag+r.cfg.AdoptAfter && r.now-r.cfg.OwnedSince > 2*r.cfg.ListLag
 }
 
 // noteUnlisted notes which unreconciled machines a list does not show, though they were provisioned
 // long before all that it may leave out. They are most likely deleted. That is no proof; see
 // package liveness.
-func (r *Provisioner) noteUnlisted(sentAt units.Microseconds, list []Listed) {
+func (r *Provisioner) noteUnlisted(sentAt units.Microseconds, list []ListedMachine) {
 	unreconciled := r.host.Unreconciled()
 	if len(unreconciled) == 0 {
 		return // no work waits for any
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, name := range surplus {
-		r.Release(machines[name])
+		r.Deprovision(machines[name])
 	}
 }
 
@@ -67,10 +67,10 @@
 	for _, name := range names {
 		machine := machines[name]
 		zoneLost := r.zones.Lost(machine.Record.Zone)
-		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.Notice != units.Never {
+		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.ReclaimAt != units.Never {
 			continue
 		}
-		if !zoneLost && r.bootsSlowly(machine) && slow < FewOf(len(machines)) {
+		if !zoneLost && r.bootsSlowly(machine) && slow < MaxEarlyDeprovisions(len(machines)) {
 			slow++ // what waits for it should not wait for that one alone
 			continue
 		}
@@ -111,10 +111,10 @@
 	case !r.zones.Reachable(zone) && !r.probesZone(machine):
 		// What runs there may still come to an end; until then it is not deprovisioned.
 		spare := machine.LeaseEnd == 0 && machine.SpareSince != 0 && r.now-machine.SpareSince > spareFor
-		return !r.zones.Keep(zone, r.cfg.Lease+r.replacement(machine)) || spare && !r.zones.Returning(zone)
+		return !r.zones.KeepMachines(zone, r.cfg.Lease+r.replacement(machine)) || spare && !r.zones.DeclaredReturning(zone)
 	case r.zones.DeclaredLost(zone):
 		return idle
-	case r.zones.ReturnedFor(zone) < r.cfg.HeartbeatInterval+keepLost:
+	case r.zones.SinceRecovery(zone) < r.cfg.HeartbeatInterval+keepLost:
 		return false // its heartbeats are about to arrive
 	}
 	return machine.Quarantined && idle ||
@@ -125,7 +125,7 @@
 // probesZone reports whether a machine of an unreachable zone boots that was provisioned after the
 // zone became unreachable, to find out whether it still is.
 func (r *Provisioner) probesZone(machine *fleet.Machine) bool {
-	return r.boots(machine) && r.now-machine.ProvisionedAt < r.zones.For(machine.Record.Zone)
+	return r.boots(machine) && r.now-machine.ProvisionedAt < r.zones.StateAge(machine.Record.Zone)
 }
 
 // scaleOut asks for machines in as many requests as the cloud takes in a second, a part of them for
@@ -134,7 +134,7 @@
 	if len(increases) == 0 {
 		return
 	}
-	each := max(1, int(r.host.Calls()/2)/len(increases))
+	each := max(1, int(r.host.CallRate()/2)/len(increases))
 	for _, increase := range increases {
 		missing := increase.Count
 		for range each {
--- a/internal/core/provisioner/provisioner.go
+++ b/internal/core/provisioner/provisioner.go
@@ -34,8 +34,8 @@
 	ListMachines struct{ SentAt units.Microseconds }
 )
 
-// Listed is a machine on the cloud's list.
-type Listed struct {
+// ListedMachine is a machine on the cloud's list.
+type ListedMachine struct {
 	Name   string
 	Addr   string
 	Record fleet.Record
@@ -57,14 +57,14 @@
 	SlotsNeeded() (work map[autoscaler.Group]autoscaler.Need, ok bool)
 	// Types is the price list.
 	Types() map[string]*fleet.Type
-	// Calls is how many calls a second the cloud takes from this shard.
-	Calls() float64
+	// CallRate is how many calls a second the cloud takes from this shard.
+	CallRate() float64
 	// Provisioned takes in machines that a request has brought.
 	Provisioned(request string, record fleet.Record, names []string)
 	// Deprovisioned says that a machine, and all that ran on it, is deleted.
 	Deprovisioned(machine *fleet.Machine)
 	// Adopt takes in a listed machine that nobody is known to have provisioned.
-	Adopt(listed Listed)
+	Adopt(listed ListedMachine)
 	// InAnotherShard reports whether a machine belongs to another shard.
 	InAnotherShard(machine string) bool
 }
@@ -121,8 +121,8 @@
 	forgetDeprovisioned = 60 * units.Second
 )
 
-// FewOf is how many machines may be given up early, as a part of all.
-func FewOf(machines int) int { return max(1, machines/20) }
+// MaxEarlyDeprovisions is how many machines may be given up early, as a part of all.
+func MaxEarlyDeprovisions(machines int) int { return max(1, machines/20) }
 
 // Ready reports whether the cloud may be called.
 func (r *Provisioner) Ready(now units.Microseconds) bool { return now >= r.notBefore }
@@ -133,8 +133,8 @@
 // Deprovisioned reports whether the cloud has said that a machine is deleted.
 func (r *Provisioner) Deprovisioned(machine string) bool { return r.deprovisioned[machine] != 0 }
 
-// Release has a machine deprovisioned with the next request.
-func (r *Provisioner) Release(machine *fleet.Machine) {
+// Deprovision has a machine deprovisioned with the next request.
+func (r *Provisioner) Deprovision(machine *fleet.Machine) {
 	machine.Deprovisioning = true
 	r.queue = append(r.queue, machine.Name)
 }
--- a/internal/core/provisioner/provisioner_test.go
+++ b/internal/core/provisioner/provisioner_test.go
@@ -49,7 +49,7 @@
 func (s *fakeShard) Machines() map[string]*fleet.Machine { return s.machines }
 func (s *fakeShard) Unreconciled() map[string]bool       { return s.unreconciled }
 func (*fakeShard) Types() map[string]*fleet.Type         { return map[string]*fleet.Type{"big": bigType} }
-func (*fakeShard) Calls() float64                        { return 10 }
+func (*fakeShard) CallRate() float64                     { return 10 }
 func (*fakeShard) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
 	return map[autoscaler.Group]autoscaler.Need{}, true
 }
@@ -58,12 +58,12 @@
 	s.provisioned = append(s.provisioned, names...)
 }
 func (s *fakeShard) Deprovisioned(machine *fleet.Machine) { delete(s.machines, machine.Name) }
-func (s *fakeShard) Adopt(listed Listed)                  { s.adopted = append(s.adopted, listed.Name) }
+func (s *fakeShard) Adopt(listed ListedMachine)           { s.adopted = append(s.adopted, listed.Name) }
 func (s *fakeShard) InAnotherShard(machine string) bool   { return machine == s.elsewhere }
-func listed(name string, age units.Microseconds) Listed {
-	return Listed{Name: name, Addr: name + ":1", Age: age}
+func listed(name string, age units.Microseconds) ListedMachine {
+	return ListedMachine{Name: name, Addr: name + ":1", Age: age}
 }
-func failed(name string) Listed { return Listed{Name: name, Failed: true} }
+func failed(name string) ListedMachine { return ListedMachine{Name: name, Failed: true} }
 
 // TestUselessMachines plans with machines that are deprovisioned whatever work there is, and some
 // just before they are.
@@ -99,7 +99,7 @@
 func TestScaleInOutcomes(t *testing.T) {
 	provisioner, shard := newProvisioner(t)
 	machine := shard.add("n-1", 0)
-	provisioner.Release(machine)
+	provisioner.Deprovision(machine)
 	provisioner.Flush()
 	request := shard.effects[0].(ScaleIn)
 	if !slices.Equal(request.Names, []string{"n-1"}) || request.Assignment != 3 || !machine.Deprovisioning {
@@ -115,7 +115,7 @@
 	}
 	// The list may show it, and heartbeats may be held back: it is remembered for a while.
 	keep := 4*provisioner.cfg.ListLag + forgetDeprovisioned
-	provisioner.OnListMachines(5*second+keep, ListMachines{}, []Listed{listed("n-1", 500*second)})
+	provisioner.OnListMachines(5*second+keep, ListMachines{}, []ListedMachine{listed("n-1", 500*second)})
 	if !provisioner.Deprovisioned("n-1") || len(shard.adopted) != 0 {
 		t.Errorf("adopted %v", shard.adopted)
 	}
@@ -161,7 +161,7 @@
 	}
 	shard.elsewhere = "elsewhere"
 	old := 2*provisioner.cfg.ListLag + provisioner.cfg.AdoptAfter + 1
-	provisioner.OnListMachines(now, ListMachines{SentAt: now}, []Listed{listed("known", old), failed("broken"), failed("stranger"),
+	provisioner.OnListMachines(now, ListMachines{SentAt: now}, []ListedMachine{listed("known", old), failed("broken"), failed("stranger"),
 		listed("elsewhere", old), listed("orphan", old), listed("new", old-1)})
 	if known.Addr != "known:1" || known.Unlisted || !absent.Unlisted || young.Unlisted {
 		t.Errorf("known %+v, absent %v, young %v", known, absent.Unlisted, young.Unlisted)
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -75,7 +75,7 @@
 	}
 	known := job.FailsEverywhere()
 	job.FailedOn(machine.Name)
-	if again && (!known || !machine.Proven && job.Replaced < maxReplaced) {
+	if again && (!known || !machine.HasCompletedTask && job.Replaced < maxReplaced) {
 		job.MachineReplaced()
 		machine.Quarantined = true // what speaks against the job stays
 		a.log.Warn("machine quarantined: a job fails there again", "machine", machine.Name, "job", job.ID)
@@ -140,7 +140,7 @@
 // that a quarantine ends; a job that was suspect is not at fault. The attempt is zero where it was
 // not known to be on the machine.
 func (a *Attribution) TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
-	machine.Proven = true
+	machine.HasCompletedTask = true
 	if attempt.Started > machine.FailedAt {
 		machine.Failed, machine.Quarantined = nil, false
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -81,13 +81,13 @@
 	h.shard.attribution.TaskFailed(machine, job, attempt)
 }
 
-// TaskWorked implements reconcile.JobHost.
-func (h reconcileHost) TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
+// TaskSucceeded implements reconcile.JobHost.
+func (h reconcileHost) TaskSucceeded(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
 	h.shard.attribution.TaskWorked(machine, job, attempt)
 }
 
-// LearnRuntime implements reconcile.JobHost.
-func (h reconcileHost) LearnRuntime(job *jobs.Job, took units.Microseconds) {
+// ObserveRuntime implements reconcile.JobHost.
+func (h reconcileHost) ObserveRuntime(job *jobs.Job, took units.Microseconds) {
 	h.shard.demand.Learn(job.Spec(), took)
 }
 
--- a/internal/core/reconcile/admission.go
+++ b/internal/core/reconcile/admission.go
@@ -53,11 +53,11 @@
 // whoever provisioned it would have stored it.
 func (r *Reconciler) adoptable(now units.Microseconds, machine string) bool {
 	since, seen := r.unknown[machine]
-	if !seen && r.Unknown() < MaxUnknown {
+	if !seen && r.UnknownCount() < MaxUnknown {
 		r.unknown[machine] = now
 	}
 	return seen && now-since >= AdoptAfter
 }
 
-// Unknown counts the machines that are remembered as stored nowhere.
-func (r *Reconciler) Unknown() int { return len(r.unknown) }
+// UnknownCount counts the machines that are remembered as stored nowhere.
+func (r *Reconciler) UnknownCount() int { return len(r.unknown) }
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -9,23 +9,23 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Standing is what a heartbeat proves.
-type Standing int
+// HeartbeatStatus is what a heartbeat proves.
+type HeartbeatStatus int
 
 const (
-	// Outdated heartbeats change nothing: a later heartbeat of the machine was seen, and nobody waits for the response.
-	Outdated Standing = iota
-	// Unproven heartbeats tell what runs, not what does not: the worker has not taken a response of this owner yet, so that responses of earlier
+	// Stale heartbeats change nothing: a later heartbeat of the machine was seen, and nobody waits for the response.
+	Stale HeartbeatStatus = iota
+	// Unconfirmed heartbeats tell what runs, not what does not: the worker has not taken a response of this owner yet, so that responses of earlier
 	// owners may still start tasks that the heartbeat does not show.
-	Unproven
-	// Proven heartbeats show all that can be on the machine.
-	Proven
+	Unconfirmed
+	// Confirmed heartbeats show all that can be on the machine.
+	Confirmed
 )
 
 // Accepted is what an admitted heartbeat has changed.
 type Accepted struct {
 	Machine  *fleet.Machine
-	Standing Standing
+	Status   HeartbeatStatus
 	Commands []fleet.Command // what the machine has to forget and to stop
 }
 
@@ -36,7 +36,7 @@
 		machine = r.host.Adopt(heartbeat)
 	}
 	if !machine.Newer(heartbeat) && r.host.Guarded(guard.HeartbeatOrder) {
-		return Accepted{Machine: machine, Standing: Outdated}
+		return Accepted{Machine: machine, Status: Stale}
 	}
 	if machine.LastSeen == 0 {
 		r.machineUp(now, machine, heartbeat)
@@ -45,13 +45,13 @@
 	machine.AcceptHeartbeat(now, now+r.host.LeaseBound(), heartbeat)
 	if heartbeat.FencingToken != r.cfg.FencingToken && r.host.Guarded(guard.HeartbeatToken) {
 		// It proves nothing: it may have been under way while an earlier owner started tasks.
-		return Accepted{machine, Unproven, r.stopUnknown(heartbeat)}
+		return Accepted{machine, Unconfirmed, r.stopUnknown(heartbeat)}
 	}
 	// The worker has taken a response under this owner's token, after which it drops every response
 	// of earlier owners: what it lists is all that can be there.
 	commands := r.reconcile(now, machine, heartbeat)
 	r.MarkReconciled(now, machine)
-	return Accepted{machine, Proven, commands}
+	return Accepted{machine, Confirmed, commands}
 }
 
 // machineUp notes the first heartbeat of a machine, or the first after its lease expired.
@@ -133,8 +133,8 @@
 		attempt = r.adoptAttempt(now, machine, job, task)
 	}
 	attempt.State = task.State
-	if task.State != fleet.Fetching && attempt.Live == 0 {
-		attempt.Live = now
+	if task.State != fleet.Fetching && attempt.RunningSince == 0 {
+		attempt.RunningSince = now
 	}
 	r.Place(machine, task.ID, attempt)
 	if !r.active(job, task) || !r.placeJob(machine, job, task) {
@@ -218,13 +218,13 @@
 // complete takes in the first word that a task is completed.
 func (r *Reconciler) complete(now units.Microseconds, machine *fleet.Machine, job *jobs.Job, id jobs.TaskID) {
 	attempt, known := machine.Tasks[id]
-	r.host.TaskWorked(machine, job, attempt)
+	r.host.TaskSucceeded(machine, job, attempt)
 	// What an earlier owner started seems to have run for a shorter time than it has. Counted, it
 	// made the other tasks of its job look slow, and their machines with them.
-	if known && attempt.Live > 0 && !attempt.Adopted {
-		took := now - attempt.Live
-		r.host.LearnRuntime(job, took)
-		if machine.Ran(took, job.MeanRuntime) {
+	if known && attempt.RunningSince > 0 && !attempt.Adopted {
+		took := now - attempt.RunningSince
+		r.host.ObserveRuntime(job, took)
+		if machine.ObserveRuntime(took, job.MeanRuntime) {
 			r.cfg.Log.Warn("machine is slow", "machine", machine.Name)
 		}
 		job.AddRuntime(took)
--- a/internal/core/reconcile/pending.go
+++ b/internal/core/reconcile/pending.go
@@ -13,7 +13,7 @@
 	pendingTime = 2 * units.Second
 	// MaxPending bounds the heartbeats that are kept unanswered: one of each machine of a full
 	// shard. One beyond is answered at once, without work.
-	MaxPending = fleet.FullShard
+	MaxPending = fleet.FullShardMachines
 	// MaxOffers bounds the machines that are offered new work at one look, so that no look takes
 	// longer than some 25 ms however many wait. The others have their turn at the next.
 	MaxOffers = 500
@@ -55,22 +55,22 @@
 	offer   bool // the machine is to be offered work that has come since the heartbeat
 }
 
-// KeepIdle keeps the heartbeat of a machine unanswered that is idle and may get work, and reports
+// HoldIdle keeps the heartbeat of a machine unanswered that is idle and may get work, and reports
 // whether it does.
-func (r *Reconciler) KeepIdle(now units.Microseconds, request RequestID, machine *fleet.Machine) bool {
-	idle := len(machine.Tasks) == 0 && machine.Listed == 0 && machine.Schedulable() && machine.Notice == units.Never
-	if !idle || r.Pending() >= MaxPending {
+func (r *Reconciler) HoldIdle(now units.Microseconds, request RequestID, machine *fleet.Machine) bool {
+	idle := len(machine.Tasks) == 0 && machine.ReportedTasks == 0 && machine.Schedulable() && machine.ReclaimAt == units.Never
+	if !idle || r.PendingCount() >= MaxPending {
 		return false
 	}
 	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, machine: machine, until: now + pendingTime})
 	return true
 }
 
-// Pending counts the heartbeats that are kept unanswered.
-func (r *Reconciler) Pending() int { return len(r.pending.heartbeats) }
+// PendingCount counts the heartbeats that are kept unanswered.
+func (r *Reconciler) PendingCount() int { return len(r.pending.heartbeats) }
 
 // MayPostpone reports whether one more heartbeat may be postponed.
-func (r *Reconciler) MayPostpone() bool { return r.Pending() < MaxPending }
+func (r *Reconciler) MayPostpone() bool { return r.PendingCount() < MaxPending }
 
 // Postpone keeps a heartbeat unanswered while the shard is being released. In a moment its next
 // owner is known; sent elsewhere, the worker would not get there for a second.
@@ -83,8 +83,8 @@
 	return len(r.pending.heartbeats) > 0 && now >= r.pending.heartbeats[0].until
 }
 
-// TakePending returns the requests of all pending heartbeats, which the caller answers.
-func (r *Reconciler) TakePending() []RequestID {
+// DrainPending returns the requests of all pending heartbeats, which the caller answers.
+func (r *Reconciler) DrainPending() []RequestID {
 	var requests []RequestID
 	for _, heartbeat := range r.pending.heartbeats {
 		requests = append(requests, heartbeat.request)
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -45,8 +45,8 @@
 	nextRoundAt units.Microseconds
 }
 
-// Probe sends probes to some of the unreconciled machines.
-func (r *Reconciler) Probe(now units.Microseconds) {
+// SendProbes sends probes to some of the unreconciled machines.
+func (r *Reconciler) SendProbes(now units.Microseconds) {
 	if len(r.unreconciled) == 0 || now-r.cfg.OwnedSince < probeAfter {
 		return
 	}
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -57,11 +57,11 @@
 	AttemptRemoved(job *jobs.Job, moreReady bool)
 	// TaskFailed attributes a failure to the job or the machine.
 	TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
-	// TaskWorked notes that neither machine nor job made a task fail. The attempt is zero where it
+	// TaskSucceeded notes that neither machine nor job made a task fail. The attempt is zero where it
 	// was not known to be on the machine.
-	TaskWorked(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
-	// LearnRuntime takes in how long a task of a job took.
-	LearnRuntime(job *jobs.Job, took units.Microseconds)
+	TaskSucceeded(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
+	// ObserveRuntime takes in how long a task of a job took.
+	ObserveRuntime(job *jobs.Job, took units.Microseconds)
 	// TaskCompleted has it stored that a task is completed.
 	TaskCompleted(job *jobs.Job, task int)
 }
@@ -123,8 +123,8 @@
 	return outside
 }
 
-// Up counts the machines that have come up and may run tasks.
-func (r *Reconciler) Up() int {
+// UpCount counts the machines that have come up and may run tasks.
+func (r *Reconciler) UpCount() int {
 	up := 0
 	for _, machine := range r.machines {
 		if machine.LastSeen != 0 || machine.LeaseEnd != 0 {
@@ -222,7 +222,7 @@
 	if replaced, ok := machine.Tasks[id]; ok {
 		r.quota.Release(replaced.Team, replaced.Demand)
 	}
-	machine.Put(id, attempt)
+	machine.SetAttempt(id, attempt)
 	r.quota.Charge(attempt.Team, attempt.Demand)
 }
 
@@ -232,7 +232,7 @@
 	if !ok {
 		return
 	}
-	machine.Drop(id)
+	machine.RemoveAttempt(id)
 	r.quota.Release(attempt.Team, attempt.Demand)
 	if job := r.host.Job(id.Job); job != nil {
 		if place, ok := job.Place(id.Task); ok && place.Machine == machine.Name && place.Attempt == attempt.Number {
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -71,13 +71,13 @@
 	job.Finish(task, jobs.ProgressLayout{TasksPerRecord: 256})
 	o.completed = append(o.completed, task)
 }
-func (*fakeOwner) TaskWorked(*fleet.Machine, *jobs.Job, fleet.Attempt) {}
-func (*fakeOwner) LearnRuntime(*jobs.Job, units.Microseconds)          {}
-func (o *fakeOwner) Charge(_ string, demand binpack.Vec)               { o.used = o.used.Add(demand) }
-func (o *fakeOwner) Release(_ string, demand binpack.Vec)              { o.used = o.used.Sub(demand) }
-func (*fakeOwner) UnreconciledChanged()                                {}
-func (*fakeOwner) RankReady()                                          {}
-func (o *fakeOwner) NewWork() bool                                     { return o.newWork }
+func (*fakeOwner) TaskSucceeded(*fleet.Machine, *jobs.Job, fleet.Attempt) {}
+func (*fakeOwner) ObserveRuntime(*jobs.Job, units.Microseconds)           {}
+func (o *fakeOwner) Charge(_ string, demand binpack.Vec)                  { o.used = o.used.Add(demand) }
+func (o *fakeOwner) Release(_ string, demand binpack.Vec)                 { o.used = o.used.Sub(demand) }
+func (*fakeOwner) UnreconciledChanged()                                   {}
+func (*fakeOwner) RankReady()                                             {}
+func (o *fakeOwner) NewWork() bool                                        { return o.newWork }
 func (*fakeOwner) Preferred(machine, other *fleet.Machine) bool {
 	return machine.Name < other.Name
 }
@@ -102,7 +102,7 @@
 
 // heartbeat is one of n-1 that shows some tasks.
 func heartbeat(seq, fencingToken uint64, tasks ...fleet.Task) *fleet.Heartbeat {
-	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, Notice: units.Never, Tasks: tasks}
+	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, ReclaimIn: units.Never, Tasks: tasks}
 }
 
 // TestAdmission has heartbeats come that an owner must not take in, each for its reason, and an
@@ -148,20 +148,20 @@
 		name     string
 		seq      uint64
 		token    uint64
-		standing Standing
+		standing HeartbeatStatus
 		placed   int
 		leaseEnd units.Microseconds
 	}{
-		{"late", 1, token, Outdated, 1, 2*second + lease},
-		{"under an earlier owner's token", 3, token - 1, Unproven, 1, 3*second + lease},
-		{"under this owner's token", 3, token, Proven, 0, 3*second + lease},
+		{"late", 1, token, Stale, 1, 2*second + lease},
+		{"under an earlier owner's token", 3, token - 1, Unconfirmed, 1, 3*second + lease},
+		{"under this owner's token", 3, token, Confirmed, 0, 3*second + lease},
 	} {
 		owner, machine := newOwner(t, true)
 		owner.reconciler.Accept(2*second, heartbeat(2, token))
 		owner.place(machine, 5)
 		accepted := owner.reconciler.Accept(3*second, heartbeat(test.seq, test.token))
-		if placed := owner.jobs["wk-000001"].Placed(); accepted.Standing != test.standing || placed != test.placed || machine.LeaseEnd != test.leaseEnd {
-			t.Errorf("%s: standing %v, %d placed, lease until %v", test.name, accepted.Standing, placed, machine.LeaseEnd)
+		if placed := owner.jobs["wk-000001"].Placed(); accepted.Status != test.standing || placed != test.placed || machine.LeaseEnd != test.leaseEnd {
+			t.Errorf("%s: standing %v, %d placed, lease until %v", test.name, accepted.Status, placed, machine.LeaseEnd)
 		}
 		if want := (binpack.Vec{int64(1000 * test.placed)}); owner.used != want {
 			t.Errorf("%s: %v in use, want %v", test.name, owner.used, want)
@@ -246,11 +246,11 @@
 		owner.reconciler.Add(more)
 		owner.reconciler.Inherit(0, more, false)
 	}
-	owner.reconciler.Probe(probeAfter - 1)
+	owner.reconciler.SendProbes(probeAfter - 1)
 	if len(owner.probes) != 0 {
 		t.Fatal("probed at once")
 	}
-	owner.reconciler.Probe(probeAfter)
+	owner.reconciler.SendProbes(probeAfter)
 	if len(owner.probes) != probesAtOnce || owner.probes[0] != (Probe{Assignment: 3, Machine: "n-1", Addr: "n-1:1", FencingToken: token, Incarnation: 1}) {
 		t.Fatalf("probes %+v", owner.probes)
 	}
@@ -263,7 +263,7 @@
 		for ; answered < len(owner.probes); answered++ {
 			owner.reconciler.OnProbe(now, owner.probes[answered], store.Unknown, nil)
 		}
-		owner.reconciler.Probe(now)
+		owner.reconciler.SendProbes(now)
 	}
 	if !owner.reconciler.ProbesExhausted() || len(owner.probes) != 1+2*(probesAtOnce+2) {
 		t.Errorf("%d probes, exhausted %v", len(owner.probes), owner.reconciler.ProbesExhausted())
@@ -278,12 +278,12 @@
 	other := fleet.New("n-0", machine.Record, machine.Type, 0)
 	owner.reconciler.Add(other)
 	other.Reconciled = true
-	if !owner.reconciler.KeepIdle(second, 1, machine) || !owner.reconciler.KeepIdle(second, 2, other) {
+	if !owner.reconciler.HoldIdle(second, 1, machine) || !owner.reconciler.HoldIdle(second, 2, other) {
 		t.Fatal("not kept")
 	}
 	busy := fleet.New("n-2", machine.Record, machine.Type, 0)
-	busy.Reconciled, busy.Listed = true, 1
-	if owner.reconciler.KeepIdle(second, 3, busy) {
+	busy.Reconciled, busy.ReportedTasks = true, 1
+	if owner.reconciler.HoldIdle(second, 3, busy) {
 		t.Error("kept the heartbeat of a machine that lists a task")
 	}
 	owner.newWork, owner.work = true, []fleet.Command{{Op: fleet.Start}}
@@ -301,13 +301,13 @@
 		t.Errorf("answered %v", owner.answered)
 	}
 	owner.reconciler.Postpone(second, 4)
-	if taken := owner.reconciler.TakePending(); !slices.Equal(taken, []RequestID{4}) || len(owner.reconciler.TakePending()) != 0 {
+	if taken := owner.reconciler.DrainPending(); !slices.Equal(taken, []RequestID{4}) || len(owner.reconciler.DrainPending()) != 0 {
 		t.Errorf("taken %v", taken)
 	}
 	for i := range MaxPending {
-		owner.reconciler.KeepIdle(second, RequestID(i), machine)
+		owner.reconciler.HoldIdle(second, RequestID(i), machine)
 	}
-	if owner.reconciler.MayPostpone() || owner.reconciler.KeepIdle(second, 9, machine) {
+	if owner.reconciler.MayPostpone() || owner.reconciler.HoldIdle(second, 9, machine) {
 		t.Error("no bound on pending heartbeats")
 	}
 }
--- a/internal/core/replication/limits_test.go
+++ b/internal/core/replication/limits_test.go
@@ -64,7 +64,7 @@
 	settle()
 	for i := range maxWaiting {
 		if !host.answers[i] {
-			t.Fatalf("answer %d of %d is not let out", i, fleet.FullShard)
+			t.Fatalf("answer %d of %d is not let out", i, fleet.FullShardMachines)
 		}
 	}
 }
--- a/internal/core/replication/replication.go
+++ b/internal/core/replication/replication.go
@@ -97,6 +97,6 @@
 	// maxWaiting bounds the answers that wait, one for each machine of a full shard, and
 	// answerWithin how long each may: a worker drops what comes later than 4 s after its
 	// heartbeat. One beyond is refused at once, and its machine sends another.
-	maxWaiting   = fleet.FullShard
+	maxWaiting   = fleet.FullShardMachines
 	answerWithin = 3 * units.Second
 )
--- a/internal/core/scheduler/evict.go
+++ b/internal/core/scheduler/evict.go
@@ -27,7 +27,7 @@
 	mostlyEmpty := 2*machine.Used()[binpack.CPU] <= machine.Type.Capacity[binpack.CPU]
 	for _, id := range machine.TaskIDs() {
 		attempt, job := machine.Tasks[id], s.host.Job(id.Job)
-		if job == nil || !job.Active() || !preemptible(job) || !s.demand.Idle(wall, job) || attempt.Ran(now) < evictRun {
+		if job == nil || !job.Active() || !preemptible(job) || !s.demand.Idle(wall, job) || attempt.Runtime(now) < evictRun {
 			return nil
 		}
 		if !mostlyEmpty && !s.host.TooExpensive(machine, job.Spec()) {
@@ -45,7 +45,7 @@
 // remains to save its progress, where that is enough.
 func (s *Scheduler) EvictBeforeNotice(machine *fleet.Machine) []fleet.Command {
 	now := s.host.Now()
-	remaining := machine.Notice - now
+	remaining := machine.ReclaimAt - now
 	var stops []fleet.Command
 	for _, id := range machine.TaskIDs() {
 		attempt, job := machine.Tasks[id], s.host.Job(id.Job)
@@ -53,7 +53,7 @@
 			continue
 		}
 		spec := job.Spec()
-		if !spec.Service && s.demand.Runtime(spec)-attempt.Ran(now) <= remaining {
+		if !spec.Service && s.demand.Runtime(spec)-attempt.Runtime(now) <= remaining {
 			continue
 		}
 		grace := units.Microseconds(0)
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -99,7 +99,7 @@
 // there is an attempt number left, the team stays within its limit, and the job's tasks in the
 // zones that they may share.
 func (s *Scheduler) mayPlace(wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, started int) bool {
-	if started == fleet.MaxStarts || machine.Listed+started >= fleet.MaxListed || s.host.AttemptsUsedUp() {
+	if started == fleet.MaxStarts || machine.ReportedTasks+started >= fleet.MaxReportedTasks || s.host.AttemptsUsedUp() {
 		return false
 	}
 	if !s.quota.Allows(job.Spec().Team, s.demandOnLimit(wall, job)) {
--- a/internal/core/scheduler/headroom.go
+++ b/internal/core/scheduler/headroom.go
@@ -30,7 +30,7 @@
 		if !Preferred(other, machine) || len(h.machines) == maxPreferred {
 			break
 		}
-		if other == machine || !other.Schedulable() || other.Notice != units.Never {
+		if other == machine || !other.Schedulable() || other.ReclaimAt != units.Never {
 			continue
 		}
 		if free := other.Free(); free[binpack.CPU] > 0 {
@@ -84,5 +84,5 @@
 	if machine.Type == nil || machine.Type.Capacity[binpack.CPU] == 0 {
 		return 0
 	}
-	return int(math.Round(10 * math.Log(machine.Type.Rate(machine.Record.Spot)/float64(machine.Type.Capacity[binpack.CPU]))))
+	return int(math.Round(10 * math.Log(machine.Type.PriceFor(machine.Record.Spot)/float64(machine.Type.Capacity[binpack.CPU]))))
 }
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -186,5 +186,5 @@
 	if spec.Service || spec.Checkpoint > 0 {
 		return 0
 	}
-	return attempt.Ran(now)
+	return attempt.Runtime(now)
 }
--- a/internal/core/scheduler/rank.go
+++ b/internal/core/scheduler/rank.go
@@ -113,7 +113,7 @@
 // rankMachines collects the machines that are about to ask for work, the most preferred first.
 func (s *Scheduler) rankMachines(now units.Microseconds) {
 	for _, machine := range s.host.Machines() {
-		if machine.Schedulable() && machine.Notice == units.Never && s.zones.Reachable(machine.Record.Zone) &&
+		if machine.Schedulable() && machine.ReclaimAt == units.Never && s.zones.Reachable(machine.Record.Zone) &&
 			now-machine.LastSeen <= s.config.HeartbeatDeadline && machine.Free()[binpack.CPU] > 0 {
 			s.preferred = append(s.preferred, machine)
 		}
--- a/internal/core/scheduler/scheduler_test.go
+++ b/internal/core/scheduler/scheduler_test.go
@@ -66,7 +66,7 @@
 // remove ends a task that is on a machine, unfinished.
 func (f *fakeShard) remove(machine *fleet.Machine, id jobs.TaskID) {
 	attempt := machine.Tasks[id]
-	machine.Drop(id)
+	machine.RemoveAttempt(id)
 	f.quota.Release(attempt.Team, attempt.Demand)
 	f.jobs[id.Job].Release(id.Task)
 	f.scheduler.TasksReady()
@@ -110,7 +110,7 @@
 }
 
 func (f *fakeShard) TaskPlaced(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt) {
-	machine.Put(id, attempt)
+	machine.SetAttempt(id, attempt)
 	f.quota.Charge(attempt.Team, attempt.Demand)
 }
 
--- a/internal/core/scheduler/stops_test.go
+++ b/internal/core/scheduler/stops_test.go
@@ -20,8 +20,8 @@
 // run has the machine's tasks run from now on.
 func run(shard *fakeShard, machine *fleet.Machine) {
 	for id, attempt := range machine.Tasks {
-		attempt.State, attempt.Live = fleet.Running, shard.now
-		machine.Put(id, attempt)
+		attempt.State, attempt.RunningSince = fleet.Running, shard.now
+		machine.SetAttempt(id, attempt)
 	}
 }
 
@@ -112,7 +112,7 @@
 		shard.advance(test.ran)
 		evict := shard.scheduler.EvictIdle
 		if test.notice > 0 {
-			machine.Notice = shard.now + test.notice
+			machine.ReclaimAt = shard.now + test.notice
 			evict = shard.scheduler.EvictBeforeNotice
 		}
 		stops := evict(machine)
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -243,7 +243,7 @@
 			c.planner.Migrate(c.now, migratingShard{c, shard}, shard.scheduler.Jobs())
 		}
 	}
-	shard.reconciler.Probe(c.now)
+	shard.reconciler.SendProbes(c.now)
 	c.tickCloud(shard)
 }
 
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -49,7 +49,7 @@
 		for i := range 200 {
 			for k := range heard {
 				if i%20 == k {
-					c.Heartbeat(c.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: c.owned[0].fencingToken, Notice: units.Never})
+					c.Heartbeat(c.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: c.owned[0].fencingToken, ReclaimIn: units.Never})
 				}
 			}
 			c.Tick(c.now+TickEvery, c.wall+TickEvery)
@@ -89,7 +89,7 @@
 		returned := 0
 		for i := range 40 { // 2 s
 			if i < lives {
-				k.Heartbeat(k.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.Never})
+				k.Heartbeat(k.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, ReclaimIn: units.Never})
 			}
 			k.Tick(k.now+TickEvery, k.wall+TickEvery)
 			for _, e := range k.Drain() {
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -110,7 +110,7 @@
 // owner, once that is known.
 func (c *Core) redirectPending(shard *ownedShard) {
 	to := c.ownerOf(shard.number)
-	for _, request := range shard.reconciler.TakePending() {
+	for _, request := range shard.reconciler.DrainPending() {
 		if to == "" {
 			c.reply(RequestID(request), http.StatusServiceUnavailable, Problem{"no authority at present"})
 		} else {
--- a/internal/core/transfer/transfer_test.go
+++ b/internal/core/transfer/transfer_test.go
@@ -20,7 +20,7 @@
 	m := fleet.New(name, fleet.Record{Type: "big", Zone: "z", Up: true}, nil, 0)
 	m.Reconciled, m.Group, m.Addr, m.Incarnation, m.Seq = true, keys.MachinePrefix+"r-1", name+":1", 3, 9
 	for task := range tasks {
-		m.Put(jobs.TaskID{Job: "wk-000001", Task: task}, fleet.Attempt{Number: uint64(task) + 1, State: fleet.Running})
+		m.SetAttempt(jobs.TaskID{Job: "wk-000001", Task: task}, fleet.Attempt{Number: uint64(task) + 1, State: fleet.Running})
 	}
 	return m
 }
@@ -226,7 +226,7 @@
 func TestRestore(t *testing.T) {
 	last := Shard{Number: 2, FencingToken: token, Jobs: map[string]*jobs.Job{"wk-000001": job("wk-000001", 5, 2)},
 		Machines: map[string]*fleet.Machine{"n-1": machine("n-1", 2), "n-2": machine("n-2", 0), "n-3": machine("n-3", 1)}}
-	last.Machines["n-1"].Put(jobs.TaskID{Job: "wk-000001", Task: 4}, fleet.Attempt{Number: 9, State: fleet.Saving})
+	last.Machines["n-1"].SetAttempt(jobs.TaskID{Job: "wk-000001", Task: 4}, fleet.Attempt{Number: 9, State: fleet.Saving})
 	r := NewReceiver("b")
 	for _, part := range last.Messages() {
 		r.Receive(part)
--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -21,14 +21,14 @@
 // States. A zone that was lost is returning once any of its machines or controllers is
 // responsive, and serves again once it has been so for long enough.
 const (
-	Serving State = iota
-	Doubt         // unresponsive for longer than chance explains
-	Lost          // and for so long that its work must be done elsewhere
-	Back          // responsive again, and not yet trusted
+	Serving    State = iota
+	Suspect          // unresponsive for longer than chance explains
+	Lost             // and for so long that its work must be done elsewhere
+	Recovering       // responsive again, and not yet trusted
 )
 
 // States lists all.
-var States = []State{Serving, Doubt, Lost, Back}
+var States = []State{Serving, Suspect, Lost, Recovering}
 
 // String names a state for people.
 func (s State) String() string { return [...]string{"serving", "doubt", "lost", "back"}[s] }
@@ -140,7 +140,7 @@
 	if z := p.zones[name]; z != nil {
 		z.lastHeartbeatAt = p.awake
 		if !z.reachable() {
-			p.set(name, z, Back, "a machine sends heartbeats")
+			p.set(name, z, Recovering, "a machine sends heartbeats")
 		}
 	}
 }
@@ -154,14 +154,14 @@
 	}
 }
 
-// Controllers says how many other controllers a zone has, and how many of them are alive.
-func (p *View) Controllers(name string, all, alive int) {
+// SetControllers says how many other controllers a zone has, and how many of them are alive.
+func (p *View) SetControllers(name string, all, alive int) {
 	z := p.zones[name]
 	if z == nil {
 		return
 	}
 	if alive > z.alive && !z.reachable() {
-		p.set(name, z, Back, "a controller is alive")
+		p.set(name, z, Recovering, "a controller is alive")
 	}
 	if alive > 0 {
 		z.lastControllerAt = p.now
@@ -175,7 +175,7 @@
 }
 
 // reachable reports whether a zone is responsive.
-func (z *zone) reachable() bool { return z.state == Serving || z.state == Back }
+func (z *zone) reachable() bool { return z.state == Serving || z.state == Recovering }
 
 // controllersUnresponsive reports whether a zone has controllers and none is alive.
 func (z *zone) controllersUnresponsive() bool { return z.peers > 0 && z.alive == 0 }
@@ -203,17 +203,17 @@
 		zone := p.zones[name]
 		doubt, lost := p.bounds(zone)
 		switch zone.state {
-		case Serving, Back:
+		case Serving, Recovering:
 			if zone.count.Up > 0 && p.silentFor(zone) > doubt && p.othersResponsive(name) {
 				zone.unreachableSince = p.now - p.silentFor(zone)
 				if zone.controllersUnresponsive() {
 					zone.unreachableSince = min(zone.unreachableSince, zone.lastControllerAt) // its controllers fell silent before this one took over
 				}
-				p.set(name, zone, Doubt, "none of its machines sends heartbeats, others do")
-			} else if zone.state == Back && p.now-zone.since >= p.trustedAfter(zone) {
+				p.set(name, zone, Suspect, "none of its machines sends heartbeats, others do")
+			} else if zone.state == Recovering && p.now-zone.since >= p.trustedAfter(zone) {
 				p.set(name, zone, Serving, "it has been responsive for long enough")
 			}
-		case Doubt:
+		case Suspect:
 			if p.silentFor(zone) > lost && p.othersResponsive(name) {
 				if p.now-zone.lostAt > forgetLossAfter {
 					zone.times = 0
@@ -274,22 +274,22 @@
 func (p *View) set(name string, z *zone, s State, why string) {
 	p.cfg.Log.Warn("zone", "zone", name, "state", s.String(), "was", z.state.String(), "for_s", (p.now - z.since).Seconds(),
 		"why", why, "up", z.count.Up, "times_lost", z.times)
-	if s == Back {
+	if s == Recovering {
 		z.returnedAt = p.now
 	}
 	z.state, z.since = s, p.now
 }
 
-// ReceivePeerView takes what an owner of shards says of the zones that do not serve. A controller that
+// ApplyPeerStatuses takes what an owner of shards says of the zones that do not serve. A controller that
 // has machines of its own goes by their heartbeats.
-func (p *View) ReceivePeerView(list []Status) {
+func (p *View) ApplyPeerStatuses(list []Status) {
 	received := map[string]Status{}
 	for _, status := range list {
 		received[status.Zone] = status
 	}
 	for _, name := range p.names {
 		zone, status := p.zones[name], received[name]
-		if name == p.cfg.Home || status.State < 0 || status.State > int(Back) {
+		if name == p.cfg.Home || status.State < 0 || status.State > int(Recovering) {
 			continue // it knows its own zone better than anybody else does
 		}
 		if State(status.State) != zone.state {
@@ -312,8 +312,8 @@
 	return out
 }
 
-// Check reports what is wrong with an override of a zone, of those that there are.
-func Check(names []string, name string, w Override) error {
+// ValidateOverride reports what is wrong with an override of a zone, of those that there are.
+func ValidateOverride(names []string, name string, w Override) error {
 	if !slices.Contains(names, name) {
 		return fmt.Errorf("no zone %q; there are %s", name, strings.Join(names, ", "))
 	}
@@ -326,7 +326,7 @@
 // SetOverride takes an operator's override. A zone that does not exist is an error that names those
 // that do.
 func (p *View) SetOverride(name string, w Override) error {
-	if err := Check(p.names, name, w); err != nil {
+	if err := ValidateOverride(p.names, name, w); err != nil {
 		return err
 	}
 	z := p.zones[name]
@@ -351,9 +351,9 @@
 	return z == nil || z.reachable()
 }
 
-// ExplainsSilence reports whether the silence of all machines is that of zones: each that has any
+// AllZonesUnreachable reports whether the silence of all machines is that of zones: each that has any
 // is out of reach. Else it is this controller that no machine reaches.
-func (p *View) ExplainsSilence() bool {
+func (p *View) AllZonesUnreachable() bool {
 	any := false
 	for _, z := range p.zones {
 		if z.count.Up > 0 {
@@ -380,12 +380,12 @@
 	return NoOverride
 }
 
-// Keep reports whether unresponsive machines of a lost zone should be kept, which are charged for
+// KeepMachines reports whether unresponsive machines of a lost zone should be kept, which are charged for
 // as long: an operator's override counts, else how long the zone has been unresponsive. Each second
 // that they are kept costs their price, and to deprovision them costs what it takes to scale out
 // anew once the zone is back: whoever keeps them until that much has been spent since nothing can run
 // on them any more pays at most twice what it would have cost to know how long the cut lasts.
-func (p *View) Keep(name string, most units.Microseconds) bool {
+func (p *View) KeepMachines(name string, most units.Microseconds) bool {
 	z := p.zones[name]
 	switch {
 	case z == nil || z.reachable():
@@ -398,8 +398,8 @@
 	return p.now-z.unreachableSince < most
 }
 
-// Returning reports whether an operator has stated that a zone will be back.
-func (p *View) Returning(name string) bool { return p.overrideOf(name) == OverrideReturning }
+// DeclaredReturning reports whether an operator has stated that a zone will be back.
+func (p *View) DeclaredReturning(name string) bool { return p.overrideOf(name) == OverrideReturning }
 
 // ScaleOutLimit is how many machines may be scaled out into a zone at present; -1: any number.
 func (p *View) ScaleOutLimit(name string) int {
@@ -408,27 +408,27 @@
 		return -1
 	case z.override == OverrideLost:
 		return 0
-	case z.state == Doubt || z.state == Lost:
+	case z.state == Suspect || z.state == Lost:
 		if z.nothingToReturn() && p.now-z.since >= probeMachineAfter {
 			return 1
 		}
 		return 0
-	case z.state == Back:
+	case z.state == Recovering:
 		return returningScaleOut // in steps, until it has shown that it stays
 	}
 	return -1
 }
 
-// For is how long a zone has been in its state.
-func (p *View) For(name string) units.Microseconds {
+// StateAge is how long a zone has been in its state.
+func (p *View) StateAge(name string) units.Microseconds {
 	if z := p.zones[name]; z != nil {
 		return p.now - z.since
 	}
 	return units.Never
 }
 
-// ReturnedFor is how long ago a zone came back; a zone that always served came back long ago.
-func (p *View) ReturnedFor(name string) units.Microseconds {
+// SinceRecovery is how long ago a zone came back; a zone that always served came back long ago.
+func (p *View) SinceRecovery(name string) units.Microseconds {
 	if z := p.zones[name]; z != nil && z.returnedAt > 0 {
 		return p.now - z.returnedAt
 	}
--- a/internal/core/zones/zones_test.go
+++ b/internal/core/zones/zones_test.go
@@ -58,7 +58,7 @@
 			counts[z] = c
 		}
 		for z, n := range yard.peers {
-			yard.p.Controllers(z, n[0], n[1])
+			yard.p.SetControllers(z, n[0], n[1])
 		}
 		if (yard.now/step)%5 == 0 {
 			yard.p.Update(counts)
@@ -99,7 +99,7 @@
 					switch {
 					case yard.cut[n] && quiet > 5*every/2+2*units.Second && s != Lost:
 						t.Fatalf("%s is cut off for %v and %v", n, quiet, s)
-					case yard.cut[n] && s != Serving && s != Back && yard.p.ScaleOutLimit(n) != 0:
+					case yard.cut[n] && s != Serving && s != Recovering && yard.p.ScaleOutLimit(n) != 0:
 						t.Fatalf("%s is %v and %d machines may be rented there", n, s, yard.p.ScaleOutLimit(n))
 					case !yard.cut[n] && quiet > every+units.Second && !yard.p.Reachable(n):
 						t.Fatalf("%s is heard for %v and %v", n, quiet, s)
@@ -162,7 +162,7 @@
 		if ever != test.lost {
 			t.Errorf("%s silent: lost %v", test.what, ever)
 		}
-		if test.lost && test.what != "one zone's machines" && !yard.p.ExplainsSilence() {
+		if test.lost && test.what != "one zone's machines" && !yard.p.AllZonesUnreachable() {
 			t.Errorf("%s silent: taken for deafness", test.what)
 		}
 	}
@@ -183,14 +183,14 @@
 // decides otherwise, and one about a zone that does not exist names those that do.
 func TestOverrides(t *testing.T) {
 	yard := withoutB()
-	if !yard.p.Keep("b", 60*units.Second) || yard.p.Keep("b", 20*units.Second) {
+	if !yard.p.KeepMachines("b", 60*units.Second) || yard.p.KeepMachines("b", 20*units.Second) {
 		t.Error("not kept by how long the cut lasts")
 	}
 	for _, w := range Overrides {
 		if err := yard.p.SetOverride("b", w); err != nil {
 			t.Fatal(err)
 		}
-		if keep := yard.p.Keep("b", 20*units.Second); keep != (w == OverrideReturning) || yard.p.Keep("b", 60*units.Second) != keep {
+		if keep := yard.p.KeepMachines("b", 20*units.Second); keep != (w == OverrideReturning) || yard.p.KeepMachines("b", 60*units.Second) != keep {
 			t.Errorf("%s: kept %v", w, keep)
 		}
 	}
@@ -218,7 +218,7 @@
 	yard.cut["b"] = false
 	yard.add("b", 1)
 	yard.pass(units.Second, nil)
-	if n := yard.p.ScaleOutLimit("b"); yard.p.State("b") != Back || n != returningScaleOut {
+	if n := yard.p.ScaleOutLimit("b"); yard.p.State("b") != Recovering || n != returningScaleOut {
 		t.Errorf("%v: %d", yard.p.State("b"), n)
 	}
 	yard.pass(longestTrustAfter, nil)
@@ -239,7 +239,7 @@
 		yard.pass(2*every, nil)
 		yard.cut["b"] = true
 		yard.pass(every+units.Second+units.Second/2, nil)
-		if s := yard.p.State("b"); s != Doubt {
+		if s := yard.p.State("b"); s != Suspect {
 			t.Fatalf("the zone is %v", s)
 		}
 		yard.last["a"], yard.last["b"] = nil, nil
@@ -254,7 +254,7 @@
 		yard.cut["b"] = false
 		yard.add("b", 1)
 		yard.pass(units.Second, nil)
-		if s := yard.p.State("b"); s != Back {
+		if s := yard.p.State("b"); s != Recovering {
 			t.Errorf("controllers %v: a machine reports, and the zone is %v", peers, s)
 		}
 	}
--- a/internal/emulator/machine/heartbeat.go
+++ b/internal/emulator/machine/heartbeat.go
@@ -62,9 +62,9 @@
 func (w *Worker) Status() (*fleet.Heartbeat, map[jobs.TaskID]bool) {
 	w.sequence++
 	status := &fleet.Heartbeat{Machine: w.config.Name, Addr: w.config.Addr, Type: w.config.Type, Zone: w.config.Zone, Spot: w.config.Spot,
-		Incarnation: w.incarnation, Seq: w.sequence, FencingToken: w.fencingToken, Notice: units.Never}
+		Incarnation: w.incarnation, Seq: w.sequence, FencingToken: w.fencingToken, ReclaimIn: units.Never}
 	if w.reclaimAt != units.Never {
-		status.Notice = max(w.reclaimAt-w.now, 0)
+		status.ReclaimIn = max(w.reclaimAt-w.now, 0)
 	}
 	checkpointed := map[jobs.TaskID]bool{}
 	add := func(t *task) {
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -442,7 +442,7 @@
 			}
 			delivered = true
 			for _, m := range w.upNow() {
-				r := &fleet.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Seq: 1, Notice: units.Never}
+				r := &fleet.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Seq: 1, ReclaimIn: units.Never}
 				n.ask(func(req core.RequestID) { n.core.Heartbeat(n.local(), req, r) }, 0, func(core.Reply) {})
 			}
 		}
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -17,8 +17,8 @@
 // anything, with as many cancellations beside as users' requests may wait. All have room, one
 // beyond is refused at once with a time to come back, and every one that waits is answered.
 func TestHeartbeatsOfAFullShard(t *testing.T) {
-	if fleet.FullShard < 4096 {
-		t.Errorf("a full shard has %d machines", fleet.FullShard)
+	if fleet.FullShardMachines < 4096 {
+		t.Errorf("a full shard has %d machines", fleet.FullShardMachines)
 	}
 	n := New(core.New(core.Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50}), nil, nil, nil, nil, slog.New(slog.DiscardHandler))
 	ctx := context.Background()
@@ -35,7 +35,7 @@
 			codes[r.Code]++
 		})
 	}
-	for i := range fleet.FullShard {
+	for i := range fleet.FullShardMachines {
 		ask(func() core.Reply {
 			return n.Heartbeat(ctx, &fleet.Heartbeat{Machine: fmt.Sprintf("n-%05d", i), Incarnation: 1, Seq: 1})
 		})
@@ -62,7 +62,7 @@
 	leave() // the cancellations wait for a read that never comes
 	all.Wait()
 	// This controller holds nothing: it sends every machine on.
-	if codes[http.StatusMisdirectedRequest] != fleet.FullShard || codes[http.StatusServiceUnavailable] != userQueueLength {
+	if codes[http.StatusMisdirectedRequest] != fleet.FullShardMachines || codes[http.StatusServiceUnavailable] != userQueueLength {
 		t.Errorf("answers by code: %v", codes)
 	}
 }
@@ -72,17 +72,17 @@
 // once the inbox is full is dropped at once, and nobody waits.
 func TestSnapshotOfAFullShardIsReceived(t *testing.T) {
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
-	for range fleet.FullShard {
+	for range fleet.FullShardMachines {
 		n.Receive("peer", core.PeerPicture{Machines: make([]core.MachinePicture, 1)})
 	}
-	if len(n.control) != fleet.FullShard {
-		t.Fatalf("%d parts of %d wait", len(n.control), fleet.FullShard)
+	if len(n.control) != fleet.FullShardMachines {
+		t.Fatalf("%d parts of %d wait", len(n.control), fleet.FullShardMachines)
 	}
 	for len(n.control) < controlQueueLength {
 		n.Receive("peer", core.PeerStatus{})
 	}
 	n.Receive("peer", core.PeerStatus{}) // would wait for ever
-	if len(n.control) != controlQueueLength || controlQueueLength <= fleet.FullShard {
+	if len(n.control) != controlQueueLength || controlQueueLength <= fleet.FullShardMachines {
 		t.Errorf("%d messages wait", len(n.control))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,10 +40,10 @@
 	userQueueLength = 512
 	// heartbeatQueueLength has room for a heartbeat of each machine of a full shard, which has one
 	// under way, and for as many cancellations and health checks as users' requests.
-	heartbeatQueueLength = fleet.FullShard + userQueueLength
+	heartbeatQueueLength = fleet.FullShardMachines + userQueueLength
 	// controlQueueLength has room for the snapshot of a full shard, which has one part for each
 	// machine at most, and for all else that other controllers and the services say meanwhile.
-	controlQueueLength = fleet.FullShard + 1024
+	controlQueueLength = fleet.FullShardMachines + 1024
 )
 
 // message is handled by the goroutine that owns the core.
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -23,7 +23,7 @@
 // parts where the link did not keep up.
 func TestSnapshotOfAFullShardArrives(t *testing.T) {
 	listener := listen(t)
-	heard := make(chan any, 2*fleet.FullShard)
+	heard := make(chan any, 2*fleet.FullShardMachines)
 	l := New("me", map[string]string{"other": listener.Addr().String()}, slog.New(slog.DiscardHandler))
 	go func() { _ = l.Serve(t.Context(), listener, func(_ string, m any) { heard <- m }) }()
 	go l.Run(t.Context())
@@ -35,10 +35,10 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	for i := range fleet.FullShard {
+	for i := range fleet.FullShardMachines {
 		l.Send("other", core.PeerPicture{Token: 1, Machines: []core.MachinePicture{{Name: fmt.Sprintf("n-%05d", i)}}})
 	}
-	for i := 0; i < fleet.FullShard; {
+	for i := 0; i < fleet.FullShardMachines; {
 		select {
 		case m := <-heard:
 			if p, ok := m.(core.PeerPicture); ok {
@@ -48,7 +48,7 @@
 				i++
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d parts of %d have come", i, fleet.FullShard)
+			t.Fatalf("%d parts of %d have come", i, fleet.FullShardMachines)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	for range queueLength + 1 {
 		l.Send("other", core.PeerStatus{})
 	}
-	if n := len(l.queues["other"]); n != queueLength || queueLength < fleet.FullShard {
+	if n := len(l.queues["other"]); n != queueLength || queueLength < fleet.FullShardMachines {
 		t.Errorf("%d messages wait", n)
 	}
 	listener := listen(t)
@@ -90,8 +90,8 @@
 		starts.Machines = append(starts.Machines, machine(fmt.Sprint(i), 1))
 	}
 	starts.Machines[0] = machine("0", 0) // one short of full
-	starts.Machines = append(starts.Machines, machine("all", fleet.MaxListed))
-	picture := core.PeerPicture{Token: 1<<64 - 1, Machines: []core.MachinePicture{machine("all", fleet.MaxListed)}}
+	starts.Machines = append(starts.Machines, machine("all", fleet.MaxReportedTasks))
+	picture := core.PeerPicture{Token: 1<<64 - 1, Machines: []core.MachinePicture{machine("all", fleet.MaxReportedTasks)}}
 	status := core.PeerStatus{StateAge: 1 << 62, Seat: 1<<64 - 1, Sent: 1 << 62, Release: 8, Back: 1 << 62, Known: 1<<64 - 1, Config: 1<<64 - 1, ConfigKnown: 1<<64 - 1}
 	for i := range 30 {
 		status.Zones = append(status.Zones, zones.Status{Zone: fmt.Sprintf("%064d", i), State: 3, For: 1 << 62, Times: 100})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,7 +28,7 @@
 	// queueLength bounds the messages that wait to be sent to one controller. It has room for the
 	// snapshot of a full shard, which has one part for each machine at most, and for 128 parts
 	// of finished tasks and other messages; what comes beyond is dropped.
-	queueLength = fleet.FullShard + 128
+	queueLength = fleet.FullShardMachines + 128
 	// maxConns bounds the connections of other controllers.
 	maxConns = peering.MaxPeers
 )
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkDecodeHeartbeat(b *testing.B) {
 	for _, tasks := range []int{1, 8, 32, 128} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			r := fleet.Heartbeat{Machine: "n-00001", Addr: "10.0.0.1:80", Type: "mid-16", Zone: "z0", Incarnation: 1, Seq: 1, FencingToken: 1, Notice: units.Never}
+			r := fleet.Heartbeat{Machine: "n-00001", Addr: "10.0.0.1:80", Type: "mid-16", Zone: "z0", Incarnation: 1, Seq: 1, FencingToken: 1, ReclaimIn: units.Never}
 			for i := range tasks {
 				r.Tasks = append(r.Tasks, fleet.Task{ID: jobs.TaskID{Job: "wk-000001", Task: i}, Attempt: 1 << 40, State: fleet.Running})
 			}
--- a/internal/wire/neighbours.go
+++ b/internal/wire/neighbours.go
@@ -94,8 +94,8 @@
 func EncodeHeartbeat(heartbeat *fleet.Heartbeat, checkpointed map[jobs.TaskID]bool) HeartbeatBody {
 	out := HeartbeatBody{Machine: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
 		Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, FencingToken: heartbeat.FencingToken, Tasks: []HeartbeatTask{}}
-	if heartbeat.Notice != units.Never {
-		v := heartbeat.Notice.Seconds()
+	if heartbeat.ReclaimIn != units.Never {
+		v := heartbeat.ReclaimIn.Seconds()
 		out.Notice = &v
 	}
 	for _, t := range heartbeat.Tasks {
--- a/internal/wire/neighbours_test.go
+++ b/internal/wire/neighbours_test.go
@@ -44,7 +44,7 @@
 			return x
 		})
 		heartbeat := &fleet.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "a", Zone: "z", Incarnation: rapid.Uint64().Draw(t, "session"), Seq: 3, FencingToken: rapid.Uint64().Draw(t, "token"),
-			Notice: rapid.SampledFrom([]units.Microseconds{0, 5, units.Never}).Draw(t, "notice"), Tasks: rapid.SliceOfN(task, 1, 5).Draw(t, "list")}
+			ReclaimIn: rapid.SampledFrom([]units.Microseconds{0, 5, units.Never}).Draw(t, "notice"), Tasks: rapid.SliceOfN(task, 1, 5).Draw(t, "list")}
 		if b, err = json.Marshal(EncodeHeartbeat(heartbeat, nil)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -359,13 +359,13 @@
 		return nil, &FieldError{"shift, tally, baton, standby or cues", "missing"}
 	}
 	heartbeat := &fleet.Heartbeat{Machine: *received.Machine, Addr: received.Addr, Type: *received.Type, Zone: *received.Zone, Spot: *received.Spot,
-		Incarnation: *received.Incarnation, Seq: *received.Seq, FencingToken: *received.FencingToken, Notice: units.Never}
+		Incarnation: *received.Incarnation, Seq: *received.Seq, FencingToken: *received.FencingToken, ReclaimIn: units.Never}
 	if received.Notice != nil {
 		v, err := amount("warning_s", received.Notice)
 		if err != nil {
 			return nil, err
 		}
-		heartbeat.Notice = units.Seconds(v)
+		heartbeat.ReclaimIn = units.Seconds(v)
 	}
 	for _, t := range *received.Tasks {
 		id, err := jobs.ParseTaskID(t.Task)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Machine != "n-000231" || r.FencingToken != 41 || r.Notice.Seconds() != 2.5 || len(r.Tasks) != 2 ||
+	if r.Machine != "n-000231" || r.FencingToken != 41 || r.ReclaimIn.Seconds() != 2.5 || len(r.Tasks) != 2 ||
 		r.Tasks[0].State != fleet.Running || r.Tasks[1].Cause != fleet.Completed {
 		t.Fatalf("%+v", r)
 	}
@@ -137,7 +137,7 @@
 	f.Add([]byte(validHeartbeat))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := DecodeHeartbeat(b)
-		if err == nil && (r.Machine == "" || r.Type == "" || r.Zone == "" || r.Notice < 0) {
+		if err == nil && (r.Machine == "" || r.Type == "" || r.Zone == "" || r.ReclaimIn < 0) {
 			t.Fatalf("%+v", r)
 		}
 	})
