--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -29,8 +29,8 @@
 	IdleTime bool // it uses the capacity that others leave, and scales out by the cheapest pools only
 }
 
-// anyClass is the group without its class: all that may use the same pools.
-func (g Group) anyClass() Group {
+// withoutClass is the group without its class: all that may use the same pools.
+func (g Group) withoutClass() Group {
 	g.Class = ""
 	return g
 }
@@ -69,11 +69,11 @@
 }
 
 const (
-	// leastCharge is the time that every provisioned machine is charged for.
-	leastCharge = 60 * units.Second
-	// leastChargeMargin is how long before its end a machine may be scaled in: it takes as long
+	// minCharge is the time that every provisioned machine is charged for.
+	minCharge = 60 * units.Second
+	// minChargeMargin is how long before its end a machine may be scaled in: it takes as long
 	// until the cloud has carried that out.
-	leastChargeMargin = 2 * units.Second
+	minChargeMargin = 2 * units.Second
 )
 
 // Params are the tunables of scaling.
@@ -93,54 +93,54 @@
 // Scaler remembers the demand of groups, and which pools have no capacity.
 type Scaler struct {
 	params  Params
-	usual   map[Group]*usual
-	refused map[Pool]refusal
+	averages   map[Group]*groupAverage
+	backoffs map[Pool]poolBackoff
 }
 
-// usual is what a group has needed lately.
-type usual struct {
+// groupAverage is what a group has needed lately.
+type groupAverage struct {
 	tasks     float64    // placed, on average
 	demand    [3]float64 // of a task, on average
 	types     []string
 	updatedAt units.Microseconds
 }
 
-// refusal is how a pool without capacity is left alone.
-type refusal struct {
+// poolBackoff is how a pool without capacity is left alone.
+type poolBackoff struct {
 	until   units.Microseconds
 	backoff units.Microseconds
 }
 
 // Bounds of the time for which a pool is left alone that has no capacity; it doubles each time.
 const (
-	shortestBackoff = 5 * units.Second
-	longestBackoff  = 40 * units.Second
+	minBackoff = 5 * units.Second
+	maxBackoff  = 40 * units.Second
 )
 
 // New returns a scaler that remembers nothing.
 func New(params Params) *Scaler {
-	return &Scaler{params: params, usual: map[Group]*usual{}, refused: map[Pool]refusal{}}
+	return &Scaler{params: params, averages: map[Group]*groupAverage{}, backoffs: map[Pool]poolBackoff{}}
 }
 
 // Refused notes that the cloud has no more capacity in a pool; Provisioned clears it.
 func (s *Scaler) Refused(now units.Microseconds, pool Pool) {
-	r := s.refused[pool]
-	r.backoff = min(max(2*r.backoff, shortestBackoff), longestBackoff)
+	r := s.backoffs[pool]
+	r.backoff = min(max(2*r.backoff, minBackoff), maxBackoff)
 	r.until = now + r.backoff
-	s.refused[pool] = r
+	s.backoffs[pool] = r
 }
 
 // Provisioned notes that the cloud provisioned machines of a pool.
-func (s *Scaler) Provisioned(pool Pool) { delete(s.refused, pool) }
+func (s *Scaler) Provisioned(pool Pool) { delete(s.backoffs, pool) }
 
-// remember brings the averages up to date.
-func (s *Scaler) remember(now units.Microseconds, work map[Group]Need) {
+// updateAverages brings the averages up to date.
+func (s *Scaler) updateAverages(now units.Microseconds, work map[Group]Need) {
 	for group, need := range work {
-		if need.Tasks > 0 && s.usual[group] == nil {
-			s.usual[group] = &usual{updatedAt: now}
+		if need.Tasks > 0 && s.averages[group] == nil {
+			s.averages[group] = &groupAverage{updatedAt: now}
 		}
 	}
-	for group, usual := range s.usual {
+	for group, usual := range s.averages {
 		need := work[group]
 		weight := 1 - math.Exp(-float64(now-usual.updatedAt)/float64(s.params.AverageOver))
 		usual.tasks += (float64(need.Running) - usual.tasks) * weight
@@ -151,7 +151,7 @@
 				usual.demand[resource] = float64(need.Total[resource]) / float64(need.Tasks)
 			}
 		} else if usual.tasks < 0.1 {
-			delete(s.usual, group)
+			delete(s.averages, group)
 		}
 	}
 }
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -124,7 +124,7 @@
 		}
 		for _, name := range scaleIn {
 			m := machines[name[0]-'a']
-			if !m.Booted || m.Idle < params.ScaleInAfter || m.Age < leastCharge-2*second {
+			if !m.Booted || m.Idle < params.ScaleInAfter || m.Age < minCharge-2*second {
 				t.Fatalf("scaled in %+v", m)
 			}
 		}
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -48,8 +48,8 @@
 	HasCompletedTask bool               // some task completed here
 
 	used   binpack.Vec // by Tasks
-	slow   int         // tasks in a row that took much longer than their job's others
-	images []string    // most recently used last
+	consecutiveSlow   int         // tasks in a row that took much longer than their job's others
+	recentImages []string    // most recently used last
 }
 
 // Attempt is one attempt that may be on the machine.
@@ -103,26 +103,26 @@
 
 // HasImage reports whether an image was used here lately, so that the worker has it in its cache.
 func (m *Machine) HasImage(image string) bool {
-	return slices.Contains(m.images, image)
+	return slices.Contains(m.recentImages, image)
 }
 
-// keepImages bounds the images that are remembered of one machine.
-const keepImages = 64
+// maxRecentImages bounds the images that are remembered of one machine.
+const maxRecentImages = 64
 
 // UseImage records that an image is on the machine.
 func (m *Machine) UseImage(image string) {
-	if i := slices.Index(m.images, image); i >= 0 {
-		m.images = slices.Delete(m.images, i, i+1)
+	if i := slices.Index(m.recentImages, image); i >= 0 {
+		m.recentImages = slices.Delete(m.recentImages, i, i+1)
 	}
-	m.images = append(m.images, image)
-	if len(m.images) > keepImages {
-		m.images = m.images[1:]
+	m.recentImages = append(m.recentImages, image)
+	if len(m.recentImages) > maxRecentImages {
+		m.recentImages = m.recentImages[1:]
 	}
 }
 
-// slowAfter is how many tasks in a row must be slow: machines of a type differ
+// slowTasksToQuarantine is how many tasks in a row must be slow: machines of a type differ
 // by a tenth, and a single task may be long by itself.
-const slowAfter = 3
+const slowTasksToQuarantine = 3
 
 // A task is slow that takes more than slowFactor times as long as its job's others, and slowMargin
 // longer: short tasks vary by more than that.
@@ -138,14 +138,14 @@
 	switch {
 	case usual == 0:
 	case took > slowFactor*usual && took > usual+slowMargin:
-		m.slow++
+		m.consecutiveSlow++
 	default:
-		m.slow = 0
+		m.consecutiveSlow = 0
 	}
-	if m.slow < slowAfter || m.Quarantined {
+	if m.consecutiveSlow < slowTasksToQuarantine || m.Quarantined {
 		return false
 	}
-	m.Quarantined, m.slow = true, 0
+	m.Quarantined, m.consecutiveSlow = true, 0
 	return true
 }
 
--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -66,8 +66,8 @@
 
 func byName(a, b *fleet.Machine) int { return strings.Compare(a.Name, b.Name) }
 
-// survey is what one look at all machines has found.
-type survey struct {
+// scanResult is what one look at all machines has found.
+type scanResult struct {
 	expired      []*fleet.Machine // leases
 	unresponsive []*fleet.Machine
 	responsive   map[string]int // machines, by zone
@@ -76,24 +76,24 @@
 
 // Sweep looks at all machines, a few times a second, and acts on those that are unresponsive.
 func (d *Detector) Sweep(now units.Microseconds) {
-	seen := d.survey(now)
+	seen := d.scan(now)
 	d.zones.Update(seen.zones)
 	slices.SortFunc(seen.expired, byName)
 	slices.SortFunc(seen.unresponsive, byName)
 	for _, machine := range seen.expired {
 		d.host.LeaseExpired(machine)
 	}
-	d.releaseUnlisted()
-	d.releaseLastUnreconciled(now)
+	d.deprovisionUnlisted()
+	d.deprovisionLastUnreconciled(now)
 	if d.provisioner.Ready(now) {
-		d.releaseUnresponsive(now, seen)
+		d.deprovisionUnresponsive(now, seen)
 		d.provisioner.Flush()
 	}
 }
 
-// survey looks at all machines.
-func (d *Detector) survey(now units.Microseconds) survey {
-	seen := survey{responsive: map[string]int{}, zones: map[string]zones.Count{}}
+// scan looks at all machines.
+func (d *Detector) scan(now units.Microseconds) scanResult {
+	seen := scanResult{responsive: map[string]int{}, zones: map[string]zones.Count{}}
 	timeout, deadline := d.timeout(), HeartbeatDeadline(d.cfg.HeartbeatInterval)
 	for _, machine := range d.host.Machines() {
 		zone := machine.Record.Zone
@@ -124,10 +124,10 @@
 	return seen
 }
 
-// releaseLastUnreconciled gives up the last few unreconciled machines that do not answer. All work
+// deprovisionLastUnreconciled gives up the last few unreconciled machines that do not answer. All work
 // accepted earlier waits for them. Most likely they are deleted: what they may run is worth less
 // than what waits.
-func (d *Detector) releaseLastUnreconciled(now units.Microseconds) {
+func (d *Detector) deprovisionLastUnreconciled(now units.Microseconds) {
 	machines, unreconciled := d.host.Machines(), d.host.Unreconciled()
 	if len(unreconciled) == 0 || len(unreconciled) > provisioner.MaxEarlyDeprovisions(len(machines)) {
 		return
@@ -144,11 +144,11 @@
 	}
 }
 
-// releaseUnlisted gives up the machines of earlier owners that the cloud does not list any more and
+// deprovisionUnlisted gives up the machines of earlier owners that the cloud does not list any more and
 // that have sent no heartbeat. Without an address they cannot be probed, and there may be many:
 // while the state service is away, an owner cannot store which it deprovisions. Were a list to lack
 // most machines, the list would be at fault (TestMachineThatIsGoneIsNotWaitedFor).
-func (d *Detector) releaseUnlisted() {
+func (d *Detector) deprovisionUnlisted() {
 	var unlisted []*fleet.Machine
 	machines := d.host.Machines()
 	for _, name := range slices.Sorted(maps.Keys(d.host.Unreconciled())) {
@@ -165,13 +165,13 @@
 	}
 }
 
-// releaseUnresponsive gives up machines: once the cloud has said that they are deleted their tasks
+// deprovisionUnresponsive gives up machines: once the cloud has said that they are deleted their tasks
 // may start elsewhere, long before their lease would have expired. A machine whose notice has
 // expired is expected to be deleted. Any other is given up only while enough machines of its zone
 // are responsive: otherwise it is more likely this node that cannot be reached. They need not be
 // most: when the greater part of a zone's spot machines was reclaimed while controllers were down,
 // work accepted earlier waited for the leases of the deleted ones (TestSilentZone).
-func (d *Detector) releaseUnresponsive(now units.Microseconds, seen survey) {
+func (d *Detector) deprovisionUnresponsive(now units.Microseconds, seen scanResult) {
 	count := map[string]int{} // unresponsive without notice, by zone
 	for _, machine := range seen.unresponsive {
 		if machine.ReclaimAt == units.Never {
--- a/internal/core/liveness/reachability.go
+++ b/internal/core/liveness/reachability.go
@@ -10,9 +10,9 @@
 const (
 	// TickInterval is how often the outer layers let time pass.
 	TickInterval = units.Second / 20
-	// awakeStep is the most that one tick adds to the time without heartbeats: time for which this
+	// maxAwakePerTick is the most that one tick adds to the time without heartbeats: time for which this
 	// node stood still, or could not keep up, says nothing of the workers.
-	awakeStep = 2 * TickInterval
+	maxAwakePerTick = 2 * TickInterval
 	// manyMachines is how many machines are enough that all of them will not end, nor pause, at the
 	// same moment.
 	manyMachines = 20
@@ -30,7 +30,7 @@
 	interval     units.Microseconds // between two heartbeats of a machine
 	lease        units.Microseconds // after which tasks of a machine that gets no response have ended
 	tickedAt     units.Microseconds
-	quietFor     units.Microseconds // time awake since a heartbeat came
+	noHeartbeatFor     units.Microseconds // time awake since a heartbeat came
 	anyHeartbeat bool               // one came since a shard was last acquired
 	unreachable  bool               // this node released its shards as no worker reached it, and none has since
 	releasedAt   units.Microseconds // when it last did so
@@ -44,18 +44,18 @@
 
 // Tick lets time pass.
 func (r *Reachability) Tick(now units.Microseconds) {
-	r.quietFor += min(now-r.tickedAt, awakeStep)
+	r.noHeartbeatFor += min(now-r.tickedAt, maxAwakePerTick)
 	r.tickedAt = now
 }
 
 // HeartbeatReceived notes that a worker has reached this node.
-func (r *Reachability) HeartbeatReceived() { r.quietFor, r.unreachable = 0, false }
+func (r *Reachability) HeartbeatReceived() { r.noHeartbeatFor, r.unreachable = 0, false }
 
 // HeartbeatAccepted notes that a worker has done so for a shard that this node owns.
 func (r *Reachability) HeartbeatAccepted() { r.anyHeartbeat = true }
 
 // ShardAcquired notes that this node has begun to own a shard.
-func (r *Reachability) ShardAcquired() { r.quietFor, r.anyHeartbeat = 0, false }
+func (r *Reachability) ShardAcquired() { r.noHeartbeatFor, r.anyHeartbeat = 0, false }
 
 // AnyHeartbeat reports whether a heartbeat was accepted since a shard was last acquired.
 func (r *Reachability) AnyHeartbeat() bool { return r.anyHeartbeat }
@@ -70,7 +70,7 @@
 	if r.anyHeartbeat && up >= manyMachines {
 		allowed = r.interval/2 + units.Second
 	}
-	if r.quietFor <= allowed || up == 0 {
+	if r.noHeartbeatFor <= allowed || up == 0 {
 		return false
 	}
 	return r.releasedAt == 0 || now-r.releasedAt >= unreachableFor+2*r.lease || reachablePeer()
--- a/internal/core/provisioner/list.go
+++ b/internal/core/provisioner/list.go
@@ -9,20 +9,20 @@
 func (r *Provisioner) OnListMachines(now units.Microseconds, request ListMachines, list []ListedMachine) {
 	r.now = now
 	for name, at := range r.deprovisioned {
-		if now-at > 4*r.cfg.ListLag+forgetDeprovisioned {
+		if now-at > 4*r.cfg.ListLag+deprovisionedRetention {
 			delete(r.deprovisioned, name)
 		}
 	}
-	r.noteUnlisted(request.SentAt, list)
+	r.markUnlisted(request.SentAt, list)
 	for _, listed := range list {
 		if !r.Deprovisioned(listed.Name) {
-			r.takeListed(listed)
+			r.handleListed(listed)
 		}
 	}
 }
 
-// takeListed takes in a machine of the list that is not known to be deleted.
-func (r *Provisioner) takeListed(listed ListedMachine) {
+// handleListed takes in a machine of the list that is not known to be deleted.
+func (r *Provisioner) handleListed(listed ListedMachine) {
 	machine := r.host.Machines()[listed.Name]
 	if machine != nil && machine.Addr == "" {
 		machine.Addr = listed.Addr
@@ -51,10 +51,10 @@
 	return listed.Age > 2*r.cfg.ListLag+r.cfg.AdoptAfter && r.now-r.cfg.OwnedSince > 2*r.cfg.ListLag
 }
 
-// noteUnlisted notes which unreconciled machines a list does not show, though they were provisioned
+// markUnlisted notes which unreconciled machines a list does not show, though they were provisioned
 // long before all that it may leave out. They are most likely deleted. That is no proof; see
 // package liveness.
-func (r *Provisioner) noteUnlisted(sentAt units.Microseconds, list []ListedMachine) {
+func (r *Provisioner) markUnlisted(sentAt units.Microseconds, list []ListedMachine) {
 	unreconciled := r.host.Unreconciled()
 	if len(unreconciled) == 0 {
 		return // no work waits for any
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// slowBoot is how many times as long as usual a machine may take to come up before the work at
+	// slowBootFactor is how many times as long as usual a machine may take to come up before the work at
 	// hand no longer counts on it. It takes up to one and a half times; those that never come up are
 	// deprovisioned much later. Of many machines only a few can be late for reasons of their own.
-	slowBoot = 2
-	// failedBoot is how many times as long as usual, and bootMargin how much beside, a machine may
+	slowBootFactor = 2
+	// failedBootFactor is how many times as long as usual, and bootMargin how much beside, a machine may
 	// take to come up before it is given up; unknownBoot is that time where its type is not known.
-	failedBoot  = 6
-	bootMargin  = 10 * units.Second
-	unknownBoot = 30 * units.Second
-	// keepLost is how long a machine is kept whose lease has expired without a heartbeat.
-	keepLost = 10 * units.Second
-	// spareFor is how long nothing must have missed a machine of a lost zone before it is
+	failedBootFactor  = 6
+	failedBootMargin  = 10 * units.Second
+	unknownTypeBootDeadline = 30 * units.Second
+	// lostGracePeriod is how long a machine is kept whose lease has expired without a heartbeat.
+	lostGracePeriod = 10 * units.Second
+	// spareGracePeriod is how long nothing must have missed a machine of a lost zone before it is
 	// deprovisioned, and leastReplacement the least that it costs to provision one anew: the cloud's
 	// least charge.
-	spareFor         = 5 * units.Second
-	leastReplacement = 60 * units.Second
+	spareGracePeriod         = 5 * units.Second
+	minReplacementTime = 60 * units.Second
 )
 
 // plan scales out and in.
@@ -50,7 +50,7 @@
 		r.scaleOut(increases)
 	}
 	for _, name := range names {
-		if r.useless(machines[name]) {
+		if r.shouldDeprovision(machines[name]) {
 			surplus = append(surplus, name)
 		}
 	}
@@ -70,7 +70,7 @@
 		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.ReclaimAt != units.Never {
 			continue
 		}
-		if !zoneLost && r.bootsSlowly(machine) && slow < MaxEarlyDeprovisions(len(machines)) {
+		if !zoneLost && r.bootOverdue(machine) && slow < MaxEarlyDeprovisions(len(machines)) {
 			slow++ // what waits for it should not wait for that one alone
 			continue
 		}
@@ -88,7 +88,7 @@
 func (r *Provisioner) zoneLimit() func(zone string) int {
 	booting := map[string]int{} // by zone
 	for _, machine := range r.host.Machines() {
-		if !machine.Deprovisioning && r.boots(machine) {
+		if !machine.Deprovisioning && r.booting(machine) {
 			booting[machine.Record.Zone]++
 		}
 	}
@@ -101,31 +101,31 @@
 	}
 }
 
-// useless reports whether a machine is to be deprovisioned whatever work there is.
-func (r *Provisioner) useless(machine *fleet.Machine) bool {
+// shouldDeprovision reports whether a machine is to be deprovisioned whatever work there is.
+func (r *Provisioner) shouldDeprovision(machine *fleet.Machine) bool {
 	zone := machine.Record.Zone
 	idle := machine.Reconciled && len(machine.Tasks) == 0
 	switch {
 	case machine.Deprovisioning:
 		return false
-	case !r.zones.Reachable(zone) && !r.probesZone(machine):
+	case !r.zones.Reachable(zone) && !r.isZoneProbe(machine):
 		// What runs there may still come to an end; until then it is not deprovisioned.
-		spare := machine.LeaseEnd == 0 && machine.SpareSince != 0 && r.now-machine.SpareSince > spareFor
-		return !r.zones.KeepMachines(zone, r.cfg.Lease+r.replacement(machine)) || spare && !r.zones.DeclaredReturning(zone)
+		spare := machine.LeaseEnd == 0 && machine.SpareSince != 0 && r.now-machine.SpareSince > spareGracePeriod
+		return !r.zones.KeepMachines(zone, r.cfg.Lease+r.replacementTime(machine)) || spare && !r.zones.DeclaredReturning(zone)
 	case r.zones.DeclaredLost(zone):
 		return idle
-	case r.zones.SinceRecovery(zone) < r.cfg.HeartbeatInterval+keepLost:
+	case r.zones.SinceRecovery(zone) < r.cfg.HeartbeatInterval+lostGracePeriod:
 		return false // its heartbeats are about to arrive
 	}
 	return machine.Quarantined && idle ||
-		machine.Lost && r.now-machine.IdleSince > keepLost ||
+		machine.Lost && r.now-machine.IdleSince > lostGracePeriod ||
 		machine.LastSeen == 0 && machine.LeaseEnd == 0 && r.now-machine.ProvisionedAt > bootDeadline(machine)
 }
 
-// probesZone reports whether a machine of an unreachable zone boots that was provisioned after the
+// isZoneProbe reports whether a machine of an unreachable zone boots that was provisioned after the
 // zone became unreachable, to find out whether it still is.
-func (r *Provisioner) probesZone(machine *fleet.Machine) bool {
-	return r.boots(machine) && r.now-machine.ProvisionedAt < r.zones.StateAge(machine.Record.Zone)
+func (r *Provisioner) isZoneProbe(machine *fleet.Machine) bool {
+	return r.booting(machine) && r.now-machine.ProvisionedAt < r.zones.StateAge(machine.Record.Zone)
 }
 
 // scaleOut asks for machines in as many requests as the cloud takes in a second, a part of them for
@@ -152,29 +152,29 @@
 	}
 }
 
-// boots reports whether a machine has not come up yet.
-func (r *Provisioner) boots(machine *fleet.Machine) bool {
+// booting reports whether a machine has not come up yet.
+func (r *Provisioner) booting(machine *fleet.Machine) bool {
 	return machine.LastSeen == 0 && machine.LeaseEnd == 0 && !machine.Lost
 }
 
-// bootsSlowly reports whether a machine should have come up long ago.
-func (r *Provisioner) bootsSlowly(machine *fleet.Machine) bool {
-	return machine.Type != nil && r.boots(machine) && r.now-machine.ProvisionedAt > slowBoot*machine.Type.Boot
+// bootOverdue reports whether a machine should have come up long ago.
+func (r *Provisioner) bootOverdue(machine *fleet.Machine) bool {
+	return machine.Type != nil && r.booting(machine) && r.now-machine.ProvisionedAt > slowBootFactor*machine.Type.Boot
 }
 
 // bootDeadline is the time after which a machine that has not come up is given up.
 func bootDeadline(machine *fleet.Machine) units.Microseconds {
 	if machine.Type == nil {
-		return unknownBoot
+		return unknownTypeBootDeadline
 	}
-	return failedBoot*machine.Type.Boot + bootMargin
+	return failedBootFactor*machine.Type.Boot + failedBootMargin
 }
 
-// replacement is the time until a machine provisioned in place of another is of use: a boot, and
+// replacementTime is the time until a machine provisioned in place of another is of use: a boot, and
 // images.
-func (r *Provisioner) replacement(machine *fleet.Machine) units.Microseconds {
+func (r *Provisioner) replacementTime(machine *fleet.Machine) units.Microseconds {
 	if machine.Type == nil {
-		return leastReplacement
+		return minReplacementTime
 	}
-	return max(leastReplacement, 3*machine.Type.Boot/2+keepLost)
+	return max(minReplacementTime, 3*machine.Type.Boot/2+lostGracePeriod)
 }
--- a/internal/core/provisioner/provisioner.go
+++ b/internal/core/provisioner/provisioner.go
@@ -93,7 +93,7 @@
 	scaler *autoscaler.Scaler
 	zones  *zones.View
 
-	notBefore     units.Microseconds // no call to the cloud before
+	callsPausedUntil     units.Microseconds // no call to the cloud before
 	nextPlanAt    units.Microseconds
 	nextListAt    units.Microseconds
 	requests      uint64   // made under this assignment
@@ -108,24 +108,24 @@
 }
 
 const (
-	// planEvery is the time between two plans.
-	planEvery = units.Second
-	// listEvery is the least time between two reads of the machine list.
-	listEvery = 5 * units.Second
-	// pause is how long the cloud is left alone after it did not answer.
-	pause = 2 * units.Second
-	// scaleInAtOnce bounds the machines of one call.
-	scaleInAtOnce = 100
-	// forgetDeprovisioned is how long after a machine was deleted, and beside four times the list's
+	// planInterval is the time between two plans.
+	planInterval = units.Second
+	// minListInterval is the least time between two reads of the machine list.
+	minListInterval = 5 * units.Second
+	// errorPause is how long the cloud is left alone after it did not answer.
+	errorPause = 2 * units.Second
+	// maxScaleInBatch bounds the machines of one call.
+	maxScaleInBatch = 100
+	// deprovisionedRetention is how long after a machine was deleted, and beside four times the list's
 	// lag, it is remembered: the list may show it and heartbeats may be held back for so long.
-	forgetDeprovisioned = 60 * units.Second
+	deprovisionedRetention = 60 * units.Second
 )
 
 // MaxEarlyDeprovisions is how many machines may be given up early, as a part of all.
 func MaxEarlyDeprovisions(machines int) int { return max(1, machines/20) }
 
 // Ready reports whether the cloud may be called.
-func (r *Provisioner) Ready(now units.Microseconds) bool { return now >= r.notBefore }
+func (r *Provisioner) Ready(now units.Microseconds) bool { return now >= r.callsPausedUntil }
 
 // OpenRequests is how many requests for machines have no answer yet.
 func (r *Provisioner) OpenRequests() int { return r.openRequests }
@@ -144,18 +144,18 @@
 func (r *Provisioner) Tick(now units.Microseconds, list bool) {
 	r.now = now
 	if now >= r.nextListAt && list {
-		r.nextListAt = now + max(listEvery, r.cfg.ListLag)
+		r.nextListAt = now + max(minListInterval, r.cfg.ListLag)
 		r.host.Emit(ListMachines{SentAt: now})
 	}
 	if now >= r.nextPlanAt {
-		r.nextPlanAt = now + planEvery
+		r.nextPlanAt = now + planInterval
 		r.plan()
 	}
 }
 
 // Flush sends the request for machines that are to be deprovisioned.
 func (r *Provisioner) Flush() {
-	if n := min(len(r.queue), scaleInAtOnce); n > 0 {
+	if n := min(len(r.queue), maxScaleInBatch); n > 0 {
 		r.host.Emit(ScaleIn{r.cfg.Shard, r.host.Assignment(), r.queue[:n:n]})
 		r.queue = r.queue[n:]
 	}
@@ -182,7 +182,7 @@
 	case store.Failed: // no capacity
 		r.scaler.Refused(now, pool)
 	default:
-		r.notBefore = now + pause
+		r.callsPausedUntil = now + errorPause
 	}
 }
 
@@ -205,6 +205,6 @@
 		r.cfg.Log.Info("machine deprovisioned", "machine", name)
 	}
 	if outcome != store.OK {
-		r.notBefore = now + pause
+		r.callsPausedUntil = now + errorPause
 	}
 }
--- a/internal/core/provisioner/provisioner_test.go
+++ b/internal/core/provisioner/provisioner_test.go
@@ -76,12 +76,12 @@
 	}{
 		{"boots in time", func(m *fleet.Machine) { m.ProvisionedAt = now - bootDeadline(m) }, false},
 		{"never came up", func(m *fleet.Machine) { m.ProvisionedAt = now - bootDeadline(m) - 1 }, true},
-		{"of unknown type, boots", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownBoot }, false},
-		{"of unknown type, never came up", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownBoot-1 }, true},
+		{"of unknown type, boots", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownTypeBootDeadline }, false},
+		{"of unknown type, never came up", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownTypeBootDeadline-1 }, true},
 		{"quarantined, not reconciled", func(m *fleet.Machine) { m.LastSeen, m.Quarantined = now, true }, false},
 		{"quarantined and idle", func(m *fleet.Machine) { m.LastSeen, m.Quarantined, m.Reconciled = now, true, true }, true},
-		{"lost for long", func(m *fleet.Machine) { m.Lost, m.IdleSince = true, now-keepLost-1 }, true},
-		{"lost, young", func(m *fleet.Machine) { m.Lost, m.IdleSince, m.ProvisionedAt = true, now-keepLost, now-60*second }, false},
+		{"lost for long", func(m *fleet.Machine) { m.Lost, m.IdleSince = true, now-lostGracePeriod-1 }, true},
+		{"lost, young", func(m *fleet.Machine) { m.Lost, m.IdleSince, m.ProvisionedAt = true, now-lostGracePeriod, now-60*second }, false},
 		{"on its way", func(m *fleet.Machine) { m.Deprovisioning, m.ProvisionedAt = true, 0 }, false},
 	} {
 		provisioner, shard := newProvisioner(t)
@@ -106,7 +106,7 @@
 		t.Fatalf("request %+v", request)
 	}
 	provisioner.OnScaleIn(second, request, store.Unknown)
-	if machine.Deprovisioning || provisioner.Deprovisioned("n-1") || provisioner.Ready(second+pause-1) || !provisioner.Ready(second+pause) {
+	if machine.Deprovisioning || provisioner.Deprovisioned("n-1") || provisioner.Ready(second+errorPause-1) || !provisioner.Ready(second+errorPause) {
 		t.Error("after an unknown outcome the machine must stay and the cloud rest")
 	}
 	provisioner.OnScaleIn(5*second, request, store.OK)
@@ -114,7 +114,7 @@
 		t.Error("after OK the machine is still there")
 	}
 	// The list may show it, and heartbeats may be held back: it is remembered for a while.
-	keep := 4*provisioner.cfg.ListLag + forgetDeprovisioned
+	keep := 4*provisioner.cfg.ListLag + deprovisionedRetention
 	provisioner.OnListMachines(5*second+keep, ListMachines{}, []ListedMachine{listed("n-1", 500*second)})
 	if !provisioner.Deprovisioned("n-1") || len(shard.adopted) != 0 {
 		t.Errorf("adopted %v", shard.adopted)
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -45,7 +45,7 @@
 	machine.AcceptHeartbeat(now, now+r.host.LeaseBound(), heartbeat)
 	if heartbeat.FencingToken != r.cfg.FencingToken && r.host.Guarded(guard.HeartbeatToken) {
 		// It proves nothing: it may have been under way while an earlier owner started tasks.
-		return Accepted{machine, Unconfirmed, r.stopUnknown(heartbeat)}
+		return Accepted{machine, Unconfirmed, r.stopForeignTasks(heartbeat)}
 	}
 	// The worker has taken a response under this owner's token, after which it drops every response
 	// of earlier owners: what it lists is all that can be there.
@@ -77,11 +77,11 @@
 	return &current
 }
 
-// stopUnknown stops the tasks of other shards' jobs that a machine reports. No machine should have
+// stopForeignTasks stops the tasks of other shards' jobs that a machine reports. No machine should have
 // any; but should two owners ever take a machine for their own, the one that it turns away from
 // counts its tasks as ended when the lease must have expired. So a response that renews the lease
 // must stop them.
-func (r *Reconciler) stopUnknown(heartbeat *fleet.Heartbeat) []fleet.Command {
+func (r *Reconciler) stopForeignTasks(heartbeat *fleet.Heartbeat) []fleet.Command {
 	var stops []fleet.Command
 	for _, task := range heartbeat.Tasks {
 		job := r.host.Job(task.ID.Job)
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, task := range exited {
-		if r.exit(now, machine, task) {
+		if r.handleExit(now, machine, task) {
 			forgets = append(forgets, fleet.Command{Op: fleet.Forget, ID: task.ID, Attempt: task.Attempt})
 		}
 	}
@@ -191,9 +191,9 @@
 // lacks shows only with its next heartbeats.
 const refusedStartDelay = units.Second
 
-// exit takes in a task that has exited, and reports whether its machine may forget it. A completed
+// handleExit takes in a task that has exited, and reports whether its machine may forget it. A completed
 // task is kept there until it is stored as completed.
-func (r *Reconciler) exit(now units.Microseconds, machine *fleet.Machine, task fleet.Task) (forget bool) {
+func (r *Reconciler) handleExit(now units.Microseconds, machine *fleet.Machine, task fleet.Task) (forget bool) {
 	job := r.host.Job(task.ID.Job)
 	attempt, known := machine.Tasks[task.ID]
 	known = known && attempt.Number == task.Attempt
@@ -210,13 +210,13 @@
 		return true
 	}
 	if !job.IsFinished(task.ID.Task) {
-		r.complete(now, machine, job, task.ID)
+		r.recordCompletion(now, machine, job, task.ID)
 	}
 	return false
 }
 
-// complete takes in the first word that a task is completed.
-func (r *Reconciler) complete(now units.Microseconds, machine *fleet.Machine, job *jobs.Job, id jobs.TaskID) {
+// recordCompletion takes in the first word that a task is completed.
+func (r *Reconciler) recordCompletion(now units.Microseconds, machine *fleet.Machine, job *jobs.Job, id jobs.TaskID) {
 	attempt, known := machine.Tasks[id]
 	r.host.TaskSucceeded(machine, job, attempt)
 	// What an earlier owner started seems to have run for a shorter time than it has. Counted, it
--- a/internal/core/reconcile/pending.go
+++ b/internal/core/reconcile/pending.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// pendingTime is how long a heartbeat is kept unanswered. A worker waits longer than that, and
+	// maxPendingTime is how long a heartbeat is kept unanswered. A worker waits longer than that, and
 	// drops a response that comes later still.
-	pendingTime = 2 * units.Second
+	maxPendingTime = 2 * units.Second
 	// MaxPending bounds the heartbeats that are kept unanswered: one of each machine of a full
 	// shard. One beyond is answered at once, without work.
 	MaxPending = fleet.FullShardMachines
 	// MaxOffers bounds the machines that are offered new work at one look, so that no look takes
 	// longer than some 25 ms however many wait. The others have their turn at the next.
 	MaxOffers = 500
-	// offerEvery is the time between two looks at pending heartbeats while there is no new work.
-	offerEvery = units.Second / 20
+	// offerInterval is the time between two looks at pending heartbeats while there is no new work.
+	offerInterval = units.Second / 20
 )
 
 // RequestID names a worker's request that waits for a response.
@@ -44,7 +44,7 @@
 // an idle machine, and its lease counts from when the heartbeat was sent.
 type pending struct {
 	heartbeats []pendingHeartbeat
-	checkedAt  units.Microseconds // when they are next looked at
+	nextCheckAt  units.Microseconds // when they are next looked at
 	offering   bool               // some of their machines are still to be offered work
 }
 
@@ -62,7 +62,7 @@
 	if !idle || r.PendingCount() >= MaxPending {
 		return false
 	}
-	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, machine: machine, until: now + pendingTime})
+	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, machine: machine, until: now + maxPendingTime})
 	return true
 }
 
@@ -75,7 +75,7 @@
 // Postpone keeps a heartbeat unanswered while the shard is being released. In a moment its next
 // owner is known; sent elsewhere, the worker would not get there for a second.
 func (r *Reconciler) Postpone(now units.Microseconds, request RequestID) {
-	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, until: now + pendingTime})
+	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, until: now + maxPendingTime})
 }
 
 // PendingOverdue reports whether the oldest pending heartbeat has waited for long enough.
@@ -98,16 +98,16 @@
 // took nothing are offered work again. It looks a few times a second, and at once where the caller
 // knows of new work.
 func (r *Reconciler) OfferWork(now units.Microseconds, newWork bool) {
-	if !newWork && now < r.pending.checkedAt {
+	if !newWork && now < r.pending.nextCheckAt {
 		return
 	}
-	r.pending.checkedAt = now + offerEvery
+	r.pending.nextCheckAt = now + offerInterval
 	if len(r.pending.heartbeats) == 0 {
 		return
 	}
 	r.host.RankReady()
 	if !r.pending.offering && r.host.NewWork() {
-		r.beginRound()
+		r.startOfferRound()
 	}
 	r.pending.offering = false
 	unanswered := r.pending.heartbeats[:0]
@@ -132,8 +132,8 @@
 	r.pending.heartbeats = unanswered
 }
 
-// beginRound has every machine whose heartbeat is pending offered work once, preferred ones first.
-func (r *Reconciler) beginRound() {
+// startOfferRound has every machine whose heartbeat is pending offered work once, preferred ones first.
+func (r *Reconciler) startOfferRound() {
 	heartbeats := r.pending.heartbeats
 	sort.SliceStable(heartbeats, func(a, b int) bool {
 		return r.host.Preferred(heartbeats[a].machine, heartbeats[b].machine)
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -19,13 +19,13 @@
 const (
 	// probeAfter is how long machines have to send heartbeats by themselves.
 	probeAfter = units.Second
-	// probeRoundEvery is the least time between two rounds over all unreconciled machines.
-	probeRoundEvery = units.Second
-	// probesAtOnce bounds the probes in flight, and with the tick their rate: each costs about as
+	// probeRoundInterval is the least time between two rounds over all unreconciled machines.
+	probeRoundInterval = units.Second
+	// maxProbesInFlight bounds the probes in flight, and with the tick their rate: each costs about as
 	// much as a heartbeat.
-	probesAtOnce = 8
-	// probeTries bounds the probes of one machine.
-	probeTries = 2
+	maxProbesInFlight = 8
+	// maxProbesPerMachine bounds the probes of one machine.
+	maxProbesPerMachine = 2
 )
 
 // Probe shows an owner's fencing token to a machine and asks what runs there.
@@ -51,13 +51,13 @@
 		return
 	}
 	if len(r.probes.queue) == 0 && r.probes.inFlight == 0 && now >= r.probes.nextRoundAt {
-		r.probes.nextRoundAt = now + probeRoundEvery
+		r.probes.nextRoundAt = now + probeRoundInterval
 		r.probes.queue = slices.Sorted(maps.Keys(r.unreconciled))
 	}
-	for len(r.probes.queue) > 0 && r.probes.inFlight < probesAtOnce {
+	for len(r.probes.queue) > 0 && r.probes.inFlight < maxProbesInFlight {
 		machine := r.machines[r.probes.queue[0]]
 		r.probes.queue = r.probes.queue[1:]
-		if machine == nil || machine.Reconciled || machine.Deprovisioning || machine.Addr == "" || machine.Probes == probeTries {
+		if machine == nil || machine.Reconciled || machine.Deprovisioning || machine.Addr == "" || machine.Probes == maxProbesPerMachine {
 			continue
 		}
 		machine.Probes++
@@ -70,7 +70,7 @@
 // vain.
 func (r *Reconciler) ProbesExhausted() bool {
 	for name := range r.unreconciled {
-		if machine := r.machines[name]; machine == nil || machine.Probes < probeTries {
+		if machine := r.machines[name]; machine == nil || machine.Probes < maxProbesPerMachine {
 			return false
 		}
 	}
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -240,7 +240,7 @@
 func TestProbes(t *testing.T) {
 	owner, machine := newOwner(t, false)
 	machine.Addr = "n-1:1"
-	for i := range probesAtOnce + 2 {
+	for i := range maxProbesInFlight + 2 {
 		more := fleet.New(fmt.Sprintf("n-%02d", 10+i), machine.Record, machine.Type, 0)
 		more.Addr = "x"
 		owner.reconciler.Add(more)
@@ -251,7 +251,7 @@
 		t.Fatal("probed at once")
 	}
 	owner.reconciler.SendProbes(probeAfter)
-	if len(owner.probes) != probesAtOnce || owner.probes[0] != (Probe{Assignment: 3, Machine: "n-1", Addr: "n-1:1", FencingToken: token, Incarnation: 1}) {
+	if len(owner.probes) != maxProbesInFlight || owner.probes[0] != (Probe{Assignment: 3, Machine: "n-1", Addr: "n-1:1", FencingToken: token, Incarnation: 1}) {
 		t.Fatalf("probes %+v", owner.probes)
 	}
 	owner.reconciler.OnProbe(probeAfter, owner.probes[0], store.OK, heartbeat(1, token))
@@ -265,7 +265,7 @@
 		}
 		owner.reconciler.SendProbes(now)
 	}
-	if !owner.reconciler.ProbesExhausted() || len(owner.probes) != 1+2*(probesAtOnce+2) {
+	if !owner.reconciler.ProbesExhausted() || len(owner.probes) != 1+2*(maxProbesInFlight+2) {
 		t.Errorf("%d probes, exhausted %v", len(owner.probes), owner.reconciler.ProbesExhausted())
 	}
 }
@@ -292,11 +292,11 @@
 		t.Errorf("answered %v, lease until %v", owner.answered, other.LeaseEnd)
 	}
 	owner.newWork = false
-	owner.reconciler.OfferWork(second+pendingTime-1, true)
-	if len(owner.answered) != 1 || owner.reconciler.PendingOverdue(second+pendingTime-1) {
+	owner.reconciler.OfferWork(second+maxPendingTime-1, true)
+	if len(owner.answered) != 1 || owner.reconciler.PendingOverdue(second+maxPendingTime-1) {
 		t.Errorf("answered %v too early", owner.answered)
 	}
-	owner.reconciler.OfferWork(second+pendingTime, true)
+	owner.reconciler.OfferWork(second+maxPendingTime, true)
 	if !slices.Equal(owner.answered, []RequestID{2, 1}) {
 		t.Errorf("answered %v", owner.answered)
 	}
--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -68,26 +68,26 @@
 }
 
 const (
-	// controllersSilentFor is the silence of a zone's machines that counts where all its controllers
+	// suspectAfterControllersSilent is the silence of a zone's machines that counts where all its controllers
 	// are unresponsive too. Where they are not, or there are none, each machine must have had the time
 	// for a heartbeat: those that were scaled out together, or that came back from a cut, send theirs
 	// all at once, and nothing in between.
-	controllersSilentFor = 2 * units.Second
+	suspectAfterControllersSilent = 2 * units.Second
 	// responsiveShare is the share of the other zones' machines that must be responsive: where none
 	// is, it is this controller that no machine reaches.
 	responsiveShare = 0.5
-	// A zone that was lost is trusted once it has been responsive for trustAfter; each further loss
+	// A zone that was lost is trusted once it has been responsive for minTrustDelay; each further loss
 	// within forgetLossAfter doubles that, up to longestTrustAfter.
-	trustAfter        = 4 * units.Second
-	longestTrustAfter = 64 * units.Second
-	forgetLossAfter   = 300 * units.Second
-	// returningScaleOut is how many machines are scaled out at once into a zone that is returning,
+	minTrustDelay        = 4 * units.Second
+	maxTrustDelay = 64 * units.Second
+	lossCountResetAfter   = 300 * units.Second
+	// recoveringScaleOutLimit is how many machines are scaled out at once into a zone that is returning,
 	// and probeMachineAfter when one is into a zone that is in doubt or lost and in which nothing
 	// remains that could become responsive again.
-	returningScaleOut = 5
+	recoveringScaleOutLimit = 5
 	probeMachineAfter = 60 * units.Second
-	// awakeStep is the most that one tick adds to the time awake.
-	awakeStep = units.Second / 10
+	// maxAwakePerTick is the most that one tick adds to the time awake.
+	maxAwakePerTick = units.Second / 10
 )
 
 // zone is what is known of one zone.
@@ -96,13 +96,13 @@
 	since            units.Microseconds // when the state began
 	lastHeartbeatAt  units.Microseconds // time awake at the last heartbeat of a machine of the zone
 	unreachableSince units.Microseconds // since when the zone is unresponsive: lost since then, if it is
-	times            int
+	timesLost            int
 	lostAt           units.Microseconds // when it was last lost
-	returnedAt       units.Microseconds // when it last came back; 0: never
+	recoveredAt       units.Microseconds // when it last came back; 0: never
 	count            Count
-	peers            int                // other controllers of the zone
-	lastControllerAt units.Microseconds // when one of them was last alive
-	alive            int                // of them, those that are alive
+	controllers            int                // other controllers of the zone
+	controllerAliveAt units.Microseconds // when one of them was last alive
+	controllersAlive            int                // of them, those that are alive
 	override         Override
 }
 
@@ -131,7 +131,7 @@
 
 // Tick lets time pass.
 func (p *View) Tick(now units.Microseconds) {
-	p.awake += min(now-p.now, awakeStep)
+	p.awake += min(now-p.now, maxAwakePerTick)
 	p.now = now
 }
 
@@ -140,7 +140,7 @@
 	if z := p.zones[name]; z != nil {
 		z.lastHeartbeatAt = p.awake
 		if !z.reachable() {
-			p.set(name, z, Recovering, "a machine sends heartbeats")
+			p.setState(name, z, Recovering, "a machine sends heartbeats")
 		}
 	}
 }
@@ -160,13 +160,13 @@
 	if z == nil {
 		return
 	}
-	if alive > z.alive && !z.reachable() {
-		p.set(name, z, Recovering, "a controller is alive")
+	if alive > z.controllersAlive && !z.reachable() {
+		p.setState(name, z, Recovering, "a controller is alive")
 	}
 	if alive > 0 {
-		z.lastControllerAt = p.now
+		z.controllerAliveAt = p.now
 	}
-	z.peers, z.alive = all, alive
+	z.controllers, z.controllersAlive = all, alive
 }
 
 // silentFor is how long no machine of a zone has sent a heartbeat, in time awake.
@@ -178,18 +178,18 @@
 func (z *zone) reachable() bool { return z.state == Serving || z.state == Recovering }
 
 // controllersUnresponsive reports whether a zone has controllers and none is alive.
-func (z *zone) controllersUnresponsive() bool { return z.peers > 0 && z.alive == 0 }
+func (z *zone) controllersUnresponsive() bool { return z.controllers > 0 && z.controllersAlive == 0 }
 
-// nothingToReturn reports whether nothing of a zone remains that could become responsive again: no
+// hasNothingToRecover reports whether nothing of a zone remains that could become responsive again: no
 // machine is up there, and none of its controllers is unresponsive. Then only a new machine can show
 // that the zone serves; controllers that were alive all the time show nothing.
-func (z *zone) nothingToReturn() bool { return z.count.Up == 0 && !z.controllersUnresponsive() }
+func (z *zone) hasNothingToRecover() bool { return z.count.Up == 0 && !z.controllersUnresponsive() }
 
-// bounds are the silence of a zone that puts it in doubt, and that after which its work is
+// silenceBounds are the silence of a zone that puts it in doubt, and that after which its work is
 // done elsewhere. Shorter cuts cost less when they are waited for.
-func (p *View) bounds(z *zone) (doubt, lost units.Microseconds) {
+func (p *View) silenceBounds(z *zone) (doubt, lost units.Microseconds) {
 	if z.controllersUnresponsive() {
-		return controllersSilentFor, p.cfg.HeartbeatInterval + units.Second
+		return suspectAfterControllersSilent, p.cfg.HeartbeatInterval + units.Second
 	}
 	return p.cfg.HeartbeatInterval + units.Second, 3*p.cfg.HeartbeatInterval/2 + units.Second
 }
@@ -201,26 +201,26 @@
 	}
 	for _, name := range p.names {
 		zone := p.zones[name]
-		doubt, lost := p.bounds(zone)
+		doubt, lost := p.silenceBounds(zone)
 		switch zone.state {
 		case Serving, Recovering:
 			if zone.count.Up > 0 && p.silentFor(zone) > doubt && p.othersResponsive(name) {
 				zone.unreachableSince = p.now - p.silentFor(zone)
 				if zone.controllersUnresponsive() {
-					zone.unreachableSince = min(zone.unreachableSince, zone.lastControllerAt) // its controllers fell silent before this one took over
+					zone.unreachableSince = min(zone.unreachableSince, zone.controllerAliveAt) // its controllers fell silent before this one took over
 				}
-				p.set(name, zone, Suspect, "none of its machines sends heartbeats, others do")
-			} else if zone.state == Recovering && p.now-zone.since >= p.trustedAfter(zone) {
-				p.set(name, zone, Serving, "it has been responsive for long enough")
+				p.setState(name, zone, Suspect, "none of its machines sends heartbeats, others do")
+			} else if zone.state == Recovering && p.now-zone.since >= p.trustDelay(zone) {
+				p.setState(name, zone, Serving, "it has been responsive for long enough")
 			}
 		case Suspect:
 			if p.silentFor(zone) > lost && p.othersResponsive(name) {
-				if p.now-zone.lostAt > forgetLossAfter {
-					zone.times = 0
+				if p.now-zone.lostAt > lossCountResetAfter {
+					zone.timesLost = 0
 				}
-				zone.times++
+				zone.timesLost++
 				zone.lostAt = p.now
-				p.set(name, zone, Lost, fmt.Sprintf("nothing for %.0f s; %d of its %d other controllers are alive", p.silentFor(zone).Seconds(), zone.alive, zone.peers))
+				p.setState(name, zone, Lost, fmt.Sprintf("nothing for %.0f s; %d of its %d other controllers are alive", p.silentFor(zone).Seconds(), zone.controllersAlive, zone.controllers))
 			}
 		}
 	}
@@ -229,8 +229,8 @@
 // othersResponsive reports whether enough machines of other zones are responsive that the silence of
 // one zone means something.
 func (p *View) othersResponsive(name string) bool {
-	if p.upElsewhere(name) == 0 { // the controllers tell
-		return p.zones[name].controllersUnresponsive() && p.othersAlive(name)
+	if p.machinesUpElsewhere(name) == 0 { // the controllers tell
+		return p.zones[name].controllersUnresponsive() && p.otherControllersAlive(name)
 	}
 	up, responsive := 0, 0
 	for other, z := range p.zones {
@@ -242,8 +242,8 @@
 	return responsive > 0 && float64(responsive) >= responsiveShare*float64(up)
 }
 
-// upElsewhere counts the machines of the other zones, whatever those are thought to do.
-func (p *View) upElsewhere(name string) int {
+// machinesUpElsewhere counts the machines of the other zones, whatever those are thought to do.
+func (p *View) machinesUpElsewhere(name string) int {
 	n := 0
 	for other, z := range p.zones {
 		if other != name {
@@ -253,29 +253,29 @@
 	return n
 }
 
-// othersAlive reports whether controllers of other zones are alive, or there are none but
+// otherControllersAlive reports whether controllers of other zones are alive, or there are none but
 // this one, which is for its host to judge.
-func (p *View) othersAlive(name string) bool {
+func (p *View) otherControllersAlive(name string) bool {
 	all, alive := 0, 0
 	for other, z := range p.zones {
 		if other != name {
-			all += z.peers
-			alive += z.alive
+			all += z.controllers
+			alive += z.controllersAlive
 		}
 	}
 	return alive > 0 || all == 0
 }
 
-// trustedAfter is how long a zone must be responsive before it is trusted again.
-func (p *View) trustedAfter(z *zone) units.Microseconds {
-	return min(trustAfter<<max(z.times-1, 0), longestTrustAfter)
+// trustDelay is how long a zone must be responsive before it is trusted again.
+func (p *View) trustDelay(z *zone) units.Microseconds {
+	return min(minTrustDelay<<max(z.timesLost-1, 0), maxTrustDelay)
 }
 
-func (p *View) set(name string, z *zone, s State, why string) {
+func (p *View) setState(name string, z *zone, s State, why string) {
 	p.cfg.Log.Warn("zone", "zone", name, "state", s.String(), "was", z.state.String(), "for_s", (p.now - z.since).Seconds(),
-		"why", why, "up", z.count.Up, "times_lost", z.times)
+		"why", why, "up", z.count.Up, "times_lost", z.timesLost)
 	if s == Recovering {
-		z.returnedAt = p.now
+		z.recoveredAt = p.now
 	}
 	z.state, z.since = s, p.now
 }
@@ -293,9 +293,9 @@
 			continue // it knows its own zone better than anybody else does
 		}
 		if State(status.State) != zone.state {
-			p.set(name, zone, State(status.State), "an owner of shards says so")
+			p.setState(name, zone, State(status.State), "an owner of shards says so")
 		}
-		zone.since, zone.times = min(zone.since, p.now-status.For), max(zone.times, status.Times)
+		zone.since, zone.timesLost = min(zone.since, p.now-status.For), max(zone.timesLost, status.Times)
 		if !zone.reachable() {
 			zone.unreachableSince = zone.since
 		}
@@ -306,7 +306,7 @@
 func (p *View) Statuses() (out []Status) {
 	for _, n := range p.names {
 		if z := p.zones[n]; z.state != Serving {
-			out = append(out, Status{Zone: n, State: int(z.state), For: p.now - z.since, Times: z.times})
+			out = append(out, Status{Zone: n, State: int(z.state), For: p.now - z.since, Times: z.timesLost})
 		}
 	}
 	return out
@@ -409,12 +409,12 @@
 	case z.override == OverrideLost:
 		return 0
 	case z.state == Suspect || z.state == Lost:
-		if z.nothingToReturn() && p.now-z.since >= probeMachineAfter {
+		if z.hasNothingToRecover() && p.now-z.since >= probeMachineAfter {
 			return 1
 		}
 		return 0
 	case z.state == Recovering:
-		return returningScaleOut // in steps, until it has shown that it stays
+		return recoveringScaleOutLimit // in steps, until it has shown that it stays
 	}
 	return -1
 }
@@ -429,8 +429,8 @@
 
 // SinceRecovery is how long ago a zone came back; a zone that always served came back long ago.
 func (p *View) SinceRecovery(name string) units.Microseconds {
-	if z := p.zones[name]; z != nil && z.returnedAt > 0 {
-		return p.now - z.returnedAt
+	if z := p.zones[name]; z != nil && z.recoveredAt > 0 {
+		return p.now - z.recoveredAt
 	}
 	return units.Never
 }
@@ -451,7 +451,7 @@
 func (p *View) Stats() (out []ZoneStats) {
 	for _, n := range p.names {
 		z := p.zones[n]
-		out = append(out, ZoneStats{n, z.state, p.now - z.since, z.count.Up, z.count.Responsive, z.times, z.override, z.peers, z.alive})
+		out = append(out, ZoneStats{n, z.state, p.now - z.since, z.count.Up, z.count.Responsive, z.timesLost, z.override, z.controllers, z.controllersAlive})
 	}
 	return out
 }
--- a/internal/core/zones/zones_test.go
+++ b/internal/core/zones/zones_test.go
@@ -103,7 +103,7 @@
 						t.Fatalf("%s is %v and %d machines may be rented there", n, s, yard.p.ScaleOutLimit(n))
 					case !yard.cut[n] && quiet > every+units.Second && !yard.p.Reachable(n):
 						t.Fatalf("%s is heard for %v and %v", n, quiet, s)
-					case !yard.cut[n] && quiet > longestTrustAfter+every+units.Second && s != Serving:
+					case !yard.cut[n] && quiet > maxTrustDelay+every+units.Second && s != Serving:
 						t.Fatalf("%s is heard for %v and still %v", n, quiet, s)
 					}
 				}
@@ -124,13 +124,13 @@
 		yard.pass(12*units.Second, nil)
 		yard.cut["b"] = false
 		at := yard.now
-		for yard.p.State("b") != Serving && yard.now-at < 2*longestTrustAfter {
+		for yard.p.State("b") != Serving && yard.now-at < 2*maxTrustDelay {
 			yard.pass(units.Second, nil)
 		}
 		took = append(took, yard.now-at)
 	}
 	for i := 1; i < len(took); i++ {
-		if took[i] < took[i-1] || took[i] > longestTrustAfter+every {
+		if took[i] < took[i-1] || took[i] > maxTrustDelay+every {
 			t.Errorf("trusted after %v", took)
 		}
 	}
@@ -218,10 +218,10 @@
 	yard.cut["b"] = false
 	yard.add("b", 1)
 	yard.pass(units.Second, nil)
-	if n := yard.p.ScaleOutLimit("b"); yard.p.State("b") != Recovering || n != returningScaleOut {
+	if n := yard.p.ScaleOutLimit("b"); yard.p.State("b") != Recovering || n != recoveringScaleOutLimit {
 		t.Errorf("%v: %d", yard.p.State("b"), n)
 	}
-	yard.pass(longestTrustAfter, nil)
+	yard.pass(maxTrustDelay, nil)
 	if n := yard.p.ScaleOutLimit("b"); n >= 0 {
 		t.Errorf("%v: %d", yard.p.State("b"), n)
 	}
