--- a/internal/core/fleet/heartbeat.go
+++ b/internal/core/fleet/heartbeat.go
@@ -5,10 +5,11 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// State is what a heartbeat says of an attempt.
+// State is the state of an attempt on a machine, as its worker reports it.
 type State int
 
-// States of a task on a machine.
+// States of an attempt. Fetching means that the worker is fetching the task's image; Saving means that
+// the task is writing its checkpoint before it stops.
 const (
 	Fetching State = iota
 	Running
@@ -16,10 +17,10 @@
 	Exited
 )
 
-// Cause is why a task exited.
+// Cause is the reason why a task exited.
 type Cause int
 
-// Causes of an exit.
+// Causes of an exit. NoCapacity, Busy and Unknown mean that the worker refused to start the task.
 const (
 	Other Cause = iota
 	Completed
@@ -30,7 +31,7 @@
 	Unknown
 )
 
-// Task is one attempt in a heartbeat.
+// Task is one attempt that a heartbeat reports.
 type Task struct {
 	ID      jobs.TaskID
 	Attempt uint64
@@ -38,8 +39,8 @@
 	Cause   Cause
 }
 
-// Heartbeat is a worker's periodic message: who it is, what it runs, and under which owner's fencing
-// token it does.
+// Heartbeat is a worker's periodic message: the machine it runs on, the tasks there, and the fencing
+// token of the last owner whose response it accepted.
 type Heartbeat struct {
 	Machine      string
 	Addr         string
@@ -47,41 +48,42 @@
 	Zone         string
 	Spot         bool
 	Incarnation  uint64
-	Seq          uint64 // counts heartbeats of an incarnation
+	Seq          uint64 // sequence number of the heartbeat within its incarnation
 	FencingToken uint64
-	ReclaimIn    units.Microseconds // until the cloud reclaims it; Never: no notice
+	ReclaimIn    units.Microseconds // time until the cloud reclaims the machine; units.Never without a notice
 	Tasks        []Task
 }
 
-// Op is what a command asks of a worker.
+// Op is the kind of a command to a worker.
 type Op int
 
-// The three commands.
+// Kinds of commands.
 const (
 	Start  Op = iota
-	Stop      // its exit shows in a later heartbeat
-	Forget    // it has exited, and that is stored: it need not be shown any more
+	Stop      // a later heartbeat reports the exit
+	Forget    // the task has exited and that is stored: the worker stops reporting it
 )
 
-// Command is what one response tells a worker to do about an attempt.
+// Command is an instruction of a heartbeat response about one attempt.
 type Command struct {
 	Op      Op
 	ID      jobs.TaskID
 	Attempt uint64
-	Grace   units.Microseconds // of a Stop; 0 stops at once
+	Grace   units.Microseconds // time that a Stop leaves the task to exit; 0 stops it at once
 }
 
-// Bounds on the commands of one heartbeat response, which may not be longer than 64 KiB
-// (TestLongestAnswer in internal/api). A machine can hold hundreds of small tasks; what is left out
-// follows with its next heartbeat.
+// Limits on the commands of one heartbeat response, which must not exceed 64 KiB (TestLongestAnswer in
+// internal/api). A machine can hold hundreds of small tasks; commands beyond a limit are sent in the
+// response to its next heartbeat.
 const (
 	MaxForgets = 200
 	MaxStops   = 100
 	MaxStarts  = 250
-	// MaxReportedTasks bounds the tasks that a machine lists, as a heartbeat may not be longer than
-	// 64 KiB either: while nothing can be stored, what has exited there stays listed.
+	// MaxReportedTasks limits the tasks that a machine reports, because a heartbeat must not exceed 64
+	// KiB either. While the state service is unavailable, exited tasks cannot be stored and so stay in
+	// the heartbeats.
 	MaxReportedTasks = 500
 )
 
-// AtMost returns the first n of some commands.
+// AtMost returns the first n commands, or all of them if there are fewer.
 func AtMost(commands []Command, n int) []Command { return commands[:min(len(commands), n)] }
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -1,5 +1,5 @@
-// Package fleet keeps machines: their incarnations, leases, and the attempts that may run on them; and
-// the messages between a worker and the owner of its shard.
+// Package fleet defines worker machines, with their incarnations, leases and the attempts that may run on
+// them, and the messages between a worker and the owner of its shard.
 package fleet
 
 import (
@@ -13,57 +13,57 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Machine is what the owner of its shard knows of one machine. Package reconcile adds, reconciles and
-// removes machines; the provisioner, the scheduler and failure attribution set what is named after
-// them below.
+// Machine is the state of one machine as its shard's owner knows it. Package reconcile adds, reconciles
+// and removes machines and sets the first group of fields. The provisioner sets the second group, and
+// failure attribution (package quarantine) most of the third.
 type Machine struct {
 	Name   string
-	Record Record // Up once it is stored that the machine is up
-	Group  string // key of the group that it is stored with
-
-	Type           *Type              // nil if not known
-	Addr           string             // "" if not known
-	Probes         int                // how often it was asked directly for what it runs
-	ProvisionedAt  units.Microseconds // or when it was first seen
-	Incarnation    uint64             // of its worker process
-	Seq            uint64             // of its last heartbeat in that incarnation
-	LastSeen       units.Microseconds // last heartbeat; 0: none yet, or its lease expired since
-	LeaseEnd       units.Microseconds // its tasks have surely ended from then on
-	Reconciled     bool               // it sent a heartbeat under its owner's fencing token
-	Transferred    bool               // what may run on it is known from its last owner's snapshot
-	ReclaimAt      units.Microseconds // when the cloud reclaims it; Never: no notice
+	Record Record // Record.Up is true once the stored group lists the machine as up
+	Group  string // key of the stored group that contains it
+
+	Type           *Type              // nil if not known yet
+	Addr           string             // "" if not known yet
+	Probes         int                // number of probes sent to it (see package reconcile)
+	ProvisionedAt  units.Microseconds // or time at which it was first seen, if the former is not known
+	Incarnation    uint64             // incarnation of its worker process
+	Seq            uint64             // sequence number of the last heartbeat of that incarnation
+	LastSeen       units.Microseconds // time of the last heartbeat; 0 if none since its lease last expired
+	LeaseEnd       units.Microseconds // time from which no task can be running on it; 0 without a lease
+	Reconciled     bool               // all attempts that may run on it are known
+	Transferred    bool               // its attempts were restored from the last owner's snapshot
+	ReclaimAt      units.Microseconds // time at which the cloud reclaims it; units.Never without a notice
 	Tasks          map[jobs.TaskID]Attempt
-	ReportedTasks  int // tasks in its last heartbeat, those that have exited too
+	ReportedTasks  int // number of tasks in its last heartbeat, exited ones included
 	IdleSince      units.Microseconds
-	Lost           bool   // its lease expired, and it sent no heartbeat since
-	ExpiredAttempt uint64 // the last attempt that surely ended with a lease
+	Lost           bool   // its lease expired and it has sent no heartbeat since
+	ExpiredAttempt uint64 // highest attempt number that ended when its lease expired
 
-	Deprovisioning bool               // the provisioner has it deleted
-	Unlisted       bool               // the cloud's list should show it and does not
-	SpareSince     units.Microseconds // since when the work at hand does not need it; 0: it does
+	Deprovisioning bool               // the provisioner is deleting it
+	Unlisted       bool               // it is missing from the cloud's machine list though old enough to be on it
+	SpareSince     units.Microseconds // time since which no work needs it; 0 while some does
 
-	Quarantined      bool               // it fails what it starts: nothing more starts there
-	Failed           map[string]bool    // jobs of which nothing had worked yet and that failed here, since a task completed
-	FailedAt         units.Microseconds // last failure
-	HasCompletedTask bool               // some task completed here
+	Quarantined      bool               // its tasks fail or are slow: no more tasks start on it
+	Failed           map[string]bool    // jobs without a completed task that failed here since a task last completed here
+	FailedAt         units.Microseconds // time of the last failure
+	HasCompletedTask bool               // a task has completed on this machine
 
-	used   binpack.Vec // by Tasks
-	consecutiveSlow   int         // tasks in a row that took much longer than their job's others
-	recentImages []string    // most recently used last
+	used            binpack.Vec // capacity used by Tasks
+	consecutiveSlow int         // consecutive tasks that took much longer than others of their job
+	recentImages    []string    // most recently used last
 }
 
-// Attempt is one attempt that may be on the machine.
+// Attempt is one attempt at running a task, which may be on the machine.
 type Attempt struct {
 	Number       uint64
 	Team         string
 	Demand       binpack.Vec
 	State        State
-	Started      units.Microseconds // when its start was sent, or when it was first seen
-	RunningSince units.Microseconds // when it was first seen with its image; 0: not yet
-	Adopted      bool               // started by an earlier owner: how long it has run is not known
+	Started      units.Microseconds // time at which its start was sent, or an earlier owner's attempt was first reported
+	RunningSince units.Microseconds // time of the first report that it had fetched its image; 0 before
+	Adopted      bool               // started by an earlier owner, so that its run time is not known
 }
 
-// Runtime is how long the attempt has run with its image.
+// Runtime returns the time since the attempt was first reported with its image fetched; 0 before.
 func (a Attempt) Runtime(now units.Microseconds) units.Microseconds {
 	if a.RunningSince == 0 {
 		return 0
@@ -71,45 +71,47 @@
 	return now - a.RunningSince
 }
 
-// New returns a machine that has sent no heartbeat yet.
+// New returns a machine that has not sent a heartbeat yet.
 func New(name string, record Record, machineType *Type, now units.Microseconds) *Machine {
 	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, ReclaimAt: units.Never, IdleSince: now,
 		Tasks: map[jobs.TaskID]Attempt{}}
 }
 
-// Newer reports whether a heartbeat comes after all that were seen.
+// Newer reports whether a heartbeat is later than every heartbeat accepted from the machine.
 func (m *Machine) Newer(heartbeat *Heartbeat) bool {
 	return heartbeat.Incarnation > m.Incarnation || (heartbeat.Incarnation == m.Incarnation && heartbeat.Seq > m.Seq)
 }
 
-// Used returns the capacity that tasks may use.
+// Used returns the capacity that the attempts in Tasks use.
 func (m *Machine) Used() binpack.Vec { return m.used }
 
-// Free returns the capacity that they do not use; the machine's type must be known.
+// Free returns the capacity that no attempt in Tasks uses. The machine's type must be known.
 func (m *Machine) Free() binpack.Vec { return m.Type.Capacity.Sub(m.used) }
 
-// SetAttempt records an attempt that may be on the machine.
+// SetAttempt records an attempt that may be on the machine, in place of an earlier attempt at the same
+// task.
 func (m *Machine) SetAttempt(id jobs.TaskID, attempt Attempt) {
 	m.RemoveAttempt(id)
 	m.Tasks[id] = attempt
 	m.used = m.used.Add(attempt.Demand)
 }
 
-// RemoveAttempt records that an attempt is on the machine no more.
+// RemoveAttempt records that a task no longer has an attempt on the machine.
 func (m *Machine) RemoveAttempt(id jobs.TaskID) {
 	m.used = m.used.Sub(m.Tasks[id].Demand)
 	delete(m.Tasks, id)
 }
 
-// HasImage reports whether an image was used here lately, so that the worker has it in its cache.
+// HasImage reports whether the machine used an image recently, so that the worker is likely to have it
+// cached.
 func (m *Machine) HasImage(image string) bool {
 	return slices.Contains(m.recentImages, image)
 }
 
-// maxRecentImages bounds the images that are remembered of one machine.
+// maxRecentImages limits the images remembered for each machine.
 const maxRecentImages = 64
 
-// UseImage records that an image is on the machine.
+// UseImage records an image as the machine's most recently used one.
 func (m *Machine) UseImage(image string) {
 	if i := slices.Index(m.recentImages, image); i >= 0 {
 		m.recentImages = slices.Delete(m.recentImages, i, i+1)
@@ -120,20 +122,20 @@
 	}
 }
 
-// slowTasksToQuarantine is how many tasks in a row must be slow: machines of a type differ
-// by a tenth, and a single task may be long by itself.
+// slowTasksToQuarantine is the number of consecutive slow tasks after which a machine is quarantined. One
+// or two do not suffice: machines of a type differ by a tenth, and a single task may take long by itself.
 const slowTasksToQuarantine = 3
 
-// A task is slow that takes more than slowFactor times as long as its job's others, and slowMargin
-// longer: short tasks vary by more than that.
+// A task is slow if it takes more than slowFactor times as long as the average task of its job, and more
+// than slowMargin longer. The margin is for short tasks, whose run times vary by more than the factor.
 const (
 	slowFactor = 2
 	slowMargin = 2 * units.Second
 )
 
-// ObserveRuntime takes in how long a task ran here and, unless 0, how long its job's
-// tasks take on average, and reports whether the machine now counts as slow:
-// nothing more starts on it.
+// ObserveRuntime records the run time of a task that completed on the machine. usual is the average run
+// time of its job's tasks, or 0 if not known. It reports whether the machine has just been found slow: it
+// is then quarantined.
 func (m *Machine) ObserveRuntime(took, usual units.Microseconds) bool {
 	switch {
 	case usual == 0:
@@ -149,9 +151,9 @@
 	return true
 }
 
-// AcceptHeartbeat takes in what a heartbeat says of the machine itself; its tasks are reconciled
-// by package reconcile. leaseEnd is when the worker, which is about to be answered, must have
-// stopped everything unless it is answered once more.
+// AcceptHeartbeat updates the machine's own state from a heartbeat; package reconcile reconciles its
+// tasks. leaseEnd is the time by which the worker, which is about to get a response, must have stopped
+// all tasks unless it gets another response.
 func (m *Machine) AcceptHeartbeat(now, leaseEnd units.Microseconds, heartbeat *Heartbeat) {
 	m.Incarnation, m.Seq = heartbeat.Incarnation, heartbeat.Seq
 	m.Addr = heartbeat.Addr
@@ -164,9 +166,9 @@
 	}
 }
 
-// ExpireLease notes that nothing runs on the machine any more, as its lease ran out.
-// lastAttempt is the last attempt that can have been started there: heartbeats that a cut has
-// held back may still show it.
+// ExpireLease records that no task runs on the machine any more because its lease expired. lastAttempt is
+// the highest attempt number that may have been started there: a heartbeat delayed by a network partition
+// may still report such attempts.
 func (m *Machine) ExpireLease(now units.Microseconds, lastAttempt uint64) {
 	m.LeaseEnd, m.LastSeen = 0, 0
 	m.Lost = true
@@ -174,18 +176,20 @@
 	m.IdleSince = now
 }
 
-// Expired reports whether a heartbeat shows a task as not exited whose lease had run out before.
+// Expired reports whether a heartbeat shows an attempt as still present that ended when the machine's
+// lease expired.
 func (m *Machine) Expired(t Task) bool { return t.State != Exited && t.Attempt <= m.ExpiredAttempt }
 
-// TaskIDs returns the tasks that may be on the machine, by job and number.
+// TaskIDs returns the tasks that may be on the machine, ordered by job and task number.
 func (m *Machine) TaskIDs() []jobs.TaskID {
 	return slices.SortedFunc(maps.Keys(m.Tasks), func(a, b jobs.TaskID) int {
 		return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 	})
 }
 
-// Schedulable reports whether tasks may start here: everything on the machine is
-// known, a new owner would know of the machine, and it is meant to stay.
+// Schedulable reports whether tasks may start on the machine: all that may run on it is known, it is
+// stored as up so that a new owner would know of it, its type is known, and it is not about to be
+// removed.
 func (m *Machine) Schedulable() bool {
 	return m.Reconciled && m.Record.Up && m.Type != nil && !m.Lost && !m.Quarantined && !m.Deprovisioning
 }
--- a/internal/core/fleet/record.go
+++ b/internal/core/fleet/record.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Type is a kind of machine that the cloud offers.
+// Type is a machine type that the cloud offers.
 type Type struct {
 	Name     string             `json:"name"`
 	Capacity binpack.Vec        `json:"capacity"`
@@ -22,7 +22,7 @@
 	SpotPrice float64 `json:"spot_price"`
 }
 
-// PriceFor is the price of a machine of the type.
+// PriceFor returns the price of a spot or an on-demand machine of the type.
 func (t *Type) PriceFor(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -30,8 +30,8 @@
 	return t.Price
 }
 
-// Record is what a new owner has to know of a machine. A task may start only on a machine that is
-// stored as up, so that every machine that may run tasks is known.
+// Record is the part of a machine's state that a new owner needs. A task may start only on a machine that
+// is stored as up, so that a new owner knows of every machine that may run tasks.
 type Record struct {
 	Type string
 	Zone string
@@ -39,7 +39,8 @@
 	Up   bool
 }
 
-// Group is the stored value of machines of one kind that were provisioned together.
+// Group is the stored record of machines of the same type, zone and pricing that were provisioned
+// together.
 type Group struct {
 	Shard   int      `json:"block,omitempty"`
 	Type    string   `json:"type"`
@@ -47,22 +48,23 @@
 	Spot    bool     `json:"spot"`
 	Up      []string `json:"up,omitempty"`
 	Booting []string `json:"booting,omitempty"`
-	// ProvisionedAt is the time of day at which they were; 0: not known.
+	// ProvisionedAt is the wall-clock time at which they were provisioned; 0 if not known.
 	ProvisionedAt units.Microseconds `json:"rented,omitempty"`
 }
 
-// FullShardMachines is how many machines one shard carries at least. Whatever counts a shard's machines,
-// their connections or their heartbeats is sized by it; docs/CAPACITY.md, "Fixed limits", lists it.
+// FullShardMachines is the number of machines that one shard must be able to hold. Limits on a shard's
+// machines, their connections or their heartbeats derive from it; docs/CAPACITY.md, "Fixed limits", lists
+// them.
 const FullShardMachines = 4096
 
-// MaxGroup is how many machines one group may have: as many as the cloud provisions at once, so that
-// a group stays far below the state service's value limit.
+// MaxGroup is the largest number of machines in one group: as many as the cloud provisions in one
+// request, so that a stored group stays far below the state service's limit on the size of a value.
 const MaxGroup = 50
 
-var errNoTypeOrZone = errors.New("group of machines: no type or zone")
+var errNoTypeOrZone = errors.New("stored group of machines has no type or zone")
 
-// DecodeGroup reads stored machines. Releases before 0.2 stored each machine by itself under its
-// name; tasks may run there all the same.
+// DecodeGroup decodes a stored group of machines. Releases before 0.2 stored each machine by itself under
+// its own name. Such records are decoded as a group of one machine, because tasks may be running on it.
 func DecodeGroup(name string, b []byte) (Group, error) {
 	var group Group
 	if err := json.Unmarshal(b, &group); err != nil {
@@ -71,7 +73,7 @@
 			Up bool `json:"up"`
 		}
 		if json.Unmarshal(b, &single) != nil {
-			return group, fmt.Errorf("group of machines: %w", err)
+			return group, fmt.Errorf("decode stored group of machines: %w", err)
 		}
 		group = single.Group
 		if single.Up {
@@ -86,5 +88,5 @@
 	return group, nil
 }
 
-// Record returns what is known of each machine of the group.
+// Record returns the record of a machine of the group; up reports whether the group lists it as up.
 func (g Group) Record(up bool) Record { return Record{g.Type, g.Zone, g.Spot, up} }
