--- a/internal/core/reconcile/admission.go
+++ b/internal/core/reconcile/admission.go
@@ -6,41 +6,42 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Admission is whether a heartbeat may change anything, and if not, why. Only an owner whose
-// authority is certain answers 200: any other answer would keep the worker while its lease expires.
+// Admission is the decision whether a heartbeat may change any state and, if not, why. Only an owner
+// whose authority is certain responds with status 200. Any other controller that did so would keep the
+// worker from finding its owner while its lease expires.
 type Admission int
 
-// Outcomes of admission. All but Admitted and Postponed are refusals, after which the worker tries
+// Outcomes of admission. All except Admitted and Postponed are refusals, after which the worker tries
 // another controller.
 const (
 	Admitted      Admission = iota
-	NotOwned                // the machine's shard is another controller's: redirected to it
-	Postponed               // the shard is being released: answered once its next owner is known
-	Uncertain               // this controller's membership may have expired: unavailable
-	Superseded              // the worker knows a later fencing token than this owner's: misdirected
-	Deprovisioned           // the cloud has deleted the machine: misdirected
-	Unknown                 // the machine is stored nowhere yet: misdirected
+	NotOwned                // another controller owns the machine's shard: the worker is redirected there
+	Postponed               // the shard is being released: the response waits until its next owner is known
+	Uncertain               // this controller's membership may have expired: answered as unavailable
+	Superseded              // the worker has seen a later fencing token than this owner's: answered as misdirected
+	Deprovisioned           // the cloud has confirmed that the machine is deleted: answered as misdirected
+	Unknown                 // no shard has stored the machine yet: answered as misdirected
 )
 
 const (
-	// AdoptAfter is how long a machine must be unknown to all before it is adopted: whoever has
-	// provisioned it needs a moment to store that.
+	// AdoptAfter is the time for which a machine must send heartbeats without being stored before it is
+	// adopted. The shard that provisioned it needs a moment to store it.
 	AdoptAfter = 10 * units.Second
-	// MaxUnknown bounds the unknown machines that are remembered. One beyond is remembered once
-	// there is room.
+	// MaxUnknown limits the unknown machines that are remembered. Further ones are remembered only after
+	// others have been removed.
 	MaxUnknown = 5000
 )
 
-// Admit decides whether a heartbeat may change anything of a shard that is surely owned. stored
-// tells that the machine is known to be the shard's.
+// Admit decides whether a heartbeat may change any state of the shard, which this controller must own
+// with certainty. stored reports whether the machine is stored as one of the shard's.
 func (r *Reconciler) Admit(now units.Microseconds, heartbeat *fleet.Heartbeat, stored bool) Admission {
 	switch {
 	case heartbeat.FencingToken > r.cfg.FencingToken:
 		return Superseded
 	case r.host.Deprovisioned(heartbeat.Machine) && r.host.Guarded(guard.DeprovisionedMachine):
-		// A cut held the heartbeat back. Taken for alive, the machine would keep the tasks that it
-		// shows from starting elsewhere (TestDelayedHeartbeatOfDeprovisionedMachine).
-		r.cfg.Log.Debug("heartbeat of a deprovisioned machine", "machine", heartbeat.Machine)
+		// The heartbeat was delayed by a network partition. If the machine counted as alive again, the
+		// tasks that it shows could not start elsewhere (TestDelayedHeartbeatOfDeprovisionedMachine).
+		r.cfg.Log.Debug("refused a heartbeat of a deprovisioned machine", "machine", heartbeat.Machine)
 		return Deprovisioned
 	case !stored && !r.adoptable(now, heartbeat.Machine):
 		return Unknown
@@ -49,8 +50,8 @@
 	return Admitted
 }
 
-// adoptable reports whether a machine that is stored nowhere has sent heartbeats for so long that
-// whoever provisioned it would have stored it.
+// adoptable reports whether a machine that no shard has stored has been sending heartbeats for so long
+// that the shard that provisioned it would have stored it by now.
 func (r *Reconciler) adoptable(now units.Microseconds, machine string) bool {
 	since, seen := r.unknown[machine]
 	if !seen && r.UnknownCount() < MaxUnknown {
@@ -59,5 +60,5 @@
 	return seen && now-since >= AdoptAfter
 }
 
-// UnknownCount counts the machines that are remembered as stored nowhere.
+// UnknownCount returns the number of machines that are remembered as stored by no shard.
 func (r *Reconciler) UnknownCount() int { return len(r.unknown) }
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -9,27 +9,30 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// HeartbeatStatus is what a heartbeat proves.
+// HeartbeatStatus tells which conclusions a heartbeat allows about the tasks on its machine.
 type HeartbeatStatus int
 
 const (
-	// Stale heartbeats change nothing: a later heartbeat of the machine was seen, and nobody waits for the response.
+	// Stale heartbeats change nothing: a later heartbeat of the machine has already arrived, so that the
+	// worker no longer waits for this response.
 	Stale HeartbeatStatus = iota
-	// Unconfirmed heartbeats tell what runs, not what does not: the worker has not taken a response of this owner yet, so that responses of earlier
-	// owners may still start tasks that the heartbeat does not show.
+	// Unconfirmed heartbeats show which tasks run, but not which don't. The worker has not accepted a
+	// response of this owner yet, so a delayed response of an earlier owner may still start tasks that
+	// the heartbeat does not show.
 	Unconfirmed
-	// Confirmed heartbeats show all that can be on the machine.
+	// Confirmed heartbeats show every task that can be on the machine.
 	Confirmed
 )
 
-// Accepted is what an admitted heartbeat has changed.
+// Accepted is the result of an admitted heartbeat.
 type Accepted struct {
 	Machine  *fleet.Machine
 	Status   HeartbeatStatus
-	Commands []fleet.Command // what the machine has to forget and to stop
+	Commands []fleet.Command // Forget and Stop commands for the worker
 }
 
-// Accept takes in an admitted heartbeat. A machine that is not known is adopted.
+// Accept updates the machine from an admitted heartbeat. It adopts a machine that the shard does not
+// have.
 func (r *Reconciler) Accept(now units.Microseconds, heartbeat *fleet.Heartbeat) Accepted {
 	machine := r.machines[heartbeat.Machine]
 	if machine == nil {
@@ -44,17 +47,18 @@
 	heartbeat = r.withoutExpired(machine, heartbeat)
 	machine.AcceptHeartbeat(now, now+r.host.LeaseBound(), heartbeat)
 	if heartbeat.FencingToken != r.cfg.FencingToken && r.host.Guarded(guard.HeartbeatToken) {
-		// It proves nothing: it may have been under way while an earlier owner started tasks.
+		// The heartbeat proves nothing about missing tasks: it may have been in flight while an earlier
+		// owner started some.
 		return Accepted{machine, Unconfirmed, r.stopForeignTasks(heartbeat)}
 	}
-	// The worker has taken a response under this owner's token, after which it drops every response
-	// of earlier owners: what it lists is all that can be there.
+	// The worker has accepted a response with this owner's token, and since then drops every response of
+	// earlier owners. So its list is complete.
 	commands := r.reconcile(now, machine, heartbeat)
 	r.MarkReconciled(now, machine)
 	return Accepted{machine, Confirmed, commands}
 }
 
-// machineUp notes the first heartbeat of a machine, or the first after its lease expired.
+// machineUp records the first heartbeat of a machine, or the first one after its lease expired.
 func (r *Reconciler) machineUp(now units.Microseconds, machine *fleet.Machine, heartbeat *fleet.Heartbeat) {
 	machine.IdleSince = now
 	if !machine.Record.Up {
@@ -64,23 +68,23 @@
 		"after_s", (now - machine.ProvisionedAt).Seconds())
 }
 
-// withoutExpired returns a heartbeat without the attempts that ended with a lease of the machine.
-// The heartbeat was sent before, and a cut held it back: taken for true it would call tasks back
-// that have been started elsewhere since (docs/incidents/2026-12-01-held-back.md).
+// withoutExpired returns a heartbeat without the attempts that ended when a lease of the machine expired.
+// A network partition delayed the heartbeat, which was sent before. Applied unfiltered, it would restore
+// tasks that have been started elsewhere since (docs/incidents/2026-12-01-held-back.md).
 func (r *Reconciler) withoutExpired(machine *fleet.Machine, heartbeat *fleet.Heartbeat) *fleet.Heartbeat {
 	if !slices.ContainsFunc(heartbeat.Tasks, machine.Expired) || !r.host.Guarded(guard.ExpiredAttempts) {
 		return heartbeat
 	}
-	r.cfg.Log.Debug("heartbeat shows attempts whose lease expired", "machine", machine.Name)
+	r.cfg.Log.Debug("ignored attempts of a heartbeat that ended with an expired lease", "machine", machine.Name)
 	current := *heartbeat
 	current.Tasks = slices.DeleteFunc(slices.Clone(heartbeat.Tasks), machine.Expired)
 	return &current
 }
 
-// stopForeignTasks stops the tasks of other shards' jobs that a machine reports. No machine should have
-// any; but should two owners ever take a machine for their own, the one that it turns away from
-// counts its tasks as ended when the lease must have expired. So a response that renews the lease
-// must stop them.
+// stopForeignTasks returns Stop commands for the tasks of other shards' jobs that a machine reports. No
+// machine should have any. But should two owners ever take the same machine for their own, the owner that
+// the worker leaves counts the machine's tasks as ended once the lease must have expired. A response that
+// renews the lease must therefore stop them.
 func (r *Reconciler) stopForeignTasks(heartbeat *fleet.Heartbeat) []fleet.Command {
 	var stops []fleet.Command
 	for _, task := range heartbeat.Tasks {
@@ -92,12 +96,12 @@
 	return fleet.AtMost(stops, fleet.MaxStops)
 }
 
-// reconcile brings what is known of a machine in line with its heartbeat, and returns what the
-// machine has to forget and to stop.
+// reconcile brings the recorded attempts of a machine in line with its heartbeat, and returns Forget and
+// Stop commands for the worker.
 //
-// A worker has one heartbeat in flight, and drops responses to heartbeats it has given up. So a
-// start that was sent in an earlier response and does not show in a newer heartbeat was never
-// carried out and never will be.
+// A worker has one heartbeat in flight and drops responses to heartbeats that it has given up on. So a
+// start that was sent in an earlier response and does not show in a newer heartbeat was not carried out
+// and never will be.
 func (r *Reconciler) reconcile(now units.Microseconds, machine *fleet.Machine, heartbeat *fleet.Heartbeat) []fleet.Command {
 	var forgets, stops []fleet.Command
 	present := make(map[jobs.TaskID]bool, len(heartbeat.Tasks))
@@ -125,7 +129,7 @@
 	return append(fleet.AtMost(forgets, fleet.MaxForgets), fleet.AtMost(stops, fleet.MaxStops)...)
 }
 
-// observe takes in a task that is on a machine, and reports whether it must stop.
+// observe records a task that is present on a machine, and reports whether it must stop.
 func (r *Reconciler) observe(now units.Microseconds, machine *fleet.Machine, task fleet.Task) (stop bool) {
 	job := r.host.Job(task.ID.Job)
 	attempt, known := machine.Tasks[task.ID]
@@ -147,12 +151,12 @@
 	return false
 }
 
-// active reports whether a task is one of this shard's that may run.
+// active reports whether a task belongs to an active job of this shard.
 func (r *Reconciler) active(job *jobs.Job, task fleet.Task) bool {
 	return job != nil && job.Active() && job.Record.Shard == r.cfg.Shard && task.ID.Task < job.Record.Tasks
 }
 
-// adoptAttempt returns an attempt that an earlier owner has started.
+// adoptAttempt returns a record of an attempt that an earlier owner started.
 func (r *Reconciler) adoptAttempt(now units.Microseconds, machine *fleet.Machine, job *jobs.Job, task fleet.Task) fleet.Attempt {
 	attempt := fleet.Attempt{Number: task.Attempt, Started: now, Adopted: true}
 	switch {
@@ -160,14 +164,14 @@
 		attempt.Team, attempt.Demand = job.Spec().Team, job.Spec().Demand
 	case job != nil:
 		attempt.Team, attempt.Demand = job.Record.Team, job.Record.Demand
-	default: // its job is archived, or was accepted after the backup that was restored
-		r.cfg.Log.Warn("orphaned task is stopped, its job is not known", "task", task.ID.String(), "machine", machine.Name)
+	default: // the job is archived, or was submitted after the backup from which the state was restored
+		r.cfg.Log.Warn("stopping orphaned task of an unknown job", "task", task.ID.String(), "machine", machine.Name)
 	}
 	return attempt
 }
 
-// placeJob records with a job where its task runs, and reports whether it may go on there: not if
-// it is done, or has been started elsewhere.
+// placeJob records with a job that its task runs on a machine, and reports whether the task may go on
+// there. It may not if it has finished or was started elsewhere.
 func (r *Reconciler) placeJob(machine *fleet.Machine, job *jobs.Job, task fleet.Task) bool {
 	index := task.ID.Task
 	here := jobs.Place{Machine: machine.Name, Attempt: task.Attempt, Zone: machine.Record.Zone}
@@ -178,7 +182,7 @@
 	case !placed:
 		job.Adopt(index, here)
 	case place.Machine != machine.Name:
-		r.cfg.Log.Error("task is on two machines", "task", task.ID.String(), "one", place.Machine, "other", machine.Name)
+		r.cfg.Log.Error("task is present on two machines", "task", task.ID.String(), "one", place.Machine, "other", machine.Name)
 		return false
 	case place.Attempt != task.Attempt:
 		job.Release(index)
@@ -187,12 +191,12 @@
 	return true
 }
 
-// refusedStartDelay is how long a job waits whose start a worker has refused: what the worker
-// lacks shows only with its next heartbeats.
+// refusedStartDelay is the time for which a job is deferred after a worker refused a start. The reason
+// for the refusal, such as missing capacity, shows only in the worker's next heartbeats.
 const refusedStartDelay = units.Second
 
-// handleExit takes in a task that has exited, and reports whether its machine may forget it. A completed
-// task is kept there until it is stored as completed.
+// handleExit processes a task that has exited, and reports whether its machine may forget it. The machine
+// keeps a completed task until the completion is stored.
 func (r *Reconciler) handleExit(now units.Microseconds, machine *fleet.Machine, task fleet.Task) (forget bool) {
 	job := r.host.Job(task.ID.Job)
 	attempt, known := machine.Tasks[task.ID]
@@ -202,7 +206,7 @@
 		case fleet.Failed:
 			r.host.TaskFailed(machine, job, attempt)
 		case fleet.Unknown, fleet.NoCapacity, fleet.Busy:
-			r.cfg.Log.Warn("start refused", "task", task.ID.String(), "machine", machine.Name, "cause", int(task.Cause))
+			r.cfg.Log.Warn("worker refused to start a task", "task", task.ID.String(), "machine", machine.Name, "cause", int(task.Cause))
 			job.DeferUntil(now + refusedStartDelay)
 		}
 	}
@@ -215,17 +219,17 @@
 	return false
 }
 
-// recordCompletion takes in the first word that a task is completed.
+// recordCompletion processes the first report that a task has completed.
 func (r *Reconciler) recordCompletion(now units.Microseconds, machine *fleet.Machine, job *jobs.Job, id jobs.TaskID) {
 	attempt, known := machine.Tasks[id]
 	r.host.TaskSucceeded(machine, job, attempt)
-	// What an earlier owner started seems to have run for a shorter time than it has. Counted, it
-	// made the other tasks of its job look slow, and their machines with them.
+	// An earlier owner's attempt appears to have run for less time than it has. When such run times were
+	// counted, the other tasks of the job looked slow, and so did their machines.
 	if known && attempt.RunningSince > 0 && !attempt.Adopted {
 		took := now - attempt.RunningSince
 		r.host.ObserveRuntime(job, took)
 		if machine.ObserveRuntime(took, job.MeanRuntime) {
-			r.cfg.Log.Warn("machine is slow", "machine", machine.Name)
+			r.cfg.Log.Warn("machine quarantined: its tasks run slowly", "machine", machine.Name)
 		}
 		job.AddRuntime(took)
 	}
--- a/internal/core/reconcile/pending.go
+++ b/internal/core/reconcile/pending.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// maxPendingTime is how long a heartbeat is kept unanswered. A worker waits longer than that, and
-	// drops a response that comes later still.
+	// maxPendingTime is the longest time for which a heartbeat is held unanswered. A worker waits longer
+	// than that before it gives up on the response.
 	maxPendingTime = 2 * units.Second
-	// MaxPending bounds the heartbeats that are kept unanswered: one of each machine of a full
-	// shard. One beyond is answered at once, without work.
+	// MaxPending limits the heartbeats that are held unanswered: one for each machine of a full shard.
+	// Further ones are answered at once, without work.
 	MaxPending = fleet.FullShardMachines
-	// MaxOffers bounds the machines that are offered new work at one look, so that no look takes
-	// longer than some 25 ms however many wait. The others have their turn at the next.
+	// MaxOffers limits the machines that one call of OfferWork offers work to, so that no call takes
+	// longer than about 25 ms however many heartbeats are pending. The next call goes on with the others.
 	MaxOffers = 500
-	// offerInterval is the time between two looks at pending heartbeats while there is no new work.
+	// offerInterval is the time between two checks of the pending heartbeats while there is no new work.
 	offerInterval = units.Second / 20
 )
 
-// RequestID names a worker's request that waits for a response.
+// RequestID identifies a worker's request that waits for a response.
 type RequestID uint64
 
-// IdleHost finds work for idle machines and answers them.
+// IdleHost finds work for idle machines and responds to their heartbeats.
 type IdleHost interface {
-	// RankReady ranks the jobs if tasks have become ready.
+	// RankReady ranks the jobs again if tasks have become ready.
 	RankReady()
-	// NewWork reports whether idle machines may find work that was not there when this was last
-	// called.
+	// NewWork reports whether there may be work for idle machines that was not there at the previous
+	// call.
 	NewWork() bool
-	// Preferred reports whether work should rather go to one machine than to another.
+	// Preferred reports whether machine should get work before other.
 	Preferred(machine, other *fleet.Machine) bool
-	// Fill returns the starts for a machine, which it has noted by Place.
+	// Fill chooses tasks for a machine, records them by calling Place, and returns their Start commands.
 	Fill(machine *fleet.Machine) []fleet.Command
-	// Respond answers a pending heartbeat of a machine.
+	// Respond sends the response to a pending heartbeat.
 	Respond(request RequestID, machine *fleet.Machine, commands []fleet.Command)
 }
 
-// pending keeps heartbeats unanswered for a moment: those of idle machines, so that work which
-// comes meanwhile starts at once, or those of a shard that is being released. Nothing can change on
-// an idle machine, and its lease counts from when the heartbeat was sent.
+// pending holds heartbeats that have no response yet, as in long polling: heartbeats of idle machines, so
+// that new work starts at once, or of a shard that is being released. Nothing can change on an idle
+// machine meanwhile, and the worker counts its lease from when it sent the heartbeat.
 type pending struct {
-	heartbeats []pendingHeartbeat
-	nextCheckAt  units.Microseconds // when they are next looked at
-	offering   bool               // some of their machines are still to be offered work
+	heartbeats  []pendingHeartbeat
+	nextCheckAt units.Microseconds // time of the next check
+	offering    bool               // some machines have not been offered work yet in this round
 }
 
 type pendingHeartbeat struct {
 	request RequestID
-	machine *fleet.Machine // nil while the shard is being released
+	machine *fleet.Machine // nil if the shard is being released
 	until   units.Microseconds
-	offer   bool // the machine is to be offered work that has come since the heartbeat
+	offer   bool // the machine has not been offered work yet in this round
 }
 
-// HoldIdle keeps the heartbeat of a machine unanswered that is idle and may get work, and reports
-// whether it does.
+// HoldIdle holds a machine's heartbeat unanswered if the machine is idle and may get work, and reports
+// whether it did.
 func (r *Reconciler) HoldIdle(now units.Microseconds, request RequestID, machine *fleet.Machine) bool {
 	idle := len(machine.Tasks) == 0 && machine.ReportedTasks == 0 && machine.Schedulable() && machine.ReclaimAt == units.Never
 	if !idle || r.PendingCount() >= MaxPending {
@@ -66,24 +66,25 @@
 	return true
 }
 
-// PendingCount counts the heartbeats that are kept unanswered.
+// PendingCount returns the number of heartbeats that are held unanswered.
 func (r *Reconciler) PendingCount() int { return len(r.pending.heartbeats) }
 
-// MayPostpone reports whether one more heartbeat may be postponed.
+// MayPostpone reports whether there is capacity to postpone another heartbeat.
 func (r *Reconciler) MayPostpone() bool { return r.PendingCount() < MaxPending }
 
-// Postpone keeps a heartbeat unanswered while the shard is being released. In a moment its next
-// owner is known; sent elsewhere, the worker would not get there for a second.
+// Postpone holds a heartbeat unanswered while the shard is being released. Its next owner is known in a
+// moment; a worker redirected elsewhere meanwhile would need a second to get there.
 func (r *Reconciler) Postpone(now units.Microseconds, request RequestID) {
 	r.pending.heartbeats = append(r.pending.heartbeats, pendingHeartbeat{request: request, until: now + maxPendingTime})
 }
 
-// PendingOverdue reports whether the oldest pending heartbeat has waited for long enough.
+// PendingOverdue reports whether the oldest pending heartbeat has been held for maxPendingTime.
 func (r *Reconciler) PendingOverdue(now units.Microseconds) bool {
 	return len(r.pending.heartbeats) > 0 && now >= r.pending.heartbeats[0].until
 }
 
-// DrainPending returns the requests of all pending heartbeats, which the caller answers.
+// DrainPending removes all pending heartbeats and returns their requests. The caller must respond to
+// them.
 func (r *Reconciler) DrainPending() []RequestID {
 	var requests []RequestID
 	for _, heartbeat := range r.pending.heartbeats {
@@ -93,10 +94,10 @@
 	return requests
 }
 
-// OfferWork offers new work to machines whose heartbeats are pending, preferred ones first, and
-// answers those that have waited for long enough. Every machine has had its turn before those that
-// took nothing are offered work again. It looks a few times a second, and at once where the caller
-// knows of new work.
+// OfferWork offers new work to machines whose heartbeats are pending, preferred machines first, and
+// responds to heartbeats that have been held for maxPendingTime. Every machine gets one offer per round,
+// and a new round starts only after all have had theirs. OfferWork does nothing if called again within
+// offerInterval, unless newWork is set because the caller knows of new work.
 func (r *Reconciler) OfferWork(now units.Microseconds, newWork bool) {
 	if !newWork && now < r.pending.nextCheckAt {
 		return
@@ -132,7 +133,8 @@
 	r.pending.heartbeats = unanswered
 }
 
-// startOfferRound has every machine whose heartbeat is pending offered work once, preferred ones first.
+// startOfferRound marks every machine with a pending heartbeat to be offered work once, and sorts
+// preferred machines first.
 func (r *Reconciler) startOfferRound() {
 	heartbeats := r.pending.heartbeats
 	sort.SliceStable(heartbeats, func(a, b int) bool {
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -10,25 +10,26 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// A worker whose controller is lost waits for its response, pauses, and tries the others in turn.
-// Until the last of them has found the new owner, all work accepted earlier waits. So the new owner
-// shows its fencing token to those that have sent it no heartbeat: a worker that has taken it drops every
-// response of earlier owners, and its answer shows all that can be there. Nothing is started that
-// way, and no lease renewed.
+// A worker whose controller has failed waits for its response, pauses, and then tries the other
+// controllers in turn. Until the last worker has found the new owner, all work accepted earlier waits. So
+// the new owner sends a probe with its fencing token to the machines that have sent it no heartbeat. A
+// worker that accepts the token drops every response of earlier owners, so its answer shows all tasks
+// that can be on the machine. A probe starts nothing and renews no lease.
 
 const (
-	// probeAfter is how long machines have to send heartbeats by themselves.
+	// probeAfter is the time that machines have after a shard is acquired to send heartbeats by
+	// themselves.
 	probeAfter = units.Second
-	// probeRoundInterval is the least time between two rounds over all unreconciled machines.
+	// probeRoundInterval is the shortest time between two rounds over all unreconciled machines.
 	probeRoundInterval = units.Second
-	// maxProbesInFlight bounds the probes in flight, and with the tick their rate: each costs about as
-	// much as a heartbeat.
+	// maxProbesInFlight limits the probes in flight and, together with the tick, their rate: a probe
+	// costs about as much as a heartbeat.
 	maxProbesInFlight = 8
-	// maxProbesPerMachine bounds the probes of one machine.
+	// maxProbesPerMachine limits the probes sent to one machine.
 	maxProbesPerMachine = 2
 )
 
-// Probe shows an owner's fencing token to a machine and asks what runs there.
+// Probe is a request that passes an owner's fencing token to a machine and asks which tasks it has.
 type Probe struct {
 	Shard        int
 	Assignment   uint64
@@ -38,14 +39,14 @@
 	Incarnation  uint64
 }
 
-// probes is the state of the probes of one shard.
+// probes is the state of a shard's probes.
 type probes struct {
-	queue       []string // machines of this round that are still to be probed
+	queue       []string // machines still to be probed in this round
 	inFlight    int
 	nextRoundAt units.Microseconds
 }
 
-// SendProbes sends probes to some of the unreconciled machines.
+// SendProbes sends probes to unreconciled machines, as many as maxProbesInFlight allows.
 func (r *Reconciler) SendProbes(now units.Microseconds) {
 	if len(r.unreconciled) == 0 || now-r.cfg.OwnedSince < probeAfter {
 		return
@@ -66,8 +67,8 @@
 	}
 }
 
-// ProbesExhausted reports whether every unreconciled machine has been probed as often as any is, in
-// vain.
+// ProbesExhausted reports whether every unreconciled machine has been sent the maximum number of probes
+// without a usable answer.
 func (r *Reconciler) ProbesExhausted() bool {
 	for name := range r.unreconciled {
 		if machine := r.machines[name]; machine == nil || machine.Probes < maxProbesPerMachine {
@@ -77,9 +78,9 @@
 	return r.probes.inFlight == 0
 }
 
-// OnProbe takes a machine's answer to a probe; answer is nil if there is none. It counts only while
-// nothing was started there under this assignment: a start may be on its way to the machine that
-// the answer does not show yet (TestProbeAnswerBesideStart).
+// OnProbe handles the outcome of a probe; answer is nil if the machine did not answer. An answer counts
+// only while no task has been started on the machine under this assignment: a start may be in flight to
+// it that the answer does not show (TestProbeAnswerBesideStart).
 func (r *Reconciler) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	r.probes.inFlight--
 	machine := r.machines[probe.Machine]
@@ -91,11 +92,11 @@
 	}
 	if outcome != store.OK || answer.FencingToken != r.cfg.FencingToken {
 		if answer.Incarnation > machine.Incarnation && answer.FencingToken <= r.cfg.FencingToken {
-			machine.Incarnation, machine.Seq = answer.Incarnation, 0 // the next probe names it
+			machine.Incarnation, machine.Seq = answer.Incarnation, 0 // for the next probe
 		}
 		return
 	}
 	machine.Incarnation, machine.Seq = answer.Incarnation, answer.Seq
-	r.reconcile(now, machine, answer) // its commands follow in the response to its next heartbeat
+	r.reconcile(now, machine, answer) // the commands are sent in the response to its next heartbeat
 	r.MarkReconciled(now, machine)
 }
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -1,13 +1,14 @@
-// Package reconcile owns the machines of one shard: which there are, their incarnations and leases,
-// and what may run on each. It brings what is recorded of a machine in line with the machine's
-// heartbeats, and knows which machines have not been reconciled since the shard changed owners.
+// Package reconcile owns the machines of one shard: the set of machines, their incarnations and leases,
+// and the attempts that may run on each. It brings the recorded attempts in line with the machines'
+// heartbeats, and tracks which machines have not been reconciled since the shard changed owners.
 //
-// Safety rests on two rules. A start goes out only in the response to a heartbeat, by the owner of
-// the machine's shard. And what may have been started counts as running until its machine reports
-// otherwise under this owner's fencing token, is in a new incarnation that does not show it, is
-// deprovisioned, or its lease must have expired.
+// Safety rests on two rules. First, a start is sent only in the response to a heartbeat, by the owner of
+// the machine's shard. Second, an attempt that may have been started counts as running until one of these
+// holds: its machine reports otherwise under this owner's fencing token; the machine is in a new
+// incarnation that does not show it; the machine is deprovisioned; or its lease must have expired.
 //
-// The package is pure: heartbeats and the time go in by method calls, effects come out by its Host.
+// The package does no I/O and reads no clock: heartbeats and the time are passed to its methods, and
+// effects go out through its Host.
 package reconcile
 
 import (
@@ -20,61 +21,65 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the owner of a shard, as its machines see it. Its methods run in the midst of a
-// Reconciler's: Adopt calls Add, Fill calls Place, and none may change the Reconciler otherwise.
+// Host is the owner of the shard. A Reconciler calls its methods while it is changing its own state:
+// Adopt must call Add, Fill must call Place, and no method may change the Reconciler in any other way.
 type Host interface {
-	// Guarded reports whether a check is made: all are, but for one that a test leaves out.
+	// Guarded reports whether a check is enabled. All are, except for one that a test disables.
 	Guarded(check guard.Guard) bool
-	// Assignment is the version of the shard's stored assignment, under which answers still count.
+	// Assignment returns the version of the shard's stored assignment. Answers to requests that were made
+	// under another version are ignored.
 	Assignment() uint64
-	// LeaseBound is the time after which nothing runs on a machine that gets no response.
+	// LeaseBound returns the time after which no task runs on a machine that has got no response.
 	LeaseBound() units.Microseconds
-	// LastAttempt is the highest number of an attempt that this owner has started.
+	// LastAttempt returns the highest attempt number that this owner has started.
 	LastAttempt() uint64
-	// Deprovisioned reports whether the cloud has said that a machine is deleted.
+	// Deprovisioned reports whether the cloud has confirmed that a machine is deleted.
 	Deprovisioned(machine string) bool
 	// InAnotherShard reports whether a machine is stored as another shard's.
 	InAnotherShard(machine string) bool
-	// Adopt adds a machine that nobody is known to have provisioned.
+	// Adopt adds a machine that no shard is known to have provisioned, and returns it.
 	Adopt(heartbeat *fleet.Heartbeat) *fleet.Machine
-	// StoreGroup has a group of machines stored soon; urgent: a machine that is up waits for it.
+	// StoreGroup schedules a write of a group of machines. urgent means that a machine which is up cannot
+	// get tasks before the write.
 	StoreGroup(group string, urgent bool)
-	// SendProbe asks a machine directly; OnProbe is called once with the outcome.
+	// SendProbe sends a probe to a machine; the host then calls OnProbe exactly once.
 	SendProbe(probe Probe)
-	// AllReconciled says that what earlier owners started is known: every job may start tasks.
+	// AllReconciled is called once every attempt of earlier owners is known: every job may start tasks
+	// from now on.
 	AllReconciled()
 
 	JobHost
 	IdleHost
 }
 
-// JobHost is what becomes of jobs as their tasks are placed and exit.
+// JobHost is notified of changes to jobs as their tasks are placed and exit.
 type JobHost interface {
-	// Job returns a job, or nil if it is not known or archived.
+	// Job returns a job, or nil if it is unknown or archived.
 	Job(id string) *jobs.Job
-	// AttemptRemoved says that an attempt of a job is on its machine no more; moreReady: its task
-	// may start elsewhere.
+	// AttemptRemoved is called when an attempt of a job is no longer on its machine. moreReady means that
+	// the job has more tasks ready to start than before.
 	AttemptRemoved(job *jobs.Job, moreReady bool)
-	// TaskFailed attributes a failure to the job or the machine.
+	// TaskFailed attributes a task's failure to its job or its machine.
 	TaskFailed(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
-	// TaskSucceeded notes that neither machine nor job made a task fail. The attempt is zero where it
-	// was not known to be on the machine.
+	// TaskSucceeded records that a task completed, so that neither its machine nor its job is at fault.
+	// attempt is the zero value if the attempt was not recorded on the machine.
 	TaskSucceeded(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt)
-	// ObserveRuntime takes in how long a task of a job took.
+	// ObserveRuntime records the run time of a completed task of a job.
 	ObserveRuntime(job *jobs.Job, took units.Microseconds)
-	// TaskCompleted has it stored that a task is completed.
+	// TaskCompleted schedules a write of a task's completion.
 	TaskCompleted(job *jobs.Job, task int)
 }
 
-// Quota counts what may run against the limits of teams.
+// Quota charges attempts that may run to the quotas of their teams.
 type Quota interface {
 	Charge(team string, demand binpack.Vec)
 	Release(team string, demand binpack.Vec)
-	// UnreconciledChanged says that other machines are unreconciled, or the type of one is known.
+	// UnreconciledChanged is called when the set of unreconciled machines has changed, or the type of one
+	// has become known.
 	UnreconciledChanged()
 }
 
-// Config is what a shard's machines are reconciled under.
+// Config holds the settings of a shard's Reconciler.
 type Config struct {
 	Shard        int
 	FencingToken uint64 // of this owner
@@ -82,37 +87,38 @@
 	Log          *slog.Logger
 }
 
-// Reconciler is the machines of one shard and what may run on them.
+// Reconciler holds the machines of one shard and the attempts that may run on them.
 type Reconciler struct {
 	cfg      Config
 	host     Host
 	quota    Quota
 	machines map[string]*fleet.Machine
-	// unreconciled machines may run tasks of earlier owners that are not known.
+	// unreconciled has the machines that may run unknown tasks of earlier owners.
 	unreconciled map[string]bool
-	// unknown machines send heartbeats and are stored nowhere, by since when.
+	// unknown has the machines that send heartbeats though no shard has stored them, with the time of the
+	// first one.
 	unknown map[string]units.Microseconds
 	probes  probes
 	pending pending
 }
 
-// New returns a shard's Reconciler, without machines yet.
+// New returns a Reconciler without machines.
 func New(cfg Config, host Host, quota Quota) *Reconciler {
 	return &Reconciler{cfg: cfg, host: host, quota: quota, machines: map[string]*fleet.Machine{},
 		unreconciled: map[string]bool{}, unknown: map[string]units.Microseconds{}}
 }
 
-// Machines are the shard's machines by name. The map is to be read only.
+// Machines returns the shard's machines by name. The caller must not modify the map.
 func (r *Reconciler) Machines() map[string]*fleet.Machine { return r.machines }
 
-// Machine returns a machine of the shard, or nil.
+// Machine returns a machine of the shard, or nil if the shard has no machine of that name.
 func (r *Reconciler) Machine(name string) *fleet.Machine { return r.machines[name] }
 
-// Unreconciled names the machines on which tasks of earlier owners may run that are not known. The
-// map is to be read only.
+// Unreconciled returns the names of the machines that may run unknown tasks of earlier owners. The caller
+// must not modify the map.
 func (r *Reconciler) Unreconciled() map[string]bool { return r.unreconciled }
 
-// UnreconciledOutside counts the unreconciled machines outside of lost zones.
+// UnreconciledOutside returns the number of unreconciled machines in zones that are not lost.
 func (r *Reconciler) UnreconciledOutside(lost func(zone string) bool) int {
 	outside := 0
 	for name := range r.unreconciled {
@@ -123,7 +129,7 @@
 	return outside
 }
 
-// UpCount counts the machines that have come up and may run tasks.
+// UpCount returns the number of machines that have come up and may run tasks.
 func (r *Reconciler) UpCount() int {
 	up := 0
 	for _, machine := range r.machines {
@@ -134,12 +140,12 @@
 	return up
 }
 
-// Add adds a machine that has not sent a heartbeat to this owner.
+// Add adds a machine that has not sent this owner a heartbeat yet.
 func (r *Reconciler) Add(machine *fleet.Machine) { r.machines[machine.Name] = machine }
 
-// Inherit notes that an earlier owner may have started tasks on a machine, in a response that may
-// have been accepted just before this owner's assignment. transferred: what may run there is known
-// from its snapshot (see Restore).
+// Inherit records that an earlier owner may have started tasks on a machine, in a response that the
+// worker may have accepted just before this owner's assignment. transferred means that the machine's
+// attempts are known from a snapshot (see Restore).
 func (r *Reconciler) Inherit(now units.Microseconds, machine *fleet.Machine, transferred bool) {
 	machine.LeaseEnd = now + r.host.LeaseBound()
 	if !transferred && r.host.Guarded(guard.UnreconciledMachines) {
@@ -148,15 +154,16 @@
 	}
 }
 
-// Snapshot is what an earlier owner knew of a machine when it was the last to own it.
+// Snapshot is the state of a machine as recorded by the shard's previous owner when it released the
+// shard.
 type Snapshot struct {
 	Addr             string
 	Incarnation, Seq uint64 // of the last heartbeat
 	Tasks            []fleet.Task
 }
 
-// Restore takes in what may run on a machine by its last owner's snapshot. What is to stop there is
-// stopped by the response to its next heartbeat.
+// Restore records the attempts of a machine from its previous owner's snapshot. Tasks that must stop are
+// stopped in the response to the machine's next heartbeat.
 func (r *Reconciler) Restore(now units.Microseconds, machine *fleet.Machine, snapshot Snapshot) {
 	machine.Reconciled, machine.Transferred = true, true
 	machine.Addr, machine.Incarnation, machine.Seq = snapshot.Addr, snapshot.Incarnation, snapshot.Seq
@@ -167,7 +174,7 @@
 	}
 }
 
-// SetTypes gives machines their type whose type was not known before.
+// SetTypes sets the type of those machines whose type was not known.
 func (r *Reconciler) SetTypes(types map[string]*fleet.Type) {
 	for _, machine := range r.machines {
 		if machine.Type == nil {
@@ -177,25 +184,25 @@
 	}
 }
 
-// ExpireLease notes that a machine's lease has expired: nothing runs there any more.
+// ExpireLease records that a machine's lease has expired, so that no task runs on it any more.
 func (r *Reconciler) ExpireLease(now units.Microseconds, machine *fleet.Machine) {
 	r.cfg.Log.Info("machine lease expired", "machine", machine.Name, "tasks", len(machine.Tasks))
 	machine.ExpireLease(now, r.host.LastAttempt())
 	r.removeAll(now, machine)
 	if r.host.InAnotherShard(machine.Name) {
-		// It was adopted before another shard's record of it was known.
+		// The machine was adopted before another shard's record of it was known.
 		delete(r.machines, machine.Name)
 		r.host.StoreGroup(machine.Group, false)
 	}
 }
 
-// Deprovision removes a machine that the cloud has deleted, with all that ran on it.
+// Deprovision removes a machine that the cloud has deleted, together with its attempts.
 func (r *Reconciler) Deprovision(now units.Microseconds, machine *fleet.Machine) {
 	r.removeAll(now, machine)
 	delete(r.machines, machine.Name)
 }
 
-// removeAll notes that nothing runs on a machine, which is certain.
+// removeAll removes all attempts of a machine on which certainly no task runs any more.
 func (r *Reconciler) removeAll(now units.Microseconds, machine *fleet.Machine) {
 	for _, id := range machine.TaskIDs() {
 		r.Remove(now, machine, id)
@@ -203,7 +210,7 @@
 	r.MarkReconciled(now, machine)
 }
 
-// MarkReconciled notes that all that may run on a machine is known.
+// MarkReconciled records that every attempt that may run on a machine is known.
 func (r *Reconciler) MarkReconciled(now units.Microseconds, machine *fleet.Machine) {
 	machine.Reconciled = true
 	if !r.unreconciled[machine.Name] {
@@ -217,7 +224,7 @@
 	}
 }
 
-// Place notes that an attempt may be on a machine.
+// Place records that an attempt may be on a machine, and charges it to its team's quota.
 func (r *Reconciler) Place(machine *fleet.Machine, id jobs.TaskID, attempt fleet.Attempt) {
 	if replaced, ok := machine.Tasks[id]; ok {
 		r.quota.Release(replaced.Team, replaced.Demand)
@@ -226,7 +233,7 @@
 	r.quota.Charge(attempt.Team, attempt.Demand)
 }
 
-// Remove notes that a task is on its machine no more.
+// Remove records that a task is no longer on a machine, and releases its quota.
 func (r *Reconciler) Remove(now units.Microseconds, machine *fleet.Machine, id jobs.TaskID) {
 	attempt, ok := machine.Tasks[id]
 	if !ok {
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	token  = 7 // of the owner under test
+	token  = 7 // fencing token of the owner under test
 	lease  = 10 * units.Second
 	second = units.Second
 )
 
-// fakeOwner is the owner of a shard and its quotas; it embeds what most tests do not call.
+// fakeOwner implements Host and Quota. The embedded Host stands for methods that most tests do not call.
 type fakeOwner struct {
 	Host
 	reconciler    *Reconciler
 	jobs          map[string]*jobs.Job
 	deprovisioned map[string]bool
-	skipped       guard.Guard
+	disabled      guard.Guard
 	used          binpack.Vec
 	lastAttempt   uint64
 	probes        []Probe
-	stored        []string // groups
+	stored        []string // names of groups
 	completed     []int
 	answered      []RequestID
-	work          []fleet.Command // for the next machine that is filled
+	work          []fleet.Command // result of the next call of Fill
 	newWork       bool
-	reconciled    int // calls of AllReconciled
+	reconciled    int // number of calls of AllReconciled
 }
 
-// newOwner returns the owner of a shard with the machine n-1 and a job of three tasks. Its machine
-// is unreconciled unless transferred.
+// newOwner returns the owner of a shard with the machine n-1 and a job of three tasks. The machine is
+// unreconciled unless transferred is set.
 func newOwner(t *testing.T, transferred bool) (*fakeOwner, *fleet.Machine) {
 	t.Helper()
 	owner := &fakeOwner{jobs: map[string]*jobs.Job{}, deprovisioned: map[string]bool{}}
@@ -56,7 +56,7 @@
 	return owner, machine
 }
 
-func (o *fakeOwner) Guarded(check guard.Guard) bool    { return o.skipped != check }
+func (o *fakeOwner) Guarded(check guard.Guard) bool    { return o.disabled != check }
 func (*fakeOwner) Assignment() uint64                  { return 3 }
 func (*fakeOwner) LeaseBound() units.Microseconds      { return lease }
 func (o *fakeOwner) LastAttempt() uint64               { return o.lastAttempt }
@@ -92,7 +92,7 @@
 	o.answered = append(o.answered, request)
 }
 
-// place starts a task on a machine, as the scheduler does.
+// place starts a task on a machine as the scheduler does.
 func (o *fakeOwner) place(machine *fleet.Machine, attempt uint64) jobs.TaskID {
 	job := o.jobs["wk-000001"]
 	id := jobs.TaskID{Job: job.ID, Task: job.PlaceNext(jobs.Place{Machine: machine.Name, Attempt: attempt, Zone: "z"})}
@@ -100,13 +100,13 @@
 	return id
 }
 
-// heartbeat is one of n-1 that shows some tasks.
+// heartbeat returns a heartbeat of n-1 that reports the given tasks.
 func heartbeat(seq, fencingToken uint64, tasks ...fleet.Task) *fleet.Heartbeat {
 	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, ReclaimIn: units.Never, Tasks: tasks}
 }
 
-// TestAdmission has heartbeats come that an owner must not take in, each for its reason, and an
-// unknown machine that is adopted once nobody has stored it for a while.
+// TestAdmission checks that heartbeats which must not change any state are refused with the right
+// outcome, and that an unknown machine is adopted once no shard has stored it for AdoptAfter.
 func TestAdmission(t *testing.T) {
 	owner, _ := newOwner(t, true)
 	owner.deprovisioned["n-2"] = true
@@ -136,19 +136,20 @@
 		owner.reconciler.Admit(second, &fleet.Heartbeat{Machine: fmt.Sprint(i)}, false)
 	}
 	if len(owner.reconciler.unknown) != MaxUnknown {
-		t.Errorf("%d unknown machines are remembered", len(owner.reconciler.unknown))
+		t.Errorf("%d unknown machines remembered", len(owner.reconciler.unknown))
 	}
 }
 
-// TestWhatAHeartbeatProves has a start that the worker's list does not show. Only a heartbeat under
-// this owner's token says that it was never carried out; every accepted one renews the lease, and
-// one that is older than the last changes nothing.
-func TestWhatAHeartbeatProves(t *testing.T) {
+// TestMissingTaskNeedsConfirmedToken guards against dropping a started task too early. A start was sent
+// that the worker's heartbeat does not show. Only a heartbeat under this owner's token proves that the
+// start was not carried out. Every heartbeat except a stale one renews the lease; a stale one changes
+// nothing.
+func TestMissingTaskNeedsConfirmedToken(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		seq      uint64
 		token    uint64
-		standing HeartbeatStatus
+		status   HeartbeatStatus
 		placed   int
 		leaseEnd units.Microseconds
 	}{
@@ -160,8 +161,8 @@
 		owner.reconciler.Accept(2*second, heartbeat(2, token))
 		owner.place(machine, 5)
 		accepted := owner.reconciler.Accept(3*second, heartbeat(test.seq, test.token))
-		if placed := owner.jobs["wk-000001"].Placed(); accepted.Status != test.standing || placed != test.placed || machine.LeaseEnd != test.leaseEnd {
-			t.Errorf("%s: standing %v, %d placed, lease until %v", test.name, accepted.Status, placed, machine.LeaseEnd)
+		if placed := owner.jobs["wk-000001"].Placed(); accepted.Status != test.status || placed != test.placed || machine.LeaseEnd != test.leaseEnd {
+			t.Errorf("%s: status %v, %d placed, lease until %v", test.name, accepted.Status, placed, machine.LeaseEnd)
 		}
 		if want := (binpack.Vec{int64(1000 * test.placed)}); owner.used != want {
 			t.Errorf("%s: %v in use, want %v", test.name, owner.used, want)
@@ -169,10 +170,10 @@
 	}
 }
 
-// TestTasksOfAHeartbeat has a machine show tasks of an earlier owner, one that is unknown, and one
-// that has completed: the first is adopted, the second stopped, the third kept there until it is
-// stored as completed, and forgotten then.
-func TestTasksOfAHeartbeat(t *testing.T) {
+// TestHeartbeatTasksOfEarlierOwner has a machine report a running task of an earlier owner, a task of an
+// unknown job, and a completed task. The first must be adopted and the second stopped. The third must be
+// kept on the machine until its completion is stored, and forgotten then.
+func TestHeartbeatTasksOfEarlierOwner(t *testing.T) {
 	owner, machine := newOwner(t, false)
 	job := owner.jobs["wk-000001"]
 	running := fleet.Task{ID: jobs.TaskID{Job: job.ID}, Attempt: 2, State: fleet.Running}
@@ -184,29 +185,29 @@
 		t.Errorf("commands %+v", accepted.Commands)
 	}
 	if place, placed := job.Place(0); !placed || place.Machine != "n-1" || place.Attempt != 2 || !machine.Tasks[running.ID].Adopted {
-		t.Errorf("the running task is at %+v", place)
+		t.Errorf("running task placed at %+v", place)
 	}
 	if !slices.Equal(owner.completed, []int{1}) || owner.reconciled != 1 || len(owner.reconciler.Unreconciled()) != 0 {
 		t.Errorf("completed %v, reconciled %d times", owner.completed, owner.reconciled)
 	}
 	if again := owner.reconciler.Accept(2*second, heartbeat(2, token, running, done)); len(again.Commands) != 0 || len(owner.completed) != 1 {
-		t.Errorf("shown again: commands %+v, completed %v", again.Commands, owner.completed)
+		t.Errorf("reported again: commands %+v, completed %v", again.Commands, owner.completed)
 	}
 	if err := job.LoadProgress(0, jobs.ProgressLayout{TasksPerRecord: 256}, jobs.Progress{Tasks: "1"}); err != nil {
 		t.Fatal(err)
 	}
 	want = []fleet.Command{{Op: fleet.Forget, ID: done.ID, Attempt: done.Attempt}}
 	if stored := owner.reconciler.Accept(3*second, heartbeat(3, token, running, done)); !slices.Equal(stored.Commands, want) {
-		t.Errorf("once it is stored: commands %+v", stored.Commands)
+		t.Errorf("after the completion is stored: commands %+v", stored.Commands)
 	}
 }
 
-// TestExpiredAttemptsOfALateHeartbeat has a machine's lease expire, and then a heartbeat come that a
-// partition has held back: what it shows has ended with the lease.
-func TestExpiredAttemptsOfALateHeartbeat(t *testing.T) {
-	for skipped, want := range map[guard.Guard]int{guard.None: 0, guard.ExpiredAttempts: 1} {
+// TestDelayedHeartbeatAfterLeaseExpiry guards against restoring tasks that ended with their machine's
+// lease, when a heartbeat that a network partition delayed still reports them.
+func TestDelayedHeartbeatAfterLeaseExpiry(t *testing.T) {
+	for disabled, want := range map[guard.Guard]int{guard.None: 0, guard.ExpiredAttempts: 1} {
 		owner, machine := newOwner(t, true)
-		owner.skipped, owner.lastAttempt = skipped, 5
+		owner.disabled, owner.lastAttempt = disabled, 5
 		id := owner.place(machine, 5)
 		owner.reconciler.ExpireLease(lease, machine)
 		if owner.jobs[id.Job].Placed() != 0 || machine.Schedulable() {
@@ -214,13 +215,13 @@
 		}
 		owner.reconciler.Accept(lease+second, heartbeat(1, token, fleet.Task{ID: id, Attempt: 5, State: fleet.Running}))
 		if placed := owner.jobs[id.Job].Placed(); placed != want {
-			t.Errorf("guard %d left out: %d placed, want %d", skipped, placed, want)
+			t.Errorf("guard %d disabled: %d placed, want %d", disabled, placed, want)
 		}
 	}
 }
 
-// TestTaskOnTwoMachines has a machine show a task that was started elsewhere: it stops there, and
-// counts where it was started.
+// TestTaskOnTwoMachines has a machine report a task that was started on another machine. The machine must
+// stop it, and the task must stay placed where it was started.
 func TestTaskOnTwoMachines(t *testing.T) {
 	owner, machine := newOwner(t, true)
 	other := fleet.New("n-2", machine.Record, machine.Type, 0)
@@ -231,13 +232,14 @@
 		t.Errorf("commands %+v", accepted.Commands)
 	}
 	if place, _ := owner.jobs[id.Job].Place(id.Task); place.Machine != "n-2" {
-		t.Errorf("the task is at %+v", place)
+		t.Errorf("task placed at %+v", place)
 	}
 }
 
-// TestProbes probes unreconciled machines after a while, at most twice each and a few at a time. An
-// answer under this owner's token reconciles; after both were in vain probes are exhausted.
-func TestProbes(t *testing.T) {
+// TestProbesOfUnreconciledMachines checks that unreconciled machines are probed after probeAfter, at most
+// maxProbesPerMachine times each and maxProbesInFlight at once. An answer under this owner's token
+// reconciles its machine; without answers the probes are exhausted.
+func TestProbesOfUnreconciledMachines(t *testing.T) {
 	owner, machine := newOwner(t, false)
 	machine.Addr = "n-1:1"
 	for i := range maxProbesInFlight + 2 {
@@ -248,7 +250,7 @@
 	}
 	owner.reconciler.SendProbes(probeAfter - 1)
 	if len(owner.probes) != 0 {
-		t.Fatal("probed at once")
+		t.Fatal("probed before probeAfter")
 	}
 	owner.reconciler.SendProbes(probeAfter)
 	if len(owner.probes) != maxProbesInFlight || owner.probes[0] != (Probe{Assignment: 3, Machine: "n-1", Addr: "n-1:1", FencingToken: token, Incarnation: 1}) {
@@ -256,7 +258,7 @@
 	}
 	owner.reconciler.OnProbe(probeAfter, owner.probes[0], store.OK, heartbeat(1, token))
 	if !machine.Reconciled || machine.LeaseEnd != lease {
-		t.Errorf("reconciled %v, lease until %v: a probe renews none", machine.Reconciled, machine.LeaseEnd)
+		t.Errorf("reconciled %v, lease until %v: a probe must reconcile and renew no lease", machine.Reconciled, machine.LeaseEnd)
 	}
 	answered := 1
 	for now := probeAfter; now < 10*second; now += second / 20 {
@@ -270,8 +272,9 @@
 	}
 }
 
-// TestPendingHeartbeats keeps heartbeats of idle machines: work that comes is offered to the
-// preferred machine first, and one that has waited for long enough is answered without.
+// TestPendingHeartbeats holds heartbeats of idle machines. New work must be offered to the preferred
+// machine first, a heartbeat held for maxPendingTime must be answered without work, and the number held
+// must be limited.
 func TestPendingHeartbeats(t *testing.T) {
 	owner, machine := newOwner(t, true)
 	owner.reconciler.Accept(second, heartbeat(1, token))
@@ -279,12 +282,12 @@
 	owner.reconciler.Add(other)
 	other.Reconciled = true
 	if !owner.reconciler.HoldIdle(second, 1, machine) || !owner.reconciler.HoldIdle(second, 2, other) {
-		t.Fatal("not kept")
+		t.Fatal("heartbeat of an idle machine not held")
 	}
 	busy := fleet.New("n-2", machine.Record, machine.Type, 0)
 	busy.Reconciled, busy.ReportedTasks = true, 1
 	if owner.reconciler.HoldIdle(second, 3, busy) {
-		t.Error("kept the heartbeat of a machine that lists a task")
+		t.Error("held the heartbeat of a machine that reports a task")
 	}
 	owner.newWork, owner.work = true, []fleet.Command{{Op: fleet.Start}}
 	owner.reconciler.OfferWork(second, true)
@@ -301,13 +304,13 @@
 		t.Errorf("answered %v", owner.answered)
 	}
 	owner.reconciler.Postpone(second, 4)
-	if taken := owner.reconciler.DrainPending(); !slices.Equal(taken, []RequestID{4}) || len(owner.reconciler.DrainPending()) != 0 {
-		t.Errorf("taken %v", taken)
+	if drained := owner.reconciler.DrainPending(); !slices.Equal(drained, []RequestID{4}) || len(owner.reconciler.DrainPending()) != 0 {
+		t.Errorf("drained %v", drained)
 	}
 	for i := range MaxPending {
 		owner.reconciler.HoldIdle(second, RequestID(i), machine)
 	}
 	if owner.reconciler.MayPostpone() || owner.reconciler.HoldIdle(second, 9, machine) {
-		t.Error("no bound on pending heartbeats")
+		t.Error("number of pending heartbeats is not limited")
 	}
 }
