--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -12,121 +12,123 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Host is the shard whose machines are watched.
+// Host is the shard whose machines are monitored.
 type Host interface {
-	// Machines are those of the shard, by name.
+	// Machines returns the shard's machines by name.
 	Machines() map[string]*fleet.Machine
-	// Unreconciled are those of them on which tasks of earlier owners may run.
+	// Unreconciled returns the names of the machines that may run unknown tasks of earlier owners.
 	Unreconciled() map[string]bool
-	// ProbesExhausted reports whether each unreconciled machine has been probed as often as any is,
-	// in vain.
+	// ProbesExhausted reports whether every unreconciled machine has been sent the maximum number of
+	// probes without a usable answer.
 	ProbesExhausted() bool
-	// LeaseExpired says that a machine's lease has expired: nothing runs there any more. It may
+	// LeaseExpired is called when a machine's lease has expired: no task runs there any more. It may
 	// remove the machine from Machines, and must not call the Detector.
 	LeaseExpired(machine *fleet.Machine)
 }
 
-// Config says which machines are unresponsive.
+// Config holds the settings of a shard's Detector.
 type Config struct {
 	HeartbeatInterval units.Microseconds
-	OwnedSince        units.Microseconds // when the shard was acquired
+	OwnedSince        units.Microseconds // time at which the shard was acquired
 	Zones             []string
 	Log               *slog.Logger
 }
 
-// Detector is the failure detection of a shard's machines. It owns what is suspected of zones; the
-// machines are their shard's.
+// Detector is the failure detector of one shard's machines. It owns its suspicions about zones; the
+// machines belong to the shard.
 type Detector struct {
 	cfg         Config
 	host        Host
 	provisioner *provisioner.Provisioner
 	zones       *zones.View
-	// suspectAt is when most machines of a zone were last unresponsive, so that rather this node
-	// than they may be unreachable.
+	// suspectAt is the time, by zone, at which too few of the zone's machines were last responsive, so
+	// that this controller may be the unreachable one.
 	suspectAt map[string]units.Microseconds
 }
 
-// New returns the Detector of a shard that was just acquired. Machines that are given up go to the
-// Provisioner.
+// New returns the Detector of a shard that was just acquired. It passes machines that it gives up on to
+// machineProvisioner, which deprovisions them.
 func New(cfg Config, host Host, machineProvisioner *provisioner.Provisioner, view *zones.View) *Detector {
 	return &Detector{cfg: cfg, host: host, provisioner: machineProvisioner, zones: view, suspectAt: map[string]units.Microseconds{}}
 }
 
 const (
-	// responsiveWeight is how many unresponsive machines one responsive machine outweighs.
+	// responsiveWeight is the number of unresponsive machines that one responsive machine outweighs.
 	responsiveWeight = 4
-	// noticeGrace is how long after its notice a machine may still send heartbeats.
+	// noticeGrace is the time after its announced reclaim for which a machine may still send heartbeats.
 	noticeGrace = units.Second / 2
-	// probeGrace is how long, beside the time of a heartbeat, unreconciled machines have to answer.
+	// probeGrace is the time that unreconciled machines have to answer probes, in addition to
+	// HeartbeatDeadline.
 	probeGrace = units.Second
 )
 
-// timeout is how long a machine may be without a heartbeat before it is unresponsive.
+// timeout returns the time without a heartbeat after which a machine is unresponsive.
 func (d *Detector) timeout() units.Microseconds { return 2*d.cfg.HeartbeatInterval + 2*units.Second }
 
 func byName(a, b *fleet.Machine) int { return strings.Compare(a.Name, b.Name) }
 
-// scanResult is what one look at all machines has found.
+// scanResult is the result of one scan of all machines.
 type scanResult struct {
-	expired      []*fleet.Machine // leases
+	expired      []*fleet.Machine // machines whose lease has expired
 	unresponsive []*fleet.Machine
-	responsive   map[string]int // machines, by zone
+	responsive   map[string]int // number of responsive machines by zone
 	zones        map[string]zones.Count
 }
 
-// Sweep looks at all machines, a few times a second, and acts on those that are unresponsive.
+// Sweep checks all machines, and handles expired leases and unresponsive machines. It is called a few
+// times a second.
 func (d *Detector) Sweep(now units.Microseconds) {
-	seen := d.scan(now)
-	d.zones.Update(seen.zones)
-	slices.SortFunc(seen.expired, byName)
-	slices.SortFunc(seen.unresponsive, byName)
-	for _, machine := range seen.expired {
+	result := d.scan(now)
+	d.zones.Update(result.zones)
+	slices.SortFunc(result.expired, byName)
+	slices.SortFunc(result.unresponsive, byName)
+	for _, machine := range result.expired {
 		d.host.LeaseExpired(machine)
 	}
 	d.deprovisionUnlisted()
 	d.deprovisionLastUnreconciled(now)
 	if d.provisioner.Ready(now) {
-		d.deprovisionUnresponsive(now, seen)
+		d.deprovisionUnresponsive(now, result)
 		d.provisioner.Flush()
 	}
 }
 
-// scan looks at all machines.
+// scan checks the lease and the last heartbeat of every machine.
 func (d *Detector) scan(now units.Microseconds) scanResult {
-	seen := scanResult{responsive: map[string]int{}, zones: map[string]zones.Count{}}
+	result := scanResult{responsive: map[string]int{}, zones: map[string]zones.Count{}}
 	timeout, deadline := d.timeout(), HeartbeatDeadline(d.cfg.HeartbeatInterval)
 	for _, machine := range d.host.Machines() {
 		zone := machine.Record.Zone
 		responsive := machine.LastSeen != 0 && now-machine.LastSeen < deadline
 		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.ReclaimAt == units.Never {
-			count := seen.zones[zone]
+			count := result.zones[zone]
 			count.Up++
 			if responsive {
 				count.Responsive++
 			}
-			seen.zones[zone] = count
+			result.zones[zone] = count
 		}
 		switch {
 		case machine.LeaseEnd == 0:
 		case now >= machine.LeaseEnd:
-			seen.expired = append(seen.expired, machine)
+			result.expired = append(result.expired, machine)
 		case machine.Deprovisioning:
 		case machine.ReclaimAt != units.Never:
 			if now > machine.ReclaimAt+noticeGrace {
-				seen.unresponsive = append(seen.unresponsive, machine)
+				result.unresponsive = append(result.unresponsive, machine)
 			}
 		case responsive:
-			seen.responsive[zone]++
+			result.responsive[zone]++
 		case now-max(machine.LastSeen, d.cfg.OwnedSince) > timeout:
-			seen.unresponsive = append(seen.unresponsive, machine)
+			result.unresponsive = append(result.unresponsive, machine)
 		}
 	}
-	return seen
+	return result
 }
 
-// deprovisionLastUnreconciled gives up the last few unreconciled machines that do not answer. All work
-// accepted earlier waits for them. Most likely they are deleted: what they may run is worth less
-// than what waits.
+// deprovisionLastUnreconciled deprovisions the last few unreconciled machines if they do not answer. All
+// work accepted earlier waits for them. Most likely they have been deleted, and the tasks that they may
+// still run are worth less than the work that waits.
 func (d *Detector) deprovisionLastUnreconciled(now units.Microseconds) {
 	machines, unreconciled := d.host.Machines(), d.host.Unreconciled()
 	if len(unreconciled) == 0 || len(unreconciled) > provisioner.MaxEarlyDeprovisions(len(machines)) {
@@ -144,10 +146,11 @@
 	}
 }
 
-// deprovisionUnlisted gives up the machines of earlier owners that the cloud does not list any more and
-// that have sent no heartbeat. Without an address they cannot be probed, and there may be many:
-// while the state service is away, an owner cannot store which it deprovisions. Were a list to lack
-// most machines, the list would be at fault (TestMachineThatIsGoneIsNotWaitedFor).
+// deprovisionUnlisted deprovisions machines of earlier owners that have sent no heartbeat and that the
+// cloud no longer lists. Without an address they cannot be probed. There may be many of them, because an
+// owner cannot store which machines it deprovisions while the state service is unavailable. If a list
+// lacks more than half of the machines, the list is assumed to be at fault
+// (TestMachineThatIsGoneIsNotWaitedFor).
 func (d *Detector) deprovisionUnlisted() {
 	var unlisted []*fleet.Machine
 	machines := d.host.Machines()
@@ -159,37 +162,39 @@
 	if len(unlisted) == 0 || 2*len(unlisted) > len(machines) {
 		return
 	}
-	d.cfg.Log.Warn("unreconciled machines are not on the cloud's list", "machines", len(unlisted))
+	d.cfg.Log.Warn("unreconciled machines are missing from the cloud's machine list", "machines", len(unlisted))
 	for _, machine := range unlisted {
 		d.provisioner.Deprovision(machine)
 	}
 }
 
-// deprovisionUnresponsive gives up machines: once the cloud has said that they are deleted their tasks
-// may start elsewhere, long before their lease would have expired. A machine whose notice has
-// expired is expected to be deleted. Any other is given up only while enough machines of its zone
-// are responsive: otherwise it is more likely this node that cannot be reached. They need not be
-// most: when the greater part of a zone's spot machines was reclaimed while controllers were down,
-// work accepted earlier waited for the leases of the deleted ones (TestSilentZone).
-func (d *Detector) deprovisionUnresponsive(now units.Microseconds, seen scanResult) {
-	count := map[string]int{} // unresponsive without notice, by zone
-	for _, machine := range seen.unresponsive {
+// deprovisionUnresponsive deprovisions unresponsive machines. Once the cloud has confirmed that they are
+// deleted, their tasks may start elsewhere, long before their leases would have expired.
+//
+// A machine that is past its reclaim notice is expected to be deleted. Any other machine is deprovisioned
+// only while enough machines of its zone are responsive: otherwise it is more likely that this controller
+// is unreachable. Responsive machines need not be the majority. When most of a zone's spot machines were
+// reclaimed while the controllers were down, work accepted earlier had to wait for the leases of the
+// deleted machines (TestSilentZone).
+func (d *Detector) deprovisionUnresponsive(now units.Microseconds, result scanResult) {
+	count := map[string]int{} // unresponsive machines without a reclaim notice, by zone
+	for _, machine := range result.unresponsive {
 		if machine.ReclaimAt == units.Never {
 			count[machine.Record.Zone]++
 		}
 	}
-	outweighed := func(zone string) bool { return responsiveWeight*seen.responsive[zone] > count[zone] }
+	enoughResponsive := func(zone string) bool { return responsiveWeight*result.responsive[zone] > count[zone] }
 	for _, zone := range d.cfg.Zones {
-		// After a network partition the first machines that respond again do not speak against those
-		// that are about to: the zone must have been responsive for a while.
-		if !outweighed(zone) {
+		// After a network partition, the first machines that respond again are no evidence against those
+		// that are about to. So the zone must have been responsive for a while.
+		if !enoughResponsive(zone) {
 			d.suspectAt[zone] = now
 		}
 	}
 	timeout := d.timeout()
-	for _, machine := range seen.unresponsive {
+	for _, machine := range result.unresponsive {
 		zone, reclaimed := machine.Record.Zone, machine.ReclaimAt != units.Never
-		if reclaimed || outweighed(zone) && now-d.suspectAt[zone] > timeout {
+		if reclaimed || enoughResponsive(zone) && now-d.suspectAt[zone] > timeout {
 			d.cfg.Log.Warn("machine unresponsive", "machine", machine.Name, "tasks", len(machine.Tasks), "notice", reclaimed)
 			d.provisioner.Deprovision(machine)
 		}
--- a/internal/core/liveness/reachability_test.go
+++ b/internal/core/liveness/reachability_test.go
@@ -6,19 +6,21 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestUnreachable has a controller go without heartbeats. Of many machines a short while without
-// tells; of few, or before any heartbeat came, it takes two intervals. A controller that has released
-// its shards for that does so again only where another is known to be reachable, or much later.
-func TestUnreachable(t *testing.T) {
+// TestShouldReleaseShards has a controller receive no heartbeats. With many machines a short time is
+// evidence enough that it is unreachable; with few, or before the first heartbeat, it takes two
+// intervals. A controller that has released its shards for this reason must do so again only if another
+// is known to be reachable, or much later: otherwise the leases of deleted machines would not
+// expire under one owner.
+func TestShouldReleaseShards(t *testing.T) {
 	const interval, lease = 4 * units.Second, 10 * units.Second
 	for _, test := range []struct {
-		name       string
-		quietFor   units.Microseconds
-		heartbeat  bool
-		up         int
-		releasedAt units.Microseconds // before
-		peer       bool
-		want       bool
+		name           string
+		noHeartbeatFor units.Microseconds
+		heartbeat      bool
+		up             int
+		releasedAt     units.Microseconds // time of an earlier release; 0 for none
+		peer           bool
+		want           bool
 	}{
 		{"a heartbeat's time", 2 * units.Second, true, manyMachines, 0, true, false},
 		{"many machines, at the bound", 3 * units.Second, true, manyMachines, 0, true, false},
@@ -27,8 +29,8 @@
 		{"no heartbeat yet", 3*units.Second + TickInterval, false, manyMachines, 0, true, false},
 		{"few machines, for long", 9*units.Second + TickInterval, true, 1, 0, true, true},
 		{"no machine", 100 * units.Second, true, 0, 0, true, false},
-		{"released lately, nobody better off", 100 * units.Second, true, 1, 50 * units.Second, false, false},
-		{"released lately, another reachable", 100 * units.Second, true, 1, 50 * units.Second, true, true},
+		{"released recently, no reachable peer", 100 * units.Second, true, 1, 50 * units.Second, false, false},
+		{"released recently, reachable peer", 100 * units.Second, true, 1, 50 * units.Second, true, true},
 		{"released not quite long ago", 100 * units.Second, true, 1, 20*units.Second + 1, false, false},
 		{"released long ago", 100 * units.Second, true, 1, 20 * units.Second, false, true},
 	} {
@@ -42,37 +44,39 @@
 			reachability.HeartbeatAccepted()
 		}
 		now := units.Microseconds(0)
-		for ; now < test.quietFor; now += TickInterval {
+		for ; now < test.noHeartbeatFor; now += TickInterval {
 			reachability.Tick(now + TickInterval)
 		}
 		if test.releasedAt > 0 {
 			now = 100 * units.Second
 		}
 		if got := reachability.ShouldReleaseShards(now, test.up, func() bool { return test.peer }); got != test.want {
-			t.Errorf("%s: unreachable %v", test.name, got)
+			t.Errorf("%s: should release shards: %v", test.name, got)
 		}
 	}
 }
 
-// TestTimeThatANodeStoodStill says nothing of the workers: a single late tick does not count whole.
-func TestTimeThatANodeStoodStill(t *testing.T) {
+// TestPausedProcessStaysReachable guards against counting the time for which the process was paused: a
+// single late tick must not make the controller release its shards.
+func TestPausedProcessStaysReachable(t *testing.T) {
 	reachability := NewReachability(4*units.Second, 10*units.Second)
 	reachability.Tick(units.Second)
 	reachability.Tick(100 * units.Second)
 	if reachability.ShouldReleaseShards(100*units.Second, 1, func() bool { return true }) {
-		t.Error("one late tick made this node unreachable")
+		t.Error("one late tick made the controller release its shards")
 	}
 }
 
-// TestUnreachableNow ends with the first heartbeat, or after a while.
-func TestUnreachableNow(t *testing.T) {
+// TestUnreachableAfterRelease checks that a controller which released its shards counts as unreachable
+// until the first heartbeat, or until unreachableFor has passed.
+func TestUnreachableAfterRelease(t *testing.T) {
 	reachability := NewReachability(4*units.Second, 10*units.Second)
 	reachability.ShardsReleased(units.Second)
 	if !reachability.Unreachable(2*units.Second) || reachability.Unreachable(units.Second+unreachableFor) {
-		t.Error("unreachable for another time than unreachableFor")
+		t.Error("does not count as unreachable for exactly unreachableFor")
 	}
 	reachability.HeartbeatReceived()
 	if reachability.Unreachable(2 * units.Second) {
-		t.Error("unreachable in spite of a heartbeat")
+		t.Error("still unreachable after a heartbeat")
 	}
 }
--- a/internal/core/zones/zones_test.go
+++ b/internal/core/zones/zones_test.go
@@ -11,100 +11,101 @@
 )
 
 const (
-	every = 6 * units.Second
-	step  = units.Second / 20
+	interval = 6 * units.Second
+	tick     = units.Second / 20
 )
 
-// yard is machines of some zones that report to one controller, which sees what a holder
-// sees of them.
-type yard struct {
-	p     *View
-	now   units.Microseconds
-	cut   map[string]bool
-	peers map[string][2]int // other controllers of each zone, and those that are heard
-	last  map[string][]units.Microseconds
+// fakeCluster simulates machines in several zones that send heartbeats to one controller, which owns
+// their shards.
+type fakeCluster struct {
+	view          *View
+	now           units.Microseconds
+	partitioned   map[string]bool
+	controllers   map[string][2]int // by zone: other controllers, and how many of them are alive
+	lastHeartbeat map[string][]units.Microseconds
 }
 
-func newYard(zones ...string) *yard {
-	yard := &yard{cut: map[string]bool{}, peers: map[string][2]int{}, last: map[string][]units.Microseconds{}}
-	yard.p = New(Config{Zones: zones, Home: zones[0], HeartbeatInterval: every, Log: slog.New(slog.DiscardHandler)})
-	return yard
+func newCluster(zones ...string) *fakeCluster {
+	cluster := &fakeCluster{partitioned: map[string]bool{}, controllers: map[string][2]int{}, lastHeartbeat: map[string][]units.Microseconds{}}
+	cluster.view = New(Config{Zones: zones, Home: zones[0], HeartbeatInterval: interval, Log: slog.New(slog.DiscardHandler)})
+	return cluster
 }
 
-// add has n machines of a zone up, which report one after the other.
-func (yard *yard) add(zone string, n int) {
+// add adds n machines to a zone whose heartbeats are spread evenly over the interval.
+func (cluster *fakeCluster) add(zone string, n int) {
 	for i := range n {
-		yard.last[zone] = append(yard.last[zone], yard.now-every+every*units.Microseconds(i)/units.Microseconds(n))
+		cluster.lastHeartbeat[zone] = append(cluster.lastHeartbeat[zone], cluster.now-interval+interval*units.Microseconds(i)/units.Microseconds(n))
 	}
 }
 
-// pass lets time pass.
-func (yard *yard) pass(d units.Microseconds, seen func()) {
-	for end := yard.now + d; yard.now < end; {
-		yard.now += step
-		yard.p.Tick(yard.now)
+// advance advances the time tick by tick, and calls check, unless nil, after each tick.
+func (cluster *fakeCluster) advance(d units.Microseconds, check func()) {
+	for end := cluster.now + d; cluster.now < end; {
+		cluster.now += tick
+		cluster.view.Tick(cluster.now)
 		counts := map[string]Count{}
-		for z, list := range yard.last {
+		for z, list := range cluster.lastHeartbeat {
 			c := Count{Up: len(list)}
 			for i, at := range list {
-				if yard.now-at >= every && !yard.cut[z] {
-					list[i] = yard.now
-					yard.p.HeartbeatReceived(z)
+				if cluster.now-at >= interval && !cluster.partitioned[z] {
+					list[i] = cluster.now
+					cluster.view.HeartbeatReceived(z)
 				}
-				if yard.now-list[i] < 3*every/2 {
+				if cluster.now-list[i] < 3*interval/2 {
 					c.Responsive++
 				}
 			}
 			counts[z] = c
 		}
-		for z, n := range yard.peers {
-			yard.p.SetControllers(z, n[0], n[1])
+		for z, n := range cluster.controllers {
+			cluster.view.SetControllers(z, n[0], n[1])
 		}
-		if (yard.now/step)%5 == 0 {
-			yard.p.Update(counts)
+		if (cluster.now/tick)%5 == 0 {
+			cluster.view.Update(counts)
 		}
-		if seen != nil {
-			seen()
+		if check != nil {
+			check()
 		}
 	}
 }
 
-// Any history of cuts: a zone that is heard is never in doubt, one that is not is lost in
-// time, nothing is rented into it, and once heard it comes back at once and is trusted
-// after a time that is bounded.
-func TestHistories(t *testing.T) {
+// TestRandomPartitions applies random partitions of zones. A zone that sends heartbeats must never be
+// suspect, and one that is cut off must be lost in bounded time with no machine scaled out into it. Once
+// it responds again it must recover at once, and be trusted after a bounded time.
+func TestRandomPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
-		yard := newYard(names...)
+		cluster := newCluster(names...)
 		for _, z := range names {
-			yard.add(z, rapid.IntRange(12, 80).Draw(t, "machines"))
+			cluster.add(z, rapid.IntRange(12, 80).Draw(t, "machines"))
 		}
-		yard.pass(2*every, nil)
+		cluster.advance(2*interval, nil)
 		since := map[string]units.Microseconds{}
 		for range rapid.IntRange(1, 6).Draw(t, "cuts") {
 			z := rapid.SampledFrom(names).Draw(t, "zone")
-			whole := 0
+			connected := 0
 			for _, n := range names {
-				if n != z && !yard.cut[n] {
-					whole++
+				if n != z && !cluster.partitioned[n] {
+					connected++
 				}
 			}
-			if whole == 2 || yard.cut[z] { // one at a time: with two of three gone nobody can tell
-				yard.cut[z] = !yard.cut[z]
-				since[z] = yard.now
+			// One at a time: with two of three zones cut off the evidence is ambiguous.
+			if connected == 2 || cluster.partitioned[z] {
+				cluster.partitioned[z] = !cluster.partitioned[z]
+				since[z] = cluster.now
 			}
-			yard.pass(units.Microseconds(rapid.IntRange(1, 90).Draw(t, "seconds"))*units.Second, func() {
+			cluster.advance(units.Microseconds(rapid.IntRange(1, 90).Draw(t, "seconds"))*units.Second, func() {
 				for _, n := range names {
-					quiet, s := yard.now-since[n], yard.p.State(n)
+					elapsed, s := cluster.now-since[n], cluster.view.State(n)
 					switch {
-					case yard.cut[n] && quiet > 5*every/2+2*units.Second && s != Lost:
-						t.Fatalf("%s is cut off for %v and %v", n, quiet, s)
-					case yard.cut[n] && s != Serving && s != Recovering && yard.p.ScaleOutLimit(n) != 0:
-						t.Fatalf("%s is %v and %d machines may be rented there", n, s, yard.p.ScaleOutLimit(n))
-					case !yard.cut[n] && quiet > every+units.Second && !yard.p.Reachable(n):
-						t.Fatalf("%s is heard for %v and %v", n, quiet, s)
-					case !yard.cut[n] && quiet > maxTrustDelay+every+units.Second && s != Serving:
-						t.Fatalf("%s is heard for %v and still %v", n, quiet, s)
+					case cluster.partitioned[n] && elapsed > 5*interval/2+2*units.Second && s != Lost:
+						t.Fatalf("%s has been cut off for %v and is %v", n, elapsed, s)
+					case cluster.partitioned[n] && s != Serving && s != Recovering && cluster.view.ScaleOutLimit(n) != 0:
+						t.Fatalf("%s is %v and %d machines may be scaled out into it", n, s, cluster.view.ScaleOutLimit(n))
+					case !cluster.partitioned[n] && elapsed > interval+units.Second && !cluster.view.Reachable(n):
+						t.Fatalf("%s has been reachable for %v and is %v", n, elapsed, s)
+					case !cluster.partitioned[n] && elapsed > maxTrustDelay+interval+units.Second && s != Serving:
+						t.Fatalf("%s has been reachable for %v and is still %v", n, elapsed, s)
 					}
 				}
 			})
@@ -112,150 +113,161 @@
 	})
 }
 
-// A zone that comes and goes is trusted again more slowly each time, up to a bound.
-func TestTrustIsLostQuickly(t *testing.T) {
-	yard := newYard("a", "b")
-	yard.add("a", 50)
-	yard.add("b", 50)
-	yard.pass(2*every, nil)
+// TestTrustDelayGrowsWithLosses checks that a zone which is lost repeatedly is trusted again more slowly
+// each time, up to a limit.
+func TestTrustDelayGrowsWithLosses(t *testing.T) {
+	cluster := newCluster("a", "b")
+	cluster.add("a", 50)
+	cluster.add("b", 50)
+	cluster.advance(2*interval, nil)
 	var took []units.Microseconds
 	for range 7 {
-		yard.cut["b"] = true
-		yard.pass(12*units.Second, nil)
-		yard.cut["b"] = false
-		at := yard.now
-		for yard.p.State("b") != Serving && yard.now-at < 2*maxTrustDelay {
-			yard.pass(units.Second, nil)
+		cluster.partitioned["b"] = true
+		cluster.advance(12*units.Second, nil)
+		cluster.partitioned["b"] = false
+		at := cluster.now
+		for cluster.view.State("b") != Serving && cluster.now-at < 2*maxTrustDelay {
+			cluster.advance(units.Second, nil)
 		}
-		took = append(took, yard.now-at)
+		took = append(took, cluster.now-at)
 	}
 	for i := 1; i < len(took); i++ {
-		if took[i] < took[i-1] || took[i] > maxTrustDelay+every {
+		if took[i] < took[i-1] || took[i] > maxTrustDelay+interval {
 			t.Errorf("trusted after %v", took)
 		}
 	}
 	if took[2] < 3*took[0] {
-		t.Errorf("the third time it was trusted as quickly as the first: %v", took)
+		t.Errorf("trust delay after the third loss is not longer than after the first: %v", took)
 	}
 }
 
-// What looks alike: the silence of all machines is this controller's own deafness, unless
-// the controllers of their zone are silent too; a process that stood still has heard nobody.
-func TestSilenceOfZoneOrController(t *testing.T) {
+// TestZoneLossVersusUnreachableController guards against taking an unreachable controller for a lost
+// zone. If no machine at all sends heartbeats, it is the controller that cannot be reached, unless the
+// other controllers of the machines' zone are silent too. A process that was paused has received nothing,
+// which is no evidence.
+func TestZoneLossVersusUnreachableController(t *testing.T) {
 	for _, test := range []struct {
-		what string
-		set  func(yard *yard)
-		lost bool
+		what  string
+		setUp func(cluster *fakeCluster)
+		lost  bool
 	}{
-		{"one zone's machines", func(yard *yard) { yard.add("a", 30); yard.cut["b"] = true }, true},
-		{"all machines, in all zones", func(yard *yard) { yard.add("a", 30); yard.cut["a"], yard.cut["b"] = true, true }, false},
-		{"all machines, which are in one zone, whose controllers are heard", func(yard *yard) { yard.cut["b"] = true; yard.peers["b"] = [2]int{1, 1} }, false},
-		{"all machines, which are in one zone, and its controllers", func(yard *yard) { yard.cut["b"] = true; yard.peers["b"], yard.peers["a"] = [2]int{1, 0}, [2]int{1, 1} }, true},
-		{"nobody: it stood still", func(yard *yard) { yard.add("a", 30); yard.now += 40 * units.Second }, false},
+		{"one zone's machines", func(cluster *fakeCluster) { cluster.add("a", 30); cluster.partitioned["b"] = true }, true},
+		{"all machines, in all zones", func(cluster *fakeCluster) {
+			cluster.add("a", 30)
+			cluster.partitioned["a"], cluster.partitioned["b"] = true, true
+		}, false},
+		{"all machines, which are in one zone, whose controllers are alive", func(cluster *fakeCluster) { cluster.partitioned["b"] = true; cluster.controllers["b"] = [2]int{1, 1} }, false},
+		{"all machines, which are in one zone, and its controllers", func(cluster *fakeCluster) {
+			cluster.partitioned["b"] = true
+			cluster.controllers["b"], cluster.controllers["a"] = [2]int{1, 0}, [2]int{1, 1}
+		}, true},
+		{"no machine (the process was paused)", func(cluster *fakeCluster) { cluster.add("a", 30); cluster.now += 40 * units.Second }, false},
 	} {
-		yard := newYard("a", "b")
-		yard.add("b", 30)
-		yard.pass(2*every, nil)
-		test.set(yard)
-		ever := false
-		yard.pass(2*every, func() { ever = ever || yard.p.State("b") == Lost })
-		if ever != test.lost {
-			t.Errorf("%s silent: lost %v", test.what, ever)
+		cluster := newCluster("a", "b")
+		cluster.add("b", 30)
+		cluster.advance(2*interval, nil)
+		test.setUp(cluster)
+		everLost := false
+		cluster.advance(2*interval, func() { everLost = everLost || cluster.view.State("b") == Lost })
+		if everLost != test.lost {
+			t.Errorf("%s silent: lost %v", test.what, everLost)
 		}
-		if test.lost && test.what != "one zone's machines" && !yard.p.AllZonesUnreachable() {
-			t.Errorf("%s silent: taken for deafness", test.what)
+		if test.lost && test.what != "one zone's machines" && !cluster.view.AllZonesUnreachable() {
+			t.Errorf("%s silent: taken for an unreachable controller", test.what)
 		}
 	}
 }
 
-// withoutB is a yard of two zones of which the second has been cut off for 30 s.
-func withoutB() *yard {
-	yard := newYard("a", "b")
-	yard.add("a", 30)
-	yard.add("b", 30)
-	yard.pass(2*every, nil)
-	yard.cut["b"] = true
-	yard.pass(30*units.Second, nil)
-	return yard
+// newClusterWithoutB returns a cluster of two zones of which the second has been cut off for 30 s.
+func newClusterWithoutB() *fakeCluster {
+	cluster := newCluster("a", "b")
+	cluster.add("a", 30)
+	cluster.add("b", 30)
+	cluster.advance(2*interval, nil)
+	cluster.partitioned["b"] = true
+	cluster.advance(30*units.Second, nil)
+	return cluster
 }
 
-// Machines are kept for as long as that is cheaper than to rent them anew, at most; a word
-// decides otherwise, and one about a zone that does not exist names those that do.
+// TestOverrides checks that the machines of a lost zone are kept while that is cheaper than to provision
+// them anew, that an operator's override takes precedence, and that invalid overrides are rejected. The
+// error for a zone that does not exist must list those that do.
 func TestOverrides(t *testing.T) {
-	yard := withoutB()
-	if !yard.p.KeepMachines("b", 60*units.Second) || yard.p.KeepMachines("b", 20*units.Second) {
-		t.Error("not kept by how long the cut lasts")
+	cluster := newClusterWithoutB()
+	if !cluster.view.KeepMachines("b", 60*units.Second) || cluster.view.KeepMachines("b", 20*units.Second) {
+		t.Error("keeping machines does not depend on how long the partition lasts")
 	}
 	for _, w := range Overrides {
-		if err := yard.p.SetOverride("b", w); err != nil {
+		if err := cluster.view.SetOverride("b", w); err != nil {
 			t.Fatal(err)
 		}
-		if keep := yard.p.KeepMachines("b", 20*units.Second); keep != (w == OverrideReturning) || yard.p.KeepMachines("b", 60*units.Second) != keep {
+		if keep := cluster.view.KeepMachines("b", 20*units.Second); keep != (w == OverrideReturning) || cluster.view.KeepMachines("b", 60*units.Second) != keep {
 			t.Errorf("%s: kept %v", w, keep)
 		}
 	}
-	if err := yard.p.SetOverride("x", OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
-		t.Errorf("a zone that does not exist: %v", err)
+	if err := cluster.view.SetOverride("x", OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
+		t.Errorf("override of a zone that does not exist: %v", err)
 	}
-	if err := yard.p.SetOverride("a", "soon"); err == nil {
-		t.Error("a word that says nothing is taken")
+	if err := cluster.view.SetOverride("a", "soon"); err == nil {
+		t.Error("an unknown override is accepted")
 	}
 }
 
-// With nothing left there that could be heard, one machine is rented to find out; what comes
-// back is rented in steps.
-func TestProbes(t *testing.T) {
-	yard := withoutB()
-	yard.last["b"] = nil // all were returned
-	yard.pass(units.Second, nil)
-	if n := yard.p.ScaleOutLimit("b"); n != 0 {
-		t.Errorf("%d are rented into a zone that was just lost", n)
+// TestScaleOutIntoLostZone checks that one machine is scaled out into a lost zone after probeMachineAfter
+// if nothing is left there that could respond again, and that scale-out into a recovering zone is limited
+// until it is trusted.
+func TestScaleOutIntoLostZone(t *testing.T) {
+	cluster := newClusterWithoutB()
+	cluster.lastHeartbeat["b"] = nil // all were deprovisioned
+	cluster.advance(units.Second, nil)
+	if n := cluster.view.ScaleOutLimit("b"); n != 0 {
+		t.Errorf("%d machines may be scaled out into a zone that was just lost", n)
 	}
-	yard.pass(probeMachineAfter, nil)
-	if n := yard.p.ScaleOutLimit("b"); n != 1 {
-		t.Errorf("%d are rented to find out", n)
+	cluster.advance(probeMachineAfter, nil)
+	if n := cluster.view.ScaleOutLimit("b"); n != 1 {
+		t.Errorf("%d machines may be scaled out to probe the zone", n)
 	}
-	yard.cut["b"] = false
-	yard.add("b", 1)
-	yard.pass(units.Second, nil)
-	if n := yard.p.ScaleOutLimit("b"); yard.p.State("b") != Recovering || n != recoveringScaleOutLimit {
-		t.Errorf("%v: %d", yard.p.State("b"), n)
+	cluster.partitioned["b"] = false
+	cluster.add("b", 1)
+	cluster.advance(units.Second, nil)
+	if n := cluster.view.ScaleOutLimit("b"); cluster.view.State("b") != Recovering || n != recoveringScaleOutLimit {
+		t.Errorf("zone is %v: %d machines may be scaled out", cluster.view.State("b"), n)
 	}
-	yard.pass(maxTrustDelay, nil)
-	if n := yard.p.ScaleOutLimit("b"); n >= 0 {
-		t.Errorf("%v: %d", yard.p.State("b"), n)
+	cluster.advance(maxTrustDelay, nil)
+	if n := cluster.view.ScaleOutLimit("b"); n >= 0 {
+		t.Errorf("zone is %v: %d machines may be scaled out", cluster.view.State("b"), n)
 	}
 }
 
-// TestDoubtWithoutMachines has a zone in doubt whose machines are then all returned, and no
-// machine anywhere whose reports would tell more; its controllers are heard all the time, so
-// that nothing is heard again. One machine is rented to find out.
-func TestDoubtWithoutMachines(t *testing.T) {
-	for _, peers := range [][2]int{{0, 0}, {1, 1}} {
-		yard := newYard("a", "b")
-		yard.peers["b"] = peers
-		yard.add("a", 3)
-		yard.add("b", 3)
-		yard.pass(2*every, nil)
-		yard.cut["b"] = true
-		yard.pass(every+units.Second+units.Second/2, nil)
-		if s := yard.p.State("b"); s != Suspect {
+// TestSuspectZoneWithoutMachines guards against a zone that stays suspect forever. All machines are
+// deprovisioned while the zone is suspect, so that no heartbeat can tell more, and its controllers were
+// alive all the time, so that none of them comes back. One machine must be scaled out to find out.
+func TestSuspectZoneWithoutMachines(t *testing.T) {
+	for _, controllers := range [][2]int{{0, 0}, {1, 1}} {
+		cluster := newCluster("a", "b")
+		cluster.controllers["b"] = controllers
+		cluster.add("a", 3)
+		cluster.add("b", 3)
+		cluster.advance(2*interval, nil)
+		cluster.partitioned["b"] = true
+		cluster.advance(interval+units.Second+units.Second/2, nil)
+		if s := cluster.view.State("b"); s != Suspect {
 			t.Fatalf("the zone is %v", s)
 		}
-		yard.last["a"], yard.last["b"] = nil, nil
-		yard.pass(units.Second, nil)
-		if n := yard.p.ScaleOutLimit("b"); n != 0 {
-			t.Errorf("controllers %v: %d are rented at once", peers, n)
+		cluster.lastHeartbeat["a"], cluster.lastHeartbeat["b"] = nil, nil
+		cluster.advance(units.Second, nil)
+		if n := cluster.view.ScaleOutLimit("b"); n != 0 {
+			t.Errorf("controllers %v: %d machines may be scaled out at once", controllers, n)
 		}
-		yard.pass(probeMachineAfter, nil)
-		if n := yard.p.ScaleOutLimit("b"); n != 1 {
-			t.Errorf("controllers %v, %v: %d are rented to find out", peers, yard.p.State("b"), n)
+		cluster.advance(probeMachineAfter, nil)
+		if n := cluster.view.ScaleOutLimit("b"); n != 1 {
+			t.Errorf("controllers %v, zone is %v: %d machines may be scaled out to probe it", controllers, cluster.view.State("b"), n)
 		}
-		yard.cut["b"] = false
-		yard.add("b", 1)
-		yard.pass(units.Second, nil)
-		if s := yard.p.State("b"); s != Recovering {
-			t.Errorf("controllers %v: a machine reports, and the zone is %v", peers, s)
+		cluster.partitioned["b"] = false
+		cluster.add("b", 1)
+		cluster.advance(units.Second, nil)
+		if s := cluster.view.State("b"); s != Recovering {
+			t.Errorf("controllers %v: a machine sends heartbeats and the zone is %v", controllers, s)
 		}
 	}
 }
