--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -1,8 +1,9 @@
-// Package autoscaler decides how many machines of which kind a shard should have: what to scale out
-// by and which machines to scale in. It knows no single task, only groups of work that may use the
-// same machines, and it owns what it remembers of their demand and of pools without capacity.
+// Package autoscaler decides how many machines of which pool a shard should have: how many to scale out
+// by, and which machines to scale in. It does not know single tasks, only groups of work that may use the
+// same machines. It remembers the average demand of groups, and the pools without capacity.
 //
-// It is pure: the work, the machines and the time go in by Plan, which returns its decisions.
+// The package does no I/O and reads no clock: the work, the machines and the time are passed to Plan,
+// which returns its decisions.
 package autoscaler
 
 import (
@@ -13,29 +14,30 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Pool is one kind of offer: a type in a zone, spot or ordinary.
+// Pool identifies an offer of the cloud: a machine type in a zone, spot or on-demand.
 type Pool struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Group is work that may use the same pools.
+// Group identifies work that may use the same pools.
 type Group struct {
 	Class    string
-	Types    string // names of the types its tasks fit and may use, joined by commas
-	Zone     string // "" for any
+	Types    string // names of the machine types that its tasks fit and may use, joined by commas
+	Zone     string // "" for any zone
 	Spot     bool
-	IdleTime bool // it uses the capacity that others leave, and scales out by the cheapest pools only
+	IdleTime bool // idle-time work: it uses the capacity that other work leaves, and scales out by the cheapest pools only
 }
 
-// withoutClass is the group without its class: all that may use the same pools.
+// withoutClass returns the group without its class, which stands for all work that may use the same
+// pools.
 func (g Group) withoutClass() Group {
 	g.Class = ""
 	return g
 }
 
-// usable reports whether a group's tasks, that may use some types, may run on machines of a pool.
+// usable reports whether a group's tasks, which may use the given types, may run on machines of a pool.
 func (g Group) usable(types []string, pool Pool) bool {
 	if pool.Spot && !g.Spot || g.Zone != "" && g.Zone != pool.Zone {
 		return false
@@ -43,121 +45,122 @@
 	return slices.Contains(types, pool.Type)
 }
 
-// Need is how much work a group has: tasks that would run at once if there were capacity, and their
-// demands added up; those that wait and the time that they will take, one after the other; and how
-// many of those that run complete in a second.
+// Need is the amount of work of a group: the tasks that would run at once if there were capacity, with
+// their total demand; the waiting tasks, with their run times added up; and the number of running tasks
+// that complete per second.
 type Need struct {
 	Tasks   int
 	Running int // tasks placed at present
-	Ready   int // tasks that wait
+	Ready   int // tasks that wait to start
 	Total   binpack.Vec
 	Waiting units.Microseconds
-	Slack   units.Microseconds // that those that wait may wait and still be in time, added up
+	Slack   units.Microseconds // time that waiting tasks may still wait and meet their deadlines, added up
 	Rate    float64
 	Types   []string
 }
 
-// Machine is what the autoscaler sees of a machine.
+// Machine is a machine as the autoscaler sees it.
 type Machine struct {
 	Name     string
 	Pool     Pool
-	Idle     units.Microseconds // for how long it has run no task; 0: it runs some
+	Idle     units.Microseconds // time without tasks; 0 if it has any
 	Booted   bool
-	Age      units.Microseconds // since it was provisioned
-	ZoneLost bool               // it does no work for now, and would if its zone came back
-	Needed   bool               // set by Plan: the work at hand needs it
+	Age      units.Microseconds // time since it was provisioned
+	ZoneLost bool               // it is in a lost zone: it does no work now, but would if its zone recovered
+	Needed   bool               // set by Plan if the work at hand needs the machine
 }
 
 const (
-	// minCharge is the time that every provisioned machine is charged for.
+	// minCharge is the time for which the cloud charges every machine at least.
 	minCharge = 60 * units.Second
-	// minChargeMargin is how long before its end a machine may be scaled in: it takes as long
-	// until the cloud has carried that out.
+	// minChargeMargin is the time before the end of minCharge at which a machine may already be scaled
+	// in: the cloud takes that long to carry it out.
 	minChargeMargin = 2 * units.Second
 )
 
-// Params are the tunables of scaling.
+// Params holds the tuning parameters of scaling.
 type Params struct {
-	Headroom     float64            // capacity kept above average demand, as a part of it
+	Headroom     float64            // capacity kept above average demand, as a fraction of it
 	AverageOver  units.Microseconds // time over which demand is averaged
-	WorkPerSlot  units.Microseconds // work that must wait for each slot of a machine to be worth its price
+	WorkPerSlot  units.Microseconds // waiting work per slot that makes a machine worth its price
 	ScaleInAfter units.Microseconds // idle time after which a machine is scaled in
 }
 
-// Increase asks for more machines of one pool.
+// Increase is a request for more machines of one pool.
 type Increase struct {
 	Pool  Pool
 	Count int
 }
 
-// Scaler remembers the demand of groups, and which pools have no capacity.
+// Scaler remembers the average demand of groups and the pools without capacity.
 type Scaler struct {
-	params  Params
-	averages   map[Group]*groupAverage
+	params   Params
+	averages map[Group]*groupAverage
 	backoffs map[Pool]poolBackoff
 }
 
-// groupAverage is what a group has needed lately.
+// groupAverage is the recent average demand of a group.
 type groupAverage struct {
-	tasks     float64    // placed, on average
-	demand    [3]float64 // of a task, on average
+	tasks     float64    // average number of placed tasks
+	demand    [3]float64 // average demand of a task
 	types     []string
 	updatedAt units.Microseconds
 }
 
-// poolBackoff is how a pool without capacity is left alone.
+// poolBackoff is the backoff of a pool without capacity.
 type poolBackoff struct {
-	until   units.Microseconds
-	backoff units.Microseconds
+	until units.Microseconds
+	delay units.Microseconds
 }
 
-// Bounds of the time for which a pool is left alone that has no capacity; it doubles each time.
+// Limits on the backoff of a pool without capacity, which doubles with every refusal.
 const (
 	minBackoff = 5 * units.Second
-	maxBackoff  = 40 * units.Second
+	maxBackoff = 40 * units.Second
 )
 
-// New returns a scaler that remembers nothing.
+// New returns a Scaler that remembers nothing.
 func New(params Params) *Scaler {
 	return &Scaler{params: params, averages: map[Group]*groupAverage{}, backoffs: map[Pool]poolBackoff{}}
 }
 
-// Refused notes that the cloud has no more capacity in a pool; Provisioned clears it.
+// Refused records that the cloud has no more capacity in a pool, which is not tried again until its
+// backoff has passed. Provisioned clears the backoff.
 func (s *Scaler) Refused(now units.Microseconds, pool Pool) {
-	r := s.backoffs[pool]
-	r.backoff = min(max(2*r.backoff, minBackoff), maxBackoff)
-	r.until = now + r.backoff
-	s.backoffs[pool] = r
+	backoff := s.backoffs[pool]
+	backoff.delay = min(max(2*backoff.delay, minBackoff), maxBackoff)
+	backoff.until = now + backoff.delay
+	s.backoffs[pool] = backoff
 }
 
-// Provisioned notes that the cloud provisioned machines of a pool.
+// Provisioned records that the cloud has provisioned machines of a pool.
 func (s *Scaler) Provisioned(pool Pool) { delete(s.backoffs, pool) }
 
-// updateAverages brings the averages up to date.
+// updateAverages updates the groups' averages, which decay exponentially over AverageOver.
 func (s *Scaler) updateAverages(now units.Microseconds, work map[Group]Need) {
 	for group, need := range work {
 		if need.Tasks > 0 && s.averages[group] == nil {
 			s.averages[group] = &groupAverage{updatedAt: now}
 		}
 	}
-	for group, usual := range s.averages {
+	for group, average := range s.averages {
 		need := work[group]
-		weight := 1 - math.Exp(-float64(now-usual.updatedAt)/float64(s.params.AverageOver))
-		usual.tasks += (float64(need.Running) - usual.tasks) * weight
-		usual.updatedAt = now
+		weight := 1 - math.Exp(-float64(now-average.updatedAt)/float64(s.params.AverageOver))
+		average.tasks += (float64(need.Running) - average.tasks) * weight
+		average.updatedAt = now
 		if need.Tasks > 0 {
-			usual.types = need.Types
-			for resource := range usual.demand {
-				usual.demand[resource] = float64(need.Total[resource]) / float64(need.Tasks)
+			average.types = need.Types
+			for resource := range average.demand {
+				average.demand[resource] = float64(need.Total[resource]) / float64(need.Tasks)
 			}
-		} else if usual.tasks < 0.1 {
+		} else if average.tasks < 0.1 {
 			delete(s.averages, group)
 		}
 	}
 }
 
-// slots is how many average tasks a capacity holds. Part of a task of each machine is expected to
-// be lost to tasks of unlike sizes.
+// slots returns the number of average tasks that fit a machine's capacity. On each machine a fraction of
+// a task is expected to be lost because tasks differ in size.
 func slots(capacity binpack.Vec, demand [3]float64) float64 {
 	tasks := math.Inf(1)
 	for resource, each := range demand {
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -24,13 +24,13 @@
 	return Need{Tasks: tasks, Ready: tasks, Total: binpack.Vec{4_000, 0, 8_000}.Times(int64(tasks)), Waiting: run * units.Microseconds(tasks), Types: []string{"big", "small"}}
 }
 
-// Work that may not use spot machines never gets one, spot work does as it is
-// cheaper, and a pool that refused is left alone for a while.
-func TestKindAndRefusal(t *testing.T) {
+// TestSpotEligibilityAndBackoff checks that only work that may use spot machines gets them, that it does
+// because they are cheaper, and that a pool without capacity is not tried again at once.
+func TestSpotEligibilityAndBackoff(t *testing.T) {
 	scaler := New(params)
 	increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: need(3, 60*second)}, nil, market)
 	if len(increases) != 1 || increases[0].Pool.Spot {
-		t.Fatalf("ordinary work: %+v", increases)
+		t.Fatalf("on-demand work: %+v", increases)
 	}
 	g := Group{Class: "x", Spot: true}
 	scaler = New(params)
@@ -46,9 +46,9 @@
 	}
 }
 
-// Work too small to be worth a machine still gets one where there is none at
-// all: left alone it would wait for ever.
-func TestStrandedWork(t *testing.T) {
+// TestSmallWorkGetsFirstMachine guards against starvation: work too small to be worth a machine must
+// still get one if there is none at all.
+func TestSmallWorkGetsFirstMachine(t *testing.T) {
 	scaler := New(params)
 	increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: need(1, second/10)}, nil, market)
 	if len(increases) != 1 || increases[0].Count > 2 {
@@ -56,10 +56,10 @@
 	}
 }
 
-// No machine is provisioned for work that will run before it is up: what runs
-// ends all the while and makes room.
-func TestNoMachineForWorkStartedBeforeItsBoot(t *testing.T) {
-	have := []Machine{{Name: "m", Pool: Pool{"big", "a", false}, Booted: true, Age: 100 * second}}
+// TestNoScaleOutForWorkStartedBeforeBoot guards against provisioning a machine for work that will have
+// started by the time the machine is up, because running tasks complete and free their slots meanwhile.
+func TestNoScaleOutForWorkStartedBeforeBoot(t *testing.T) {
+	machines := []Machine{{Name: "m", Pool: Pool{"big", "a", false}, Booted: true, Age: 100 * second}}
 	for _, c := range []struct {
 		run      units.Microseconds
 		scaleOut bool
@@ -67,18 +67,18 @@
 		n := need(12, c.run)
 		n.Running, n.Ready, n.Rate = 4, 8, 4/c.run.Seconds()
 		scaler := New(params)
-		if increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: n}, have, market); (len(increases) > 0) != c.scaleOut {
+		if increases, _ := scaler.Plan(second, map[Group]Need{{Class: "x"}: n}, machines, market); (len(increases) > 0) != c.scaleOut {
 			t.Fatalf("run time %v: %+v", c.run.Seconds(), increases)
 		}
 	}
 }
 
-// No expensive machine is provisioned for work that the slots there are do in time; for work that
-// would be late, or that cannot use those slots, it is.
+// TestExpensiveOnlyForMissedDeadlines checks that no expensive machine is provisioned for work that
+// existing slots do in time, and that one is for work that would be late or cannot use those slots.
 func TestExpensiveOnlyForMissedDeadlines(t *testing.T) {
-	var have []Machine
+	var machines []Machine
 	for range 40 {
-		have = append(have, Machine{Name: "m", Pool: Pool{"small", "b", true}, Booted: true, Age: 100 * second, Idle: second})
+		machines = append(machines, Machine{Name: "m", Pool: Pool{"small", "b", true}, Booted: true, Age: 100 * second, Idle: second})
 	}
 	for _, test := range []struct {
 		name     string
@@ -97,14 +97,14 @@
 		scaler.Refused(second, Pool{"big", "a", true})
 		scaler.Refused(second, Pool{"big", "b", true})
 		scaler.Refused(second, Pool{"small", "b", true})
-		if increases, _ := scaler.Plan(second, map[Group]Need{{Class: "w", Spot: true}: other, test.group: n}, have, market); (len(increases) > 0 && increases[0].Count > 1) != test.scaleOut {
+		if increases, _ := scaler.Plan(second, map[Group]Need{{Class: "w", Spot: true}: other, test.group: n}, machines, market); (len(increases) > 0 && increases[0].Count > 1) != test.scaleOut {
 			t.Errorf("%s: %+v", test.name, increases)
 		}
 	}
 }
 
-// A machine that has not been paid for in full, that is booting, busy or
-// needed is never scaled in; nor is any provisioned of a pool that cannot serve.
+// TestPlanInvariants checks that a machine is never scaled in while it is booting or busy, or before its
+// minimum charge is used up, and that no machine is provisioned from a pool that the work may not use.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scaler := New(params)
@@ -131,37 +131,37 @@
 	})
 }
 
-// Work that uses what others leave scales out by the cheapest pools only,
-// and keeps no dear machine; where there is no other, it still gets one.
+// TestIdleTimeWork checks that idle-time work scales out by the cheapest pools only and keeps no
+// expensive machine, but still gets one if there is no other.
 func TestIdleTimeWork(t *testing.T) {
 	g := Group{Class: "x", Spot: true, IdleTime: true}
 	work := map[Group]Need{g: need(40, 300*second)}
-	have := []Machine{
+	machines := []Machine{
 		{Name: "dear", Pool: Pool{"big", "a", false}, Booted: true, Age: 300 * second, Idle: 60 * second},
 		{Name: "cheap", Pool: Pool{"small", "b", true}, Booted: true, Age: 300 * second},
 	}
 	scaler := New(params)
-	increases, scaleIn := scaler.Plan(second, work, have, market)
-	if len(scaleIn) != 1 || scaleIn[0] != "dear" || have[0].Needed || !have[1].Needed {
-		t.Fatalf("scaleIn %v, machines %+v", scaleIn, have)
+	increases, scaleIn := scaler.Plan(second, work, machines, market)
+	if len(scaleIn) != 1 || scaleIn[0] != "dear" || machines[0].Needed || !machines[1].Needed {
+		t.Fatalf("scaleIn %v, machines %+v", scaleIn, machines)
 	}
 	for now := 2 * second; len(increases) > 0; now += second / 10 {
 		if !increases[0].Pool.Spot {
-			t.Fatalf("increases %+v beside a cheap machine", increases)
+			t.Fatalf("increases %+v although there is a cheap machine", increases)
 		}
 		scaler.Refused(now, increases[0].Pool)
-		increases, _ = scaler.Plan(now, work, have, market)
+		increases, _ = scaler.Plan(now, work, machines, market)
 	}
 	if increases, _ = scaler.Plan(3*second, work, nil, market); len(increases) != 1 || increases[0].Pool.Spot {
-		t.Fatalf("with no machine and no spot: %+v", increases)
+		t.Fatalf("without machines and spot capacity: %+v", increases)
 	}
-	// That one must be kept and used: it was once taken for spare as soon as it
-	// was up, and another provisioned in its place.
-	alone := []Machine{have[0]}
+	// The expensive machine must be kept and used. A fault once took it for spare as soon as it was up,
+	// and provisioned another one in its place.
+	alone := []Machine{machines[0]}
 	if increases, scaleIn = scaler.Plan(4*second, work, alone, market); len(increases) > 0 && !increases[0].Pool.Spot || len(scaleIn) > 0 || !alone[0].Needed {
-		t.Fatalf("one dear machine alone: increases %+v, scaleIn %v", increases, scaleIn)
+		t.Fatalf("only an expensive machine: increases %+v, scaleIn %v", increases, scaleIn)
 	}
 }
 
-// market is a cloud all of whose zones serve.
+// market has capacity in every zone.
 var market = Market{Types: types, ZoneLimit: func(string) int { return -1 }}
--- a/internal/core/autoscaler/plan.go
+++ b/internal/core/autoscaler/plan.go
@@ -11,15 +11,16 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Market is what the cloud offers at present.
+// Market is the cloud's present offer.
 type Market struct {
 	Types map[string]*fleet.Type
-	// ZoneLimit tells how many machines may be provisioned into a zone; less than 0: any number.
+	// ZoneLimit returns the number of machines that may be provisioned into a zone; a negative number
+	// means no limit.
 	ZoneLimit func(zone string) int
 }
 
-// Plan returns what to scale out by and which machines to scale in, given all work at hand, and
-// notes on the machines which of them that work needs.
+// Plan returns the increases to request and the names of the machines to scale in, given all work at
+// hand. It sets Needed on the machines that the work needs, and clears it on the others.
 func (s *Scaler) Plan(now units.Microseconds, work map[Group]Need, machines []Machine, market Market) ([]Increase, []string) {
 	s.updateAverages(now, work)
 	run := s.newPlanning(now, machines, market)
@@ -32,8 +33,8 @@
 	return increases, run.scaleIn()
 }
 
-// orderedGroups are those that need anything, in the order in which they choose: what may use fewer pools
-// first, and what uses what others leave last.
+// orderedGroups returns the groups with demand in the order in which they are allocated machines: groups
+// that may use fewer pools first, and idle-time work last.
 func (s *Scaler) orderedGroups() []Group {
 	groups := make([]Group, 0, len(s.averages))
 	for group := range s.averages {
@@ -42,7 +43,7 @@
 	slices.SortFunc(groups, func(a, b Group) int {
 		return cmp.Or(compareBool(a.IdleTime, b.IdleTime), compareBool(a.Spot, b.Spot),
 			cmp.Compare(len(s.averages[a].types), len(s.averages[b].types)),
-			cmp.Compare(b.Zone, a.Zone), // any zone last
+			cmp.Compare(b.Zone, a.Zone), // groups for any zone last
 			cmp.Compare(a.Class+a.Types, b.Class+b.Types))
 	})
 	return groups
@@ -59,19 +60,19 @@
 	return 1
 }
 
-// planning is one run of Plan: what the groups that have chosen so far have left.
+// planning is the state of one run of Plan: the capacity that is left after the groups allocated so far.
 type planning struct {
 	*Scaler
-	now      units.Microseconds
-	machines []Machine
-	market   Market
-	free     []binpack.Vec // of each machine
-	cheapestFirst    []int         // of the machines, the cheapest first
-	backlogs [2]backlog    // of all groups so far, by whether they may use spot
-	samePools    map[Group]*backlog
+	now           units.Microseconds
+	machines      []Machine
+	market        Market
+	free          []binpack.Vec // free capacity, by index in machines
+	cheapestFirst []int         // indices of machines, the cheapest first
+	backlogs      [2]backlog    // of the groups allocated so far; index 1 if they may use spot machines, else 0
+	samePools     map[Group]*backlog
 }
 
-// newPlanning returns a run in which no group has chosen yet.
+// newPlanning returns a run in which no group has been allocated machines yet.
 func (s *Scaler) newPlanning(now units.Microseconds, machines []Machine, market Market) *planning {
 	run := &planning{Scaler: s, now: now, machines: machines, market: market,
 		free: make([]binpack.Vec, len(machines)), cheapestFirst: make([]int, len(machines)), samePools: map[Group]*backlog{}}
@@ -94,75 +95,78 @@
 	return run
 }
 
-func (p *planning) pricePerCPU(pool Pool) float64 { return pricePerCPU(p.market.Types[pool.Type], pool.Spot) }
+func (p *planning) pricePerCPU(pool Pool) float64 {
+	return pricePerCPU(p.market.Types[pool.Type], pool.Spot)
+}
 
-// allocate has a group choose among the machines, and returns what to scale out by for the rest.
+// allocate assigns existing machines to a group, and returns the increase that covers the rest of its
+// demand, if any.
 func (p *planning) allocate(group Group, need Need) (Increase, bool) {
-	usual := p.averages[group]
-	wanted := math.Max(float64(need.Tasks), usual.tasks*(1+p.params.Headroom))
+	average := p.averages[group]
+	wanted := math.Max(float64(need.Tasks), average.tasks*(1+p.params.Headroom))
 	limit := math.Inf(1)
 	if group.IdleTime {
-		limit = maxPremium * lowestPricePerCPU(usual.types, group.Spot, p.market.Types)
+		limit = maxPremium * lowestPricePerCPU(average.types, group.Spot, p.market.Types)
 	}
-	short := p.assign(group, usual, assignLimits{slots: wanted, price: limit})
-	// What it falls short by is provisioned elsewhere, but there may be no more to be had: the
-	// machines of lost zones that it would use are noted.
-	p.assign(group, usual, assignLimits{slots: short, price: math.Inf(1), zoneLost: true})
-	kind := 0
+	missing := p.assign(group, average, assignLimits{slots: wanted, price: limit})
+	// The shortfall is provisioned elsewhere, but the cloud may have no capacity for it. So the machines
+	// of lost zones that the group would use count as needed too.
+	p.assign(group, average, assignLimits{slots: missing, price: math.Inf(1), zoneLost: true})
+	spotIndex := 0
 	if group.Spot {
-		kind = 1
+		spotIndex = 1
 	}
-	p.backlogs[kind].add(need, wanted-short, usual.tasks)
-	same := group.withoutClass()
-	if p.samePools[same] == nil {
-		p.samePools[same] = &backlog{}
+	p.backlogs[spotIndex].add(need, wanted-missing, average.tasks)
+	anyClass := group.withoutClass()
+	if p.samePools[anyClass] == nil {
+		p.samePools[anyClass] = &backlog{}
 	}
-	p.samePools[same].add(need, wanted-short, usual.tasks)
-	if short < 0.5 {
+	p.samePools[anyClass].add(need, wanted-missing, average.tasks)
+	if missing < 0.5 {
 		return Increase{}, false
 	}
-	return p.chooseOffer(shortfall{group: group, average: usual, slots: short, unserved: wanted-short < 0.5,
-		cheapest: lowestPricePerCPU(usual.types, group.Spot, p.market.Types),
-		backlog:  p.backlogs[kind], samePools: p.samePools[same]})
+	return p.chooseOffer(shortfall{group: group, average: average, slots: missing, unserved: wanted-missing < 0.5,
+		cheapest: lowestPricePerCPU(average.types, group.Spot, p.market.Types),
+		backlog:  p.backlogs[spotIndex], samePools: p.samePools[anyClass]})
 }
 
-// assignLimits is what a group takes of the machines there are.
+// assignLimits limits what assign assigns to a group.
 type assignLimits struct {
-	slots    float64 // at most
-	price    float64 // of a CPU, at most
-	zoneLost bool    // of machines of lost zones, else of the others
+	slots    float64 // maximum number of slots
+	price    float64 // maximum price of a CPU
+	zoneLost bool    // use only machines of lost zones; otherwise only the others
 }
 
-// assign has a group assign slots for average tasks, and returns how many there are too few. The
-// machines of which it takes any are needed.
-func (p *planning) assign(group Group, usual *groupAverage, limits assignLimits) float64 {
+// assign assigns slots of existing machines to a group, in units of its average task, and returns the
+// number of slots that are missing. It marks the machines used as needed.
+func (p *planning) assign(group Group, average *groupAverage, limits assignLimits) float64 {
 	missing := limits.slots
 	for _, i := range p.cheapestFirst {
 		machine := p.machines[i]
 		if missing < 0.5 {
 			break
 		}
-		if machine.ZoneLost != limits.zoneLost || !group.usable(usual.types, machine.Pool) {
+		if machine.ZoneLost != limits.zoneLost || !group.usable(average.types, machine.Pool) {
 			continue
 		}
 		if p.pricePerCPU(machine.Pool) > limits.price && limits.slots-missing >= 0.5 {
-			break // the cheaper ones come first; where there is none, one expensive machine does
+			break // cheaper machines come first; if none gives a slot, one expensive machine is used
 		}
-		taken := math.Min(missing, slots(p.free[i], usual.demand))
-		if taken <= 0 {
+		assigned := math.Min(missing, slots(p.free[i], average.demand))
+		if assigned <= 0 {
 			continue
 		}
 		p.machines[i].Needed = true
-		missing -= taken
+		missing -= assigned
 		for resource := range p.free[i] {
-			p.free[i][resource] -= int64(taken * usual.demand[resource])
+			p.free[i][resource] -= int64(assigned * average.demand[resource])
 		}
 	}
 	return missing
 }
 
-// scaleIn names the machines that no group needs and that cost more if they stay: until the least
-// charge is used up it costs the same whether one stays or not.
+// scaleIn returns the names of the machines that no group needs and that would cost more if they stayed.
+// Until its minimum charge is used up, a machine costs the same whether it stays or not.
 func (p *planning) scaleIn() []string {
 	var names []string
 	for _, machine := range p.machines {
@@ -174,23 +178,23 @@
 	return names
 }
 
-// shortfall is what a group lacks beside the machines there are.
+// shortfall is the demand of a group that existing machines do not cover.
 type shortfall struct {
-	group    Group
-	average    *groupAverage
-	slots    float64
-	cheapest float64  // price of a CPU of the cheapest offer
-	unserved bool     // there is no slot at all for it
-	backlog  backlog  // of it and the groups of its kind that chose before it
-	samePools    *backlog // of those of them that may use the very same pools
+	group     Group
+	average   *groupAverage
+	slots     float64
+	cheapest  float64  // price of a CPU in the cheapest offer
+	unserved  bool     // the group has no slot at all
+	backlog   backlog  // of the group and those allocated before it that match it in use of spot machines
+	samePools *backlog // of those of them that may use exactly the same pools
 }
 
-// chooseOffer chooses the cheapest way to fill a shortfall, if any is worth it: by the time a machine is
-// up, the slots there are will have done part of the work, of this group and those that chose before
-// it, and each new slot must find enough of the rest.
-func (p *planning) chooseOffer(short shortfall) (Increase, bool) {
+// chooseOffer returns the cheapest increase that covers a shortfall, if one is worth its price. By the
+// time a new machine is up, existing slots will have done part of the work of this group and of those
+// allocated before it. Each new slot must find enough of the remaining work.
+func (p *planning) chooseOffer(unmet shortfall) (Increase, bool) {
 	best, bestPrice := Increase{}, math.Inf(1)
-	for _, name := range short.average.types {
+	for _, name := range unmet.average.types {
 		machineType := p.market.Types[name]
 		if machineType == nil {
 			continue
@@ -199,10 +203,10 @@
 			limit := p.market.ZoneLimit(zone)
 			for _, spot := range []bool{true, false} {
 				pool := Pool{name, zone, spot}
-				if limit == 0 || !short.group.usable(short.average.types, pool) || p.backoffs[pool].until > p.now {
+				if limit == 0 || !unmet.group.usable(unmet.average.types, pool) || p.backoffs[pool].until > p.now {
 					continue
 				}
-				count, price := p.sizeOffer(short, machineType, spot, limit)
+				count, price := p.sizeOffer(unmet, machineType, spot, limit)
 				if count > 0 && price < bestPrice-1e-9 {
 					best, bestPrice = Increase{pool, count}, price
 				}
@@ -212,14 +216,14 @@
 	return best, best.Count > 0
 }
 
-// sizeOffer returns how many machines of a type a shortfall is worth, at most limit where that is more
-// than 0, and what they cost for each slot that is wanted.
-func (p *planning) sizeOffer(short shortfall, machineType *fleet.Type, spot bool, limit int) (count int, price float64) {
-	each := slots(machineType.Capacity, short.average.demand)
+// sizeOffer returns the number of machines of a type that a shortfall is worth, and their price per slot
+// wanted. A positive limit is the maximum number.
+func (p *planning) sizeOffer(unmet shortfall, machineType *fleet.Type, spot bool, limit int) (count int, price float64) {
+	each := slots(machineType.Capacity, unmet.average.demand)
 	if each <= 0 {
 		return 0, 0
 	}
-	wanted := p.worthwhileSlots(short, machineType, spot)
+	wanted := p.worthwhileSlots(unmet, machineType, spot)
 	if wanted < 0.5 {
 		return 0, 0
 	}
@@ -230,40 +234,44 @@
 	return count, float64(count) * machineType.PriceFor(spot) / math.Min(float64(count)*each, wanted)
 }
 
-// worthwhileSlots is how many slots of a type of machine find enough work to be worth their price.
-func (p *planning) worthwhileSlots(short shortfall, machineType *fleet.Type, spot bool) float64 {
+// worthwhileSlots returns the number of slots of a machine type that would find enough work to be worth
+// their price.
+func (p *planning) worthwhileSlots(unmet shortfall, machineType *fleet.Type, spot bool) float64 {
 	boot := machineType.Boot.Seconds()
-	premium := pricePerCPU(machineType, spot) / short.cheapest
-	if short.group.IdleTime && premium > maxPremium && !short.unserved {
+	premium := pricePerCPU(machineType, spot) / unmet.cheapest
+	if unmet.group.IdleTime && premium > maxPremium && !unmet.unserved {
 		return 0
 	}
-	// A dearer slot must find more work.
-	wanted := math.Min(short.slots, p.expectedWork(&short.backlog, short.average, boot)/(p.params.WorkPerSlot.Seconds()*premium))
+	// A more expensive slot must find more work.
+	wanted := math.Min(unmet.slots, p.expectedWork(&unmet.backlog, unmet.average, boot)/(p.params.WorkPerSlot.Seconds()*premium))
 	if premium > maxPremium {
-		wanted = math.Min(wanted, short.samePools.slotsForDeadlines(p.expectedWork(short.samePools, short.average, boot)))
+		wanted = math.Min(wanted, unmet.samePools.slotsForDeadlines(p.expectedWork(unmet.samePools, unmet.average, boot)))
 	}
-	if short.unserved {
-		wanted = math.Max(wanted, math.Min(short.slots, 1)) // little work, but nowhere to do it
+	if unmet.unserved {
+		// There may be little work, but there is no slot for it at all.
+		wanted = math.Max(wanted, math.Min(unmet.slots, 1))
 	}
 	return wanted
 }
 
-// expectedWork is the work that machines will find which are up after some seconds: capacity below what
-// is usual will find some, capacity above it must find it waiting.
-func (p *planning) expectedWork(b *backlog, usual *groupAverage, seconds float64) float64 {
-	return b.waitingWorkAfter(seconds) + math.Max(0, usual.tasks-b.slots)*p.params.WorkPerSlot.Seconds()
+// expectedWork returns the work, in seconds, that machines will find that are up after the given time.
+// Capacity below the usual demand will find new work; capacity above it depends on work that is waiting
+// already.
+func (p *planning) expectedWork(b *backlog, average *groupAverage, seconds float64) float64 {
+	return b.waitingWorkAfter(seconds) + math.Max(0, average.tasks-b.slots)*p.params.WorkPerSlot.Seconds()
 }
 
-// backlog is the waiting work of several groups and the slots that they have, in average tasks;
-// usual are the slots that were in use lately, on average, and slack the seconds that all that waits
-// may still wait.
+// backlog is the waiting work of several groups and the slots that they have, in units of average tasks.
+// ready and running are numbers of tasks, work is the run time of the ready tasks in seconds, and rate is
+// in completed tasks per second. usualSlots is the average number of slots in recent use. slack is the
+// time in seconds, added up, that ready tasks may still wait.
 type backlog struct {
 	ready, work, running, rate, slots, usualSlots, slack float64
 }
 
-// add adds a group's work and the slots that it has.
-func (b *backlog) add(need Need, slots, usual float64) {
-	b.usualSlots += usual
+// add adds a group's work, its slots and the slots that it usually uses.
+func (b *backlog) add(need Need, slots, usualSlots float64) {
+	b.usualSlots += usualSlots
 	b.slack += need.Slack.Seconds()
 	b.ready += float64(need.Ready)
 	b.work += need.Waiting.Seconds()
@@ -272,8 +280,8 @@
 	b.slots += slots
 }
 
-// waitingWorkAfter is the work that will still wait waitingWorkAfter some seconds in which tasks that run now complete and
-// free slots, and slots that are empty or boot take what they can.
+// waitingWorkAfter returns the work that will still be waiting after some seconds. Meanwhile running
+// tasks complete and free their slots, and slots that are empty or booting take what they can.
 func (b *backlog) waitingWorkAfter(seconds float64) float64 {
 	ready := b.ready - b.rate*seconds - math.Max(0, b.slots-b.running)
 	if ready <= 0 {
@@ -282,10 +290,11 @@
 	return ready * b.work / b.ready
 }
 
-// slotsForDeadlines is how many slots more would do some work in time that still waits: what waits
-// is shared by all slots but those that are taken by work that comes, as much as lately. Without
-// this, queues that the slots there are would have worked off soon had expensive machines
-// provisioned, which came up to find little left to do (TestExpensiveOnlyForMissedDeadlines).
+// slotsForDeadlines returns the number of additional slots with which waiting work would meet its
+// deadlines. All slots share the waiting work, except those that new work occupies, which is assumed to
+// arrive at the recent rate. Without this limit, expensive machines were provisioned for queues that
+// existing slots would soon have worked off, and found little left to do once they were up
+// (TestExpensiveOnlyForMissedDeadlines).
 func (b *backlog) slotsForDeadlines(work float64) float64 {
 	if b.ready <= 0 {
 		return math.Inf(1)
--- a/internal/core/provisioner/list.go
+++ b/internal/core/provisioner/list.go
@@ -4,69 +4,69 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// OnListMachines takes the machine list. It may be old: it proves only that a machine exists or has
-// failed, never that one is absent.
-func (r *Provisioner) OnListMachines(now units.Microseconds, request ListMachines, list []ListedMachine) {
-	r.now = now
-	for name, at := range r.deprovisioned {
-		if now-at > 4*r.cfg.ListLag+deprovisionedRetention {
-			delete(r.deprovisioned, name)
+// OnListMachines processes the cloud's machine list. The list may be out of date: it proves only that a
+// machine exists or has failed, never that a machine is absent.
+func (p *Provisioner) OnListMachines(now units.Microseconds, request ListMachines, list []ListedMachine) {
+	p.now = now
+	for name, at := range p.deprovisioned {
+		if now-at > 4*p.cfg.ListLag+deprovisionedRetention {
+			delete(p.deprovisioned, name)
 		}
 	}
-	r.markUnlisted(request.SentAt, list)
+	p.markUnlisted(request.SentAt, list)
 	for _, listed := range list {
-		if !r.Deprovisioned(listed.Name) {
-			r.handleListed(listed)
+		if !p.Deprovisioned(listed.Name) {
+			p.handleListed(listed)
 		}
 	}
 }
 
-// handleListed takes in a machine of the list that is not known to be deleted.
-func (r *Provisioner) handleListed(listed ListedMachine) {
-	machine := r.host.Machines()[listed.Name]
+// handleListed processes a listed machine that is not known to be deleted.
+func (p *Provisioner) handleListed(listed ListedMachine) {
+	machine := p.host.Machines()[listed.Name]
 	if machine != nil && machine.Addr == "" {
 		machine.Addr = listed.Addr
 	}
-	if r.host.InAnotherShard(listed.Name) {
-		return // its owner finds out by itself when it fails
+	if p.host.InAnotherShard(listed.Name) {
+		return // its owner reads the list itself and sees when the machine fails
 	}
 	switch {
 	case listed.Failed && machine == nil:
-		r.queue = append(r.queue, listed.Name)
+		p.queue = append(p.queue, listed.Name)
 	case listed.Failed:
 		if !machine.Deprovisioning {
-			r.Deprovision(machine)
+			p.Deprovision(machine)
 		}
-	case machine == nil && r.orphaned(listed):
-		// Provisioned by a request that was carried out late, or whose answer was lost. Adopted: the
-		// next plan uses it or gives it back.
-		r.host.Adopt(listed)
-		r.cfg.Log.Info("machine adopted", "machine", listed.Name)
+	case machine == nil && p.orphaned(listed):
+		// The machine was provisioned by a request that was carried out late or whose answer was lost.
+		// The next plan either uses it or deprovisions it.
+		p.host.Adopt(listed)
+		p.cfg.Log.Info("machine adopted", "machine", listed.Name)
 	}
 }
 
-// orphaned reports whether a machine that is not known has been there for so long that whoever
-// provisioned it would have stored it.
-func (r *Provisioner) orphaned(listed ListedMachine) bool {
-	return listed.Age > 2*r.cfg.ListLag+r.cfg.AdoptAfter && r.now-r.cfg.OwnedSince > 2*r.cfg.ListLag
+// orphaned reports whether an unknown machine has existed for so long that the shard that provisioned it
+// would have stored it by now.
+func (p *Provisioner) orphaned(listed ListedMachine) bool {
+	return listed.Age > 2*p.cfg.ListLag+p.cfg.AdoptAfter && p.now-p.cfg.OwnedSince > 2*p.cfg.ListLag
 }
 
-// markUnlisted notes which unreconciled machines a list does not show, though they were provisioned
-// long before all that it may leave out. They are most likely deleted. That is no proof; see
-// package liveness.
-func (r *Provisioner) markUnlisted(sentAt units.Microseconds, list []ListedMachine) {
-	unreconciled := r.host.Unreconciled()
+// markUnlisted marks the unreconciled machines that a list lacks although they were provisioned early
+// enough to be on it, given its lag. They have most likely been deleted, which the list alone does not
+// prove; package liveness decides about them.
+func (p *Provisioner) markUnlisted(sentAt units.Microseconds, list []ListedMachine) {
+	unreconciled := p.host.Unreconciled()
 	if len(unreconciled) == 0 {
-		return // no work waits for any
+		return // no work waits for a machine to be reconciled
 	}
-	shown := make(map[string]bool, len(list))
+	listedNames := make(map[string]bool, len(list))
 	for _, listed := range list {
-		shown[listed.Name] = true
+		listedNames[listed.Name] = true
 	}
-	machines := r.host.Machines()
+	machines := p.host.Machines()
 	for name := range unreconciled {
 		if machine := machines[name]; machine != nil {
-			machine.Unlisted = !shown[name] && machine.ProvisionedAt < sentAt-2*r.cfg.ListLag-r.cfg.AdoptAfter
+			machine.Unlisted = !listedNames[name] && machine.ProvisionedAt < sentAt-2*p.cfg.ListLag-p.cfg.AdoptAfter
 		}
 	}
 }
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -11,89 +11,91 @@
 )
 
 const (
-	// slowBootFactor is how many times as long as usual a machine may take to come up before the work at
-	// hand no longer counts on it. It takes up to one and a half times; those that never come up are
-	// deprovisioned much later. Of many machines only a few can be late for reasons of their own.
+	// slowBootFactor is the multiple of its type's usual boot time after which the work at hand no longer
+	// counts on a booting machine. A machine may take up to one and a half times the usual time; one that
+	// never comes up is deprovisioned much later. Only a few of many machines can be late for reasons of
+	// their own (see MaxEarlyDeprovisions).
 	slowBootFactor = 2
-	// failedBootFactor is how many times as long as usual, and bootMargin how much beside, a machine may
-	// take to come up before it is given up; unknownBoot is that time where its type is not known.
-	failedBootFactor  = 6
-	failedBootMargin  = 10 * units.Second
+	// A machine that has not come up is given up on after failedBootFactor times the usual boot time of
+	// its type plus failedBootMargin, or after unknownTypeBootDeadline if its type is not known.
+	failedBootFactor        = 6
+	failedBootMargin        = 10 * units.Second
 	unknownTypeBootDeadline = 30 * units.Second
-	// lostGracePeriod is how long a machine is kept whose lease has expired without a heartbeat.
+	// lostGracePeriod is the time for which a machine is kept that has sent no heartbeat since its lease
+	// expired.
 	lostGracePeriod = 10 * units.Second
-	// spareGracePeriod is how long nothing must have missed a machine of a lost zone before it is
-	// deprovisioned, and leastReplacement the least that it costs to provision one anew: the cloud's
-	// least charge.
-	spareGracePeriod         = 5 * units.Second
+	// spareGracePeriod is the time for which no work must have needed a machine of an unreachable zone
+	// before it is deprovisioned. minReplacementTime is the least that it costs to provision a machine
+	// anew, given as machine time: the cloud's minimum charge.
+	spareGracePeriod   = 5 * units.Second
 	minReplacementTime = 60 * units.Second
 )
 
-// plan scales out and in.
-func (r *Provisioner) plan() {
-	work, ok := r.host.SlotsNeeded()
+// plan runs the autoscaler and sends its scale-out requests, and marks machines to be deprovisioned.
+func (p *Provisioner) plan() {
+	work, ok := p.host.SlotsNeeded()
 	if !ok {
 		return
 	}
-	machines := r.host.Machines()
+	machines := p.host.Machines()
 	names := slices.Sorted(maps.Keys(machines))
-	capacity := r.capacity(names)
-	increases, surplus := r.scaler.Plan(r.now, work, capacity, autoscaler.Market{Types: r.host.Types(), ZoneLimit: r.zoneLimit()})
-	for _, seen := range capacity {
-		if machine := machines[seen.Name]; seen.Needed {
+	capacity := p.capacity(names)
+	increases, surplus := p.scaler.Plan(p.now, work, capacity, autoscaler.Market{Types: p.host.Types(), ZoneLimit: p.zoneLimit()})
+	for _, candidate := range capacity {
+		if machine := machines[candidate.Name]; candidate.Needed {
 			machine.SpareSince = 0
 		} else if machine.SpareSince == 0 {
-			machine.SpareSince = r.now
+			machine.SpareSince = p.now
 		}
 	}
-	if r.openRequests == 0 {
-		r.scaleOut(increases)
+	if p.openRequests == 0 {
+		p.scaleOut(increases)
 	}
 	for _, name := range names {
-		if r.shouldDeprovision(machines[name]) {
+		if p.shouldDeprovision(machines[name]) {
 			surplus = append(surplus, name)
 		}
 	}
 	for _, name := range surplus {
-		r.Deprovision(machines[name])
+		p.Deprovision(machines[name])
 	}
 }
 
-// capacity is the machines that the autoscaler may count on.
-func (r *Provisioner) capacity(names []string) []autoscaler.Machine {
-	machines := r.host.Machines()
+// capacity returns the machines that the autoscaler may count on.
+func (p *Provisioner) capacity(names []string) []autoscaler.Machine {
+	machines := p.host.Machines()
 	var capacity []autoscaler.Machine
 	slow := 0
 	for _, name := range names {
 		machine := machines[name]
-		zoneLost := r.zones.Lost(machine.Record.Zone)
+		zoneLost := p.zones.Lost(machine.Record.Zone)
 		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.ReclaimAt != units.Never {
 			continue
 		}
-		if !zoneLost && r.bootOverdue(machine) && slow < MaxEarlyDeprovisions(len(machines)) {
-			slow++ // what waits for it should not wait for that one alone
+		if !zoneLost && p.bootOverdue(machine) && slow < MaxEarlyDeprovisions(len(machines)) {
+			slow++ // work that waits for this machine must not depend on it alone
 			continue
 		}
-		seen := autoscaler.Machine{Name: name, Pool: PoolOf(machine), Booted: machine.LastSeen != 0, Age: r.now - machine.ProvisionedAt, ZoneLost: zoneLost}
+		candidate := autoscaler.Machine{Name: name, Pool: PoolOf(machine), Booted: machine.LastSeen != 0, Age: p.now - machine.ProvisionedAt, ZoneLost: zoneLost}
 		if len(machine.Tasks) == 0 {
-			seen.Idle = r.now - machine.IdleSince + 1
+			candidate.Idle = p.now - machine.IdleSince + 1
 		}
-		capacity = append(capacity, seen)
+		capacity = append(capacity, candidate)
 	}
 	return capacity
 }
 
-// zoneLimit returns how many machines may be provisioned into a zone at present beside those that
-// boot there; less than 0: any number.
-func (r *Provisioner) zoneLimit() func(zone string) int {
-	booting := map[string]int{} // by zone
-	for _, machine := range r.host.Machines() {
-		if !machine.Deprovisioning && r.booting(machine) {
+// zoneLimit returns a function that returns the number of machines that may be provisioned into a zone at
+// present, in addition to those that are booting there. A negative number means no limit.
+func (p *Provisioner) zoneLimit() func(zone string) int {
+	booting := map[string]int{} // number of booting machines by zone
+	for _, machine := range p.host.Machines() {
+		if !machine.Deprovisioning && p.booting(machine) {
 			booting[machine.Record.Zone]++
 		}
 	}
 	return func(zone string) int {
-		limit := r.zones.ScaleOutLimit(zone)
+		limit := p.zones.ScaleOutLimit(zone)
 		if limit > 0 {
 			limit = max(0, limit-booting[zone])
 		}
@@ -102,67 +104,68 @@
 }
 
 // shouldDeprovision reports whether a machine is to be deprovisioned whatever work there is.
-func (r *Provisioner) shouldDeprovision(machine *fleet.Machine) bool {
+func (p *Provisioner) shouldDeprovision(machine *fleet.Machine) bool {
 	zone := machine.Record.Zone
 	idle := machine.Reconciled && len(machine.Tasks) == 0
 	switch {
 	case machine.Deprovisioning:
 		return false
-	case !r.zones.Reachable(zone) && !r.isZoneProbe(machine):
-		// What runs there may still come to an end; until then it is not deprovisioned.
-		spare := machine.LeaseEnd == 0 && machine.SpareSince != 0 && r.now-machine.SpareSince > spareGracePeriod
-		return !r.zones.KeepMachines(zone, r.cfg.Lease+r.replacementTime(machine)) || spare && !r.zones.DeclaredReturning(zone)
-	case r.zones.DeclaredLost(zone):
+	case !p.zones.Reachable(zone) && !p.isZoneProbe(machine):
+		// Tasks there may still complete; until then the machine is not deprovisioned.
+		spare := machine.LeaseEnd == 0 && machine.SpareSince != 0 && p.now-machine.SpareSince > spareGracePeriod
+		return !p.zones.KeepMachines(zone, p.cfg.Lease+p.replacementTime(machine)) || spare && !p.zones.DeclaredReturning(zone)
+	case p.zones.DeclaredLost(zone):
 		return idle
-	case r.zones.SinceRecovery(zone) < r.cfg.HeartbeatInterval+lostGracePeriod:
-		return false // its heartbeats are about to arrive
+	case p.zones.SinceRecovery(zone) < p.cfg.HeartbeatInterval+lostGracePeriod:
+		return false // its next heartbeat is about to arrive
 	}
 	return machine.Quarantined && idle ||
-		machine.Lost && r.now-machine.IdleSince > lostGracePeriod ||
-		machine.LastSeen == 0 && machine.LeaseEnd == 0 && r.now-machine.ProvisionedAt > bootDeadline(machine)
+		machine.Lost && p.now-machine.IdleSince > lostGracePeriod ||
+		machine.LastSeen == 0 && machine.LeaseEnd == 0 && p.now-machine.ProvisionedAt > bootDeadline(machine)
 }
 
-// isZoneProbe reports whether a machine of an unreachable zone boots that was provisioned after the
-// zone became unreachable, to find out whether it still is.
-func (r *Provisioner) isZoneProbe(machine *fleet.Machine) bool {
-	return r.booting(machine) && r.now-machine.ProvisionedAt < r.zones.StateAge(machine.Record.Zone)
+// isZoneProbe reports whether a machine is booting that was provisioned into an unreachable zone after
+// the zone became unreachable, in order to find out whether it still is.
+func (p *Provisioner) isZoneProbe(machine *fleet.Machine) bool {
+	return p.booting(machine) && p.now-machine.ProvisionedAt < p.zones.StateAge(machine.Record.Zone)
 }
 
-// scaleOut asks for machines in as many requests as the cloud takes in a second, a part of them for
-// each of the pools.
-func (r *Provisioner) scaleOut(increases []autoscaler.Increase) {
+// scaleOut sends as many requests for machines as the cloud accepts in a second, split evenly between the
+// pools.
+func (p *Provisioner) scaleOut(increases []autoscaler.Increase) {
 	if len(increases) == 0 {
 		return
 	}
-	each := max(1, int(r.host.CallRate()/2)/len(increases))
+	requestsPerPool := max(1, int(p.host.CallRate()/2)/len(increases))
 	for _, increase := range increases {
 		missing := increase.Count
-		for range each {
+		for range requestsPerPool {
 			if missing <= 0 {
 				break
 			}
 			increase.Count = min(missing, fleet.MaxGroup)
 			missing -= increase.Count
-			r.requests++
-			r.openRequests++
-			// No other assignment uses the name: names must never come again.
-			request := fmt.Sprintf("r-%d-%d", r.cfg.FencingToken, r.requests)
-			r.host.Emit(ScaleOut{Shard: r.cfg.Shard, Assignment: r.host.Assignment(), Request: request, Increase: increase})
+			p.requests++
+			p.openRequests++
+			// The fencing token makes the name unique to this assignment: a name must never be used
+			// twice.
+			request := fmt.Sprintf("r-%d-%d", p.cfg.FencingToken, p.requests)
+			p.host.Emit(ScaleOut{Shard: p.cfg.Shard, Assignment: p.host.Assignment(), Request: request, Increase: increase})
 		}
 	}
 }
 
 // booting reports whether a machine has not come up yet.
-func (r *Provisioner) booting(machine *fleet.Machine) bool {
+func (p *Provisioner) booting(machine *fleet.Machine) bool {
 	return machine.LastSeen == 0 && machine.LeaseEnd == 0 && !machine.Lost
 }
 
-// bootOverdue reports whether a machine should have come up long ago.
-func (r *Provisioner) bootOverdue(machine *fleet.Machine) bool {
-	return machine.Type != nil && r.booting(machine) && r.now-machine.ProvisionedAt > slowBootFactor*machine.Type.Boot
+// bootOverdue reports whether a machine is booting for longer than slowBootFactor times the usual time.
+func (p *Provisioner) bootOverdue(machine *fleet.Machine) bool {
+	return machine.Type != nil && p.booting(machine) && p.now-machine.ProvisionedAt > slowBootFactor*machine.Type.Boot
 }
 
-// bootDeadline is the time after which a machine that has not come up is given up.
+// bootDeadline returns the time after which a machine that has not come up is given up on.
 func bootDeadline(machine *fleet.Machine) units.Microseconds {
 	if machine.Type == nil {
 		return unknownTypeBootDeadline
@@ -170,9 +173,9 @@
 	return failedBootFactor*machine.Type.Boot + failedBootMargin
 }
 
-// replacementTime is the time until a machine provisioned in place of another is of use: a boot, and
-// images.
-func (r *Provisioner) replacementTime(machine *fleet.Machine) units.Microseconds {
+// replacementTime returns the time until a machine that replaces another can run tasks: the boot, and
+// fetching images.
+func (p *Provisioner) replacementTime(machine *fleet.Machine) units.Microseconds {
 	if machine.Type == nil {
 		return minReplacementTime
 	}
--- a/internal/core/provisioner/provisioner.go
+++ b/internal/core/provisioner/provisioner.go
@@ -1,8 +1,9 @@
-// Package provisioner talks to the cloud for a shard: it decides when machines are provisioned and
-// deprovisioned, and reads the machine list. It owns what is under way with the cloud; the machines
-// are their shard's (package reconcile).
+// Package provisioner manages a shard's requests to the cloud: it decides when machines are provisioned
+// and deprovisioned, and reads the machine list. It owns the state of those requests; the machines belong
+// to their shard (package reconcile).
 //
-// It is pure: answers and the time go in by method calls, effects come out by its Host.
+// The package does no I/O and reads no clock: answers and the time are passed to its methods, and effects
+// go out through its Host.
 package provisioner
 
 import (
@@ -15,22 +16,22 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Effects. Each is answered by the method of Provisioner named in its comment.
+// Effects. The outcome of each is passed to the method of Provisioner named in its comment.
 type (
-	// ScaleOut asks for machines (OnScaleOut).
+	// ScaleOut requests machines (OnScaleOut).
 	ScaleOut struct {
 		Shard      int
 		Assignment uint64
-		Request    string // names the request to the cloud: sent again, it provisions nothing more
+		Request    string // idempotency key: sent again, the request provisions no further machines
 		Increase   autoscaler.Increase
 	}
-	// ScaleIn has machines deleted (OnScaleIn).
+	// ScaleIn requests the deletion of machines (OnScaleIn).
 	ScaleIn struct {
 		Shard      int
 		Assignment uint64
 		Names      []string
 	}
-	// ListMachines reads the machine list (OnListMachines).
+	// ListMachines requests the cloud's machine list (OnListMachines).
 	ListMachines struct{ SentAt units.Microseconds }
 )
 
@@ -43,49 +44,50 @@
 	Age    units.Microseconds
 }
 
-// Host is the shard whose machines are provisioned. Its methods may not call the Provisioner.
+// Host is the shard whose machines are provisioned. Its methods must not call the Provisioner.
 type Host interface {
-	// Emit sends an effect.
+	// Emit carries out an effect.
 	Emit(effect any)
-	// Assignment is the version of the assignment under which the shard is owned.
+	// Assignment returns the version of the assignment under which the shard is owned.
 	Assignment() uint64
-	// Machines are those of the shard, by name.
+	// Machines returns the shard's machines by name.
 	Machines() map[string]*fleet.Machine
-	// Unreconciled are those of them on which tasks of earlier owners may run.
+	// Unreconciled returns the names of the machines that may run unknown tasks of earlier owners.
 	Unreconciled() map[string]bool
-	// SlotsNeeded is the work at hand; ok: what runs, and so what is needed, is known.
+	// SlotsNeeded returns the work at hand. ok is false while it is unknown because running tasks are not
+	// all known.
 	SlotsNeeded() (work map[autoscaler.Group]autoscaler.Need, ok bool)
-	// Types is the price list.
+	// Types returns the machine types and their prices, by name.
 	Types() map[string]*fleet.Type
-	// CallRate is how many calls a second the cloud takes from this shard.
+	// CallRate returns the number of calls per second that the cloud accepts from this shard.
 	CallRate() float64
-	// Provisioned takes in machines that a request has brought.
+	// Provisioned adds machines that a request has provisioned.
 	Provisioned(request string, record fleet.Record, names []string)
-	// Deprovisioned says that a machine, and all that ran on it, is deleted.
+	// Deprovisioned is called when a machine is deleted, and all that ran on it with it.
 	Deprovisioned(machine *fleet.Machine)
-	// Adopt takes in a listed machine that nobody is known to have provisioned.
+	// Adopt adds a listed machine that no shard is known to have provisioned.
 	Adopt(listed ListedMachine)
 	// InAnotherShard reports whether a machine belongs to another shard.
 	InAnotherShard(machine string) bool
 }
 
-// Config says how a shard's machines are provisioned.
+// Config holds the settings of a shard's Provisioner.
 type Config struct {
 	Shard        int
-	FencingToken uint64 // names of requests must never come again, and hold it
+	FencingToken uint64 // part of the names of requests, which must never repeat
 	OwnedSince   units.Microseconds
-	// ListLag is how old the machine list may be.
+	// ListLag is the largest age of the machine list.
 	ListLag units.Microseconds
-	// AdoptAfter is how long a machine must be unknown to all before it is adopted.
+	// AdoptAfter is the time for which a machine must be unknown to all shards before it is adopted.
 	AdoptAfter units.Microseconds
-	// Lease is the time after which nothing runs on a machine that gets no response.
+	// Lease is the time after which no task runs on a machine that has got no response.
 	Lease             units.Microseconds
 	HeartbeatInterval units.Microseconds
 	Scale             autoscaler.Params
 	Log               *slog.Logger
 }
 
-// Provisioner is a shard's side of what goes on with the cloud.
+// Provisioner is the state of a shard's requests to the cloud.
 type Provisioner struct {
 	cfg    Config
 	host   Host
@@ -93,16 +95,16 @@
 	scaler *autoscaler.Scaler
 	zones  *zones.View
 
-	callsPausedUntil     units.Microseconds // no call to the cloud before
-	nextPlanAt    units.Microseconds
-	nextListAt    units.Microseconds
-	requests      uint64   // made under this assignment
-	openRequests  int      // of them, those without an answer
-	queue         []string // about to be deprovisioned
-	deprovisioned map[string]units.Microseconds
+	callsPausedUntil units.Microseconds // no calls to the cloud before this time
+	nextPlanAt       units.Microseconds
+	nextListAt       units.Microseconds
+	requests         uint64   // requests made under this assignment
+	openRequests     int      // requests without an answer
+	queue            []string // machines to be deprovisioned by the next requests
+	deprovisioned    map[string]units.Microseconds
 }
 
-// New returns a Provisioner that has asked for nothing yet.
+// New returns a Provisioner that has made no request yet.
 func New(cfg Config, host Host, view *zones.View) *Provisioner {
 	return &Provisioner{cfg: cfg, host: host, zones: view, scaler: autoscaler.New(cfg.Scale), deprovisioned: map[string]units.Microseconds{}}
 }
@@ -110,87 +112,88 @@
 const (
 	// planInterval is the time between two plans.
 	planInterval = units.Second
-	// minListInterval is the least time between two reads of the machine list.
+	// minListInterval is the shortest time between two reads of the machine list.
 	minListInterval = 5 * units.Second
-	// errorPause is how long the cloud is left alone after it did not answer.
+	// errorPause is the time without calls to the cloud after a call failed.
 	errorPause = 2 * units.Second
-	// maxScaleInBatch bounds the machines of one call.
+	// maxScaleInBatch limits the machines of one ScaleIn.
 	maxScaleInBatch = 100
-	// deprovisionedRetention is how long after a machine was deleted, and beside four times the list's
-	// lag, it is remembered: the list may show it and heartbeats may be held back for so long.
+	// deprovisionedRetention, plus four times ListLag, is the time for which a deleted machine is
+	// remembered. For so long the list may still show it, and delayed heartbeats of it may arrive.
 	deprovisionedRetention = 60 * units.Second
 )
 
-// MaxEarlyDeprovisions is how many machines may be given up early, as a part of all.
+// MaxEarlyDeprovisions returns the number of machines, out of a total of machines, that may be given up
+// on before their timeout.
 func MaxEarlyDeprovisions(machines int) int { return max(1, machines/20) }
 
 // Ready reports whether the cloud may be called.
-func (r *Provisioner) Ready(now units.Microseconds) bool { return now >= r.callsPausedUntil }
+func (p *Provisioner) Ready(now units.Microseconds) bool { return now >= p.callsPausedUntil }
 
-// OpenRequests is how many requests for machines have no answer yet.
-func (r *Provisioner) OpenRequests() int { return r.openRequests }
+// OpenRequests returns the number of requests for machines that have no answer yet.
+func (p *Provisioner) OpenRequests() int { return p.openRequests }
 
-// Deprovisioned reports whether the cloud has said that a machine is deleted.
-func (r *Provisioner) Deprovisioned(machine string) bool { return r.deprovisioned[machine] != 0 }
+// Deprovisioned reports whether the cloud has confirmed that a machine is deleted.
+func (p *Provisioner) Deprovisioned(machine string) bool { return p.deprovisioned[machine] != 0 }
 
-// Deprovision has a machine deprovisioned with the next request.
-func (r *Provisioner) Deprovision(machine *fleet.Machine) {
+// Deprovision queues a machine to be deleted with the next ScaleIn.
+func (p *Provisioner) Deprovision(machine *fleet.Machine) {
 	machine.Deprovisioning = true
-	r.queue = append(r.queue, machine.Name)
+	p.queue = append(p.queue, machine.Name)
 }
 
-// Tick scales out, has machines deprovisioned and reads the machine list. list: this shard has the
-// list read, for all.
-func (r *Provisioner) Tick(now units.Microseconds, list bool) {
-	r.now = now
-	if now >= r.nextListAt && list {
-		r.nextListAt = now + max(minListInterval, r.cfg.ListLag)
-		r.host.Emit(ListMachines{SentAt: now})
+// Tick plans scaling and requests the machine list when they are due. list means that this shard is the
+// one that requests the list for all shards.
+func (p *Provisioner) Tick(now units.Microseconds, list bool) {
+	p.now = now
+	if now >= p.nextListAt && list {
+		p.nextListAt = now + max(minListInterval, p.cfg.ListLag)
+		p.host.Emit(ListMachines{SentAt: now})
 	}
-	if now >= r.nextPlanAt {
-		r.nextPlanAt = now + planInterval
-		r.plan()
+	if now >= p.nextPlanAt {
+		p.nextPlanAt = now + planInterval
+		p.plan()
 	}
 }
 
-// Flush sends the request for machines that are to be deprovisioned.
-func (r *Provisioner) Flush() {
-	if n := min(len(r.queue), maxScaleInBatch); n > 0 {
-		r.host.Emit(ScaleIn{r.cfg.Shard, r.host.Assignment(), r.queue[:n:n]})
-		r.queue = r.queue[n:]
+// Flush sends a ScaleIn for queued machines, at most maxScaleInBatch of them.
+func (p *Provisioner) Flush() {
+	if n := min(len(p.queue), maxScaleInBatch); n > 0 {
+		p.host.Emit(ScaleIn{p.cfg.Shard, p.host.Assignment(), p.queue[:n:n]})
+		p.queue = p.queue[n:]
 	}
 }
 
-// PoolOf is the offer by which a machine was provisioned.
+// PoolOf returns the pool from which a machine was provisioned.
 func PoolOf(machine *fleet.Machine) autoscaler.Pool {
 	return autoscaler.Pool{Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot}
 }
 
-// OnScaleOut takes the outcome of a request for machines.
-func (r *Provisioner) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
-	r.now = now
-	r.openRequests = max(0, r.openRequests-1)
+// OnScaleOut handles the outcome of a request for machines; names are those of the machines provisioned.
+func (p *Provisioner) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
+	p.now = now
+	p.openRequests = max(0, p.openRequests-1)
 	pool := request.Increase.Pool
 	switch outcome {
 	case store.OK:
-		r.scaler.Provisioned(pool)
+		p.scaler.Provisioned(pool)
 		if len(names) < request.Increase.Count {
-			r.scaler.Refused(now, pool)
+			p.scaler.Refused(now, pool)
 		}
-		r.host.Provisioned(request.Request, fleet.Record{Type: pool.Type, Zone: pool.Zone, Spot: pool.Spot}, names)
-		r.cfg.Log.Info("machines provisioned", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "requested", request.Increase.Count, "provisioned", len(names))
+		p.host.Provisioned(request.Request, fleet.Record{Type: pool.Type, Zone: pool.Zone, Spot: pool.Spot}, names)
+		p.cfg.Log.Info("machines provisioned", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "requested", request.Increase.Count, "provisioned", len(names))
 	case store.Failed: // no capacity
-		r.scaler.Refused(now, pool)
+		p.scaler.Refused(now, pool)
 	default:
-		r.callsPausedUntil = now + errorPause
+		p.callsPausedUntil = now + errorPause
 	}
 }
 
-// OnScaleIn takes the outcome of a request to delete machines: after OK they and all that ran on
-// them are no more.
-func (r *Provisioner) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
-	r.now = now
-	machines := r.host.Machines()
+// OnScaleIn handles the outcome of a request to delete machines. After store.OK the machines and all that
+// ran on them no longer exist.
+func (p *Provisioner) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
+	p.now = now
+	machines := p.host.Machines()
 	for _, name := range request.Names {
 		machine := machines[name]
 		if machine == nil {
@@ -200,11 +203,11 @@
 			machine.Deprovisioning = false // the next plan tries again
 			continue
 		}
-		r.host.Deprovisioned(machine)
-		r.deprovisioned[name] = now
-		r.cfg.Log.Info("machine deprovisioned", "machine", name)
+		p.host.Deprovisioned(machine)
+		p.deprovisioned[name] = now
+		p.cfg.Log.Info("machine deprovisioned", "machine", name)
 	}
 	if outcome != store.OK {
-		r.callsPausedUntil = now + errorPause
+		p.callsPausedUntil = now + errorPause
 	}
 }
--- a/internal/core/provisioner/provisioner_test.go
+++ b/internal/core/provisioner/provisioner_test.go
@@ -15,14 +15,14 @@
 
 const second = units.Second
 
-// fakeShard is the shard whose machines are provisioned.
+// fakeShard implements Host.
 type fakeShard struct {
 	machines     map[string]*fleet.Machine
 	unreconciled map[string]bool
 	effects      []any
 	adopted      []string
 	provisioned  []string
-	elsewhere    string // a machine of another shard
+	elsewhere    string // name of a machine of another shard
 }
 
 var bigType = &fleet.Type{Name: "big", Capacity: binpack.Vec{16_000}, Boot: 20 * second, Zones: []string{"z"}, Price: 1.6}
@@ -37,7 +37,7 @@
 	return New(cfg, shard, view), shard
 }
 
-// add adds a machine that was provisioned at some time.
+// add adds a machine that was provisioned at the given time.
 func (s *fakeShard) add(name string, at units.Microseconds) *fleet.Machine {
 	machine := fleet.New(name, fleet.Record{Type: "big", Zone: "z"}, bigType, at)
 	s.machines[name] = machine
@@ -65,9 +65,9 @@
 }
 func failed(name string) ListedMachine { return ListedMachine{Name: name, Failed: true} }
 
-// TestUselessMachines plans with machines that are deprovisioned whatever work there is, and some
-// just before they are.
-func TestUselessMachines(t *testing.T) {
+// TestDeprovisionConditions checks each reason for which a machine is deprovisioned whatever work there
+// is, and the state just before the reason applies.
+func TestDeprovisionConditions(t *testing.T) {
 	const now = 1000 * second
 	for _, test := range []struct {
 		name string
@@ -81,7 +81,9 @@
 		{"quarantined, not reconciled", func(m *fleet.Machine) { m.LastSeen, m.Quarantined = now, true }, false},
 		{"quarantined and idle", func(m *fleet.Machine) { m.LastSeen, m.Quarantined, m.Reconciled = now, true, true }, true},
 		{"lost for long", func(m *fleet.Machine) { m.Lost, m.IdleSince = true, now-lostGracePeriod-1 }, true},
-		{"lost, young", func(m *fleet.Machine) { m.Lost, m.IdleSince, m.ProvisionedAt = true, now-lostGracePeriod, now-60*second }, false},
+		{"lost, young", func(m *fleet.Machine) {
+			m.Lost, m.IdleSince, m.ProvisionedAt = true, now-lostGracePeriod, now-60*second
+		}, false},
 		{"on its way", func(m *fleet.Machine) { m.Deprovisioning, m.ProvisionedAt = true, 0 }, false},
 	} {
 		provisioner, shard := newProvisioner(t)
@@ -94,8 +96,9 @@
 	}
 }
 
-// TestScaleInOutcomes has a request to delete machines answered: after OK they are no more and are
-// remembered as deleted, otherwise the next plan tries again, after a pause.
+// TestScaleInOutcomes checks the outcomes of a request to delete machines. After store.OK the machines
+// must be removed and remembered as deleted. After any other outcome the next plan must try again, after
+// errorPause.
 func TestScaleInOutcomes(t *testing.T) {
 	provisioner, shard := newProvisioner(t)
 	machine := shard.add("n-1", 0)
@@ -107,13 +110,14 @@
 	}
 	provisioner.OnScaleIn(second, request, store.Unknown)
 	if machine.Deprovisioning || provisioner.Deprovisioned("n-1") || provisioner.Ready(second+errorPause-1) || !provisioner.Ready(second+errorPause) {
-		t.Error("after an unknown outcome the machine must stay and the cloud rest")
+		t.Error("after an unknown outcome the machine must stay and calls to the cloud must pause")
 	}
 	provisioner.OnScaleIn(5*second, request, store.OK)
 	if shard.machines["n-1"] != nil || !provisioner.Deprovisioned("n-1") {
-		t.Error("after OK the machine is still there")
+		t.Error("after OK the machine is still recorded, or not remembered as deleted")
 	}
-	// The list may show it, and heartbeats may be held back: it is remembered for a while.
+	// The list may still show the machine and delayed heartbeats may arrive, so it is remembered for a
+	// while.
 	keep := 4*provisioner.cfg.ListLag + deprovisionedRetention
 	provisioner.OnListMachines(5*second+keep, ListMachines{}, []ListedMachine{listed("n-1", 500*second)})
 	if !provisioner.Deprovisioned("n-1") || len(shard.adopted) != 0 {
@@ -121,12 +125,12 @@
 	}
 	provisioner.OnListMachines(5*second+keep+1, ListMachines{}, nil)
 	if provisioner.Deprovisioned("n-1") {
-		t.Error("remembered for ever")
+		t.Error("a deleted machine is still remembered after its retention")
 	}
 }
 
-// TestScaleOutOutcomes counts open requests, takes in what came, and leaves a pool alone that had no
-// capacity.
+// TestScaleOutOutcomes checks that open requests are counted, that provisioned machines are added, and
+// that the cloud is not called right after an unknown outcome.
 func TestScaleOutOutcomes(t *testing.T) {
 	provisioner, shard := newProvisioner(t)
 	increase := autoscaler.Increase{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: fleet.MaxGroup + 1}
@@ -144,13 +148,13 @@
 	}
 	provisioner.OnScaleOut(2*second, first, store.Unknown, nil)
 	if provisioner.OpenRequests() != 0 || provisioner.Ready(2*second) {
-		t.Error("the cloud is called at once after it did not answer")
+		t.Error("no pause after an unknown outcome")
 	}
 }
 
-// TestMachineList has the cloud list machines: one that has failed, one of another shard, one that
-// nobody is known to have provisioned, and one that is too young to be called so. An unreconciled
-// machine that should be on the list and is not is noted.
+// TestMachineList has the cloud list a failed machine, a machine of another shard, one that no shard is
+// known to have provisioned, and one that is too new to count as such. An unreconciled machine that is
+// missing from the list though it is old enough must be marked.
 func TestMachineList(t *testing.T) {
 	const now = 1000 * second
 	provisioner, shard := newProvisioner(t)
@@ -164,7 +168,7 @@
 	provisioner.OnListMachines(now, ListMachines{SentAt: now}, []ListedMachine{listed("known", old), failed("broken"), failed("stranger"),
 		listed("elsewhere", old), listed("orphan", old), listed("new", old-1)})
 	if known.Addr != "known:1" || known.Unlisted || !absent.Unlisted || young.Unlisted {
-		t.Errorf("known %+v, absent %v, young %v", known, absent.Unlisted, young.Unlisted)
+		t.Errorf("known %+v; unlisted: absent %v, young %v", known, absent.Unlisted, young.Unlisted)
 	}
 	if !broken.Deprovisioning || !slices.Equal(provisioner.queue, []string{"broken", "stranger"}) {
 		t.Errorf("to be deprovisioned: %v", provisioner.queue)
