--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,8 +41,8 @@
 // ListedMachine is a machine on the cloud's list.
 type ListedMachine = provisioner.ListedMachine
 
-// TickEvery is how often the outer layers let time pass.
-const TickEvery = liveness.TickInterval
+// TickInterval is how often the outer layers let time pass.
+const TickInterval = liveness.TickInterval
 
 // Config is what the core is given at its start.
 type Config struct {
@@ -50,7 +50,7 @@
 	Size              int
 	Peers             []string
 	Zones             []string
-	Home              string            // this controller's zone
+	HomeZone          string            // this controller's zone
 	PeerZones         map[string]string // of the other controllers, by name
 	Teams             []Team
 	Objectives        []Objective
@@ -228,14 +228,14 @@
 		ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{core})
 	core.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{core})
 	core.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: core.cfg.ValueMax, Log: cfg.Log}, core.shardRecords, plannerHost{core})
-	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: core.extension(), Short: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
+	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, UnvotedExpiry: core.extension(), MajorityExtension: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
 	core.rollback = rollback.New(rollbackHost{core}, cfg.Log)
 	core.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
 	core.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
 	core.forwarder = peering.NewForwarder()
 	core.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
 		Peers: cfg.Peers, ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: core.extension() + units.Second, Log: cfg.Log}, configurationHost{core})
-	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.Home, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
+	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.HomeZone, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
 	core.reachability = liveness.NewReachability(cfg.HeartbeatInterval, core.leaseBound())
 	for i := range core.queues {
 		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
--- a/internal/core/fleet/heartbeat.go
+++ b/internal/core/fleet/heartbeat.go
@@ -50,7 +50,7 @@
 	Incarnation  uint64
 	Seq          uint64 // sequence number of the heartbeat within its incarnation
 	FencingToken uint64
-	ReclaimIn    units.Microseconds // time until the cloud reclaims the machine; units.Never without a notice
+	ReclaimIn    units.Microseconds // time until the cloud reclaims the machine; units.MaxTime without a notice
 	Tasks        []Task
 }
 
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -31,7 +31,7 @@
 	LeaseEnd       units.Microseconds // time from which no task can be running on it; 0 without a lease
 	Reconciled     bool               // all attempts that may run on it are known
 	Transferred    bool               // its attempts were restored from the last owner's snapshot
-	ReclaimAt      units.Microseconds // time at which the cloud reclaims it; units.Never without a notice
+	ReclaimAt      units.Microseconds // time at which the cloud reclaims it; units.MaxTime without a notice
 	Tasks          map[jobs.TaskID]Attempt
 	ReportedTasks  int // number of tasks in its last heartbeat, exited ones included
 	IdleSince      units.Microseconds
@@ -73,7 +73,7 @@
 
 // New returns a machine that has not sent a heartbeat yet.
 func New(name string, record Record, machineType *Type, now units.Microseconds) *Machine {
-	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, ReclaimAt: units.Never, IdleSince: now,
+	return &Machine{Name: name, Record: record, Type: machineType, ProvisionedAt: now, ReclaimAt: units.MaxTime, IdleSince: now,
 		Tasks: map[jobs.TaskID]Attempt{}}
 }
 
@@ -160,8 +160,8 @@
 	m.LastSeen, m.LeaseEnd = now, leaseEnd
 	m.Lost = false
 	m.ReportedTasks = len(heartbeat.Tasks)
-	m.ReclaimAt = units.Never
-	if heartbeat.ReclaimIn != units.Never {
+	m.ReclaimAt = units.MaxTime
+	if heartbeat.ReclaimIn != units.MaxTime {
 		m.ReclaimAt = now + heartbeat.ReclaimIn
 	}
 }
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -44,8 +44,8 @@
 // Reload implements watchcache.Host.
 func (c cacheHost) Reload(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
 
-// ListPage is how many keys are listed at once.
-const ListPage = watchcache.Page
+// ListPageSize is how many keys are listed at once.
+const ListPageSize = watchcache.Page
 
 // readFresh asks for a fresh read; f, if any, is told whether it worked.
 func (c *Core) readFresh(f func(ok bool)) { c.cache.ReadFresh(f) }
@@ -79,11 +79,11 @@
 	var err error
 	switch {
 	case event.Key == leaderKeyFirst || event.Key == keys.LeaderSinceArchive:
-		err = c.election.Learn(event)
+		err = c.election.ApplyRecord(event)
 	case event.Key == keys.ArchiveMark:
 		err = c.archive.LearnMark(event)
 	case strings.HasPrefix(event.Key, memberPrefix):
-		err = c.membership.Learn(c.now, event.Key[len(memberPrefix):], event)
+		err = c.membership.ApplyRecord(c.now, event.Key[len(memberPrefix):], event)
 	case strings.HasPrefix(event.Key, assignmentPrefix):
 		err = c.learnAssignment(event)
 	case strings.HasPrefix(event.Key, configPrefix):
@@ -95,7 +95,7 @@
 	case strings.HasPrefix(event.Key, allocationPrefix):
 		err = c.learnAllocation(event)
 	case event.Key == termKey:
-		err = c.election.LearnTerm(event)
+		err = c.election.ApplyTerm(event)
 	case strings.HasPrefix(event.Key, jobPrefix):
 		err = c.jobs.LearnRecord(event.Key[len(jobPrefix):], event)
 	case strings.HasPrefix(event.Key, chunkPrefix):
--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -100,7 +100,7 @@
 	for _, machine := range d.host.Machines() {
 		zone := machine.Record.Zone
 		responsive := machine.LastSeen != 0 && now-machine.LastSeen < deadline
-		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.ReclaimAt == units.Never {
+		if (machine.LeaseEnd != 0 || machine.Lost) && !machine.Deprovisioning && machine.ReclaimAt == units.MaxTime {
 			count := result.zones[zone]
 			count.Up++
 			if responsive {
@@ -113,7 +113,7 @@
 		case now >= machine.LeaseEnd:
 			result.expired = append(result.expired, machine)
 		case machine.Deprovisioning:
-		case machine.ReclaimAt != units.Never:
+		case machine.ReclaimAt != units.MaxTime:
 			if now > machine.ReclaimAt+noticeGrace {
 				result.unresponsive = append(result.unresponsive, machine)
 			}
@@ -179,7 +179,7 @@
 func (d *Detector) deprovisionUnresponsive(now units.Microseconds, result scanResult) {
 	count := map[string]int{} // unresponsive machines without a reclaim notice, by zone
 	for _, machine := range result.unresponsive {
-		if machine.ReclaimAt == units.Never {
+		if machine.ReclaimAt == units.MaxTime {
 			count[machine.Record.Zone]++
 		}
 	}
@@ -193,7 +193,7 @@
 	}
 	timeout := d.timeout()
 	for _, machine := range result.unresponsive {
-		zone, reclaimed := machine.Record.Zone, machine.ReclaimAt != units.Never
+		zone, reclaimed := machine.Record.Zone, machine.ReclaimAt != units.MaxTime
 		if reclaimed || enoughResponsive(zone) && now-d.suspectAt[zone] > timeout {
 			d.cfg.Log.Warn("machine unresponsive", "machine", machine.Name, "tasks", len(machine.Tasks), "notice", reclaimed)
 			d.provisioner.Deprovision(machine)
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -69,7 +69,7 @@
 	for _, name := range names {
 		machine := machines[name]
 		zoneLost := p.zones.Lost(machine.Record.Zone)
-		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.ReclaimAt != units.Never {
+		if machine.Deprovisioning || machine.Lost && !zoneLost || machine.Quarantined || machine.ReclaimAt != units.MaxTime {
 			continue
 		}
 		if !zoneLost && p.bootOverdue(machine) && slow < MaxEarlyDeprovisions(len(machines)) {
--- a/internal/core/reconcile/pending.go
+++ b/internal/core/reconcile/pending.go
@@ -58,7 +58,7 @@
 // HoldIdle holds a machine's heartbeat unanswered if the machine is idle and may get work, and reports
 // whether it did.
 func (r *Reconciler) HoldIdle(now units.Microseconds, request RequestID, machine *fleet.Machine) bool {
-	idle := len(machine.Tasks) == 0 && machine.ReportedTasks == 0 && machine.Schedulable() && machine.ReclaimAt == units.Never
+	idle := len(machine.Tasks) == 0 && machine.ReportedTasks == 0 && machine.Schedulable() && machine.ReclaimAt == units.MaxTime
 	if !idle || r.PendingCount() >= MaxPending {
 		return false
 	}
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -102,7 +102,7 @@
 
 // heartbeat returns a heartbeat of n-1 that reports the given tasks.
 func heartbeat(seq, fencingToken uint64, tasks ...fleet.Task) *fleet.Heartbeat {
-	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, ReclaimIn: units.Never, Tasks: tasks}
+	return &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: fencingToken, ReclaimIn: units.MaxTime, Tasks: tasks}
 }
 
 // TestAdmission checks that heartbeats which must not change any state are refused with the right
--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -436,7 +436,7 @@
 	if z := v.zones[name]; z != nil {
 		return v.now - z.since
 	}
-	return units.Never
+	return units.MaxTime
 }
 
 // SinceRecovery returns the time since a zone last became responsive again, or units.Never if it was
@@ -445,7 +445,7 @@
 	if z := v.zones[name]; z != nil && z.recoveredAt > 0 {
 		return v.now - z.recoveredAt
 	}
-	return units.Never
+	return units.MaxTime
 }
 
 // ZoneStats is the view of a zone as shown to operators.
