--- a/internal/core/liveness/liveness.go
+++ b/internal/core/liveness/liveness.go
@@ -150,7 +150,7 @@
 // cloud no longer lists. Without an address they cannot be probed. There may be many of them, because an
 // owner cannot store which machines it deprovisions while the state service is unavailable. If a list
 // lacks more than half of the machines, the list is assumed to be at fault
-// (TestMachineThatIsGoneIsNotWaitedFor).
+// (TestDeprovisionedMachineIsNotWaitedFor).
 func (d *Detector) deprovisionUnlisted() {
 	var unlisted []*fleet.Machine
 	machines := d.host.Machines()
@@ -175,7 +175,7 @@
 // only while enough machines of its zone are responsive: otherwise it is more likely that this controller
 // is unreachable. Responsive machines need not be the majority. When most of a zone's spot machines were
 // reclaimed while the controllers were down, work accepted earlier had to wait for the leases of the
-// deleted machines (TestSilentZone).
+// deleted machines (TestUnresponsiveZone).
 func (d *Detector) deprovisionUnresponsive(now units.Microseconds, result scanResult) {
 	count := map[string]int{} // unresponsive machines without a reclaim notice, by zone
 	for _, machine := range result.unresponsive {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -18,8 +18,8 @@
 	shard *ownedShard
 }
 
-// Guarded implements reconcile.Host.
-func (h reconcileHost) Guarded(check guard.Guard) bool { return h.guarded(check) }
+// GuardEnabled implements reconcile.Host.
+func (h reconcileHost) GuardEnabled(check guard.Guard) bool { return h.guarded(check) }
 
 // Assignment implements reconcile.Host.
 func (h reconcileHost) Assignment() uint64 { return h.shard.assignment }
--- a/internal/core/reconcile/admission.go
+++ b/internal/core/reconcile/admission.go
@@ -38,7 +38,7 @@
 	switch {
 	case heartbeat.FencingToken > r.cfg.FencingToken:
 		return Superseded
-	case r.host.Deprovisioned(heartbeat.Machine) && r.host.Guarded(guard.DeprovisionedMachine):
+	case r.host.Deprovisioned(heartbeat.Machine) && r.host.GuardEnabled(guard.DeprovisionedMachine):
 		// The heartbeat was delayed by a network partition. If the machine counted as alive again, the
 		// tasks that it shows could not start elsewhere (TestDelayedHeartbeatOfDeprovisionedMachine).
 		r.cfg.Log.Debug("refused a heartbeat of a deprovisioned machine", "machine", heartbeat.Machine)
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -16,7 +16,7 @@
 	// Stale heartbeats change nothing: a later heartbeat of the machine has already arrived, so that the
 	// worker no longer waits for this response.
 	Stale HeartbeatStatus = iota
-	// Unconfirmed heartbeats show which tasks run, but not which don't. The worker has not accepted a
+	// Unconfirmed heartbeats show which tasks run, but not which do not run. The worker has not accepted a
 	// response of this owner yet, so a delayed response of an earlier owner may still start tasks that
 	// the heartbeat does not show.
 	Unconfirmed
@@ -38,7 +38,7 @@
 	if machine == nil {
 		machine = r.host.Adopt(heartbeat)
 	}
-	if !machine.Newer(heartbeat) && r.host.Guarded(guard.HeartbeatOrder) {
+	if !machine.Newer(heartbeat) && r.host.GuardEnabled(guard.HeartbeatOrder) {
 		return Accepted{Machine: machine, Status: Stale}
 	}
 	if machine.LastSeen == 0 {
@@ -46,7 +46,7 @@
 	}
 	heartbeat = r.withoutExpired(machine, heartbeat)
 	machine.AcceptHeartbeat(now, now+r.host.LeaseBound(), heartbeat)
-	if heartbeat.FencingToken != r.cfg.FencingToken && r.host.Guarded(guard.HeartbeatToken) {
+	if heartbeat.FencingToken != r.cfg.FencingToken && r.host.GuardEnabled(guard.HeartbeatToken) {
 		// The heartbeat proves nothing about missing tasks: it may have been in flight while an earlier
 		// owner started some.
 		return Accepted{machine, Unconfirmed, r.stopForeignTasks(heartbeat)}
@@ -72,7 +72,7 @@
 // A network partition delayed the heartbeat, which was sent before. Applied unfiltered, it would restore
 // tasks that have been started elsewhere since (docs/incidents/2026-12-01-held-back.md).
 func (r *Reconciler) withoutExpired(machine *fleet.Machine, heartbeat *fleet.Heartbeat) *fleet.Heartbeat {
-	if !slices.ContainsFunc(heartbeat.Tasks, machine.Expired) || !r.host.Guarded(guard.ExpiredAttempts) {
+	if !slices.ContainsFunc(heartbeat.Tasks, machine.Expired) || !r.host.GuardEnabled(guard.ExpiredAttempts) {
 		return heartbeat
 	}
 	r.cfg.Log.Debug("ignored attempts of a heartbeat that ended with an expired lease", "machine", machine.Name)
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -84,7 +84,7 @@
 func (r *Reconciler) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	r.probes.inFlight--
 	machine := r.machines[probe.Machine]
-	if machine == nil || machine.Reconciled && r.host.Guarded(guard.ProbeAnswer) {
+	if machine == nil || machine.Reconciled && r.host.GuardEnabled(guard.ProbeAnswer) {
 		return
 	}
 	if answer == nil || answer.Machine != machine.Name || !machine.Newer(answer) {
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -24,8 +24,8 @@
 // Host is the owner of the shard. A Reconciler calls its methods while it is changing its own state:
 // Adopt must call Add, Fill must call Place, and no method may change the Reconciler in any other way.
 type Host interface {
-	// Guarded reports whether a check is enabled. All are, except for one that a test disables.
-	Guarded(check guard.Guard) bool
+	// GuardEnabled reports whether a check is enabled. All are, except for one that a test disables.
+	GuardEnabled(check guard.Guard) bool
 	// Assignment returns the version of the shard's stored assignment. Answers to requests that were made
 	// under another version are ignored.
 	Assignment() uint64
@@ -82,7 +82,7 @@
 // Config holds the settings of a shard's Reconciler.
 type Config struct {
 	Shard        int
-	FencingToken uint64 // of this owner
+	FencingToken uint64 // fencing token of this owner
 	OwnedSince   units.Microseconds
 	Log          *slog.Logger
 }
@@ -148,7 +148,7 @@
 // attempts are known from a snapshot (see Restore).
 func (r *Reconciler) Inherit(now units.Microseconds, machine *fleet.Machine, transferred bool) {
 	machine.LeaseEnd = now + r.host.LeaseBound()
-	if !transferred && r.host.Guarded(guard.UnreconciledMachines) {
+	if !transferred && r.host.GuardEnabled(guard.UnreconciledMachines) {
 		r.unreconciled[machine.Name] = true
 		r.quota.UnreconciledChanged()
 	}
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -56,17 +56,17 @@
 	return owner, machine
 }
 
-func (o *fakeOwner) Guarded(check guard.Guard) bool    { return o.disabled != check }
-func (*fakeOwner) Assignment() uint64                  { return 3 }
-func (*fakeOwner) LeaseBound() units.Microseconds      { return lease }
-func (o *fakeOwner) LastAttempt() uint64               { return o.lastAttempt }
-func (o *fakeOwner) Deprovisioned(machine string) bool { return o.deprovisioned[machine] }
-func (*fakeOwner) InAnotherShard(string) bool          { return false }
-func (o *fakeOwner) StoreGroup(group string, _ bool)   { o.stored = append(o.stored, group) }
-func (o *fakeOwner) SendProbe(probe Probe)             { o.probes = append(o.probes, probe) }
-func (o *fakeOwner) AllReconciled()                    { o.reconciled++ }
-func (o *fakeOwner) Job(id string) *jobs.Job           { return o.jobs[id] }
-func (*fakeOwner) AttemptRemoved(*jobs.Job, bool)      {}
+func (o *fakeOwner) GuardEnabled(check guard.Guard) bool { return o.disabled != check }
+func (*fakeOwner) Assignment() uint64                    { return 3 }
+func (*fakeOwner) LeaseBound() units.Microseconds        { return lease }
+func (o *fakeOwner) LastAttempt() uint64                 { return o.lastAttempt }
+func (o *fakeOwner) Deprovisioned(machine string) bool   { return o.deprovisioned[machine] }
+func (*fakeOwner) InAnotherShard(string) bool            { return false }
+func (o *fakeOwner) StoreGroup(group string, _ bool)     { o.stored = append(o.stored, group) }
+func (o *fakeOwner) SendProbe(probe Probe)               { o.probes = append(o.probes, probe) }
+func (o *fakeOwner) AllReconciled()                      { o.reconciled++ }
+func (o *fakeOwner) Job(id string) *jobs.Job             { return o.jobs[id] }
+func (*fakeOwner) AttemptRemoved(*jobs.Job, bool)        {}
 func (o *fakeOwner) TaskCompleted(job *jobs.Job, task int) {
 	job.Finish(task, jobs.ProgressLayout{TasksPerRecord: 256})
 	o.completed = append(o.completed, task)
--- a/internal/core/zones/zones_test.go
+++ b/internal/core/zones/zones_test.go
@@ -137,7 +137,7 @@
 		}
 	}
 	if took[2] < 3*took[0] {
-		t.Errorf("trust delay after the third loss is not longer than after the first: %v", took)
+		t.Errorf("trust delay after the third loss is less than 3 times that after the first: %v", took)
 	}
 }
 
