--- a/internal/core/shardstore/shardstore_test.go
+++ b/internal/core/shardstore/shardstore_test.go
@@ -236,7 +236,7 @@
 			w.TaskFinished(job, task)
 		}
 		w.CloseJob(job)
-		if !job.Active() || !job.Closing {
+		if !job.Active() || !job.Finalizing {
 			t.Fatal("job ended before its end was stored")
 		}
 		writes := owner.completeAll(t, store.Unknown)
