--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -76,7 +76,7 @@
 	}
 	wasFailing := job.FailsEverywhere()
 	job.FailedOn(machine.Name)
-	if repeated && (!wasFailing || !machine.Proven && job.QuarantineCount < maxReplaced) {
+	if repeated && (!wasFailing || !machine.HasCompletedTask && job.QuarantineCount < maxReplaced) {
 		job.MachineQuarantined()
 		machine.Quarantined = true // the job's failures still count against the job
 		a.log.Warn("machine quarantined: a job failed on it again", "machine", machine.Name, "job", job.ID)
@@ -142,7 +142,7 @@
 // last failure, the machine works and its quarantine ends. A job that was suspect is not
 // at fault. attempt is the zero value if it was not known to be on the machine.
 func (a *Attribution) TaskSucceeded(machine *fleet.Machine, job *jobs.Job, attempt fleet.Attempt) {
-	machine.Proven = true
+	machine.HasCompletedTask = true
 	if attempt.Started > machine.FailedAt {
 		machine.Failed, machine.Quarantined = nil, false
 	}
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -99,7 +99,7 @@
 // next heartbeat must stay within their size bounds, an attempt number must be left,
 // the team must stay within its limit, and the job's zone constraints must hold.
 func (s *Scheduler) mayPlace(wall units.Microseconds, machine *fleet.Machine, job *jobs.Job, started int) bool {
-	if started == fleet.MaxStarts || machine.Listed+started >= fleet.MaxListed || s.host.AttemptsUsedUp() {
+	if started == fleet.MaxStarts || machine.ReportedTasks+started >= fleet.MaxReportedTasks || s.host.AttemptsUsedUp() {
 		return false
 	}
 	if !s.quota.Allows(job.Spec().Team, s.demandOnLimit(wall, job)) {
