--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -20,8 +20,8 @@
 
 // Checks of what may still run.
 const (
-	UnreconciledMachines  Guard = iota + 101 // what runs on machines of earlier owners is unknown until they are reconciled
-	ZoneConstraints                          // tasks of a job run in one zone or are spread over zones, as its spec demands
+	UnreconciledMachines  Guard = iota + 101 // tasks on machines of earlier owners are unknown until they are reconciled
+	ZoneConstraints                          // a job's tasks share a zone or are spread over zones, as its spec demands
 	CompleteAfterFailover                    // the next owner completes a job whose tasks are all stored as done
 	StandbyAcknowledged                      // a start command is sent only after the standby has acknowledged it
 )
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -2,9 +2,10 @@
 // and quarantines machines that fail the tasks they start. Nothing more starts on a
 // quarantined machine until a task that was started there after the last failure completes.
 //
-// The state behind these decisions is kept with the machines (fleet.Machine: Failed, FailedAt, Proven,
-// Quarantined) and the jobs (jobs.Job: MachineFailures, AnyTaskSucceeded, Failing, QuarantineCount, NotBefore). No other package
-// writes these fields of the machines, except that fleet.Machine.Ran quarantines a slow machine.
+// The state behind these decisions is kept with the machines (fleet.Machine: Failed, FailedAt,
+// HasCompletedTask, Quarantined) and the jobs (jobs.Job: MachineFailures, AnyTaskSucceeded,
+// Failing, QuarantineCount, NotBefore). No other package writes these fields of the machines,
+// except that fleet.Machine.ObserveRuntime quarantines a slow machine.
 package quarantine
 
 import (
@@ -20,7 +21,7 @@
 const (
 	// retrySameMachineAfter is how long a job that failed on a machine is tried on other machines only.
 	retrySameMachineAfter = 30 * units.Second
-	// maxBackoff bounds the delay between two trials of a job that fails everywhere.
+	// maxBackoff bounds the delay before a job that fails everywhere is retried.
 	maxBackoff = 60 * units.Second
 	// maxDoublings bounds how often that delay doubles, starting from one second.
 	maxDoublings = 6
@@ -98,7 +99,7 @@
 	}
 }
 
-// backoff returns the delay before the next trial of a job that has failed on the given number of machines.
+// backoff returns the delay before a job that has failed on the given number of machines is retried.
 func backoff(machines int) units.Microseconds {
 	return min(units.Second<<min(machines, maxDoublings), maxBackoff)
 }
@@ -163,8 +164,8 @@
 	a.host.TasksReady()
 }
 
-// Trials returns how many tasks of a suspect job may start on a machine.
-func Trials(now units.Microseconds, machine *fleet.Machine, job *jobs.Job) int {
+// StartLimit returns how many tasks of a suspect job may start on a machine.
+func StartLimit(now units.Microseconds, machine *fleet.Machine, job *jobs.Job) int {
 	if job.MachineFailures[machine.Name] > 0 && now-machine.FailedAt < retrySameMachineAfter {
 		return 0
 	}
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -96,18 +96,18 @@
 	}
 }
 
-// TestTrialsBackOff guards against a failing job that occupies machines.
-// After a failure it is tried only elsewhere for retrySameMachineAfter. Once
-// it fails everywhere, the delays grow and the state is stored exactly once.
-func TestTrialsBackOff(t *testing.T) {
+// TestStartLimitAfterFailures guards against a failing job that occupies
+// machines. After a failure it is tried only elsewhere for retrySameMachineAfter.
+// Once it fails everywhere, the delays grow and the state is stored exactly once.
+func TestStartLimitAfterFailures(t *testing.T) {
 	shard := newShard()
 	attribution := New(shard, slog.New(slog.DiscardHandler))
 	job, machine := shard.jobs["x"], shard.machines["A"]
 	attribution.TaskFailed(machine, job, fleet.Attempt{})
-	if here, there := Trials(shard.now, machine, job), Trials(shard.now, shard.machines["B"], job); here != 0 || there != 2 {
+	if here, there := StartLimit(shard.now, machine, job), StartLimit(shard.now, shard.machines["B"], job); here != 0 || there != 2 {
 		t.Errorf("%d tasks may start on the failed machine and %d elsewhere, want 0 and 2", here, there)
 	}
-	if n := Trials(shard.now+retrySameMachineAfter, machine, job); n != 2 {
+	if n := StartLimit(shard.now+retrySameMachineAfter, machine, job); n != 2 {
 		t.Errorf("%d tasks may start on the failed machine later, want 2", n)
 	}
 	for i, name := range []string{"B", "C", "D", "E"} {
@@ -116,7 +116,7 @@
 			t.Errorf("after failures on %d machines, retry at %.0f s, want %.0f", i+2, job.NotBefore.Seconds(), want.Seconds())
 		}
 	}
-	if n := Trials(shard.now, shard.machines["B"], job); n != 0 || len(shard.stored) != 1 {
+	if n := StartLimit(shard.now, shard.machines["B"], job); n != 0 || len(shard.stored) != 1 {
 		t.Errorf("%d tasks may start where the job failed, want 0; stored %d times, want 1", n, len(shard.stored))
 	}
 	if attribution.TaskSucceeded(machine, job, fleet.Attempt{}); job.NotBefore != shard.now || shard.ready == 0 {
--- a/internal/core/scheduler/fill.go
+++ b/internal/core/scheduler/fill.go
@@ -66,7 +66,7 @@
 	}
 	pending := job.Ready() - s.headroom.claim(job, class)
 	if job.Suspect() {
-		pending = quarantine.Trials(now, machine, job)
+		pending = quarantine.StartLimit(now, machine, job)
 	}
 	if overdue(wall, job) {
 		pending = min(pending, 1) // only the first task goes out of order
