--- a/internal/core/liveness/reachability_test.go
+++ b/internal/core/liveness/reachability_test.go
@@ -31,8 +31,8 @@
 		{"no machine", 100 * units.Second, true, 0, 0, true, false},
 		{"released recently, no reachable peer", 100 * units.Second, true, 1, 50 * units.Second, false, false},
 		{"released recently, reachable peer", 100 * units.Second, true, 1, 50 * units.Second, true, true},
-		{"released not quite long ago", 100 * units.Second, true, 1, 20*units.Second + 1, false, false},
-		{"released long ago", 100 * units.Second, true, 1, 20 * units.Second, false, true},
+		{"just before shards may be released again", 100 * units.Second, true, 1, 20*units.Second + 1, false, false},
+		{"shards may be released again", 100 * units.Second, true, 1, 20 * units.Second, false, true},
 	} {
 		reachability := NewReachability(interval, lease)
 		if test.releasedAt > 0 {
