--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -75,7 +75,7 @@
 	if !slices.ContainsFunc(heartbeat.Tasks, machine.Expired) || !r.host.GuardEnabled(guard.ExpiredAttempts) {
 		return heartbeat
 	}
-	r.cfg.Log.Debug("ignored attempts of a heartbeat that ended with an expired lease", "machine", machine.Name)
+	r.cfg.Log.Debug("heartbeat shows attempts whose lease expired", "machine", machine.Name)
 	current := *heartbeat
 	current.Tasks = slices.DeleteFunc(slices.Clone(heartbeat.Tasks), machine.Expired)
 	return &current
@@ -182,7 +182,7 @@
 	case !placed:
 		job.Adopt(index, here)
 	case place.Machine != machine.Name:
-		r.cfg.Log.Error("task is present on two machines", "task", task.ID.String(), "one", place.Machine, "other", machine.Name)
+		r.cfg.Log.Error("task is on two machines", "task", task.ID.String(), "one", place.Machine, "other", machine.Name)
 		return false
 	case place.Attempt != task.Attempt:
 		job.Release(index)
