--- a/cmd/shalestage/backup.go
+++ b/cmd/shalestage/backup.go
@@ -108,7 +108,7 @@
 	if o.JSON {
 		return printJSON(s)
 	}
-	fmt.Printf("%s: whole; begun %s by release %s, as of revision %d, %d bytes\n", o.File, s.StartedAt, s.Release, s.Foot.Revision, s.Bytes)
+	fmt.Printf("%s: whole; begun %s by release %s, as of revision %d, %d bytes\n", o.File, s.StartedAt, s.Release, s.Footer.Revision, s.Bytes)
 	printKeys(s.Lines)
 	return nil
 }
@@ -146,7 +146,7 @@
 	c, opt := o.client()
 	ctx, stop := interruptible()
 	defer stop()
-	done, err := backup.Restore(ctx, c, f, backup.RestoreOptions{Options: opt, Force: o.Force, Ops: o.Ops, Above: o.Above})
+	done, err := backup.Restore(ctx, c, f, backup.RestoreOptions{Options: opt, Force: o.Force, TxnOps: o.Ops, MinTerm: o.Above})
 	if err != nil {
 		return exit{exitFailed, fmt.Errorf("%s: %w", o.State, err)}
 	}
@@ -185,7 +185,7 @@
 		c, opt := f.client()
 		ctx, stop := interruptible()
 		defer stop()
-		var hosts backup.Hosts
+		var hosts backup.HostLister
 		if o.Cloud != "" {
 			hosts = cloud.New(o.Cloud, 1, slog.New(slog.DiscardHandler))
 		}
@@ -202,7 +202,7 @@
 		}
 	} else {
 		printKeys(rep.Keys)
-		fmt.Printf("%d packed jobs\n", rep.Packed)
+		fmt.Printf("%d packed jobs\n", rep.ArchivedJobs)
 		for _, f := range rep.Findings {
 			note := ""
 			if f.Fix && !o.Fix {
--- a/cmd/shalestage/serve.go
+++ b/cmd/shalestage/serve.go
@@ -69,7 +69,7 @@
 	n := node.New(core.New(s.Core(log)),
 		state.New(s.Services.State, d.State.RPS/share, d.State.Later().RPS/share, log),
 		cloud.New(s.Services.Cloud, d.Cloud.RPS, log), worker.New(log), link, log)
-	n.WatchMemory(memory.New(limit).Full)
+	n.SetMemoryCheck(memory.New(limit).Full)
 	go n.Run(context.Background())
 	go link.Run(context.Background())
 	frames, web := peer.Split(pl)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -128,13 +128,13 @@
 	var body any
 	switch answer := r.Body.(type) {
 	case core.JobAnswer:
-		status := wire.JobStatus{ID: answer.ID, Status: wire.Status(answer.Status)}
+		status := wire.JobStatus{ID: answer.ID, Status: wire.StatusName(answer.Status)}
 		if answer.Counts {
 			status.Done, status.Running = &answer.Done, &answer.Running
 		}
 		body = status
 	case core.HeartbeatResponse:
-		orders := wire.Orders{FencingToken: answer.FencingToken, Commands: []wire.Command{}}
+		orders := wire.CommandList{FencingToken: answer.FencingToken, Commands: []wire.Command{}}
 		for _, c := range answer.Commands {
 			orders.Commands = append(orders.Commands, wire.EncodeCommand(c))
 		}
--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -19,20 +19,20 @@
 
 // AuditResult is what an audit found.
 type AuditResult struct {
-	Keys     map[string]int       `json:"keys"` // by folder
-	Packed   int                  `json:"packed_jobs"`
-	Findings []introspect.Finding `json:"findings"`
+	Keys         map[string]int       `json:"keys"` // by folder
+	ArchivedJobs int                  `json:"packed_jobs"`
+	Findings     []introspect.Finding `json:"findings"`
 }
 
-// Hosts lists the cloud's machines.
-type Hosts interface {
+// HostLister lists the cloud's machines.
+type HostLister interface {
 	List(ctx context.Context) (store.Outcome, []wire.Host)
 }
 
 // AuditLive reads a state service twice, as what one reading shows of keys that change
 // meanwhile does not belong together: only what both have found counts. Machines are compared
 // with the cloud's list, if there is one; as that lags, the second reading begins after lag.
-func AuditLive(ctx context.Context, s Service, cloud Hosts, lag time.Duration, options Options) (AuditResult, error) {
+func AuditLive(ctx context.Context, s StateService, cloud HostLister, lag time.Duration, options Options) (AuditResult, error) {
 	options.setDefaults()
 	first, err := inspect(ctx, s, cloud, options)
 	if err != nil || len(first.Findings) == 0 {
@@ -52,7 +52,7 @@
 }
 
 // inspect reads every key once and checks them together.
-func inspect(ctx context.Context, s Service, cloud Hosts, options Options) (AuditResult, error) {
+func inspect(ctx context.Context, s StateService, cloud HostLister, options Options) (AuditResult, error) {
 	inspector := introspect.NewInspector()
 	for _, part := range []struct {
 		prefix string
@@ -121,7 +121,7 @@
 		}
 		n := 0
 		var s Summary
-		err = Each(r, &s, func(e store.Event) error {
+		err = ForEachRecord(r, &s, func(e store.Event) error {
 			n++
 			f(n, e)
 			return nil
@@ -165,7 +165,7 @@
 
 // Fix clears what is safe to clear, and returns how many findings that were. Each is
 // guarded by the versions that were seen: what has changed since is left alone.
-func Fix(ctx context.Context, s Service, list []introspect.Finding, ops int, options Options) (int, error) {
+func Fix(ctx context.Context, s StateService, list []introspect.Finding, ops int, options Options) (int, error) {
 	options.setDefaults()
 	cleared := 0
 	for _, f := range list {
--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -96,7 +96,7 @@
 }
 
 func options() backup.Options {
-	return backup.Options{Rate: 1e9, Chunk: 300, Sleep: func(time.Duration) {}, Now: func() time.Time { return time.Unix(1_700_000_000, 0) }}
+	return backup.Options{Rate: 1e9, ChunkBytes: 300, Sleep: func(time.Duration) {}, Now: func() time.Time { return time.Unix(1_700_000_000, 0) }}
 }
 
 // cut is a file that takes so many bytes and then no more.
@@ -148,7 +148,7 @@
 		}
 		target := newService()
 		target.lost = func() bool { return rapid.IntRange(0, 9).Draw(t, "answer lost") == 0 }
-		done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: rapid.IntRange(3, 12).Draw(t, "ops")})
+		done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), TxnOps: rapid.IntRange(3, 12).Draw(t, "ops")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,10 +163,10 @@
 			t.Fatalf("term %d; restored\n%v\nwant\n%v", done.Term, got, want)
 		}
 		target.lost = nil
-		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3}); !errors.Is(err, backup.ErrNotEmpty) {
+		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), TxnOps: 3}); !errors.Is(err, backup.ErrNotEmpty) {
 			t.Fatalf("into a service that is not empty: %v", err)
 		}
-		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), Ops: 3, Force: true}); err != nil || !maps.Equal(target.all(), want) {
+		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), TxnOps: 3, Force: true}); err != nil || !maps.Equal(target.all(), want) {
 			t.Fatalf("forced: %v", err)
 		}
 	})
@@ -186,7 +186,7 @@
 }
 
 // saveWithResume saves into a file and, where that is cut short, resumes in one that is not.
-func saveWithResume(t *rapid.T, source *service, file *cut) backup.Foot {
+func saveWithResume(t *rapid.T, source *service, file *cut) backup.Footer {
 	t.Helper()
 	foot, err := backup.Save(t.Context(), source, file, nil, options())
 	if err == nil {
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	saved, err := backup.AuditFile(func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(file.Bytes())), nil })
-	if err != nil || len(saved.Findings) != len(want)-4 || saved.Packed != 1 {
+	if err != nil || len(saved.Findings) != len(want)-4 || saved.ArchivedJobs != 1 {
 		t.Errorf("of the backup: %v, %+v", err, saved)
 	}
 	// One of them gets its record before it is cleared: it stays.
--- a/internal/backup/format.go
+++ b/internal/backup/format.go
@@ -34,34 +34,34 @@
 
 // record is one line; exactly one of its parts is there.
 type record struct {
-	Head *Head `json:"head,omitempty"`
+	Header *Header `json:"head,omitempty"`
 	// Keys, in the order in which they were read. A key that comes again replaces
 	// the earlier one: it was changed while the listing went on.
 	Key     string          `json:"k,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
 	Deleted bool            `json:"gone,omitempty"` // was removed meanwhile
-	// Page says that the listing is complete up to a key, and the changes up to a
+	// Checkpoint says that the listing is complete up to a key, and the changes up to a
 	// revision: from there an interrupted backup goes on.
-	Page *page `json:"page,omitempty"`
-	Foot *Foot `json:"foot,omitempty"`
+	Checkpoint *checkpoint `json:"page,omitempty"`
+	Footer     *Footer     `json:"foot,omitempty"`
 }
 
-// Head says what a backup is of.
-type Head struct {
+// Header says what a backup is of.
+type Header struct {
 	Format    int    `json:"format"`
 	Release   string `json:"release"`
 	StartedAt string `json:"began"` // time of day, RFC 3339
 	Revision  uint64 `json:"revision"`
 }
 
-type page struct {
+type checkpoint struct {
 	After    string `json:"after"`
 	Revision uint64 `json:"revision"`
 	Listing  bool   `json:"lists"` // the listing is not complete yet
 }
 
-// Foot ends a backup.
-type Foot struct {
+// Footer ends a backup.
+type Footer struct {
 	Revision uint64 `json:"revision"` // as of which it shows every key
 	Lines    int    `json:"lines"`
 	EndedAt  string `json:"ended"`
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -24,18 +24,18 @@
 // RestoreOptions say how a backup is put back.
 type RestoreOptions struct {
 	Options
-	Force bool // what is there is removed first
-	Ops   int  // changes of one transaction
-	// Above is the least that the next term must be above; 0: by the age of the backup.
-	Above uint64
+	Force  bool // what is there is removed first
+	TxnOps int  // changes of one transaction
+	// MinTerm is the least that the next term must be above; 0: by the age of the backup.
+	MinTerm uint64
 }
 
 // termMargin is added to a backup's term beside one for each second of its age: a
 // leader's end is noticed after a lease, so terms never rise faster.
 const termMargin = 1000
 
-// Restored is what a restore has done.
-type Restored struct {
+// RestoreResult is what a restore has done.
+type RestoreResult struct {
 	Keys    int    `json:"keys"` // written, some more than once
 	Skipped int    `json:"skipped"`
 	Term    uint64 `json:"term"` // that every later term is above
@@ -43,17 +43,17 @@
 
 // restorer is a restore under way.
 type restorer struct {
-	service Service
+	service StateService
 	options RestoreOptions
 	version uint64 // of restoreKey; 0: it does not exist
 	batch   []store.Change
 	size    int
-	done    Restored
+	done    RestoreResult
 }
 
 // Restore puts a backup back that was verified before. Every fencing token that is given out
 // afterwards is above all that workers can have seen, also after the backup.
-func Restore(ctx context.Context, s Service, source io.Reader, options RestoreOptions) (Restored, error) {
+func Restore(ctx context.Context, s StateService, source io.Reader, options RestoreOptions) (RestoreResult, error) {
 	options.setDefaults()
 	restoring := &restorer{service: s, options: options}
 	if err := restoring.prepare(ctx); err != nil {
@@ -61,7 +61,7 @@
 	}
 	var summary Summary
 	var term authority.Term
-	err := Each(source, &summary, func(event store.Event) error {
+	err := ForEachRecord(source, &summary, func(event store.Event) error {
 		if event.Key != core.TermKey {
 			return restoring.restore(ctx, event)
 		}
@@ -97,7 +97,7 @@
 		return 0, fmt.Errorf("the backup's time: %w", err)
 	}
 	age := max(0, o.Now().Sub(start).Seconds())
-	term = max(term+termMargin+uint64(age), o.Above)
+	term = max(term+termMargin+uint64(age), o.MinTerm)
 	if term > authority.MaxTerm {
 		return 0, fmt.Errorf("term %d: there are no more than %d", term, uint64(authority.MaxTerm))
 	}
@@ -159,12 +159,12 @@
 			return err
 		}
 	}
-	r.done = Restored{}
+	r.done = RestoreResult{}
 	return nil
 }
 
 func (r *restorer) add(ctx context.Context, c store.Change) error {
-	if len(r.batch)+2 > r.options.Ops || r.size+c.Size() > store.TxnBytes {
+	if len(r.batch)+2 > r.options.TxnOps || r.size+c.Size() > store.TxnBytes {
 		if err := r.flush(ctx); err != nil {
 			return err
 		}
@@ -199,7 +199,7 @@
 	})
 	r.done.Keys += len(r.batch)
 	r.batch, r.size = r.batch[:0], 0
-	if r.done.Keys%10_000 < r.options.Ops {
+	if r.done.Keys%10_000 < r.options.TxnOps {
 		r.options.Progressf("%d keys", r.done.Keys)
 	}
 	return err
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -11,8 +11,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Service is what is needed of a state service's client.
-type Service interface {
+// StateService is what is needed of a state service's client.
+type StateService interface {
 	List(ctx context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool)
 	Watch(ctx context.Context, prefix string, after uint64, wait units.Microseconds) (store.Outcome, uint64, []store.Event, bool)
 	Commit(ctx context.Context, t *store.Txn) (store.Outcome, uint64, []string)
@@ -29,17 +29,17 @@
 // Options say how the state service is asked. The zero values of Now, Sleep, Progressf and
 // Chunk stand for defaults.
 type Options struct {
-	Rate      float64 // requests a second
-	Release   string
-	Chunk     int // bytes of records that are written at once; 0: 1 MiB
-	Now       func() time.Time
-	Sleep     func(time.Duration)              // nil: by the clock, or until the context ends
-	Progressf func(format string, args ...any) // is called with how far it has come; nil: nothing
+	Rate       float64 // requests a second
+	Release    string
+	ChunkBytes int // bytes of records that are written at once; 0: 1 MiB
+	Now        func() time.Time
+	Sleep      func(time.Duration)              // nil: by the clock, or until the context ends
+	Progressf  func(format string, args ...any) // is called with how far it has come; nil: nothing
 }
 
 func (o *Options) setDefaults() {
-	if o.Chunk == 0 {
-		o.Chunk = chunkSize
+	if o.ChunkBytes == 0 {
+		o.ChunkBytes = chunkSize
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -88,7 +88,7 @@
 }
 
 // list reads a page of keys; more says that others follow.
-func (o *Options) list(ctx context.Context, s Service, prefix, after string, page int) (revision uint64, items []store.Event, more bool, err error) {
+func (o *Options) list(ctx context.Context, s StateService, prefix, after string, page int) (revision uint64, items []store.Event, more bool, err error) {
 	err = o.retry(ctx, "listing", func() (out store.Outcome) {
 		out, revision, items, more = s.List(ctx, prefix, after, page)
 		return out
@@ -103,7 +103,7 @@
 // requests go one after the other and are written as they come, so what stands last
 // in the file of a key is newest, and all of it together is as of the last change.
 type saver struct {
-	service  Service
+	service  StateService
 	options  Options
 	writer   *writer
 	after    string
@@ -114,41 +114,41 @@
 
 // Save writes a backup. resumed, if any, is where an earlier one was cut short: the
 // writer stands after its last whole chunk.
-func Save(ctx context.Context, s Service, w io.Writer, resumed *Progress, options Options) (Foot, error) {
+func Save(ctx context.Context, s StateService, w io.Writer, resumed *Progress, options Options) (Footer, error) {
 	options.setDefaults()
-	out, err := newWriter(w, resumed == nil, options.Chunk)
+	out, err := newWriter(w, resumed == nil, options.ChunkBytes)
 	if err != nil {
-		return Foot{}, err
+		return Footer{}, err
 	}
 	saving := &saver{service: s, options: options, writer: out, listing: true}
 	if resumed != nil {
 		saving.after, saving.revision, saving.listing, saving.lines = resumed.page.After, resumed.page.Revision, resumed.page.Listing, resumed.lines
 	} else if err := saving.begin(ctx); err != nil {
-		return Foot{}, err
+		return Footer{}, err
 	}
 	for saving.listing {
 		if err := saving.listPage(ctx); err != nil {
-			return Foot{}, err
+			return Footer{}, err
 		}
 		if err := saving.followChanges(ctx); err != nil {
-			return Foot{}, err
+			return Footer{}, err
 		}
 		if err := saving.checkpoint(); err != nil {
-			return Foot{}, err
+			return Footer{}, err
 		}
 	}
 	if err := saving.followChanges(ctx); err != nil {
-		return Foot{}, err
+		return Footer{}, err
 	}
-	foot := Foot{Revision: saving.revision, Lines: saving.lines, EndedAt: options.Now().UTC().Format(time.RFC3339)}
-	saving.writer.add(record{Foot: &foot})
+	foot := Footer{Revision: saving.revision, Lines: saving.lines, EndedAt: options.Now().UTC().Format(time.RFC3339)}
+	saving.writer.add(record{Footer: &foot})
 	return foot, saving.writer.flush()
 }
 
 // begin notes the revision from which on changes are followed.
 func (s *saver) begin(ctx context.Context) (err error) {
 	s.revision, _, _, err = s.options.list(ctx, s.service, Prefix, "", 1)
-	s.writer.add(record{Head: &Head{Format: 1, Release: s.options.Release, StartedAt: s.options.Now().UTC().Format(time.RFC3339), Revision: s.revision}})
+	s.writer.add(record{Header: &Header{Format: 1, Release: s.options.Release, StartedAt: s.options.Now().UTC().Format(time.RFC3339), Revision: s.revision}})
 	return err
 }
 
@@ -200,7 +200,7 @@
 	if !s.writer.full() && s.listing {
 		return nil
 	}
-	s.writer.add(record{Page: &page{After: s.after, Revision: s.revision, Listing: s.listing}})
+	s.writer.add(record{Checkpoint: &checkpoint{After: s.after, Revision: s.revision, Listing: s.listing}})
 	s.options.Progressf("%d keys and changes, up to %s", s.lines, s.after)
 	return s.writer.flush()
 }
@@ -208,7 +208,7 @@
 // Progress is how far a backup has come that was cut short.
 type Progress struct {
 	Offset int64 // of the end of its last chunk that tells
-	page   page
+	page   checkpoint
 	lines  int
 }
 
@@ -231,10 +231,10 @@
 		}
 		for _, rec := range records {
 			switch {
-			case rec.Foot != nil:
+			case rec.Footer != nil:
 				return nil, ErrComplete
-			case rec.Page != nil:
-				progress = &Progress{Offset: reader.offset, page: *rec.Page, lines: lines}
+			case rec.Checkpoint != nil:
+				progress = &Progress{Offset: reader.offset, page: *rec.Checkpoint, lines: lines}
 			case rec.Key != "":
 				lines++
 			}
@@ -244,31 +244,31 @@
 
 // Summary is what a backup holds.
 type Summary struct {
-	Head
-	Foot  Foot           `json:"foot"`
-	Bytes int64          `json:"bytes"`
-	Lines map[string]int `json:"lines"` // by folder
+	Header
+	Footer Footer         `json:"foot"`
+	Bytes  int64          `json:"bytes"`
+	Lines  map[string]int `json:"lines"` // by folder
 }
 
 // Verify reads a backup through: every checksum, every record, and that it is whole.
 func Verify(r io.Reader) (Summary, error) {
 	summary := Summary{Lines: map[string]int{}}
-	err := Each(r, &summary, func(e store.Event) error {
+	err := ForEachRecord(r, &summary, func(e store.Event) error {
 		summary.Lines[store.Folder(e.Key)]++
 		return nil
 	})
 	return summary, err
 }
 
-// Each passes every record of a backup to receive, in the order in which they were read. A
+// ForEachRecord passes every record of a backup to receive, in the order in which they were read. A
 // backup that is damaged or not whole is a *DamageError, at the latest in the end: whoever
 // must not act on half of one verifies it first.
-func Each(r io.Reader, summary *Summary, receive func(store.Event) error) error {
+func ForEachRecord(r io.Reader, summary *Summary, receive func(store.Event) error) error {
 	reader, err := NewReader(r)
 	if err != nil {
 		return err
 	}
-	var foot *Foot
+	var foot *Footer
 	lines, first := 0, true
 	for {
 		start := reader.offset
@@ -284,13 +284,13 @@
 			case foot != nil:
 				return &DamageError{start, "something follows the end"}
 			case first:
-				if rec.Head == nil || rec.Head.Format != 1 {
+				if rec.Header == nil || rec.Header.Format != 1 {
 					return &DamageError{start, "no head of a format that can be read here"}
 				}
-				summary.Head, first = *rec.Head, false
-			case rec.Foot != nil:
-				foot = rec.Foot
-			case rec.Page != nil:
+				summary.Header, first = *rec.Header, false
+			case rec.Footer != nil:
+				foot = rec.Footer
+			case rec.Checkpoint != nil:
 			case rec.Key == "" || rec.Deleted == (rec.Value != nil):
 				return &DamageError{start, "a record that is none"}
 			default:
@@ -308,6 +308,6 @@
 	if foot.Lines != lines {
 		return &DamageError{reader.offset, fmt.Sprintf("%d keys of %d", lines, foot.Lines)}
 	}
-	summary.Foot = *foot
+	summary.Footer = *foot
 	return nil
 }
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -54,15 +54,15 @@
 	}
 	t.Logf("backup: %d jobs in %d keys, %.1f s, %d bytes, heap %d MB more", *scaleJobs, foot.Lines, time.Since(began).Seconds(), file.Len(), heap()-base)
 	began = time.Now()
-	done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options, Ops: 12})
+	done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options, TxnOps: 12})
 	if err != nil || keys(second) != keys(first)+1 { // and the term
 		t.Fatalf("%d keys of %d: %v", keys(second), keys(first), err)
 	}
 	t.Logf("restore: %d keys, %.1f s", done.Keys, time.Since(began).Seconds())
 	began = time.Now()
 	rep, err := backup.AuditLive(t.Context(), target, nil, 0, options)
-	if err != nil || rep.Packed != *scaleJobs {
-		t.Fatalf("audit: %d jobs, %v", rep.Packed, err)
+	if err != nil || rep.ArchivedJobs != *scaleJobs {
+		t.Fatalf("audit: %d jobs, %v", rep.ArchivedJobs, err)
 	}
 	t.Logf("audit: %.1f s, %d findings", time.Since(began).Seconds(), len(rep.Findings))
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -100,7 +100,7 @@
 // same machines to a repeated request of the same id. Failed means that none are to be had.
 func (c *Client) ScaleOut(ctx context.Context, requestID string, increase autoscaler.Increase, authorized func() bool) (store.Outcome, []string) {
 	var response struct {
-		wire.Names
+		wire.MachineNames
 		wire.Problem
 	}
 	status, outcome := c.do(ctx, http.MethodPost, wire.HostsPath,
@@ -113,7 +113,7 @@
 
 // ScaleIn gives machines back.
 func (c *Client) ScaleIn(ctx context.Context, names []string, authorized func() bool) store.Outcome {
-	_, outcome := c.do(ctx, http.MethodPost, wire.ReturnPath, wire.Names{Machines: names}, nil, authorized)
+	_, outcome := c.do(ctx, http.MethodPost, wire.ReturnPath, wire.MachineNames{Machines: names}, nil, authorized)
 	return outcome
 }
 
@@ -122,7 +122,7 @@
 	var hosts []wire.Host
 	after := ""
 	for {
-		var page wire.Hosts
+		var page wire.HostList
 		query := url.Values{"page": {strconv.Itoa(hostPageSize)}}
 		if after != "" {
 			query.Set("after", after)
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -169,7 +169,7 @@
 		}
 		out := wire.MachineTypes{Types: []wire.MachineType{}}
 		for _, t := range types {
-			out.Types = append(out.Types, wire.MachineType{Name: t.Name, Cores: t.CPUs, Cards: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+			out.Types = append(out.Types, wire.MachineType{Name: t.Name, Cores: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 				FetchGBs: t.FetchGBs, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.Boot.Seconds(), Zones: t.Zones})
 		}
 		answer(w, code, out)
@@ -199,11 +199,11 @@
 		case code != http.StatusOK:
 			c.refuse(w, code)
 		default:
-			answer(w, code, wire.Names{Machines: names})
+			answer(w, code, wire.MachineNames{Machines: names})
 		}
 	})
 	r.Post(wire.ReturnPath, func(w http.ResponseWriter, req *http.Request) {
-		var b wire.Names
+		var b wire.MachineNames
 		if !read(w, req, &b) {
 			return
 		}
@@ -224,7 +224,7 @@
 		if v := q.Get("page"); v != "" {
 			page, _ = strconv.Atoi(v) // 0 is refused
 		}
-		out := wire.Hosts{Machines: []wire.Host{}}
+		out := wire.HostList{Machines: []wire.Host{}}
 		var code int
 		if !c.loop.do(req.Context(), func(now units.Microseconds) {
 			var list []cloudprovider.Listed
@@ -258,7 +258,7 @@
 
 // worker serves a machine's own address.
 func (c *Cloud) worker(name string) http.Handler {
-	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
+	return workerHandler(func(ctx context.Context, o wire.ReceivedCommandList) (body wire.HeartbeatBody, taken, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
 			r, saved, t, f := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
 			if taken, found = t, f; f {
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -253,7 +253,7 @@
 
 // Serve answers commands that come straight to the worker, on a listener.
 func (l *LoneWorker) Serve(in net.Listener) error {
-	h := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
+	h := workerHandler(func(ctx context.Context, o wire.ReceivedCommandList) (body wire.HeartbeatBody, taken, found bool) {
 		jobs := l.fetch(machine.Response{Commands: o.Commands})
 		l.loop.do(ctx, func(now units.Microseconds) {
 			if found = l.worker != nil; found {
--- a/internal/emulator/host/report.go
+++ b/internal/emulator/host/report.go
@@ -30,7 +30,7 @@
 		return machine.Response{}
 	}
 	a := machine.Response{Code: resp.StatusCode}
-	o, err := wire.DecodeOrders(b)
+	o, err := wire.DecodeCommandList(b)
 	if err != nil {
 		if a.Code == http.StatusOK {
 			a.Code = 0
@@ -46,12 +46,12 @@
 
 // workerHandler serves a worker's own address. A machine that is not found stands still, or
 // is not up yet: it says nothing.
-func workerHandler(command func(context.Context, wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool),
+func workerHandler(command func(context.Context, wire.ReceivedCommandList) (body wire.HeartbeatBody, taken, found bool),
 	status func(context.Context) (body wire.HeartbeatBody, found bool)) http.Handler {
 	r := chi.NewRouter()
 	r.Post(wire.CommandsPath, func(w http.ResponseWriter, req *http.Request) {
 		b, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBody))
-		o, err2 := wire.DecodeOrders(b)
+		o, err2 := wire.DecodeCommandList(b)
 		if err != nil || err2 != nil || o.FencingToken == nil || o.Incarnation == nil {
 			problem(w, http.StatusBadRequest, "malformed")
 			return
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -200,7 +200,7 @@
 }
 
 func (s *State) commit(w http.ResponseWriter, req *http.Request, client string) {
-	var b wire.Commit
+	var b wire.CommitRequest
 	if !read(w, req, &b) {
 		return
 	}
@@ -269,7 +269,7 @@
 			refuse(w, c.Code, 0)
 			return
 		}
-		out := wire.Changes{Revision: c.Rev, Events: make([]wire.Event, 0, len(c.Events))}
+		out := wire.WatchResponse{Revision: c.Rev, Events: make([]wire.Event, 0, len(c.Events))}
 		for _, e := range c.Events {
 			if e.Value != nil {
 				out.Events = append(out.Events, wire.Event{Put: e.Key, Value: e.Value, Version: e.Stamp})
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -250,7 +250,7 @@
 			n.Crash()
 		}
 		w.State = kv.New(w.S.State.KV(), rand.New(rand.NewPCG(seed, 3)))
-		done, err := backup.Restore(t.Context(), service{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, Ops: 4})
+		done, err := backup.Restore(t.Context(), service{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, TxnOps: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// WatchMemory has the core refuse new jobs while memory is nearly full. It is called before
+// SetMemoryCheck has the core refuse new jobs while memory is nearly full. It is called before
 // Run.
-func (n *Node) WatchMemory(full func() bool) { n.memoryFull = full }
+func (n *Node) SetMemoryCheck(full func() bool) { n.memoryFull = full }
 
 // now is a monotonic clock that begins at 0 with the node.
 func (n *Node) now() units.Microseconds {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -135,7 +135,7 @@
 	if wait > 0 {
 		timeout = callTimeout + time.Duration(wait)*time.Microsecond
 	}
-	var changes wire.Changes
+	var changes wire.WatchResponse
 	status, outcome := c.do(ctx, http.MethodGet, path, timeout, nil, &changes)
 	if outcome != store.OK {
 		return outcome, 0, nil, status == http.StatusGone
@@ -156,7 +156,7 @@
 	if !c.limiter.Allow() {
 		return store.Refused, 0, nil
 	}
-	request := wire.Commit{If: []wire.Guard{}, Then: []wire.Change{}}
+	request := wire.CommitRequest{If: []wire.Guard{}, Then: []wire.Change{}}
 	for _, g := range txn.Guards {
 		request.If = append(request.If, wire.Guard{Key: g.Key, Version: g.Version})
 	}
--- a/internal/wire/neighbours.go
+++ b/internal/wire/neighbours.go
@@ -32,7 +32,7 @@
 		shape = "daemon"
 	}
 	encoded := submission{ID: &id, Class: &spec.Class, Team: &spec.Team, Shape: &shape, Urgency: &urgency, Tasks: &tasks,
-		Cores: fromMilli(spec.Demand[0]), Cards: fromMilli(spec.Demand[1]), MemoryGB: fromMilli(spec.Demand[2]), Image: &spec.Image, ImageGB: fromMilli(spec.ImageMB),
+		Cores: fromMilli(spec.Demand[0]), GPUs: fromMilli(spec.Demand[1]), MemoryGB: fromMilli(spec.Demand[2]), Image: &spec.Image, ImageGB: fromMilli(spec.ImageMB),
 		OneZone: &spec.OneZone, Spread: &spec.Spread, Spot: &spec.Spot, Estimate: inSeconds(spec.Estimate), Checkpoint: inSeconds(spec.Checkpoint), Save: inSeconds(spec.Save)}
 	if !spec.AnyType {
 		encoded.Types = &spec.Types
@@ -56,7 +56,7 @@
 		return answer, "", err
 	}
 	status := jobs.Status(answer.Status)
-	if answer.Status == Status(jobs.Cancelled) {
+	if answer.Status == StatusName(jobs.Cancelled) {
 		status = jobs.Cancelled
 	}
 	switch status {
@@ -76,7 +76,7 @@
 	Incarnation  uint64          `json:"shift"`
 	Seq          uint64          `json:"tally"`
 	FencingToken uint64          `json:"baton"`
-	Notice       *float64        `json:"warning_s"`
+	ReclaimIn    *float64        `json:"warning_s"`
 	Tasks        []HeartbeatTask `json:"cues"`
 }
 
@@ -96,7 +96,7 @@
 		Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, FencingToken: heartbeat.FencingToken, Tasks: []HeartbeatTask{}}
 	if heartbeat.ReclaimIn != units.MaxTime {
 		v := heartbeat.ReclaimIn.Seconds()
-		out.Notice = &v
+		out.ReclaimIn = &v
 	}
 	for _, t := range heartbeat.Tasks {
 		rt := HeartbeatTask{Task: t.ID.String(), Attempt: t.Attempt, State: nameOf(states, t.State), Checkpointed: checkpointed[t.ID]}
@@ -108,16 +108,16 @@
 	return out
 }
 
-// ReceivedOrders is an answer to a heartbeat, or the body of a direct command.
-type ReceivedOrders struct {
+// ReceivedCommandList is an answer to a heartbeat, or the body of a direct command.
+type ReceivedCommandList struct {
 	Node         string  // of a redirect
 	FencingToken *uint64 // nil: none
 	Incarnation  *uint64 // of a direct command
 	Commands     []fleet.Command
 }
 
-// DecodeOrders reads an answer to a heartbeat, whatever its status, or a direct command.
-func DecodeOrders(body []byte) (ReceivedOrders, error) {
+// DecodeCommandList reads an answer to a heartbeat, whatever its status, or a direct command.
+func DecodeCommandList(body []byte) (ReceivedCommandList, error) {
 	var received struct {
 		Redirect
 		FencingToken *uint64   `json:"baton"`
@@ -125,16 +125,16 @@
 		Commands     []Command `json:"calls"`
 	}
 	if !isObject(body) {
-		return ReceivedOrders{}, errNotObject
+		return ReceivedCommandList{}, errNotObject
 	}
 	if err := json.Unmarshal(body, &received); err != nil {
-		return ReceivedOrders{}, err
+		return ReceivedCommandList{}, err
 	}
-	orders := ReceivedOrders{Node: received.Node, FencingToken: received.FencingToken, Incarnation: received.Incarnation}
+	orders := ReceivedCommandList{Node: received.Node, FencingToken: received.FencingToken, Incarnation: received.Incarnation}
 	for _, command := range received.Commands {
 		id, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
-			return ReceivedOrders{}, err
+			return ReceivedCommandList{}, err
 		}
 		decoded := fleet.Command{ID: id, Attempt: command.Attempt}
 		switch command.Kind {
@@ -145,14 +145,14 @@
 			if command.Grace != nil {
 				v, err := amount("bow_s", command.Grace)
 				if err != nil {
-					return ReceivedOrders{}, err
+					return ReceivedCommandList{}, err
 				}
 				decoded.Grace = units.Seconds(v)
 			}
 		case "forget":
 			decoded.Op = fleet.Forget
 		default:
-			return ReceivedOrders{}, fmt.Errorf("command %q", command.Kind)
+			return ReceivedCommandList{}, fmt.Errorf("command %q", command.Kind)
 		}
 		orders.Commands = append(orders.Commands, decoded)
 	}
--- a/internal/wire/neighbours_test.go
+++ b/internal/wire/neighbours_test.go
@@ -54,7 +54,7 @@
 		}
 
 		var want []fleet.Command
-		orders := Orders{FencingToken: heartbeat.FencingToken, Incarnation: &heartbeat.Incarnation}
+		orders := CommandList{FencingToken: heartbeat.FencingToken, Incarnation: &heartbeat.Incarnation}
 		for _, x := range heartbeat.Tasks {
 			c := fleet.Command{Op: rapid.SampledFrom([]fleet.Op{fleet.Start, fleet.Stop, fleet.Forget}).Draw(t, "op"), ID: x.ID, Attempt: x.Attempt}
 			if c.Op == fleet.Stop {
@@ -66,7 +66,7 @@
 		if b, err = json.Marshal(orders); err != nil {
 			t.Fatal(err)
 		}
-		back, err := DecodeOrders(b)
+		back, err := DecodeCommandList(b)
 		if err != nil || *back.FencingToken != heartbeat.FencingToken || *back.Incarnation != heartbeat.Incarnation || fmt.Sprint(back.Commands) != fmt.Sprint(want) {
 			t.Fatalf("%s: %+v, want %v; %v", b, back, want, err)
 		}
@@ -80,7 +80,7 @@
 	f.Add([]byte(`{"name_id":"wk-000412","status":"aborted","done":1,"running":0}`))
 	f.Add([]byte(`{"error":"busy"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if o, err := DecodeOrders(b); err == nil {
+		if o, err := DecodeCommandList(b); err == nil {
 			for _, c := range o.Commands {
 				if !jobs.ValidID(c.ID.Job) || c.Grace < 0 {
 					t.Errorf("command %+v", c)
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -23,8 +23,8 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-// Commit is the body of a transaction.
-type Commit struct {
+// CommitRequest is the body of a transaction.
+type CommitRequest struct {
 	If   []Guard  `json:"guards"`
 	Then []Change `json:"apply"`
 }
@@ -61,8 +61,8 @@
 	Delete  string          `json:"remove,omitempty"`
 }
 
-// Changes answers a watch.
-type Changes struct {
+// WatchResponse answers a watch.
+type WatchResponse struct {
 	Revision uint64  `json:"ledger_rev"`
 	Events   []Event `json:"events"`
 }
@@ -86,7 +86,7 @@
 type MachineType struct {
 	Name      string   `json:"sku"`
 	Cores     float64  `json:"cores"`
-	Cards     float64  `json:"cards"`
+	GPUs      float64  `json:"cards"`
 	MemoryGB  float64  `json:"memory_gb"`
 	CacheGB   float64  `json:"cache_gb"`
 	FetchGBs  float64  `json:"fetch_gb_per_s"`
@@ -98,7 +98,7 @@
 
 // Type checks a price list's entry and turns it into the core's form.
 func (t MachineType) Type() (fleet.Type, error) {
-	for _, amount := range []float64{t.Cores, t.Cards, t.MemoryGB, t.CacheGB, t.FetchGBs, t.Price, t.SpotPrice, t.BootS} {
+	for _, amount := range []float64{t.Cores, t.GPUs, t.MemoryGB, t.CacheGB, t.FetchGBs, t.Price, t.SpotPrice, t.BootS} {
 		if !(amount >= 0 && amount <= maxAmount) {
 			return fleet.Type{}, fmt.Errorf("machine type %q: amount %v", t.Name, amount)
 		}
@@ -108,7 +108,7 @@
 	}
 	return fleet.Type{
 		Name:     t.Name,
-		Capacity: binpack.Vec{units.MilliDown(t.Cores), units.MilliDown(t.Cards), units.MilliDown(t.MemoryGB)},
+		Capacity: binpack.Vec{units.MilliDown(t.Cores), units.MilliDown(t.GPUs), units.MilliDown(t.MemoryGB)},
 		CacheMB:  units.MilliDown(t.CacheGB), FetchMBs: units.MilliDown(t.FetchGBs),
 		Boot: units.Seconds(t.BootS), Zones: t.Zones, Price: t.Price, SpotPrice: t.SpotPrice,
 	}, nil
@@ -123,13 +123,13 @@
 	Count   int    `json:"count"`
 }
 
-// Names lists machines by name.
-type Names struct {
+// MachineNames lists machines by name.
+type MachineNames struct {
 	Machines []string `json:"stagehands"`
 }
 
-// Hosts is one page of the machine list.
-type Hosts struct {
+// HostList is one page of the machine list.
+type HostList struct {
 	Machines []Host `json:"stagehands"`
 	More     bool   `json:"truncated"`
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -51,7 +51,7 @@
 	Urgency      *string   `json:"urgency"`
 	Tasks        *int64    `json:"cues"`
 	Cores        *float64  `json:"cores"`
-	Cards        *float64  `json:"cards"`
+	GPUs         *float64  `json:"cards"`
 	MemoryGB     *float64  `json:"memory_gb"`
 	Image        *string   `json:"reel"`
 	ImageGB      *float64  `json:"image_gb"`
@@ -207,7 +207,7 @@
 		to   func(float64)
 	}{
 		{"cores", s.Cores, func(value float64) { spec.Demand[binpack.CPU] = units.Milli(value) }},
-		{"cards", s.Cards, func(value float64) { spec.Demand[binpack.GPU] = units.Milli(value) }},
+		{"cards", s.GPUs, func(value float64) { spec.Demand[binpack.GPU] = units.Milli(value) }},
 		{"memory_gb", s.MemoryGB, func(value float64) { spec.Demand[binpack.Memory] = units.Milli(value) }},
 		{"image_gb", s.ImageGB, func(value float64) { spec.ImageMB = units.Milli(value) }},
 		{"runtime_s", s.Estimate, func(value float64) { spec.Estimate = units.Seconds(value) }},
@@ -286,8 +286,8 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// Status returns the protocol's name for a job's status.
-func Status(s jobs.Status) string {
+// StatusName returns the protocol's name for a job's status.
+func StatusName(s jobs.Status) string {
 	if s == jobs.Cancelled {
 		return "aborted"
 	}
@@ -314,7 +314,7 @@
 	Incarnation  *uint64         `json:"shift"`
 	Seq          *uint64         `json:"tally"`
 	FencingToken *uint64         `json:"baton"`
-	Notice       *float64        `json:"warning_s"`
+	ReclaimIn    *float64        `json:"warning_s"`
 	Tasks        *[]receivedTask `json:"cues"`
 }
 
@@ -360,8 +360,8 @@
 	}
 	heartbeat := &fleet.Heartbeat{Machine: *received.Machine, Addr: received.Addr, Type: *received.Type, Zone: *received.Zone, Spot: *received.Spot,
 		Incarnation: *received.Incarnation, Seq: *received.Seq, FencingToken: *received.FencingToken, ReclaimIn: units.MaxTime}
-	if received.Notice != nil {
-		v, err := amount("warning_s", received.Notice)
+	if received.ReclaimIn != nil {
+		v, err := amount("warning_s", received.ReclaimIn)
 		if err != nil {
 			return nil, err
 		}
@@ -404,8 +404,8 @@
 	return out
 }
 
-// Orders is the answer to a heartbeat, and with Incarnation the body of a direct command.
-type Orders struct {
+// CommandList is the answer to a heartbeat, and with Incarnation the body of a direct command.
+type CommandList struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  *uint64   `json:"shift,omitempty"`
 	Commands     []Command `json:"calls"`
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	var body json.RawMessage
 	status, err := httpjson.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
-		wire.Orders{FencingToken: fencingToken, Incarnation: &incarnation, Commands: []wire.Command{}}, &body)
+		wire.CommandList{FencingToken: fencingToken, Incarnation: &incarnation, Commands: []wire.Command{}}, &body)
 	if err != nil {
 		c.log.Debug("worker", "addr", addr, "err", err)
 		return store.Unknown, nil
