--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -10,15 +10,15 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// BenchmarkDecodeHeartbeat measures what reading a heartbeat takes, by the tasks on the machine.
+// BenchmarkDecodeHeartbeat measures decoding a heartbeat by the number of tasks on the machine.
 func BenchmarkDecodeHeartbeat(b *testing.B) {
 	for _, tasks := range []int{1, 8, 32, 128} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			r := fleet.Heartbeat{Machine: "n-00001", Addr: "10.0.0.1:80", Type: "mid-16", Zone: "z0", Incarnation: 1, Seq: 1, FencingToken: 1, ReclaimIn: units.MaxTime}
+			heartbeat := fleet.Heartbeat{Machine: "n-00001", Addr: "10.0.0.1:80", Type: "mid-16", Zone: "z0", Incarnation: 1, Seq: 1, FencingToken: 1, ReclaimIn: units.MaxTime}
 			for i := range tasks {
-				r.Tasks = append(r.Tasks, fleet.Task{ID: jobs.TaskID{Job: "wk-000001", Task: i}, Attempt: 1 << 40, State: fleet.Running})
+				heartbeat.Tasks = append(heartbeat.Tasks, fleet.Task{ID: jobs.TaskID{Job: "wk-000001", Task: i}, Attempt: 1 << 40, State: fleet.Running})
 			}
-			body, err := json.Marshal(EncodeHeartbeat(&r, nil))
+			body, err := json.Marshal(EncodeHeartbeat(&heartbeat, nil))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/wire/neighbours.go
+++ b/internal/wire/client.go
@@ -9,10 +9,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// What users, workers and the outside services send and read: the other ends of the
-// interfaces, for clients and for the emulator.
+// This file implements the other side of the interfaces: what users and workers send and receive, for clients
+// and for the emulator.
 
-// nameOf returns the key of a value in a map that has each value once, or the zero key.
+// nameOf returns the key of a value in a map whose values are unique, or the zero key if there is none.
 func nameOf[K, V comparable](m map[K]V, v V) K {
 	for k, x := range m {
 		if x == v {
@@ -23,7 +23,7 @@
 	return none
 }
 
-// EncodeSubmission returns the body of a submission.
+// EncodeSubmission returns the body that submits a job.
 func EncodeSubmission(id string, spec *jobs.Spec) ([]byte, error) {
 	fromMilli := func(milli int64) *float64 { v := float64(milli) / 1000; return &v }
 	inSeconds := func(m units.Microseconds) *float64 { v := m.Seconds(); return &v }
@@ -49,7 +49,7 @@
 	return json.Marshal(encoded)
 }
 
-// DecodeJobStatus reads the answer to a user's call; a status that is unknown here is an error.
+// DecodeJobStatus decodes the response to a user request. An unknown status is an error.
 func DecodeJobStatus(body []byte) (JobStatus, jobs.Status, error) {
 	var answer JobStatus
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -66,7 +66,7 @@
 	return answer, "", fmt.Errorf("status %q", answer.Status)
 }
 
-// HeartbeatBody is a worker's heartbeat with its status.
+// HeartbeatBody is the body of a worker's heartbeat.
 type HeartbeatBody struct {
 	Machine      string          `json:"stagehand"`
 	Addr         string          `json:"address"`
@@ -80,7 +80,7 @@
 	Tasks        []HeartbeatTask `json:"cues"`
 }
 
-// HeartbeatTask is an attempt at a task in a heartbeat.
+// HeartbeatTask is an attempt at a task as reported in a heartbeat.
 type HeartbeatTask struct {
 	Task         string `json:"cue"`
 	Attempt      uint64 `json:"take"`
@@ -89,8 +89,8 @@
 	Checkpointed bool   `json:"saved,omitempty"`
 }
 
-// EncodeHeartbeat returns the body of a heartbeat; checkpointed names the stopped tasks whose
-// progress was saved.
+// EncodeHeartbeat returns the body of a heartbeat. checkpointed contains the stopped tasks whose progress was
+// saved.
 func EncodeHeartbeat(heartbeat *fleet.Heartbeat, checkpointed map[jobs.TaskID]bool) HeartbeatBody {
 	out := HeartbeatBody{Machine: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
 		Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, FencingToken: heartbeat.FencingToken, Tasks: []HeartbeatTask{}}
@@ -99,24 +99,24 @@
 		out.ReclaimIn = &v
 	}
 	for _, t := range heartbeat.Tasks {
-		rt := HeartbeatTask{Task: t.ID.String(), Attempt: t.Attempt, State: nameOf(states, t.State), Checkpointed: checkpointed[t.ID]}
+		rt := HeartbeatTask{Task: t.ID.String(), Attempt: t.Attempt, State: nameOf(taskStates, t.State), Checkpointed: checkpointed[t.ID]}
 		if t.State == fleet.Exited {
-			rt.Cause = nameOf(causes, t.Cause)
+			rt.Cause = nameOf(exitCauses, t.Cause)
 		}
 		out.Tasks = append(out.Tasks, rt)
 	}
 	return out
 }
 
-// ReceivedCommandList is an answer to a heartbeat, or the body of a direct command.
+// ReceivedCommandList is a decoded response to a heartbeat or a decoded direct request to a worker.
 type ReceivedCommandList struct {
-	Node         string  // of a redirect
-	FencingToken *uint64 // nil: none
-	Incarnation  *uint64 // of a direct command
+	Node         string  // set by a redirect
+	FencingToken *uint64 // nil if there is none
+	Incarnation  *uint64 // set by a direct request
 	Commands     []fleet.Command
 }
 
-// DecodeCommandList reads an answer to a heartbeat, whatever its status, or a direct command.
+// DecodeCommandList decodes the response to a heartbeat, for any status code, or a direct request to a worker.
 func DecodeCommandList(body []byte) (ReceivedCommandList, error) {
 	var received struct {
 		Redirect
@@ -130,7 +130,7 @@
 	if err := json.Unmarshal(body, &received); err != nil {
 		return ReceivedCommandList{}, err
 	}
-	orders := ReceivedCommandList{Node: received.Node, FencingToken: received.FencingToken, Incarnation: received.Incarnation}
+	commands := ReceivedCommandList{Node: received.Node, FencingToken: received.FencingToken, Incarnation: received.Incarnation}
 	for _, command := range received.Commands {
 		id, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
@@ -143,7 +143,7 @@
 		case "stop":
 			decoded.Op = fleet.Stop
 			if command.Grace != nil {
-				v, err := amount("bow_s", command.Grace)
+				v, err := checkAmount("bow_s", command.Grace)
 				if err != nil {
 					return ReceivedCommandList{}, err
 				}
@@ -154,19 +154,19 @@
 		default:
 			return ReceivedCommandList{}, fmt.Errorf("command %q", command.Kind)
 		}
-		orders.Commands = append(orders.Commands, decoded)
+		commands.Commands = append(commands.Commands, decoded)
 	}
-	return orders, nil
+	return commands, nil
 }
 
-// NoCapacity is the error of a request for machines of which there is none; Unavailable is
-// that of a cloud that is out of order.
+// Error texts of the cloud: NoCapacity means that it has no machines of the requested kind, Unavailable that
+// the cloud itself fails.
 const (
 	NoCapacity  = "no capacity"
 	Unavailable = "trouble"
 )
 
-// Entry answers the read of one key.
+// Entry is the body of the response to a read of one key.
 type Entry struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
@@ -174,12 +174,12 @@
 	Lease   uint64          `json:"pass,omitempty"`
 }
 
-// Revision is the body of an answer that tells no more.
+// Revision is the body of a response that contains only the revision of the state service.
 type Revision struct {
 	Revision uint64 `json:"ledger_rev"`
 }
 
-// ProblemText returns the reason in the body of an answer that refuses, or "".
+// ProblemText returns the error text of an error response, or "" if there is none.
 func ProblemText(body []byte) string {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil {
--- a/internal/wire/neighbours_test.go
+++ b/internal/wire/client_test.go
@@ -13,9 +13,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestBothEnds writes drawn submissions, heartbeats and orders as one end does, and
-// reads them as the other: they say the same.
-func TestBothEnds(t *testing.T) {
+// TestEncodeDecodeRoundTrip guards against encoders and decoders that disagree: random submissions, heartbeats
+// and commands must decode to what was encoded.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := func(name string) int64 { return rapid.Int64Range(0, 1e6).Draw(t, name) }
 		microseconds := func(name string) units.Microseconds { return units.Microseconds(amount(name)) }
@@ -54,27 +54,28 @@
 		}
 
 		var want []fleet.Command
-		orders := CommandList{FencingToken: heartbeat.FencingToken, Incarnation: &heartbeat.Incarnation}
+		commands := CommandList{FencingToken: heartbeat.FencingToken, Incarnation: &heartbeat.Incarnation}
 		for _, x := range heartbeat.Tasks {
 			c := fleet.Command{Op: rapid.SampledFrom([]fleet.Op{fleet.Start, fleet.Stop, fleet.Forget}).Draw(t, "op"), ID: x.ID, Attempt: x.Attempt}
 			if c.Op == fleet.Stop {
 				c.Grace = microseconds("grace")
 			}
 			want = append(want, c)
-			orders.Commands = append(orders.Commands, EncodeCommand(c))
+			commands.Commands = append(commands.Commands, EncodeCommand(c))
 		}
-		if b, err = json.Marshal(orders); err != nil {
+		if b, err = json.Marshal(commands); err != nil {
 			t.Fatal(err)
 		}
-		back, err := DecodeCommandList(b)
-		if err != nil || *back.FencingToken != heartbeat.FencingToken || *back.Incarnation != heartbeat.Incarnation || fmt.Sprint(back.Commands) != fmt.Sprint(want) {
-			t.Fatalf("%s: %+v, want %v; %v", b, back, want, err)
+		decodedCommands, err := DecodeCommandList(b)
+		if err != nil || *decodedCommands.FencingToken != heartbeat.FencingToken || *decodedCommands.Incarnation != heartbeat.Incarnation || fmt.Sprint(decodedCommands.Commands) != fmt.Sprint(want) {
+			t.Fatalf("%s: %+v, want %v; %v", b, decodedCommands, want, err)
 		}
 	})
 }
 
-// FuzzNeighbours reads anything as the other ends do: it is refused or makes sense.
-func FuzzNeighbours(f *testing.F) {
+// FuzzDecodeResponses checks that arbitrary bytes, decoded as responses to workers and users, are either
+// rejected or yield valid values.
+func FuzzDecodeResponses(f *testing.F) {
 	f.Add([]byte(`{"baton":41,"calls":[{"call_kind":"run","cue":"wk-000412/4","take":2},{"call_kind":"stop","cue":"wk-000377/1","take":1,"bow_s":10}]}`))
 	f.Add([]byte(`{"stage_manager":"n"}`))
 	f.Add([]byte(`{"name_id":"wk-000412","status":"aborted","done":1,"running":0}`))
@@ -83,12 +84,12 @@
 		if o, err := DecodeCommandList(b); err == nil {
 			for _, c := range o.Commands {
 				if !jobs.ValidID(c.ID.Job) || c.Grace < 0 {
-					t.Errorf("command %+v", c)
+					t.Errorf("accepted the invalid command %+v", c)
 				}
 			}
 		}
 		if _, s, err := DecodeJobStatus(b); err == nil && s == "" {
-			t.Error("no status")
+			t.Error("accepted a job without a status")
 		}
 		ProblemText(b)
 	})
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -9,13 +9,13 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Guard is a condition of a transaction: the key has this version (0: absent).
+// Guard is a precondition of a transaction: the key has this version. Version 0 means that the key does not exist.
 type Guard struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
 
-// Change is one put or delete of a transaction.
+// Change is one put or delete in a transaction.
 type Change struct {
 	Put    string          `json:"write,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -23,37 +23,37 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-// CommitRequest is the body of a transaction.
+// CommitRequest is the body of a request to commit a transaction.
 type CommitRequest struct {
 	If   []Guard  `json:"guards"`
 	Then []Change `json:"apply"`
 }
 
-// NoSuchLease is the error of a transaction whose lease has ended.
+// NoSuchLease is the error text for a transaction whose lease has expired or was revoked.
 const NoSuchLease = "no such lease"
 
-// CommitResult answers a transaction.
+// CommitResult is the body of the response to a transaction. Failed lists the keys whose guards did not hold.
 type CommitResult struct {
 	Revision uint64   `json:"ledger_rev"`
 	Failed   []string `json:"failed,omitempty"`
 	Error    string   `json:"error,omitempty"`
 }
 
-// Item is one key of a listing.
+// Item is one key in a listing.
 type Item struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
 	Version uint64          `json:"stamp"`
 }
 
-// Listing answers a listing of keys.
+// Listing is the body of the response to a request that lists keys.
 type Listing struct {
 	Items    []Item `json:"entries"`
 	More     bool   `json:"truncated"`
 	Revision uint64 `json:"ledger_rev"`
 }
 
-// Event is one change that a watch saw.
+// Event is one change reported by a watch.
 type Event struct {
 	Put     string          `json:"write,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -61,28 +61,28 @@
 	Delete  string          `json:"remove,omitempty"`
 }
 
-// WatchResponse answers a watch.
+// WatchResponse is the body of the response to a watch.
 type WatchResponse struct {
 	Revision uint64  `json:"ledger_rev"`
 	Events   []Event `json:"events"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest is the body of a request for a lease.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// Lease answers a lease request.
+// Lease is the body of the response to a request for a lease.
 type Lease struct {
 	ID uint64 `json:"pass"`
 }
 
-// MachineTypes answers the cloud's price list.
+// MachineTypes is the body of the response with the cloud's price list.
 type MachineTypes struct {
 	Types []MachineType `json:"rigs"`
 }
 
-// MachineType is one type on the price list.
+// MachineType is one machine type in the price list.
 type MachineType struct {
 	Name      string   `json:"sku"`
 	Cores     float64  `json:"cores"`
@@ -96,7 +96,7 @@
 	Zones     []string `json:"halls"`
 }
 
-// Type checks a price list's entry and turns it into the core's form.
+// Type validates an entry of the price list and converts it to the core's type.
 func (t MachineType) Type() (fleet.Type, error) {
 	for _, amount := range []float64{t.Cores, t.GPUs, t.MemoryGB, t.CacheGB, t.FetchGBs, t.Price, t.SpotPrice, t.BootS} {
 		if !(amount >= 0 && amount <= maxAmount) {
@@ -114,7 +114,7 @@
 	}, nil
 }
 
-// ScaleOutRequest asks the cloud for machines.
+// ScaleOutRequest is the body of a request that rents machines. A repeated Request is idempotent.
 type ScaleOutRequest struct {
 	Request string `json:"booking"`
 	Type    string `json:"rig"`
@@ -123,18 +123,18 @@
 	Count   int    `json:"count"`
 }
 
-// MachineNames lists machines by name.
+// MachineNames is a list of machine names.
 type MachineNames struct {
 	Machines []string `json:"stagehands"`
 }
 
-// HostList is one page of the machine list.
+// HostList is one page of the cloud's machine list.
 type HostList struct {
 	Machines []Host `json:"stagehands"`
 	More     bool   `json:"truncated"`
 }
 
-// Host is one machine of the machine list.
+// Host is one machine in the cloud's machine list.
 type Host struct {
 	ID    string  `json:"name_id"`
 	Addr  string  `json:"address"`
@@ -145,7 +145,7 @@
 	AgeS  float64 `json:"held_s"`
 }
 
-// States of a listed machine.
+// States of a machine in the cloud's machine list.
 const (
 	HostBooting = "starting"
 	HostRunning = "running"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire holds the JSON bodies of every outside interface. It is the only place that
-// knows the protocol's own names for things: struct tags hold them, the fields beside them
-// have the names that the rest of the code uses.
+// Package wire defines the JSON bodies of all external interfaces: users, workers, the state service and
+// the cloud. The protocol's own field names appear only here, in struct tags; the Go fields have the names
+// that the rest of the code uses.
 //
-// Decoding checks what it reads and returns the core's types; amounts become thousandths and
-// times microseconds. Durations on the wire are seconds, sizes gigabytes.
+// Decoding validates its input and returns the core's types. Durations on the wire are in seconds and sizes
+// in gigabytes; decoding converts amounts to thousandths and times to microseconds.
 package wire
 
 import (
@@ -19,13 +19,13 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Paths of the interfaces.
+// Paths of the HTTP interfaces.
 const (
 	JobsPath      = "/work"
 	ReadyPath     = "/ready"
 	HeartbeatPath = "/hello"
 	TypesPath     = "/machine_types"
-	// CommandsPath is the worker's own.
+	// CommandsPath is served by workers.
 	CommandsPath = "/commands"
 	HostsPath    = "/hosts"
 	ReturnPath   = "/hosts/return"
@@ -35,14 +35,14 @@
 	WatchPath    = "/watch"
 )
 
-// MaxBody bounds a request's body, in bytes.
+// MaxBody is the maximum size of a request body in bytes.
 const MaxBody = 64 << 10
 
-// maxAmount bounds amounts and durations, far above any that can occur, so
-// that sums over a job's tasks cannot overflow.
+// maxAmount is the largest amount or duration that is accepted. It is far above any that occurs in practice,
+// and low enough that sums over a job's tasks cannot overflow.
 const maxAmount = 1e7
 
-// submission is a job as users submit it; nil: missing.
+// submission is a job as submitted by a user. Fields that are missing are nil.
 type submission struct {
 	ID           *string   `json:"name_id"`
 	Class        *string   `json:"jobline"`
@@ -71,8 +71,8 @@
 	"prod": jobs.Production, "urgent": jobs.High, "standard": jobs.Normal, "best_effort": jobs.Low,
 }
 
-// SubmissionID returns the job id of a submission whose other fields may be
-// anything, or "" when it has no usable one.
+// SubmissionID returns the job ID of a submission without validating the other fields. It returns "" if there
+// is no valid ID.
 func SubmissionID(body []byte) string {
 	var v struct {
 		ID any `json:"name_id"`
@@ -80,31 +80,31 @@
 	if json.Unmarshal(body, &v) != nil {
 		return ""
 	}
-	id, _ := v.ID.(string) // "" is no usable id
+	id, _ := v.ID.(string) // "" is not a valid ID
 	if !jobs.ValidID(id) {
 		return ""
 	}
 	return id
 }
 
-// FieldError says which field of a body is wrong, by its name on the wire, and why.
+// FieldError reports an invalid field of a body. Field is its name on the wire.
 type FieldError struct {
 	Field, Reason string
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// errNotObject is returned for a body that is not a JSON object, valid JSON or not.
+// errNotObject is returned for a body that is not a JSON object, whether or not it is valid JSON.
 var errNotObject = errors.New("not an object")
 
-// isObject reports whether a body begins as a JSON object does.
+// isObject reports whether a body starts like a JSON object.
 func isObject(body []byte) bool {
 	t := bytes.TrimLeft(body, " \t\r\n")
 	return len(t) > 0 && t[0] == '{'
 }
 
-// amount checks a number that must be there and in range; NaN and infinities are out of it.
-func amount(name string, value *float64) (float64, error) {
+// checkAmount returns a required number between 0 and maxAmount. NaN and infinities are out of range.
+func checkAmount(name string, value *float64) (float64, error) {
 	if value == nil {
 		return 0, &FieldError{name, "missing"}
 	}
@@ -114,16 +114,16 @@
 	return *value, nil
 }
 
-// text checks a string that must be there, of 1 to 200 bytes.
-func text(name string, value *string) error {
+// checkText validates a required string of 1 to 200 bytes.
+func checkText(name string, value *string) error {
 	if value == nil || *value == "" || len(*value) > 200 {
 		return &FieldError{name, "missing, empty or too long"}
 	}
 	return nil
 }
 
-// DecodeSubmission reads and checks a submission and returns the job's id. Errors about one
-// field are of type *FieldError.
+// DecodeSubmission decodes and validates a submission. It returns the job's ID and spec. Errors that concern
+// a single field have type *FieldError.
 func DecodeSubmission(body []byte) (string, *jobs.Spec, error) {
 	var received submission
 	if !isObject(body) {
@@ -136,14 +136,14 @@
 		return "", nil, &FieldError{"name_id", "missing or wrongly formed"}
 	}
 	spec := &jobs.Spec{}
-	for _, read := range []func(*jobs.Spec) error{received.readNames, received.readKind, received.readAmounts, received.readDeadline, received.readPlaces} {
+	for _, read := range []func(*jobs.Spec) error{received.readNames, received.readKind, received.readAmounts, received.readDeadline, received.readPlacement} {
 		if err := read(spec); err != nil {
 			return "", nil, err
 		}
 	}
 	if encoded, err := json.Marshal(spec); err != nil {
 		return "", nil, fmt.Errorf("description: %w", err)
-	} else if len(encoded) > maxDescription {
+	} else if len(encoded) > maxSpecBytes {
 		return "", nil, errors.New("description too long")
 	}
 	if err := received.readDependencies(spec); err != nil {
@@ -153,20 +153,20 @@
 }
 
 const (
-	// maxDescription bounds a description without its dependencies, in bytes as stored.
-	maxDescription = 6 << 10
-	// maxTypes bounds the machine types that a job may name.
+	// maxSpecBytes is the maximum size of a stored job spec in bytes, without its dependencies.
+	maxSpecBytes = 6 << 10
+	// maxTypes is the maximum number of machine types that a job may name.
 	maxTypes = 64
 )
 
-// readNames reads the class, the team and the image.
+// readNames decodes the class, the team and the image.
 func (s *submission) readNames(spec *jobs.Spec) error {
 	for _, field := range []struct {
 		name string
 		from *string
 		to   *string
 	}{{"jobline", s.Class, &spec.Class}, {"crew", s.Team, &spec.Team}, {"reel", s.Image, &spec.Image}} {
-		if err := text(field.name, field.from); err != nil {
+		if err := checkText(field.name, field.from); err != nil {
 			return err
 		}
 		*field.to = *field.from
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// readKind reads whether it is a service, its priority and how many tasks it has.
+// readKind decodes whether the job is a service, its priority and its number of tasks.
 func (s *submission) readKind(spec *jobs.Spec) error {
 	switch {
 	case s.Shape == nil:
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// readAmounts reads what a task takes, and its times.
+// readAmounts decodes the resource demand of a task, the image size and the durations of a task.
 func (s *submission) readAmounts(spec *jobs.Spec) error {
 	for _, field := range []struct {
 		name string
@@ -214,7 +214,7 @@
 		{"bookmark_s", s.Checkpoint, func(value float64) { spec.Checkpoint = units.Seconds(value) }},
 		{"stow_s", s.Save, func(value float64) { spec.Save = units.Seconds(value) }},
 	} {
-		value, err := amount(field.name, field.from)
+		value, err := checkAmount(field.name, field.from)
 		if err != nil {
 			return err
 		}
@@ -223,12 +223,12 @@
 	return nil
 }
 
-// readDeadline reads the deadline, if there is one.
+// readDeadline decodes the optional deadline.
 func (s *submission) readDeadline(spec *jobs.Spec) error {
 	if s.Deadline == nil {
 		return nil
 	}
-	v, err := amount("curtain_s", s.Deadline)
+	v, err := checkAmount("curtain_s", s.Deadline)
 	if err != nil {
 		return err
 	}
@@ -236,8 +236,8 @@
 	return nil
 }
 
-// readPlaces reads on which machines and in which zones tasks may run.
-func (s *submission) readPlaces(spec *jobs.Spec) error {
+// readPlacement decodes the placement constraints: machine types, zones, spread and spot instances.
+func (s *submission) readPlacement(spec *jobs.Spec) error {
 	if s.OneZone == nil || s.Spread == nil || s.Spot == nil {
 		return &FieldError{"same_place, apart or standby", "missing"}
 	}
@@ -248,14 +248,14 @@
 			return &FieldError{"rigs", "too many"}
 		}
 		for _, t := range *s.Types {
-			if err := text("rigs", &t); err != nil {
+			if err := checkText("rigs", &t); err != nil {
 				return err
 			}
 		}
 		spec.Types = *s.Types
 	}
 	if s.Zone != nil {
-		if err := text("hall", s.Zone); err != nil {
+		if err := checkText("hall", s.Zone); err != nil {
 			return err
 		}
 		spec.Zone = *s.Zone
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// readDependencies reads which jobs it awaits, each once.
+// readDependencies decodes the jobs that this job depends on and removes duplicates.
 func (s *submission) readDependencies(spec *jobs.Spec) error {
 	seen := map[string]bool{}
 	for _, id := range s.Dependencies {
@@ -278,7 +278,7 @@
 	return nil
 }
 
-// JobStatus is the answer to every user call about a job.
+// JobStatus is the body of the response to every user request about a job.
 type JobStatus struct {
 	ID      string `json:"name_id"`
 	Status  string `json:"status"`
@@ -286,7 +286,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// StatusName returns the protocol's name for a job's status.
+// StatusName returns the protocol's name of a job status.
 func StatusName(s jobs.Status) string {
 	if s == jobs.Cancelled {
 		return "aborted"
@@ -294,17 +294,17 @@
 	return string(s)
 }
 
-// Problem is the body of an answer that refuses.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
 
-// Redirect tells a worker which node takes its heartbeats.
+// Redirect is the body that names the controller to which a worker should send its heartbeats.
 type Redirect struct {
 	Node string `json:"stage_manager,omitempty"`
 }
 
-// receivedHeartbeat is a heartbeat before it is checked; nil: missing.
+// receivedHeartbeat is a heartbeat before validation. Pointers to fields that are missing are nil.
 type receivedHeartbeat struct {
 	Machine      *string         `json:"stagehand"`
 	Addr         string          `json:"address"`
@@ -325,17 +325,17 @@
 	Cause   string  `json:"cause"`
 }
 
-var states = map[string]fleet.State{
+var taskStates = map[string]fleet.State{
 	"pulling": fleet.Fetching, "running": fleet.Running, "saving": fleet.Saving, "ended": fleet.Exited,
 }
 
-var causes = map[string]fleet.Cause{
+var exitCauses = map[string]fleet.Cause{
 	"done": fleet.Completed, "stopped": fleet.Stopped, "error": fleet.Failed,
 	"full": fleet.NoCapacity, "busy": fleet.Busy, "unknown": fleet.Unknown,
 }
 
-// DecodeHeartbeat reads and checks a worker's heartbeat with its status. One bad task makes
-// the whole heartbeat bad: acting on half a list would lose track of the other half.
+// DecodeHeartbeat decodes and validates a worker's heartbeat. A single invalid task makes the whole heartbeat
+// invalid, because acting on an incomplete list would lose track of the missing tasks.
 func DecodeHeartbeat(body []byte) (*fleet.Heartbeat, error) {
 	var received receivedHeartbeat
 	if !isObject(body) {
@@ -348,7 +348,7 @@
 		name string
 		from *string
 	}{{"stagehand", received.Machine}, {"rig", received.Type}, {"hall", received.Zone}} {
-		if err := text(f.name, f.from); err != nil {
+		if err := checkText(f.name, f.from); err != nil {
 			return nil, err
 		}
 	}
@@ -361,7 +361,7 @@
 	heartbeat := &fleet.Heartbeat{Machine: *received.Machine, Addr: received.Addr, Type: *received.Type, Zone: *received.Zone, Spot: *received.Spot,
 		Incarnation: *received.Incarnation, Seq: *received.Seq, FencingToken: *received.FencingToken, ReclaimIn: units.MaxTime}
 	if received.ReclaimIn != nil {
-		v, err := amount("warning_s", received.ReclaimIn)
+		v, err := checkAmount("warning_s", received.ReclaimIn)
 		if err != nil {
 			return nil, err
 		}
@@ -372,16 +372,16 @@
 		if err != nil {
 			return nil, err
 		}
-		state, ok := states[t.State]
+		state, ok := taskStates[t.State]
 		if !ok || t.Attempt == nil {
 			return nil, fmt.Errorf("task %s: state %q or attempt", id, t.State)
 		}
-		heartbeat.Tasks = append(heartbeat.Tasks, fleet.Task{ID: id, Attempt: *t.Attempt, State: state, Cause: causes[t.Cause]})
+		heartbeat.Tasks = append(heartbeat.Tasks, fleet.Task{ID: id, Attempt: *t.Attempt, State: state, Cause: exitCauses[t.Cause]})
 	}
 	return heartbeat, nil
 }
 
-// Command tells a worker to start, stop or forget an attempt.
+// Command instructs a worker to start, stop or forget an attempt.
 type Command struct {
 	Kind    string   `json:"call_kind"`
 	Task    string   `json:"cue"`
@@ -389,7 +389,7 @@
 	Grace   *float64 `json:"bow_s,omitempty"`
 }
 
-// EncodeCommand turns a command into its wire form.
+// EncodeCommand converts a command to its wire format.
 func EncodeCommand(c fleet.Command) Command {
 	out := Command{Task: c.ID.String(), Attempt: c.Attempt}
 	switch c.Op {
@@ -404,7 +404,8 @@
 	return out
 }
 
-// CommandList is the answer to a heartbeat, and with Incarnation the body of a direct command.
+// CommandList is the body of the response to a heartbeat. With Incarnation it is the body of a request that
+// a controller sends to a worker directly.
 type CommandList struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  *uint64   `json:"shift,omitempty"`
