--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -8,8 +8,8 @@
 	"shalestage.example/shalestage/internal/core"
 )
 
-// BenchmarkFrame measures what a message between controllers takes to write and to read, by the
-// blocks that a status tells of: gob describes its types anew in each frame.
+// BenchmarkFrame measures encoding and decoding a status by its number of shards. gob repeats the type
+// descriptions in every frame.
 func BenchmarkFrame(b *testing.B) {
 	for _, blocks := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
--- a/internal/peer/production_test.go
+++ b/internal/peer/compatibility_test.go
@@ -15,9 +15,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestProductionFrames reads frames as controllers of the version before awaited
-// jobs have sent them.
-func TestProductionFrames(t *testing.T) {
+// TestDecodeFramesOfOlderRelease checks that frames recorded from the release before job dependencies can still
+// be decoded. Otherwise controllers could not communicate during a rolling upgrade.
+func TestDecodeFramesOfOlderRelease(t *testing.T) {
 	b, err := os.ReadFile("testdata/production-frames.json")
 	if err != nil {
 		t.Fatal(err)
@@ -50,11 +50,11 @@
 		delete(frames, name)
 	}
 	if len(frames) > 0 {
-		t.Errorf("not looked at: %v", frames)
+		t.Errorf("recorded frames without a test case: %v", frames)
 	}
 }
 
-// What that version knows of the messages that have gained fields.
+// Message types of the older release, for messages that have gained fields since.
 type (
 	oldStatus struct {
 		StateAge units.Microseconds
@@ -77,9 +77,9 @@
 	}
 )
 
-// TestProductionReads has messages of today read by the types of that version:
-// gob leaves out fields that the reader does not have.
-func TestProductionReads(t *testing.T) {
+// TestOlderReleaseDecodesMessages checks that the types of the older release can decode current messages. gob
+// skips fields that the receiver's type does not have.
+func TestOlderReleaseDecodesMessages(t *testing.T) {
 	var b bytes.Buffer
 	enc, dec := gob.NewEncoder(&b), gob.NewDecoder(&b)
 	if err := enc.Encode(core.PeerStatus{Seat: 4, Sent: 5, Release: 3, Config: 7, ConfigKnown: 8, Blocks: []core.ShardStatus{{Block: 1, Use: 0.5, Over: []string{"red"}}}}); err != nil {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -13,26 +13,25 @@
 )
 
 const (
-	// format is raised whenever messages change in a way that an older
-	// controller would misread; frames of another format are dropped.
+	// format is incremented when messages change in a way that older controllers would misinterpret. Frames of
+	// any other format are dropped.
 	format = 3
-	// maxFrame bounds a frame, in bytes without its length.
+	// maxFrame is the maximum size of a frame in bytes, without its length prefix.
 	maxFrame = 64 << 10
-	// lengthSize is the size of a frame's length: big-endian, without itself.
+	// lengthSize is the size of the length prefix in bytes. The prefix is big-endian and does not count itself.
 	lengthSize = 4
 )
 
-// frame is what one frame holds. Message is of one of the registered types.
+// frame is the content of one frame. Message has one of the types in messageTypes.
 type frame struct {
 	Format  int
 	From    string
 	Message any
 }
 
-// messages are all that controllers send each other, with the names under which gob sends
-// their types. A name never changes, whatever the type is called here: controllers of older
-// releases know it.
-var messages = []struct {
+// messageTypes lists the types of all messages between controllers with the names under which gob sends them.
+// A name never changes, even if the Go type is renamed, because controllers of older releases expect it.
+var messageTypes = []struct {
 	name  string
 	value any
 }{
@@ -49,18 +48,18 @@
 }
 
 func init() {
-	for _, m := range messages {
+	for _, m := range messageTypes {
 		gob.RegisterName(m.name, m.value)
 	}
 }
 
-// errUnusableFrame is wrapped by errors that concern one frame alone.
+// errUnusableFrame is wrapped by errors that affect a single frame; the following frames can still be read.
 var errUnusableFrame = errors.New("peer: unusable frame")
 
-// errTooLong is wrapped by errors about a frame of more than maxFrame bytes.
+// errTooLong is wrapped by errors about frames of more than maxFrame bytes.
 var errTooLong = errors.New("peer: frame too long")
 
-// Encode returns a message of a node as one frame.
+// Encode encodes a message from a controller as one frame, including the length prefix.
 func Encode(from string, message any) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Write(make([]byte, lengthSize))
@@ -75,9 +74,9 @@
 	return buffer.Bytes(), nil
 }
 
-// Decode reads one frame. After an error that wraps errUnusableFrame the next frame can be
-// read; after any other the connection is of no more use. At the end of the connection the
-// error is io.EOF.
+// Decode reads one frame and returns the name of the sender and the message. After an error that wraps
+// errUnusableFrame the next frame can be read; after any other error the connection is unusable. The error is
+// io.EOF at the end of the connection.
 func Decode(r io.Reader) (from string, message any, err error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -99,10 +98,10 @@
 		return "", nil, fmt.Errorf("%w: format %d", errUnusableFrame, received.Format)
 	}
 	messageType := reflect.TypeOf(received.Message)
-	for _, m := range messages {
+	for _, m := range messageTypes {
 		if reflect.TypeOf(m.value) == messageType {
 			return received.From, received.Message, nil
 		}
 	}
-	return "", nil, fmt.Errorf("%w: message %T", errUnusableFrame, received.Message) // gob knows plain types too
+	return "", nil, fmt.Errorf("%w: message %T", errUnusableFrame, received.Message) // gob also decodes basic types
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between controllers: gob, in frames of bounded
-// length, over TCP. Messages may be lost.
+// Package peer sends messages between controllers over TCP, encoded with gob in frames of bounded length.
+// Delivery is not guaranteed.
 package peer
 
 import (
@@ -21,15 +21,15 @@
 const (
 	dialTimeout = time.Second
 	sendTimeout = time.Second
-	// retryPause follows a connection that could not be opened or accepted.
-	retryPause = dialTimeout / 4
-	// readTimeout is several times the interval between statuses.
+	// retryDelay is the delay after a failure to open or accept a connection.
+	retryDelay = dialTimeout / 4
+	// readTimeout is several times the interval at which controllers send their statuses.
 	readTimeout = 10 * time.Second
-	// queueLength bounds the messages that wait to be sent to one controller. It has room for the
-	// snapshot of a full shard, which has one part for each machine at most, and for 128 parts
-	// of finished tasks and other messages; what comes beyond is dropped.
+	// queueLength is the capacity of the send queue of each peer, in messages. It holds the snapshot of a full
+	// shard, which has at most one part per machine, and 128 more for parts with finished tasks and for other
+	// messages. Further messages are dropped.
 	queueLength = fleet.FullShardMachines + 128
-	// maxConns bounds the connections of other controllers.
+	// maxConns is the maximum number of connections accepted from other controllers.
 	maxConns = peering.MaxPeers
 )
 
@@ -42,8 +42,8 @@
 	droppedFrames atomic.Uint64
 }
 
-// New returns a link of a node to its peers, whose addresses (HOST:PORT) are given by name.
-// Nothing is sent until Run.
+// New returns a link from a controller to its peers. addrs maps the names of the peers to their addresses
+// (HOST:PORT). Nothing is sent until Run is called.
 func New(node string, addrs map[string]string, log *slog.Logger) *Link {
 	l := &Link{node: node, log: log, addrs: addrs, queues: map[string]chan any{}}
 	for name := range addrs {
@@ -52,7 +52,8 @@
 	return l
 }
 
-// Send queues a message; it is dropped when the peer does not keep up, or is none.
+// Send queues a message for a peer without blocking. The message is dropped if the queue is full or the peer
+// is unknown.
 func (l *Link) Send(to string, message any) {
 	select {
 	case l.queues[to] <- message:
@@ -60,7 +61,7 @@
 	}
 }
 
-// Run keeps a connection to every peer and sends what is queued, until the context ends.
+// Run maintains a connection to every peer and sends the queued messages until the context is done.
 func (l *Link) Run(ctx context.Context) {
 	var senders sync.WaitGroup
 	for name, addr := range l.addrs {
@@ -69,8 +70,8 @@
 	senders.Wait()
 }
 
-// sendTo sends what is queued for one peer, over one connection after another.
-// What waited while there was no connection is old news and is dropped.
+// sendTo sends the messages queued for one peer and reconnects when the connection fails. Messages queued
+// while there was no connection are stale and are dropped.
 func (l *Link) sendTo(ctx context.Context, addr string, queue <-chan any) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	for ctx.Err() == nil {
@@ -79,24 +80,24 @@
 			<-queue
 		}
 		if err != nil {
-			sleep(ctx, retryPause)
+			sleep(ctx, retryDelay)
 			continue
 		}
 		l.sendOver(ctx, conn, queue)
 	}
 }
 
-// sendOver sends what is queued over one connection until that fails or the context ends, and
-// closes it.
+// sendOver sends queued messages over one connection until it fails or the context is done, then closes the
+// connection.
 func (l *Link) sendOver(ctx context.Context, conn net.Conn, queue <-chan any) {
 	var reader sync.WaitGroup
 	defer reader.Wait()
 	defer closeConn(conn)
-	// The peer sends nothing on this connection, so a read ends only with it.
-	// Without it a peer that has closed its end, as one does that stood still
-	// past its read deadline, would go unnoticed and no message reach it again.
+	// The peer sends nothing on this connection, so the read returns only when the connection is closed. Without
+	// the read, nothing detects that the peer has closed its end, as a peer does that was suspended past its
+	// read deadline, and no further message would reach it.
 	reader.Go(func() {
-		_, _ = io.Copy(io.Discard, conn) // the end is all that it tells
+		_, _ = io.Copy(io.Discard, conn) // only the end of the connection matters
 		closeConn(conn)
 	})
 	for {
@@ -106,7 +107,7 @@
 		case message := <-queue:
 			encoded, err := Encode(l.node, message)
 			if err != nil {
-				l.log.Error("peer", "err", err)
+				l.log.Error("cannot encode a message to a peer", "err", err)
 				continue
 			}
 			_ = conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // on a closed connection the write fails
@@ -117,30 +118,30 @@
 	}
 }
 
-// Serve passes the messages that arrive on a listener to receive, from one goroutine for each
-// connection, until the context ends or the listener is closed. Then it closes what it has
-// accepted and returns net.ErrClosed.
+// Serve accepts connections and passes their messages to receive until the context is done or the listener is
+// closed. It then closes the accepted connections and returns net.ErrClosed. receive is called concurrently,
+// from one goroutine per connection.
 func (l *Link) Serve(ctx context.Context, listener net.Listener, receive func(from string, message any)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var receivers sync.WaitGroup
 	defer receivers.Wait()
 	defer cancel()
 	listener = netutil.LimitListener(listener, maxConns)
-	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // nobody is left to tell of an error
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // shutting down, so an error does not matter
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return net.ErrClosed
 		}
 		if err != nil {
-			sleep(ctx, retryPause)
+			sleep(ctx, retryDelay)
 			continue
 		}
 		receivers.Go(func() { l.receiveFrom(ctx, conn, receive) })
 	}
 }
 
-// receiveFrom passes on the messages of one connection until that or the context ends.
+// receiveFrom passes the messages of one connection to receive until the connection ends or the context is done.
 func (l *Link) receiveFrom(ctx context.Context, conn net.Conn, receive func(from string, message any)) {
 	defer closeConn(conn)
 	defer context.AfterFunc(ctx, func() { closeConn(conn) })()
@@ -152,7 +153,7 @@
 			receive(from, message)
 		case errors.Is(err, errUnusableFrame):
 			if l.droppedFrames.Add(1) == 1 {
-				l.log.Error("peer", "err", err) // the first only: the rest are counted
+				l.log.Error("dropped an unusable frame of a peer", "err", err) // logs the first only; all are counted
 			}
 		default:
 			return
@@ -160,13 +161,13 @@
 	}
 }
 
-// closeConn closes a connection that is of no more use; it may be closed already.
+// closeConn closes a connection that is no longer needed. It may be closed already.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// sleep waits, or returns early when the context ends.
-func sleep(ctx context.Context, pause time.Duration) {
+// sleep waits for the delay or until the context is done.
+func sleep(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pause):
+	case <-time.After(delay):
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -19,6 +19,8 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
+// TestRoundTrip checks that messages with random fields are decoded as they were sent, and that frames can be
+// read one after another from the same connection.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ask := core.ForwardedRequest{ID: rapid.Uint64().Draw(t, "id"), Kind: core.RequestSubmit, Job: "wk-000001",
@@ -54,8 +56,9 @@
 	return listener
 }
 
-// TestEveryMessage passes each, and the largest part of a snapshot fits into a frame.
-func TestEveryMessage(t *testing.T) {
+// TestEveryMessageTypeRoundTrips checks that every registered message type is decoded as it was sent, and that
+// the largest part of a snapshot fits into a frame.
+func TestEveryMessageTypeRoundTrips(t *testing.T) {
 	snapshot := core.SnapshotMessage{Block: 1, Token: 1 << 60}
 	for n := 0; len(snapshot.Machines) < core.SnapshotMessageSize/8; n++ {
 		m := core.MachineSnapshot{Name: fmt.Sprintf("n-%020d", n), Addr: "100.100.100.100:10000", Session: 1 << 60, Seq: 1 << 60}
@@ -66,7 +69,7 @@
 	}
 	done := core.SnapshotMessage{Done: []core.FinishedTasks{{Job: "wk-1", Tasks: []int{0, 99_999}}}}
 	all := []any{snapshot, done}
-	for _, m := range messages {
+	for _, m := range messageTypes {
 		all = append(all, m.value)
 	}
 	for _, m := range all {
@@ -75,13 +78,13 @@
 			t.Fatalf("%T: %v", m, err)
 		}
 		if from, got, err := Decode(bytes.NewReader(b)); err != nil || from != "me" || !reflect.DeepEqual(got, m) {
-			t.Errorf("%T comes as %+v, %v", m, got, err)
+			t.Errorf("%T decoded as %+v, error %v", m, got, err)
 		}
 	}
 }
 
-// FuzzDecode reads anything: a frame is read, refused or cut short: nothing panics and
-// nothing larger than a frame is ever held.
+// FuzzDecode checks that arbitrary bytes yield either a message or an error, without a panic. A length prefix
+// beyond maxFrame must be rejected before memory is allocated for it.
 func FuzzDecode(f *testing.F) {
 	good, err := Encode("n", core.PeerStatus{StateAge: 1})
 	if err != nil {
@@ -93,16 +96,15 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, m, err := Decode(bytes.NewReader(b))
 		if (m == nil) == (err == nil) {
-			t.Fatalf("message %v and error %v", m, err)
+			t.Fatalf("got message %v and error %v, want exactly one", m, err)
 		}
 	})
 }
 
-// TestClosedByPeer has a peer close its end, as one does that
-// stood still past its read deadline. A link that went on writing into that connection
-// would reach the peer no more: its takeover votes would not arrive, and the shards of a
-// controller that stood still would wait until it woke.
-func TestClosedByPeer(t *testing.T) {
+// TestReconnectAfterPeerCloses guards against a link that keeps writing to a connection whose other end is
+// closed, as happens after the peer was suspended past its read deadline. The peer would receive nothing more:
+// takeover votes would be lost, and the shards of a suspended controller would not fail over until it resumes.
+func TestReconnectAfterPeerCloses(t *testing.T) {
 	listener := listen(t)
 	link := New("me", map[string]string{"other": listener.Addr().String()}, slog.New(slog.DiscardHandler))
 	go link.Run(t.Context())
@@ -114,7 +116,7 @@
 	if err := first.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _, _ = io.Copy(io.Discard, first) }() // it would go on taking what is written
+	go func() { _, _ = io.Copy(io.Discard, first) }() // keeps accepting what the link writes
 	received := make(chan any, 1)
 	go func() { _ = link.Serve(t.Context(), listener, func(_ string, m any) { received <- m }) }()
 	for {
--- a/internal/peer/split.go
+++ b/internal/peer/split.go
@@ -13,62 +13,62 @@
 	"golang.org/x/net/netutil"
 )
 
-// maxHTTPConns bounds the connections that operators have at once, and those that have not
-// sent yet what tells what they are.
+// maxHTTPConns is the maximum number of concurrent HTTP connections from operators. The shared listener accepts
+// maxConns+maxHTTPConns connections in total, including those that have not sent enough bytes to be classified.
 const maxHTTPConns = 8
 
-// httpMethods are how HTTP requests begin. As the length of a frame each would be far too
-// large.
+// httpMethods are the first bytes of HTTP requests. Read as the length prefix of a frame, each would exceed
+// maxFrame by far, so the two cannot be confused.
 var httpMethods = [][]byte{[]byte("GET "), []byte("PUT "), []byte("POST")}
 
-// Split tells what arrives on the internal address apart by its first bytes: frames of other
-// controllers, and operators' HTTP requests. Both listeners end when the one that was split is
-// closed; once either of them is closed, connections of its kind are closed as they come.
+// Split separates the connections of the internal address by their first bytes: frames of other controllers and
+// HTTP requests of operators. Both returned listeners end when the given listener is closed. When only one of
+// them is closed, new connections of its kind are closed on arrival.
 func Split(listener net.Listener) (frames, requests net.Listener) {
 	listener = netutil.LimitListener(listener, maxConns+maxHTTPConns)
-	frameConns, httpConns := newPartListener(listener.Addr()), newPartListener(listener.Addr())
+	frameConns, httpConns := newSubListener(listener.Addr()), newSubListener(listener.Addr())
 	go split(listener, frameConns, httpConns)
 	return frameConns, netutil.LimitListener(httpConns, maxHTTPConns)
 }
 
-// split accepts until the listener is closed, then ends the two it feeds and waits for the
-// connections that have not been handed on.
-func split(listener net.Listener, frames, requests *partListener) {
-	var undecided sync.WaitGroup
-	defer undecided.Wait()
-	defer func() { frames.end(); requests.end() }()
+// split accepts connections until the listener is closed. It then shuts down both sublisteners and waits for
+// the connections that have not been dispatched.
+func split(listener net.Listener, frames, requests *subListener) {
+	var unclassified sync.WaitGroup
+	defer unclassified.Wait()
+	defer func() { frames.shutDown(); requests.shutDown() }()
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			sleep(context.Background(), retryPause) // ends soon by itself
+			sleep(context.Background(), retryDelay) // short enough to need no cancellation
 			continue
 		}
-		undecided.Go(func() { handOn(conn, frames, requests) })
+		unclassified.Go(func() { dispatch(conn, frames, requests) })
 	}
 }
 
-// handOn reads the first bytes of a connection and passes it to the listener of its kind. One
-// that sends nothing within readTimeout is closed.
-func handOn(conn net.Conn, frames, requests *partListener) {
+// dispatch reads the first bytes of a connection and passes it to the listener of its kind. A connection that
+// does not send them within readTimeout is closed.
+func dispatch(conn net.Conn, frames, requests *subListener) {
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // on a closed connection the read fails
 	reader := bufio.NewReader(conn)
-	first, err := reader.Peek(lengthSize)
+	prefix, err := reader.Peek(lengthSize)
 	if err != nil {
 		closeConn(conn)
 		return
 	}
 	_ = conn.SetReadDeadline(time.Time{}) // on a closed connection the next read fails
 	target := frames
-	if slices.ContainsFunc(httpMethods, func(method []byte) bool { return bytes.Equal(first, method) }) {
+	if slices.ContainsFunc(httpMethods, func(method []byte) bool { return bytes.Equal(prefix, method) }) {
 		target = requests
 	}
 	target.deliver(peekedConn{conn, reader})
 }
 
-// peekedConn is a connection of which the first bytes have been read into a buffer.
+// peekedConn is a connection whose first bytes have been read into a buffer.
 type peekedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -76,23 +76,23 @@
 
 func (c peekedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// partListener is a listener that gets the connections of one kind.
-type partListener struct {
+// subListener is a net.Listener for the connections of one kind.
+type subListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once // closes done
 }
 
-func newPartListener(addr net.Addr) *partListener {
-	return &partListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+func newSubListener(addr net.Addr) *subListener {
+	return &subListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (l *partListener) end() { l.once.Do(func() { close(l.done) }) }
+func (l *subListener) shutDown() { l.once.Do(func() { close(l.done) }) }
 
-// deliver passes a connection to whoever accepts; one that nobody accepts within readTimeout
-// is closed.
-func (l *partListener) deliver(conn net.Conn) {
+// deliver passes a connection to Accept. The connection is closed if it is not accepted within readTimeout or
+// the listener has been shut down.
+func (l *subListener) deliver(conn net.Conn) {
 	select {
 	case l.conns <- conn:
 	case <-l.done:
@@ -103,7 +103,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *partListener) Accept() (net.Conn, error) {
+func (l *subListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
 		return conn, nil
@@ -113,10 +113,10 @@
 }
 
 // Close implements net.Listener.
-func (l *partListener) Close() error {
-	l.end()
+func (l *subListener) Close() error {
+	l.shutDown()
 	return nil
 }
 
 // Addr implements net.Listener.
-func (l *partListener) Addr() net.Addr { return l.addr }
+func (l *subListener) Addr() net.Addr { return l.addr }
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -12,9 +12,10 @@
 	"shalestage.example/shalestage/internal/core"
 )
 
-// TestSplit has controllers' frames and operators' requests arrive on one address, while
-// other connections say nothing or are slow to.
-func TestSplit(t *testing.T) {
+// TestSplitFramesAndRequests checks that frames and HTTP requests that arrive at the same address reach the
+// right listener while other connections stall after two bytes or send slowly, and that both listeners end with
+// the listener that was split.
+func TestSplitFramesAndRequests(t *testing.T) {
 	listener := listen(t)
 	addr := listener.Addr().String()
 	frames, requests := Split(listener)
@@ -24,8 +25,8 @@
 		served <- (&Link{}).Serve(t.Context(), frames, func(_ string, m any) { received <- m })
 	}()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)                                        // the client checks what it gets
-		_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), b...)) // likewise
+		b, _ := io.ReadAll(r.Body)                                        // the client checks the response
+		_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), b...)) // same here
 	})}
 	go func() { _ = server.Serve(requests) }()
 	defer func() { _ = server.Close() }()
@@ -57,19 +58,19 @@
 		t.Error(err)
 	}
 	if _, err := frames.Accept(); err == nil {
-		t.Error("accepts after its listener ended")
+		t.Error("Accept succeeds after the split listener was closed")
 	}
 	select {
 	case err := <-served:
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("serving ends with %v", err)
+			t.Errorf("Serve returned %v, want net.ErrClosed", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("serving goes on after its listener ended")
+		t.Error("Serve did not return after the split listener was closed")
 	}
 }
 
-// exchange sends an HTTP request and returns the body of the answer.
+// exchange sends an HTTP request and returns the body of the response.
 func exchange(t *testing.T, method, url, body string) string {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -87,7 +88,7 @@
 	return string(answer)
 }
 
-// sendSlowly sends a frame in three parts, over a connection that stays open until the test ends.
+// sendSlowly sends a frame in three writes over a connection that stays open until the test ends.
 func sendSlowly(t *testing.T, addr string, message any) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
