--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -10,13 +10,13 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// execute carries out one effect of the core. Nothing here waits: whatever takes
-// time runs in a goroutine of its own, of which the core has few under way.
+// execute executes one effect of the core without blocking. Requests to external services run in goroutines of
+// their own; the core has only a few in flight.
 func (n *Node) execute(ctx context.Context, effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Reply:
-		if answer, ok := n.waiting[effect.Request]; ok {
-			delete(n.waiting, effect.Request)
+		if answer, ok := n.pendingReplies[effect.Request]; ok {
+			delete(n.pendingReplies, effect.Request)
 			answer <- effect
 		}
 	case core.SendPeer:
@@ -26,33 +26,33 @@
 	case core.Commit:
 		n.commit(ctx, effect)
 	case core.Abandon:
-		if abandon := n.commits[effect.Txn]; abandon != nil {
-			abandon()
+		if cancel := n.pendingCommits[effect.Txn]; cancel != nil {
+			cancel()
 		}
 	case core.CloseLease:
-		n.calls.Go(func() { n.state.CloseLease(ctx, effect.ID) })
+		n.inFlightCalls.Go(func() { n.state.CloseLease(ctx, effect.ID) })
 	case core.FetchTypes, core.ScaleOut, core.ScaleIn, core.ListMachines, core.Probe:
-		n.calls.Go(func() { n.enqueue(ctx, n.callMachines(ctx, effect)) })
+		n.inFlightCalls.Go(func() { n.enqueue(ctx, n.callMachines(ctx, effect)) })
 	default:
-		n.calls.Go(func() { n.enqueue(ctx, n.callState(ctx, effect)) })
+		n.inFlightCalls.Go(func() { n.enqueue(ctx, n.callState(ctx, effect)) })
 	}
 }
 
-// commit sends a transaction, whose answer is waited for until it is abandoned.
+// commit sends a transaction and waits in the background for the response, or until core.Abandon cancels it.
 func (n *Node) commit(ctx context.Context, effect core.Commit) {
-	callCtx, abandon := context.WithCancel(ctx)
-	n.commits[effect.Txn] = abandon
-	n.calls.Go(func() {
+	callCtx, cancel := context.WithCancel(ctx)
+	n.pendingCommits[effect.Txn] = cancel
+	n.inFlightCalls.Go(func() {
 		outcome, revision, failed := n.state.Commit(callCtx, effect.Txn)
 		n.enqueue(ctx, func(c *core.Core, now units.Microseconds) {
-			abandon()
-			delete(n.commits, effect.Txn)
+			cancel()
+			delete(n.pendingCommits, effect.Txn)
 			c.OnCommit(now, effect.Queue, effect.Txn, outcome, revision, failed)
 		})
 	})
 }
 
-// callState sends a request to the state service and returns the message with its outcome.
+// callState sends a request to the state service and returns a message that passes the outcome to the core.
 func (n *Node) callState(ctx context.Context, effect core.Effect) message {
 	switch effect := effect.(type) {
 	case core.List:
@@ -79,8 +79,8 @@
 	return func(*core.Core, units.Microseconds) { n.log.Error("unknown effect", "effect", effect) }
 }
 
-// callMachines sends a request to the cloud or to a machine and returns the message with its
-// outcome. What acts on machines is sent while this node has authority over them only.
+// callMachines sends a request to the cloud or to a machine and returns a message that passes the outcome to the
+// core. Requests that act on machines are sent only while this controller has authority.
 func (n *Node) callMachines(ctx context.Context, effect core.Effect) message {
 	switch effect := effect.(type) {
 	case core.FetchTypes:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs a controller's core as an actor: one goroutine owns it,
-// takes messages from an inbox, and has its effects executed by others.
+// Package node runs the core of a controller as an actor. A single goroutine owns the core and handles the
+// messages of an inbox. Other goroutines execute the core's effects.
 package node
 
 import (
@@ -23,30 +23,30 @@
 )
 
 const (
-	tickEvery = time.Duration(core.TickInterval) * time.Microsecond
-	// Every request is answered within the time that who asks waits: workers
-	// 4 s, users 5 s, or 2 s for a poll.
-	answerWithin = 4 * time.Second
-	pollWithin   = 1900 * time.Millisecond
-	// leaveTime is for the last request, that the lease ends, and for the answers under way.
-	leaveTime = 200 * time.Millisecond
+	tickInterval = time.Duration(core.TickInterval) * time.Microsecond
+	// Requests are answered before the client's own timeout: workers wait 4 s, users 5 s, or 2 s for a query.
+	requestTimeout = 4 * time.Second
+	queryTimeout   = 1900 * time.Millisecond
+	// leaveDelay is the time before the process exits in which it revokes its lease and sends the responses that
+	// are still pending.
+	leaveDelay = 200 * time.Millisecond
 )
 
-// Lengths of the inbox's queues, in messages. A request that finds its queue full is answered 503
-// at once, with a time to come back; a controller's message is dropped, which all messages may be.
+// Capacities of the inbox's queues, in messages. If its queue is full, a request is answered with 503 and a
+// retry time at once, and a message from another controller is dropped. Messages between controllers may be lost.
 const (
-	// userQueueLength bounds the users' requests that wait. It is a guard against overload: more
-	// would not be answered in time.
+	// userQueueLength is for requests of users. It protects against overload: further requests could not be
+	// answered in time.
 	userQueueLength = 512
-	// heartbeatQueueLength has room for a heartbeat of each machine of a full shard, which has one
-	// under way, and for as many cancellations and health checks as users' requests.
+	// heartbeatQueueLength is for one heartbeat from each machine of a full shard, since a machine has at most one
+	// in flight, and for as many cancellations and health checks as there can be requests of users.
 	heartbeatQueueLength = fleet.FullShardMachines + userQueueLength
-	// controlQueueLength has room for the snapshot of a full shard, which has one part for each
-	// machine at most, and for all else that other controllers and the services say meanwhile.
+	// controlQueueLength is for the snapshot of a full shard, which has at most one part per machine, and for the
+	// other messages of controllers and the responses of external services that arrive meanwhile.
 	controlQueueLength = fleet.FullShardMachines + 1024
 )
 
-// message is handled by the goroutine that owns the core.
+// message is a function that the goroutine that owns the core calls.
 type message func(c *core.Core, now units.Microseconds)
 
 // Node is a running controller.
@@ -59,52 +59,52 @@
 	log       *slog.Logger
 	startedAt time.Time
 
-	// The inbox, by priority.
-	control    chan message // the outside services' answers and other controllers
+	// Queues of the inbox, highest priority first.
+	control    chan message // responses of external services, and messages of other controllers
 	heartbeats chan message // workers, health checks and cancellations
 	users      chan message
 
-	// validUntil is when this node's authority ends, as far as is known, on the clock of now:
-	// what goes to the cloud is checked against it when it is sent.
+	// validUntil is the time on the clock of now at which the authority of this controller ends unless it is
+	// extended. Requests to the cloud that act on machines, and probes, are checked against it when they are sent.
 	validUntil atomic.Int64
 
-	memoryFull func() bool // nil: never
+	memoryFull func() bool // nil: memory is never considered full
 
-	// Of the goroutine that runs Run.
-	lastRequest core.RequestID
-	waiting     map[core.RequestID]chan core.Reply
-	commits     map[*store.Txn]context.CancelFunc // transactions that wait for their answers
+	// Owned by the goroutine that calls Run.
+	lastRequest    core.RequestID
+	pendingReplies map[core.RequestID]chan core.Reply
+	pendingCommits map[*store.Txn]context.CancelFunc // transactions without a response yet
 
-	calls sync.WaitGroup // requests to outside services under way
+	inFlightCalls sync.WaitGroup // requests to external services
 }
 
-// New returns a node that does nothing until Run.
+// New returns a node that is idle until Run is called.
 func New(c *core.Core, stateClient *state.Client, cloudClient *cloud.Client, workers *worker.Client, peers *peer.Link, log *slog.Logger) *Node {
 	return &Node{
 		core: c, state: stateClient, cloud: cloudClient, workers: workers, peers: peers, log: log, startedAt: time.Now(),
 		control: make(chan message, controlQueueLength), heartbeats: make(chan message, heartbeatQueueLength), users: make(chan message, userQueueLength),
-		waiting: map[core.RequestID]chan core.Reply{}, commits: map[*store.Txn]context.CancelFunc{},
+		pendingReplies: map[core.RequestID]chan core.Reply{}, pendingCommits: map[*store.Txn]context.CancelFunc{},
 	}
 }
 
-// SetMemoryCheck has the core refuse new jobs while memory is nearly full. It is called before
-// Run.
+// SetMemoryCheck sets a function that reports whether memory is nearly full. While it returns true, the core
+// rejects new jobs. SetMemoryCheck must be called before Run.
 func (n *Node) SetMemoryCheck(full func() bool) { n.memoryFull = full }
 
-// now is a monotonic clock that begins at 0 with the node.
+// now returns the time since New was called, on a monotonic clock.
 func (n *Node) now() units.Microseconds {
 	return units.Microseconds(time.Since(n.startedAt).Microseconds())
 }
 
-// Run owns the core until the context ends, and returns once the requests to outside services
-// that it has begun have ended too. Time goes first, then what keeps
-// authority and what other controllers send, then workers, then users: no number
-// of users or workers may cost a controller its authority. A process that stood
-// still learns how late it is before it handles anything that has waited.
+// Run owns the core until the context is done. It returns after its requests to external services have ended.
+//
+// Ticks have the highest priority, then the control queue with lease renewals and messages of other controllers,
+// then workers, then users. No load from users or workers can therefore cost a controller its authority. As ticks
+// come first, a process that was suspended updates the core's clock before it handles queued messages.
 func (n *Node) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	defer n.calls.Wait()
+	defer n.inFlightCalls.Wait()
 	for lastTick := n.now(); ctx.Err() == nil; {
 		if now := n.now(); now-lastTick >= core.TickInterval {
 			lastTick = now
@@ -122,10 +122,10 @@
 	}
 }
 
-// nextMessage returns the message to be handled next, or nil when the time for
-// a tick or the end comes first.
+// nextMessage waits for the message to be handled next. It returns nil if a tick is due or the context is done
+// first.
 func (n *Node) nextMessage(ctx context.Context, tick <-chan time.Time) message {
-	m := n.waitingMessage()
+	m := n.queuedMessage()
 	if m == nil {
 		select {
 		case <-ctx.Done():
@@ -138,8 +138,8 @@
 	return m
 }
 
-// waitingMessage returns the message to be handled first, if any waits.
-func (n *Node) waitingMessage() message {
+// queuedMessage returns the queued message of the highest priority, or nil if the inbox is empty.
+func (n *Node) queuedMessage() message {
 	for _, queue := range []chan message{n.control, n.heartbeats, n.users} {
 		select {
 		case m := <-queue:
@@ -150,11 +150,11 @@
 	return nil
 }
 
-// authorized reports whether what this node decided may still be executed.
+// authorized reports whether this controller still has the authority to execute its decisions.
 func (n *Node) authorized() bool { return int64(n.now()) < n.validUntil.Load() }
 
-// enqueue puts an outside service's answer into the inbox. It is lost when the context ends,
-// and with it the core, while there is no room.
+// enqueue adds the response of an external service to the inbox, and blocks while the queue is full. The
+// response is lost if the context is done first, but then the core stops too.
 func (n *Node) enqueue(ctx context.Context, m message) {
 	select {
 	case n.control <- m:
@@ -162,8 +162,8 @@
 	}
 }
 
-// Receive takes a message of another controller; it is dropped when there is too
-// much to do.
+// Receive adds a message of another controller to the inbox. It does not block: the message is dropped if the
+// queue is full.
 func (n *Node) Receive(from string, peerMessage any) {
 	select {
 	case n.control <- func(c *core.Core, now units.Microseconds) { c.OnPeer(now, from, peerMessage) }:
@@ -171,13 +171,12 @@
 	}
 }
 
-// request is what ask has the core do, which answers it by its id.
+// request passes a request to the core, which replies to its ID.
 type request func(c *core.Core, now units.Microseconds, id core.RequestID)
 
-// ask sends a request to the core and waits for its answer. A full queue
-// answers at once, and what has waited there until nobody waits for the answer
-// any more is dropped.
-func (n *Node) ask(ctx context.Context, queue chan<- message, timeout time.Duration, do request) core.Reply {
+// call sends a request to the core and waits for its reply. If the queue is full it returns a 503 reply at once;
+// it also does so after the timeout. A queued request whose caller no longer waits is skipped.
+func (n *Node) call(ctx context.Context, queue chan<- message, timeout time.Duration, do request) core.Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer := make(chan core.Reply, 1)
@@ -186,7 +185,7 @@
 			return
 		}
 		n.lastRequest++
-		n.waiting[n.lastRequest] = answer
+		n.pendingReplies[n.lastRequest] = answer
 		do(c, now, n.lastRequest)
 	}
 	busy := core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "busy"}, RetryAfter: units.Second}
@@ -203,71 +202,71 @@
 	}
 }
 
-// Submit takes a submission; invalid says what is wrong with it where spec is nil.
+// Submit submits a job. If spec is nil, invalid describes why the submission is invalid.
 func (n *Node) Submit(ctx context.Context, job string, spec *jobs.Spec, invalid string) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Submit(now, id, job, spec, invalid) })
+	return n.call(ctx, n.users, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Submit(now, id, job, spec, invalid) })
 }
 
-// Query takes a poll.
+// Query returns the status of a job.
 func (n *Node) Query(ctx context.Context, job string) core.Reply {
-	return n.ask(ctx, n.users, pollWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Query(now, id, job) })
+	return n.call(ctx, n.users, queryTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Query(now, id, job) })
 }
 
-// Cancel takes a cancellation.
+// Cancel cancels a job.
 func (n *Node) Cancel(ctx context.Context, job string) core.Reply {
-	return n.ask(ctx, n.heartbeats, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Cancel(now, id, job) })
+	return n.call(ctx, n.heartbeats, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Cancel(now, id, job) })
 }
 
-// Heartbeat takes a worker's heartbeat.
+// Heartbeat handles a worker's heartbeat.
 func (n *Node) Heartbeat(ctx context.Context, heartbeat *fleet.Heartbeat) core.Reply {
-	return n.ask(ctx, n.heartbeats, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Heartbeat(now, id, heartbeat) })
+	return n.call(ctx, n.heartbeats, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Heartbeat(now, id, heartbeat) })
 }
 
-// Ready answers a health check.
+// Ready reports whether the controller passes its health check.
 func (n *Node) Ready(ctx context.Context) bool {
-	r := n.ask(ctx, n.heartbeats, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) {
+	r := n.call(ctx, n.heartbeats, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) {
 		c.Answer(id, c.Ready(now))
 	})
 	return r.Code == http.StatusOK
 }
 
-// Retire has the controller transfer all that it owns, as the process is about to end, and
-// returns once that is done or the context has ended. Run must go on meanwhile.
+// Retire transfers everything that this controller owns to other controllers before the process exits. It
+// returns when that is complete or the context is done. Run must keep running meanwhile.
 func (n *Node) Retire(ctx context.Context) {
 	for done := false; !done && ctx.Err() == nil; {
 		n.enqueue(ctx, func(c *core.Core, now units.Microseconds) { c.Retire(now) })
-		r := n.ask(ctx, n.control, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Answer(id, c.Retired(now)) })
+		r := n.call(ctx, n.control, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Answer(id, c.Retired(now)) })
 		if done = r.Code == http.StatusOK; !done {
-			time.Sleep(tickEvery)
+			time.Sleep(tickInterval)
 		}
 	}
 	n.enqueue(context.WithoutCancel(ctx), func(c *core.Core, now units.Microseconds) { c.Leave(now) })
-	time.Sleep(leaveTime)
+	time.Sleep(leaveDelay)
 }
 
-// Configure asks for a change of the configuration.
+// Configure requests a change of the configuration.
 func (n *Node) Configure(ctx context.Context, r configuration.Request) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Configure(now, id, r) })
+	return n.call(ctx, n.users, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.Configure(now, id, r) })
 }
 
-// ConfigContent asks for the configuration in force.
+// ConfigContent returns the configuration in effect.
 func (n *Node) ConfigContent(ctx context.Context) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigContent(now, id) })
+	return n.call(ctx, n.users, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigContent(now, id) })
 }
 
-// ConfigHistory asks for the last versions.
+// ConfigHistory returns the latest versions of the configuration.
 func (n *Node) ConfigHistory(ctx context.Context) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigHistory(now, id) })
+	return n.call(ctx, n.users, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigHistory(now, id) })
 }
 
-// ConfigStatus asks how far a version of the configuration has come.
+// ConfigStatus returns the rollout status of a version of the configuration.
 func (n *Node) ConfigStatus(ctx context.Context, version uint64) core.Reply {
-	return n.ask(ctx, n.users, answerWithin, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigStatus(now, id, version) })
+	return n.call(ctx, n.users, requestTimeout, func(c *core.Core, now units.Microseconds, id core.RequestID) { c.ConfigStatus(now, id, version) })
 }
 
-// Stats returns the present figures; ok is false where there is too much to do.
+// Stats returns the current statistics. ok is false if the controller is too busy to answer.
 func (n *Node) Stats(ctx context.Context) (core.Stats, bool) {
-	r := n.ask(ctx, n.users, answerWithin, func(c *core.Core, _ units.Microseconds, id core.RequestID) { c.Stats(id) })
+	r := n.call(ctx, n.users, requestTimeout, func(c *core.Core, _ units.Microseconds, id core.RequestID) { c.Stats(id) })
 	s, ok := r.Body.(core.Stats)
 	return s, ok
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,9 +15,9 @@
 	"shalestage.example/shalestage/internal/state"
 )
 
-// TestOrder fills all queues of the inbox. What keeps a controller's authority is handled
-// before workers, and workers before users, however many wait.
-func TestOrder(t *testing.T) {
+// TestInboxPriority guards against a controller that loses its authority under load. With all queues filled, the
+// control queue must be handled before heartbeats, and heartbeats before requests of users.
+func TestInboxPriority(t *testing.T) {
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
 	var got []string
 	put := func(queue chan message, name string) {
@@ -29,8 +29,8 @@
 	}
 	n.Receive("peer", core.PeerStatus{})
 	n.enqueue(t.Context(), func(*core.Core, units.Microseconds) { got = append(got, "state") })
-	<-n.control // the peer's message needs a core; that it comes first is enough
-	for m := n.waitingMessage(); m != nil; m = n.waitingMessage() {
+	<-n.control // drops the peer's message, which needs a core
+	for m := n.queuedMessage(); m != nil; m = n.queuedMessage() {
 		m(nil, 0)
 	}
 	want := []string{"state", "worker", "worker", "worker", "user", "user", "user"}
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestCancelledRequests shows that a poll whose user has given up by the time its turn comes
-// costs nothing and leaves nothing behind, and that a full inbox answers at once.
-func TestCancelledRequests(t *testing.T) {
+// TestCancelledRequestsAreSkipped checks that queries whose users have given up are skipped without calling the
+// core and leave no pending replies, and that a request to a full inbox is rejected at once.
+func TestCancelledRequestsAreSkipped(t *testing.T) {
 	n := New(nil, nil, nil, nil, nil, slog.New(slog.DiscardHandler))
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -54,20 +54,20 @@
 		n.Query(cancelled, "wk-000001")
 	}
 	if r := n.Query(context.Background(), "wk-000001"); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-		t.Fatalf("a full inbox answers %+v", r)
+		t.Fatalf("reply of a full inbox: %+v", r)
 	}
 	handled := 0
-	for m := n.waitingMessage(); m != nil; m = n.waitingMessage() {
+	for m := n.queuedMessage(); m != nil; m = n.queuedMessage() {
 		m(nil, 0) // would panic without a core
 		handled++
 	}
-	if handled != userQueueLength || len(n.waiting) != 0 {
-		t.Fatalf("%d handled, %d wait", handled, len(n.waiting))
+	if handled != userQueueLength || len(n.pendingReplies) != 0 {
+		t.Fatalf("%d requests handled, %d replies pending", handled, len(n.pendingReplies))
 	}
 }
 
-// TestAbandonedCommit gives up waiting for a transaction's answer: its connection is free
-// long before the request's timeout, the core is told once, and nothing is left behind.
+// TestAbandonedCommit abandons a transaction that the state service does not answer. The request must end long
+// before its timeout to free the connection, and the core must receive exactly one outcome.
 func TestAbandonedCommit(t *testing.T) {
 	reached := make(chan bool, 1)
 	release := make(chan struct{})
@@ -87,11 +87,11 @@
 	n.execute(t.Context(), core.Abandon{Txn: txn})
 	m := <-n.control
 	if took := time.Since(began); took > time.Second/2 {
-		t.Errorf("waited for %v", took)
+		t.Errorf("the abandoned request took %v to end", took)
 	}
 	m(core.New(core.Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50}), 0)
-	n.execute(t.Context(), core.Abandon{Txn: txn}) // too late: nobody waits any more
-	if len(n.commits) != 0 || len(n.control) != 0 {
-		t.Errorf("%d transactions wait, %d messages", len(n.commits), len(n.control))
+	n.execute(t.Context(), core.Abandon{Txn: txn}) // has no effect after the outcome
+	if len(n.pendingCommits) != 0 || len(n.control) != 0 {
+		t.Errorf("%d transactions and %d messages left", len(n.pendingCommits), len(n.control))
 	}
 }
