--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud's interface, from which machines are rented.
+// Package cloud implements the client of the cloud API that rents machines.
 package cloud
 
 import (
@@ -19,17 +19,18 @@
 )
 
 const (
-	// callTimeout bounds a request together with its wait for the budget.
+	// callTimeout is the timeout of a request, including the wait for the rate limiter.
 	callTimeout = 5 * time.Second
 	maxConns    = 4
-	// hostPageSize is how many machines one request of the machine list returns at most.
+	// hostPageSize is the maximum number of machines per page of the machine list.
 	hostPageSize = 500
-	// budgetFraction leaves some of the request budget for a controller that takes over.
+	// budgetFraction is the part of the request budget in use. The rest is reserved for a controller that takes
+	// over.
 	budgetFraction = 0.7
 )
 
-// Client talks to the cloud. Outcomes stand in for errors: Refused also where nothing was
-// sent, Unknown where a request may have been carried out.
+// Client is a client of the cloud. Its methods report an outcome instead of an error. The outcome is Refused also
+// if nothing was sent, and Unknown if the cloud may have executed the request.
 type Client struct {
 	baseURL string
 	http    *http.Client
@@ -38,8 +39,8 @@
 	log     *slog.Logger
 }
 
-// New returns a client of the cloud at an address, HOST:PORT. rps is the budget that all
-// controllers share, in requests a second.
+// New returns a client of the cloud at an address (HOST:PORT). rps is the request budget that all controllers
+// share, in requests per second.
 func New(addr string, rps float64, log *slog.Logger) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
@@ -50,15 +51,15 @@
 	}
 }
 
-// SetBudgetFraction sets the part of the budget that is this controller's, in (0, 1].
+// SetBudgetFraction sets this controller's part of the request budget, in the range (0, 1].
 func (c *Client) SetBudgetFraction(fraction float64) {
 	c.limiter.SetLimit(rate.Limit(c.rps * budgetFraction * fraction))
 	c.limiter.SetBurst(max(1, int(c.rps*fraction)))
 }
 
-// do sends one request and decodes the answer into response, unless authorized is false by
-// the time it would be sent: the request may have waited for the budget, and a process may
-// stand still before that. The status is 0 where there was no answer.
+// do sends one request and decodes the response. It calls authorized just before sending, because authority may
+// have ended while the request waited for the rate limiter or the process was suspended. If authorized returns
+// false, nothing is sent. The status is 0 if there was no response.
 func (c *Client) do(ctx context.Context, method, path string, request, response any, authorized func() bool) (status int, outcome store.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -68,19 +69,19 @@
 	status, err := httpjson.Do(ctx, c.http, method, c.baseURL+path, request, response)
 	switch {
 	case err != nil:
-		c.log.Info("cloud", "path", path, "err", err)
+		c.log.Info("request to the cloud failed", "path", path, "err", err)
 		return status, store.Unknown
 	case status == http.StatusOK:
 		return status, store.OK
 	}
-	c.log.Debug("cloud", "path", path, "code", status)
+	c.log.Debug("the cloud rejected a request", "path", path, "code", status)
 	return status, store.Refused
 }
 
-// always authorizes requests that only read.
+// always authorizes read-only requests.
 func always() bool { return true }
 
-// Types reads the price list. Entries that make no sense are logged and left out.
+// Types returns the cloud's price list. Invalid entries are logged and omitted.
 func (c *Client) Types(ctx context.Context) (store.Outcome, []fleet.Type) {
 	var priceList wire.MachineTypes
 	_, outcome := c.do(ctx, http.MethodGet, wire.TypesPath, nil, &priceList, always)
@@ -88,7 +89,7 @@
 	for _, entry := range priceList.Types {
 		machineType, err := entry.Type()
 		if err != nil {
-			c.log.Error("cloud", "err", err)
+			c.log.Error("ignoring an invalid entry of the cloud's price list", "err", err)
 			continue
 		}
 		types = append(types, machineType)
@@ -96,8 +97,8 @@
 	return outcome, types
 }
 
-// ScaleOut asks for machines and returns the names of those granted. The cloud grants the
-// same machines to a repeated request of the same id. Failed means that none are to be had.
+// ScaleOut rents machines and returns their names. The request is idempotent: the cloud returns the same machines
+// for the same requestID. The outcome is Failed if the cloud has no capacity.
 func (c *Client) ScaleOut(ctx context.Context, requestID string, increase autoscaler.Increase, authorized func() bool) (store.Outcome, []string) {
 	var response struct {
 		wire.MachineNames
@@ -111,13 +112,13 @@
 	return outcome, response.Machines
 }
 
-// ScaleIn gives machines back.
+// ScaleIn returns machines to the cloud.
 func (c *Client) ScaleIn(ctx context.Context, names []string, authorized func() bool) store.Outcome {
 	_, outcome := c.do(ctx, http.MethodPost, wire.ReturnPath, wire.MachineNames{Machines: names}, nil, authorized)
 	return outcome
 }
 
-// List reads the machine list.
+// List returns all pages of the cloud's machine list.
 func (c *Client) List(ctx context.Context) (store.Outcome, []wire.Host) {
 	var hosts []wire.Host
 	after := ""
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -11,13 +11,13 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// TestNothingSentWithoutAuthority has authority end before a request for machines and a
-// return are sent, as when a process stood still between deciding and sending.
+// TestNothingSentWithoutAuthority guards against scaling by a controller that has lost its authority. Authority
+// ends before the requests are sent, as when the process is suspended between the decision and the request.
 func TestNothingSentWithoutAuthority(t *testing.T) {
 	calls := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls++
-		_, _ = w.Write([]byte(`{}`)) // a client that ended shows in its outcome
+		_, _ = w.Write([]byte(`{}`)) // a client that disconnected fails the check of its outcome
 	}))
 	defer server.Close()
 	client := New(strings.TrimPrefix(server.URL, "http://"), 100, slog.New(slog.DiscardHandler))
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
-// Package state is the client of the state service, the consensus-backed key-value store in
-// which controllers keep what must outlive them.
+// Package state implements the client of the state service, the replicated key-value store that holds the
+// controllers' persistent state.
 package state
 
 import (
@@ -20,70 +20,69 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// Timeouts of requests: the service answers within a few hundred
-// milliseconds, so that a lost request is noticed soon.
+// Request timeouts. The service responds within a few hundred milliseconds, so short timeouts detect a lost
+// request early.
 const (
 	callTimeout = 1000 * time.Millisecond
-	readTimeout = 700 * time.Millisecond
+	pollTimeout = 700 * time.Millisecond // of a watch that does not wait for changes
 	listTimeout = 10 * time.Second
 )
 
-// maxConns bounds the connections to the service.
+// maxConns is the maximum number of connections to the service.
 const maxConns = 8
 
-// Client talks to the state service. Every method returns an outcome instead of an error:
-// Refused also where this node's share of the request budget is used up and nothing was
-// sent, Unknown where the context or the request's timeout ended before the answer came.
+// Client is a client of the state service. Its methods report an outcome instead of an error. The outcome is
+// Refused also if nothing was sent because this controller's share of the request budget is used up. It is
+// Unknown if the context or the request timed out before the response arrived.
 type Client struct {
-	baseURL  string
-	http     *http.Client
-	limiter  *rate.Limiter
-	nextRate rate.Limit // once the service has refused a request as one too many
-	log      *slog.Logger
+	baseURL     string
+	http        *http.Client
+	limiter     *rate.Limiter
+	reducedRate rate.Limit // applies after the service has responded 429
+	log         *slog.Logger
 }
 
-// New returns a client of the service at an address, HOST:PORT. rps is this node's share of
-// the request budget, in requests a second, and nextRPS its share once the service's limits
-// have fallen.
-func New(addr string, rps, nextRPS float64, log *slog.Logger) *Client {
+// New returns a client of the service at an address (HOST:PORT). rps is this controller's share of the request
+// budget in requests per second. reducedRPS is its share after the service has lowered its limits.
+func New(addr string, rps, reducedRPS float64, log *slog.Logger) *Client {
 	return &Client{
-		baseURL:  "http://" + addr,
-		http:     httpjson.NewClient(maxConns),
-		limiter:  rate.NewLimiter(rate.Limit(rps), max(4, int(rps))),
-		nextRate: rate.Limit(nextRPS),
-		log:      log,
+		baseURL:     "http://" + addr,
+		http:        httpjson.NewClient(maxConns),
+		limiter:     rate.NewLimiter(rate.Limit(rps), max(4, int(rps))),
+		reducedRate: rate.Limit(reducedRPS),
+		log:         log,
 	}
 }
 
-// do sends one request and decodes the answer into response. The status is 0 where there was
-// no answer. Failed stands for every status that the caller is to judge.
+// do sends one request and decodes the response. The status is 0 if there was no response. The outcome is Failed
+// for all status codes that the caller has to interpret.
 func (c *Client) do(ctx context.Context, method, path string, timeout time.Duration, request, response any) (status int, outcome store.Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	status, err := httpjson.Do(ctx, c.http, method, c.baseURL+path, request, response)
 	if err != nil {
-		c.log.Debug("state service", "method", method, "path", path, "err", err)
+		c.log.Debug("request to the state service failed", "method", method, "path", path, "err", err)
 		return status, store.Unknown
 	}
 	switch status {
 	case http.StatusOK:
 		return status, store.OK
 	case http.StatusServiceUnavailable:
-		c.log.Debug("state service", "method", method, "path", path, "code", status)
+		c.log.Debug("the state service rejected a request", "method", method, "path", path, "code", status)
 		return status, store.Refused
 	case http.StatusTooManyRequests:
-		c.log.Debug("state service", "method", method, "path", path, "code", status)
-		c.limiter.SetLimit(min(c.limiter.Limit(), c.nextRate))
+		c.log.Debug("the state service rejected a request", "method", method, "path", path, "code", status)
+		c.limiter.SetLimit(min(c.limiter.Limit(), c.reducedRate))
 		return status, store.Limited
 	}
 	if status >= http.StatusInternalServerError {
-		return status, store.Unknown // none of the service's own answers
+		return status, store.Unknown // not a response of the service itself
 	}
 	return status, store.Failed
 }
 
-// List reads the keys with a prefix that come after a key, pageSize of them at most, and
-// the revision as of which it read them. more says that there are others.
+// List returns up to pageSize keys with a prefix that sort after a given key, and the revision at which they
+// were read. more reports whether further keys follow.
 func (c *Client) List(ctx context.Context, prefix, after string, pageSize int) (outcome store.Outcome, revision uint64, items []store.Event, more bool) {
 	if !c.limiter.Allow() {
 		return store.Refused, 0, nil, false
@@ -102,8 +101,8 @@
 	return store.OK, listing.Revision, items, listing.More
 }
 
-// Get reads one key. A key that does not exist has no value; only then revision is set, to
-// that of the service.
+// Get reads one key. If the key does not exist, value is nil and revision is the current revision of the
+// service. Otherwise revision is 0.
 func (c *Client) Get(ctx context.Context, key string) (outcome store.Outcome, value json.RawMessage, version, revision uint64) {
 	if !c.limiter.Allow() {
 		return store.Refused, nil, 0, 0
@@ -124,14 +123,14 @@
 	return outcome, nil, 0, 0
 }
 
-// Watch reads the changes of keys with a prefix after a revision. If there is none it waits
-// for one. compacted means that the service no longer has them all.
+// Watch returns the changes after a revision to keys with a prefix. If there are none, it waits for a change for
+// up to the given time. compacted reports that the service no longer has all changes since that revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait units.Microseconds) (outcome store.Outcome, revision uint64, events []store.Event, compacted bool) {
 	if !c.limiter.Allow() {
 		return store.Refused, 0, nil, false
 	}
 	path := fmt.Sprintf("%s?starts=%s&after=%d&wait_ms=%d", wire.WatchPath, url.QueryEscape(prefix), after, wait/1000)
-	timeout := readTimeout
+	timeout := pollTimeout
 	if wait > 0 {
 		timeout = callTimeout + time.Duration(wait)*time.Microsecond
 	}
@@ -150,8 +149,8 @@
 	return store.OK, changes.Revision, events, false
 }
 
-// Commit sends a transaction: its changes are made together if every guard holds. Failed
-// comes with the keys whose guards did not hold; OK with the revision of the changes.
+// Commit sends a transaction, which applies its changes atomically if all guards hold. If the outcome is OK,
+// revision is the revision of the changes. If it is Failed, failed lists the keys whose guards did not hold.
 func (c *Client) Commit(ctx context.Context, txn *store.Txn) (outcome store.Outcome, revision uint64, failed []string) {
 	if !c.limiter.Allow() {
 		return store.Refused, 0, nil
@@ -171,7 +170,7 @@
 	status, outcome := c.do(ctx, http.MethodPost, wire.CommitPath, callTimeout, request, &result)
 	if outcome == store.Failed && status != http.StatusConflict {
 		c.log.Error("state service refused a transaction", "code", status, "err", result.Error)
-		// An expired lease is the other reason, and an ordinary one.
+		// The other cause of a 400 is an expired lease. That is an ordinary failure: the transaction is not too large.
 		if result.Error != wire.NoSuchLease && (status == http.StatusBadRequest || status == http.StatusRequestEntityTooLarge) {
 			outcome = store.TooLarge
 		}
@@ -179,15 +178,15 @@
 	return outcome, result.Revision, result.Failed
 }
 
-// OpenLease obtains a lease that expires ttl after its last renewal. It is not held against
-// the request budget, nor are renewal and revocation: nothing may delay them.
+// OpenLease obtains a lease that expires ttl after its last renewal. Requests to open, renew and revoke leases
+// are not subject to the request budget because they must not be delayed.
 func (c *Client) OpenLease(ctx context.Context, ttl units.Microseconds) (outcome store.Outcome, id uint64) {
 	var lease wire.Lease
 	_, outcome = c.do(ctx, http.MethodPost, wire.LeasesPath, callTimeout, wire.LeaseRequest{TTLMillis: int64(ttl / 1000)}, &lease)
 	return outcome, lease.ID
 }
 
-// RenewLease extends a lease. Failed means that it has expired.
+// RenewLease renews a lease. The outcome is Failed if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, id uint64) store.Outcome {
 	status, outcome := c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/extend", wire.LeasesPath, id), callTimeout, nil, nil)
 	if outcome == store.Failed && status != http.StatusNotFound {
@@ -196,8 +195,7 @@
 	return outcome
 }
 
-// CloseLease revokes a lease. The outcome is of no use to the caller: a lease that could not
-// be revoked expires.
+// CloseLease revokes a lease. It reports no outcome because a lease that could not be revoked expires.
 func (c *Client) CloseLease(ctx context.Context, id uint64) {
 	c.do(ctx, http.MethodDelete, fmt.Sprintf("%s/%d", wire.LeasesPath, id), callTimeout, nil, nil)
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,10 +12,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// TestRefusals tells the reasons of a refusal apart: a transaction that is too large must not
-// be sent again as it is, one whose lease has expired is an ordinary failure, and a 429 brings
-// the rate of later.
-func TestRefusals(t *testing.T) {
+// TestCommitOutcomes checks the outcome for each kind of response. A transaction that is too large must not be
+// retried unchanged, an expired lease is an ordinary failure, and a 429 response reduces the request rate.
+func TestCommitOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		code int
@@ -36,12 +35,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(test.code)
-				_, _ = w.Write([]byte(test.body)) // a client that ended shows in its outcome
+				_, _ = w.Write([]byte(test.body)) // a client that disconnected fails the check of its outcome
 			}))
 			defer server.Close()
 			client := New(strings.TrimPrefix(server.URL, "http://"), 100, 40, slog.New(slog.DiscardHandler))
 			if outcome, _, _ := client.Commit(t.Context(), &store.Txn{}); outcome != test.want || client.limiter.Limit() != test.rate {
-				t.Errorf("%v at %v a second, want %v at %v", outcome, client.limiter.Limit(), test.want, test.rate)
+				t.Errorf("outcome %v at %v requests per second, want %v at %v", outcome, client.limiter.Limit(), test.want, test.rate)
 			}
 		})
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is the client of workers' own interface: it probes a worker without waiting
-// for its next heartbeat.
+// Package worker implements the client of the HTTP interface that workers serve. It probes a worker without
+// waiting for the worker's next heartbeat.
 package worker
 
 import (
@@ -16,26 +16,28 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// callTimeout bounds a probe: a machine that does not answer by then is known by its own
-// heartbeat, or not at all.
+// callTimeout is the timeout of a probe. The state of a machine that does not answer in time is learned from its
+// next heartbeat, if there is one.
 const callTimeout = time.Second
 
-// Client talks to workers.
+// Client is a client of workers.
 type Client struct {
 	http *http.Client
 	log  *slog.Logger
 }
 
-// New returns a client that keeps no connections: each worker is probed once.
+// New returns a client. It does not reuse connections because each worker is probed only once.
 func New(log *slog.Logger) *Client {
 	return &Client{http: httpjson.NewOneShotClient(), log: log}
 }
 
-// Probe presents a fencing token to the worker at an address, HOST:PORT, without any command,
-// and returns the worker's status after that. The outcome is Failed where the worker did not
-// take the token, as the status tells: its incarnation is another, or it has seen a higher token.
-// Refused means that nothing was sent, as the address is unusable or authorized is false;
-// Unknown that there was no answer that can be read.
+// Probe sends a fencing token without any commands to the worker at an address (HOST:PORT), and returns the status
+// of the worker after it has handled the token. The outcome is
+//   - OK if the worker accepted the token;
+//   - Failed if it rejected the token because it has another incarnation or has seen a higher token, as the
+//     returned status shows;
+//   - Refused if nothing was sent because the address is invalid or authorized returned false;
+//   - Unknown if there was no valid response.
 func (c *Client) Probe(ctx context.Context, addr string, fencingToken, incarnation uint64, authorized func() bool) (store.Outcome, *fleet.Heartbeat) {
 	if _, err := netip.ParseAddrPort(addr); err != nil || !authorized() {
 		return store.Refused, nil
@@ -46,7 +48,7 @@
 	status, err := httpjson.Do(ctx, c.http, http.MethodPost, "http://"+addr+wire.CommandsPath,
 		wire.CommandList{FencingToken: fencingToken, Incarnation: &incarnation, Commands: []wire.Command{}}, &body)
 	if err != nil {
-		c.log.Debug("worker", "addr", addr, "err", err)
+		c.log.Debug("cannot probe a worker", "addr", addr, "err", err)
 		return store.Unknown, nil
 	}
 	outcome := store.OK
@@ -59,7 +61,7 @@
 	}
 	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
-		c.log.Debug("worker", "addr", addr, "err", err)
+		c.log.Debug("cannot decode a worker's response to a probe", "addr", addr, "err", err)
 		return store.Unknown, nil
 	}
 	return outcome, heartbeat
