--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -17,21 +17,21 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// AuditResult is what an audit found.
+// AuditResult is the result of an audit.
 type AuditResult struct {
-	Keys         map[string]int       `json:"keys"` // by folder
+	Keys         map[string]int       `json:"keys"` // by key group
 	ArchivedJobs int                  `json:"packed_jobs"`
 	Findings     []introspect.Finding `json:"findings"`
 }
 
-// HostLister lists the cloud's machines.
+// HostLister lists the machines of the cloud.
 type HostLister interface {
 	List(ctx context.Context) (store.Outcome, []wire.Host)
 }
 
-// AuditLive reads a state service twice, as what one reading shows of keys that change
-// meanwhile does not belong together: only what both have found counts. Machines are compared
-// with the cloud's list, if there is one; as that lags, the second reading begins after lag.
+// AuditLive audits a running state service. It reads all keys twice and returns only the findings of both passes,
+// because keys that change during one pass can look inconsistent. If cloud is not nil, machines are compared with
+// the cloud's machine list. As that list may be out of date, the second pass starts after lag.
 func AuditLive(ctx context.Context, s StateService, cloud HostLister, lag time.Duration, options Options) (AuditResult, error) {
 	options.setDefaults()
 	first, err := inspect(ctx, s, cloud, options)
@@ -51,7 +51,7 @@
 	return second, nil
 }
 
-// inspect reads every key once and checks them together.
+// inspect reads every key once and checks the keys for consistency.
 func inspect(ctx context.Context, s StateService, cloud HostLister, options Options) (AuditResult, error) {
 	inspector := introspect.NewInspector()
 	for _, part := range []struct {
@@ -76,21 +76,21 @@
 		return result, nil
 	}
 	var hosts []wire.Host
-	err := options.retry(ctx, "the machine list", func() (out store.Outcome) {
-		out, hosts = cloud.List(ctx)
-		return out
+	err := options.retry(ctx, "the machine list", func() (outcome store.Outcome) {
+		outcome, hosts = cloud.List(ctx)
+		return outcome
 	})
 	result.Findings = append(result.Findings, compareMachines(inspector.Machines(), hosts)...)
 	return result, err
 }
 
 func newResult(in *introspect.Inspector) AuditResult {
-	keys, packed := in.Keys()
-	return AuditResult{keys, packed, in.Findings()}
+	keys, archivedJobs := in.Keys()
+	return AuditResult{keys, archivedJobs, in.Findings()}
 }
 
-// compareMachines compares the machines of records with the cloud's list. What is found is the
-// controllers' to mend: they return what nobody needs, and adopt what sends heartbeats.
+// compareMachines compares the recorded machines with the cloud's machine list. Controllers repair the differences
+// themselves: they return machines that are not needed and adopt machines that send heartbeats.
 func compareMachines(recorded map[string]string, hosts []wire.Host) (out []introspect.Finding) {
 	listed := map[string]bool{}
 	for _, h := range hosts {
@@ -111,13 +111,13 @@
 	return out
 }
 
-// AuditFile checks a backup, which is read twice, so that its size does not
-// matter. Only the last that it shows of a key counts.
+// AuditFile audits a backup. It reads the file twice so that archived jobs need not be held in memory at any size
+// of the backup. Only the last record of each key counts.
 func AuditFile(open func() (io.ReadCloser, error)) (AuditResult, error) {
 	scan := func(f func(n int, e store.Event)) error {
 		r, err := open()
 		if err != nil {
-			return fmt.Errorf("opening the backup: %w", err)
+			return fmt.Errorf("open the backup: %w", err)
 		}
 		n := 0
 		var s Summary
@@ -128,7 +128,7 @@
 		})
 		return errors.Join(err, r.Close())
 	}
-	lastOfKey := map[string]int{} // where the last of each bucket stands
+	lastOfKey := map[string]int{} // position of the last record of each archive bucket
 	records := map[string]store.Event{}
 	inspector := introspect.NewInspector()
 	err := scan(func(n int, e store.Event) {
@@ -155,7 +155,7 @@
 		}
 	})
 	result := newResult(inspector)
-	// Leases of members have no versions in a file, and their shards are assigned anew after a restore.
+	// A backup does not contain the versions of memberships, and shards are reassigned after a restore.
 	result.Findings = slices.DeleteFunc(result.Findings, func(f introspect.Finding) bool { return f.Kind == "no_seat" })
 	for i := range result.Findings {
 		result.Findings[i].Clear, result.Findings[i].Fix = nil, false
@@ -163,8 +163,9 @@
 	return result, err
 }
 
-// Fix clears what is safe to clear, and returns how many findings that were. Each is
-// guarded by the versions that were seen: what has changed since is left alone.
+// Fix clears the findings that are safe to clear and returns their number. ops is the maximum number of changes per
+// transaction. Each transaction is guarded by the versions that the audit read, so that keys that have changed since
+// are not modified.
 func Fix(ctx context.Context, s StateService, list []introspect.Finding, ops int, options Options) (int, error) {
 	options.setDefaults()
 	cleared := 0
@@ -178,7 +179,7 @@
 			err := options.retry(ctx, "clearing", func() store.Outcome {
 				outcome, _, _ := s.Commit(ctx, &store.Txn{Guards: f.Clear.Guards, Changes: remaining[:n]})
 				if failed = outcome == store.Failed; failed {
-					return store.OK // no longer so
+					return store.OK // the finding no longer applies
 				}
 				return outcome
 			})
--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -26,27 +26,27 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// service is the model of the state service, in which something happens before each
-// request.
-type service struct {
-	m      *kv.Service
+// fakeService runs the emulator's model of the state service. It can change keys before each request and lose
+// responses.
+type fakeService struct {
+	model  *kv.Service
 	now    units.Microseconds
-	before func()
-	lost   func() bool // carried out, and the answer lost
+	before func()      // called before each request; may be nil
+	lost   func() bool // reports whether the response to an executed request is lost; may be nil
 }
 
-func newService() *service {
-	return &service{m: kv.New(kv.Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 8 << 10, TxnOps: 12}, rand.New(rand.NewPCG(1, 2)))}
+func newService() *fakeService {
+	return &fakeService{model: kv.New(kv.Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 8 << 10, TxnOps: 12}, rand.New(rand.NewPCG(1, 2)))}
 }
 
-func (s *service) ask() {
+func (s *fakeService) startRequest() {
 	s.now += units.Second
 	if s.before != nil {
 		s.before()
 	}
 }
 
-func (s *service) outcome(code int) store.Outcome {
+func (s *fakeService) outcome(code int) store.Outcome {
 	switch {
 	case s.lost != nil && s.lost():
 		return store.Unknown
@@ -60,32 +60,34 @@
 	return store.Refused
 }
 
-func (s *service) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
-	s.ask()
-	l := s.m.List(s.now, "x", prefix, after, min(page, 3))
+func (s *fakeService) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
+	s.startRequest()
+	l := s.model.List(s.now, "x", prefix, after, min(page, 3))
 	return s.outcome(l.Code), l.Rev, direct.Items(l.Items), l.More
 }
 
-func (s *service) Watch(_ context.Context, prefix string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
-	s.ask()
-	s.m.Watch(s.now, 1, "x", prefix, after, 0)
-	c := s.m.Drain()[0]
+func (s *fakeService) Watch(_ context.Context, prefix string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
+	s.startRequest()
+	s.model.Watch(s.now, 1, "x", prefix, after, 0)
+	c := s.model.Drain()[0]
 	return s.outcome(c.Code), c.Rev, direct.Events(c.Events), c.Code == 410
 }
 
-func (s *service) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
-	s.ask()
+func (s *fakeService) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
+	s.startRequest()
 	r := s.commit(t)
 	return s.outcome(r.Code), r.Rev, r.Failed
 }
 
-func (s *service) commit(t *store.Txn) kv.Result { return s.m.Commit(s.now, "x", direct.Txn(t)) }
+func (s *fakeService) commit(t *store.Txn) kv.Result {
+	return s.model.Commit(s.now, "x", direct.Txn(t))
+}
 
-func (s *service) all() map[string]string {
+func (s *fakeService) all() map[string]string {
 	out := map[string]string{}
 	after := ""
 	for {
-		l := s.m.List(s.now, "x", "", after, 0)
+		l := s.model.List(s.now, "x", "", after, 0)
 		for _, it := range l.Items {
 			out[it.Key], after = string(it.Value), it.Key
 		}
@@ -99,13 +101,13 @@
 	return backup.Options{Rate: 1e9, ChunkBytes: 300, Sleep: func(time.Duration) {}, Now: func() time.Time { return time.Unix(1_700_000_000, 0) }}
 }
 
-// cut is a file that takes so many bytes and then no more.
-type cut struct {
+// truncatedFile is a file that accepts a limited number of bytes and then fails.
+type truncatedFile struct {
 	bytes.Buffer
 	left int
 }
 
-func (c *cut) Write(b []byte) (int, error) {
+func (c *truncatedFile) Write(b []byte) (int, error) {
 	n := min(len(b), c.left)
 	c.left -= n
 	c.Buffer.Write(b[:n])
@@ -115,16 +117,16 @@
 	return n, nil
 }
 
-// TestBackupIsOfOneMoment saves while keys change: the backup shows them all as of its
-// revision, also when it was cut short and resumed, and a service that it is restored into has
-// the same keys, but for those of leases and for a term above any that was given out.
-func TestBackupIsOfOneMoment(t *testing.T) {
+// TestBackupIsConsistentSnapshot guards against backups that mix revisions when keys change during the backup. The
+// backup must show all keys as of its revision, also after it was interrupted and resumed, and any corrupt byte must
+// be detected. A restored service must have the same keys, except for leased keys and a term higher than any issued.
+func TestBackupIsConsistentSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := newService()
 		seen := map[uint64]map[string]string{}
 		change := func() {
 			source.changeJobs(t)
-			seen[source.m.Rev()] = source.all()
+			seen[source.model.Rev()] = source.all()
 		}
 		source.commit(&store.Txn{Changes: []store.Change{
 			{Key: core.TermKey, Value: store.Value(authority.Term{Term: 7, Node: "a"})},
@@ -134,17 +136,17 @@
 			change()
 		}
 		source.before = change
-		file := &cut{left: rapid.IntRange(0, 4000).Draw(t, "cut")}
-		foot := saveWithResume(t, source, file)
+		file := &truncatedFile{left: rapid.IntRange(0, 4000).Draw(t, "cut")}
+		footer := saveWithResume(t, source, file)
 		if _, err := backup.Verify(bytes.NewReader(file.Bytes())); err != nil {
 			t.Fatal(err)
 		}
-		// Damage of any byte is noticed before anything is written.
-		bad := bytes.Clone(file.Bytes())
-		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		// A change of any single byte is detected before anything is restored.
+		corrupt := bytes.Clone(file.Bytes())
+		corrupt[rapid.IntRange(0, len(corrupt)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		var damage *backup.DamageError
-		if _, err := backup.Verify(bytes.NewReader(bad)); !errors.As(err, &damage) {
-			t.Fatalf("a damaged byte: %v", err)
+		if _, err := backup.Verify(bytes.NewReader(corrupt)); !errors.As(err, &damage) {
+			t.Fatalf("with one byte changed, Verify returned %v, want a DamageError", err)
 		}
 		target := newService()
 		target.lost = func() bool { return rapid.IntRange(0, 9).Draw(t, "answer lost") == 0 }
@@ -152,9 +154,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := maps.Clone(seen[foot.Revision])
+		want := maps.Clone(seen[footer.Revision])
 		if want == nil {
-			t.Fatalf("revision %d was never there", foot.Revision)
+			t.Fatalf("the source never had revision %d", footer.Revision)
 		}
 		delete(want, "shalestage/leader")
 		delete(want, "shalestage/seat/a")
@@ -164,16 +166,16 @@
 		}
 		target.lost = nil
 		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), TxnOps: 3}); !errors.Is(err, backup.ErrNotEmpty) {
-			t.Fatalf("into a service that is not empty: %v", err)
+			t.Fatalf("restore into a service that is not empty: %v", err)
 		}
 		if _, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options(), TxnOps: 3, Force: true}); err != nil || !maps.Equal(target.all(), want) {
-			t.Fatalf("forced: %v", err)
+			t.Fatalf("forced restore: %v", err)
 		}
 	})
 }
 
-// changeJobs puts or removes up to three jobs' records.
-func (s *service) changeJobs(t *rapid.T) {
+// changeJobs puts or deletes the records of up to three jobs.
+func (s *fakeService) changeJobs(t *rapid.T) {
 	t.Helper()
 	for range rapid.IntRange(0, 3).Draw(t, "changes") {
 		key := fmt.Sprintf("shalestage/job/wk-%06d", rapid.IntRange(0, 30).Draw(t, "key"))
@@ -185,12 +187,12 @@
 	}
 }
 
-// saveWithResume saves into a file and, where that is cut short, resumes in one that is not.
-func saveWithResume(t *rapid.T, source *service, file *cut) backup.Footer {
+// saveWithResume saves into a file. If the file fails, it removes the limit and resumes the backup.
+func saveWithResume(t *rapid.T, source *fakeService, file *truncatedFile) backup.Footer {
 	t.Helper()
-	foot, err := backup.Save(t.Context(), source, file, nil, options())
+	footer, err := backup.Save(t.Context(), source, file, nil, options())
 	if err == nil {
-		return foot
+		return footer
 	}
 	progress, err := backup.Resume(bytes.NewReader(file.Bytes()))
 	end := int64(0)
@@ -199,13 +201,13 @@
 	}
 	file.Truncate(int(end))
 	file.left = 1 << 30
-	if foot, err = backup.Save(t.Context(), source, file, progress, options()); err != nil {
+	if footer, err = backup.Save(t.Context(), source, file, progress, options()); err != nil {
 		t.Fatal(err)
 	}
-	return foot
+	return footer
 }
 
-// fakeCloud is a cloud whose list differs from request to request.
+// fakeCloud is a cloud that returns a different machine list for each request.
 type fakeCloud [][]wire.Host
 
 func (l *fakeCloud) List(context.Context) (store.Outcome, []wire.Host) {
@@ -214,9 +216,9 @@
 	return store.OK, h
 }
 
-// TestAudit plants one of each thing that should not be there, and has what is safe
-// cleared.
-func TestAudit(t *testing.T) {
+// TestAuditFindsInconsistencies checks that the audit finds one planted inconsistency of each kind, in a live service
+// and in a backup, and that Fix clears only those that are safe to clear and have not changed since.
+func TestAuditFindsInconsistencies(t *testing.T) {
 	source := newService()
 	spec := `{"class":"c","team":"t","tasks":1,"demand":[1,0,1],"image":"","image_mb":0,"estimate":1,"awaits":["wk-000099","wk-000050"]}`
 	for _, planted := range []struct{ key, value string }{
@@ -240,13 +242,13 @@
 	} {
 		source.commit(&store.Txn{Changes: []store.Change{{Key: planted.key, Value: json.RawMessage(planted.value)}}})
 	}
-	looks := fakeCloud{{{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-8"}, {ID: "n-9"}}, {{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-9"}}}
-	rep, err := backup.AuditLive(t.Context(), source, &looks, 30*time.Second, options())
+	listings := fakeCloud{{{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-8"}, {ID: "n-9"}}, {{ID: "n-1"}, {ID: "n-2", State: wire.HostFailed}, {ID: "n-9"}}}
+	report, err := backup.AuditLive(t.Context(), source, &listings, 30*time.Second, options())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, f := range rep.Findings {
+	for _, f := range report.Findings {
 		got = append(got, f.Kind+" "+f.Key)
 	}
 	slices.Sort(got)
@@ -255,27 +257,27 @@
 		"leftover shalestage/progress/wk-000078/0", "misplaced shalestage-past/00000004", "no_block shalestage/machine/r-1",
 		"no_machines shalestage/machine/r-1", "no_seat shalestage/block/0", "stray n-9", "unreadable shalestage-past/00000005", "unreadable shalestage/job/wk-000004"}
 	if !slices.Equal(got, want) {
-		t.Errorf("found\n%q\nwant\n%q", got, want)
+		t.Errorf("findings\n%q\nwant\n%q", got, want)
 	}
-	// The same of a backup; nothing there is to be cleared, no seat stands, and no cloud is asked.
+	// The audit of a backup has the same findings except no_seat and those that need the cloud's machine list.
 	var file bytes.Buffer
 	if _, err := backup.Save(t.Context(), source, &file, nil, options()); err != nil {
 		t.Fatal(err)
 	}
 	saved, err := backup.AuditFile(func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(file.Bytes())), nil })
 	if err != nil || len(saved.Findings) != len(want)-4 || saved.ArchivedJobs != 1 {
-		t.Errorf("of the backup: %v, %+v", err, saved)
+		t.Errorf("audit of the backup: %v, %+v", err, saved)
 	}
-	// One of them gets its record before it is cleared: it stays.
+	// wk-000078 gets a job record after the audit, so its progress record must not be cleared.
 	source.commit(&store.Txn{Changes: []store.Change{{Key: "shalestage/job/wk-000078", Value: json.RawMessage(`{"status":"pending","tasks":1}`)}}})
-	if n, err := backup.Fix(t.Context(), source, rep.Findings, 3, options()); err != nil || n != 3 {
-		t.Errorf("%d cleared, %v", n, err)
+	if n, err := backup.Fix(t.Context(), source, report.Findings, 3, options()); err != nil || n != 3 {
+		t.Errorf("%d findings cleared, want 3; error %v", n, err)
 	}
 	left := source.all()
 	for key, there := range map[string]bool{"shalestage/part/wk-000002/00/0": false, "shalestage/progress/wk-000002/0": false,
 		"shalestage/progress/wk-000078/0": true, "shalestage/machine/r-1": false, "shalestage/part/wk-000077/00/0": true} {
 		if _, ok := left[key]; ok != there {
-			t.Errorf("%s is there: %v", key, ok)
+			t.Errorf("%s exists: %v", key, ok)
 		}
 	}
 }
--- a/internal/backup/format.go
+++ b/internal/backup/format.go
@@ -1,6 +1,5 @@
-// Package backup saves the keys of a state service to a file, consistent at one
-// revision while the service goes on, and puts them back. It also checks what is in
-// either.
+// Package backup saves the keys of a running state service to a file, as a snapshot that is consistent at one
+// revision, and restores them. It also audits the contents of a state service or of a backup.
 package backup
 
 import (
@@ -15,42 +14,42 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A file is a line that names the format, and then zstd frames of records. Every
-// frame is a chunk that can be read by itself: a backup that was cut short goes on
-// after its last whole one. Before each frame stand its length and its checksum.
+// A backup file starts with a line that names the format. zstd frames of records follow. Each frame is a chunk
+// that can be decoded independently, so that an interrupted backup can resume after its last complete chunk. Each
+// frame is preceded by its length and checksum, both little-endian.
 //
 //	shalestage backup 1\n
 //	length (4 bytes) crc32c (4 bytes) zstd frame ...
 //
-// A record is one line of JSON. The first chunk begins with the head, the last ends
-// with the foot, and one without a foot is no whole backup.
+// A record is one line of JSON. The first chunk begins with the header and the last ends with the footer. A file
+// without a footer is an incomplete backup.
 const (
 	magic     = "shalestage backup 1\n"
-	chunkSize = 1 << 20 // of records before compression, about; by default
-	maxFrame  = 16 << 20
+	chunkSize = 1 << 20  // approximate bytes of records per chunk before compression, by default
+	maxFrame  = 16 << 20 // bytes
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one line; exactly one of its parts is there.
+// record is one line. It has exactly one of Header, Key, Checkpoint and Footer.
 type record struct {
 	Header *Header `json:"head,omitempty"`
-	// Keys, in the order in which they were read. A key that comes again replaces
-	// the earlier one: it was changed while the listing went on.
+	// Keys are in the order in which they were read. A repeated key replaces the earlier record, because the key
+	// changed during the listing.
 	Key     string          `json:"k,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
-	Deleted bool            `json:"gone,omitempty"` // was removed meanwhile
+	Deleted bool            `json:"gone,omitempty"` // the key was deleted during the listing
 	// Checkpoint says that the listing is complete up to a key, and the changes up to a
 	// revision: from there an interrupted backup goes on.
 	Checkpoint *checkpoint `json:"page,omitempty"`
 	Footer     *Footer     `json:"foot,omitempty"`
 }
 
-// Header says what a backup is of.
+// Header describes a backup.
 type Header struct {
 	Format    int    `json:"format"`
 	Release   string `json:"release"`
-	StartedAt string `json:"began"` // time of day, RFC 3339
+	StartedAt string `json:"began"` // RFC 3339
 	Revision  uint64 `json:"revision"`
 }
 
@@ -60,14 +59,14 @@
 	Listing  bool   `json:"lists"` // the listing is not complete yet
 }
 
-// Footer ends a backup.
+// Footer is the last record of a complete backup.
 type Footer struct {
-	Revision uint64 `json:"revision"` // as of which it shows every key
+	Revision uint64 `json:"revision"` // at which the backup is consistent
 	Lines    int    `json:"lines"`
 	EndedAt  string `json:"ended"`
 }
 
-// DamageError says where a file cannot be read: at the chunk that begins at Offset, in bytes.
+// DamageError reports that a backup is corrupt. Offset is the position in bytes of the chunk that cannot be read.
 type DamageError struct {
 	Offset int64
 	Reason string
@@ -77,7 +76,7 @@
 	return fmt.Sprintf("damaged at byte %d: %s", d.Offset, d.Reason)
 }
 
-// writer writes records in chunks. Its first error stays.
+// writer writes records in chunks. After the first error it writes nothing more and keeps returning that error.
 type writer struct {
 	w     io.Writer
 	chunk int
@@ -93,12 +92,12 @@
 	}
 	created := &writer{w: w, enc: enc, chunk: chunk}
 	if fresh {
-		created.put([]byte(magic))
+		created.write([]byte(magic))
 	}
 	return created, created.err
 }
 
-func (w *writer) put(b []byte) {
+func (w *writer) write(b []byte) {
 	if w.err == nil {
 		_, w.err = w.w.Write(b)
 	}
@@ -113,10 +112,10 @@
 	w.buf = append(append(w.buf, b...), '\n')
 }
 
-// full reports whether a chunk is large enough to be written.
+// full reports whether the current chunk has reached its size.
 func (w *writer) full() bool { return len(w.buf) >= w.chunk }
 
-// flush writes the chunk.
+// flush writes the current chunk, if it is not empty.
 func (w *writer) flush() error {
 	if len(w.buf) == 0 {
 		return w.err
@@ -126,19 +125,19 @@
 	var head [8]byte
 	binary.LittleEndian.PutUint32(head[:4], uint32(len(frame)))
 	binary.LittleEndian.PutUint32(head[4:], crc32.Checksum(frame, castagnoli))
-	w.put(append(head[:], frame...))
+	w.write(append(head[:], frame...))
 	return w.err
 }
 
-// Reader reads a backup, chunk by chunk.
+// Reader reads a backup chunk by chunk.
 type Reader struct {
 	r      *bufio.Reader
 	dec    *zstd.Decoder
 	offset int64
 }
 
-// NewReader begins to read a backup. What is no backup, or of a later format, is
-// refused.
+// NewReader returns a reader of a backup. It returns a *DamageError if the file is not a backup or has an
+// unsupported format.
 func NewReader(r io.Reader) (*Reader, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
@@ -147,38 +146,38 @@
 	reader := &Reader{r: bufio.NewReaderSize(r, 1<<16), dec: dec}
 	line := make([]byte, len(magic))
 	if _, err := io.ReadFull(reader.r, line); err != nil || string(line) != magic {
-		return nil, &DamageError{0, "this is no backup of a format that can be read here"}
+		return nil, &DamageError{0, "not a backup in a supported format"}
 	}
 	reader.offset = int64(len(magic))
 	return reader, nil
 }
 
-// chunk reads the next chunk's records. At the end it returns io.EOF.
-func (r *Reader) chunk() ([]record, error) {
+// nextChunk returns the records of the next chunk, or io.EOF at the end of the file.
+func (r *Reader) nextChunk() ([]record, error) {
 	start := r.offset
-	bad := func(why string) ([]record, error) { return nil, &DamageError{start, why} }
+	corrupt := func(why string) ([]record, error) { return nil, &DamageError{start, why} }
 	var head [8]byte
 	n, err := io.ReadFull(r.r, head[:])
 	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
 	if err != nil {
-		return bad(fmt.Sprintf("the file ends after %d of 8 bytes", n))
+		return corrupt(fmt.Sprintf("the file ends after %d of 8 bytes of a chunk header", n))
 	}
 	size := binary.LittleEndian.Uint32(head[:4])
 	if size > maxFrame {
-		return bad(fmt.Sprintf("a chunk of %d bytes", size))
+		return corrupt(fmt.Sprintf("the chunk size of %d bytes exceeds the maximum", size))
 	}
 	frame := make([]byte, size)
 	if n, err := io.ReadFull(r.r, frame); err != nil {
-		return bad(fmt.Sprintf("the file ends after %d of %d bytes", n, size))
+		return corrupt(fmt.Sprintf("the file ends after %d of %d bytes of a chunk", n, size))
 	}
 	if crc32.Checksum(frame, castagnoli) != binary.LittleEndian.Uint32(head[4:]) {
-		return bad("the checksum is wrong")
+		return corrupt("checksum mismatch")
 	}
 	text, err := r.dec.DecodeAll(frame, nil)
 	if err != nil {
-		return bad(err.Error())
+		return corrupt(err.Error())
 	}
 	r.offset += 8 + int64(size)
 	var out []record
@@ -189,7 +188,7 @@
 		}
 		var rec record
 		if err := json.Unmarshal(text[:end], &rec); err != nil {
-			return bad(err.Error())
+			return corrupt(err.Error())
 		}
 		out = append(out, rec)
 		text = text[min(end+1, len(text)):]
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -14,50 +14,51 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// restoreKey is there while a restore is under way. Each of its transactions guards
-// and rewrites it, so that none that comes late changes what later ones have written.
+// restoreKey exists while a restore is running. Each transaction of the restore guards and rewrites it, so that a
+// delayed transaction cannot overwrite the changes of later ones.
 const restoreKey = "shalestage-restore"
 
-// ErrNotEmpty is returned when the state service holds something already.
+// ErrNotEmpty is returned if the state service already contains keys.
 var ErrNotEmpty = errors.New("the state service is not empty")
 
-// RestoreOptions say how a backup is put back.
+// RestoreOptions configure a restore.
 type RestoreOptions struct {
 	Options
-	Force  bool // what is there is removed first
-	TxnOps int  // changes of one transaction
-	// MinTerm is the least that the next term must be above; 0: by the age of the backup.
+	Force  bool // delete existing keys first
+	TxnOps int  // maximum number of changes per transaction
+	// MinTerm is the lowest value for the restored term. If it is 0, the term depends on the backup's term and
+	// age alone.
 	MinTerm uint64
 }
 
-// termMargin is added to a backup's term beside one for each second of its age: a
-// leader's end is noticed after a lease, so terms never rise faster.
+// termMargin is added to the term of a backup, together with one term per second of its age. Terms never increase
+// faster, because the loss of a leader is detected only after its lease has expired.
 const termMargin = 1000
 
-// RestoreResult is what a restore has done.
+// RestoreResult describes a completed restore.
 type RestoreResult struct {
-	Keys    int    `json:"keys"` // written, some more than once
+	Keys    int    `json:"keys"` // number of written records; a key may be written more than once
 	Skipped int    `json:"skipped"`
-	Term    uint64 `json:"term"` // that every later term is above
+	Term    uint64 `json:"term"` // every later term is higher
 }
 
-// restorer is a restore under way.
+// restorer is the state of a running restore.
 type restorer struct {
 	service StateService
 	options RestoreOptions
 	version uint64 // of restoreKey; 0: it does not exist
 	batch   []store.Change
 	size    int
-	done    RestoreResult
+	result  RestoreResult
 }
 
-// Restore puts a backup back that was verified before. Every fencing token that is given out
-// afterwards is above all that workers can have seen, also after the backup.
+// Restore restores a backup, which the caller must have verified. All fencing tokens issued after the restore are
+// higher than any that workers can have seen, including tokens issued after the backup was made.
 func Restore(ctx context.Context, s StateService, source io.Reader, options RestoreOptions) (RestoreResult, error) {
 	options.setDefaults()
 	restoring := &restorer{service: s, options: options}
 	if err := restoring.prepare(ctx); err != nil {
-		return restoring.done, err
+		return restoring.result, err
 	}
 	var summary Summary
 	var term authority.Term
@@ -74,40 +75,40 @@
 		return nil
 	})
 	if err != nil {
-		return restoring.done, err
+		return restoring.result, err
 	}
 	if term.Term, err = options.nextTerm(term.Term, summary.StartedAt); err != nil {
-		return restoring.done, err
+		return restoring.result, err
 	}
-	restoring.done.Term = term.Term
+	restoring.result.Term = term.Term
 	if err := restoring.add(ctx, store.Change{Key: core.TermKey, Value: store.Value(term)}); err != nil {
-		return restoring.done, err
+		return restoring.result, err
 	}
 	if err := restoring.flush(ctx); err != nil {
-		return restoring.done, err
+		return restoring.result, err
 	}
-	return restoring.done, restoring.finish(ctx)
+	return restoring.result, restoring.finish(ctx)
 }
 
-// nextTerm returns a term above any that was given out since a backup of that term was
-// started, at a time as in its head.
+// nextTerm returns a term higher than any that can have been used since a backup with the given term was started.
+// startedAt is the start time from the header.
 func (o *RestoreOptions) nextTerm(term uint64, startedAt string) (uint64, error) {
 	start, err := time.Parse(time.RFC3339, startedAt)
 	if err != nil {
-		return 0, fmt.Errorf("the backup's time: %w", err)
+		return 0, fmt.Errorf("start time of the backup: %w", err)
 	}
 	age := max(0, o.Now().Sub(start).Seconds())
 	term = max(term+termMargin+uint64(age), o.MinTerm)
 	if term > authority.MaxTerm {
-		return 0, fmt.Errorf("term %d: there are no more than %d", term, uint64(authority.MaxTerm))
+		return 0, fmt.Errorf("term %d exceeds the maximum of %d", term, uint64(authority.MaxTerm))
 	}
 	return term, nil
 }
 
-// restore puts back one key other than the term's.
+// restore restores one key other than the key of the term.
 func (r *restorer) restore(ctx context.Context, event store.Event) error {
 	if core.IsLeased(event) {
-		r.done.Skipped++ // it ended with its controller's lease
+		r.result.Skipped++ // the key belonged to a controller's lease, which has expired
 		return nil
 	}
 	if event.Key == core.ArchiveKey && event.Value != nil {
@@ -115,13 +116,13 @@
 		if err := json.Unmarshal(event.Value, &mark); err != nil {
 			return fmt.Errorf("%s: %w", event.Key, err)
 		}
-		mark.Cut = 0 // revisions begin anew
+		mark.Cut = 0 // the revisions of the restored service start over
 		event.Value = store.Value(mark)
 	}
 	return r.add(ctx, store.Change{Key: event.Key, Value: event.Value})
 }
 
-// prepare begins: into an empty service only, unless forced.
+// prepare checks that the service is empty or, with Force, deletes all existing keys except restoreKey.
 func (r *restorer) prepare(ctx context.Context) error {
 	var items []store.Event
 	more := true
@@ -136,7 +137,7 @@
 		return ErrNotEmpty
 	}
 	for _, e := range items {
-		if e.Key == restoreKey { // of a restore that did not end
+		if e.Key == restoreKey { // of a restore that did not complete
 			r.version = e.Stamp
 		}
 	}
@@ -159,7 +160,7 @@
 			return err
 		}
 	}
-	r.done = RestoreResult{}
+	r.result = RestoreResult{}
 	return nil
 }
 
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// flush writes what waits.
+// flush commits the current batch.
 func (r *restorer) flush(ctx context.Context) error {
 	if len(r.batch) == 0 {
 		return nil
@@ -182,14 +183,14 @@
 	inDoubt := false
 	err := r.options.retry(ctx, "writing", func() store.Outcome {
 		txn := &store.Txn{Guards: []store.Guard{{Key: restoreKey, Version: r.version}},
-			Changes: append([]store.Change{{Key: restoreKey, Value: store.Value(r.done)}}, r.batch...)}
+			Changes: append([]store.Change{{Key: restoreKey, Value: store.Value(r.result)}}, r.batch...)}
 		outcome, revision, _ := r.service.Commit(ctx, txn)
 		if outcome == store.OK {
 			r.version = revision
 		}
 		if outcome == store.Failed && inDoubt || outcome == store.Unknown {
-			// It may have been carried out: then the key has a new version, under which
-			// the same is written once more.
+			// The transaction may have been committed. In that case restoreKey has a new version, and the same
+			// changes are written again with that version as the guard.
 			inDoubt = true
 			if listed, _, items, _ := r.service.List(ctx, restoreKey, "", 1); listed == store.OK && len(items) == 1 {
 				r.version = items[0].Stamp
@@ -197,18 +198,18 @@
 		}
 		return outcome
 	})
-	r.done.Keys += len(r.batch)
+	r.result.Keys += len(r.batch)
 	r.batch, r.size = r.batch[:0], 0
-	if r.done.Keys%10_000 < r.options.TxnOps {
-		r.options.Progressf("%d keys", r.done.Keys)
+	if r.result.Keys%10_000 < r.options.TxnOps {
+		r.options.Progressf("%d keys", r.result.Keys)
 	}
 	return err
 }
 
-// finish removes the key that says that the restore is under way.
+// finish deletes restoreKey, which marks the restore as complete.
 func (r *restorer) finish(ctx context.Context) error {
 	return r.options.retry(ctx, "writing", func() store.Outcome {
-		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}}) // no guard that could fail
+		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}}) // without guards, so it cannot fail with a conflict
 		return outcome
 	})
 }
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -11,30 +11,30 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// StateService is what is needed of a state service's client.
+// StateService is the part of the state service's client that backups use.
 type StateService interface {
 	List(ctx context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool)
 	Watch(ctx context.Context, prefix string, after uint64, wait units.Microseconds) (store.Outcome, uint64, []store.Event, bool)
 	Commit(ctx context.Context, t *store.Txn) (store.Outcome, uint64, []string)
 }
 
-// Prefix is that of every key that belongs to the service, packed jobs included.
+// Prefix is the common prefix of all keys of this scheduler, including the keys of the archive.
 const Prefix = "shalestage"
 
 const (
 	pageSize    = 500
-	maxAttempts = 60 // of one request, in turn, before giving up
+	maxAttempts = 60 // per request, after which it fails
 )
 
-// Options say how the state service is asked. The zero values of Now, Sleep, Progressf and
-// Chunk stand for defaults.
+// Options configure requests to the state service. The zero values of Now, Sleep, Progressf and ChunkBytes select
+// defaults.
 type Options struct {
-	Rate       float64 // requests a second
+	Rate       float64 // requests per second
 	Release    string
-	ChunkBytes int // bytes of records that are written at once; 0: 1 MiB
+	ChunkBytes int // bytes of records per chunk before compression; 0: 1 MiB
 	Now        func() time.Time
-	Sleep      func(time.Duration)              // nil: by the clock, or until the context ends
-	Progressf  func(format string, args ...any) // is called with how far it has come; nil: nothing
+	Sleep      func(time.Duration)              // nil: waits, or until the context is done
+	Progressf  func(format string, args ...any) // reports progress; nil: progress is not reported
 }
 
 func (o *Options) setDefaults() {
@@ -49,59 +49,59 @@
 	}
 }
 
-// sleep waits, for a shorter time when the context ends.
-func (o *Options) sleep(ctx context.Context, pause time.Duration) {
+// sleep waits for the delay or until the context is done.
+func (o *Options) sleep(ctx context.Context, delay time.Duration) {
 	if o.Sleep != nil {
-		o.Sleep(pause)
+		o.Sleep(delay)
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(pause):
+	case <-time.After(delay):
 	}
 }
 
 var (
-	// ErrNoAnswer is wrapped when the state service or the cloud has not carried out a request
-	// in maxAttempts.
+	// ErrNoAnswer is wrapped by the error of a request that the state service or the cloud has not executed after
+	// maxAttempts attempts.
 	ErrNoAnswer = errors.New("the state service does not answer")
-	// ErrTooLarge is wrapped when the state service takes nothing of a request's size.
-	ErrTooLarge = errors.New("the state service takes nothing of that size: try fewer --ops, or its limits are below those of the backup")
+	// ErrTooLarge is wrapped by the error of a request that the state service rejects because of its size.
+	ErrTooLarge = errors.New("the state service rejects a request of this size: use a lower --ops, or its limits are lower than those of the service that was backed up")
 )
 
-// retry asks, within the rate, until the service answers. The error says what was asked for
-// and wraps ErrNoAnswer, ErrTooLarge or the context's.
-func (o *Options) retry(ctx context.Context, what string, ask func() store.Outcome) error {
+// retry repeats a request within the rate limit until it succeeds. The error names the operation and wraps
+// ErrNoAnswer, ErrTooLarge or the error of the context.
+func (o *Options) retry(ctx context.Context, operation string, request func() store.Outcome) error {
 	for range maxAttempts {
 		if err := ctx.Err(); err != nil {
-			return fmt.Errorf("%s: %w", what, err)
+			return fmt.Errorf("%s: %w", operation, err)
 		}
 		o.sleep(ctx, time.Duration(float64(time.Second)/max(o.Rate, 0.1)))
-		switch ask() {
+		switch request() {
 		case store.OK:
 			return nil
 		case store.TooLarge:
-			return fmt.Errorf("%s: %w", what, ErrTooLarge)
+			return fmt.Errorf("%s: %w", operation, ErrTooLarge)
 		}
 	}
-	return fmt.Errorf("%s: %w", what, ErrNoAnswer)
+	return fmt.Errorf("%s: %w", operation, ErrNoAnswer)
 }
 
-// list reads a page of keys; more says that others follow.
+// list reads a page of keys. more reports whether further keys follow.
 func (o *Options) list(ctx context.Context, s StateService, prefix, after string, page int) (revision uint64, items []store.Event, more bool, err error) {
-	err = o.retry(ctx, "listing", func() (out store.Outcome) {
-		out, revision, items, more = s.List(ctx, prefix, after, page)
-		return out
+	err = o.retry(ctx, "listing", func() (outcome store.Outcome) {
+		outcome, revision, items, more = s.List(ctx, prefix, after, page)
+		return outcome
 	})
 	return revision, items, more && len(items) > 0, err
 }
 
-// ErrCompacted is returned when more changed during a backup than the service remembers.
+// ErrCompacted is returned if the state service has discarded changes that were made during the backup.
 var ErrCompacted = errors.New("the state service no longer has all changes since the backup began: use a higher rate")
 
-// saver is a backup under way: a listing, and the changes since it began. The
-// requests go one after the other and are written as they come, so what stands last
-// in the file of a key is newest, and all of it together is as of the last change.
+// saver is the state of a running backup. A backup lists all keys and follows the changes since the listing
+// started. Requests are sequential and their responses are written in order. The last record of each key in the
+// file is therefore the newest one, and the file as a whole is consistent at the revision of the last change.
 type saver struct {
 	service  StateService
 	options  Options
@@ -112,8 +112,8 @@
 	lines    int
 }
 
-// Save writes a backup. resumed, if any, is where an earlier one was cut short: the
-// writer stands after its last whole chunk.
+// Save writes a backup. If resumed is not nil, Save continues an interrupted backup, and w must be positioned at
+// resumed.Offset, after the last complete chunk.
 func Save(ctx context.Context, s StateService, w io.Writer, resumed *Progress, options Options) (Footer, error) {
 	options.setDefaults()
 	out, err := newWriter(w, resumed == nil, options.ChunkBytes)
@@ -140,12 +140,12 @@
 	if err := saving.followChanges(ctx); err != nil {
 		return Footer{}, err
 	}
-	foot := Footer{Revision: saving.revision, Lines: saving.lines, EndedAt: options.Now().UTC().Format(time.RFC3339)}
-	saving.writer.add(record{Footer: &foot})
-	return foot, saving.writer.flush()
+	footer := Footer{Revision: saving.revision, Lines: saving.lines, EndedAt: options.Now().UTC().Format(time.RFC3339)}
+	saving.writer.add(record{Footer: &footer})
+	return footer, saving.writer.flush()
 }
 
-// begin notes the revision from which on changes are followed.
+// begin determines the revision after which changes are followed, and adds the header.
 func (s *saver) begin(ctx context.Context) (err error) {
 	s.revision, _, _, err = s.options.list(ctx, s.service, Prefix, "", 1)
 	s.writer.add(record{Header: &Header{Format: 1, Release: s.options.Release, StartedAt: s.options.Now().UTC().Format(time.RFC3339), Revision: s.revision}})
@@ -155,19 +155,19 @@
 func (s *saver) listPage(ctx context.Context) error {
 	_, items, more, err := s.options.list(ctx, s.service, Prefix, s.after, pageSize)
 	for _, e := range items {
-		s.put(e)
+		s.addEvent(e)
 		s.after = e.Key
 	}
 	s.listing = more
 	return err
 }
 
-func (s *saver) put(e store.Event) {
+func (s *saver) addEvent(e store.Event) {
 	s.lines++
 	s.writer.add(record{Key: e.Key, Value: e.Value, Deleted: e.Value == nil})
 }
 
-// followChanges writes what has changed since the last time.
+// followChanges writes the changes since the last call.
 func (s *saver) followChanges(ctx context.Context) error {
 	compacted := false
 	err := s.options.retry(ctx, "changes", func() store.Outcome {
@@ -180,11 +180,11 @@
 			return outcome
 		}
 		if revision < s.revision {
-			compacted = true // the service went back: what was read is of another history
+			compacted = true // the service was rolled back, so the keys read so far belong to another history
 			return store.OK
 		}
 		for _, e := range events {
-			s.put(e)
+			s.addEvent(e)
 		}
 		s.revision = revision
 		return outcome
@@ -195,7 +195,7 @@
 	return err
 }
 
-// checkpoint notes how far the backup has come, where a chunk is full.
+// checkpoint adds a checkpoint and writes the chunk if the chunk is full or the listing is complete.
 func (s *saver) checkpoint() error {
 	if !s.writer.full() && s.listing {
 		return nil
@@ -205,18 +205,18 @@
 	return s.writer.flush()
 }
 
-// Progress is how far a backup has come that was cut short.
+// Progress is the position at which an interrupted backup can resume.
 type Progress struct {
-	Offset int64 // of the end of its last chunk that tells
+	Offset int64 // end of the last chunk with a checkpoint, in bytes
 	page   checkpoint
 	lines  int
 }
 
-// ErrComplete is returned for a backup that was not cut short.
-var ErrComplete = errors.New("that backup is whole")
+// ErrComplete is returned by Resume for a backup that is already complete.
+var ErrComplete = errors.New("the backup is already complete")
 
-// Resume reads a backup that was cut short and returns how far it has come; nil:
-// not far enough to go on from there.
+// Resume reads an interrupted backup and returns the position at which it can resume. Progress is nil if the file
+// contains no checkpoint, so that the backup must start again.
 func Resume(r io.Reader) (*Progress, error) {
 	reader, err := NewReader(r)
 	if err != nil {
@@ -225,9 +225,9 @@
 	var progress *Progress
 	lines := 0
 	for {
-		records, err := reader.chunk()
+		records, err := reader.nextChunk()
 		if err != nil {
-			return progress, nil // the rest is read again
+			return progress, nil // everything after the last checkpoint is saved again
 		}
 		for _, rec := range records {
 			switch {
@@ -242,7 +242,7 @@
 	}
 }
 
-// Summary is what a backup holds.
+// Summary describes the contents of a backup.
 type Summary struct {
 	Header
 	Footer Footer         `json:"foot"`
@@ -250,7 +250,7 @@
 	Lines  map[string]int `json:"lines"` // by folder
 }
 
-// Verify reads a backup through: every checksum, every record, and that it is whole.
+// Verify reads a whole backup. It checks every checksum and every record, and that the backup is complete.
 func Verify(r io.Reader) (Summary, error) {
 	summary := Summary{Lines: map[string]int{}}
 	err := ForEachRecord(r, &summary, func(e store.Event) error {
@@ -260,19 +260,19 @@
 	return summary, err
 }
 
-// ForEachRecord passes every record of a backup to receive, in the order in which they were read. A
-// backup that is damaged or not whole is a *DamageError, at the latest in the end: whoever
-// must not act on half of one verifies it first.
+// ForEachRecord passes every key record of a backup to receive, in the order in which the keys were saved. It
+// returns a *DamageError if the backup is corrupt or incomplete. As that may be detected only at the end, callers
+// that must not act on part of a backup call Verify first.
 func ForEachRecord(r io.Reader, summary *Summary, receive func(store.Event) error) error {
 	reader, err := NewReader(r)
 	if err != nil {
 		return err
 	}
-	var foot *Footer
+	var footer *Footer
 	lines, first := 0, true
 	for {
 		start := reader.offset
-		records, err := reader.chunk()
+		records, err := reader.nextChunk()
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -281,18 +281,18 @@
 		}
 		for _, rec := range records {
 			switch {
-			case foot != nil:
-				return &DamageError{start, "something follows the end"}
+			case footer != nil:
+				return &DamageError{start, "data follows the footer"}
 			case first:
 				if rec.Header == nil || rec.Header.Format != 1 {
-					return &DamageError{start, "no head of a format that can be read here"}
+					return &DamageError{start, "the header is missing or has an unsupported format"}
 				}
 				summary.Header, first = *rec.Header, false
 			case rec.Footer != nil:
-				foot = rec.Footer
+				footer = rec.Footer
 			case rec.Checkpoint != nil:
 			case rec.Key == "" || rec.Deleted == (rec.Value != nil):
-				return &DamageError{start, "a record that is none"}
+				return &DamageError{start, "invalid record"}
 			default:
 				lines++
 				if err := receive(store.Event{Key: rec.Key, Value: rec.Value}); err != nil {
@@ -302,12 +302,12 @@
 		}
 	}
 	summary.Bytes = reader.offset
-	if foot == nil {
-		return &DamageError{reader.offset, "the file ends before the backup does"}
+	if footer == nil {
+		return &DamageError{reader.offset, "the footer is missing: the backup is incomplete"}
 	}
-	if foot.Lines != lines {
-		return &DamageError{reader.offset, fmt.Sprintf("%d keys of %d", lines, foot.Lines)}
+	if footer.Lines != lines {
+		return &DamageError{reader.offset, fmt.Sprintf("%d of %d records found", lines, footer.Lines)}
 	}
-	summary.Footer = *foot
+	summary.Footer = *footer
 	return nil
 }
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -23,17 +23,18 @@
 	"shalestage.example/shalestage/internal/state"
 )
 
-var scaleJobs = flag.Int("scale", 0, "packed jobs with which to measure backup and restore; 0: not measured")
+var scaleJobs = flag.Int("scale", 0, "number of archived jobs for the measurement of backup and restore; 0: skipped")
 
-// TestScale measures backup and restore of many packed jobs over HTTP:
-// go test ./internal/backup -run TestScale -scale 1000000 -v
+// TestScale measures backup, restore and audit of many archived jobs over HTTP:
+//
+//	go test ./internal/backup -run TestScale -scale 1000000 -v
 func TestScale(t *testing.T) {
 	if *scaleJobs == 0 {
-		t.Skip("a measurement: -scale N")
+		t.Skip("measurement, enabled by -scale N")
 	}
-	source, first := serve(t)
-	target, second := serve(t)
-	first.Do(func(now units.Microseconds, m *kv.Service) {
+	source, sourceService := serve(t)
+	target, targetService := serve(t)
+	sourceService.Do(func(now units.Microseconds, m *kv.Service) {
 		for _, e := range history(*scaleJobs) {
 			if r := m.Commit(now, "x", kv.Txn{Changes: []kv.Change{{Key: e.Key, Value: e.Value}}}); r.Code != http.StatusOK {
 				t.Errorf("%s: %d", e.Key, r.Code)
@@ -48,23 +49,23 @@
 	var file bytes.Buffer
 	base := heap()
 	began := time.Now()
-	foot, err := backup.Save(t.Context(), source, &file, nil, options)
+	footer, err := backup.Save(t.Context(), source, &file, nil, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("backup: %d jobs in %d keys, %.1f s, %d bytes, heap %d MB more", *scaleJobs, foot.Lines, time.Since(began).Seconds(), file.Len(), heap()-base)
+	t.Logf("backup: %d jobs in %d keys, %.1f s, %d bytes, heap %d MB more", *scaleJobs, footer.Lines, time.Since(began).Seconds(), file.Len(), heap()-base)
 	began = time.Now()
 	done, err := backup.Restore(t.Context(), target, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: options, TxnOps: 12})
-	if err != nil || keys(second) != keys(first)+1 { // and the term
-		t.Fatalf("%d keys of %d: %v", keys(second), keys(first), err)
+	if err != nil || keys(targetService) != keys(sourceService)+1 { // the restore adds the term
+		t.Fatalf("%d keys of %d: %v", keys(targetService), keys(sourceService), err)
 	}
 	t.Logf("restore: %d keys, %.1f s", done.Keys, time.Since(began).Seconds())
 	began = time.Now()
-	rep, err := backup.AuditLive(t.Context(), target, nil, 0, options)
-	if err != nil || rep.ArchivedJobs != *scaleJobs {
-		t.Fatalf("audit: %d jobs, %v", rep.ArchivedJobs, err)
+	report, err := backup.AuditLive(t.Context(), target, nil, 0, options)
+	if err != nil || report.ArchivedJobs != *scaleJobs {
+		t.Fatalf("audit: %d jobs, %v", report.ArchivedJobs, err)
 	}
-	t.Logf("audit: %.1f s, %d findings", time.Since(began).Seconds(), len(rep.Findings))
+	t.Logf("audit: %.1f s, %d findings", time.Since(began).Seconds(), len(report.Findings))
 }
 
 func heap() int64 {
@@ -74,7 +75,7 @@
 	return int64(m.HeapInuse >> 20)
 }
 
-// serve runs a state service until the test ends.
+// serve runs an emulated state service until the test ends.
 func serve(t *testing.T) (*state.Client, *host.State) {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
@@ -95,26 +96,28 @@
 	return state.New(l.Addr().String(), 1e9, 1e9, quiet), service
 }
 
-// history is so many packed jobs.
+// history returns the archive buckets of count jobs.
 func history(count int) []store.Event {
 	return packed.Buckets(count, func(i uint64) (uint64, archive.Answer) {
 		return 1_000_000 + i*7919%90_000_000_000, archive.Answer{Status: jobs.Done, Tasks: int(1 + i%300), FinishedAt: units.Microseconds(1_790_000_000+i/2) * units.Second}
 	})
 }
 
-var scaleInto = flag.String("into", "", "address of an emulated state service to fill with -scale packed jobs")
+var scaleInto = flag.String("into", "", "address of an emulated state service to fill with -scale archived jobs")
 
-// TestFill fills a state service that serves a deployment, for looking at what its
-// controllers then take: go test ./internal/backup -run TestFill -scale N -into HOST:PORT
+// TestFill fills the state service of a running deployment with archived jobs, to observe the resources that its
+// controllers then use:
+//
+//	go test ./internal/backup -run TestFill -scale N -into HOST:PORT
 func TestFill(t *testing.T) {
 	if *scaleInto == "" {
-		t.Skip("a measurement: -into HOST:PORT")
+		t.Skip("measurement, enabled by -into HOST:PORT")
 	}
 	c := state.New(*scaleInto, 1e9, 1e9, slog.New(slog.DiscardHandler))
 	for _, e := range history(*scaleJobs) {
 		for {
-			o, _, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: e.Key, Value: e.Value}}})
-			if o == store.OK {
+			outcome, _, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: e.Key, Value: e.Value}}})
+			if outcome == store.OK {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
