--- a/internal/backup/format.go
+++ b/internal/backup/format.go
@@ -39,8 +39,8 @@
 	Key     string          `json:"k,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
 	Deleted bool            `json:"gone,omitempty"` // the key was deleted during the listing
-	// Checkpoint says that the listing is complete up to a key, and the changes up to a
-	// revision: from there an interrupted backup goes on.
+	// Checkpoint records that the listing is complete up to a key, and the changes up to a revision. An interrupted
+	// backup resumes from there.
 	Checkpoint *checkpoint `json:"page,omitempty"`
 	Footer     *Footer     `json:"foot,omitempty"`
 }
@@ -122,10 +122,10 @@
 	}
 	frame := w.enc.EncodeAll(w.buf, nil)
 	w.buf = w.buf[:0]
-	var head [8]byte
-	binary.LittleEndian.PutUint32(head[:4], uint32(len(frame)))
-	binary.LittleEndian.PutUint32(head[4:], crc32.Checksum(frame, castagnoli))
-	w.write(append(head[:], frame...))
+	var prefix [8]byte
+	binary.LittleEndian.PutUint32(prefix[:4], uint32(len(frame)))
+	binary.LittleEndian.PutUint32(prefix[4:], crc32.Checksum(frame, castagnoli))
+	w.write(append(prefix[:], frame...))
 	return w.err
 }
 
@@ -156,15 +156,15 @@
 func (r *Reader) nextChunk() ([]record, error) {
 	start := r.offset
 	corrupt := func(why string) ([]record, error) { return nil, &DamageError{start, why} }
-	var head [8]byte
-	n, err := io.ReadFull(r.r, head[:])
+	var prefix [8]byte
+	n, err := io.ReadFull(r.r, prefix[:])
 	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
 	if err != nil {
 		return corrupt(fmt.Sprintf("the file ends after %d of 8 bytes of a chunk header", n))
 	}
-	size := binary.LittleEndian.Uint32(head[:4])
+	size := binary.LittleEndian.Uint32(prefix[:4])
 	if size > maxFrame {
 		return corrupt(fmt.Sprintf("the chunk size of %d bytes exceeds the maximum", size))
 	}
@@ -172,7 +172,7 @@
 	if n, err := io.ReadFull(r.r, frame); err != nil {
 		return corrupt(fmt.Sprintf("the file ends after %d of %d bytes of a chunk", n, size))
 	}
-	if crc32.Checksum(frame, castagnoli) != binary.LittleEndian.Uint32(head[4:]) {
+	if crc32.Checksum(frame, castagnoli) != binary.LittleEndian.Uint32(prefix[4:]) {
 		return corrupt("checksum mismatch")
 	}
 	text, err := r.dec.DecodeAll(frame, nil)
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -10,14 +10,14 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// execute executes one effect of the core without blocking. Requests to external services run in goroutines of
+// execute runs one effect of the core without blocking. Requests to external services run in goroutines of
 // their own; the core has only a few in flight.
 func (n *Node) execute(ctx context.Context, effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Reply:
-		if answer, ok := n.pendingReplies[effect.Request]; ok {
+		if replies, ok := n.pendingReplies[effect.Request]; ok {
 			delete(n.pendingReplies, effect.Request)
-			answer <- effect
+			replies <- effect
 		}
 	case core.SendPeer:
 		n.peers.Send(effect.Node, effect.Message)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,13 +179,13 @@
 func (n *Node) call(ctx context.Context, queue chan<- message, timeout time.Duration, do request) core.Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer := make(chan core.Reply, 1)
+	replies := make(chan core.Reply, 1)
 	m := func(c *core.Core, now units.Microseconds) {
 		if ctx.Err() != nil {
 			return
 		}
 		n.lastRequest++
-		n.pendingReplies[n.lastRequest] = answer
+		n.pendingReplies[n.lastRequest] = replies
 		do(c, now, n.lastRequest)
 	}
 	busy := core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "busy"}, RetryAfter: units.Second}
@@ -195,7 +195,7 @@
 		return busy
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply
 	case <-ctx.Done():
 		return busy
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -41,8 +41,8 @@
 		}
 	}
 	for _, method := range []string{"GET", "PUT", "POST"} {
-		if answer := exchange(t, method, "http://"+addr+"/config", "body"); answer != method+" /config body" {
-			t.Errorf("%s: %q", method, answer)
+		if responseBody := exchange(t, method, "http://"+addr+"/config", "body"); responseBody != method+" /config body" {
+			t.Errorf("%s: %q", method, responseBody)
 		}
 	}
 	sendSlowly(t, addr, core.PeerStatus{Config: 7})
@@ -81,11 +81,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(responseBody)
 }
 
 // sendSlowly sends a frame in three writes over a connection that stays open until the test ends.
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -51,19 +51,19 @@
 
 // DecodeJobStatus decodes the response to a user request. An unknown status is an error.
 func DecodeJobStatus(body []byte) (JobStatus, jobs.Status, error) {
-	var answer JobStatus
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return answer, "", err
+	var response JobStatus
+	if err := json.Unmarshal(body, &response); err != nil {
+		return response, "", err
 	}
-	status := jobs.Status(answer.Status)
-	if answer.Status == StatusName(jobs.Cancelled) {
+	status := jobs.Status(response.Status)
+	if response.Status == StatusName(jobs.Cancelled) {
 		status = jobs.Cancelled
 	}
 	switch status {
 	case jobs.Pending, jobs.Running, jobs.Done, jobs.Cancelled:
-		return answer, status, nil
+		return response, status, nil
 	}
-	return answer, "", fmt.Errorf("status %q", answer.Status)
+	return response, "", fmt.Errorf("status %q", response.Status)
 }
 
 // HeartbeatBody is the body of a worker's heartbeat.
