--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -122,7 +122,7 @@
 	}
 	saving := &saver{service: s, options: options, writer: out, listing: true}
 	if resumed != nil {
-		saving.after, saving.revision, saving.listing, saving.lines = resumed.page.After, resumed.page.Revision, resumed.page.Listing, resumed.lines
+		saving.after, saving.revision, saving.listing, saving.lines = resumed.checkpoint.After, resumed.checkpoint.Revision, resumed.checkpoint.Listing, resumed.lines
 	} else if err := saving.begin(ctx); err != nil {
 		return Footer{}, err
 	}
@@ -207,9 +207,9 @@
 
 // Progress is the position at which an interrupted backup can resume.
 type Progress struct {
-	Offset int64 // end of the last chunk with a checkpoint, in bytes
-	page   checkpoint
-	lines  int
+	Offset     int64 // end of the last chunk with a checkpoint, in bytes
+	checkpoint checkpoint
+	lines      int
 }
 
 // ErrComplete is returned by Resume for a backup that is already complete.
@@ -234,7 +234,7 @@
 			case rec.Footer != nil:
 				return nil, ErrComplete
 			case rec.Checkpoint != nil:
-				progress = &Progress{Offset: reader.offset, page: *rec.Checkpoint, lines: lines}
+				progress = &Progress{Offset: reader.offset, checkpoint: *rec.Checkpoint, lines: lines}
 			case rec.Key != "":
 				lines++
 			}
