--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -35,8 +35,8 @@
 	c.send(Reply{Request: req, Code: code, Body: body})
 }
 
-// unavailable tells a user at once that the request could not be taken.
-func (c *Core) unavailable(req RequestID, why string) {
+// replyUnavailable tells a user at once that the request could not be taken.
+func (c *Core) replyUnavailable(req RequestID, why string) {
 	admissionHost{c}.Refuse(req, admission.NotNow(why))
 }
 
@@ -107,7 +107,7 @@
 }
 
 // ConfigurationCurrent implements admission.Host.
-func (c admissionHost) ConfigurationCurrent() bool { return c.mayAccept() }
+func (c admissionHost) ConfigurationCurrent() bool { return c.mayAcceptJobs() }
 
 // LeastLoadedShard implements admission.Host.
 func (c admissionHost) LeastLoadedShard() int { return c.planner.NewJobShard(c.now) }
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -12,7 +12,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-func cancelled(id string, stamp uint64) store.Event {
+func cancelledRecord(id string, stamp uint64) store.Event {
 	return store.Event{Key: jobPrefix + id, Value: jobs.Record{Status: jobs.Cancelled, Tasks: 1}.Encode(), Stamp: stamp}
 }
 
@@ -21,7 +21,7 @@
 // comes later; what is malformed or of a job that is done changes nothing.
 func TestCancellationsFromPeers(t *testing.T) {
 	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}}
-	core := holding(t, map[string]any{
+	core := newOwner(t, map[string]any{
 		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + "wk-000001": record,
 		jobPrefix + "wk-000002": record,
@@ -32,8 +32,8 @@
 	receive := func(list ...store.Event) {
 		core.receiveCancellations("b", PeerLeaseGrant{Seat: seat, Sent: core.now, Told: cancellations.Update{Since: core.cache.Revision, Upto: 190, Whole: true, List: list}})
 	}
-	for _, e := range []store.Event{{}, {Key: jobPrefix + "wk-000001", Value: json.RawMessage(`{"status"`), Stamp: 150}, cancelled("../x", 150),
-		cancelled("wk-000001", 0), {Key: machinePrefix + "r-1", Value: cancelled("wk-000001", 150).Value, Stamp: 150}} {
+	for _, e := range []store.Event{{}, {Key: jobPrefix + "wk-000001", Value: json.RawMessage(`{"status"`), Stamp: 150}, cancelledRecord("../x", 150),
+		cancelledRecord("wk-000001", 0), {Key: machinePrefix + "r-1", Value: cancelledRecord("wk-000001", 150).Value, Stamp: 150}} {
 		receive(e)
 		if !core.jobs.Get("wk-000001").Active() || core.cancellations.KnownRevision(core.cache.Revision) != core.cache.Revision || len(core.machineGroups) != 1 {
 			t.Fatalf("%+v is taken for a cancellation", e)
@@ -46,7 +46,7 @@
 		}
 	}
 	seat = core.membership.ID()
-	receive(cancelled("wk-000003", 150), cancelled("wk-000002", 160), cancelled("wk-000004", 170))
+	receive(cancelledRecord("wk-000003", 150), cancelledRecord("wk-000002", 160), cancelledRecord("wk-000004", 170))
 	if core.jobs.Get("wk-000003").Record.Status != jobs.Done || core.jobs.Get("wk-000002").Active() || core.cancellations.KnownRevision(core.cache.Revision) != 190 {
 		t.Fatal("the done job is not done, or the other not cancelled")
 	}
@@ -65,11 +65,11 @@
 	}
 }
 
-// TestOutdatedCacheAnswersNobody lets renewals succeed while nothing is read any more: authority
+// TestStaleCacheStopsHeartbeatAnswers lets renewals succeed while nothing is read any more: authority
 // used to be renewed over a copy that grew old without end. And after an outage the first
 // renewal used to make a holder valid at once, over a copy from before it.
-func TestOutdatedCacheAnswersNobody(t *testing.T) {
-	core := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}})
+func TestStaleCacheStopsHeartbeatAnswers(t *testing.T) {
+	core := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}})
 	core.cfg.CancelWithin, core.cfg.Lease, core.cfg.LeaderTTL = 60*units.Second, 20*units.Second, units.Second
 	core.cancellations = cancellations.New(cancellations.Config{Peers: 2})
 	from, seq := core.now, uint64(0)
@@ -79,7 +79,7 @@
 			Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
 		return replyTo(t, core, RequestID(seq)).Code == 200
 	}
-	for core.now < from+core.extension()-units.Second {
+	for core.now < from+core.cancellationGrace()-units.Second {
 		core.Tick(core.now+units.Second, core.wall)
 		core.Drain()
 		if !answered() {
@@ -98,11 +98,11 @@
 	}
 }
 
-// TestManyExitedTasks has nothing stored for long: a machine's list, which may not grow beyond
+// TestFullTaskListGetsNoStarts has nothing stored for long: a machine's list, which may not grow beyond
 // a report's 64 KiB, gets no further tasks.
-func TestManyExitedTasks(t *testing.T) {
+func TestFullTaskListGetsNoStarts(t *testing.T) {
 	for listed, want := range map[int]int{fleet.MaxListed: 0, fleet.MaxListed - 10: 10} {
-		c := holding(t, map[string]any{
+		c := newOwner(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 2000, Spec: &jobs.Spec{Team: "t", Tasks: 2000, AnyType: true, Demand: binpack.Vec{1, 0, 1}}},
 		})
--- a/internal/core/commits.go
+++ b/internal/core/commits.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// concludeCommits ends the transactions that the copy has shown to be carried out and whose
+// resolveCommits ends the transactions that the copy has shown to be carried out and whose
 // answers are late, and has the copy read for those that it has not shown. These reads keep
 // to the pace of all others.
-func (c *Core) concludeCommits() {
+func (c *Core) resolveCommits() {
 	if c.cache.Recovering() {
 		return
 	}
@@ -50,8 +50,8 @@
 	}
 }
 
-// suspectCommits says that revisions may be given out again.
-func (c *Core) suspectCommits() {
+// suspectRollback says that revisions may be given out again.
+func (c *Core) suspectRollback() {
 	for _, queue := range c.queues {
 		queue.SuspectRollback()
 	}
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -16,23 +16,23 @@
 // lossyState answers a core's reads with the changes there are, and carries out its
 // transactions, of which it loses the answers from a time on.
 type lossyState struct {
-	rev       uint64
-	events    []store.Event
-	loses     bool // transactions are not answered
-	carryOut  bool // they are carried out all the same
-	watches   bool // watches are answered, else only reads
-	commits   []Commit
-	reads     int
-	abandoned []*store.Txn
-	replies   map[RequestID]Reply
+	rev           uint64
+	events        []store.Event
+	dropAnswers   bool // transactions are not answered
+	applyTxns     bool // they are carried out all the same
+	answerWatches bool // watches are answered, else only reads
+	commits       []Commit
+	reads         int
+	abandoned     []*store.Txn
+	replies       map[RequestID]Reply
 }
 
 func newLossyState(c *Core) *lossyState {
-	return &lossyState{rev: c.cache.Revision + 1000, carryOut: true, watches: true, replies: map[RequestID]Reply{}}
+	return &lossyState{rev: c.cache.Revision + 1000, applyTxns: true, answerWatches: true, replies: map[RequestID]Reply{}}
 }
 
-// serve lets time pass.
-func (s *lossyState) serve(core *Core, d units.Microseconds) {
+// run lets time pass.
+func (s *lossyState) run(core *Core, d units.Microseconds) {
 	for end := core.now + d; core.now < end; {
 		core.Tick(core.now+units.Second/100, core.wall+units.Second/100)
 		for _, e := range core.Drain() {
@@ -47,8 +47,8 @@
 				if e.Fresh {
 					s.reads++
 				}
-				if e.Fresh || s.watches {
-					core.OnChanges(core.now, e, store.OK, s.rev, s.after(e.After), false)
+				if e.Fresh || s.answerWatches {
+					core.OnChanges(core.now, e, store.OK, s.rev, s.eventsAfter(e.After), false)
 				}
 			}
 		}
@@ -57,19 +57,19 @@
 
 func (s *lossyState) commit(c *Core, e Commit) {
 	s.commits = append(s.commits, e)
-	if s.loses && !s.carryOut {
+	if s.dropAnswers && !s.applyTxns {
 		return
 	}
 	s.rev++
 	for _, ch := range e.Txn.Changes {
 		s.events = append(s.events, store.Event{Key: ch.Key, Value: ch.Value, Stamp: s.rev})
 	}
-	if !s.loses {
+	if !s.dropAnswers {
 		c.OnCommit(c.now, e.Queue, e.Txn, store.OK, s.rev, nil)
 	}
 }
 
-func (s *lossyState) after(rev uint64) (out []store.Event) {
+func (s *lossyState) eventsAfter(rev uint64) (out []store.Event) {
 	for _, e := range s.events {
 		if e.Stamp > rev {
 			out = append(out, e)
@@ -78,8 +78,8 @@
 	return out
 }
 
-// of returns the transaction that changes a key, or nil.
-func (s *lossyState) of(key string) *Commit {
+// commitOf returns the transaction that changes a key, or nil.
+func (s *lossyState) commitOf(key string) *Commit {
 	for i := range s.commits {
 		for _, ch := range s.commits[i].Txn.Changes {
 			if ch.Key == key {
@@ -90,18 +90,18 @@
 	return nil
 }
 
-func smallJob() *jobs.Spec {
+func smallSpec() *jobs.Spec {
 	return &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true}
 }
 
-// TestAnswerLost has the answers to transactions lost that were carried out: of a submission,
+// TestLostCommitAnswer has the answers to transactions lost that were carried out: of a submission,
 // a cancellation and a job's end. Each is known as soon as the watch, or where that hangs a
 // read, shows it: within 150 ms the user is answered, and what waits in the lane goes. It
 // took until the request had timed out. Whatever answer still comes then changes nothing.
-func TestAnswerLost(t *testing.T) {
+func TestLostCommitAnswer(t *testing.T) {
 	for name, ask := range map[string]func(core *Core) (key string, code int){
 		"submission": func(core *Core) (string, int) {
-			core.Submit(core.now, 1, "wk-000009", smallJob(), "")
+			core.Submit(core.now, 1, "wk-000009", smallSpec(), "")
 			return jobPrefix + "wk-000009", http.StatusCreated
 		},
 		"cancellation": func(core *Core) (string, int) {
@@ -117,7 +117,7 @@
 		for _, watches := range []bool{true, false} {
 			for _, late := range []store.Outcome{store.OK, store.Failed, store.Unknown, store.Refused, store.TooLarge} {
 				t.Run(fmt.Sprintf("%s, watch answers %v, late %v", name, watches, late), func(t *testing.T) {
-					loseAnswer(t, name, ask, watches, late)
+					testLostAnswer(t, name, ask, watches, late)
 				})
 			}
 		}
@@ -130,23 +130,23 @@
 	otherJob = "wk-000002"
 )
 
-// loseAnswer loses the answer to the transaction that a request makes.
-func loseAnswer(t *testing.T, name string, ask func(core *Core) (key string, code int), watches bool, late store.Outcome) {
+// testLostAnswer loses the answer to the transaction that a request makes.
+func testLostAnswer(t *testing.T, name string, ask func(core *Core) (key string, code int), watches bool, late store.Outcome) {
 	t.Helper()
-	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: smallJob()}
-	core := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
+	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: smallSpec()}
+	core := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + knownJob: record, jobPrefix + otherJob: record})
 	state := newLossyState(core)
-	state.serve(core, units.Second/10)
-	state.loses, state.watches = true, watches
+	state.run(core, units.Second/10)
+	state.dropAnswers, state.answerWatches = true, watches
 	key, code := ask(core)
-	state.serve(core, units.Second/100)
-	sent := state.of(key)
+	state.run(core, units.Second/100)
+	sent := state.commitOf(key)
 	if sent == nil {
 		t.Fatal("not sent")
 	}
 	core.Cancel(core.now, 3, otherJob) // it goes behind a user's, and beside the end
-	state.serve(core, 14*units.Second/100)
+	state.run(core, 14*units.Second/100)
 	if got := state.replies[1].Code; got != code {
 		t.Errorf("answered %d", got)
 	}
@@ -160,27 +160,27 @@
 	if got := state.replies[3].Code; got != http.StatusOK {
 		t.Errorf("what waited behind it was answered %d", got)
 	}
-	state.carryOut = false
-	core.Submit(core.now, 4, "wk-000010", smallJob(), "")
-	state.serve(core, units.Second/100)
-	next, status := state.of(jobPrefix+"wk-000010"), job.Record.Status
+	state.applyTxns = false
+	core.Submit(core.now, 4, "wk-000010", smallSpec(), "")
+	state.run(core, units.Second/100)
+	next, status := state.commitOf(jobPrefix+"wk-000010"), job.Record.Status
 	delete(state.replies, 1)
 	core.OnCommit(core.now, sent.Queue, sent.Txn, late, state.rev, []string{key})
-	state.serve(core, units.Second/100)
+	state.run(core, units.Second/100)
 	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].UnderWay(next.Txn) {
 		t.Error("an answer that came late changed something")
 	}
 }
 
-// TestNothingIsKnownEarly has a submission's transaction lost, or held up to come late:
+// TestLostCommitStaysInDoubt has a submission's transaction lost, or held up to come late:
 // nothing may be told before the request has timed out, and few reads are made for it.
-func TestNothingIsKnownEarly(t *testing.T) {
-	core := holding(t, nil)
+func TestLostCommitStaysInDoubt(t *testing.T) {
+	core := newOwner(t, nil)
 	state := newLossyState(core)
-	state.serve(core, units.Second)
-	state.loses, state.carryOut, state.reads = true, false, 0
-	core.Submit(core.now, 1, "wk-000009", smallJob(), "")
-	state.serve(core, 950*units.Second/1000)
+	state.run(core, units.Second)
+	state.dropAnswers, state.applyTxns, state.reads = true, false, 0
+	core.Submit(core.now, 1, "wk-000009", smallSpec(), "")
+	state.run(core, 950*units.Second/1000)
 	if r, ok := state.replies[1]; ok || len(state.abandoned) > 0 {
 		t.Fatalf("answered %d, abandoned %d", r.Code, len(state.abandoned))
 	}
@@ -188,27 +188,27 @@
 	if state.reads > 3+3 {
 		t.Errorf("%d reads", state.reads)
 	}
-	sent := state.of(jobPrefix + "wk-000009")
+	sent := state.commitOf(jobPrefix + "wk-000009")
 	core.OnCommit(core.now, sent.Queue, sent.Txn, store.Unknown, 0, nil)
-	state.serve(core, units.Second/10)
+	state.run(core, units.Second/10)
 	if r := state.replies[1]; r.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", r.Code)
 	}
 }
 
-// TestNothingIsProvenAcrossALoss has the state service lose what it had stored while a
+// TestRollbackConfirmsNoCommit has the state service lose what it had stored while a
 // submission's transaction has no answer. The revisions are given out once more: that one of
 // them holds the same value tells nothing, and neither does an answer that the copy could
 // not take.
-func TestNothingIsProvenAcrossALoss(t *testing.T) {
+func TestRollbackConfirmsNoCommit(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		core := holding(t, nil)
+		core := newOwner(t, nil)
 		state := newLossyState(core)
-		state.serve(core, units.Second)
-		state.loses, state.carryOut, state.watches = true, false, false
-		core.Submit(core.now, 1, "wk-000009", smallJob(), "")
-		state.serve(core, units.Second/20)
-		sent := state.of(jobPrefix + "wk-000009")
+		state.run(core, units.Second)
+		state.dropAnswers, state.applyTxns, state.answerWatches = true, false, false
+		core.Submit(core.now, 1, "wk-000009", smallSpec(), "")
+		state.run(core, units.Second/20)
+		sent := state.commitOf(jobPrefix + "wk-000009")
 		stored := []store.Event{{Key: jobPrefix + "wk-000009", Value: sent.Txn.Changes[0].Value, Stamp: state.rev + 5}}
 		if lost {
 			core.cache.Reload(core.now)
@@ -218,7 +218,7 @@
 			core.OnChanges(core.now, Watch{After: core.cache.Revision + 2}, store.OK, state.rev+5, stored, false)
 		}
 		state.rev += 5
-		state.serve(core, units.Second/2)
+		state.run(core, units.Second/2)
 		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].UnderWay(sent.Txn) {
 			t.Errorf("lost %v: answered %d", lost, r.Code)
 		}
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// mayAccept reports whether this controller surely knows the configuration well enough to
+// mayAcceptJobs reports whether this controller surely knows the configuration well enough to
 // accept jobs: it knows of no later one, and its copy is recent.
-func (c *Core) mayAccept() bool {
-	return !c.config.Changed() || !c.config.Behind() && c.now-c.cache.AsOf() < c.extension()
+func (c *Core) mayAcceptJobs() bool {
+	return !c.config.Changed() || !c.config.Behind() && c.now-c.cache.AsOf() < c.cancellationGrace()
 }
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -32,36 +32,36 @@
 	}
 }
 
-// TestOwnerWithOlderConfiguration tells a holder, by another's status or promise, of a version that it
+// TestOwnerWithStaleConfiguration tells a holder, by another's status or promise, of a version that it
 // lacks: it starts and accepts nothing until it has it.
-func TestOwnerWithOlderConfiguration(t *testing.T) {
+func TestOwnerWithStaleConfiguration(t *testing.T) {
 	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
 	for name, m := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerLeaseGrant{ConfigKnown: 3}} {
-		core := holding(t, nil)
+		core := newOwner(t, nil)
 		core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 		shard := core.owned[0]
 		allocate(t, core, 0, 1)
-		if !shard.quota.Allows(spec.Team, spec.Demand) || !core.mayAccept() {
+		if !shard.quota.Allows(spec.Team, spec.Demand) || !core.mayAcceptJobs() {
 			t.Fatalf("%s: the settings file's team may not start", name)
 		}
 		core.OnPeer(core.now, "b", m)
-		if shard.quota.Allows(spec.Team, spec.Demand) || core.mayAccept() {
+		if shard.quota.Allows(spec.Team, spec.Demand) || core.mayAcceptJobs() {
 			t.Errorf("%s: starts or accepts by an older version than it knows of", name)
 		}
 		rev := uint64(200)
 		for k, v := range configRecords(3, 2000) {
-			core.learn(store.Event{Key: k, Value: store.Value(v), Stamp: rev})
+			core.applyEvent(store.Event{Key: k, Value: store.Value(v), Stamp: rev})
 		}
-		if !shard.quota.Allows(spec.Team, spec.Demand) || !core.mayAccept() || core.teams["t"].Limit[binpack.CPU] != 2000 {
+		if !shard.quota.Allows(spec.Team, spec.Demand) || !core.mayAcceptJobs() || core.teams["t"].Limit[binpack.CPU] != 2000 {
 			t.Errorf("%s: starts nothing once it has it", name)
 		}
 	}
 }
 
-// TestRestartReadsTheConfiguration has a process begin where a version is stored: it goes by
+// TestRestartAppliesStoredConfiguration has a process begin where a version is stored: it goes by
 // that as soon as it holds anything, with the removed teams' limits for their jobs.
-func TestRestartReadsTheConfiguration(t *testing.T) {
-	c := holding(t, configRecords(4, 5000))
+func TestRestartAppliesStoredConfiguration(t *testing.T) {
+	c := newOwner(t, configRecords(4, 5000))
 	if c.config.Version() != 4 || c.config.Behind() || c.teams["t"].Limit[binpack.CPU] != 5000 {
 		t.Errorf("goes by %d: %+v", c.config.Version(), c.teams["t"])
 	}
@@ -77,10 +77,10 @@
 	}
 }
 
-// TestAllocationOfALowerLimit lowers a limit while a block has a share of it: the block's part is
+// TestAllocationFollowsLoweredLimit lowers a limit while a block has a share of it: the block's part is
 // the same share of the new one, and what it uses beyond is told.
-func TestAllocationOfALowerLimit(t *testing.T) {
-	c := holding(t, configRecords(1, 40_000))
+func TestAllocationFollowsLoweredLimit(t *testing.T) {
+	c := newOwner(t, configRecords(1, 40_000))
 	shard := c.owned[0]
 	allocate(t, c, 0, 0.25)
 	shard.quota.Charge("t", binpack.Vec{8000})
@@ -88,7 +88,7 @@
 		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
 	}
 	for k, v := range configRecords(2, 20_000) {
-		c.learn(store.Event{Key: k, Value: store.Value(v), Stamp: 200})
+		c.applyEvent(store.Event{Key: k, Value: store.Value(v), Stamp: 200})
 	}
 	if p := shard.quota.Allocation(c.teams["t"].Limit); p[binpack.CPU] != 5000 || !slices.Equal(shard.quota.Exceeded(), []string{"t"}) || shard.quota.LargestUse() != 0.4 {
 		t.Errorf("part %v, use %g, over %v", p, shard.quota.LargestUse(), shard.quota.Exceeded())
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestOlderReleases makes no change while a controller that goes by its settings file alone is
+// TestOlderReleaseBlocksConfigurationChange makes no change while a controller that goes by its settings file alone is
 // known, and gives it no block once there is a stored version.
-func TestOlderReleases(t *testing.T) {
-	c := holding(t, nil)
+func TestOlderReleaseBlocksConfigurationChange(t *testing.T) {
+	c := newOwner(t, nil)
 	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
 	c.peers.NoteRelease("b", peering.ReleaseConfig-1)
 	limit := int64(1000)
@@ -121,7 +121,7 @@
 // TestManyTeamsOverAllocation has more teams above their share than a status can name: it
 // stays small, and says that the block's use is not known.
 func TestManyTeamsOverAllocation(t *testing.T) {
-	core := holding(t, configRecords(1, 40_000))
+	core := newOwner(t, configRecords(1, 40_000))
 	shard := core.owned[0]
 	var content configuration.Content
 	for i := range 1000 {
@@ -150,7 +150,7 @@
 		t.Errorf("room for %d teams", room)
 	}
 	for _, teams := range []int{340, room, room + 1} {
-		c := holding(t, configRecords(1, 40_000))
+		c := newOwner(t, configRecords(1, 40_000))
 		shard := c.owned[0]
 		var content configuration.Content
 		for i := range teams {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -156,12 +156,12 @@
 )
 
 const (
-	// userWrites bounds the users' changes that wait for the state service, some seconds' worth
+	// maxUserWrites bounds the users' changes that wait for the state service, some seconds' worth
 	// of what it takes. It is a guard against overload: users beyond are told to come back.
-	userWrites = 256
-	// controlWrites bounds those of the leader and of owners, which are bounded by jobs and
+	maxUserWrites = 256
+	// maxControlWrites bounds those of the leader and of owners, which are bounded by jobs and
 	// machines.
-	controlWrites = 1 << 16
+	maxControlWrites = 1 << 16
 )
 
 // Core is one controller's whole state.
@@ -183,22 +183,22 @@
 	machineGroups map[string]fleet.Group // stored machines, by key
 	machineShard  map[string]int         // shard of each stored machine
 
-	archive       *archive.Keeper
-	rollback      *rollback.Recovery
-	cancellations *cancellations.Tracker // which cancellations are known, and up to when all are
-	membership    *membership.Registry
-	election      *election.Election
-	planner       *shardplan.Planner
-	owned         map[int]*ownedShard   // shards that this node owns
-	emptySince    units.Microseconds    // since when it owns nothing while it retires
-	retiringSince units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
-	reachability  liveness.Reachability // whether workers reach this node
-	zones         *zones.View
-	typesAt       units.Microseconds
-	cloudPart     float64
-	peers         *peering.Directory
-	forwarder     *peering.Forwarder // users' requests that go from controller to controller
-	nextStatusAt  units.Microseconds // when this controller's status is next sent
+	archive         *archive.Keeper
+	rollback        *rollback.Recovery
+	cancellations   *cancellations.Tracker // which cancellations are known, and up to when all are
+	membership      *membership.Registry
+	election        *election.Election
+	planner         *shardplan.Planner
+	owned           map[int]*ownedShard   // shards that this node owns
+	emptySince      units.Microseconds    // since when it owns nothing while it retires
+	retiringSince   units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
+	reachability    liveness.Reachability // whether workers reach this node
+	zones           *zones.View
+	nextTypeFetchAt units.Microseconds
+	cloudFraction   float64
+	peers           *peering.Directory
+	forwarder       *peering.Forwarder // users' requests that go from controller to controller
+	nextStatusAt    units.Microseconds // when this controller's status is next sent
 
 	transfers *transfer.Receiver // what is known of shards that this node may own next
 }
@@ -223,24 +223,24 @@
 	for i := range cfg.Teams {
 		core.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
-	core.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, core.extension()/4), Log: cfg.Log}, cacheHost{core})
+	core.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(maxCacheAge, core.cancellationGrace()/4), Log: cfg.Log}, cacheHost{core})
 	core.archive = archive.NewKeeper(archive.Config{Node: cfg.Node, Release: peering.ReleaseArchive, KeepFinished: cfg.KeepFinished, MinAge: 2*core.leaseBound() + cfg.CancelWithin,
 		ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{core})
 	core.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{core})
 	core.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: core.cfg.ValueMax, Log: cfg.Log}, core.shardRecords, plannerHost{core})
-	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: core.extension(), Short: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
+	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, Extend: core.cancellationGrace(), Short: min(core.cancellationGrace(), majorityExtensionTTLs*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
 	core.rollback = rollback.New(rollbackHost{core}, cfg.Log)
 	core.cancellations = cancellations.New(cancellations.Config{Peers: len(cfg.Peers)})
 	core.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
 	core.forwarder = peering.NewForwarder()
 	core.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
-		Peers: cfg.Peers, ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: core.extension() + units.Second, Log: cfg.Log}, configurationHost{core})
+		Peers: cfg.Peers, ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: core.cancellationGrace() + units.Second, Log: cfg.Log}, configurationHost{core})
 	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.HomeZone, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
 	core.reachability = liveness.NewReachability(cfg.HeartbeatInterval, core.leaseBound())
 	for i := range core.queues {
-		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
+		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: maxUserWrites}
 	}
-	core.queues[ControlQueue].MaxQueue = controlWrites
+	core.queues[ControlQueue].MaxQueue = maxControlWrites
 	core.queues[ArchiveQueue].MaxQueue = 1
 	core.setRates()
 	return core
@@ -260,7 +260,7 @@
 // shards answer pending heartbeats, tell their standbys and queue what is to be stored; then
 // transactions and reads of the state service go.
 func (c *Core) pump() {
-	c.concludeCommits()
+	c.resolveCommits()
 	for _, number := range sortedShards(c.owned) {
 		shard := c.owned[number]
 		if !c.Owns(c.now, number) {
@@ -280,8 +280,8 @@
 	c.archive.Pump(c.now)
 }
 
-// guarded reports whether a check is made: all are, but for the one that a test leaves out.
-func (c *Core) guarded(g guard.Guard) bool { return c.cfg.SkippedGuard != g }
+// guardEnabled reports whether a check is made: all are, but for the one that a test leaves out.
+func (c *Core) guardEnabled(g guard.Guard) bool { return c.cfg.SkippedGuard != g }
 
 // advance moves time on; time never goes back.
 func (c *Core) advance(now units.Microseconds) { c.now = max(c.now, now) }
@@ -295,7 +295,7 @@
 	c.cache.Tick(c.now, wall)
 	c.tickPeers()
 	c.membership.Tick(c.now)
-	c.tickLead()
+	c.tickLeadership()
 	c.config.Tick(c.now, c.wall, c.election.Leads())
 	c.tickTypes()
 	c.peers.NoteOlderReleases(c.now)
@@ -319,7 +319,7 @@
 	assignmentPrefix = keys.AssignmentPrefix
 	allocationPrefix = keys.AllocationPrefix
 	standbyPrefix    = keys.StandbyPrefix
-	leaderKeyFirst   = keys.Leader
+	leaderKey        = keys.Leader
 	termKey          = keys.Term
 )
 
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -59,7 +59,7 @@
 // heartbeatOfDeprovisioned gives an owner a heartbeat of a machine that the cloud has deleted.
 func heartbeatOfDeprovisioned(t *testing.T, leftOut guard.Guard) (*Core, int) {
 	t.Helper()
-	core := holding(t, map[string]any{
+	core := newOwner(t, map[string]any{
 		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}},
 	})
@@ -72,11 +72,11 @@
 	return core, replyTo(t, core, 9).Code
 }
 
-// TestProbeAnswerBesideStart has a machine answer a probe after it was given a start that its answer
+// TestStaleProbeAnswerKeepsStart has a machine answer a probe after it was given a start that its answer
 // does not show yet. Taken for true, it would free the task for another machine.
-func TestProbeAnswerBesideStart(t *testing.T) {
+func TestStaleProbeAnswerKeepsStart(t *testing.T) {
 	for leftOut, want := range map[guard.Guard]int{guard.None: 1, guard.ProbeAnswer: 0} {
-		core := holding(t, map[string]any{
+		core := newOwner(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Team: "t", Tasks: 1, AnyType: true}},
 		})
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -40,7 +40,7 @@
 // JobCompleting implements registry.Host.
 func (c jobsHost) JobCompleting(job *jobs.Job, status jobs.Status) {
 	if shard := c.owned[job.Record.Shard]; shard != nil {
-		shard.jobOver(c.Core, job, status)
+		shard.jobFinished(c.Core, job, status)
 	}
 }
 
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -18,17 +18,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-func job(awaits ...string) *jobs.Spec {
+func testSpec(awaits ...string) *jobs.Spec {
 	return &jobs.Spec{Class: "x", Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: units.Second, Awaits: awaits}
 }
 
-func pending(s *jobs.Spec) jobs.Record {
+func pendingRecord(s *jobs.Spec) jobs.Record {
 	return jobs.Record{Status: jobs.Pending, Tasks: s.Tasks, Submitted: 900 * units.Second, Spec: s}
 }
 
-// serve plays the state service for a while: it carries out transactions and
+// serveState plays the state service for a while: it carries out transactions and
 // answers reads at once, and returns the replies to users.
-func serve(t *testing.T, core *Core, keys map[string]store.Event) map[RequestID]Reply {
+func serveState(t *testing.T, core *Core, keys map[string]store.Event) map[RequestID]Reply {
 	t.Helper()
 	replies := map[RequestID]Reply{}
 	rev := uint64(core.now) // beyond that of any earlier call
@@ -44,15 +44,15 @@
 				}
 			case Commit:
 				rev++
-				carryOut(t, core, keys, effect, rev)
+				commitTxn(t, core, keys, effect, rev)
 			}
 		}
 	}
 	return replies
 }
 
-// carryOut carries out a transaction within the limits of a small state service.
-func carryOut(t *testing.T, core *Core, keys map[string]store.Event, commit Commit, rev uint64) {
+// commitTxn carries out a transaction within the limits of a small state service.
+func commitTxn(t *testing.T, core *Core, keys map[string]store.Event, commit Commit, rev uint64) {
 	t.Helper()
 	txn := commit.Txn
 	if len(txn.Changes) > 4 || len(txn.Guards) > 16 {
@@ -76,8 +76,8 @@
 
 // An unknown name is refused for good only by a read that began after the
 // request; where there is none, the user is told to come back.
-func TestUnknownAwaited(t *testing.T) {
-	core := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(&jobs.Spec{Tasks: 1, Service: true})})
+func TestUnknownDependencyIsRefused(t *testing.T) {
+	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": pendingRecord(testSpec()), jobPrefix + "wk-000002": pendingRecord(&jobs.Spec{Tasks: 1, Service: true})})
 	read := func(o store.Outcome, events ...store.Event) Reply {
 		t.Helper()
 		for _, e := range core.Drain() {
@@ -94,34 +94,34 @@
 		core.OnChanges(core.now, Watch{Fresh: true, After: core.cache.Revision}, store.OK, core.cache.Revision, nil, false)
 	}
 	step()
-	core.Submit(core.now, 5, "wk-000009", job("wk-000001", "wk-000008"), "")
+	core.Submit(core.now, 5, "wk-000009", testSpec("wk-000001", "wk-000008"), "")
 	if r := read(store.Refused); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("no read, and yet %+v", r)
 	}
 	step()
 	for _, awaits := range []string{"wk-000008", "wk-000009", "wk-000002"} {
-		core.Submit(core.now, 5, "wk-000009", job(awaits), "")
+		core.Submit(core.now, 5, "wk-000009", testSpec(awaits), "")
 		if r := read(store.OK); r.Code != http.StatusUnprocessableEntity {
 			t.Fatalf("awaits %s: %+v", awaits, r)
 		}
 		step()
 	}
-	core.Submit(core.now, 5, "wk-000009", job("wk-000008"), "")
+	core.Submit(core.now, 5, "wk-000009", testSpec("wk-000008"), "")
 	for _, e := range core.Drain() {
 		if w, ok := e.(Watch); ok && w.Fresh { // another controller has accepted it meanwhile
-			core.OnChanges(core.now, w, store.OK, core.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pending(job()).Encode(), Stamp: core.cache.Revision + 1}}, false)
+			core.OnChanges(core.now, w, store.OK, core.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pendingRecord(testSpec()).Encode(), Stamp: core.cache.Revision + 1}}, false)
 		}
 	}
-	if r := serve(t, core, map[string]store.Event{})[5]; r.Code != http.StatusCreated || core.jobs.Get("wk-000009").OpenDependencies != 1 {
+	if r := serveState(t, core, map[string]store.Event{})[5]; r.Code != http.StatusCreated || core.jobs.Get("wk-000009").OpenDependencies != 1 {
 		t.Fatalf("%+v", r)
 	}
 }
 
 // Only what is stored passes along the graph, and a job that awaits a cancelled
 // one is accepted and cancelled; what follows from it is stored in the end.
-func TestOutcomesPropagate(t *testing.T) {
-	core := holding(t, map[string]any{
-		jobPrefix + "wk-000001": pending(job()), jobPrefix + "wk-000002": pending(job("wk-000001")), jobPrefix + "wk-000003": pending(job("wk-000002")),
+func TestDependencyOutcomesPropagate(t *testing.T) {
+	core := newOwner(t, map[string]any{
+		jobPrefix + "wk-000001": pendingRecord(testSpec()), jobPrefix + "wk-000002": pendingRecord(testSpec("wk-000001")), jobPrefix + "wk-000003": pendingRecord(testSpec("wk-000002")),
 	})
 	keys := map[string]store.Event{}
 	first, second, third := core.jobs.Get("wk-000001"), core.jobs.Get("wk-000002"), core.jobs.Get("wk-000003")
@@ -129,13 +129,13 @@
 	if !first.AllFinished() || second.OpenDependencies != 1 || core.owned[0].active[second.ID] != nil {
 		t.Fatal("released before that is stored")
 	}
-	serve(t, core, keys)
+	serveState(t, core, keys)
 	if second.OpenDependencies != 0 || core.owned[0].active[second.ID] == nil || second.Since < 1000*units.Second || third.OpenDependencies != 1 {
 		t.Fatalf("awaiting %d and %d, since %d", second.OpenDependencies, third.OpenDependencies, second.Since)
 	}
 	core.Cancel(core.now, 5, second.ID)
-	core.Submit(core.now, 6, "wk-000004", job("wk-000001", "wk-000003"), "")
-	replies := serve(t, core, keys)
+	core.Submit(core.now, 6, "wk-000004", testSpec("wk-000001", "wk-000003"), "")
+	replies := serveState(t, core, keys)
 	for _, id := range []string{"wk-000002", "wk-000003", "wk-000004"} {
 		var r jobs.Record
 		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || core.jobs.Get(id).Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
@@ -149,14 +149,14 @@
 
 // A job that awaits others is not taken while an older controller is known to
 // serve: as the next holder it would start the job at once.
-func TestOlderControllerServes(t *testing.T) {
-	core := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
+func TestOlderReleaseBlocksDependencies(t *testing.T) {
+	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": pendingRecord(testSpec())})
 	core.cfg.Size = 2
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 	submit := func(id string, awaits ...string) Reply {
 		t.Helper()
-		core.Submit(core.now, 5, id, job(awaits...), "")
-		return serve(t, core, map[string]store.Event{})[5]
+		core.Submit(core.now, 5, id, testSpec(awaits...), "")
+		return serveState(t, core, map[string]store.Event{})[5]
 	}
 	core.OnPeer(core.now, "b", PeerStatus{})
 	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
@@ -165,13 +165,13 @@
 	if r := submit("wk-000003"); r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	core.learn(store.Event{Key: memberPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
+	core.applyEvent(store.Event{Key: memberPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
 	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
 	core.advance(core.now + 2*units.Second) // the state service has not answered for a while
 	core.OnPeer(core.now, "b", PeerStatus{StateAge: 0})
-	core.Submit(core.now, 7, "wk-000004", job("wk-000001"), "")
+	core.Submit(core.now, 7, "wk-000004", testSpec("wk-000001"), "")
 	for _, e := range core.Drain() {
 		if m, ok := e.(SendPeer); ok {
 			if _, ask := m.Message.(ForwardedRequest); ask {
@@ -183,7 +183,7 @@
 
 // A submission whose names do not fit one value is stored in parts, is known to a
 // controller that reads all anew, and its parts go when it is over.
-func TestManyAwaited(t *testing.T) {
+func TestManyDependencies(t *testing.T) {
 	values := map[string]any{}
 	var awaits []string
 	for i := range 2500 {
@@ -191,11 +191,11 @@
 		values[jobPrefix+id] = jobs.Record{Status: jobs.Done, Tasks: 1, FinishedAt: 1010 * units.Second}
 		awaits = append(awaits, id)
 	}
-	values[jobPrefix+"wk-000007"] = pending(job())
-	core := holding(t, values)
+	values[jobPrefix+"wk-000007"] = pendingRecord(testSpec())
+	core := newOwner(t, values)
 	keys := map[string]store.Event{}
-	core.Submit(core.now, 5, "wk-900000", job(awaits...), "")
-	if r := serve(t, core, keys)[5]; r.Code != http.StatusCreated {
+	core.Submit(core.now, 5, "wk-900000", testSpec(awaits...), "")
+	if r := serveState(t, core, keys)[5]; r.Code != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
 	if len(keys) < 10 {
@@ -210,17 +210,17 @@
 			all[k] = v
 		}
 	}
-	again := holding(t, all)
+	again := newOwner(t, all)
 	j := again.jobs.Get("wk-900000")
 	if j == nil || j.OpenDependencies != 1 || len(j.Spec().Awaits) != 2500 || j.Since != 1010*units.Second {
 		t.Fatalf("read anew: %+v", j)
 	}
 	delete(all, chunks.Key("wk-900000", j.Record.Checksum, 1))
-	if j := holding(t, all).jobs.Get("wk-900000"); j != nil {
+	if j := newOwner(t, all).jobs.Get("wk-900000"); j != nil {
 		t.Fatal("a job whose awaited names cannot be read is taken for one that may start")
 	}
 	core.Cancel(core.now, 6, "wk-000007")
-	serve(t, core, keys)
+	serveState(t, core, keys)
 	for k := range keys {
 		if strings.HasPrefix(k, chunkPrefix) {
 			t.Fatalf("%s is left", k)
@@ -233,8 +233,8 @@
 
 // The rates of later are used once the state service has refused something as too
 // much.
-func TestRatesFall(t *testing.T) {
-	c := holding(t, nil)
+func TestWriteRateFallsWhenLimited(t *testing.T) {
+	c := newOwner(t, nil)
 	before := c.queues[ControlQueue].Rate
 	if o := c.noteOutcome(store.Limited); o != store.Refused || c.queues[ControlQueue].Rate >= before || c.cfg.WriteRate != 20 {
 		t.Fatalf("%v, %v after %v", o, c.queues[ControlQueue].Rate, before)
@@ -288,16 +288,16 @@
 
 // A block whose holder has ended goes to a controller that is not to be replaced
 // next, though an older one held it last.
-func TestNewReleaseOwns(t *testing.T) {
+func TestOwnerChoicePrefersNewRelease(t *testing.T) {
 	c := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	for i, r := range []int{0, peering.Release, peering.Release} {
 		node := string(rune('a' + i))
-		c.learn(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: r}), Stamp: uint64(i + 1)})
+		c.applyEvent(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: r}), Stamp: uint64(i + 1)})
 	}
 	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to == "a" || to == "" {
 		t.Fatalf("goes to %q", to)
 	}
-	c.learn(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: peering.Release}), Stamp: 9})
+	c.applyEvent(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: peering.Release}), Stamp: 9})
 	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to != "a" {
 		t.Fatalf("goes to %q, and not to the last holder", to)
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -43,8 +43,8 @@
 	c.planner.Lead(c.now, lead)
 }
 
-// tickLead plans where this controller leads, and else campaigns where nobody does.
-func (c *Core) tickLead() {
+// tickLeadership plans where this controller leads, and else campaigns where nobody does.
+func (c *Core) tickLeadership() {
 	if c.election.Leads() {
 		c.planner.Tick(c.now)
 		return
@@ -79,7 +79,7 @@
 }
 
 // Controllers implements shardplan.Members.
-func (c plannerHost) Controllers() []string { return c.everyone() }
+func (c plannerHost) Controllers() []string { return c.controllerNames() }
 
 // CurrentMember implements shardplan.Members.
 func (c plannerHost) CurrentMember(node string) uint64 { return c.membership.Current(node) }
@@ -125,7 +125,7 @@
 // RequestRelease implements shardplan.Host.
 func (c plannerHost) RequestRelease(number int, owner string) {
 	if shard := c.owned[number]; shard != nil {
-		c.release(shard, "another controller has none")
+		c.releaseShard(shard, "another controller has none")
 		return
 	}
 	c.emit(SendPeer{owner, ReleaseRequest{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
@@ -157,8 +157,8 @@
 // Owned implements shardplan.OwnedShard.
 func (m migratingShard) Owned() bool { return m.core.owned[m.shard.number] == m.shard }
 
-// everyone returns the names of all controllers, in the same order on each.
-func (c *Core) everyone() []string {
+// controllerNames returns the names of all controllers, in the same order on each.
+func (c *Core) controllerNames() []string {
 	names := append([]string{c.cfg.Node}, c.peers.Names()...)
 	slices.Sort(names)
 	return names
@@ -166,9 +166,9 @@
 
 func shardNumber(key, prefix string) (int, error) { return keys.Shard(key, prefix) }
 
-// learnAssignment takes the stored assignment of a shard, and begins or ends to own the
+// applyAssignment takes the stored assignment of a shard, and begins or ends to own the
 // shard accordingly.
-func (c *Core) learnAssignment(e store.Event) error {
+func (c *Core) applyAssignment(e store.Event) error {
 	number, err := shardNumber(e.Key, assignmentPrefix)
 	if err != nil {
 		return err
@@ -187,10 +187,10 @@
 		if c.assignedHere(assignment) && assignment.Token() == shard.fencingToken && !shard.releasing {
 			shard.assignment = assignment.Version // the same assignment, written again as it was lost
 		} else {
-			c.drop(shard)
+			c.dropShard(shard)
 		}
 	}
-	c.take(number)
+	c.acquireIfAssigned(number)
 	return nil
 }
 
@@ -200,14 +200,14 @@
 	return a.Node == c.cfg.Node && a.MemberID == c.membership.ID()
 }
 
-// take begins to own a shard that is assigned to this controller's membership.
-func (c *Core) take(number int) {
+// acquireIfAssigned begins to own a shard that is assigned to this controller's membership.
+func (c *Core) acquireIfAssigned(number int) {
 	if a := c.shardRecords.Assignment(number); c.assignedHere(a) && c.membership.ID() != 0 && c.owned[number] == nil {
-		c.own(number, a)
+		c.acquireShard(number, a)
 	}
 }
 
-func (c *Core) learnAllocation(e store.Event) error {
+func (c *Core) applyAllocation(e store.Event) error {
 	number, err := shardNumber(e.Key, allocationPrefix)
 	if err != nil {
 		return err
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -23,15 +23,15 @@
 // idleFleet is an owner of machines that are all up and idle, in two zones: the machines of
 // zone y come after those of zone z when work is offered.
 type idleFleet struct {
-	t        testing.TB
-	c        *Core
-	shard    *ownedShard
-	jobs     int
-	answers  map[RequestID]Reply
-	answered int // at the last look
-	started  map[RequestID]int
-	starts   int      // at the last look
-	commits  []Commit // that are not answered
+	t          testing.TB
+	core       *Core
+	shard      *ownedShard
+	jobs       int
+	answers    map[RequestID]Reply
+	newAnswers int // at the last look
+	started    map[RequestID]int
+	newStarts  int      // at the last look
+	commits    []Commit // that are not answered
 }
 
 func newIdleFleet(t testing.TB, inZoneZ, inZoneY int) *idleFleet {
@@ -47,11 +47,11 @@
 		g.Type, g.Zone, g.Up = "big", zone, append(g.Up, machineName(i))
 		values[key] = g
 	}
-	idle.c = holding(t, values)
-	idle.shard = idle.c.owned[0]
+	idle.core = newOwner(t, values)
+	idle.shard = idle.core.owned[0]
 	for i := range inZoneZ + inZoneY {
 		m := idle.shard.reconciler.Machine(machineName(i))
-		idle.c.Heartbeat(idle.c.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.Never})
+		idle.core.Heartbeat(idle.core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.Never})
 	}
 	idle.collect()
 	return idle
@@ -62,21 +62,21 @@
 // submit has a job come of which each task fills a machine.
 func (f *idleFleet) submit(tasks int, zone string) {
 	f.jobs++
-	f.c.learn(store.Event{Key: fmt.Sprintf("%swk-%06d", jobPrefix, f.jobs), Stamp: uint64(200 + f.jobs),
-		Value: jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: f.c.wall, Spec: &jobs.Spec{Class: "c", Team: "t", Tasks: tasks,
+	f.core.applyEvent(store.Event{Key: fmt.Sprintf("%swk-%06d", jobPrefix, f.jobs), Stamp: uint64(200 + f.jobs),
+		Value: jobs.Record{Status: jobs.Pending, Tasks: tasks, Submitted: f.core.wall, Spec: &jobs.Spec{Class: "c", Team: "t", Tasks: tasks,
 			Priority: jobs.Normal, AnyType: true, Zone: zone, Demand: binpack.Vec{16_000, 0, 64_000}, Estimate: 70 * units.Second}}.Encode()})
 }
 
-// look lets 50 ms pass.
-func (f *idleFleet) look() {
-	f.c.Tick(f.c.now+units.Second/20, f.c.wall+units.Second/20)
+// tick lets 50 ms pass.
+func (f *idleFleet) tick() {
+	f.core.Tick(f.core.now+units.Second/20, f.core.wall+units.Second/20)
 	f.collect()
 }
 
 // collect takes in the answers. A request is answered once.
 func (f *idleFleet) collect() {
-	f.answered, f.starts = 0, 0
-	for _, e := range f.c.Drain() {
+	f.newAnswers, f.newStarts = 0, 0
+	for _, e := range f.core.Drain() {
 		if commit, ok := e.(Commit); ok {
 			f.commits = append(f.commits, commit)
 		}
@@ -88,10 +88,10 @@
 			f.t.Fatalf("request %d is answered twice", r.Request)
 		}
 		f.answers[r.Request] = r
-		f.answered++
+		f.newAnswers++
 		if o, ok := r.Body.(HeartbeatResponse); ok && r.Code == 200 {
 			f.started[r.Request] = len(o.Commands)
-			f.starts += len(o.Commands)
+			f.newStarts += len(o.Commands)
 		} else {
 			f.t.Fatalf("request %d is answered %+v", r.Request, r)
 		}
@@ -110,8 +110,8 @@
 		pending := min(machines, reconcile.MaxPending)
 		for _, tasks := range []int{0, 1, 1 + rng.IntN(pending), pending} {
 			idle := newIdleFleet(t, machines, 0)
-			if idle.shard.reconciler.Pending() != pending || idle.answered != machines-pending || idle.starts != 0 {
-				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.Pending(), idle.answered)
+			if idle.shard.reconciler.Pending() != pending || idle.newAnswers != machines-pending || idle.newStarts != 0 {
+				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.Pending(), idle.newAnswers)
 			}
 			if machines > pending {
 				if _, ok := idle.answers[RequestID(1000+pending)]; !ok {
@@ -123,10 +123,10 @@
 			}
 			started := 0
 			for range int(pendingTime/(units.Second/20)) + 1 {
-				idle.look()
-				started += idle.starts
-				if idle.starts > reconcile.MaxOffers {
-					t.Fatalf("%d machines were given work at one look", idle.starts)
+				idle.tick()
+				started += idle.newStarts
+				if idle.newStarts > reconcile.MaxOffers {
+					t.Fatalf("%d machines were given work at one look", idle.newStarts)
 				}
 			}
 			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.Pending() != 0 {
@@ -136,20 +136,20 @@
 	}
 }
 
-// TestEveryPendingMachineHasItsTurn has work come at every look that the machines which are offered
+// TestEveryPendingMachineIsOfferedWork has work come at every look that the machines which are offered
 // work first cannot take. The others are offered theirs all the same.
-func TestEveryPendingMachineHasItsTurn(t *testing.T) {
+func TestEveryPendingMachineIsOfferedWork(t *testing.T) {
 	f := newIdleFleet(t, 3*reconcile.MaxOffers, reconcile.MaxOffers)
 	for range 3 {
 		f.submit(1, "nowhere")
-		f.look()
+		f.tick()
 	}
 	f.submit(reconcile.MaxOffers, "y")
 	started := 0
 	for range 10 { // two passes of four looks each, and a ranking
 		f.submit(1, "nowhere")
-		f.look()
-		started += f.starts
+		f.tick()
+		started += f.newStarts
 	}
 	if started != reconcile.MaxOffers {
 		t.Errorf("%d of %d tasks started", started, reconcile.MaxOffers)
@@ -165,24 +165,24 @@
 			for range 100 {
 				idle.submit(1, "nowhere")
 			}
-			idle.look()
+			idle.tick()
 			reconciler, request := idle.shard.reconciler, reconcile.RequestID(0)
 			var spent time.Duration
 			for b.Loop() {
 				reconciler.TakePending()
-				idle.c.advance(idle.c.now + units.Second)
+				idle.core.advance(idle.core.now + units.Second)
 				for i := range machines {
 					request++
 					machine := reconciler.Machine(machineName(i))
-					machine.LastSeen = idle.c.now
-					if !reconciler.KeepIdle(idle.c.now, request, machine) {
+					machine.LastSeen = idle.core.now
+					if !reconciler.KeepIdle(idle.core.now, request, machine) {
 						b.Fatal("a heartbeat is not kept")
 					}
 				}
 				idle.shard.scheduler.TasksReady()
 				idle.shard.scheduler.RankReady()
 				from := processorTime(b)
-				reconciler.OfferWork(idle.c.now, true)
+				reconciler.OfferWork(idle.core.now, true)
 				spent += processorTime(b) - from
 				if reconciler.Pending() != machines {
 					b.Fatal("a machine was given work")
@@ -200,7 +200,7 @@
 	if reconcile.MaxUnknown < fleet.FullShard {
 		t.Errorf("%d unknown machines are remembered", reconcile.MaxUnknown)
 	}
-	core := holding(t, nil)
+	core := newOwner(t, nil)
 	req := RequestID(1000)
 	report := func(i int) int {
 		req++
@@ -234,18 +234,18 @@
 	}
 }
 
-// TestLastAttemptOfAnAssignment has an owner start tasks up to the last attempt number of its
+// TestAttemptNumbersUsedUp has an owner start tasks up to the last attempt number of its
 // assignment. Numbers used to begin anew then, so that a task's attempt could have the number of an earlier
 // one. The shard is released instead, and its next assignment starts the rest.
-func TestLastAttemptOfAnAssignment(t *testing.T) {
+func TestAttemptNumbersUsedUp(t *testing.T) {
 	const left = 3
 	idle := newIdleFleet(t, 2*left, 0)
 	idle.submit(2*left, "")
-	j := idle.c.jobs.Get("wk-000001")
+	j := idle.core.jobs.Get("wk-000001")
 	idle.shard.attempts = uint64(sort.Search(1<<40, func(n int) bool { return authority.AttemptsUsedUp(uint64(n)) }) - left)
-	idle.look()
-	if idle.starts != left || j.Placed() != left {
-		t.Fatalf("%d tasks started with %d numbers left", idle.starts, left)
+	idle.tick()
+	if idle.newStarts != left || j.Placed() != left {
+		t.Fatalf("%d tasks started with %d numbers left", idle.newStarts, left)
 	}
 	last := uint64(0)
 	for i := range 2 * left {
@@ -256,25 +256,25 @@
 			last = a.Number
 		}
 	}
-	idle.c.Tick(idle.c.now+units.Second/20, idle.c.wall+units.Second/20)
+	idle.core.Tick(idle.core.now+units.Second/20, idle.core.wall+units.Second/20)
 	released, stored := idle.shard.releasing, false // the release is sent once the writes before it are answered
 	for range 20 {
 		for _, commit := range idle.commits {
 			stored = stored || slices.ContainsFunc(commit.Txn.Changes, func(change store.Change) bool {
 				return change.Key == assignmentKey(0) && string(change.Value) == string(store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}))
 			})
-			idle.c.OnCommit(idle.c.now, commit.Queue, commit.Txn, store.Unknown, 0, nil)
+			idle.core.OnCommit(idle.core.now, commit.Queue, commit.Txn, store.Unknown, 0, nil)
 		}
 		idle.commits = nil
-		idle.look()
+		idle.tick()
 	}
 	if !released || !stored {
 		t.Fatalf("released %v, being stored %v", released, stored)
 	}
 	// That is stored, and the leader assigns the shard anew.
-	idle.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}), Stamp: 300})
-	idle.c.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 1}), Stamp: 301})
-	shard := idle.c.owned[0]
+	idle.core.applyEvent(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}), Stamp: 300})
+	idle.core.applyEvent(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 1}), Stamp: 301})
+	shard := idle.core.owned[0]
 	if shard == nil || shard == idle.shard || shard.attempts != 0 || shard.fencingToken <= idle.shard.fencingToken {
 		t.Fatalf("next assignment %+v", shard)
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -35,7 +35,7 @@
 // would own it for as long as the membership stands.
 func (c membershipHost) Joined() {
 	for _, k := range c.shardRecords.Shards() {
-		c.take(k)
+		c.acquireIfAssigned(k)
 	}
 }
 
@@ -43,7 +43,7 @@
 func (c membershipHost) Lost() {
 	c.election.MembershipLost()
 	for _, k := range sortedShards(c.owned) {
-		c.drop(c.owned[k])
+		c.dropShard(c.owned[k])
 	}
 	c.queues[ControlQueue].Clear()
 }
@@ -51,26 +51,26 @@
 // PeerRelease implements membership.Host.
 func (c membershipHost) PeerRelease(node string, release int) { c.peers.NoteRelease(node, release) }
 
-// shortFor is how many times its lease a majority's peer leases may carry a membership past its last
+// majorityExtensionTTLs is how many times its lease a majority's peer leases may carry a membership past its last
 // renewal. What is owned in a zone that is cut off with most controllers is free that much later;
 // an outage of the state service during which a controller is missing stops all work that
 // much earlier.
-const shortFor = 3
+const majorityExtensionTTLs = 3
 
-// freshFor is how old the copy of the state service's keys may become before it is read.
-const freshFor = 2 * units.Second
+// maxCacheAge is how old the copy of the state service's keys may become before it is read.
+const maxCacheAge = 2 * units.Second
 
-// extension is for how long an owner may answer workers after the time up to which it knows
+// cancellationGrace is for how long an owner may answer workers after the time up to which it knows
 // every cancellation: what it runs must still be gone in time, a worker's lease after its
 // last answer.
-func (c *Core) extension() units.Microseconds {
+func (c *Core) cancellationGrace() units.Microseconds {
 	return max(c.cfg.LeaderTTL, c.cfg.CancelWithin-c.leaseBound()-2*units.Second)
 }
 
 // ValidUntil is when this node may no longer answer workers, as known at present: the
 // authority of its membership ends, or a cancellation may have been confirmed that it does not know of.
 func (c *Core) ValidUntil() units.Microseconds {
-	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.extension()))
+	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.cancellationGrace()))
 }
 
 // OnLease takes a new lease's outcome.
@@ -85,8 +85,8 @@
 	c.membership.OnRenew(c.now, id, c.noteOutcome(o))
 }
 
-// drop stops owning a shard.
-func (c *Core) drop(shard *ownedShard) {
+// dropShard stops owning a shard.
+func (c *Core) dropShard(shard *ownedShard) {
 	delete(c.owned, shard.number)
 	shard.replication.Close(c.now)
 	c.log.Info("shard no longer owned", "shard", shard.number)
--- a/internal/core/objectives.go
+++ b/internal/core/objectives.go
@@ -11,13 +11,13 @@
 // they depend on.
 func (c *Core) propagateObjectives(shard *ownedShard) {
 	if c.jobs.PropagationDue() {
-		c.jobs.PropagateObjectives(func(job *jobs.Job) units.Microseconds { return c.stepTime(shard, job) })
+		c.jobs.PropagateObjectives(func(job *jobs.Job) units.Microseconds { return c.expectedDuration(shard, job) })
 	}
 }
 
-// stepTime is how long a job is expected to take once it may start and has room:
+// expectedDuration is how long a job is expected to take once it may start and has room:
 // an image, and its tasks one after the other where the team's limit asks for it.
-func (c *Core) stepTime(shard *ownedShard, job *jobs.Job) units.Microseconds {
+func (c *Core) expectedDuration(shard *ownedShard, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
 	waves := int64(1)
 	if team := c.teams[spec.Team]; team != nil {
@@ -28,15 +28,15 @@
 		}
 	}
 	took := units.Microseconds(waves) * shard.demand.Runtime(spec)
-	if rate := c.slowestFetch(spec); rate > 0 {
+	if rate := c.slowestFetchRate(spec); rate > 0 {
 		took += units.Microseconds(spec.ImageMB) * units.Second / units.Microseconds(rate)
 	}
 	return took
 }
 
-// slowestFetch is the rate at which the slowest machine type that a job may use
+// slowestFetchRate is the rate at which the slowest machine type that a job may use
 // fetches images.
-func (c *Core) slowestFetch(spec *jobs.Spec) int64 {
+func (c *Core) slowestFetchRate(spec *jobs.Spec) int64 {
 	rates := []int64{}
 	for _, t := range c.types {
 		if spec.Demand.Fits(t.Capacity) && spec.AllowsType(t.Name) && t.FetchMBs > 0 {
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -26,8 +26,8 @@
 	Override zones.Override `json:"word"`
 }
 
-// learnOverride takes an operator's word.
-func (c *Core) learnOverride(e store.Event) error {
+// applyOverride takes an operator's word.
+func (c *Core) applyOverride(e store.Event) error {
 	var w OperatorOverride
 	if e.Value != nil {
 		if err := json.Unmarshal(e.Value, &w); err != nil {
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -25,7 +25,7 @@
 		}
 		e := store.Event{Key: ch.Key, Value: ch.Value, Stamp: items[ch.Key].Stamp + 1}
 		items[ch.Key] = e
-		core.learn(e)
+		core.applyEvent(e)
 		return nil
 	}
 	if err := say("x", zones.OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -64,7 +64,7 @@
 	}
 	c.peers.LogChanges(c.now)
 	for _, request := range c.forwarder.Expired(c.now) {
-		c.unavailable(request, "no controller is served by the state service")
+		c.replyUnavailable(request, "no controller is served by the state service")
 	}
 }
 
@@ -108,26 +108,26 @@
 	}
 }
 
-// servedPeer names a controller that is alive and was served by the state service lately; "": none.
-func (c *Core) servedPeer() string {
+// bestServedPeer names a controller that is alive and was served by the state service lately; "": none.
+func (c *Core) bestServedPeer() string {
 	return c.peers.BestServed(c.now, func(node string) bool { return !c.incompatible(node) })
 }
 
 // shouldForward reports whether a request should go to another controller right away: the state
 // service has not answered this one for a while, and it has answered the other.
 func (c *Core) shouldForward(request RequestID) bool {
-	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedFor && c.servedPeer() != ""
+	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedFor && c.bestServedPeer() != ""
 }
 
 // forward gives a request that the state service does not let this controller serve to one that it
 // does, or tells the user to come back.
 func (c *Core) forward(r admission.Request) {
-	to := c.servedPeer()
+	to := c.bestServedPeer()
 	if r.Spec != nil && len(r.Spec.Awaits) > 0 && c.peers.Release(to) < peering.ReleaseDependencies {
 		to = "" // it would start the job at once
 	}
 	if c.forwarder.IsRemote(r.ID) || to == "" || c.forwarder.Full() {
-		c.unavailable(r.ID, "state service does not answer")
+		c.replyUnavailable(r.ID, "state service does not answer")
 		return
 	}
 	id := c.forwarder.Send(c.now, r.ID)
@@ -156,10 +156,10 @@
 		c.membership.VoteReceived(from, received.Node, received.Seat)
 	case ReleaseRequest:
 		if shard := c.owned[received.Block]; shard != nil && shard.assignment == received.Grant {
-			c.release(shard, "the leader asks for it")
+			c.releaseShard(shard, "the leader asks for it")
 		}
 	case ReplicationMessage:
-		c.receiveStarts(from, received)
+		c.receiveReplication(from, received)
 	case ReplicationAck:
 		if shard := c.owned[received.Block]; shard != nil {
 			shard.replication.OnAck(now, from, received)
@@ -167,9 +167,9 @@
 	case SnapshotMessage:
 		c.transfers.Receive(received)
 	case ForwardedRequest:
-		c.onForwarded(from, received)
+		c.onForwardedRequest(from, received)
 	case ForwardedResponse:
-		c.onForwardedAnswer(received)
+		c.onForwardedResponse(received)
 	}
 }
 
@@ -197,8 +197,8 @@
 	}
 }
 
-// onForwarded serves a user's request that another controller has forwarded.
-func (c *Core) onForwarded(from string, ask ForwardedRequest) {
+// onForwardedRequest serves a user's request that another controller has forwarded.
+func (c *Core) onForwardedRequest(from string, ask ForwardedRequest) {
 	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Sane() {
 		return
 	}
@@ -218,8 +218,8 @@
 	}
 }
 
-// onForwardedAnswer answers a user whose request another controller has served.
-func (c *Core) onForwardedAnswer(answer ForwardedResponse) {
+// onForwardedResponse answers a user whose request another controller has served.
+func (c *Core) onForwardedResponse(answer ForwardedResponse) {
 	request, ok := c.forwarder.Answered(answer.ID)
 	if !ok {
 		return
@@ -248,9 +248,9 @@
 	c.emit(SendPeer{origin.Node, answer})
 }
 
-// unservedReadyFor is how long after the state service's last answer a controller is ready whatever
+// readyWithoutState is how long after the state service's last answer a controller is ready whatever
 // the others say.
-const unservedReadyFor = 3 * units.Second
+const readyWithoutState = 3 * units.Second
 
 // Ready reports whether this controller can take requests. Where the state service
 // serves nobody, going unready would help no user and would keep the load
@@ -261,7 +261,7 @@
 	if !c.cache.Loaded() || len(c.types) == 0 || c.retiringSince != 0 {
 		return false
 	}
-	return c.stateAge() < unservedReadyFor || c.peers.AnyAlive(c.now)
+	return c.stateAge() < readyWithoutState || c.peers.AnyAlive(c.now)
 }
 
 // Answer answers a health check or another request that needs no decision.
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -45,7 +45,7 @@
 func (h provisionerHost) Types() map[string]*fleet.Type { return h.types }
 
 // Calls implements provisioner.Host.
-func (h provisionerHost) Calls() float64 { return h.cfg.CloudRate * h.cloudPart }
+func (h provisionerHost) Calls() float64 { return h.cfg.CloudRate * h.cloudFraction }
 
 // Provisioned implements provisioner.Host.
 func (h provisionerHost) Provisioned(request string, record fleet.Record, names []string) {
@@ -98,9 +98,9 @@
 // CompatibleTypes implements demand.Host.
 func (h provisionerHost) CompatibleTypes(spec *jobs.Spec) []string { return h.compatibleTypes(spec) }
 
-// ownedUnder returns the shard that an answer is for, if it is still owned under the same version of
+// ownedWithAssignment returns the shard that an answer is for, if it is still owned under the same version of
 // its assignment.
-func (c *Core) ownedUnder(number int, assignment uint64) *ownedShard {
+func (c *Core) ownedWithAssignment(number int, assignment uint64) *ownedShard {
 	if shard := c.owned[number]; shard != nil && shard.assignment == assignment && shard.ready {
 		return shard
 	}
@@ -111,7 +111,7 @@
 // are found by their heartbeats and in the list.
 func (c *Core) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
 	c.advance(now)
-	if shard := c.ownedUnder(request.Shard, request.Assignment); shard != nil {
+	if shard := c.ownedWithAssignment(request.Shard, request.Assignment); shard != nil {
 		shard.provisioner.OnScaleOut(c.now, request, outcome, names)
 	}
 }
@@ -119,7 +119,7 @@
 // OnScaleIn takes the outcome of a request to delete machines.
 func (c *Core) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
 	c.advance(now)
-	if shard := c.ownedUnder(request.Shard, request.Assignment); shard != nil {
+	if shard := c.ownedWithAssignment(request.Shard, request.Assignment); shard != nil {
 		shard.provisioner.OnScaleIn(c.now, request, outcome)
 	}
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -19,7 +19,7 @@
 }
 
 // Guarded implements reconcile.Host.
-func (h reconcileHost) Guarded(check guard.Guard) bool { return h.guarded(check) }
+func (h reconcileHost) Guarded(check guard.Guard) bool { return h.guardEnabled(check) }
 
 // Assignment implements reconcile.Host.
 func (h reconcileHost) Assignment() uint64 { return h.shard.assignment }
@@ -121,7 +121,7 @@
 // OnProbe takes a machine's answer to a probe.
 func (c *Core) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	c.advance(now)
-	if shard := c.ownedUnder(probe.Shard, probe.Assignment); shard != nil {
+	if shard := c.ownedWithAssignment(probe.Shard, probe.Assignment); shard != nil {
 		shard.reconciler.OnProbe(c.now, probe, outcome, answer)
 	}
 }
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -79,7 +79,7 @@
 
 // OnProbe takes a machine's answer to a probe; answer is nil if there is none. It counts only while
 // nothing was started there under this assignment: a start may be on its way to the machine that
-// the answer does not show yet (TestProbeAnswerBesideStart).
+// the answer does not show yet (TestStaleProbeAnswerKeepsStart).
 func (r *Reconciler) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	r.probes.inFlight--
 	machine := r.machines[probe.Machine]
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -27,17 +27,17 @@
 	shard *ownedShard
 }
 
-// startReply is the response to a heartbeat, with something to start.
-type startReply struct {
-	req    RequestID
-	orders HeartbeatResponse
+// deferredResponse is the response to a heartbeat, with something to start.
+type deferredResponse struct {
+	request  RequestID
+	response HeartbeatResponse
 }
 
 // Candidate implements replication.Host. A zone that is lost takes all in it with it: whoever
 // follows is in another one, where that can be.
 func (f replicationHost) Candidate() string {
 	best, bestCost := "", 4
-	names := f.everyone()
+	names := f.controllerNames()
 	at := slices.Index(names, f.cfg.Node)
 	for i := range names {
 		n := names[(at+i)%len(names)]
@@ -115,18 +115,18 @@
 
 // Answer implements replication.Host.
 func (f replicationHost) Answer(a any, ok bool) {
-	x := a.(startReply)
+	x := a.(deferredResponse)
 	if ok && f.owned[f.shard.number] == f.shard && f.Owns(f.now, f.shard.number) {
-		f.reply(x.req, http.StatusOK, x.orders)
+		f.reply(x.request, http.StatusOK, x.response)
 		return
 	}
-	f.reply(x.req, http.StatusServiceUnavailable, Problem{"no authority at present"})
+	f.reply(x.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
 // answerHeartbeat answers a heartbeat. A response that starts something waits until the standby knows.
 func (c *Core) answerHeartbeat(shard *ownedShard, m *fleet.Machine, req RequestID, o HeartbeatResponse) {
 	starts := slices.ContainsFunc(o.Commands, func(x fleet.Command) bool { return x.Op == fleet.Start })
-	if !starts || !c.guarded(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, m.Name, startReply{req, o}) {
+	if !starts || !c.guardEnabled(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, m.Name, deferredResponse{req, o}) {
 		c.reply(req, http.StatusOK, o)
 	}
 }
--- a/internal/core/retire.go
+++ b/internal/core/retire.go
@@ -5,9 +5,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// retireWithin is how long a controller that ends on purpose may take to pass on what it
+// retireTimeout is how long a controller that ends on purpose may take to pass on what it
 // owns.
-const retireWithin = 3 * units.Second
+const retireTimeout = 3 * units.Second
 
 // Retire has this controller give up all that it owns, as its process is about to end on
 // purpose. Users' requests are still answered, and workers sent on.
@@ -18,7 +18,7 @@
 		c.log.Info("retiring", "shards", len(c.owned))
 	}
 	for _, shard := range sortedShards(c.owned) {
-		c.release(c.owned[shard], "this controller is about to end")
+		c.releaseShard(c.owned[shard], "this controller is about to end")
 	}
 }
 
@@ -32,7 +32,7 @@
 		return false
 	case len(c.owned) > 0:
 		c.emptySince = 0
-		return now-c.retiringSince > retireWithin
+		return now-c.retiringSince > retireTimeout
 	case c.emptySince == 0:
 		c.emptySince = c.now
 	}
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -21,7 +21,7 @@
 func (c rollbackHost) StateRolledBack() {
 	c.config.Reloaded()
 	c.cancellations.StateRolledBack(c.now)
-	c.suspectCommits()
+	c.suspectRollback()
 	c.archive.RolledBack()
 	c.transfers.StateRolledBack()
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -56,9 +56,9 @@
 
 func sortedShards(m map[int]*ownedShard) []int { return slices.Sorted(maps.Keys(m)) }
 
-// own begins to own a shard. Heartbeats are answered once a read that began
+// acquireShard begins to acquireShard a shard. Heartbeats are answered once a read that began
 // after the assignment was stored has shown everything that earlier owners stored.
-func (c *Core) own(k int, g shardplan.Assignment) {
+func (c *Core) acquireShard(k int, g shardplan.Assignment) {
 	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction)}
 	shard.quota = quota.New(quotaHost{c, shard})
@@ -75,18 +75,18 @@
 	c.zones.ShardAcquired()
 	c.log.Info("shard owned", "shard", k, "token", shard.fencingToken)
 	c.setRates()
-	c.rebuild(shard)
+	c.loadShard(shard)
 }
 
-// rebuild reads what a shard has, until that works.
-func (c *Core) rebuild(shard *ownedShard) {
+// loadShard reads what a shard has, until that works.
+func (c *Core) loadShard(shard *ownedShard) {
 	c.readFresh(func(ok bool) {
 		switch {
 		case c.owned[shard.number] != shard: // released or lost meanwhile
 		case ok:
 			c.takeOver(shard)
 		default:
-			c.rebuild(shard)
+			c.loadShard(shard)
 		}
 	})
 }
@@ -136,10 +136,10 @@
 	}
 }
 
-// release gives a shard up while this node's membership stands, so that the leader
+// releaseShard gives a shard up while this node's membership stands, so that the leader
 // can assign it to another. Nothing is answered from now on, whether or not the
-// release gets stored soon.
-func (c *Core) release(shard *ownedShard, why string) {
+// releaseShard gets stored soon.
+func (c *Core) releaseShard(shard *ownedShard, why string) {
 	if shard.releasing {
 		return
 	}
@@ -182,9 +182,9 @@
 	shard.scheduler.Add(j)
 }
 
-// jobOver forgets a job that is done or cancelled. Its tasks on machines keep
+// jobFinished forgets a job that is done or cancelled. Its tasks on machines keep
 // counting against the team until the machines' heartbeats no longer show them.
-func (shard *ownedShard) jobOver(c *Core, j *jobs.Job, s jobs.Status) {
+func (shard *ownedShard) jobFinished(c *Core, j *jobs.Job, s jobs.Status) {
 	shard.dropJob(j)
 	spec := j.Spec()
 	c.log.Info("job over", "job", j.ID, "status", s, "class", spec.Class, "tasks", spec.Tasks,
@@ -207,26 +207,26 @@
 		return
 	}
 	if c.retiringSince != 0 {
-		c.release(shard, "this controller is about to end")
+		c.releaseShard(shard, "this controller is about to end")
 		return
 	}
 	if !c.Owns(c.now, shard.number) {
 		return
 	}
 	if authority.AttemptsUsedUp(shard.attempts) { // after some 16.8 million starts; the next assignment has numbers of its own
-		c.release(shard, "the attempt numbers of its assignment are used up")
+		c.releaseShard(shard, "the attempt numbers of its assignment are used up")
 		return
 	}
 	if c.unreachable(shard) {
 		c.reachability.ShardsReleased(c.now)
 		for _, k := range sortedShards(c.owned) {
-			c.release(c.owned[k], "no worker can reach this node")
+			c.releaseShard(c.owned[k], "no worker can reach this node")
 		}
 		return
 	}
 	if shard.scheduler.Tick() {
 		for _, j := range shard.scheduler.Jobs() {
-			if j.AllFinished() && c.guarded(guard.CompleteAgain) {
+			if j.AllFinished() && c.guardEnabled(guard.CompleteAgain) {
 				// Not only when its last task ends: an earlier owner may have
 				// stored that and ended before it could store the job's end.
 				shard.writer.CloseJob(j)
@@ -266,8 +266,8 @@
 	c.queues[UserQueue].Rate = c.cfg.WriteRate / float64(2*c.cfg.Size)
 	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * part
 	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * archive.WriteShare
-	if part != c.cloudPart {
-		c.cloudPart = part
+	if part != c.cloudFraction {
+		c.cloudFraction = part
 		c.emit(CloudBudget{part})
 	}
 }
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -16,17 +16,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestMachineAgeOutlivesOwner has a new holder take over a machine that was
+// TestMachineAgeSurvivesTakeover has a new holder take over a machine that was
 // rented long ago. Taken for new, it would be kept idle for its least charge once
 // more: with a hand-over a minute nothing was returned at all.
-func TestMachineAgeOutlivesOwner(t *testing.T) {
+func TestMachineAgeSurvivesTakeover(t *testing.T) {
 	c := New(Config{Node: "a", Size: 1, TxnOps: 8, ValueKB: 8, StateRate: 100, WriteRate: 50,
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second})
 	now, wall := units.Second, 1000*units.Second
 	c.Tick(now, wall)
 	g := fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}, ProvisionedAt: wall - 400*units.Second}
 	c.OnList(now, List{}, store.OK, 5, []store.Event{{Key: machinePrefix + "r-1", Value: store.Value(g), Stamp: 3}}, false)
-	c.own(0, shardplan.Assignment{Version: 4})
+	c.acquireShard(0, shardplan.Assignment{Version: 4})
 	c.Drain()
 	c.OnChanges(now, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
 	m := c.owned[0].reconciler.Machine("n-1")
@@ -43,7 +43,7 @@
 		names = append(names, fmt.Sprintf("n-%d", i))
 	}
 	for heard, want := range map[int]int{0: 0, 1: 0, 3: 6} {
-		c := holding(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names}})
+		c := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names}})
 		c.cfg.Zones, c.cfg.Lease = []string{"z"}, 60*units.Second
 		returned := map[string]bool{}
 		for i := range 200 {
@@ -67,12 +67,12 @@
 	}
 }
 
-// TestDeprovisionedMachineIsNotWaitedFor has machines taken, or returned, while nothing could
+// TestUnlistedMachinesAreGivenUp has machines taken, or returned, while nothing could
 // be stored of it. The list does not show them, so that their addresses are not known and
 // they were never asked: all work that was accepted earlier waited 10 s for them, and 14 s
 // for many. One that is too young to be listed is waited for, and so are all where a list
 // shows hardly any.
-func TestDeprovisionedMachineIsNotWaitedFor(t *testing.T) {
+func TestUnlistedMachinesAreGivenUp(t *testing.T) {
 	names := []string{"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	for _, test := range []struct {
 		gone   int // the last ones
@@ -80,7 +80,7 @@
 		want   int
 	}{{1, 100 * units.Second, 1}, {3, 100 * units.Second, 3}, {3, 2 * units.Second, 0}, {5, 100 * units.Second, 0}} {
 		lives := len(names) - test.gone
-		k := holding(t, map[string]any{
+		k := newOwner(t, map[string]any{
 			machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names[:lives], ProvisionedAt: 900 * units.Second},
 			machinePrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[lives:], ProvisionedAt: 1000*units.Second - test.rented},
 		})
@@ -111,13 +111,13 @@
 	}
 }
 
-// TestFullMemory has memory run full, here and at another controller: new jobs are sent away
+// TestFullMemoryRefusesNewJobs has memory run full, here and at another controller: new jobs are sent away
 // with when to come back, known ones are answered as ever, and once there is room again, or
 // the other is heard no more, the next is taken.
-func TestFullMemory(t *testing.T) {
-	core := holding(t, map[string]any{jobPrefix + "wk-000001": pending(job())})
+func TestFullMemoryRefusesNewJobs(t *testing.T) {
+	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": pendingRecord(testSpec())})
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
-	spec := job()
+	spec := testSpec()
 	submit := func(req RequestID, id string) { core.Submit(core.now, req, id, spec, "") }
 	for i, set := range []func(full bool){core.SetMemoryFull, func(full bool) { core.OnPeer(core.now, "b", PeerStatus{Full: full}) }} {
 		set(true)
@@ -165,13 +165,13 @@
 	}
 }
 
-// TestSlowBoot has a job wait for a machine that does not come up. It waited for as
+// TestSlowBootProvisionsAnotherMachine has a job wait for a machine that does not come up. It waited for as
 // long as the slowest machines take, 160 s: no other was rented for it.
-func TestSlowBoot(t *testing.T) {
+func TestSlowBootProvisionsAnotherMachine(t *testing.T) {
 	for rented, want := range map[units.Microseconds]bool{5 * units.Second: false, 25 * units.Second: true} {
-		c := holding(t, map[string]any{
+		c := newOwner(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}, ProvisionedAt: 1000*units.Second - rented},
-			jobPrefix + "wk-000001": pending(job()),
+			jobPrefix + "wk-000001": pendingRecord(testSpec()),
 		})
 		rents := false
 		for range 10 {
@@ -187,15 +187,15 @@
 	}
 }
 
-// TestAssignmentBeforeMembershipIsAnswered has the leader see a controller's new seat, and grant
+// TestAssignmentBeforeMembershipAnswer has the leader see a controller's new seat, and grant
 // it the block, before the state service's answer has come to the controller. It
 // missed the grant and held nothing as long as its seat stood: no work started,
 // though everything worked (rehearsals/drawn.toml, seed 407).
-func TestAssignmentBeforeMembershipIsAnswered(t *testing.T) {
+func TestAssignmentBeforeMembershipAnswer(t *testing.T) {
 	core := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * units.Second,
 		Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CancelWithin: 40 * units.Second})
 	core.Tick(units.Second, 1000*units.Second)
-	core.OnList(core.now, List{}, store.OK, 100, []store.Event{{Key: leaderKeyFirst, Value: store.Value(authority.LeaderRecord{Term: 1, Node: "b", MemberID: 9}), Stamp: 10}}, false)
+	core.OnList(core.now, List{}, store.OK, 100, []store.Event{{Key: leaderKey, Value: store.Value(authority.LeaderRecord{Term: 1, Node: "b", MemberID: 9}), Stamp: 10}}, false)
 	core.Drain()
 	core.Tick(core.now+TickInterval, core.wall+TickInterval)
 	core.Drain()
@@ -221,13 +221,13 @@
 	}
 }
 
-// TestLostWritesAreWrittenAgain has the state service go back behind what it has
+// TestRollbackRewritesLostRecords has the state service go back behind what it has
 // answered. The holder notices it by a revision, keeps what it knows, writes it again
 // under the versions that are there now, and neither forgets a job nor takes back an end.
-func TestLostWritesAreWrittenAgain(t *testing.T) {
+func TestRollbackRewritesLostRecords(t *testing.T) {
 	done := jobs.Record{Status: jobs.Done, Tasks: 1}
-	early, late := pending(job()), pending(job())
-	core := holding(t, map[string]any{jobPrefix + "wk-000001": early, machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}})
+	early, late := pendingRecord(testSpec()), pendingRecord(testSpec())
+	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": early, machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}})
 	core.OnChanges(core.now, Watch{After: 101}, store.OK, 120, []store.Event{
 		{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Node: "a", MemberID: 1}), Stamp: 105},
 		{Key: jobPrefix + "wk-000002", Value: store.Value(late), Stamp: 110},
@@ -285,9 +285,9 @@
 	}
 }
 
-// holding returns a controller that holds the first block and has read some
+// newOwner returns a controller that holds the first block and has read some
 // records.
-func holding(t testing.TB, values map[string]any) *Core {
+func newOwner(t testing.TB, values map[string]any) *Core {
 	t.Helper()
 	core := New(Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, NextWriteRate: 20, Teams: []Team{{Name: "t"}},
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CloudRate: 5,
@@ -327,9 +327,9 @@
 
 // While the copy is taken anew it shows blocks as of another time than seats: a leader gives
 // nothing away until it is whole again.
-func TestTornCopy(t *testing.T) {
-	core := holding(t, nil)
-	serve(t, core, map[string]store.Event{})
+func TestLeaderWaitsForCompleteCache(t *testing.T) {
+	core := newOwner(t, nil)
+	serveState(t, core, map[string]store.Event{})
 	if !core.election.Leads() {
 		t.Fatal("nobody leads")
 	}
@@ -351,7 +351,7 @@
 	}
 	core.OnChanges(core.now, Watch{After: core.cache.Revision}, store.Failed, 0, nil, true)
 	// A page of the new listing: the block is another's, whose seat is on a later one.
-	core.learn(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 7, Node: "b", MemberID: 1 << 50}), Stamp: 1 << 51})
+	core.applyEvent(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 7, Node: "b", MemberID: 1 << 50}), Stamp: 1 << 51})
 	if n := commits(); n > 0 {
 		t.Errorf("%d transactions of a leader whose copy is not whole", n)
 	}
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -71,8 +71,8 @@
 // TaskFinished implements transfer.Host.
 func (h transferHost) TaskFinished(job *jobs.Job, task int) { h.shard.writer.TaskFinished(job, task) }
 
-// learnStandby takes who stands by for the owner of a shard.
-func (c *Core) learnStandby(e store.Event) error {
+// applyStandby takes who stands by for the owner of a shard.
+func (c *Core) applyStandby(e store.Event) error {
 	shard, err := keys.Shard(e.Key, keys.StandbyPrefix)
 	if err != nil {
 		return err
@@ -94,8 +94,8 @@
 	return c.transfers.StandbyOf(shard, authority.FencingToken(last.Term, last.Number))
 }
 
-// receiveStarts takes what the owner of a shard has started.
-func (c *Core) receiveStarts(from string, m ReplicationMessage) {
+// receiveReplication takes what the owner of a shard has started.
+func (c *Core) receiveReplication(from string, m ReplicationMessage) {
 	if m.Block < 0 || m.Block >= keys.MaxShards || c.shardRecords.Assignment(m.Block).Node != from {
 		return
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -11,8 +11,8 @@
 
 // tickTypes reads the price list, on every controller that needs it.
 func (c *Core) tickTypes() {
-	if (c.election.Leads() || len(c.owned) > 0) && c.now >= c.typesAt {
-		c.typesAt = c.now + 20*units.Second
+	if (c.election.Leads() || len(c.owned) > 0) && c.now >= c.nextTypeFetchAt {
+		c.nextTypeFetchAt = c.now + 20*units.Second
 		c.emit(FetchTypes{})
 	}
 }
@@ -22,7 +22,7 @@
 func (c *Core) OnTypes(now units.Microseconds, o store.Outcome, types []fleet.Type) {
 	c.advance(now)
 	if o != store.OK {
-		c.typesAt = now + 2*units.Second
+		c.nextTypeFetchAt = now + 2*units.Second
 		return
 	}
 	for _, t := range types {
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -42,7 +42,7 @@
 		busy.names = append(busy.names, g.Up...)
 		values[fmt.Sprintf("%sr-%05d", machinePrefix, i)] = g
 	}
-	busy.core = holding(tb, values)
+	busy.core = newOwner(tb, values)
 	busy.shard = busy.core.owned[0]
 	busy.core.cfg.Teams = nil
 	for i := range teams {
@@ -75,7 +75,7 @@
 	if !here {
 		r.Spec.AnyType, r.Spec.Types, r.Spec.Priority = false, []string{"other"}, jobs.High
 	}
-	f.core.learn(store.Event{Key: jobPrefix + id, Value: r.Encode(), Stamp: uint64(200 + f.jobs)})
+	f.core.applyEvent(store.Event{Key: jobPrefix + id, Value: r.Encode(), Stamp: uint64(200 + f.jobs)})
 }
 
 // heartbeat has the next machine finish a task, and be given others.
@@ -92,7 +92,7 @@
 		j.Finish(id.Task, c.jobs.Layout())
 		shard.reconciler.Remove(c.now, machine, id)
 		if j.AllFinished() {
-			c.learn(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
+			c.applyEvent(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
 			f.submit(true)
 		}
 	}
@@ -194,9 +194,9 @@
 			}
 			from := processorTime(b)
 			for b.Loop() {
-				c := holding(b, nil)
+				c := newOwner(b, nil)
 				for _, e := range items {
-					c.learn(e)
+					c.applyEvent(e)
 				}
 			}
 			b.ReportMetric(float64(processorTime(b)-from)/float64(b.N)/1e6, "cpu-ms/op")
--- a/internal/core/learn.go
+++ b/internal/core/watchcache.go
@@ -19,7 +19,7 @@
 func (c cacheHost) Emit(e any) { c.emit(e) }
 
 // Learn implements watchcache.Host.
-func (c cacheHost) Learn(e store.Event) { c.learn(e) }
+func (c cacheHost) Learn(e store.Event) { c.applyEvent(e) }
 
 // Removed implements watchcache.Host.
 func (c cacheHost) Removed(key string) {
@@ -72,28 +72,28 @@
 	}
 }
 
-// learn takes one change of the copy. Records that cannot be read are logged
+// applyEvent takes one change of the copy. Records that cannot be read are logged
 // and skipped: they end no process.
-func (c *Core) learn(event store.Event) {
+func (c *Core) applyEvent(event store.Event) {
 	c.rollback.Note(event)
 	var err error
 	switch {
-	case event.Key == leaderKeyFirst || event.Key == keys.LeaderSinceArchive:
+	case event.Key == leaderKey || event.Key == keys.LeaderSinceArchive:
 		err = c.election.Learn(event)
 	case event.Key == keys.ArchiveMark:
 		err = c.archive.LearnMark(event)
 	case strings.HasPrefix(event.Key, memberPrefix):
 		err = c.membership.Learn(c.now, event.Key[len(memberPrefix):], event)
 	case strings.HasPrefix(event.Key, assignmentPrefix):
-		err = c.learnAssignment(event)
+		err = c.applyAssignment(event)
 	case strings.HasPrefix(event.Key, configPrefix):
 		err = c.config.Learn(c.now, event)
 	case strings.HasPrefix(event.Key, overridePrefix):
-		err = c.learnOverride(event)
+		err = c.applyOverride(event)
 	case strings.HasPrefix(event.Key, standbyPrefix):
-		err = c.learnStandby(event)
+		err = c.applyStandby(event)
 	case strings.HasPrefix(event.Key, allocationPrefix):
-		err = c.learnAllocation(event)
+		err = c.applyAllocation(event)
 	case event.Key == termKey:
 		err = c.election.LearnTerm(event)
 	case strings.HasPrefix(event.Key, jobPrefix):
@@ -103,16 +103,16 @@
 	case strings.HasPrefix(event.Key, progressPrefix):
 		err = c.jobs.LearnProgress(event.Key[len(progressPrefix):], event)
 	case strings.HasPrefix(event.Key, machinePrefix):
-		err = c.learnMachines(event.Key, event)
+		err = c.applyMachineGroup(event.Key, event)
 	case strings.HasPrefix(event.Key, typePrefix), strings.HasPrefix(event.Key, keys.TypePrefixWithArchive):
-		err = c.learnType(event)
+		err = c.applyType(event)
 	}
 	if err != nil {
 		c.log.Error("unusable record", "key", event.Key, "err", err)
 	}
 }
 
-func (c *Core) learnMachines(key string, e store.Event) error {
+func (c *Core) applyMachineGroup(key string, e store.Event) error {
 	if old, ok := c.machineGroups[key]; ok {
 		delete(c.machineGroups, key)
 		for _, n := range slices.Concat(old.Up, old.Booting) {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (c *Core) learnType(e store.Event) error {
+func (c *Core) applyType(e store.Event) error {
 	if e.Value == nil {
 		return nil
 	}
