--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -9,8 +9,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Submit takes a submission. malformed, if any, says why its body is: that matters only if the
-// job is not known, as a known job is always answered with its state.
+// Submit handles the submission of a job. malformed says why the body is invalid, or is empty. It matters
+// only if the job is not known: a known job is always answered with its state.
 func (c *Core) Submit(now units.Microseconds, req RequestID, id string, spec *jobs.Spec, malformed string) {
 	c.advance(now)
 	c.admission.Submit(admission.Request{ID: req, Kind: admission.Submit, Job: id, Spec: spec, Malformed: malformed})
@@ -22,25 +22,26 @@
 	c.admission.Query(req, id)
 }
 
-// Cancel cancels a job and answers once that is stored.
+// Cancel cancels a job and answers once the cancellation is stored.
 func (c *Core) Cancel(now units.Microseconds, req RequestID, id string) {
 	c.advance(now)
 	c.admission.Cancel(req, id)
 }
 
-// SetMemoryFull says whether this process's memory is nearly full.
+// SetMemoryFull records whether this process's memory is nearly full.
 func (c *Core) SetMemoryFull(full bool) { c.admission.SetMemoryFull(full, c.jobs.Len()) }
 
+// reply answers a request with a status code and a body.
 func (c *Core) reply(req RequestID, code int, body any) {
 	c.send(Reply{Request: req, Code: code, Body: body})
 }
 
-// replyUnavailable tells a user at once that the request could not be taken.
-func (c *Core) replyUnavailable(req RequestID, why string) {
-	admissionHost{c}.Refuse(req, admission.NotNow(why))
+// replyUnavailable refuses a request for the moment and tells the user to retry later.
+func (c *Core) replyUnavailable(req RequestID, reason string) {
+	admissionHost{c}.Refuse(req, admission.NotNow(reason))
 }
 
-// admissionHost is what admission needs of this controller.
+// admissionHost implements admission.Host: it gives the admission of jobs access to this controller.
 type admissionHost struct{ *Core }
 
 var _ admission.Host = admissionHost{}
@@ -85,8 +86,8 @@
 // WallClock implements admission.Host.
 func (c admissionHost) WallClock() units.Microseconds { return c.wall }
 
-// TeamLimit implements admission.Host. A team that was removed from the configuration keeps its
-// limit for the jobs that it has, and gets no others.
+// TeamLimit implements admission.Host. A team that was removed from the configuration keeps its limit for the
+// jobs that it already has. New jobs of the team are refused.
 func (c admissionHost) TeamLimit(name string) (binpack.Vec, bool) {
 	team := c.teams[name]
 	if team == nil || team.Removed != 0 {
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -22,19 +22,19 @@
 	ScanKeys = archive.Scan
 )
 
-// TermKey and ArchiveKey are keys whose values a restore has to change.
+// TermKey and ArchiveKey are the keys whose values a restore from a backup has to change.
 const (
 	TermKey    = keys.Term
 	ArchiveKey = keys.ArchiveMark
 )
 
-// IsLeased reports whether a key and its value belong to a controller's lease: with
-// that they are gone.
-func IsLeased(e store.Event) bool {
-	return strings.HasPrefix(e.Key, keys.MemberPrefix) || e.Key == keys.LeaderSinceArchive || e.Key == keys.Leader && !election.Excludes(e.Value)
+// IsLeased reports whether a record is attached to a controller's lease, so that it is deleted when the lease
+// ends.
+func IsLeased(event store.Event) bool {
+	return strings.HasPrefix(event.Key, keys.MemberPrefix) || event.Key == keys.LeaderSinceArchive || event.Key == keys.Leader && !election.Excludes(event.Value)
 }
 
-// typeKey is where a machine type is stored.
+// typeKey returns the key under which a machine type is stored.
 func (c *Core) typeKey(name string) string {
 	if c.archive.Index().On() {
 		return keys.TypePrefixWithArchive + name
@@ -42,31 +42,30 @@
 	return keys.TypePrefix + name
 }
 
-// incompatible reports whether a controller runs a release that cannot find archived jobs, or
-// does not go by the configuration that is stored.
+// incompatible reports whether another controller runs a release that cannot find archived jobs, while there
+// are some, or that ignores the stored configuration, while there is one.
 func (c *Core) incompatible(node string) bool {
 	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
-// OnKey takes a bucket that was read; a nil value: it is not stored. rev is the
-// service's revision where it told one, else 0.
-func (c *Core) OnKey(now units.Microseconds, r ReadKey, o store.Outcome, value []byte, stamp, rev uint64) {
+// OnKey handles the answer to a ReadKey. value is nil if the bucket is not stored. rev is the state service's
+// revision if the answer had one, else 0.
+func (c *Core) OnKey(now units.Microseconds, read ReadKey, outcome store.Outcome, value []byte, stamp, rev uint64) {
 	c.advance(now)
-	o = c.noteOutcome(o)
-	if rev > 0 && c.cache.RolledBack(rev, r.Known) {
-		o = store.Unknown
+	outcome = c.noteOutcome(outcome)
+	if rev > 0 && c.cache.RolledBack(rev, read.Known) {
+		outcome = store.Unknown
 	}
-	c.archive.OnRead(now, r, o, value, stamp)
+	c.archive.OnRead(now, read, outcome, value, stamp)
 }
 
-// OnScan takes some buckets.
-func (c *Core) OnScan(now units.Microseconds, s ScanKeys, o store.Outcome, items []store.Event, more bool) {
+// OnScan handles the answer to a ScanKeys. more reports whether further buckets follow.
+func (c *Core) OnScan(now units.Microseconds, scan ScanKeys, outcome store.Outcome, items []store.Event, more bool) {
 	c.advance(now)
-	c.archive.OnScan(now, s, c.noteOutcome(o), items, more)
+	c.archive.OnScan(now, scan, c.noteOutcome(outcome), items, more)
 }
 
-// archiveHost is what this controller does for the archive of finished jobs, and what that
-// depends on.
+// archiveHost implements archive.Host: it gives the archive of finished jobs access to this controller.
 type archiveHost struct{ *Core }
 
 // Emit implements archive.Host.
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// cancellationsHost is what learning another controller's cancellations needs of this one.
+// cancellationsHost implements cancellations.Host: it applies cancellations that other controllers report.
 type cancellationsHost struct{ *Core }
 
 // Job implements cancellations.Host.
@@ -19,7 +19,7 @@
 // Learn implements cancellations.Host.
 func (c cancellationsHost) Learn(record store.Event) { c.cache.Learn(record) }
 
-// cancellationsFor answers a controller that asks for a peer lease.
+// cancellationsFor returns the cancellations to send to a controller that requests a peer lease.
 func (c *Core) cancellationsFor(status PeerStatus) cancellations.Update {
 	if status.Release < peering.ReleaseCancellations {
 		return cancellations.Update{}
@@ -28,11 +28,12 @@
 	return c.cancellations.UpdateFor(c.now, status.Known, c.cache.LoadRevision(), c.cache.Revision, complete)
 }
 
-// receiveCancellations takes such an answer. When it was asked for counts only where this process has
-// asked: a membership is one process's, and clocks begin anew with each.
+// receiveCancellations handles the cancellations in a peer lease grant. The time at which the lease was
+// requested counts only if this process requested it, that is, if the membership matches: clocks restart with
+// each process.
 func (c *Core) receiveCancellations(from string, promise PeerLeaseGrant) {
-	understood := cancellations.Learn(cancellationsHost{c}, c.log, from, promise.Told.List)
-	if understood && promise.Seat != 0 && promise.Seat == c.membership.ID() {
+	decoded := cancellations.Learn(cancellationsHost{c}, c.log, from, promise.Told.List)
+	if decoded && promise.Seat != 0 && promise.Seat == c.membership.ID() {
 		c.cancellations.Receive(c.now, from, promise.Sent, promise.Told, c.cache.Revision)
 	}
 }
--- a/internal/core/commits.go
+++ b/internal/core/commits.go
@@ -7,8 +7,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// OnCommit takes a transaction's outcome. What was put is known at once. An answer that
-// comes after the copy has shown what became of the transaction changes nothing.
+// OnCommit handles a transaction's outcome. The changes of a committed transaction enter the watch cache at
+// once. An answer that arrives after the watch cache has shown the transaction's outcome has no effect.
 func (c *Core) OnCommit(now units.Microseconds, queue QueueID, txn *store.Txn, outcome store.Outcome, revision uint64, failed []string) {
 	c.advance(now)
 	outcome = c.noteOutcome(outcome)
@@ -16,14 +16,15 @@
 		return
 	}
 	if outcome == store.OK {
-		c.cache.Committed(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // buckets are in no copy
+		c.cache.Committed(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // archive buckets are not cached
 	} else {
 		c.readFresh(nil)
 	}
 	c.queues[queue].Finish(now, outcome, revision, failed)
 }
 
-// observeCommits looks for transactions under way among changes that the copy has taken.
+// observeCommits looks for the changes of in-flight transactions among the events that the watch cache has
+// applied.
 func (c *Core) observeCommits(events []store.Event) {
 	if c.cache.Recovering() {
 		return
@@ -33,16 +34,16 @@
 	}
 }
 
-// resolveCommits ends the transactions that the copy has shown to be carried out and whose
-// answers are late, and has the copy read for those that it has not shown. These reads keep
-// to the pace of all others.
+// resolveCommits resolves in-doubt transactions, whose answers are late. It ends those that the watch cache
+// has shown to be committed, and requests a fresh read for the others. These reads are rate-limited like all
+// others.
 func (c *Core) resolveCommits() {
 	if c.cache.Recovering() {
 		return
 	}
 	for _, queue := range c.queues {
 		if txn := queue.Conclude(c.now); txn != nil {
-			c.log.Debug("a transaction's answer is late, its changes are stored", "first", txn.Changes[0].Key)
+			c.log.Debug("transaction answer is late; the watch cache shows that it was committed", "first", txn.Changes[0].Key)
 			c.emit(Abandon{txn})
 		} else if queue.ReadDue(c.now) {
 			c.readFresh(nil)
@@ -50,7 +51,8 @@
 	}
 }
 
-// suspectRollback says that revisions may be given out again.
+// suspectRollback tells the queues that the state service was rolled back and may assign revisions again, so
+// that a revision no longer proves that a transaction was committed.
 func (c *Core) suspectRollback() {
 	for _, queue := range c.queues {
 		queue.SuspectRollback()
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -12,14 +12,15 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Teams, their limits and the objectives may change while the service runs: package
-// configuration keeps the versions, and this file connects it with the rest of the core.
+// Teams, their limits and the objectives may change at run time. Package configuration keeps the versions,
+// and this file connects it to the rest of the core.
 
 const configPrefix = keys.ConfigPrefix
 
-// MaxOverQuotaBytes bounds the bytes that a status spends on teams above their share of a shard: half of a
-// frame between controllers, as without statuses a controller loses its authority. It holds 481
-// teams with names of the greatest length. Beyond it the shard's use counts as not known.
+// MaxOverQuotaBytes bounds the bytes that a status spends on teams above their quota allocation in a shard.
+// It is half of a frame between controllers, as a controller that cannot send its status loses its authority.
+// It holds 481 teams with names of the maximum length. Beyond it the shard's quota use is reported as
+// unknown.
 const MaxOverQuotaBytes = 32 << 10
 
 // Bodies of replies about the configuration.
@@ -29,18 +30,18 @@
 		Version uint64
 		Content configuration.Content
 	}
-	// ConfigStored says which version holds a change.
+	// ConfigStored is the version in which a change was stored.
 	ConfigStored struct{ Version uint64 }
-	// ConfigRefused says why a change was not made: *configuration.Invalid,
-	// *configuration.Missed or *configuration.Unavailable.
+	// ConfigRefused says why a change was not made. Err is a *configuration.Invalid, *configuration.Missed or
+	// *configuration.Unavailable.
 	ConfigRefused struct{ Err error }
-	// ConfigHistory is a list of the last versions, the latest first.
+	// ConfigHistory lists the last versions, latest first.
 	ConfigHistory []configuration.Entry
-	// ConfigStatus tells how far a version has come.
+	// ConfigStatus is the rollout status of a version.
 	ConfigStatus = configuration.Status
 )
 
-// configurationHost is what this controller does for its configuration.
+// configurationHost implements configuration.Host: it gives the configuration access to this controller.
 type configurationHost struct{ *Core }
 
 // Store implements configuration.Host.
@@ -57,8 +58,8 @@
 
 // Busy implements configuration.Host.
 func (c configurationHost) Busy(team string) bool {
-	for j := range c.jobs.Active() {
-		if j.Spec().Team == team {
+	for job := range c.jobs.Active() {
+		if job.Spec().Team == team {
 			return true
 		}
 	}
@@ -69,32 +70,32 @@
 func (c configurationHost) Adopted(content configuration.Content) { c.reconfigure(content) }
 
 // Answered implements configuration.Host.
-func (c configurationHost) Answered(request uint64, a configuration.Answer) {
-	r := Reply{Request: RequestID(request), Code: http.StatusOK, Body: ConfigStored{a.Version}}
+func (c configurationHost) Answered(request uint64, answer configuration.Answer) {
+	reply := Reply{Request: RequestID(request), Code: http.StatusOK, Body: ConfigStored{answer.Version}}
 	var missed *configuration.Missed
 	var invalid *configuration.Invalid
 	switch {
-	case a.Err == nil:
-	case errors.As(a.Err, &missed):
-		r.Code, r.Body = http.StatusConflict, ConfigRefused{a.Err}
-	case errors.As(a.Err, &invalid):
-		r.Code, r.Body = http.StatusUnprocessableEntity, ConfigRefused{a.Err}
+	case answer.Err == nil:
+	case errors.As(answer.Err, &missed):
+		reply.Code, reply.Body = http.StatusConflict, ConfigRefused{answer.Err}
+	case errors.As(answer.Err, &invalid):
+		reply.Code, reply.Body = http.StatusUnprocessableEntity, ConfigRefused{answer.Err}
 	default:
-		r.Code, r.Body, r.RetryAfter = http.StatusServiceUnavailable, ConfigRefused{a.Err}, admission.RetryAfter
+		reply.Code, reply.Body, reply.RetryAfter = http.StatusServiceUnavailable, ConfigRefused{answer.Err}, admission.RetryAfter
 	}
-	c.emit(r)
+	c.emit(reply)
 }
 
-// reconfigure puts teams and objectives in force. Removed teams are known for the limits of
-// their jobs, and count nowhere else.
+// reconfigure puts teams and objectives into force. Removed teams are kept only for the limits of their
+// remaining jobs.
 func (c *Core) reconfigure(content configuration.Content) {
 	c.teams = make(map[string]*Team, len(content.Teams))
 	c.cfg.Teams = nil
 	for i := range content.Teams {
-		t := &content.Teams[i]
-		c.teams[t.Name] = t
-		if t.Removed == 0 {
-			c.cfg.Teams = append(c.cfg.Teams, *t)
+		team := &content.Teams[i]
+		c.teams[team.Name] = team
+		if team.Removed == 0 {
+			c.cfg.Teams = append(c.cfg.Teams, *team)
 		}
 	}
 	c.cfg.Objectives = content.Objectives
@@ -104,8 +105,8 @@
 	}
 }
 
-// Configure asks for a change of the configuration. While a controller of a release that
-// does not know of such changes is known, none is made: it would go by its settings file.
+// Configure requests a change of the configuration. It is refused while any known controller runs a release
+// without support for such changes, as that controller would keep using its settings file.
 func (c *Core) Configure(now units.Microseconds, req RequestID, r configuration.Request) {
 	c.advance(now)
 	if olderPeer := c.peers.OlderThan(peering.ReleaseConfig); olderPeer != "" {
@@ -116,16 +117,17 @@
 	c.config.Change(c.now, c.wall, uint64(req), r)
 }
 
-// ConfigContent answers with the configuration in force here, as new as the request.
+// ConfigContent answers with the configuration in force here, after a read that began after the request.
 func (c *Core) ConfigContent(now units.Microseconds, req RequestID) {
 	c.readConfig(now, req, func() any { return ConfigContent{c.config.Version(), c.config.Content()} })
 }
 
-// ConfigHistory answers with the last versions.
+// ConfigHistory answers with the last versions of the configuration.
 func (c *Core) ConfigHistory(now units.Microseconds, req RequestID) {
 	c.readConfig(now, req, func() any { return ConfigHistory(c.config.History()) })
 }
 
+// readConfig answers a request with body's result, after a fresh read.
 func (c *Core) readConfig(now units.Microseconds, req RequestID, body func() any) {
 	c.advance(now)
 	c.readFresh(func(ok bool) {
@@ -138,13 +140,13 @@
 	})
 }
 
-// ConfigStatus answers how far a version has come; 0: the one in force here.
+// ConfigStatus answers with the rollout status of a version; 0 means the version in force here.
 func (c *Core) ConfigStatus(now units.Microseconds, req RequestID, version uint64) {
 	c.advance(now)
 	c.emit(Reply{Request: req, Code: http.StatusOK, Body: c.config.Status(c.now, version, func(node string) bool { return !c.peers.Alive(c.now, node) })})
 }
 
-// receiveConfigStatus takes what another controller's status says of the configuration.
+// receiveConfigStatus handles what another controller's status says about the configuration.
 func (c *Core) receiveConfigStatus(from string, status PeerStatus) {
 	c.config.PeerStatus(c.now, from, status.Config, status.ConfigKnown)
 	if c.config.PeerKnows(status.ConfigKnown) {
@@ -153,54 +155,54 @@
 	if !c.config.Falling() || !c.configComplete() {
 		return
 	}
-	for _, b := range status.Blocks {
-		if b.Use >= 0 && c.shardRecords.Assignment(b.Block).Node == from {
-			c.config.SetOverQuota(b.Block, status.Config, b.Over)
+	for _, shardStatus := range status.Blocks {
+		if shardStatus.Use >= 0 && c.shardRecords.Assignment(shardStatus.Block).Node == from {
+			c.config.SetOverQuota(shardStatus.Block, status.Config, shardStatus.Over)
 		}
 	}
 	c.config.SetShards(c.shardRecords.Shards())
 }
 
-// configComplete reports whether the copy shows all that was stored before the configuration
-// in force: who owned which shard then.
+// configComplete reports whether the watch cache shows everything that was stored before the configuration in
+// force, including which controller owned which shard then.
 func (c *Core) configComplete() bool {
 	return c.cache.Loaded() && !c.cache.Recovering() && c.cache.Revision >= c.cache.Version(configuration.HeadKey)
 }
 
-// addConfigStatus adds to a status which version is in force here, and which teams are above
-// their allocation in a shard.
+// addConfigStatus adds to a status which version is in force here, and which teams are above their quota
+// allocation in each shard.
 func (c *Core) addConfigStatus(status *PeerStatus) {
 	if !c.config.Changed() {
 		return
 	}
 	status.Config, status.ConfigKnown = c.config.Version(), c.config.Known()
 	complete := c.config.Falling() && c.configComplete()
-	room := MaxOverQuotaBytes
+	bytesLeft := MaxOverQuotaBytes
 	for i := range status.Blocks {
-		b := &status.Blocks[i]
-		if b.Use < 0 {
+		shardStatus := &status.Blocks[i]
+		if shardStatus.Use < 0 {
 			continue
 		}
-		over := c.owned[b.Block].quota.Exceeded()
+		over := c.owned[shardStatus.Block].quota.Exceeded()
 		if complete {
-			c.config.SetOverQuota(b.Block, status.Config, over)
+			c.config.SetOverQuota(shardStatus.Block, status.Config, over)
 		}
 		for _, name := range over {
-			room -= len(name) + len("    ")
+			bytesLeft -= len(name) + len("    ")
 		}
-		if room < 0 {
-			b.Use = -1 // as if it were not known
+		if bytesLeft < 0 {
+			shardStatus.Use = -1 // unknown
 			continue
 		}
-		b.Over = over
+		shardStatus.Over = over
 	}
 	if complete {
 		c.config.SetShards(c.shardRecords.Shards())
 	}
 }
 
-// mayAcceptJobs reports whether this controller surely knows the configuration well enough to
-// accept jobs: it knows of no later one, and its copy is recent.
+// mayAcceptJobs reports whether this controller's configuration is current enough to accept jobs: no later
+// version is known, and the watch cache is recent.
 func (c *Core) mayAcceptJobs() bool {
 	return !c.config.Changed() || !c.config.Behind() && c.now-c.cache.AsOf() < c.cancellationGrace()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core decides everything that a controller does. It is pure: events
-// and the present time go in by method calls, effects come out of Drain. It
-// has no clock, no goroutine and no randomness of its own.
+// Package core implements a controller's decisions as a deterministic state machine. Callers pass in events and
+// the current time by method calls and collect the resulting effects from Drain. The package has no clock, no
+// goroutines and no randomness of its own.
 package core
 
 import (
@@ -32,89 +32,89 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Team holds a team's guarantee and limit, in thousandths; 0 means none.
+// Team is a team's guarantee and limit, in thousandths; 0 means none.
 type Team = configuration.Team
 
-// Objective is one of the users' aims for a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective = demand.Objective
 
-// ListedMachine is a machine on the cloud's list.
+// ListedMachine is a machine in the cloud's machine list.
 type ListedMachine = provisioner.Listed
 
-// TickInterval is how often the outer layers let time pass.
+// TickInterval is the interval at which callers call Tick.
 const TickInterval = liveness.TickEvery
 
-// Config is what the core is given at its start.
+// Config configures a Core.
 type Config struct {
 	Node              string
-	Size              int
-	Peers             []string
+	Size              int      // number of controllers, this one included
+	Peers             []string // names of the other controllers
 	Zones             []string
 	HomeZone          string            // this controller's zone
 	PeerZones         map[string]string // of the other controllers, by name
 	Teams             []Team
 	Objectives        []Objective
-	Lease             units.Microseconds // a worker's lease
+	Lease             units.Microseconds // the lease of a worker machine
 	HeartbeatInterval units.Microseconds
 	LeaderTTL         units.Microseconds
-	CancelWithin      units.Microseconds // cancelled work must be gone after this
+	CancelWithin      units.Microseconds // time within which cancelled tasks must have stopped
 	ListLag           units.Microseconds
-	TxnOps            int     // the least that the state service will ever take
-	ValueKB           float64 // decides what the keys of finished tasks mean
-	ValueMax          int     // bytes; the least that the state service will ever take
+	TxnOps            int     // operations in a transaction; the lowest limit that the state service will ever have
+	ValueKB           float64 // KiB; sets how many tasks one progress record covers
+	ValueMax          int     // bytes in a value; the lowest limit that the state service will ever have; 0: ValueKB
 	StateRate         float64
 	WriteRate         float64
-	// What the rates are once the state service has refused something as too much.
+	// The rates that apply once the state service has refused a request as over its limit.
 	NextStateRate, NextWriteRate float64
 	CloudRate                    float64
 	Pack                         binpack.Params
 	Scale                        autoscaler.Params
-	// ShardMachines is the number of machines beyond which several shards divide the work.
+	// ShardMachines is the number of machines above which the work is split into several shards.
 	ShardMachines      int
-	SequentialFraction float64 // part of a job's time that the autoscaler counts on for tasks one after the other
-	// KeepFinished is how many jobs that are over are kept in memory before the oldest are
-	// archived (0: all), and ArchiveSettleTime for how long every controller must have run a
-	// release that can read archived ones before the first is.
+	SequentialFraction float64 // fraction of a job's time within which the autoscaler lets its tasks run one after the other
+	// KeepFinished is the number of finished jobs kept in memory before the oldest are archived; 0 keeps all.
+	// ArchiveSettleTime is how long every controller must have run a release that can read archived jobs before
+	// the first job is archived.
 	KeepFinished      int
 	ArchiveSettleTime units.Microseconds
 	Log               *slog.Logger
-	// SkippedGuard is a check that is left out; only tests set it.
+	// SkippedGuard names a safety check to leave out; only tests set it.
 	SkippedGuard guard.Guard
 }
 
-// RequestID names a request that waits for an answer.
+// RequestID identifies a request that waits for an answer.
 type RequestID = admission.RequestID
 
-// Effect is something for the outer layers to do.
+// Effect is an action for the caller to carry out.
 type Effect any
 
-// Effects. Each request to an outside service is answered by the method named
-// in its comment, exactly once, whatever happens.
+// Effects. The caller answers each request to an external service exactly once, also when the request fails, by
+// calling the method named in the effect's comment.
 type (
-	// Reply answers a user's request or a worker's heartbeat.
+	// Reply answers a user's request or a worker machine's heartbeat.
 	Reply struct {
 		Request RequestID
 		Code    int
 		Body    any // JobAnswer, HeartbeatResponse, Stats, Redirect or Problem
-		// RetryAfter tells a user when to come back; 0: not said.
+		// RetryAfter tells the user when to retry; 0 if not given.
 		RetryAfter units.Microseconds
 	}
 	// List reads a page of the state service's keys (OnList).
 	List = watchcache.List
-	// Watch waits for changes of them (OnChanges).
+	// Watch waits for changes of those keys (OnChanges).
 	Watch = watchcache.Watch
 	// Commit sends a transaction (OnCommit).
 	Commit struct {
 		Queue QueueID
 		Txn   *store.Txn
 	}
-	// Abandon gives up waiting for a transaction's answer; the Commit is still answered.
+	// Abandon stops waiting for a transaction's answer. The Commit itself is still answered.
 	Abandon struct{ Txn *store.Txn }
-	// OpenLease asks for the lease of this controller's membership (OnLease).
+	// OpenLease requests the lease of this controller's membership (OnLease).
 	OpenLease = membership.OpenLease
-	// RenewLease extends it (OnRenew).
+	// RenewLease extends that lease (OnRenew).
 	RenewLease = membership.RenewLease
-	// CloseLease ends it; no answer.
+	// CloseLease ends that lease. It has no answer.
 	CloseLease = membership.CloseLease
 	// FetchTypes reads the price list (OnTypes).
 	FetchTypes struct{}
@@ -122,88 +122,88 @@
 	ScaleOut = provisioner.ScaleOut
 	// ScaleIn deprovisions machines (OnScaleIn).
 	ScaleIn = provisioner.ScaleIn
-	// ListMachines reads a page of the cloud's machine list (OnListMachines).
+	// ListMachines reads the cloud's machine list (OnListMachines).
 	ListMachines = provisioner.ListMachines
-	// CloudBudget sets this node's part of the cloud's request budget; no answer.
+	// CloudBudget sets this node's fraction of the cloud's request budget. It has no answer.
 	CloudBudget struct{ Fraction float64 }
 )
 
 // Bodies of replies.
 type (
-	// JobAnswer tells a job's state.
+	// JobAnswer is a job's state.
 	JobAnswer = admission.JobAnswer
 	// HeartbeatResponse answers a heartbeat.
 	HeartbeatResponse struct {
 		FencingToken uint64
 		Commands     []fleet.Command
 	}
-	// Redirect sends a worker to another node, if Node is known.
+	// Redirect sends a worker machine to another node; Node is empty if the right node is not known.
 	Redirect struct{ Node string }
-	// Problem says why a request was refused.
+	// Problem is the reason why a request was refused.
 	Problem struct{ Text string }
 )
 
-// QueueID names a queue of transactions.
+// QueueID identifies a queue of transactions.
 type QueueID int
 
-// Queues: users' changes, those of the leader and of owners, and the archiving of finished jobs
-// do not wait for each other.
+// Queues of transactions. There are separate queues for users' changes, for changes by the leader and by shard
+// owners, and for the archiving of finished jobs, so that none of them waits for another.
 const (
 	UserQueue QueueID = iota
 	ControlQueue
-	ArchiveQueue // what nobody waits for
+	ArchiveQueue // background writes that no request depends on
 	queueCount
 )
 
 const (
-	// maxUserWrites bounds the users' changes that wait for the state service, some seconds' worth
-	// of what it takes. It is a guard against overload: users beyond are told to come back.
+	// maxUserWrites bounds the queue of users' changes, as overload protection. It holds what the state service
+	// accepts in some seconds. Users whose changes do not fit are told to retry later.
 	maxUserWrites = 256
-	// maxControlWrites bounds those of the leader and of owners, which are bounded by jobs and
-	// machines.
+	// maxControlWrites bounds the queue of the leader's and the owners' changes. Their number is itself
+	// bounded by the numbers of jobs and machines.
 	maxControlWrites = 1 << 16
 )
 
-// Core is one controller's whole state.
+// Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	log     *slog.Logger
-	now     units.Microseconds // steady
-	wall    units.Microseconds // time of day
+	now     units.Microseconds // monotonic clock
+	wall    units.Microseconds // wall clock
 	effects []Effect
 	teams   map[string]*Team
-	config  *configuration.Versions // teams and objectives as they are in force
-	cache   *watchcache.Cache       // the copy of the state service's keys
+	config  *configuration.Versions // teams and objectives in force
+	cache   *watchcache.Cache       // watch cache of the state service's keys
 	queues  [queueCount]*store.WriteQueue
 
 	jobs          *registry.Registry
 	admission     *admission.Handler
 	types         map[string]*fleet.Type
 	shardRecords  *shardplan.Records     // assignments and quota allocations as stored
-	machineGroups map[string]fleet.Group // stored machines, by key
+	machineGroups map[string]fleet.Group // stored machine groups, by key
 	machineShard  map[string]int         // shard of each stored machine
 
 	archive         *archive.Keeper
 	rollback        *rollback.Recovery
-	cancellations   *cancellations.Tracker // which cancellations are known, and up to when all are
+	cancellations   *cancellations.Tracker // which cancellations are known, and up to when all of them are
 	membership      *membership.Registry
 	election        *election.Election
 	planner         *shardplan.Planner
 	owned           map[int]*ownedShard   // shards that this node owns
-	emptySince      units.Microseconds    // since when it owns nothing while it retires
-	retiringSince   units.Microseconds    // since when this node's process is about to end on purpose; 0: it is not
-	reachability    liveness.Reachability // whether workers reach this node
+	emptySince      units.Microseconds    // since when it has owned no shard while retiring; 0: it owns some
+	retiringSince   units.Microseconds    // since when this node is retiring; 0: it is not
+	reachability    liveness.Reachability // whether worker machines can reach this node
 	zones           *zones.View
 	nextTypeFetchAt units.Microseconds
 	cloudFraction   float64
 	peers           *peering.Directory
-	forwarder       *peering.Forwarder // users' requests that go from controller to controller
-	nextStatusAt    units.Microseconds // when this controller's status is next sent
+	forwarder       *peering.Forwarder // users' requests that controllers forward to each other
+	nextStatusAt    units.Microseconds // when this controller next sends its status
 
-	transfers *transfer.Receiver // what is known of shards that this node may own next
+	transfers *transfer.Receiver // snapshots and replicated state of shards that this node may own next
 }
 
-// New returns a controller's core that has seen nothing yet.
+// New returns a Core that has not received any event yet.
 func New(cfg Config) *Core {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -246,7 +246,7 @@
 	return core
 }
 
-// Drain returns the effects since the last call.
+// Drain returns the effects that have accumulated since the last call, in order.
 func (c *Core) Drain() []Effect {
 	c.pump()
 	out := c.effects
@@ -256,9 +256,9 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// pump sends what is due, in this order: transactions that are proven to be stored end; owned
-// shards answer pending heartbeats, tell their standbys and queue what is to be stored; then
-// transactions and reads of the state service go.
+// pump emits what is due, in this order. It first ends the transactions that are proven to be stored. Then
+// owned shards answer pending heartbeats, replicate to their standbys and queue their writes. Last it sends
+// the transactions and the reads to the state service.
 func (c *Core) pump() {
 	c.resolveCommits()
 	for _, number := range sortedShards(c.owned) {
@@ -280,13 +280,13 @@
 	c.archive.Pump(c.now)
 }
 
-// guardEnabled reports whether a check is made: all are, but for the one that a test leaves out.
+// guardEnabled reports whether a safety check is made. All checks are, except the one that a test leaves out.
 func (c *Core) guardEnabled(g guard.Guard) bool { return c.cfg.SkippedGuard != g }
 
-// advance moves time on; time never goes back.
+// advance sets the current time. The time never decreases.
 func (c *Core) advance(now units.Microseconds) { c.now = max(c.now, now) }
 
-// Tick lets time pass. wall is the time of day.
+// Tick does the periodic work that is due at now, which is a monotonic time. wall is the wall-clock time.
 func (c *Core) Tick(now, wall units.Microseconds) {
 	c.advance(now)
 	c.reachability.Tick(c.now)
@@ -301,13 +301,13 @@
 	c.peers.NoteOlderReleases(c.now)
 	c.archive.Tick(c.now)
 	for _, number := range sortedShards(c.owned) {
-		if shard := c.owned[number]; shard != nil { // one shard's step may give up others
+		if shard := c.owned[number]; shard != nil { // ticking one shard may release others
 			c.tickShard(shard)
 		}
 	}
 }
 
-// Keys of the state service, see package keys.
+// Keys of the state service; see package keys.
 const (
 	root             = keys.Root
 	jobPrefix        = keys.JobPrefix
@@ -323,5 +323,5 @@
 	termKey          = keys.Term
 )
 
-// Root is the prefix of every key that the service uses.
+// Root is the prefix of every key in the state service that the scheduler uses.
 const Root = keys.Root
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -8,7 +8,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Heartbeat takes a worker's heartbeat: admission, reconciliation, a look for work, a response.
+// Heartbeat handles a worker machine's heartbeat: it admits it, reconciles the machine's tasks, schedules
+// work and responds.
 func (c *Core) Heartbeat(now units.Microseconds, request RequestID, heartbeat *fleet.Heartbeat) {
 	c.advance(now)
 	c.reachability.HeartbeatReceived()
@@ -30,22 +31,22 @@
 	c.answerHeartbeat(shard, accepted.Machine, request, HeartbeatResponse{FencingToken: shard.fencingToken, Commands: commands})
 }
 
-// shardOf returns the shard that a machine belongs to, and whether it is known to: what nobody
-// knows belongs to the first shard.
+// shardOf returns the shard that a machine belongs to, and whether that is stored or about to be. An unknown
+// machine belongs to the first shard.
 func (c *Core) shardOf(machine string) (number int, stored bool) {
 	number, stored = c.machineShard[machine]
 	if !stored {
 		for _, n := range sortedShards(c.owned) {
 			if c.owned[n].reconciler.Machine(machine) != nil {
-				number, stored = n, true // provisioned, and about to be stored
+				number, stored = n, true // provisioned and about to be stored
 			}
 		}
 	}
 	return number, stored
 }
 
-// admitHeartbeat decides whether a heartbeat of a machine of a shard may change anything; shard is nil if
-// this controller does not own it.
+// admitHeartbeat decides whether a heartbeat of a shard's machine may change any state. shard is nil if this
+// controller does not own the machine's shard.
 func (c *Core) admitHeartbeat(shard *ownedShard, heartbeat *fleet.Heartbeat, stored bool) reconcile.Admission {
 	switch {
 	case shard == nil:
@@ -58,7 +59,8 @@
 	return shard.reconciler.Admit(c.now, heartbeat, stored)
 }
 
-// refuseHeartbeat answers a heartbeat that was not admitted, or has it wait for the shard's next owner.
+// refuseHeartbeat answers a heartbeat that was not admitted, or keeps it pending until the shard's next owner
+// is known.
 func (c *Core) refuseHeartbeat(number int, request RequestID, admission reconcile.Admission) {
 	switch admission {
 	case reconcile.Postponed:
@@ -71,12 +73,12 @@
 		c.reply(request, http.StatusMisdirectedRequest, Redirect{})
 	}
 	if admission == reconcile.Superseded {
-		c.readFresh(nil) // somebody else owns the shard, which is not known here yet
+		c.readFresh(nil) // another controller owns the shard, and this one has not read that yet
 	}
 }
 
-// schedule decides what a machine is to start, and what it is to stop for other work, after its
-// heartbeat was reconciled.
+// schedule decides, after a machine's heartbeat was reconciled, which tasks the machine starts and which it
+// stops to make room for others.
 func (c *Core) schedule(shard *ownedShard, accepted reconcile.Accepted) []fleet.Command {
 	machine := accepted.Machine
 	proven := accepted.Standing == reconcile.Proven
@@ -92,14 +94,14 @@
 		}
 		return commands
 	case accepted.Standing == reconcile.Unproven && machine.Transferred:
-		// What may be on it is known without its word, from the shard's last owner.
+		// What may run on the machine is known from the shard's last owner.
 		return shard.scheduler.Fill(machine)
 	}
 	return nil
 }
 
-// ownerOf returns the controller that workers of a shard should send heartbeats to. One that seems
-// dead is not named: the workers would wait for it.
+// ownerOf returns the controller to which the machines of a shard should send heartbeats, or "" if there is
+// none. An owner that seems dead is not returned, as the machines would wait for it.
 func (c *Core) ownerOf(number int) string {
 	assignment := c.shardRecords.Assignment(number)
 	owner := assignment.Node
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -7,17 +7,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Figures of a controller, see package introspect.
+// Statistics of a controller; see package introspect.
 type (
-	// Stats are those of the controller.
+	// Stats are the statistics of a controller.
 	Stats = introspect.Stats
-	// ShardStats are those of a shard that it owns.
+	// ShardStats are the statistics of an owned shard.
 	ShardStats = introspect.ShardStats
-	// PoolStats are those of the machines of one kind.
+	// PoolStats are the statistics of one kind of machines.
 	PoolStats = introspect.PoolStats
 )
 
-// Stats answers a request for the present figures.
+// Stats answers a request for the current statistics.
 func (c *Core) Stats(req RequestID) {
 	archived := c.archive.Stats()
 	stats := Stats{
@@ -43,7 +43,7 @@
 	c.reply(req, http.StatusOK, stats)
 }
 
-// stats returns the present figures of a shard.
+// stats returns the current statistics of a shard.
 func (shard *ownedShard) stats() ShardStats {
 	stats := ShardStats{
 		Shard:        shard.number,
@@ -56,8 +56,7 @@
 	return stats
 }
 
-// Explain says in a few lines why a job is where it is, for operators' logs
-// and for failed tests.
+// Explain describes in a few lines why a job is in its current state, for operators' logs and for failed tests.
 func (c *Core) Explain(id string) string {
 	job := c.jobs.Get(id)
 	if job == nil {
@@ -92,7 +91,7 @@
 	return introspect.Explain(state)
 }
 
-// StopReplication has nobody stand by for the shards that this node owns, for a moment.
+// StopReplication stops replication to the standbys of all owned shards. Replication starts again by itself.
 func (c *Core) StopReplication(now units.Microseconds) {
 	c.advance(now)
 	for _, shard := range c.owned {
@@ -100,7 +99,7 @@
 	}
 }
 
-// Standby names who stands by for an owned shard.
+// Standby returns the standby of an owned shard, or "" if there is none.
 func (c *Core) Standby(number int) string {
 	if shard := c.owned[number]; shard != nil {
 		return shard.replication.Standby()
@@ -108,10 +107,10 @@
 	return ""
 }
 
-// Leads reports whether this node assigns shards to the controllers.
+// Leads reports whether this node is the leader, which assigns shards to controllers.
 func (c *Core) Leads() bool { return c.election.Leads() }
 
-// Placed counts the tasks that may be running on an owned shard's machines.
+// Placed returns the number of tasks that may be running on an owned shard's machines.
 func (c *Core) Placed(number int) int {
 	count := 0
 	if shard := c.owned[number]; shard != nil {
@@ -122,7 +121,7 @@
 	return count
 }
 
-// Quarantined counts the machines of an owned shard that are quarantined.
+// Quarantined returns the number of quarantined machines in an owned shard.
 func (c *Core) Quarantined(number int) int {
 	count := 0
 	if shard := c.owned[number]; shard != nil {
@@ -135,8 +134,7 @@
 	return count
 }
 
-// Unreconciled counts the machines of an owned shard on which earlier owners'
-// tasks may run.
+// Unreconciled returns the number of machines in an owned shard on which tasks of earlier owners may still run.
 func (c *Core) Unreconciled(number int) int {
 	if shard := c.owned[number]; shard != nil {
 		return len(shard.reconciler.Unreconciled())
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,7 +8,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// jobsHost is what the registry of jobs tells this controller, and asks of it.
+// jobsHost implements registry.Host: it gives the registry of jobs access to this controller.
 type jobsHost struct{ *Core }
 
 var _ registry.Host = jobsHost{}
@@ -44,14 +44,14 @@
 	}
 }
 
-// JobOver implements registry.Host: the job is archived some day.
+// JobOver implements registry.Host. It marks the job for later archiving.
 func (c jobsHost) JobOver(id string) { c.archive.JobOver(c.now, id) }
 
 // JobArchived implements registry.Host.
 func (c jobsHost) JobArchived(job *jobs.Job) { c.archive.JobArchived(job) }
 
-// CancellationLearnt implements registry.Host. What the copy of the state service's keys already had
-// is known to every controller that has read as far.
+// CancellationLearnt implements registry.Host. A cancellation that the watch cache already covered is known
+// to every controller that has read up to the same revision, so it need not be sent to the others.
 func (c jobsHost) CancellationLearnt(record store.Event) {
 	if record.Stamp > c.cache.Revision {
 		c.cancellations.Record(record)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -15,7 +15,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// electionHost is what this controller does as a candidate for leadership.
+// electionHost implements election.Host: it gives the leader election access to this controller.
 type electionHost struct{ *Core }
 
 // Now implements election.Host.
@@ -43,7 +43,8 @@
 	c.planner.Lead(c.now, lead)
 }
 
-// tickLeadership plans where this controller leads, and else campaigns where nobody does.
+// tickLeadership runs the planner on the leader. On the other controllers it runs the election, in which they
+// campaign if there is no leader.
 func (c *Core) tickLeadership() {
 	if c.election.Leads() {
 		c.planner.Tick(c.now)
@@ -52,8 +53,8 @@
 	c.election.Tick()
 }
 
-// plannerHost is what this controller does for the division into shards, and what that
-// depends on.
+// plannerHost implements shardplan.Host and shardplan.Members: it gives the planner, which assigns shards to
+// controllers, access to this controller.
 type plannerHost struct{ *Core }
 
 // CacheAge implements shardplan.Host.
@@ -72,8 +73,8 @@
 
 // Limit implements shardplan.Host.
 func (c plannerHost) Limit(team string) binpack.Vec {
-	if t := c.teams[team]; t != nil {
-		return t.Limit
+	if settings := c.teams[team]; settings != nil {
+		return settings.Limit
 	}
 	return binpack.Vec{}
 }
@@ -125,7 +126,7 @@
 // RequestRelease implements shardplan.Host.
 func (c plannerHost) RequestRelease(number int, owner string) {
 	if shard := c.owned[number]; shard != nil {
-		c.releaseShard(shard, "another controller has none")
+		c.releaseShard(shard, "another controller owns no shard")
 		return
 	}
 	c.emit(SendPeer{owner, ReleaseRequest{Block: number, Grant: c.shardRecords.Assignment(number).Version}})
@@ -140,7 +141,7 @@
 // ReadFresh implements shardplan.Host.
 func (c plannerHost) ReadFresh(ended func(ok bool)) { c.readFresh(ended) }
 
-// migratingShard is a shard that this controller owns, as a source of migrations.
+// migratingShard implements shardplan.OwnedShard: an owned shard from which jobs may be migrated.
 type migratingShard struct {
 	core  *Core
 	shard *ownedShard
@@ -157,7 +158,7 @@
 // Owned implements shardplan.OwnedShard.
 func (m migratingShard) Owned() bool { return m.core.owned[m.shard.number] == m.shard }
 
-// controllerNames returns the names of all controllers, in the same order on each.
+// controllerNames returns the names of all controllers, this one included, in the same order on each of them.
 func (c *Core) controllerNames() []string {
 	names := append([]string{c.cfg.Node}, c.peers.Names()...)
 	slices.Sort(names)
@@ -166,26 +167,25 @@
 
 func shardNumber(key, prefix string) (int, error) { return keys.Shard(key, prefix) }
 
-// applyAssignment takes the stored assignment of a shard, and begins or ends to own the
-// shard accordingly.
-func (c *Core) applyAssignment(e store.Event) error {
-	number, err := shardNumber(e.Key, assignmentPrefix)
+// applyAssignment applies the stored assignment of a shard, and acquires or drops the shard accordingly.
+func (c *Core) applyAssignment(event store.Event) error {
+	number, err := shardNumber(event.Key, assignmentPrefix)
 	if err != nil {
 		return err
 	}
-	if err := c.shardRecords.LearnAssignment(number, e); err != nil {
+	if err := c.shardRecords.LearnAssignment(number, event); err != nil {
 		return err
 	}
 	assignment := c.shardRecords.Assignment(number)
-	if e.Value != nil {
+	if event.Value != nil {
 		c.config.SetShards(c.shardRecords.Shards())
 		if assignment.Node != "" && assignment.Node != c.cfg.Node {
-			c.transfers.Discard(number) // it is another's to use
+			c.transfers.Discard(number) // another controller owns the shard now and uses the snapshot
 		}
 	}
 	if shard := c.owned[number]; shard != nil && shard.assignment != assignment.Version {
 		if c.assignedHere(assignment) && assignment.Token() == shard.fencingToken && !shard.releasing {
-			shard.assignment = assignment.Version // the same assignment, written again as it was lost
+			shard.assignment = assignment.Version // the same assignment, written again after a rollback of the state service
 		} else {
 			c.dropShard(shard)
 		}
@@ -194,29 +194,30 @@
 	return nil
 }
 
-// assignedHere reports whether a shard is assigned to this controller's membership. The
-// assignment of a membership that has ended is that of an earlier process.
-func (c *Core) assignedHere(a shardplan.Assignment) bool {
-	return a.Node == c.cfg.Node && a.MemberID == c.membership.ID()
+// assignedHere reports whether a shard is assigned to this controller's current membership. An assignment to an
+// earlier membership belongs to an earlier process of this controller.
+func (c *Core) assignedHere(assignment shardplan.Assignment) bool {
+	return assignment.Node == c.cfg.Node && assignment.MemberID == c.membership.ID()
 }
 
-// acquireIfAssigned begins to own a shard that is assigned to this controller's membership.
+// acquireIfAssigned acquires a shard if it is assigned to this controller's membership and not owned yet.
 func (c *Core) acquireIfAssigned(number int) {
-	if a := c.shardRecords.Assignment(number); c.assignedHere(a) && c.membership.ID() != 0 && c.owned[number] == nil {
-		c.acquireShard(number, a)
+	if assignment := c.shardRecords.Assignment(number); c.assignedHere(assignment) && c.membership.ID() != 0 && c.owned[number] == nil {
+		c.acquireShard(number, assignment)
 	}
 }
 
-func (c *Core) applyAllocation(e store.Event) error {
-	number, err := shardNumber(e.Key, allocationPrefix)
+// applyAllocation applies the stored quota allocation of a shard.
+func (c *Core) applyAllocation(event store.Event) error {
+	number, err := shardNumber(event.Key, allocationPrefix)
 	if err != nil {
 		return err
 	}
-	if err := c.shardRecords.LearnAllocation(number, e); err != nil || e.Value == nil {
+	if err := c.shardRecords.LearnAllocation(number, event); err != nil || event.Value == nil {
 		return err
 	}
 	c.setRates()
 	return nil
 }
 
-func assignmentKey(k int) string { return keys.Assignment(k) }
+func assignmentKey(number int) string { return keys.Assignment(number) }
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -4,8 +4,8 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 )
 
-// livenessHost is what the owner of a shard does for the failure detection of its machines (package
-// liveness).
+// livenessHost implements liveness.Host: it gives the failure detection of a shard's machines access to the
+// shard.
 type livenessHost struct {
 	*Core
 	shard *ownedShard
@@ -25,7 +25,7 @@
 	h.shard.reconciler.ExpireLease(h.now, machine)
 }
 
-// unreachable reports whether a shard should be released as no worker reaches this node.
+// unreachable reports whether a shard should be released because no worker machine can reach this node.
 func (c *Core) unreachable(shard *ownedShard) bool {
 	if c.cfg.Size == 1 || c.zones.ExplainsSilence() {
 		return false
@@ -33,8 +33,8 @@
 	return c.reachability.Unreachable(c.now, shard.reconciler.Up(), c.reachablePeer)
 }
 
-// reachablePeer reports whether another controller could take a shard over that has not found itself
-// unreachable.
+// reachablePeer reports whether another controller could take over a shard: it is alive, has a membership and
+// does not report that worker machines cannot reach it.
 func (c *Core) reachablePeer() bool {
 	for _, name := range c.peers.Names() {
 		if c.peers.Alive(c.now, name) && !c.peerUnreachable(name) && c.membership.Current(name) != 0 {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// peerUnreachable reports whether a controller, maybe this one, is known to be out of the workers'
-// reach.
+// peerUnreachable reports whether worker machines are known to be unable to reach a controller, which may be
+// this one.
 func (c *Core) peerUnreachable(node string) bool {
 	if node == c.cfg.Node {
 		return c.reachability.UnreachableNow(c.now)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -5,7 +5,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// membershipHost is what this controller does for its membership, and what that brings about.
+// membershipHost implements membership.Host: it gives the membership access to this controller, and applies its
+// changes.
 type membershipHost struct{ *Core }
 
 // Emit implements membership.Host.
@@ -30,20 +31,20 @@
 	c.broadcast(TakeoverVoteRequest{Node: node, Seat: seat})
 }
 
-// Joined implements membership.Host. The record is seen by others before its answer is here:
-// where that is slow, a leader may have assigned a shard to the membership meanwhile, and nobody
-// would own it for as long as the membership stands.
+// Joined implements membership.Host. Other controllers may see the membership record before this controller
+// receives the answer to its write. If that answer is slow, a leader may already have assigned a shard to the
+// membership. Without this check the shard would have no owner for as long as the membership lasts.
 func (c membershipHost) Joined() {
-	for _, k := range c.shardRecords.Shards() {
-		c.acquireIfAssigned(k)
+	for _, number := range c.shardRecords.Shards() {
+		c.acquireIfAssigned(number)
 	}
 }
 
 // Lost implements membership.Host.
 func (c membershipHost) Lost() {
 	c.election.MembershipLost()
-	for _, k := range sortedShards(c.owned) {
-		c.dropShard(c.owned[k])
+	for _, number := range sortedShards(c.owned) {
+		c.dropShard(c.owned[number])
 	}
 	c.queues[ControlQueue].Clear()
 }
@@ -51,56 +52,57 @@
 // PeerRelease implements membership.Host.
 func (c membershipHost) PeerRelease(node string, release int) { c.peers.NoteRelease(node, release) }
 
-// majorityExtensionTTLs is how many times its lease a majority's peer leases may carry a membership past its last
-// renewal. What is owned in a zone that is cut off with most controllers is free that much later;
-// an outage of the state service during which a controller is missing stops all work that
-// much earlier.
+// majorityExtensionTTLs bounds how long the peer leases of a majority may extend a membership past its last
+// renewal, in multiples of the membership's lease. A higher value delays the takeover of shards whose owner
+// is in a partitioned zone together with most controllers. A lower value stops all work earlier in an outage
+// of the state service during which a controller is down.
 const majorityExtensionTTLs = 3
 
-// maxCacheAge is how old the copy of the state service's keys may become before it is read.
+// maxCacheAge is the age of the watch cache at which a fresh read is due.
 const maxCacheAge = 2 * units.Second
 
-// cancellationGrace is for how long an owner may answer workers after the time up to which it knows
-// every cancellation: what it runs must still be gone in time, a worker's lease after its
-// last answer.
+// cancellationGrace is how long an owner may still answer worker machines after the time up to which it knows
+// every cancellation. Cancelled tasks stop at the latest one worker lease after the last answer, and that
+// must be within Config.CancelWithin.
 func (c *Core) cancellationGrace() units.Microseconds {
 	return max(c.cfg.LeaderTTL, c.cfg.CancelWithin-c.leaseBound()-2*units.Second)
 }
 
-// ValidUntil is when this node may no longer answer workers, as known at present: the
-// authority of its membership ends, or a cancellation may have been confirmed that it does not know of.
+// ValidUntil returns the time from which this node may no longer answer worker machines, as far as is known
+// now: the authority of its membership ends, or a cancellation may have been confirmed that this node does
+// not know.
 func (c *Core) ValidUntil() units.Microseconds {
 	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.cancellationGrace()))
 }
 
-// OnLease takes a new lease's outcome.
-func (c *Core) OnLease(now units.Microseconds, o store.Outcome, id uint64) {
+// OnLease handles the answer to an OpenLease.
+func (c *Core) OnLease(now units.Microseconds, outcome store.Outcome, id uint64) {
 	c.advance(now)
-	c.membership.OnLease(c.now, c.noteOutcome(o), id)
+	c.membership.OnLease(c.now, c.noteOutcome(outcome), id)
 }
 
-// OnRenew takes a renewal's outcome.
-func (c *Core) OnRenew(now units.Microseconds, id uint64, o store.Outcome) {
+// OnRenew handles the answer to a RenewLease.
+func (c *Core) OnRenew(now units.Microseconds, id uint64, outcome store.Outcome) {
 	c.advance(now)
-	c.membership.OnRenew(c.now, id, c.noteOutcome(o))
+	c.membership.OnRenew(c.now, id, c.noteOutcome(outcome))
 }
 
-// dropShard stops owning a shard.
+// dropShard ends the ownership of a shard and discards its state.
 func (c *Core) dropShard(shard *ownedShard) {
 	delete(c.owned, shard.number)
 	shard.replication.Close(c.now)
 	c.log.Info("shard no longer owned", "shard", shard.number)
 	c.redirectPending(shard)
-	for j := range c.jobs.Active() {
-		if j.Record.Shard == shard.number {
-			j.ClearPlacements()
+	for job := range c.jobs.Active() {
+		if job.Record.Shard == shard.number {
+			job.ClearPlacements()
 		}
 	}
-	for _, m := range shard.reconciler.Machines() { // what runs there of jobs that are over is the next owner's to count
-		for id := range m.Tasks {
-			if j := c.jobs.Get(id.Job); j != nil && !j.Active() {
-				j.Release(id.Task)
-				c.jobs.TaskRemoved(j)
+	for _, machine := range shard.reconciler.Machines() { // the next owner counts the tasks of finished jobs that still run
+		for id := range machine.Tasks {
+			if job := c.jobs.Get(id.Job); job != nil && !job.Active() {
+				job.Release(id.Task)
+				c.jobs.TaskRemoved(job)
 			}
 		}
 	}
--- a/internal/core/objectives.go
+++ b/internal/core/objectives.go
@@ -7,16 +7,16 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// propagateObjectives lets deadlines and priorities pass back from jobs that wait to those that
-// they depend on.
+// propagateObjectives propagates deadlines and priorities from waiting jobs back to the jobs that they depend
+// on.
 func (c *Core) propagateObjectives(shard *ownedShard) {
 	if c.jobs.PropagationDue() {
 		c.jobs.PropagateObjectives(func(job *jobs.Job) units.Microseconds { return c.expectedDuration(shard, job) })
 	}
 }
 
-// expectedDuration is how long a job is expected to take once it may start and has room:
-// an image, and its tasks one after the other where the team's limit asks for it.
+// expectedDuration returns how long a job is expected to take once its tasks can be placed: fetching its
+// image, and running its tasks in as many consecutive waves as the team's limit requires.
 func (c *Core) expectedDuration(shard *ownedShard, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
 	waves := int64(1)
@@ -27,20 +27,20 @@
 			}
 		}
 	}
-	took := units.Microseconds(waves) * shard.demand.Runtime(spec)
+	duration := units.Microseconds(waves) * shard.demand.Runtime(spec)
 	if rate := c.slowestFetchRate(spec); rate > 0 {
-		took += units.Microseconds(spec.ImageMB) * units.Second / units.Microseconds(rate)
+		duration += units.Microseconds(spec.ImageMB) * units.Second / units.Microseconds(rate)
 	}
-	return took
+	return duration
 }
 
-// slowestFetchRate is the rate at which the slowest machine type that a job may use
-// fetches images.
+// slowestFetchRate returns the image fetch rate, in MB/s, of the slowest machine type that a job may use; 0
+// if no rate is known.
 func (c *Core) slowestFetchRate(spec *jobs.Spec) int64 {
 	rates := []int64{}
-	for _, t := range c.types {
-		if spec.Demand.Fits(t.Capacity) && spec.AllowsType(t.Name) && t.FetchMBs > 0 {
-			rates = append(rates, t.FetchMBs)
+	for _, machineType := range c.types {
+		if spec.Demand.Fits(machineType.Capacity) && spec.AllowsType(machineType.Name) && machineType.FetchMBs > 0 {
+			rates = append(rates, machineType.FetchMBs)
 		}
 	}
 	if len(rates) == 0 {
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -12,65 +12,65 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Operators say what they know of a zone by a record, so that every controller knows it and
-// the next owner too.
+// Operators can override the state of a zone. The override is a record in the state service, so that every
+// controller and every later owner of a shard knows it.
 
 const overridePrefix = keys.OverridePrefix
 
 // OverridePrefixes are the prefixes of the keys that OperatorOverrides and OverrideWrite read.
 var OverridePrefixes = []string{typePrefix, keys.TypePrefixWithArchive, overridePrefix}
 
-// OperatorOverride is what an operator has said of a zone.
+// OperatorOverride is an operator's override of a zone's state.
 type OperatorOverride struct {
 	Zone     string         `json:"-"`
 	Override zones.Override `json:"word"`
 }
 
-// applyOverride takes an operator's word.
-func (c *Core) applyOverride(e store.Event) error {
-	var w OperatorOverride
-	if e.Value != nil {
-		if err := json.Unmarshal(e.Value, &w); err != nil {
+// applyOverride applies a stored operator's override. A deleted record clears it.
+func (c *Core) applyOverride(event store.Event) error {
+	var stored OperatorOverride
+	if event.Value != nil {
+		if err := json.Unmarshal(event.Value, &stored); err != nil {
 			return err
 		}
 	}
-	return c.zones.SetOverride(e.Key[len(overridePrefix):], w.Override)
+	return c.zones.SetOverride(event.Key[len(overridePrefix):], stored.Override)
 }
 
-// OperatorOverrides returns the words among the keys of the state service, by zone.
+// OperatorOverrides returns the overrides among the keys of the state service, sorted by zone. Records that
+// cannot be decoded are left out.
 func OperatorOverrides(items map[string]store.Event) (out []OperatorOverride) {
-	for _, k := range slices.Sorted(maps.Keys(items)) {
-		if zone, ok := strings.CutPrefix(k, overridePrefix); ok {
-			w := OperatorOverride{Zone: zone}
-			if json.Unmarshal(items[k].Value, &w) == nil {
-				out = append(out, w)
+	for _, key := range slices.Sorted(maps.Keys(items)) {
+		if zone, ok := strings.CutPrefix(key, overridePrefix); ok {
+			stored := OperatorOverride{Zone: zone}
+			if json.Unmarshal(items[key].Value, &stored) == nil {
+				out = append(out, stored)
 			}
 		}
 	}
 	return out
 }
 
-// OverrideWrite returns the write that stores an operator's word of a zone, given the keys of the
-// state service. A zone in which no type of machine is offered is an error that names those
-// in which one is.
-func OverrideWrite(items map[string]store.Event, zone string, word zones.Override) (*store.Write, error) {
+// OverrideWrite returns the write that stores an operator's override of a zone, given the keys of the state
+// service. It returns an error that names the known zones if no machine type is offered in the zone.
+func OverrideWrite(items map[string]store.Event, zone string, override zones.Override) (*store.Write, error) {
 	known := map[string]bool{}
-	for k, e := range items {
-		var t fleet.Type
-		if (strings.HasPrefix(k, typePrefix) || strings.HasPrefix(k, keys.TypePrefixWithArchive)) && json.Unmarshal(e.Value, &t) == nil {
-			for _, z := range t.Zones {
-				known[z] = true
+	for itemKey, event := range items {
+		var machineType fleet.Type
+		if (strings.HasPrefix(itemKey, typePrefix) || strings.HasPrefix(itemKey, keys.TypePrefixWithArchive)) && json.Unmarshal(event.Value, &machineType) == nil {
+			for _, zoneName := range machineType.Zones {
+				known[zoneName] = true
 			}
 		}
 	}
 	names := slices.Sorted(maps.Keys(known))
-	if err := zones.Check(names, zone, word); err != nil {
+	if err := zones.Check(names, zone, override); err != nil {
 		return nil, err
 	}
 	key := overridePrefix + zone
-	ch := store.Change{Key: key}
-	if word != zones.NoOverride {
-		ch.Value = store.Value(OperatorOverride{Override: word})
+	change := store.Change{Key: key}
+	if override != zones.NoOverride {
+		change.Value = store.Value(OperatorOverride{Override: override})
 	}
-	return &store.Write{Guards: []store.Guard{{Key: key, Version: items[key].Stamp}}, Changes: []store.Change{ch}}, nil
+	return &store.Write{Guards: []store.Guard{{Key: key, Version: items[key].Stamp}}, Changes: []store.Change{change}}, nil
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -10,11 +10,11 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// What controllers send each other, see package peering.
+// Messages between controllers; see package peering.
 type (
-	// PeerStatus is a controller's heartbeat to the others.
+	// PeerStatus is a controller's heartbeat to the other controllers.
 	PeerStatus = peering.PeerStatus
-	// ShardStatus is the part of it on one shard.
+	// ShardStatus is the part of a PeerStatus about one shard.
 	ShardStatus = peering.BlockStatus
 	// PeerLeaseGrant grants a peer lease.
 	PeerLeaseGrant = peering.PeerPromise
@@ -26,9 +26,9 @@
 	ReleaseRequest = peering.PeerRelease
 	// ForwardedRequest forwards a user's request.
 	ForwardedRequest = peering.PeerAsk
-	// ForwardedResponse answers it.
+	// ForwardedResponse answers a ForwardedRequest.
 	ForwardedResponse = peering.PeerAnswer
-	// RequestKind is what a user wants.
+	// RequestKind is the kind of a user's request.
 	RequestKind = peering.AskKind
 )
 
@@ -39,13 +39,13 @@
 	RequestCancel = peering.AskCancel
 )
 
-// SendPeer is the effect that sends a message to another controller; it may be lost.
+// SendPeer is the effect that sends a message to another controller. The message may be lost.
 type SendPeer struct {
 	Node    string
 	Message any
 }
 
-// stateAge is how long ago the state service last answered.
+// stateAge returns the time since the state service last answered.
 func (c *Core) stateAge() units.Microseconds { return c.cache.Age(c.now) }
 
 // broadcast sends a message to all other controllers.
@@ -55,8 +55,7 @@
 	}
 }
 
-// tickPeers sends this controller's status when it is due, and gives up forwarded requests that
-// nobody has answered.
+// tickPeers sends this controller's status when it is due, and fails forwarded requests that timed out.
 func (c *Core) tickPeers() {
 	if c.now >= c.nextStatusAt {
 		c.nextStatusAt = c.now + peering.StatusInterval
@@ -68,11 +67,12 @@
 	}
 }
 
-// status is what the other controllers are to know of this one.
+// status returns this controller's status for the other controllers.
 func (c *Core) status() PeerStatus {
 	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: peering.Release,
 		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
-	// Also once authority has run out: while all still grant a peer lease, nobody has taken over.
+	// Also after this controller's authority has expired: while all other controllers still grant it a peer
+	// lease, none has taken over its shards.
 	if c.membership.ID() != 0 {
 		status.Seat, status.Sent, status.Known = c.membership.ID(), c.now, c.cancellations.KnownRevision(c.cache.Revision)
 	}
@@ -91,9 +91,9 @@
 	return status
 }
 
-// updateZonePeers tells the view of the zones which controllers are alive: as they send statuses to
-// this one, or as their memberships stand in the state service. Two zones that do not reach each
-// other are not lost while both reach that.
+// updateZonePeers updates the zone view with the number of live controllers in each zone. A controller is
+// alive if it sends statuses to this one or has a membership in the state service. So two zones that cannot
+// reach each other do not count as lost while both reach the state service.
 func (c *Core) updateZonePeers() {
 	all, alive := map[string]int{}, map[string]int{}
 	for _, node := range c.peers.Names() {
@@ -108,33 +108,34 @@
 	}
 }
 
-// bestServedPeer names a controller that is alive and was served by the state service lately; "": none.
+// bestServedPeer returns a controller that is alive and was recently served by the state service, or "" if
+// none is.
 func (c *Core) bestServedPeer() string {
 	return c.peers.BestServed(c.now, func(node string) bool { return !c.incompatible(node) })
 }
 
-// shouldForward reports whether a request should go to another controller right away: the state
-// service has not answered this one for a while, and it has answered the other.
+// shouldForward reports whether a request should be forwarded right away: the state service has not answered
+// this controller for a while, and it has recently answered another one.
 func (c *Core) shouldForward(request RequestID) bool {
 	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedFor && c.bestServedPeer() != ""
 }
 
-// forward gives a request that the state service does not let this controller serve to one that it
-// does, or tells the user to come back.
-func (c *Core) forward(r admission.Request) {
+// forward sends a request to a controller that the state service answers. If there is none, it tells the user
+// to retry later.
+func (c *Core) forward(request admission.Request) {
 	to := c.bestServedPeer()
-	if r.Spec != nil && len(r.Spec.Awaits) > 0 && c.peers.Release(to) < peering.ReleaseDependencies {
-		to = "" // it would start the job at once
+	if request.Spec != nil && len(request.Spec.Awaits) > 0 && c.peers.Release(to) < peering.ReleaseDependencies {
+		to = "" // an older release ignores dependencies and would start the job at once
 	}
-	if c.forwarder.IsRemote(r.ID) || to == "" || c.forwarder.Full() {
-		c.replyUnavailable(r.ID, "state service does not answer")
+	if c.forwarder.IsRemote(request.ID) || to == "" || c.forwarder.Full() {
+		c.replyUnavailable(request.ID, "state service does not answer")
 		return
 	}
-	id := c.forwarder.Send(c.now, r.ID)
-	c.emit(SendPeer{to, ForwardedRequest{ID: id, Kind: r.Kind, Job: r.Job, Spec: r.Spec, Bad: r.Malformed}})
+	id := c.forwarder.Send(c.now, request.ID)
+	c.emit(SendPeer{to, ForwardedRequest{ID: id, Kind: request.Kind, Job: request.Job, Spec: request.Spec, Bad: request.Malformed}})
 }
 
-// OnPeer takes a message of another controller.
+// OnPeer handles a message from another controller.
 func (c *Core) OnPeer(now units.Microseconds, from string, message any) {
 	c.advance(now)
 	if !c.peers.Knows(from) {
@@ -145,10 +146,10 @@
 		c.onStatus(from, received)
 	case PeerLeaseGrant:
 		c.membership.PeerLeaseGranted(now, from, received.Seat, received.Sent)
-		c.config.PeerKnows(received.ConfigKnown) // before the others' word lengthens this owner's authority
+		c.config.PeerKnows(received.ConfigKnown) // must precede receiveCancellations, which may extend this owner's authority
 		c.receiveCancellations(from, received)
 	case TakeoverVoteRequest:
-		// Of no controller: whoever asks waits until its time is over.
+		// A request about an unknown controller gets no vote: the requester waits for the timeout.
 		if (received.Node == c.cfg.Node || c.peers.Knows(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
 			c.emit(SendPeer{from, TakeoverVote(received)})
 		}
@@ -156,7 +157,7 @@
 		c.membership.VoteReceived(from, received.Node, received.Seat)
 	case ReleaseRequest:
 		if shard := c.owned[received.Block]; shard != nil && shard.assignment == received.Grant {
-			c.releaseShard(shard, "the leader asks for it")
+			c.releaseShard(shard, "the leader requested it")
 		}
 	case ReplicationMessage:
 		c.receiveReplication(from, received)
@@ -173,17 +174,18 @@
 	}
 }
 
-// onStatus takes a controller's status, and grants the peer lease that it asks for.
+// onStatus handles another controller's status, and grants the peer lease that it requests.
 func (c *Core) onStatus(from string, status PeerStatus) {
 	c.peers.ReceiveStatus(c.now, from, status)
-	// In an outage one that was cut off may go on beside the one that owns the shard now.
-	owns := func(b ShardStatus) bool { return c.shardRecords.Assignment(b.Block).Node == from }
+	// In an outage a partitioned controller may still report a shardStatus that another controller owns by now.
+	// Only the view of the assigned owner counts.
+	owns := func(shardStatus ShardStatus) bool { return c.shardRecords.Assignment(shardStatus.Block).Node == from }
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
 		c.zones.ReceivePeerView(status.Zones)
 	}
 	c.peers.NoteRelease(from, status.Release)
 	if c.peers.RollbackNoticed(from, status.Back) {
-		c.log.Warn("another controller says that the state service went back", "controller", from)
+		c.log.Warn("another controller reports that the state service was rolled back; reloading", "controller", from)
 		c.cache.Reload(c.now)
 	}
 	c.receiveConfigStatus(from, status)
@@ -191,13 +193,13 @@
 		c.emit(SendPeer{from, PeerLeaseGrant{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.Known()}})
 	}
 	if c.election.Leads() {
-		for _, b := range status.Blocks {
-			c.planner.ObserveQuotaUse(from, b.Block, b.Share, b.Use)
+		for _, shardStatus := range status.Blocks {
+			c.planner.ObserveQuotaUse(from, shardStatus.Block, shardStatus.Share, shardStatus.Use)
 		}
 	}
 }
 
-// onForwardedRequest serves a user's request that another controller has forwarded.
+// onForwardedRequest serves a user's request that another controller forwarded.
 func (c *Core) onForwardedRequest(from string, ask ForwardedRequest) {
 	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Sane() {
 		return
@@ -214,11 +216,11 @@
 	case RequestCancel:
 		c.Cancel(c.now, request, ask.Job)
 	default:
-		c.forwarder.Finish(request) // of a later release
+		c.forwarder.Finish(request) // a kind that a later release added
 	}
 }
 
-// onForwardedResponse answers a user whose request another controller has served.
+// onForwardedResponse answers a user whose forwarded request another controller served.
 func (c *Core) onForwardedResponse(answer ForwardedResponse) {
 	request, ok := c.forwarder.Answered(answer.ID)
 	if !ok {
@@ -231,15 +233,15 @@
 	c.emit(Reply{Request: request, Code: answer.Code, Body: Problem{answer.Text}, RetryAfter: answer.RetryAfter})
 }
 
-// send answers a request, wherever it came from.
-func (c *Core) send(r Reply) {
-	origin, remote := c.forwarder.Finish(r.Request)
+// send answers a request: directly, or by the controller that forwarded it.
+func (c *Core) send(reply Reply) {
+	origin, remote := c.forwarder.Finish(reply.Request)
 	if !remote {
-		c.emit(r)
+		c.emit(reply)
 		return
 	}
-	answer := ForwardedResponse{ID: origin.ID, Code: r.Code, RetryAfter: r.RetryAfter}
-	switch body := r.Body.(type) {
+	answer := ForwardedResponse{ID: origin.ID, Code: reply.Code, RetryAfter: reply.RetryAfter}
+	switch body := reply.Body.(type) {
 	case JobAnswer:
 		answer.Body = &body
 	case Problem:
@@ -248,14 +250,14 @@
 	c.emit(SendPeer{origin.Node, answer})
 }
 
-// readyWithoutState is how long after the state service's last answer a controller is ready whatever
-// the others say.
+// readyWithoutState is how long after the state service's last answer a controller is ready regardless of the
+// other controllers.
 const readyWithoutState = 3 * units.Second
 
-// Ready reports whether this controller can take requests. Where the state service
-// serves nobody, going unready would help no user and would keep the load
-// balancer away for a while after the outage; a controller that alone is refused is
-// still of use while it can forward requests.
+// Ready reports whether this controller can serve requests. A controller stays ready while the state service
+// serves no controller: going unready would help no user, and the load balancer would skip the controller for
+// a while after the outage. A controller that alone is not served by the state service is still useful while
+// it can forward requests.
 func (c *Core) Ready(now units.Microseconds) bool {
 	c.advance(now)
 	if !c.cache.Loaded() || len(c.types) == 0 || c.retiringSince != 0 {
@@ -264,7 +266,7 @@
 	return c.stateAge() < readyWithoutState || c.peers.AnyAlive(c.now)
 }
 
-// Answer answers a health check or another request that needs no decision.
+// Answer answers a health check or another request that needs no decision: 200 if ok, else 503.
 func (c *Core) Answer(request RequestID, ok bool) {
 	code := http.StatusServiceUnavailable
 	if ok {
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -11,8 +11,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// provisionerHost is what the owner of a shard does for those that provision its machines and weigh
-// its work (packages provisioner and demand).
+// provisionerHost implements provisioner.Host and demand.Host: it gives the provisioning of a shard's
+// machines and the estimation of its demand access to the shard.
 type provisionerHost struct {
 	*Core
 	shard *ownedShard
@@ -30,11 +30,11 @@
 // Unreconciled implements provisioner.Host.
 func (h provisionerHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
 
-// SlotsNeeded implements provisioner.Host. While what earlier owners started is not known, neither
-// is what is needed.
+// SlotsNeeded implements provisioner.Host. The need is unknown while it is unknown what earlier owners started.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
 	few := provisioner.FewOf(len(h.shard.reconciler.Machines()))
-	// What is in a zone that is lost may run on there, and has to be done elsewhere.
+	// Machines in a lost zone are not counted: their tasks may still run there, but have to run elsewhere
+	// anyway.
 	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
 		return nil, false
 	}
@@ -98,8 +98,8 @@
 // CompatibleTypes implements demand.Host.
 func (h provisionerHost) CompatibleTypes(spec *jobs.Spec) []string { return h.compatibleTypes(spec) }
 
-// ownedWithAssignment returns the shard that an answer is for, if it is still owned under the same version of
-// its assignment.
+// ownedWithAssignment returns the shard that an answer is for, if this controller still owns it with the same
+// version of its assignment and has loaded it; else nil.
 func (c *Core) ownedWithAssignment(number int, assignment uint64) *ownedShard {
 	if shard := c.owned[number]; shard != nil && shard.assignment == assignment && shard.ready {
 		return shard
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// OnScaleOut takes the outcome of a request for machines. Those of a shard that is no longer owned
-// are found by their heartbeats and in the list.
+// OnScaleOut handles the outcome of a ScaleOut. If the shard is no longer owned, its new machines are found
+// later by their heartbeats and in the cloud's machine list.
 func (c *Core) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
 	c.advance(now)
 	if shard := c.ownedWithAssignment(request.Shard, request.Assignment); shard != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// OnScaleIn takes the outcome of a request to delete machines.
+// OnScaleIn handles the outcome of a ScaleIn.
 func (c *Core) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
 	c.advance(now)
 	if shard := c.ownedWithAssignment(request.Shard, request.Assignment); shard != nil {
@@ -124,7 +124,8 @@
 	}
 }
 
-// OnListMachines takes the machine list. Machines that nobody knows belong to the first shard.
+// OnListMachines handles the cloud's machine list. Only the owner of the first shard uses it, as
+// unknown machines belong to the first shard.
 func (c *Core) OnListMachines(now units.Microseconds, request ListMachines, outcome store.Outcome, list []ListedMachine) {
 	c.advance(now)
 	shard := c.owned[0]
@@ -133,7 +134,7 @@
 	}
 }
 
-// tickCloud talks to the cloud for a shard.
+// tickCloud runs the provisioner of a shard, and logs the shard's statistics every 10 s.
 func (c *Core) tickCloud(shard *ownedShard) {
 	if !shard.provisioner.Ready(c.now) || len(c.types) == 0 {
 		return
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -5,7 +5,7 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 )
 
-// quotaHost is what a shard's quotas depend on.
+// quotaHost implements quota.Host: it gives a shard's quota tracking access to the controller and the shard.
 type quotaHost struct {
 	core  *Core
 	shard *ownedShard
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -12,7 +12,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// reconcileHost is what the owner of a shard does for its machines (package reconcile).
+// reconcileHost implements reconcile.Host, reconcile.JobHost and reconcile.IdleHost: it gives the
+// reconciliation of a shard's machines access to the shard.
 type reconcileHost struct {
 	*Core
 	shard *ownedShard
@@ -115,10 +116,10 @@
 	h.answerHeartbeat(h.shard, machine, RequestID(request), HeartbeatResponse{FencingToken: h.shard.fencingToken, Commands: commands})
 }
 
-// Probe shows this owner's fencing token to a machine (OnProbe).
+// Probe is the effect that presents this owner's fencing token to a machine (OnProbe).
 type Probe = reconcile.Probe
 
-// OnProbe takes a machine's answer to a probe.
+// OnProbe handles a machine's answer to a Probe.
 func (c *Core) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	c.advance(now)
 	if shard := c.ownedWithAssignment(probe.Shard, probe.Assignment); shard != nil {
@@ -126,8 +127,8 @@
 	}
 }
 
-// newMachine adds a machine that is, or is about to be, stored with a group, and that was
-// provisioned some time ago.
+// newMachine adds a machine to a shard and to a stored group, or one that is about to be stored. age is the
+// time since the machine was provisioned.
 func (c *Core) newMachine(shard *ownedShard, name, group string, record fleet.Record, age units.Microseconds) *fleet.Machine {
 	machine := fleet.New(name, record, c.types[record.Type], c.now)
 	machine.Group, machine.ProvisionedAt = group, c.now-age
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -13,15 +13,16 @@
 	"shalestage.example/shalestage/internal/core/transfer"
 )
 
-// Messages between controllers of what an owner starts, see package replication.
+// Messages that replicate what a shard's owner starts to its standby; see package replication.
 type (
-	// ReplicationMessage tells a standby what may have been started.
+	// ReplicationMessage tells a standby which tasks may have been started.
 	ReplicationMessage = replication.Message
 	// ReplicationAck answers ReplicationMessage.
 	ReplicationAck = replication.Ack
 )
 
-// replicationHost is the owner of a shard, for the stream to its standby.
+// replicationHost implements replication.Host: it gives the replication to a shard's standby access to the
+// shard.
 type replicationHost struct {
 	*Core
 	shard *ownedShard
@@ -33,40 +34,40 @@
 	response HeartbeatResponse
 }
 
-// Candidate implements replication.Host. A zone that is lost takes all in it with it: whoever
-// follows is in another one, where that can be.
+// Candidate implements replication.Host. It prefers a standby in another zone, so that the loss of a zone
+// does not take both the owner and its standby.
 func (f replicationHost) Candidate() string {
 	best, bestCost := "", 4
 	names := f.controllerNames()
-	at := slices.Index(names, f.cfg.Node)
+	self := slices.Index(names, f.cfg.Node)
 	for i := range names {
-		n := names[(at+i)%len(names)]
-		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > peering.ServedFor {
+		node := names[(self+i)%len(names)]
+		if node == f.cfg.Node || !f.Eligible(node) || f.stateAge() > peering.ServedFor {
 			continue
 		}
 		cost := 0
-		if z := f.cfg.PeerZones[n]; z == f.cfg.HomeZone {
+		if zone := f.cfg.PeerZones[node]; zone == f.cfg.HomeZone {
 			cost += 2
-		} else if !f.zones.Reachable(z) {
+		} else if !f.zones.Reachable(zone) {
 			cost++
 		}
 		if cost < bestCost {
-			best, bestCost = n, cost
+			best, bestCost = node, cost
 		}
 	}
 	return best
 }
 
 // Eligible implements replication.Host.
-func (f replicationHost) Eligible(n string) bool {
-	return f.peers.Alive(f.now, n) && f.membership.Current(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplicates && !f.peerUnreachable(n)
+func (f replicationHost) Eligible(node string) bool {
+	return f.peers.Alive(f.now, node) && f.membership.Current(node) != 0 && f.peers.Release(node) >= peering.ReleaseReplicates && !f.peerUnreachable(node)
 }
 
 // Send implements replication.Host.
-func (f replicationHost) Send(to string, m replication.Message) { f.emit(SendPeer{to, m}) }
+func (f replicationHost) Send(to string, message replication.Message) { f.emit(SendPeer{to, message}) }
 
-// Machines implements replication.Host. Tasks may run on one that is being returned until the
-// cloud has answered.
+// Machines implements replication.Host. It includes machines that are being deprovisioned, as tasks may run
+// on them until the cloud has answered.
 func (f replicationHost) Machines() []string {
 	var out []string
 	for _, name := range sortedKeys(f.shard.reconciler.Machines()) {
@@ -77,10 +78,11 @@
 	return out
 }
 
-// SnapshotMachine implements replication.Host. A machine that is not there was returned: nothing is on it.
+// SnapshotMachine implements replication.Host. An unknown machine was deprovisioned, so that no task runs on
+// it.
 func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
-	if m := f.shard.reconciler.Machine(name); m != nil {
-		return transfer.MachineSnapshot(m)
+	if machine := f.shard.reconciler.Machine(name); machine != nil {
+		return transfer.MachineSnapshot(machine)
 	}
 	return replication.MachinePicture{Name: name}
 }
@@ -96,37 +98,38 @@
 }
 
 // Store implements replication.Host.
-func (f replicationHost) Store(r replication.Record, done func(bool)) {
+func (f replicationHost) Store(record replication.Record, done func(bool)) {
 	key := keys.Standby(f.shard.number)
 	guards := []store.Guard{{Key: assignmentKey(f.shard.number), Version: f.shard.assignment}}
-	if r.Node != "" {
-		// That nobody follows is written over whatever is there; that somebody does must not
-		// come after it.
+	if record.Node != "" {
+		// The record that there is no standby overwrites any other, so it is not guarded. A record that names a
+		// standby must not overwrite a later one.
 		guards = append(guards, store.Guard{Key: key, Version: f.cache.Version(key)})
 	}
-	f.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(r)}}, First: true,
-		Done: func(o store.Outcome, _ uint64) {
-			if o == store.OK {
-				f.log.Info("standby stored", "shard", f.shard.number, "standby", r.Node)
+	f.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(record)}}, First: true,
+		Done: func(outcome store.Outcome, _ uint64) {
+			if outcome == store.OK {
+				f.log.Info("standby stored", "shard", f.shard.number, "standby", record.Node)
 			}
-			done(o == store.OK)
+			done(outcome == store.OK)
 		}})
 }
 
 // Answer implements replication.Host.
-func (f replicationHost) Answer(a any, ok bool) {
-	x := a.(deferredResponse)
+func (f replicationHost) Answer(answer any, ok bool) {
+	deferred := answer.(deferredResponse)
 	if ok && f.owned[f.shard.number] == f.shard && f.Owns(f.now, f.shard.number) {
-		f.reply(x.request, http.StatusOK, x.response)
+		f.reply(deferred.request, http.StatusOK, deferred.response)
 		return
 	}
-	f.reply(x.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
+	f.reply(deferred.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
-// answerHeartbeat answers a heartbeat. A response that starts something waits until the standby knows.
-func (c *Core) answerHeartbeat(shard *ownedShard, m *fleet.Machine, req RequestID, o HeartbeatResponse) {
-	starts := slices.ContainsFunc(o.Commands, func(x fleet.Command) bool { return x.Op == fleet.Start })
-	if !starts || !c.guardEnabled(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, m.Name, deferredResponse{req, o}) {
-		c.reply(req, http.StatusOK, o)
+// answerHeartbeat answers a heartbeat. A response that starts a task is deferred until the standby has
+// acknowledged the start.
+func (c *Core) answerHeartbeat(shard *ownedShard, machine *fleet.Machine, request RequestID, response HeartbeatResponse) {
+	starts := slices.ContainsFunc(response.Commands, func(command fleet.Command) bool { return command.Op == fleet.Start })
+	if !starts || !c.guardEnabled(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, machine.Name, deferredResponse{request, response}) {
+		c.reply(request, http.StatusOK, response)
 	}
 }
--- a/internal/core/retire.go
+++ b/internal/core/retire.go
@@ -5,12 +5,11 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// retireTimeout is how long a controller that ends on purpose may take to pass on what it
-// owns.
+// retireTimeout is how long a retiring controller waits for its shards to be released.
 const retireTimeout = 3 * units.Second
 
-// Retire has this controller give up all that it owns, as its process is about to end on
-// purpose. Users' requests are still answered, and workers sent on.
+// Retire releases all shards that this controller owns, before a planned end of its process. The controller
+// still answers users' requests and redirects worker machines.
 func (c *Core) Retire(now units.Microseconds) {
 	c.advance(now)
 	if c.retiringSince == 0 {
@@ -22,9 +21,10 @@
 	}
 }
 
-// Retired reports whether the process of a controller that retires may end: everything is
-// another's, and each worker has had the time for one more heartbeat, which is redirected. One that
-// finds nobody here tries the next controller a second later.
+// Retired reports whether the process of a retiring controller may end. By then the controller owns no shard,
+// and each worker machine has had time for one more heartbeat, which was redirected. A machine that gets no
+// answer here tries the next controller only a second later. If shards are not released in time, the process
+// may end after retireTimeout.
 func (c *Core) Retired(now units.Microseconds) bool {
 	c.advance(now)
 	switch {
@@ -39,7 +39,8 @@
 	return !c.reachability.AnyHeartbeat() || now-c.emptySince > liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval)
 }
 
-// Leave gives up the membership, so that nobody waits for its lease to end. The process ends.
+// Leave closes the membership's lease, so that the other controllers need not wait for it to expire. The
+// caller ends the process afterwards.
 func (c *Core) Leave(now units.Microseconds) {
 	c.advance(now)
 	if c.membership.ID() != 0 {
--- a/internal/core/scheduler.go
+++ b/internal/core/scheduler.go
@@ -10,7 +10,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// schedulerHost is what a shard's scheduler and failure attribution need of the rest.
+// schedulerHost implements scheduler.Host, quarantine.Host and ranking.Quotas: it gives a shard's scheduler
+// and its attribution of task failures access to the controller and the shard.
 type schedulerHost struct {
 	core  *Core
 	shard *ownedShard
@@ -47,16 +48,16 @@
 
 // Nominal implements ranking.Quotas.
 func (h schedulerHost) Nominal(team string) (binpack.Vec, bool) {
-	if t := h.core.teams[team]; t != nil {
-		return t.Guarantee, true
+	if settings := h.core.teams[team]; settings != nil {
+		return settings.Guarantee, true
 	}
 	return binpack.Vec{}, false
 }
 
-// TotalNominal implements ranking.Quotas. Teams that are removed count no more.
+// TotalNominal implements ranking.Quotas. Removed teams do not count.
 func (h schedulerHost) TotalNominal() (cpu int64, teams int) {
-	for _, t := range h.core.cfg.Teams {
-		cpu += t.Guarantee[binpack.CPU]
+	for _, team := range h.core.cfg.Teams {
+		cpu += team.Guarantee[binpack.CPU]
 	}
 	return cpu, len(h.core.cfg.Teams)
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -26,18 +26,18 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// ownedShard is what a controller knows and does while it owns a shard: machines,
-// the jobs that run on them, and an allocation of the teams' quotas.
+// ownedShard is a shard that this controller owns: its machines, the jobs that run on them, and its
+// allocation of the teams' quotas.
 type ownedShard struct {
 	number       int
-	assignment   uint64 // version of the shard's record; guards every write
+	assignment   uint64 // version of the assignment record; every write is conditional on it
 	fencingToken uint64
-	ready        bool // enough is known to answer heartbeats
-	releasing    bool // nothing is answered any more
+	ready        bool // the shard's state is loaded, so that heartbeats can be answered
+	releasing    bool // heartbeats are no longer answered
 	ownedSince   units.Microseconds
 	attempts     uint64
 
-	writer *shardstore.Writer // what is to be stored of it
+	writer *shardstore.Writer // stores the shard's changes
 
 	active      map[string]*jobs.Job
 	reconciler  *reconcile.Reconciler
@@ -56,33 +56,33 @@
 
 func sortedShards(m map[int]*ownedShard) []int { return slices.Sorted(maps.Keys(m)) }
 
-// acquireShard begins to acquireShard a shard. Heartbeats are answered once a read that began
-// after the assignment was stored has shown everything that earlier owners stored.
-func (c *Core) acquireShard(k int, g shardplan.Assignment) {
-	shard := &ownedShard{number: k, assignment: g.Version, fencingToken: authority.FencingToken(g.Term, g.Number), ownedSince: c.now, active: map[string]*jobs.Job{},
+// acquireShard makes this controller the owner of a shard. Heartbeats are answered once a read that began
+// after the assignment was stored has returned everything that earlier owners stored.
+func (c *Core) acquireShard(number int, assignment shardplan.Assignment) {
+	shard := &ownedShard{number: number, assignment: assignment.Version, fencingToken: authority.FencingToken(assignment.Term, assignment.Number), ownedSince: c.now, active: map[string]*jobs.Job{},
 		demand: demand.New(c.cfg.Objectives, c.cfg.SequentialFraction)}
 	shard.quota = quota.New(quotaHost{c, shard})
-	shard.reconciler = reconcile.New(reconcile.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, Log: c.log}, reconcileHost{c, shard}, shard.quota)
-	shard.scheduler = scheduler.New(scheduler.Config{Shard: k, Packing: c.cfg.Pack, HeartbeatDeadline: liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval),
+	shard.reconciler = reconcile.New(reconcile.Config{Shard: number, FencingToken: shard.fencingToken, OwnedSince: c.now, Log: c.log}, reconcileHost{c, shard}, shard.quota)
+	shard.scheduler = scheduler.New(scheduler.Config{Shard: number, Packing: c.cfg.Pack, HeartbeatDeadline: liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval),
 		Log: c.log, SkippedGuard: c.cfg.SkippedGuard}, schedulerHost{c, shard}, shard.quota, shard.demand, c.zones)
 	shard.attribution = quarantine.New(schedulerHost{c, shard}, c.log)
-	shard.provisioner = provisioner.New(provisioner.Config{Shard: k, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: reconcile.AdoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, provisionerHost{c, shard}, c.zones)
+	shard.provisioner = provisioner.New(provisioner.Config{Shard: number, FencingToken: shard.fencingToken, OwnedSince: c.now, ListLag: c.cfg.ListLag, AdoptAfter: reconcile.AdoptAfter, Lease: c.leaseBound(), HeartbeatInterval: c.cfg.HeartbeatInterval, Scale: c.cfg.Scale, Log: c.log}, provisionerHost{c, shard}, c.zones)
 	shard.liveness = liveness.New(liveness.Config{HeartbeatInterval: c.cfg.HeartbeatInterval, OwnedSince: c.now, Zones: c.cfg.Zones, Log: c.log}, livenessHost{c, shard}, shard.provisioner, c.zones)
 	shard.writer = c.newShardWriter(shard)
-	shard.replication = replication.NewPrimary(k, shard.fencingToken, replicationHost{c, shard})
-	c.owned[k] = shard
+	shard.replication = replication.NewPrimary(number, shard.fencingToken, replicationHost{c, shard})
+	c.owned[number] = shard
 	c.reachability.ShardAcquired()
 	c.zones.ShardAcquired()
-	c.log.Info("shard owned", "shard", k, "token", shard.fencingToken)
+	c.log.Info("shard owned", "shard", number, "token", shard.fencingToken)
 	c.setRates()
 	c.loadShard(shard)
 }
 
-// loadShard reads what a shard has, until that works.
+// loadShard reads the shard's stored state and takes the shard over. It retries until a read succeeds.
 func (c *Core) loadShard(shard *ownedShard) {
 	c.readFresh(func(ok bool) {
 		switch {
-		case c.owned[shard.number] != shard: // released or lost meanwhile
+		case c.owned[shard.number] != shard: // released or lost in the meantime
 		case ok:
 			c.takeOver(shard)
 		default:
@@ -91,8 +91,8 @@
 	})
 }
 
-// takeOver takes in the machines and jobs of a shard, and what its last owner knew. From then on
-// heartbeats are answered.
+// takeOver adds the stored machines and jobs to a shard and restores the last owner's snapshot or replicated
+// state. From then on heartbeats are answered.
 func (c *Core) takeOver(shard *ownedShard) {
 	snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
 	for _, key := range sortedKeys(c.machineGroups) {
@@ -106,17 +106,18 @@
 	c.log.Info("shard ready", "shard", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "restored", restored, "replicated", snapshot.Complete())
 }
 
-// inheritGroup takes in stored machines.
+// inheritGroup adds the machines of a stored group to a shard. The snapshot says for which of them the last
+// owner's state is known.
 func (c *Core) inheritGroup(shard *ownedShard, key string, group fleet.Group, snapshot *transfer.Snapshot) {
-	// An owner that took them for new would keep idle ones for their least charge once more.
+	// An owner that treated the machines as new would keep idle ones for their minimum billing period again.
 	age := units.Microseconds(0)
 	if group.ProvisionedAt > 0 {
 		age = max(0, c.wall-group.ProvisionedAt)
 	}
 	for _, name := range group.Up {
 		machine := c.newMachine(shard, name, key, group.Record(true), age)
-		// An earlier owner may have started tasks there, and its last answer may have been
-		// accepted just before this assignment.
+		// An earlier owner may have started tasks on the machine, and the machine may have accepted that
+		// owner's last heartbeat response just before this assignment.
 		shard.reconciler.Inherit(c.now, machine, snapshot.Covers(name, key))
 	}
 	for _, name := range group.Booting {
@@ -124,21 +125,21 @@
 	}
 }
 
-// inheritJobs takes in the active jobs of a shard that wait for no others.
+// inheritJobs adds a shard's active jobs that have no open dependencies.
 func (c *Core) inheritJobs(shard *ownedShard) {
 	for _, job := range c.jobs.ActiveByID() {
 		if job.Record.Shard == shard.number && job.OpenDependencies == 0 {
 			job.Reset()
 			shard.addJob(job)
-			// Whether any of its tasks were ever started only the last owner knew.
+			// Only the last owner knew whether any of the job's tasks were started.
 			job.SetUnreconciled(len(shard.reconciler.Unreconciled()) > 0)
 		}
 	}
 }
 
-// releaseShard gives a shard up while this node's membership stands, so that the leader
-// can assign it to another. Nothing is answered from now on, whether or not the
-// releaseShard gets stored soon.
+// releaseShard gives up a shard while this node's membership is still valid, so that the leader can assign
+// the shard to another controller. From now on no heartbeat of the shard is answered, whether or not the
+// release is stored soon.
 func (c *Core) releaseShard(shard *ownedShard, why string) {
 	if shard.releasing {
 		return
@@ -150,6 +151,7 @@
 	c.storeRelease(shard)
 }
 
+// storeRelease stores that this controller has released a shard, unless the assignment has changed since.
 func (c *Core) storeRelease(shard *ownedShard) {
 	current := c.shardRecords.Assignment(shard.number)
 	if current.Version != shard.assignment {
@@ -159,49 +161,49 @@
 	shard.writer.StoreRelease(store.Change{Key: keys.Assignment(shard.number), Value: store.Value(released)})
 }
 
-// leaseBound is the time after which tasks of a machine that gets no answer
-// are surely gone.
+// leaseBound is the time after which the tasks of a machine that gets no heartbeat response are certain to have
+// stopped: the lease, allowing for clock drift, plus 200 ms.
 func (c *Core) leaseBound() units.Microseconds { return units.Longest(c.cfg.Lease) + units.Second/5 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Owns reports whether this controller may answer workers of a shard at present.
-func (c *Core) Owns(now units.Microseconds, k int) bool {
-	shard := c.owned[k]
+// Owns reports whether this controller may answer the heartbeats of a shard's machines at the given time.
+func (c *Core) Owns(now units.Microseconds, number int) bool {
+	shard := c.owned[number]
 	return shard != nil && shard.ready && !shard.releasing && now < c.ValidUntil()
 }
 
-func (shard *ownedShard) addJob(j *jobs.Job) {
-	if shard.active[j.ID] == j {
+func (shard *ownedShard) addJob(job *jobs.Job) {
+	if shard.active[job.ID] == job {
 		return
 	}
-	if old := shard.active[j.ID]; old != nil {
+	if old := shard.active[job.ID]; old != nil {
 		shard.scheduler.Remove(old)
 	}
-	shard.active[j.ID] = j
-	shard.scheduler.Add(j)
+	shard.active[job.ID] = job
+	shard.scheduler.Add(job)
 }
 
-// jobFinished forgets a job that is done or cancelled. Its tasks on machines keep
-// counting against the team until the machines' heartbeats no longer show them.
-func (shard *ownedShard) jobFinished(c *Core, j *jobs.Job, s jobs.Status) {
-	shard.dropJob(j)
-	spec := j.Spec()
-	c.log.Info("job over", "job", j.ID, "status", s, "class", spec.Class, "tasks", spec.Tasks,
-		"took_s", (c.wall - j.Since).Seconds(), "waited_s", (j.Since - j.Record.Submitted).Seconds(), "deadline_s", spec.Deadline.Seconds())
+// jobFinished removes a job that is done or cancelled. Its tasks on machines keep counting against the team's
+// quota until the machines' heartbeats no longer list them.
+func (shard *ownedShard) jobFinished(c *Core, job *jobs.Job, status jobs.Status) {
+	shard.dropJob(job)
+	spec := job.Spec()
+	c.log.Info("job finished", "job", job.ID, "status", status, "class", spec.Class, "tasks", spec.Tasks,
+		"took_s", (c.wall - job.Since).Seconds(), "waited_s", (job.Since - job.Record.Submitted).Seconds(), "deadline_s", spec.Deadline.Seconds())
 }
 
-// dropJob forgets a job that is over or another shard's now.
-func (shard *ownedShard) dropJob(j *jobs.Job) {
-	shard.scheduler.Remove(cmp.Or(shard.active[j.ID], j))
-	delete(shard.active, j.ID)
+// dropJob removes a job that has finished or moved to another shard.
+func (shard *ownedShard) dropJob(job *jobs.Job) {
+	shard.scheduler.Remove(cmp.Or(shard.active[job.ID], job))
+	delete(shard.active, job.ID)
 }
 
-// tickShard does what an owner does as time passes.
+// tickShard does an owner's periodic work.
 func (c *Core) tickShard(shard *ownedShard) {
 	if shard.releasing {
 		if shard.reconciler.PendingOverdue(c.now) {
-			c.redirectPending(shard) // it takes longer than it should
+			c.redirectPending(shard) // the release is taking too long
 		}
 		c.storeRelease(shard)
 		return
@@ -213,23 +215,23 @@
 	if !c.Owns(c.now, shard.number) {
 		return
 	}
-	if authority.AttemptsUsedUp(shard.attempts) { // after some 16.8 million starts; the next assignment has numbers of its own
+	if authority.AttemptsUsedUp(shard.attempts) { // after some 16.8 million starts; the next assignment has its own numbers
 		c.releaseShard(shard, "the attempt numbers of its assignment are used up")
 		return
 	}
 	if c.unreachable(shard) {
 		c.reachability.ShardsReleased(c.now)
-		for _, k := range sortedShards(c.owned) {
-			c.releaseShard(c.owned[k], "no worker can reach this node")
+		for _, number := range sortedShards(c.owned) {
+			c.releaseShard(c.owned[number], "no worker can reach this node")
 		}
 		return
 	}
 	if shard.scheduler.Tick() {
-		for _, j := range shard.scheduler.Jobs() {
-			if j.AllFinished() && c.guardEnabled(guard.CompleteAgain) {
-				// Not only when its last task ends: an earlier owner may have
-				// stored that and ended before it could store the job's end.
-				shard.writer.CloseJob(j)
+		for _, job := range shard.scheduler.Jobs() {
+			if job.AllFinished() && c.guardEnabled(guard.CompleteAgain) {
+				// This is checked on every tick and not only when the last task finishes: an earlier owner may
+				// have stored that task and failed before it could store the job as finished.
+				shard.writer.CloseJob(job)
 			}
 		}
 	}
@@ -247,27 +249,27 @@
 	c.tickCloud(shard)
 }
 
-// setRates divides the budgets of the outside services by the open shards that
-// this controller owns.
+// setRates sets this controller's share of the request budgets of the state service and the cloud, by the
+// share of open shards that it owns.
 func (c *Core) setRates() {
-	open, mine := 0, 0
+	open, owned := 0, 0
 	for _, k := range c.shardRecords.Open() {
 		open++
 		if c.owned[k] != nil {
-			mine++
+			owned++
 		}
 	}
-	part := 1.0
+	fraction := 1.0
 	if open > 0 {
-		part = max(float64(mine), 0.5) / float64(max(open, mine))
+		fraction = max(float64(owned), 0.5) / float64(max(open, owned))
 	}
-	// Submissions come in bursts that seldom meet the owners' changes: together
-	// the queues may ask for more than the budget.
+	// Submissions come in bursts that seldom coincide with the owners' changes, so the rates of the queues
+	// may add up to more than the budget.
 	c.queues[UserQueue].Rate = c.cfg.WriteRate / float64(2*c.cfg.Size)
-	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * part
+	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * fraction
 	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * archive.WriteShare
-	if part != c.cloudFraction {
-		c.cloudFraction = part
-		c.emit(CloudBudget{part})
+	if fraction != c.cloudFraction {
+		c.cloudFraction = fraction
+		c.emit(CloudBudget{fraction})
 	}
 }
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -10,8 +10,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// newShardWriter returns what stores a shard's changes. The owner of the first shard deletes
-// garbage as well.
+// newShardWriter returns the writer that stores a shard's changes. The owner of the first shard also collects
+// garbage.
 func (c *Core) newShardWriter(shard *ownedShard) *shardstore.Writer {
 	cfg := shardstore.Config{Layout: c.jobs.Layout(), TxnOps: c.cfg.TxnOps}
 	if shard.number == 0 {
@@ -20,7 +20,7 @@
 	return shardstore.New(cfg, writerHost{c, shard})
 }
 
-// writerHost is the owner of a shard, for what stores its changes.
+// writerHost implements shardstore.Host: it gives the writer of a shard's changes access to the shard.
 type writerHost struct {
 	*Core
 	shard *ownedShard
@@ -40,7 +40,7 @@
 // Version implements shardstore.Host.
 func (h writerHost) Version(key string) uint64 { return h.cache.Version(key) }
 
-// Enqueue implements shardstore.Host. The queue is bounded by the jobs and machines there are.
+// Enqueue implements shardstore.Host. The numbers of jobs and machines bound the queue.
 func (h writerHost) Enqueue(write *store.Write) { h.queues[ControlQueue].Add(write) }
 
 // Capacity implements shardstore.Host.
@@ -49,7 +49,7 @@
 // Machine implements shardstore.Host.
 func (h writerHost) Machine(name string) *fleet.Machine { return h.shard.reconciler.Machine(name) }
 
-// GroupDeleted implements shardstore.Host. The copy follows with the next read.
+// GroupDeleted implements shardstore.Host. The watch cache follows with its next read.
 func (h writerHost) GroupDeleted(key string) { delete(h.machineGroups, key) }
 
 // TaskFinished implements shardstore.Host.
@@ -58,7 +58,7 @@
 // Awaited implements shardstore.Host.
 func (h writerHost) Awaited(job string) bool { return h.jobs.Awaited(job) }
 
-// garbageHost collects garbage under the assignment of the first shard.
+// garbageHost implements shardstore.Garbage: it collects garbage, guarded by the assignment of the first shard.
 type garbageHost struct {
 	*Core
 	orphans registry.OrphanCollection
@@ -72,8 +72,8 @@
 	h.jobs.CollectGarbage(capacity, writer)
 }
 
-// CollectOrphans implements shardstore.Garbage. Releases before 0.6 guard nothing, so that nothing
-// is deleted beside one of them.
+// CollectOrphans implements shardstore.Garbage. Releases before 0.6 do not guard their writes, so nothing is
+// deleted while a controller runs one of them.
 func (h *garbageHost) CollectOrphans(writer *shardstore.Writer) {
 	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.peers.AllRunFor(h.now, peering.ReleaseChunks, h.cfg.ArchiveSettleTime) {
 		h.jobs.CollectOrphans(&h.orphans, writer)
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -15,24 +15,24 @@
 	"shalestage.example/shalestage/internal/core/transfer"
 )
 
-// Messages between controllers of what may run on a shard's machines, see package transfer.
+// Messages that tell the next owner of a shard what may run on its machines; see package transfer.
 type (
-	// SnapshotMessage is a part of a shard's snapshot.
+	// SnapshotMessage is one part of a shard's snapshot.
 	SnapshotMessage = transfer.Message
 	// MachineSnapshot is what may run on one machine.
 	MachineSnapshot = replication.MachinePicture
-	// FinishedTasks are finished tasks of a job that are not stored yet.
+	// FinishedTasks are the finished tasks of a job that are not stored yet.
 	FinishedTasks = replication.TasksDone
 )
 
-// SnapshotMessageSize bounds the tasks and machines in one message.
+// SnapshotMessageSize bounds the size of one SnapshotMessage, counted in tasks and machines.
 const SnapshotMessageSize = transfer.MessageSize
 
-// MaxShardMachines is the most machines that a shard may be set to carry.
+// MaxShardMachines is the maximum number of machines that a shard may be configured for.
 const MaxShardMachines = replication.MaxMachines
 
-// sendSnapshot sends the snapshot of a shard that is being released to all that can use it: who
-// gets the shard is the leader's to decide.
+// sendSnapshot sends the snapshot of a shard that is being released to all controllers that can use it, as
+// the leader has yet to decide which of them gets the shard.
 func (c *Core) sendSnapshot(shard *ownedShard) {
 	if !shard.ready || len(shard.reconciler.Unreconciled()) > 0 {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// transferHost is the next owner of a shard, for the snapshot of the last one.
+// transferHost implements transfer.Host: it restores the last owner's snapshot into a shard of its next owner.
 type transferHost struct {
 	*Core
 	shard *ownedShard
@@ -71,15 +71,15 @@
 // TaskFinished implements transfer.Host.
 func (h transferHost) TaskFinished(job *jobs.Job, task int) { h.shard.writer.TaskFinished(job, task) }
 
-// applyStandby takes who stands by for the owner of a shard.
-func (c *Core) applyStandby(e store.Event) error {
-	shard, err := keys.Shard(e.Key, keys.StandbyPrefix)
+// applyStandby applies the stored standby of a shard.
+func (c *Core) applyStandby(event store.Event) error {
+	shard, err := keys.Shard(event.Key, keys.StandbyPrefix)
 	if err != nil {
 		return err
 	}
 	var record replication.Record
-	if e.Value != nil {
-		if err := json.Unmarshal(e.Value, &record); err != nil {
+	if event.Value != nil {
+		if err := json.Unmarshal(event.Value, &record); err != nil {
 			return err
 		}
 	}
@@ -87,27 +87,27 @@
 	return nil
 }
 
-// standbyOf names who knows all that the last owner of a shard has started; "" if nobody is
-// stored to.
+// standbyOf returns the standby that knows everything that the last owner of a shard started, or "" if none
+// is stored.
 func (c *Core) standbyOf(shard int) string {
 	last := c.shardRecords.Assignment(shard)
 	return c.transfers.StandbyOf(shard, authority.FencingToken(last.Term, last.Number))
 }
 
-// receiveReplication takes what the owner of a shard has started.
-func (c *Core) receiveReplication(from string, m ReplicationMessage) {
-	if m.Block < 0 || m.Block >= keys.MaxShards || c.shardRecords.Assignment(m.Block).Node != from {
+// receiveReplication handles a replication message from the owner of a shard, and acknowledges it.
+func (c *Core) receiveReplication(from string, message ReplicationMessage) {
+	if message.Block < 0 || message.Block >= keys.MaxShards || c.shardRecords.Assignment(message.Block).Node != from {
 		return
 	}
-	ack := c.transfers.ReceiveStarts(m, func(id string, task int) bool {
+	ack := c.transfers.ReceiveStarts(message, func(id string, task int) bool {
 		job := c.jobs.Get(id)
 		return job == nil || !job.Active() || job.IsStored(task)
 	})
 	c.emit(SendPeer{from, ack})
 }
 
-// redirectPending answers the heartbeats that wait while a shard is being released: by the shard's next
-// owner, once that is known.
+// redirectPending answers the heartbeats that are pending while a shard is being released. It redirects them
+// to the shard's next owner if that is known.
 func (c *Core) redirectPending(shard *ownedShard) {
 	to := c.ownerOf(shard.number)
 	for _, request := range shard.reconciler.TakePending() {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// tickTypes reads the price list, on every controller that needs it.
+// tickTypes fetches the price list of machine types, on the leader and on owners of shards.
 func (c *Core) tickTypes() {
 	if (c.election.Leads() || len(c.owned) > 0) && c.now >= c.nextTypeFetchAt {
 		c.nextTypeFetchAt = c.now + 20*units.Second
@@ -17,20 +17,19 @@
 	}
 }
 
-// OnTypes takes the price list. A type that is new is stored by the leader, so
-// that every node knows it.
-func (c *Core) OnTypes(now units.Microseconds, o store.Outcome, types []fleet.Type) {
+// OnTypes handles the answer to a FetchTypes. The leader stores new types, so that every controller knows them.
+func (c *Core) OnTypes(now units.Microseconds, outcome store.Outcome, types []fleet.Type) {
 	c.advance(now)
-	if o != store.OK {
+	if outcome != store.OK {
 		c.nextTypeFetchAt = now + 2*units.Second
 		return
 	}
-	for _, t := range types {
-		key := c.typeKey(t.Name)
-		old := c.types[t.Name]
-		c.setType(t)
-		if l := c.election.Leadership(); l != nil && (old == nil || c.cache.Version(key) == 0) {
-			l.Write([]store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key, Value: store.Value(t)})
+	for _, machineType := range types {
+		key := c.typeKey(machineType.Name)
+		old := c.types[machineType.Name]
+		c.setType(machineType)
+		if leadership := c.election.Leadership(); leadership != nil && (old == nil || c.cache.Version(key) == 0) {
+			leadership.Write([]store.Guard{{Key: key, Version: c.cache.Version(key)}}, store.Change{Key: key, Value: store.Value(machineType)})
 		}
 	}
 	for _, shard := range c.owned {
@@ -38,12 +37,12 @@
 	}
 }
 
-// compatibleTypes returns the names of the machine types on which a job's tasks can run.
-func (c *Core) compatibleTypes(s *jobs.Spec) []string {
+// compatibleTypes returns the sorted names of the machine types on which a job's tasks can run.
+func (c *Core) compatibleTypes(spec *jobs.Spec) []string {
 	var out []string
-	for _, t := range c.types {
-		if s.Demand.Fits(t.Capacity) && s.AllowsType(t.Name) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone)) {
-			out = append(out, t.Name)
+	for _, machineType := range c.types {
+		if spec.Demand.Fits(machineType.Capacity) && spec.AllowsType(machineType.Name) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
+			out = append(out, machineType.Name)
 		}
 	}
 	slices.Sort(out)
--- a/internal/core/watchcache.go
+++ b/internal/core/watchcache.go
@@ -12,7 +12,7 @@
 	"shalestage.example/shalestage/internal/core/watchcache"
 )
 
-// cacheHost is what the copy of the state service's keys tells this controller.
+// cacheHost implements watchcache.Host: it passes the events of the watch cache on to this controller.
 type cacheHost struct{ *Core }
 
 // Emit implements watchcache.Host.
@@ -31,11 +31,11 @@
 // Gap implements watchcache.Host.
 func (c cacheHost) Gap() { c.archive.Gap() }
 
-// Limited implements watchcache.Host: from now on the rates count that the state service was
-// to have later.
+// Limited implements watchcache.Host. The state service has refused a request as over its limit, so from now
+// on the lower rates apply that are configured for later.
 func (c cacheHost) Limited() {
 	if next := c.cfg.NextWriteRate; 0 < next && next < c.cfg.WriteRate {
-		c.log.Info("state service takes fewer changes", "a_second", next)
+		c.log.Info("state service has lowered its write limit; reducing the write rate", "a_second", next)
 		c.cfg.WriteRate = next
 		c.setRates()
 	}
@@ -44,36 +44,38 @@
 // Reload implements watchcache.Host.
 func (c cacheHost) Reload(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
 
-// ListPageSize is how many keys are listed at once.
+// ListPageSize is the number of keys in one page of a listing.
 const ListPageSize = watchcache.Page
 
-// readFresh asks for a fresh read; f, if any, is told whether it worked.
-func (c *Core) readFresh(f func(ok bool)) { c.cache.ReadFresh(f) }
+// readFresh requests a read of the state service that begins after this call. It calls f, if not nil, with
+// whether the read succeeded.
+func (c *Core) readFresh(done func(ok bool)) { c.cache.ReadFresh(done) }
 
-// noteOutcome notes whether the state service serves this node, and at what rate. It
-// returns the outcome for those whom the reason of a refusal does not concern.
-func (c *Core) noteOutcome(o store.Outcome) store.Outcome { return c.cache.NoteOutcome(c.now, o) }
+// noteOutcome records whether the state service serves this node, and at what rate. It returns the outcome for
+// callers that need not know why a request was refused: store.Limited becomes store.Refused.
+func (c *Core) noteOutcome(outcome store.Outcome) store.Outcome {
+	return c.cache.NoteOutcome(c.now, outcome)
+}
 
-// OnList takes a page of the listing, read at a revision; more says that there are
-// others.
-func (c *Core) OnList(now units.Microseconds, l List, o store.Outcome, rev uint64, items []store.Event, more bool) {
+// OnList handles one page of a listing, read at revision rev. more reports whether further pages follow.
+func (c *Core) OnList(now units.Microseconds, list List, outcome store.Outcome, rev uint64, items []store.Event, more bool) {
 	c.advance(now)
-	c.cache.OnList(c.now, l, o, rev, items, more)
+	c.cache.OnList(c.now, list, outcome, rev, items, more)
 }
 
-// OnChanges takes a watch's answer. gone means that the service no longer has all
-// changes since then.
-func (c *Core) OnChanges(now units.Microseconds, w Watch, o store.Outcome, rev uint64, events []store.Event, gone bool) {
+// OnChanges handles the answer to a Watch. compacted means that the service no longer has all changes since
+// watch.After.
+func (c *Core) OnChanges(now units.Microseconds, watch Watch, outcome store.Outcome, rev uint64, events []store.Event, compacted bool) {
 	c.advance(now)
-	taken := o == store.OK && w.After <= c.cache.Revision
-	c.cache.OnChanges(c.now, w, o, rev, events, gone)
-	if taken {
+	applied := outcome == store.OK && watch.After <= c.cache.Revision
+	c.cache.OnChanges(c.now, watch, outcome, rev, events, compacted)
+	if applied {
 		c.observeCommits(events)
 	}
 }
 
-// applyEvent takes one change of the copy. Records that cannot be read are logged
-// and skipped: they end no process.
+// applyEvent applies one change that the watch cache reports. Records that cannot be decoded are logged and
+// skipped, so that they do not crash the process.
 func (c *Core) applyEvent(event store.Event) {
 	c.rollback.Note(event)
 	var err error
@@ -112,48 +114,50 @@
 	}
 }
 
-func (c *Core) applyMachineGroup(key string, e store.Event) error {
+// applyMachineGroup applies a stored machine group.
+func (c *Core) applyMachineGroup(key string, event store.Event) error {
 	if old, ok := c.machineGroups[key]; ok {
 		delete(c.machineGroups, key)
-		for _, n := range slices.Concat(old.Up, old.Booting) {
-			if c.machineShard[n] == old.Shard {
-				delete(c.machineShard, n)
+		for _, name := range slices.Concat(old.Up, old.Booting) {
+			if c.machineShard[name] == old.Shard {
+				delete(c.machineShard, name)
 			}
 		}
 	}
-	if e.Value == nil {
+	if event.Value == nil {
 		return nil
 	}
-	g, err := fleet.DecodeGroup(key[len(machinePrefix):], e.Value)
+	group, err := fleet.DecodeGroup(key[len(machinePrefix):], event.Value)
 	if err != nil {
 		return err
 	}
-	c.machineGroups[key] = g
-	for _, n := range slices.Concat(g.Up, g.Booting) {
-		if _, known := c.machineShard[n]; !known || !keys.IsOrphanMachine(key) {
-			c.machineShard[n] = g.Shard
+	c.machineGroups[key] = group
+	for _, name := range slices.Concat(group.Up, group.Booting) {
+		if _, known := c.machineShard[name]; !known || !keys.IsOrphanMachine(key) {
+			c.machineShard[name] = group.Shard
 		}
 	}
 	return nil
 }
 
-func (c *Core) applyType(e store.Event) error {
-	if e.Value == nil {
+// applyType applies a stored machine type.
+func (c *Core) applyType(event store.Event) error {
+	if event.Value == nil {
 		return nil
 	}
-	var t fleet.Type
-	if err := json.Unmarshal(e.Value, &t); err != nil {
+	var machineType fleet.Type
+	if err := json.Unmarshal(event.Value, &machineType); err != nil {
 		return err
 	}
-	c.setType(t)
+	c.setType(machineType)
 	return nil
 }
 
-// setType keeps the type's identity, as machines point to it.
-func (c *Core) setType(t fleet.Type) {
-	if known := c.types[t.Name]; known != nil {
-		*known = t
+// setType stores a machine type. It overwrites a known type in place, as machines point to it.
+func (c *Core) setType(machineType fleet.Type) {
+	if known := c.types[machineType.Name]; known != nil {
+		*known = machineType
 		return
 	}
-	c.types[t.Name] = &t
+	c.types[machineType.Name] = &machineType
 }
