--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -31,7 +31,7 @@
 // IsLeased reports whether a record is attached to a controller's lease, so that it is deleted when the lease
 // ends.
 func IsLeased(event store.Event) bool {
-	return strings.HasPrefix(event.Key, keys.MemberPrefix) || event.Key == keys.LeaderSinceArchive || event.Key == keys.Leader && !election.Excludes(event.Value)
+	return strings.HasPrefix(event.Key, keys.MemberPrefix) || event.Key == keys.LeaderSinceArchive || event.Key == keys.Leader && !election.IsExclusionRecord(event.Value)
 }
 
 // typeKey returns the key under which a machine type is stored.
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -183,7 +183,7 @@
 		if shardStatus.Use < 0 {
 			continue
 		}
-		over := c.owned[shardStatus.Block].quota.Exceeded()
+		over := c.owned[shardStatus.Block].quota.TeamsOverAllocation()
 		if complete {
 			c.config.SetOverQuota(shardStatus.Block, status.Config, over)
 		}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -83,9 +83,9 @@
 	machine := accepted.Machine
 	proven := accepted.Standing == reconcile.Proven
 	switch {
-	case proven && machine.Notice != units.Never:
-		return shard.scheduler.EvictBeforeNotice(machine)
-	case machine.Notice != units.Never || !machine.Schedulable():
+	case proven && machine.Notice != units.MaxTime:
+		return shard.scheduler.EvictBeforeReclaim(machine)
+	case machine.Notice != units.MaxTime || !machine.Schedulable():
 		return nil
 	case proven:
 		commands := append(shard.scheduler.Fill(machine), shard.scheduler.Preempt(machine)...)
@@ -105,7 +105,7 @@
 func (c *Core) ownerOf(number int) string {
 	assignment := c.shardRecords.Assignment(number)
 	owner := assignment.Node
-	if !c.peers.Knows(owner) || c.membership.Current(owner) != assignment.MemberID || !c.peers.Alive(c.now, owner) && c.peers.AnyAlive(c.now) {
+	if !c.peers.Knows(owner) || c.membership.CurrentID(owner) != assignment.MemberID || !c.peers.Alive(c.now, owner) && c.peers.AnyAlive(c.now) {
 		return ""
 	}
 	return owner
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -40,7 +40,7 @@
 
 // Elected implements election.Host.
 func (c electionHost) Elected(lead *election.Leadership) {
-	c.planner.Lead(c.now, lead)
+	c.planner.StartTerm(c.now, lead)
 }
 
 // tickLeadership runs the planner on the leader. On the other controllers it runs the election, in which they
@@ -83,10 +83,12 @@
 func (c plannerHost) Controllers() []string { return c.controllerNames() }
 
 // CurrentMember implements shardplan.Members.
-func (c plannerHost) CurrentMember(node string) uint64 { return c.membership.Current(node) }
+func (c plannerHost) CurrentMember(node string) uint64 { return c.membership.CurrentID(node) }
 
 // MemberSince implements shardplan.Members.
-func (c plannerHost) MemberSince(node string) units.Microseconds { return c.membership.Since(node) }
+func (c plannerHost) MemberSince(node string) units.Microseconds {
+	return c.membership.KnownSince(node)
+}
 
 // MemberExpired implements shardplan.Members.
 func (c plannerHost) MemberExpired(node string, id uint64) bool {
@@ -98,8 +100,8 @@
 	return node == c.cfg.Node || c.peers.Alive(c.now, node)
 }
 
-// OutOfReach implements shardplan.Members.
-func (c plannerHost) OutOfReach(node string) bool { return c.peerUnreachable(node) }
+// UnreachableByWorkers implements shardplan.Members.
+func (c plannerHost) UnreachableByWorkers(node string) bool { return c.peerUnreachable(node) }
 
 // Outdated implements shardplan.Members.
 func (c plannerHost) Outdated(node string) bool { return c.incompatible(node) }
@@ -116,7 +118,7 @@
 func (c plannerHost) OwnQuotaUses() iter.Seq2[int, float64] {
 	return func(yield func(int, float64) bool) {
 		for number, shard := range c.owned {
-			if shard.ready && len(shard.reconciler.Unreconciled()) == 0 && !yield(number, shard.quota.LargestUse()) {
+			if shard.ready && len(shard.reconciler.Unreconciled()) == 0 && !yield(number, shard.quota.MaxUtilization()) {
 				return
 			}
 		}
@@ -173,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.shardRecords.LearnAssignment(number, event); err != nil {
+	if err := c.shardRecords.ApplyAssignment(number, event); err != nil {
 		return err
 	}
 	assignment := c.shardRecords.Assignment(number)
@@ -213,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.shardRecords.LearnAllocation(number, event); err != nil || event.Value == nil {
+	if err := c.shardRecords.ApplyAllocation(number, event); err != nil || event.Value == nil {
 		return err
 	}
 	c.setRates()
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -72,7 +72,7 @@
 // now: the authority of its membership ends, or a cancellation may have been confirmed that this node does
 // not know.
 func (c *Core) ValidUntil() units.Microseconds {
-	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.Shortest(c.cancellationGrace()))
+	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.MinWithDrift(c.cancellationGrace()))
 }
 
 // OnLease handles the answer to an OpenLease.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -83,7 +83,7 @@
 	for _, number := range sortedShards(c.owned) {
 		use := -1.0
 		if shard := c.owned[number]; shard.ready && len(shard.reconciler.Unreconciled()) == 0 {
-			use = shard.quota.LargestUse()
+			use = shard.quota.MaxUtilization()
 		}
 		status.Blocks = append(status.Blocks, ShardStatus{Block: number, Share: c.shardRecords.Allocation(number).Version, Use: use})
 	}
@@ -99,7 +99,7 @@
 	for _, node := range c.peers.Names() {
 		zone := c.cfg.PeerZones[node]
 		all[zone]++
-		if c.peers.Alive(c.now, node) || c.membership.Current(node) != 0 && c.stateAge() < peering.ServedFor {
+		if c.peers.Alive(c.now, node) || c.membership.CurrentID(node) != 0 && c.stateAge() < peering.ServedFor {
 			alive[zone]++
 		}
 	}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -60,7 +60,7 @@
 
 // Eligible implements replication.Host.
 func (f replicationHost) Eligible(node string) bool {
-	return f.peers.Alive(f.now, node) && f.membership.Current(node) != 0 && f.peers.Release(node) >= peering.ReleaseReplicates && !f.peerUnreachable(node)
+	return f.peers.Alive(f.now, node) && f.membership.CurrentID(node) != 0 && f.peers.Release(node) >= peering.ReleaseReplicates && !f.peerUnreachable(node)
 }
 
 // Send implements replication.Host.
@@ -129,7 +129,7 @@
 // acknowledged the start.
 func (c *Core) answerHeartbeat(shard *ownedShard, machine *fleet.Machine, request RequestID, response HeartbeatResponse) {
 	starts := slices.ContainsFunc(response.Commands, func(command fleet.Command) bool { return command.Op == fleet.Start })
-	if !starts || !c.guardEnabled(guard.StandbyKnows) || !shard.replication.DeferAnswer(c.now, machine.Name, deferredResponse{request, response}) {
+	if !starts || !c.guardEnabled(guard.StandbyAcknowledged) || !shard.replication.DeferAnswer(c.now, machine.Name, deferredResponse{request, response}) {
 		c.reply(request, http.StatusOK, response)
 	}
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -163,7 +163,7 @@
 
 // leaseBound is the time after which the tasks of a machine that gets no heartbeat response are certain to have
 // stopped: the lease, allowing for clock drift, plus 200 ms.
-func (c *Core) leaseBound() units.Microseconds { return units.Longest(c.cfg.Lease) + units.Second/5 }
+func (c *Core) leaseBound() units.Microseconds { return units.MaxWithDrift(c.cfg.Lease) + units.Second/5 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
@@ -228,7 +228,7 @@
 	}
 	if shard.scheduler.Tick() {
 		for _, job := range shard.scheduler.Jobs() {
-			if job.AllFinished() && c.guardEnabled(guard.CompleteAgain) {
+			if job.AllFinished() && c.guardEnabled(guard.CompleteAfterFailover) {
 				// This is checked on every tick and not only when the last task finishes: an earlier owner may
 				// have stored that task and failed before it could store the job as finished.
 				shard.writer.CloseJob(job)
