--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -13,66 +13,66 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// lossyState answers a core's reads with the changes there are, and carries out its
-// transactions, of which it loses the answers from a time on.
+// lossyState is a state service that answers a core's reads and commits its transactions. It can be made to
+// lose the answers to transactions, and the transactions themselves.
 type lossyState struct {
 	rev           uint64
 	events        []store.Event
 	dropAnswers   bool // transactions are not answered
-	applyTxns     bool // they are carried out all the same
-	answerWatches bool // watches are answered, else only reads
+	applyTxns     bool // unanswered transactions are committed nevertheless
+	answerWatches bool // watches are answered; otherwise only fresh reads are
 	commits       []Commit
 	reads         int
 	abandoned     []*store.Txn
 	replies       map[RequestID]Reply
 }
 
-func newLossyState(c *Core) *lossyState {
-	return &lossyState{rev: c.cache.Revision + 1000, applyTxns: true, answerWatches: true, replies: map[RequestID]Reply{}}
+func newLossyState(core *Core) *lossyState {
+	return &lossyState{rev: core.cache.Revision + 1000, applyTxns: true, answerWatches: true, replies: map[RequestID]Reply{}}
 }
 
-// run lets time pass.
-func (s *lossyState) run(core *Core, d units.Microseconds) {
-	for end := core.now + d; core.now < end; {
+// run ticks the core every 10 ms for a duration, and serves its effects.
+func (s *lossyState) run(core *Core, duration units.Microseconds) {
+	for end := core.now + duration; core.now < end; {
 		core.Tick(core.now+units.Second/100, core.wall+units.Second/100)
-		for _, e := range core.Drain() {
-			switch e := e.(type) {
+		for _, effect := range core.Drain() {
+			switch effect := effect.(type) {
 			case Reply:
-				s.replies[e.Request] = e
+				s.replies[effect.Request] = effect
 			case Abandon:
-				s.abandoned = append(s.abandoned, e.Txn)
+				s.abandoned = append(s.abandoned, effect.Txn)
 			case Commit:
-				s.commit(core, e)
+				s.commit(core, effect)
 			case Watch:
-				if e.Fresh {
+				if effect.Fresh {
 					s.reads++
 				}
-				if e.Fresh || s.answerWatches {
-					core.OnChanges(core.now, e, store.OK, s.rev, s.eventsAfter(e.After), false)
+				if effect.Fresh || s.answerWatches {
+					core.OnChanges(core.now, effect, store.OK, s.rev, s.eventsAfter(effect.After), false)
 				}
 			}
 		}
 	}
 }
 
-func (s *lossyState) commit(c *Core, e Commit) {
-	s.commits = append(s.commits, e)
+func (s *lossyState) commit(core *Core, sent Commit) {
+	s.commits = append(s.commits, sent)
 	if s.dropAnswers && !s.applyTxns {
 		return
 	}
 	s.rev++
-	for _, ch := range e.Txn.Changes {
-		s.events = append(s.events, store.Event{Key: ch.Key, Value: ch.Value, Stamp: s.rev})
+	for _, change := range sent.Txn.Changes {
+		s.events = append(s.events, store.Event{Key: change.Key, Value: change.Value, Stamp: s.rev})
 	}
 	if !s.dropAnswers {
-		c.OnCommit(c.now, e.Queue, e.Txn, store.OK, s.rev, nil)
+		core.OnCommit(core.now, sent.Queue, sent.Txn, store.OK, s.rev, nil)
 	}
 }
 
-func (s *lossyState) eventsAfter(rev uint64) (out []store.Event) {
-	for _, e := range s.events {
-		if e.Stamp > rev {
-			out = append(out, e)
+func (s *lossyState) eventsAfter(revision uint64) (out []store.Event) {
+	for _, event := range s.events {
+		if event.Stamp > revision {
+			out = append(out, event)
 		}
 	}
 	return out
@@ -81,8 +81,8 @@
 // commitOf returns the transaction that changes a key, or nil.
 func (s *lossyState) commitOf(key string) *Commit {
 	for i := range s.commits {
-		for _, ch := range s.commits[i].Txn.Changes {
-			if ch.Key == key {
+		for _, change := range s.commits[i].Txn.Changes {
+			if change.Key == key {
 				return &s.commits[i]
 			}
 		}
@@ -94,12 +94,12 @@
 	return &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true}
 }
 
-// TestLostCommitAnswer has the answers to transactions lost that were carried out: of a submission,
-// a cancellation and a job's end. Each is known as soon as the watch, or where that hangs a
-// read, shows it: within 150 ms the user is answered, and what waits in the lane goes. It
-// took until the request had timed out. Whatever answer still comes then changes nothing.
+// TestLostCommitAnswer guards against waiting for the request timeout when the answer to a committed
+// transaction is lost: of a submission, a cancellation or a job's end. The transaction is resolved as soon as
+// the watch shows it, or a fresh read if the watch hangs. Within 150 ms the user is answered and the queue
+// moves on. A late answer then has no effect.
 func TestLostCommitAnswer(t *testing.T) {
-	for name, ask := range map[string]func(core *Core) (key string, code int){
+	for name, request := range map[string]func(core *Core) (key string, code int){
 		"submission": func(core *Core) (string, int) {
 			core.Submit(core.now, 1, "wk-000009", smallSpec(), "")
 			return jobPrefix + "wk-000009", http.StatusCreated
@@ -114,51 +114,52 @@
 			return jobPrefix + knownJob, 0
 		},
 	} {
-		for _, watches := range []bool{true, false} {
+		for _, answerWatches := range []bool{true, false} {
 			for _, late := range []store.Outcome{store.OK, store.Failed, store.Unknown, store.Refused, store.TooLarge} {
-				t.Run(fmt.Sprintf("%s, watch answers %v, late %v", name, watches, late), func(t *testing.T) {
-					testLostAnswer(t, name, ask, watches, late)
+				t.Run(fmt.Sprintf("%s, watch answers %v, late %v", name, answerWatches, late), func(t *testing.T) {
+					testLostAnswer(t, name, request, answerWatches, late)
 				})
 			}
 		}
 	}
 }
 
-// Jobs of loseAnswer: one that is asked about, and one whose cancellation goes behind that.
+// Jobs of testLostAnswer. knownJob is the job of the request; otherJob is cancelled while that request is in
+// doubt.
 const (
 	knownJob = "wk-000001"
 	otherJob = "wk-000002"
 )
 
-// testLostAnswer loses the answer to the transaction that a request makes.
-func testLostAnswer(t *testing.T, name string, ask func(core *Core) (key string, code int), watches bool, late store.Outcome) {
+// testLostAnswer loses the answer to the transaction that a request causes.
+func testLostAnswer(t *testing.T, name string, request func(core *Core) (key string, code int), answerWatches bool, late store.Outcome) {
 	t.Helper()
 	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: smallSpec()}
 	core := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + knownJob: record, jobPrefix + otherJob: record})
 	state := newLossyState(core)
 	state.run(core, units.Second/10)
-	state.dropAnswers, state.answerWatches = true, watches
-	key, code := ask(core)
+	state.dropAnswers, state.answerWatches = true, answerWatches
+	key, code := request(core)
 	state.run(core, units.Second/100)
 	sent := state.commitOf(key)
 	if sent == nil {
-		t.Fatal("not sent")
+		t.Fatal("no transaction was sent")
 	}
-	core.Cancel(core.now, 3, otherJob) // it goes behind a user's, and beside the end
+	core.Cancel(core.now, 3, otherJob) // queued behind a user's request, and sent in parallel with a job's end
 	state.run(core, 14*units.Second/100)
 	if got := state.replies[1].Code; got != code {
-		t.Errorf("answered %d", got)
+		t.Errorf("the request was answered %d, want %d", got, code)
 	}
 	job := core.jobs.Get(key[len(jobPrefix):])
 	if job == nil || name != "submission" && job.Active() {
 		t.Fatalf("job %+v", job)
 	}
 	if !slices.Contains(state.abandoned, sent.Txn) || core.queues[sent.Queue].UnderWay(sent.Txn) {
-		t.Error("the transaction is still waited for")
+		t.Error("the transaction is still in flight")
 	}
 	if got := state.replies[3].Code; got != http.StatusOK {
-		t.Errorf("what waited behind it was answered %d", got)
+		t.Errorf("the request queued behind it was answered %d", got)
 	}
 	state.applyTxns = false
 	core.Submit(core.now, 4, "wk-000010", smallSpec(), "")
@@ -168,12 +169,13 @@
 	core.OnCommit(core.now, sent.Queue, sent.Txn, late, state.rev, []string{key})
 	state.run(core, units.Second/100)
 	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].UnderWay(next.Txn) {
-		t.Error("an answer that came late changed something")
+		t.Error("a late answer changed something")
 	}
 }
 
-// TestLostCommitStaysInDoubt has a submission's transaction lost, or held up to come late:
-// nothing may be told before the request has timed out, and few reads are made for it.
+// TestLostCommitStaysInDoubt guards against answering an in-doubt write too early. A submission's transaction
+// is lost, or delayed so that it may still be committed. The user is not answered before the request has
+// timed out, and few reads are made for it.
 func TestLostCommitStaysInDoubt(t *testing.T) {
 	core := newOwner(t, nil)
 	state := newLossyState(core)
@@ -184,7 +186,7 @@
 	if r, ok := state.replies[1]; ok || len(state.abandoned) > 0 {
 		t.Fatalf("answered %d, abandoned %d", r.Code, len(state.abandoned))
 	}
-	// One every Heartbeat is made anyway.
+	// One read per watchcache.Heartbeat is made in any case.
 	if state.reads > 3+3 {
 		t.Errorf("%d reads", state.reads)
 	}
@@ -196,10 +198,9 @@
 	}
 }
 
-// TestRollbackConfirmsNoCommit has the state service lose what it had stored while a
-// submission's transaction has no answer. The revisions are given out once more: that one of
-// them holds the same value tells nothing, and neither does an answer that the copy could
-// not take.
+// TestRollbackConfirmsNoCommit guards against taking an in-doubt transaction for committed after a rollback
+// of the state service. The service assigns its revisions again, so that a record with the same value at one
+// of them proves nothing. Neither does a watch answer with a gap that the watch cache cannot apply.
 func TestRollbackConfirmsNoCommit(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		core := newOwner(t, nil)
@@ -214,13 +215,13 @@
 			core.cache.Reload(core.now)
 			core.OnList(core.now, List{}, store.OK, state.rev-3, nil, false)
 			core.OnChanges(core.now, Watch{After: state.rev - 3}, store.OK, state.rev+5, stored, false)
-		} else { // changes between the copy and this answer are not known
+		} else { // the changes between the cache's revision and this answer are missing
 			core.OnChanges(core.now, Watch{After: core.cache.Revision + 2}, store.OK, state.rev+5, stored, false)
 		}
 		state.rev += 5
 		state.run(core, units.Second/2)
 		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].UnderWay(sent.Txn) {
-			t.Errorf("lost %v: answered %d", lost, r.Code)
+			t.Errorf("state service rolled back %v: answered %d", lost, r.Code)
 		}
 	}
 }
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -11,59 +11,60 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// BenchmarkHeartbeat measures the whole way of a heartbeat that finds everything as it is known:
-// admission, reconciliation, a look for work, and the answer.
+// BenchmarkHeartbeat measures the processing of a heartbeat that reports no change: admission, reconciliation,
+// scheduling and the response.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, machines := range []int{100, 925} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			busy := newBusyFleet(b, machines, 10, 300)
 			heartbeats := make([]fleet.Heartbeat, len(busy.names))
 			for i, name := range busy.names {
-				m := busy.shard.reconciler.Machine(name)
+				machine := busy.shard.reconciler.Machine(name)
 				heartbeats[i] = fleet.Heartbeat{Machine: name, Type: "big", Zone: "z", Incarnation: 1, FencingToken: busy.shard.fencingToken, Notice: units.MaxTime}
-				for _, id := range m.TaskIDs() {
-					heartbeats[i].Tasks = append(heartbeats[i].Tasks, fleet.Task{ID: id, Attempt: m.Tasks[id].Number, State: fleet.Running})
+				for _, id := range machine.TaskIDs() {
+					heartbeats[i].Tasks = append(heartbeats[i].Tasks, fleet.Task{ID: id, Attempt: machine.Tasks[id].Number, State: fleet.Running})
 				}
 			}
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				hb := &heartbeats[n%len(heartbeats)]
+				heartbeat := &heartbeats[n%len(heartbeats)]
 				n++
-				hb.Seq++
-				busy.core.Heartbeat(busy.core.now+units.Second/fleetHeartbeats, RequestID(n), hb)
+				heartbeat.Seq++
+				busy.core.Heartbeat(busy.core.now+units.Second/fleetHeartbeats, RequestID(n), heartbeat)
 				busy.core.effects = busy.core.effects[:0]
 			}
 		})
 	}
 }
 
-// TestDelayedHeartbeatOfDeprovisionedMachine brings a heartbeat that a network partition has held back after
-// its machine was deleted. It was taken for one of a living machine, and the tasks that it showed
-// waited for it instead of starting elsewhere.
+// TestDelayedHeartbeatOfDeprovisionedMachine guards against a heartbeat that a network partition delayed
+// until its machine was deleted. The heartbeat used to count as that of a live machine, and the tasks that it
+// listed waited for the machine's lease instead of starting elsewhere.
 func TestDelayedHeartbeatOfDeprovisionedMachine(t *testing.T) {
-	c, code := heartbeatOfDeprovisioned(t, guard.None)
+	core, code := heartbeatOfDeprovisioned(t, guard.None)
 	if code != 421 {
 		t.Fatalf("answered %d", code)
 	}
-	if j, m := c.jobs.Get("wk-000001"), c.owned[0].reconciler.Machine("n-1"); m != nil || j.Placed() != 0 {
-		t.Fatalf("machine %v, %d tasks placed", m, j.Placed())
+	if job, machine := core.jobs.Get("wk-000001"), core.owned[0].reconciler.Machine("n-1"); machine != nil || job.Placed() != 0 {
+		t.Fatalf("machine %v, %d tasks placed", machine, job.Placed())
 	}
-	// Without the check the task would wait for the lease of a machine that is deleted.
-	c, code = heartbeatOfDeprovisioned(t, guard.DeprovisionedMachine)
-	if j := c.jobs.Get("wk-000001"); code != 200 || j.Placed() != 1 {
-		t.Errorf("with the check left out: answered %d, %d tasks placed", code, j.Placed())
+	// Without the check the task waits for the lease of the deleted machine.
+	core, code = heartbeatOfDeprovisioned(t, guard.DeprovisionedMachine)
+	if job := core.jobs.Get("wk-000001"); code != 200 || job.Placed() != 1 {
+		t.Errorf("with the check skipped: answered %d, %d tasks placed", code, job.Placed())
 	}
 }
 
-// heartbeatOfDeprovisioned gives an owner a heartbeat of a machine that the cloud has deleted.
-func heartbeatOfDeprovisioned(t *testing.T, leftOut guard.Guard) (*Core, int) {
+// heartbeatOfDeprovisioned sends an owner a heartbeat of a machine that the cloud has deleted, with one check
+// skipped. It returns the status code of the response.
+func heartbeatOfDeprovisioned(t *testing.T, skipped guard.Guard) (*Core, int) {
 	t.Helper()
 	core := newOwner(t, map[string]any{
 		machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 		jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}},
 	})
-	core.cfg.SkippedGuard = leftOut
+	core.cfg.SkippedGuard = skipped
 	shard := core.owned[0]
 	core.OnScaleIn(core.now, ScaleIn{Names: []string{"n-1"}, Assignment: shard.assignment}, store.OK)
 	core.Drain()
@@ -72,26 +73,27 @@
 	return core, replyTo(t, core, 9).Code
 }
 
-// TestStaleProbeAnswerKeepsStart has a machine answer a probe after it was given a start that its answer
-// does not show yet. Taken for true, it would free the task for another machine.
+// TestStaleProbeAnswerKeepsStart guards against starting a task twice. A machine answers a probe after it was
+// told to start a task that the answer does not list yet. If the answer counted, the task would start on
+// another machine too.
 func TestStaleProbeAnswerKeepsStart(t *testing.T) {
-	for leftOut, want := range map[guard.Guard]int{guard.None: 1, guard.ProbeAnswer: 0} {
+	for skipped, want := range map[guard.Guard]int{guard.None: 1, guard.ProbeAnswer: 0} {
 		core := newOwner(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Team: "t", Tasks: 1, AnyType: true}},
 		})
-		core.cfg.SkippedGuard = leftOut
+		core.cfg.SkippedGuard = skipped
 		shard := core.owned[0]
-		r := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.MaxTime}
-		core.Heartbeat(core.now, 9, &r)
-		j := core.jobs.Get("wk-000001")
-		if j.Placed() != 1 {
-			t.Fatalf("%d tasks are started", j.Placed())
+		heartbeat := fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.MaxTime}
+		core.Heartbeat(core.now, 9, &heartbeat)
+		job := core.jobs.Get("wk-000001")
+		if job.Placed() != 1 {
+			t.Fatalf("%d tasks were started", job.Placed())
 		}
-		r.Seq = 2
-		core.OnProbe(core.now, Probe{Shard: 0, Assignment: shard.assignment, Machine: "n-1"}, store.OK, &r)
-		if j.Placed() != want {
-			t.Errorf("left out %d: %d tasks count as started, want %d", leftOut, j.Placed(), want)
+		heartbeat.Seq = 2
+		core.OnProbe(core.now, Probe{Shard: 0, Assignment: shard.assignment, Machine: "n-1"}, store.OK, &heartbeat)
+		if job.Placed() != want {
+			t.Errorf("skipped check %d: %d tasks count as started, want %d", skipped, job.Placed(), want)
 		}
 	}
 }
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -18,20 +18,22 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
+// testSpec returns the spec of a job with one task that depends on other jobs.
 func testSpec(awaits ...string) *jobs.Spec {
 	return &jobs.Spec{Class: "x", Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: units.Second, Awaits: awaits}
 }
 
-func pendingRecord(s *jobs.Spec) jobs.Record {
-	return jobs.Record{Status: jobs.Pending, Tasks: s.Tasks, Submitted: 900 * units.Second, Spec: s}
+// pendingRecord returns the record of a pending job.
+func pendingRecord(spec *jobs.Spec) jobs.Record {
+	return jobs.Record{Status: jobs.Pending, Tasks: spec.Tasks, Submitted: 900 * units.Second, Spec: spec}
 }
 
-// serveState plays the state service for a while: it carries out transactions and
-// answers reads at once, and returns the replies to users.
+// serveState acts as the state service for 400 ticks: it commits transactions and answers fresh reads at
+// once. It returns the replies to users.
 func serveState(t *testing.T, core *Core, keys map[string]store.Event) map[RequestID]Reply {
 	t.Helper()
 	replies := map[RequestID]Reply{}
-	rev := uint64(core.now) // beyond that of any earlier call
+	revision := uint64(core.now) // higher than in any earlier call
 	for range 400 {
 		core.Tick(core.now+TickInterval, core.wall+TickInterval)
 		for _, effect := range core.Drain() {
@@ -43,82 +45,85 @@
 					core.OnChanges(core.now, effect, store.OK, core.cache.Revision, nil, false)
 				}
 			case Commit:
-				rev++
-				commitTxn(t, core, keys, effect, rev)
+				revision++
+				commitTxn(t, core, keys, effect, revision)
 			}
 		}
 	}
 	return replies
 }
 
-// commitTxn carries out a transaction within the limits of a small state service.
-func commitTxn(t *testing.T, core *Core, keys map[string]store.Event, commit Commit, rev uint64) {
+// commitTxn commits a transaction. It fails the test if the transaction exceeds the limits of a small state
+// service.
+func commitTxn(t *testing.T, core *Core, keys map[string]store.Event, commit Commit, revision uint64) {
 	t.Helper()
 	txn := commit.Txn
 	if len(txn.Changes) > 4 || len(txn.Guards) > 16 {
-		t.Fatalf("%d changes, %d guards", len(txn.Changes), len(txn.Guards))
+		t.Fatalf("transaction of %d changes and %d guards exceeds the limits", len(txn.Changes), len(txn.Guards))
 	}
-	for _, ch := range txn.Changes {
-		if len(ch.Value) > 2<<10 {
-			t.Fatalf("%s has %d bytes", ch.Key, len(ch.Value))
+	for _, change := range txn.Changes {
+		if len(change.Value) > 2<<10 {
+			t.Fatalf("value of %s has %d bytes", change.Key, len(change.Value))
 		}
-		if keys[ch.Key] = (store.Event{Key: ch.Key, Value: ch.Value, Stamp: rev}); ch.Value == nil {
-			delete(keys, ch.Key)
+		if keys[change.Key] = (store.Event{Key: change.Key, Value: change.Value, Stamp: revision}); change.Value == nil {
+			delete(keys, change.Key)
 		}
 	}
-	core.OnCommit(core.now, commit.Queue, txn, store.OK, rev, nil)
-	for _, ch := range txn.Changes {
-		if ch.Value == nil {
-			core.cache.Learn(store.Event{Key: ch.Key, Stamp: rev})
+	core.OnCommit(core.now, commit.Queue, txn, store.OK, revision, nil)
+	for _, change := range txn.Changes {
+		if change.Value == nil {
+			core.cache.Learn(store.Event{Key: change.Key, Stamp: revision})
 		}
 	}
 }
 
-// An unknown name is refused for good only by a read that began after the
-// request; where there is none, the user is told to come back.
+// TestUnknownDependencyIsRefused guards against refusing a job because of a dependency that another
+// controller has just accepted. An unknown dependency is refused for good only after a read that began after
+// the request. If that read fails, the user is told to retry later.
 func TestUnknownDependencyIsRefused(t *testing.T) {
 	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": pendingRecord(testSpec()), jobPrefix + "wk-000002": pendingRecord(&jobs.Spec{Tasks: 1, Service: true})})
-	read := func(o store.Outcome, events ...store.Event) Reply {
+	read := func(outcome store.Outcome, events ...store.Event) Reply {
 		t.Helper()
-		for _, e := range core.Drain() {
-			if w, ok := e.(Watch); ok && w.Fresh {
-				core.OnChanges(core.now, w, o, core.cache.Revision+1, events, false)
+		for _, effect := range core.Drain() {
+			if watch, ok := effect.(Watch); ok && watch.Fresh {
+				core.OnChanges(core.now, watch, outcome, core.cache.Revision+1, events, false)
 				return replyTo(t, core, 5)
 			}
 		}
-		t.Fatal("nothing is read")
+		t.Fatal("no fresh read was requested")
 		return Reply{}
 	}
-	step := func() {
+	tick := func() {
 		core.Tick(core.now+units.Second, core.wall+units.Second)
 		core.OnChanges(core.now, Watch{Fresh: true, After: core.cache.Revision}, store.OK, core.cache.Revision, nil, false)
 	}
-	step()
+	tick()
 	core.Submit(core.now, 5, "wk-000009", testSpec("wk-000001", "wk-000008"), "")
-	if r := read(store.Refused); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-		t.Fatalf("no read, and yet %+v", r)
+	if reply := read(store.Refused); reply.Code != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
+		t.Fatalf("the read failed, and yet the reply is %+v", reply)
 	}
-	step()
+	tick()
 	for _, awaits := range []string{"wk-000008", "wk-000009", "wk-000002"} {
 		core.Submit(core.now, 5, "wk-000009", testSpec(awaits), "")
-		if r := read(store.OK); r.Code != http.StatusUnprocessableEntity {
-			t.Fatalf("awaits %s: %+v", awaits, r)
+		if reply := read(store.OK); reply.Code != http.StatusUnprocessableEntity {
+			t.Fatalf("depends on %s: %+v", awaits, reply)
 		}
-		step()
+		tick()
 	}
 	core.Submit(core.now, 5, "wk-000009", testSpec("wk-000008"), "")
-	for _, e := range core.Drain() {
-		if w, ok := e.(Watch); ok && w.Fresh { // another controller has accepted it meanwhile
-			core.OnChanges(core.now, w, store.OK, core.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pendingRecord(testSpec()).Encode(), Stamp: core.cache.Revision + 1}}, false)
+	for _, effect := range core.Drain() {
+		if watch, ok := effect.(Watch); ok && watch.Fresh { // another controller has accepted the dependency in the meantime
+			core.OnChanges(core.now, watch, store.OK, core.cache.Revision+1, []store.Event{{Key: jobPrefix + "wk-000008", Value: pendingRecord(testSpec()).Encode(), Stamp: core.cache.Revision + 1}}, false)
 		}
 	}
-	if r := serveState(t, core, map[string]store.Event{})[5]; r.Code != http.StatusCreated || core.jobs.Get("wk-000009").OpenDependencies != 1 {
-		t.Fatalf("%+v", r)
+	if reply := serveState(t, core, map[string]store.Event{})[5]; reply.Code != http.StatusCreated || core.jobs.Get("wk-000009").OpenDependencies != 1 {
+		t.Fatalf("%+v", reply)
 	}
 }
 
-// Only what is stored passes along the graph, and a job that awaits a cancelled
-// one is accepted and cancelled; what follows from it is stored in the end.
+// TestDependencyOutcomesPropagate guards against releasing a dependent job before its dependency's outcome is
+// stored, as the outcome could still be lost. A job that depends on a cancelled one is accepted and
+// cancelled, and so are its own dependents. These outcomes are stored in the end.
 func TestDependencyOutcomesPropagate(t *testing.T) {
 	core := newOwner(t, map[string]any{
 		jobPrefix + "wk-000001": pendingRecord(testSpec()), jobPrefix + "wk-000002": pendingRecord(testSpec("wk-000001")), jobPrefix + "wk-000003": pendingRecord(testSpec("wk-000002")),
@@ -127,19 +132,19 @@
 	first, second, third := core.jobs.Get("wk-000001"), core.jobs.Get("wk-000002"), core.jobs.Get("wk-000003")
 	core.owned[0].writer.TaskFinished(first, 0)
 	if !first.AllFinished() || second.OpenDependencies != 1 || core.owned[0].active[second.ID] != nil {
-		t.Fatal("released before that is stored")
+		t.Fatal("dependent job released before the outcome is stored")
 	}
 	serveState(t, core, keys)
 	if second.OpenDependencies != 0 || core.owned[0].active[second.ID] == nil || second.Since < 1000*units.Second || third.OpenDependencies != 1 {
-		t.Fatalf("awaiting %d and %d, since %d", second.OpenDependencies, third.OpenDependencies, second.Since)
+		t.Fatalf("%d and %d open dependencies, runnable since %d", second.OpenDependencies, third.OpenDependencies, second.Since)
 	}
 	core.Cancel(core.now, 5, second.ID)
 	core.Submit(core.now, 6, "wk-000004", testSpec("wk-000001", "wk-000003"), "")
 	replies := serveState(t, core, keys)
 	for _, id := range []string{"wk-000002", "wk-000003", "wk-000004"} {
-		var r jobs.Record
-		if err := json.Unmarshal(keys[jobPrefix+id].Value, &r); err != nil || core.jobs.Get(id).Record.Status != jobs.Cancelled || r.Status != jobs.Cancelled {
-			t.Errorf("%s: %s, stored %s, %v", id, core.jobs.Get(id).Record.Status, r.Status, err)
+		var record jobs.Record
+		if err := json.Unmarshal(keys[jobPrefix+id].Value, &record); err != nil || core.jobs.Get(id).Record.Status != jobs.Cancelled || record.Status != jobs.Cancelled {
+			t.Errorf("%s: %s, stored %s, %v", id, core.jobs.Get(id).Record.Status, record.Status, err)
 		}
 	}
 	if replies[5].Code != http.StatusOK || replies[6].Code != http.StatusCreated || core.jobs.ActiveLen() != 0 || core.jobs.GarbagePending() {
@@ -147,8 +152,9 @@
 	}
 }
 
-// A job that awaits others is not taken while an older controller is known to
-// serve: as the next holder it would start the job at once.
+// TestOlderReleaseBlocksDependencies guards against starting a job before its dependencies. A controller of
+// an older release ignores dependencies: as the next owner it would start the job at once. While such a
+// controller serves, jobs with dependencies are refused, and they are never forwarded to it.
 func TestOlderReleaseBlocksDependencies(t *testing.T) {
 	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": pendingRecord(testSpec())})
 	core.cfg.Size = 2
@@ -159,30 +165,31 @@
 		return serveState(t, core, map[string]store.Event{})[5]
 	}
 	core.OnPeer(core.now, "b", PeerStatus{})
-	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-		t.Fatalf("%+v", r)
+	if reply := submit("wk-000002", "wk-000001"); reply.Code != http.StatusServiceUnavailable || reply.RetryAfter == 0 {
+		t.Fatalf("%+v", reply)
 	}
-	if r := submit("wk-000003"); r.Code != http.StatusCreated {
-		t.Fatalf("%+v", r)
+	if reply := submit("wk-000003"); reply.Code != http.StatusCreated {
+		t.Fatalf("%+v", reply)
 	}
 	core.applyEvent(store.Event{Key: memberPrefix + "b", Value: json.RawMessage(`{"node":"b","release":3}`), Stamp: 1 << 40})
-	if r := submit("wk-000002", "wk-000001"); r.Code != http.StatusCreated {
-		t.Fatalf("%+v", r)
+	if reply := submit("wk-000002", "wk-000001"); reply.Code != http.StatusCreated {
+		t.Fatalf("%+v", reply)
 	}
-	core.advance(core.now + 2*units.Second) // the state service has not answered for a while
+	core.advance(core.now + 2*units.Second) // the state service has not answered for 2 s
 	core.OnPeer(core.now, "b", PeerStatus{StateAge: 0})
 	core.Submit(core.now, 7, "wk-000004", testSpec("wk-000001"), "")
-	for _, e := range core.Drain() {
-		if m, ok := e.(SendPeer); ok {
-			if _, ask := m.Message.(ForwardedRequest); ask {
-				t.Fatal("an older controller is asked to take a job that awaits others")
+	for _, effect := range core.Drain() {
+		if sent, ok := effect.(SendPeer); ok {
+			if _, isForwarded := sent.Message.(ForwardedRequest); isForwarded {
+				t.Fatal("a job with dependencies is forwarded to a controller of an older release")
 			}
 		}
 	}
 }
 
-// A submission whose names do not fit one value is stored in parts, is known to a
-// controller that reads all anew, and its parts go when it is over.
+// TestManyDependencies guards against jobs whose list of dependencies does not fit into one value. The list
+// is stored in chunks. A controller that loads all records reads it back, a job with a missing chunk is not
+// started, and the chunks are deleted when the job finishes.
 func TestManyDependencies(t *testing.T) {
 	values := map[string]any{}
 	var awaits []string
@@ -195,35 +202,35 @@
 	core := newOwner(t, values)
 	keys := map[string]store.Event{}
 	core.Submit(core.now, 5, "wk-900000", testSpec(awaits...), "")
-	if r := serveState(t, core, keys)[5]; r.Code != http.StatusCreated {
-		t.Fatalf("%+v", r)
+	if reply := serveState(t, core, keys)[5]; reply.Code != http.StatusCreated {
+		t.Fatalf("%+v", reply)
 	}
 	if len(keys) < 10 {
 		t.Fatalf("%d records", len(keys))
 	}
 	all := map[string]any{}
-	for k, e := range keys {
-		all[k] = e.Value
+	for key, event := range keys {
+		all[key] = event.Value
 	}
-	for k, v := range values {
-		if all[k] == nil {
-			all[k] = v
+	for key, value := range values {
+		if all[key] == nil {
+			all[key] = value
 		}
 	}
-	again := newOwner(t, all)
-	j := again.jobs.Get("wk-900000")
+	reloaded := newOwner(t, all)
+	j := reloaded.jobs.Get("wk-900000")
 	if j == nil || j.OpenDependencies != 1 || len(j.Spec().Awaits) != 2500 || j.Since != 1010*units.Second {
-		t.Fatalf("read anew: %+v", j)
+		t.Fatalf("after loading all records: %+v", j)
 	}
 	delete(all, chunks.Key("wk-900000", j.Record.Checksum, 1))
 	if j := newOwner(t, all).jobs.Get("wk-900000"); j != nil {
-		t.Fatal("a job whose awaited names cannot be read is taken for one that may start")
+		t.Fatal("a job with unreadable dependencies counts as startable")
 	}
 	core.Cancel(core.now, 6, "wk-000007")
 	serveState(t, core, keys)
-	for k := range keys {
-		if strings.HasPrefix(k, chunkPrefix) {
-			t.Fatalf("%s is left", k)
+	for key := range keys {
+		if strings.HasPrefix(key, chunkPrefix) {
+			t.Fatalf("chunk %s was not deleted", key)
 		}
 	}
 	if core.jobs.Get("wk-900000").Record.Status != jobs.Cancelled {
@@ -231,38 +238,38 @@
 	}
 }
 
-// The rates of later are used once the state service has refused something as too
-// much.
+// TestWriteRateFallsWhenLimited guards against overloading a state service whose limits were lowered. Once it
+// refuses a request as over its limit, the rates configured for later apply.
 func TestWriteRateFallsWhenLimited(t *testing.T) {
-	c := newOwner(t, nil)
-	before := c.queues[ControlQueue].Rate
-	if o := c.noteOutcome(store.Limited); o != store.Refused || c.queues[ControlQueue].Rate >= before || c.cfg.WriteRate != 20 {
-		t.Fatalf("%v, %v after %v", o, c.queues[ControlQueue].Rate, before)
+	core := newOwner(t, nil)
+	before := core.queues[ControlQueue].Rate
+	if outcome := core.noteOutcome(store.Limited); outcome != store.Refused || core.queues[ControlQueue].Rate >= before || core.cfg.WriteRate != 20 {
+		t.Fatalf("outcome %v, rate %v, before %v", outcome, core.queues[ControlQueue].Rate, before)
 	}
 }
 
-// What the version before awaited jobs has stored is read as it was meant, and
-// what this one stores of a job that awaits none is read by it: it knows the
-// fields below and ignores others.
+// TestProductionValues guards against incompatible records. Records stored by the release before job
+// dependencies are decoded with their old meaning. That release in turn can read what this one stores of a
+// job without dependencies: it knows the fields of oldRecord and ignores all others.
 func TestProductionValues(t *testing.T) {
-	b, err := os.ReadFile("testdata/production-values.json")
+	data, err := os.ReadFile("testdata/production-values.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var values map[string]any
-	if err := json.Unmarshal(b, &values); err != nil {
+	if err := json.Unmarshal(data, &values); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Config{Node: "a", Size: 3, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, Peers: []string{"stagehand-1"}})
+	core := New(Config{Node: "a", Size: 3, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, Peers: []string{"stagehand-1"}})
 	var items []store.Event
-	for _, k := range sortedKeys(values) {
-		items = append(items, store.Event{Key: k, Value: store.Value(values[k]), Stamp: uint64(len(items) + 1)})
+	for _, key := range sortedKeys(values) {
+		items = append(items, store.Event{Key: key, Value: store.Value(values[key]), Stamp: uint64(len(items) + 1)})
 	}
-	c.OnList(1, List{}, store.OK, 100, items, false)
-	job := c.jobs.Get("wk-000412")
+	core.OnList(1, List{}, store.OK, 100, items, false)
+	job := core.jobs.Get("wk-000412")
 	if job == nil || job.Finished() != 615 || !job.IsStored(1499) || job.IsStored(512) || job.OpenDependencies != 0 || job.Spec().Deadline != 900*units.Second ||
-		c.jobs.Get("wk-000398").Record.Status != jobs.Done || c.jobs.Get("wk-000405").Record.Demand[0] != 1000 ||
-		c.election.Record().Term != 3 || c.shardRecords.Assignment(1).ReleasedBy != "stagehand-0" || c.shardRecords.Allocation(0).Fraction != 0.75 || c.machineShard["n-000002"] != 1 || c.peers.OlderThan(peering.ReleaseDependencies) != "stagehand-1" {
+		core.jobs.Get("wk-000398").Record.Status != jobs.Done || core.jobs.Get("wk-000405").Record.Demand[0] != 1000 ||
+		core.election.Record().Term != 3 || core.shardRecords.Assignment(1).ReleasedBy != "stagehand-0" || core.shardRecords.Allocation(0).Fraction != 0.75 || core.machineShard["n-000002"] != 1 || core.peers.OlderThan(peering.ReleaseDependencies) != "stagehand-1" {
 		t.Fatalf("%+v", job)
 	}
 	type oldRecord struct {
@@ -274,10 +281,10 @@
 	}
 	var was, is oldRecord
 	if json.Unmarshal(store.Value(values[jobPrefix+"wk-000412"]), &was) != nil || json.Unmarshal(job.Record.Encode(), &is) != nil {
-		t.Fatal("unreadable")
+		t.Fatal("records cannot be decoded")
 	}
-	var a, z any
-	if json.Unmarshal(was.Spec, &a) != nil || json.Unmarshal(is.Spec, &z) != nil || fmt.Sprint(a) != fmt.Sprint(z) {
+	var wasSpec, isSpec any
+	if json.Unmarshal(was.Spec, &wasSpec) != nil || json.Unmarshal(is.Spec, &isSpec) != nil || fmt.Sprint(wasSpec) != fmt.Sprint(isSpec) {
 		t.Fatalf("%s\nis now stored as\n%s", was.Spec, is.Spec)
 	}
 	was.Spec, is.Spec = nil, nil
@@ -286,19 +293,20 @@
 	}
 }
 
-// A block whose holder has ended goes to a controller that is not to be replaced
-// next, though an older one held it last.
+// TestOwnerChoicePrefersNewRelease guards against needless shard moves in a rolling upgrade. A shard whose
+// owner has ended goes to a controller that already runs the new release, and not back to its last owner,
+// which is still to be upgraded.
 func TestOwnerChoicePrefersNewRelease(t *testing.T) {
-	c := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
-	for i, r := range []int{0, peering.Release, peering.Release} {
+	core := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
+	for i, release := range []int{0, peering.Release, peering.Release} {
 		node := string(rune('a' + i))
-		c.applyEvent(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: r}), Stamp: uint64(i + 1)})
+		core.applyEvent(store.Event{Key: memberPrefix + node, Value: store.Value(authority.Member{Node: node, Release: release}), Stamp: uint64(i + 1)})
 	}
-	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to == "a" || to == "" {
-		t.Fatalf("goes to %q", to)
+	if owner := core.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); owner == "a" || owner == "" {
+		t.Fatalf("assigned to %q", owner)
 	}
-	c.applyEvent(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: peering.Release}), Stamp: 9})
-	if to := c.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); to != "a" {
-		t.Fatalf("goes to %q, and not to the last holder", to)
+	core.applyEvent(store.Event{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a", Release: peering.Release}), Stamp: 9})
+	if owner := core.planner.ChooseOwner(0, shardplan.Assignment{Assignment: authority.Assignment{Node: "a"}}, nil); owner != "a" {
+		t.Fatalf("assigned to %q and not to the last owner", owner)
 	}
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -17,23 +17,24 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// pendingTime is how long package reconcile keeps a heartbeat unanswered.
+// pendingTime is how long package reconcile holds a heartbeat unanswered.
 const pendingTime = 2 * units.Second
 
-// idleFleet is an owner of machines that are all up and idle, in two zones: the machines of
-// zone y come after those of zone z when work is offered.
+// idleFleet is an owner of machines that are all up and idle, in two zones. Machines of zone z are offered
+// work before those of zone y.
 type idleFleet struct {
 	t          testing.TB
 	core       *Core
 	shard      *ownedShard
 	jobs       int
 	answers    map[RequestID]Reply
-	newAnswers int // at the last look
+	newAnswers int // in the last tick
 	started    map[RequestID]int
-	newStarts  int      // at the last look
-	commits    []Commit // that are not answered
+	newStarts  int      // in the last tick
+	commits    []Commit // not answered yet
 }
 
+// newIdleFleet returns an owner to which each of its machines has sent one heartbeat.
 func newIdleFleet(t testing.TB, inZoneZ, inZoneY int) *idleFleet {
 	idle := &idleFleet{t: t, answers: map[RequestID]Reply{}, started: map[RequestID]int{}}
 	values := map[string]any{}
@@ -43,15 +44,15 @@
 			zone = "y"
 		}
 		key := fmt.Sprintf("%sr-%s-%05d", machinePrefix, zone, i/fleet.MaxGroup)
-		g, _ := values[key].(fleet.Group)
-		g.Type, g.Zone, g.Up = "big", zone, append(g.Up, machineName(i))
-		values[key] = g
+		group, _ := values[key].(fleet.Group)
+		group.Type, group.Zone, group.Up = "big", zone, append(group.Up, machineName(i))
+		values[key] = group
 	}
 	idle.core = newOwner(t, values)
 	idle.shard = idle.core.owned[0]
 	for i := range inZoneZ + inZoneY {
-		m := idle.shard.reconciler.Machine(machineName(i))
-		idle.core.Heartbeat(idle.core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: m.Name, Type: "big", Zone: m.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.MaxTime})
+		machine := idle.shard.reconciler.Machine(machineName(i))
+		idle.core.Heartbeat(idle.core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: machine.Name, Type: "big", Zone: machine.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.MaxTime})
 	}
 	idle.collect()
 	return idle
@@ -59,7 +60,7 @@
 
 func machineName(i int) string { return fmt.Sprintf("n-%05d", i) }
 
-// submit has a job come of which each task fills a machine.
+// submit adds a job whose tasks each need a whole machine.
 func (f *idleFleet) submit(tasks int, zone string) {
 	f.jobs++
 	f.core.applyEvent(store.Event{Key: fmt.Sprintf("%swk-%06d", jobPrefix, f.jobs), Stamp: uint64(200 + f.jobs),
@@ -67,43 +68,44 @@
 			Priority: jobs.Normal, AnyType: true, Zone: zone, Demand: binpack.Vec{16_000, 0, 64_000}, Estimate: 70 * units.Second}}.Encode()})
 }
 
-// tick lets 50 ms pass.
+// tick advances the time by 50 ms and collects the answers.
 func (f *idleFleet) tick() {
 	f.core.Tick(f.core.now+units.Second/20, f.core.wall+units.Second/20)
 	f.collect()
 }
 
-// collect takes in the answers. A request is answered once.
+// collect records the core's replies and commits. It fails the test if a request is answered twice.
 func (f *idleFleet) collect() {
 	f.newAnswers, f.newStarts = 0, 0
-	for _, e := range f.core.Drain() {
-		if commit, ok := e.(Commit); ok {
+	for _, effect := range f.core.Drain() {
+		if commit, ok := effect.(Commit); ok {
 			f.commits = append(f.commits, commit)
 		}
-		r, ok := e.(Reply)
+		reply, ok := effect.(Reply)
 		if !ok {
 			continue
 		}
-		if _, twice := f.answers[r.Request]; twice {
-			f.t.Fatalf("request %d is answered twice", r.Request)
+		if _, twice := f.answers[reply.Request]; twice {
+			f.t.Fatalf("request %d is answered twice", reply.Request)
 		}
-		f.answers[r.Request] = r
+		f.answers[reply.Request] = reply
 		f.newAnswers++
-		if o, ok := r.Body.(HeartbeatResponse); ok && r.Code == 200 {
-			f.started[r.Request] = len(o.Commands)
-			f.newStarts += len(o.Commands)
+		if response, ok := reply.Body.(HeartbeatResponse); ok && reply.Code == 200 {
+			f.started[reply.Request] = len(response.Commands)
+			f.newStarts += len(response.Commands)
 		} else {
-			f.t.Fatalf("request %d is answered %+v", r.Request, r)
+			f.t.Fatalf("request %d is answered %+v", reply.Request, reply)
 		}
 	}
 }
 
-// TestPendingHeartbeatsOfAFullShard has as many idle machines send heartbeats as may be pending, and one more:
-// that one is answered at once. Work that comes starts on all that wait, on so many at a look as
-// are offered it; the other heartbeats are answered when they were pending long enough, each once.
+// TestPendingHeartbeatsOfAFullShard guards against lost or repeated answers to heartbeats at the limit of
+// pending ones. As many idle machines as may be pending send heartbeats, and one more, which is answered at
+// once. New work starts on all pending machines, on at most reconcile.MaxOffers in a tick. The other
+// heartbeats are answered once each, when they have been pending for pendingTime.
 func TestPendingHeartbeatsOfAFullShard(t *testing.T) {
 	if reconcile.MaxPending < 4096 {
-		t.Errorf("%d heartbeats are kept", reconcile.MaxPending)
+		t.Errorf("only %d heartbeats may be pending", reconcile.MaxPending)
 	}
 	rng := rand.New(rand.NewPCG(44, 1))
 	for _, machines := range []int{reconcile.MaxOffers, reconcile.MaxOffers + 1, reconcile.MaxPending, reconcile.MaxPending + 1} {
@@ -126,7 +128,7 @@
 				idle.tick()
 				started += idle.newStarts
 				if idle.newStarts > reconcile.MaxOffers {
-					t.Fatalf("%d machines were given work at one look", idle.newStarts)
+					t.Fatalf("%d machines were given work in one tick", idle.newStarts)
 				}
 			}
 			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.Pending() != 0 {
@@ -136,28 +138,29 @@
 	}
 }
 
-// TestEveryPendingMachineIsOfferedWork has work come at every look that the machines which are offered
-// work first cannot take. The others are offered theirs all the same.
+// TestEveryPendingMachineIsOfferedWork guards against starvation of pending machines. In every tick new work
+// arrives that the machines which are offered work first cannot run. The others still get the work that they
+// can run.
 func TestEveryPendingMachineIsOfferedWork(t *testing.T) {
-	f := newIdleFleet(t, 3*reconcile.MaxOffers, reconcile.MaxOffers)
+	idle := newIdleFleet(t, 3*reconcile.MaxOffers, reconcile.MaxOffers)
 	for range 3 {
-		f.submit(1, "nowhere")
-		f.tick()
+		idle.submit(1, "nowhere")
+		idle.tick()
 	}
-	f.submit(reconcile.MaxOffers, "y")
+	idle.submit(reconcile.MaxOffers, "y")
 	started := 0
-	for range 10 { // two passes of four looks each, and a ranking
-		f.submit(1, "nowhere")
-		f.tick()
-		started += f.newStarts
+	for range 10 { // two passes of four ticks each, and a ranking
+		idle.submit(1, "nowhere")
+		idle.tick()
+		started += idle.newStarts
 	}
 	if started != reconcile.MaxOffers {
 		t.Errorf("%d of %d tasks started", started, reconcile.MaxOffers)
 	}
 }
 
-// BenchmarkPendingHeartbeats measures a look at which all machines of a full shard wait for work,
-// and work has come that none of them can take: the longest. The ranking before is not counted.
+// BenchmarkPendingHeartbeats measures the worst case of offering work to pending machines: all machines of a
+// full shard are pending, and none of them can run the new work. The ranking before it is not measured.
 func BenchmarkPendingHeartbeats(b *testing.B) {
 	for _, machines := range []int{reconcile.MaxOffers, reconcile.MaxPending} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -176,7 +179,7 @@
 					machine := reconciler.Machine(machineName(i))
 					machine.LastSeen = idle.core.now
 					if !reconciler.KeepIdle(idle.core.now, request, machine) {
-						b.Fatal("a heartbeat is not kept")
+						b.Fatal("a heartbeat was not held")
 					}
 				}
 				idle.shard.scheduler.TasksReady()
@@ -193,71 +196,73 @@
 	}
 }
 
-// TestUnknownMachinesAtTheLimit has as many machines send heartbeats that nobody has provisioned as
-// are remembered, and one more: all are sent on, and after a while those that are remembered are
-// taken in. The one beyond is remembered once there is room.
+// TestUnknownMachinesAtTheLimit checks the limit of remembered unknown machines. As many unprovisioned
+// machines as are remembered send heartbeats, and one more. All are redirected at first, and after
+// reconcile.AdoptAfter the remembered ones are adopted. The one beyond the limit is remembered once others
+// have been adopted.
 func TestUnknownMachinesAtTheLimit(t *testing.T) {
 	if reconcile.MaxUnknown < fleet.FullShard {
-		t.Errorf("%d unknown machines are remembered", reconcile.MaxUnknown)
+		t.Errorf("only %d unknown machines are remembered", reconcile.MaxUnknown)
 	}
 	core := newOwner(t, nil)
-	req := RequestID(1000)
-	report := func(i int) int {
-		req++
-		core.Heartbeat(core.now, req, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(req), Notice: units.MaxTime})
-		for _, e := range core.Drain() {
-			if r, ok := e.(Reply); ok && r.Request == req {
-				return r.Code
+	request := RequestID(1000)
+	sendHeartbeat := func(i int) int {
+		request++
+		core.Heartbeat(core.now, request, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(request), Notice: units.MaxTime})
+		for _, effect := range core.Drain() {
+			if reply, ok := effect.(Reply); ok && reply.Request == request {
+				return reply.Code
 			}
 		}
 		return 0
 	}
 	for i := range reconcile.MaxUnknown + 1 {
-		if code := report(i); code != 421 {
+		if code := sendHeartbeat(i); code != 421 {
 			t.Fatalf("machine %d is answered %d", i, code)
 		}
 	}
-	if n := core.owned[0].reconciler.Unknown(); n != reconcile.MaxUnknown {
-		t.Errorf("%d are remembered", n)
+	if unknown := core.owned[0].reconciler.Unknown(); unknown != reconcile.MaxUnknown {
+		t.Errorf("%d unknown machines are remembered, want %d", unknown, reconcile.MaxUnknown)
 	}
 	core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
 	for i := range reconcile.MaxUnknown {
-		if code := report(i); code != 200 {
+		if code := sendHeartbeat(i); code != 200 {
 			t.Fatalf("machine %d is answered %d", i, code)
 		}
 	}
 	for _, want := range []int{421, 200} {
-		if code := report(reconcile.MaxUnknown); code != want {
-			t.Errorf("the one beyond is answered %d, want %d", code, want)
+		if code := sendHeartbeat(reconcile.MaxUnknown); code != want {
+			t.Errorf("the machine beyond the limit is answered %d, want %d", code, want)
 		}
 		core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
 	}
 }
 
-// TestAttemptNumbersUsedUp has an owner start tasks up to the last attempt number of its
-// assignment. Numbers used to begin anew then, so that a task's attempt could have the number of an earlier
-// one. The shard is released instead, and its next assignment starts the rest.
+// TestAttemptNumbersUsedUp guards against reused attempt numbers. An owner starts tasks up to the last
+// attempt number of its assignment. Numbers used to wrap around then, so that an attempt could have the
+// number of an earlier one. Instead the shard is released, and the next assignment starts the remaining
+// tasks.
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	const left = 3
 	idle := newIdleFleet(t, 2*left, 0)
 	idle.submit(2*left, "")
-	j := idle.core.jobs.Get("wk-000001")
+	job := idle.core.jobs.Get("wk-000001")
 	idle.shard.attempts = uint64(sort.Search(1<<40, func(n int) bool { return authority.AttemptsUsedUp(uint64(n)) }) - left)
 	idle.tick()
-	if idle.newStarts != left || j.Placed() != left {
+	if idle.newStarts != left || job.Placed() != left {
 		t.Fatalf("%d tasks started with %d numbers left", idle.newStarts, left)
 	}
 	last := uint64(0)
 	for i := range 2 * left {
-		for id, a := range idle.shard.reconciler.Machine(machineName(i)).Tasks {
-			if a.Number <= last && last != 0 || a.Number >= authority.AttemptNumber(idle.shard.fencingToken+1, 0) || a.Number <= authority.AttemptNumber(idle.shard.fencingToken, 0) {
-				t.Errorf("%s has attempt %d after %d", id, a.Number, last)
+		for id, attempt := range idle.shard.reconciler.Machine(machineName(i)).Tasks {
+			if attempt.Number <= last && last != 0 || attempt.Number >= authority.AttemptNumber(idle.shard.fencingToken+1, 0) || attempt.Number <= authority.AttemptNumber(idle.shard.fencingToken, 0) {
+				t.Errorf("%s has attempt number %d, the one before %d", id, attempt.Number, last)
 			}
-			last = a.Number
+			last = attempt.Number
 		}
 	}
 	idle.core.Tick(idle.core.now+units.Second/20, idle.core.wall+units.Second/20)
-	released, stored := idle.shard.releasing, false // the release is sent once the writes before it are answered
+	released, stored := idle.shard.releasing, false // the release is sent once the earlier writes are answered
 	for range 20 {
 		for _, commit := range idle.commits {
 			stored = stored || slices.ContainsFunc(commit.Txn.Changes, func(change store.Change) bool {
@@ -269,13 +274,13 @@
 		idle.tick()
 	}
 	if !released || !stored {
-		t.Fatalf("released %v, being stored %v", released, stored)
+		t.Fatalf("releasing %v, release sent to the state service %v", released, stored)
 	}
-	// That is stored, and the leader assigns the shard anew.
+	// The release is stored, and the leader assigns the shard again.
 	idle.core.applyEvent(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, ReleasedBy: "a"}), Stamp: 300})
 	idle.core.applyEvent(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 1}), Stamp: 301})
 	shard := idle.core.owned[0]
 	if shard == nil || shard == idle.shard || shard.attempts != 0 || shard.fencingToken <= idle.shard.fencingToken {
-		t.Fatalf("next assignment %+v", shard)
+		t.Fatalf("shard under the next assignment: %+v", shard)
 	}
 }
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -9,37 +9,38 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// An operator's word reaches the picture of the zones by its record and is taken back by its
-// removal; one about a zone in which nothing is offered is refused with those that there are.
+// TestOperatorOverride checks that an operator's override changes the state of its zone when its record is
+// applied, and that deleting the record clears it. An override for a zone without any machine type is refused
+// with an error that names the known zones.
 func TestOperatorOverride(t *testing.T) {
 	items := map[string]store.Event{typePrefix + "big": {Key: typePrefix + "big", Value: store.Value(fleet.Type{Name: "big", Zones: []string{"a", "b"}}), Stamp: 3}}
 	core := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
-	say := func(zone string, w zones.Override) error {
-		x, err := OverrideWrite(items, zone, w)
+	setOverride := func(zone string, override zones.Override) error {
+		write, err := OverrideWrite(items, zone, override)
 		if err != nil {
 			return err
 		}
-		ch := x.Changes[0]
-		if x.Guards[0].Version != items[ch.Key].Stamp {
-			t.Errorf("%s: guarded by %d", zone, x.Guards[0].Version)
+		change := write.Changes[0]
+		if write.Guards[0].Version != items[change.Key].Stamp {
+			t.Errorf("%s: guarded by version %d", zone, write.Guards[0].Version)
 		}
-		e := store.Event{Key: ch.Key, Value: ch.Value, Stamp: items[ch.Key].Stamp + 1}
-		items[ch.Key] = e
-		core.applyEvent(e)
+		event := store.Event{Key: change.Key, Value: change.Value, Stamp: items[change.Key].Stamp + 1}
+		items[change.Key] = event
+		core.applyEvent(event)
 		return nil
 	}
-	if err := say("x", zones.OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
-		t.Errorf("a zone that does not exist: %v", err)
+	if err := setOverride("x", zones.OverrideLost); err == nil || !strings.Contains(err.Error(), "a, b") {
+		t.Errorf("override for an unknown zone: %v", err)
 	}
-	for _, w := range []zones.Override{zones.OverrideLost, zones.OverrideReturning, zones.NoOverride} {
-		if err := say("b", w); err != nil {
+	for _, override := range []zones.Override{zones.OverrideLost, zones.OverrideReturning, zones.NoOverride} {
+		if err := setOverride("b", override); err != nil {
 			t.Fatal(err)
 		}
-		if core.zones.Lost("b") != (w == zones.OverrideLost) || core.zones.Returning("b") != (w == zones.OverrideReturning) {
-			t.Errorf("after %q: lost %v, returning %v", w, core.zones.Lost("b"), core.zones.Returning("b"))
+		if core.zones.Lost("b") != (override == zones.OverrideLost) || core.zones.Returning("b") != (override == zones.OverrideReturning) {
+			t.Errorf("after %q: lost %v, returning %v", override, core.zones.Lost("b"), core.zones.Returning("b"))
 		}
 	}
-	if err := say("b", "soon"); err == nil {
-		t.Error("a word that says nothing is stored")
+	if err := setOverride("b", "soon"); err == nil {
+		t.Error("an unknown override was accepted")
 	}
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -163,7 +163,9 @@
 
 // leaseBound is the time after which the tasks of a machine that gets no heartbeat response are certain to have
 // stopped: the lease, allowing for clock drift, plus 200 ms.
-func (c *Core) leaseBound() units.Microseconds { return units.MaxWithDrift(c.cfg.Lease) + units.Second/5 }
+func (c *Core) leaseBound() units.Microseconds {
+	return units.MaxWithDrift(c.cfg.Lease) + units.Second/5
+}
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -16,114 +16,115 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestMachineAgeSurvivesTakeover has a new holder take over a machine that was
-// rented long ago. Taken for new, it would be kept idle for its least charge once
-// more: with a hand-over a minute nothing was returned at all.
+// TestMachineAgeSurvivesTakeover guards against a new owner that treats a machine provisioned long ago as
+// new. It would keep the idle machine for its minimum billing period again: with one takeover per minute no
+// machine was ever deprovisioned.
 func TestMachineAgeSurvivesTakeover(t *testing.T) {
-	c := New(Config{Node: "a", Size: 1, TxnOps: 8, ValueKB: 8, StateRate: 100, WriteRate: 50,
+	core := New(Config{Node: "a", Size: 1, TxnOps: 8, ValueKB: 8, StateRate: 100, WriteRate: 50,
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second})
 	now, wall := units.Second, 1000*units.Second
-	c.Tick(now, wall)
-	g := fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}, ProvisionedAt: wall - 400*units.Second}
-	c.OnList(now, List{}, store.OK, 5, []store.Event{{Key: machinePrefix + "r-1", Value: store.Value(g), Stamp: 3}}, false)
-	c.acquireShard(0, shardplan.Assignment{Version: 4})
-	c.Drain()
-	c.OnChanges(now, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
-	m := c.owned[0].reconciler.Machine("n-1")
-	if m == nil || now-m.ProvisionedAt != 400*units.Second {
-		t.Fatalf("machine %+v", m)
+	core.Tick(now, wall)
+	group := fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}, ProvisionedAt: wall - 400*units.Second}
+	core.OnList(now, List{}, store.OK, 5, []store.Event{{Key: machinePrefix + "r-1", Value: store.Value(group), Stamp: 3}}, false)
+	core.acquireShard(0, shardplan.Assignment{Version: 4})
+	core.Drain()
+	core.OnChanges(now, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
+	machine := core.owned[0].reconciler.Machine("n-1")
+	if machine == nil || now-machine.ProvisionedAt != 400*units.Second {
+		t.Fatalf("machine %+v", machine)
 	}
 }
 
-// TestUnresponsiveZone has most machines of a zone go silent together while the others
-// are heard. What they may run waited for their leases.
+// TestUnresponsiveZone guards against tasks that wait for the leases of silent machines. Most machines of a
+// zone stop sending heartbeats at the same time while the others still send theirs. The silent ones are
+// deprovisioned, but only if enough others are responsive.
 func TestUnresponsiveZone(t *testing.T) {
 	var names []string
 	for i := range 9 {
 		names = append(names, fmt.Sprintf("n-%d", i))
 	}
-	for heard, want := range map[int]int{0: 0, 1: 0, 3: 6} {
-		c := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names}})
-		c.cfg.Zones, c.cfg.Lease = []string{"z"}, 60*units.Second
-		returned := map[string]bool{}
+	for responsive, want := range map[int]int{0: 0, 1: 0, 3: 6} {
+		core := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names}})
+		core.cfg.Zones, core.cfg.Lease = []string{"z"}, 60*units.Second
+		deprovisioned := map[string]bool{}
 		for i := range 200 {
-			for k := range heard {
+			for k := range responsive {
 				if i%20 == k {
-					c.Heartbeat(c.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: c.owned[0].fencingToken, Notice: units.MaxTime})
+					core.Heartbeat(core.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: core.owned[0].fencingToken, Notice: units.MaxTime})
 				}
 			}
-			c.Tick(c.now+TickInterval, c.wall+TickInterval)
-			for _, e := range c.Drain() {
-				if r, ok := e.(ScaleIn); ok {
-					for _, n := range r.Names {
-						returned[n] = true
+			core.Tick(core.now+TickInterval, core.wall+TickInterval)
+			for _, effect := range core.Drain() {
+				if scaleIn, ok := effect.(ScaleIn); ok {
+					for _, name := range scaleIn.Names {
+						deprovisioned[name] = true
 					}
 				}
 			}
 		}
-		if len(returned) != want {
-			t.Errorf("%d of 9 heard: %d returned", heard, len(returned))
+		if len(deprovisioned) != want {
+			t.Errorf("%d of 9 machines responsive: %d deprovisioned, want %d", responsive, len(deprovisioned), want)
 		}
 	}
 }
 
-// TestUnlistedMachinesAreGivenUp has machines taken, or returned, while nothing could
-// be stored of it. The list does not show them, so that their addresses are not known and
-// they were never asked: all work that was accepted earlier waited 10 s for them, and 14 s
-// for many. One that is too young to be listed is waited for, and so are all where a list
-// shows hardly any.
+// TestUnlistedMachinesAreGivenUp guards against waiting for machines that no longer exist. Machines were
+// reclaimed by the cloud, or deprovisioned, while the state service could not store it. The cloud's machine
+// list does not contain them, so their addresses are unknown and they were never probed: all work accepted
+// earlier waited 10 s for them, and 14 s for many. A machine that is too young to be listed is still waited
+// for, and so are all machines if the list contains hardly any.
 func TestUnlistedMachinesAreGivenUp(t *testing.T) {
 	names := []string{"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	for _, test := range []struct {
-		gone   int // the last ones
-		rented units.Microseconds
-		want   int
+		missing        int // number of machines missing from the list: the last ones
+		provisionedAgo units.Microseconds
+		want           int
 	}{{1, 100 * units.Second, 1}, {3, 100 * units.Second, 3}, {3, 2 * units.Second, 0}, {5, 100 * units.Second, 0}} {
-		lives := len(names) - test.gone
-		k := newOwner(t, map[string]any{
-			machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names[:lives], ProvisionedAt: 900 * units.Second},
-			machinePrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[lives:], ProvisionedAt: 1000*units.Second - test.rented},
+		alive := len(names) - test.missing
+		core := newOwner(t, map[string]any{
+			machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: names[:alive], ProvisionedAt: 900 * units.Second},
+			machinePrefix + "r-2": fleet.Group{Type: "big", Zone: "z", Up: names[alive:], ProvisionedAt: 1000*units.Second - test.provisionedAgo},
 		})
-		k.cfg.Lease, k.cfg.HeartbeatInterval, k.cfg.ListLag = 60*units.Second, 6*units.Second, 3*units.Second
-		shard := k.owned[0]
-		returned := 0
+		core.cfg.Lease, core.cfg.HeartbeatInterval, core.cfg.ListLag = 60*units.Second, 6*units.Second, 3*units.Second
+		shard := core.owned[0]
+		deprovisioned := 0
 		for i := range 40 { // 2 s
-			if i < lives {
-				k.Heartbeat(k.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.MaxTime})
+			if i < alive {
+				core.Heartbeat(core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.MaxTime})
 			}
-			k.Tick(k.now+TickInterval, k.wall+TickInterval)
-			for _, e := range k.Drain() {
+			core.Tick(core.now+TickInterval, core.wall+TickInterval)
+			for _, e := range core.Drain() {
 				switch e := e.(type) {
 				case ListMachines:
 					var list []ListedMachine
-					for _, n := range names[:lives] {
-						list = append(list, ListedMachine{Name: n})
+					for _, name := range names[:alive] {
+						list = append(list, ListedMachine{Name: name})
 					}
-					k.OnListMachines(k.now, e, store.OK, list)
+					core.OnListMachines(core.now, e, store.OK, list)
 				case ScaleIn:
-					returned += len(e.Names)
+					deprovisioned += len(e.Names)
 				}
 			}
 		}
-		if returned != test.want || len(shard.reconciler.Unreconciled()) != test.gone {
-			t.Errorf("%d gone, rented %.0f s ago: %d given up, %d unaccounted for", test.gone, test.rented.Seconds(), returned, len(shard.reconciler.Unreconciled()))
+		if deprovisioned != test.want || len(shard.reconciler.Unreconciled()) != test.missing {
+			t.Errorf("%d machines missing, provisioned %.0f s ago: %d deprovisioned, %d unreconciled", test.missing, test.provisionedAgo.Seconds(), deprovisioned, len(shard.reconciler.Unreconciled()))
 		}
 	}
 }
 
-// TestFullMemoryRefusesNewJobs has memory run full, here and at another controller: new jobs are sent away
-// with when to come back, known ones are answered as ever, and once there is room again, or
-// the other is heard no more, the next is taken.
+// TestFullMemoryRefusesNewJobs guards against running out of memory. While the memory of this or another
+// controller is nearly full, new jobs are refused with a time to retry, and known jobs are answered as usual.
+// Jobs are accepted again once memory is free, or once the other controller is no longer alive.
 func TestFullMemoryRefusesNewJobs(t *testing.T) {
 	core := newOwner(t, map[string]any{jobPrefix + "wk-000001": pendingRecord(testSpec())})
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
 	spec := testSpec()
-	submit := func(req RequestID, id string) { core.Submit(core.now, req, id, spec, "") }
+	submit := func(request RequestID, id string) { core.Submit(core.now, request, id, spec, "") }
 	for i, set := range []func(full bool){core.SetMemoryFull, func(full bool) { core.OnPeer(core.now, "b", PeerStatus{Full: full}) }} {
 		set(true)
 		submit(RequestID(10+i), "wk-000002")
-		if r := replyTo(t, core, RequestID(10+i)); r.Code != 503 || r.RetryAfter != admission.LongRetryAfter {
-			t.Errorf("new job: %+v", r)
+		if reply := replyTo(t, core, RequestID(10+i)); reply.Code != 503 || reply.RetryAfter != admission.LongRetryAfter {
+			t.Errorf("new job: %+v", reply)
 		}
 		submit(RequestID(20+i), "wk-000001")
 		code := 0
@@ -143,54 +144,54 @@
 		}
 		set(false)
 		if core.admission.AnyMemoryFull() {
-			t.Error("crowded still")
+			t.Error("memory still counts as full")
 		}
 	}
 	core.OnPeer(core.now, "b", PeerStatus{Full: true})
 	if !core.admission.AnyMemoryFull() {
-		t.Error("not crowded while another is full")
+		t.Error("memory does not count as full although that of another controller is")
 	}
 	core.advance(core.now + 2*peering.AliveFor)
 	if core.admission.AnyMemoryFull() {
-		t.Error("crowded by one that is heard no more")
+		t.Error("memory counts as full because of a controller that is no longer alive")
 	}
 	submit(30, "wk-000002")
-	taken := false
+	stored := false
 	for _, e := range core.Drain() {
-		w, ok := e.(Commit)
-		taken = taken || ok && w.Txn.Changes[0].Key == jobPrefix+"wk-000002"
+		commit, ok := e.(Commit)
+		stored = stored || ok && commit.Txn.Changes[0].Key == jobPrefix+"wk-000002"
 	}
-	if !taken {
-		t.Error("the next job is not stored")
+	if !stored {
+		t.Error("the next job was not stored")
 	}
 }
 
-// TestSlowBootProvisionsAnotherMachine has a job wait for a machine that does not come up. It waited for as
-// long as the slowest machines take, 160 s: no other was rented for it.
+// TestSlowBootProvisionsAnotherMachine guards against a job that waits for a machine that does not boot. It
+// used to wait as long as the slowest machines take to boot, 160 s, before another machine was provisioned.
 func TestSlowBootProvisionsAnotherMachine(t *testing.T) {
-	for rented, want := range map[units.Microseconds]bool{5 * units.Second: false, 25 * units.Second: true} {
-		c := newOwner(t, map[string]any{
-			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}, ProvisionedAt: 1000*units.Second - rented},
+	for provisionedAgo, want := range map[units.Microseconds]bool{5 * units.Second: false, 25 * units.Second: true} {
+		core := newOwner(t, map[string]any{
+			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}, ProvisionedAt: 1000*units.Second - provisionedAgo},
 			jobPrefix + "wk-000001": pendingRecord(testSpec()),
 		})
-		rents := false
+		provisions := false
 		for range 10 {
-			c.Tick(c.now+TickInterval, c.wall+TickInterval)
-			for _, e := range c.Drain() {
-				_, ok := e.(ScaleOut)
-				rents = rents || ok
+			core.Tick(core.now+TickInterval, core.wall+TickInterval)
+			for _, effect := range core.Drain() {
+				_, ok := effect.(ScaleOut)
+				provisions = provisions || ok
 			}
 		}
-		if rents != want {
-			t.Errorf("rented %.0f s ago: rents another: %v", rented.Seconds(), rents)
+		if provisions != want {
+			t.Errorf("machine provisioned %.0f s ago: provisions another: %v, want %v", provisionedAgo.Seconds(), provisions, want)
 		}
 	}
 }
 
-// TestAssignmentBeforeMembershipAnswer has the leader see a controller's new seat, and grant
-// it the block, before the state service's answer has come to the controller. It
-// missed the grant and held nothing as long as its seat stood: no work started,
-// though everything worked (rehearsals/drawn.toml, seed 407).
+// TestAssignmentBeforeMembershipAnswer guards against a shard without an owner. The leader sees a
+// controller's new membership and assigns it the shard before the controller has received the answer to its
+// membership write. The controller used to miss that assignment and owned nothing for as long as its
+// membership lasted: no work started, although everything else worked (rehearsals/drawn.toml, seed 407).
 func TestAssignmentBeforeMembershipAnswer(t *testing.T) {
 	core := New(Config{Node: "a", Size: 3, Peers: []string{"b", "c"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50, LeaderTTL: 2 * units.Second,
 		Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second, CancelWithin: 40 * units.Second})
@@ -200,30 +201,30 @@
 	core.Tick(core.now+TickInterval, core.wall+TickInterval)
 	core.Drain()
 	core.OnLease(core.now, store.OK, 5)
-	var seat Commit
-	for _, e := range core.Drain() {
-		if cm, ok := e.(Commit); ok {
-			seat = cm
+	var membership Commit
+	for _, effect := range core.Drain() {
+		if commit, ok := effect.(Commit); ok {
+			membership = commit
 		}
 	}
-	if seat.Txn == nil {
-		t.Fatal("no seat is taken")
+	if membership.Txn == nil {
+		t.Fatal("the membership was not written")
 	}
 	core.OnChanges(core.now, Watch{After: 100}, store.OK, 102, []store.Event{
-		{Key: memberPrefix + "a", Value: seat.Txn.Changes[0].Value, Stamp: 101},
+		{Key: memberPrefix + "a", Value: membership.Txn.Changes[0].Value, Stamp: 101},
 		{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 1, Node: "a", MemberID: 101}), Stamp: 102}}, false)
 	if core.owned[0] != nil {
-		t.Fatal("held without a seat")
+		t.Fatal("the shard is owned without a membership")
 	}
-	core.OnCommit(core.now, seat.Queue, seat.Txn, store.OK, 101, nil)
+	core.OnCommit(core.now, membership.Queue, membership.Txn, store.OK, 101, nil)
 	if shard := core.owned[0]; shard == nil || shard.assignment != 102 {
-		t.Fatalf("held: %+v", shard)
+		t.Fatalf("shard owned after the answer: %+v", shard)
 	}
 }
 
-// TestRollbackRewritesLostRecords has the state service go back behind what it has
-// answered. The holder notices it by a revision, keeps what it knows, writes it again
-// under the versions that are there now, and neither forgets a job nor takes back an end.
+// TestRollbackRewritesLostRecords guards against losing acknowledged writes when the state service is rolled
+// back. The owner notices a revision lower than a known one. It keeps its state and writes the lost records
+// again, guarded by the versions that are stored now. It neither forgets a job nor reopens a finished one.
 func TestRollbackRewritesLostRecords(t *testing.T) {
 	done := jobs.Record{Status: jobs.Done, Tasks: 1}
 	early, late := pendingRecord(testSpec()), pendingRecord(testSpec())
@@ -236,7 +237,7 @@
 	core.Drain()
 	core.OnChanges(core.now, Watch{After: 101, Known: 101}, store.OK, 110, nil, false)
 	if core.cache.Recovering() {
-		t.Fatal("an answer that was under way is taken for a service that went back")
+		t.Fatal("an answer that was in flight is mistaken for a rollback")
 	}
 	core.OnChanges(core.now, Watch{After: 120, Known: 120}, store.OK, 107, nil, false)
 	lists := false
@@ -245,16 +246,16 @@
 		lists = lists || ok
 	}
 	if !lists {
-		t.Fatal("a revision below a known one was not noticed")
+		t.Fatal("a revision below a known one did not start a listing")
 	}
 	core.OnList(core.now, List{}, store.OK, 108, []store.Event{
 		{Key: memberPrefix + "a", Value: store.Value(authority.Member{Node: "a"}), Stamp: 1},
 		{Key: jobPrefix + "wk-000001", Value: store.Value(early), Stamp: 1},
 		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), Stamp: 2}}, false)
 	if core.jobs.Get("wk-000001").Active() || core.jobs.Get("wk-000002") == nil || core.owned[0] == nil {
-		t.Fatal("what was lost is forgotten")
+		t.Fatal("the owner forgot state that the state service lost")
 	}
-	written, rev := map[string]uint64{}, uint64(108)
+	written, revision := map[string]uint64{}, uint64(108)
 	for range 100 {
 		core.Tick(core.now+TickInterval, core.wall+TickInterval)
 		for _, e := range core.Drain() {
@@ -266,13 +267,13 @@
 			for _, g := range commit.Txn.Guards {
 				guards[g.Key] = g.Version
 			}
-			rev++
-			for _, ch := range commit.Txn.Changes {
-				if _, again := written[ch.Key]; !again {
-					written[ch.Key] = guards[ch.Key]
+			revision++
+			for _, change := range commit.Txn.Changes {
+				if _, again := written[change.Key]; !again {
+					written[change.Key] = guards[change.Key]
 				}
 			}
-			core.OnCommit(core.now, commit.Queue, commit.Txn, store.OK, rev, nil)
+			core.OnCommit(core.now, commit.Queue, commit.Txn, store.OK, revision, nil)
 		}
 	}
 	for key, guard := range map[string]uint64{jobPrefix + "wk-000001": 1, jobPrefix + "wk-000002": 0, machinePrefix + "r-1": 2, assignmentKey(0): 0} {
@@ -281,12 +282,11 @@
 		}
 	}
 	if shard := core.owned[0]; shard == nil || shard.assignment != core.shardRecords.Assignment(0).Version {
-		t.Error("the block is not held under the version that it has now")
+		t.Error("the shard is not owned with the current version of its assignment")
 	}
 }
 
-// newOwner returns a controller that holds the first block and has read some
-// records.
+// newOwner returns a controller that owns the first shard and has read some records.
 func newOwner(t testing.TB, values map[string]any) *Core {
 	t.Helper()
 	core := New(Config{Node: "a", Size: 1, TxnOps: 4, ValueKB: 8, ValueMax: 2 << 10, StateRate: 100, WriteRate: 50, NextWriteRate: 20, Teams: []Team{{Name: "t"}},
@@ -294,15 +294,15 @@
 		Scale: autoscaler.Params{AverageOver: 15 * units.Second, WorkPerSlot: 20 * units.Second, ScaleInAfter: 5 * units.Second}})
 	core.Tick(units.Second, 1000*units.Second)
 	var items []store.Event
-	for _, k := range sortedKeys(values) {
-		items = append(items, store.Event{Key: k, Value: store.Value(values[k]), Stamp: uint64(len(items) + 1)})
+	for _, key := range sortedKeys(values) {
+		items = append(items, store.Event{Key: key, Value: store.Value(values[key]), Stamp: uint64(len(items) + 1)})
 	}
 	core.OnTypes(core.now, store.OK, []fleet.Type{{Name: "big", Capacity: binpack.Vec{16_000, 0, 64_000}, Zones: []string{"z"}, Price: 2, Boot: 10 * units.Second}})
 	core.OnLease(core.now, store.OK, 7)
-	for _, e := range core.Drain() {
-		if w, ok := e.(Commit); ok {
-			core.OnCommit(core.now, w.Queue, w.Txn, store.OK, 1, nil)
-			items = append(items, store.Event{Key: memberPrefix + "a", Value: w.Txn.Changes[0].Value, Stamp: 1})
+	for _, effect := range core.Drain() {
+		if commit, ok := effect.(Commit); ok {
+			core.OnCommit(core.now, commit.Queue, commit.Txn, store.OK, 1, nil)
+			items = append(items, store.Event{Key: memberPrefix + "a", Value: commit.Txn.Changes[0].Value, Stamp: 1})
 		}
 	}
 	items = append(items, store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Node: "a", MemberID: 1}), Stamp: 100})
@@ -313,25 +313,26 @@
 	return core
 }
 
-// replyTo returns the answer to a request.
-func replyTo(t *testing.T, c *Core, req RequestID) Reply {
+// replyTo drains the core and returns the answer to a request. It fails the test if there is none.
+func replyTo(t *testing.T, core *Core, request RequestID) Reply {
 	t.Helper()
-	for _, e := range c.Drain() {
-		if r, ok := e.(Reply); ok && r.Request == req {
-			return r
+	for _, effect := range core.Drain() {
+		if reply, ok := effect.(Reply); ok && reply.Request == request {
+			return reply
 		}
 	}
-	t.Fatalf("request %d is not answered", req)
+	t.Fatalf("request %d was not answered", request)
 	return Reply{}
 }
 
-// While the copy is taken anew it shows blocks as of another time than seats: a leader gives
-// nothing away until it is whole again.
+// TestLeaderWaitsForCompleteCache guards against a leader that assigns shards by a partly reloaded watch
+// cache. During a reload the cache may show shards as of another time than memberships. The leader writes
+// nothing until the cache is complete again.
 func TestLeaderWaitsForCompleteCache(t *testing.T) {
 	core := newOwner(t, nil)
 	serveState(t, core, map[string]store.Event{})
 	if !core.election.Leads() {
-		t.Fatal("nobody leads")
+		t.Fatal("the controller does not lead")
 	}
 	core.cfg.Size, core.cfg.LeaderTTL = 3, 2*units.Second
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b", "c"}})
@@ -350,9 +351,9 @@
 		return n
 	}
 	core.OnChanges(core.now, Watch{After: core.cache.Revision}, store.Failed, 0, nil, true)
-	// A page of the new listing: the block is another's, whose seat is on a later one.
+	// One page of the new listing: another controller owns the shard, and its membership is on a later page.
 	core.applyEvent(store.Event{Key: assignmentKey(0), Value: store.Value(authority.Assignment{Term: 1, Number: 7, Node: "b", MemberID: 1 << 50}), Stamp: 1 << 51})
 	if n := commits(); n > 0 {
-		t.Errorf("%d transactions of a leader whose copy is not whole", n)
+		t.Errorf("%d transactions by a leader with an incomplete cache", n)
 	}
 }
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -72,8 +72,8 @@
 	h.jobs.CollectGarbage(capacity, writer)
 }
 
-// CollectOrphans implements shardstore.GarbageCollector. Releases before 0.6 do not guard their writes, so nothing is
-// deleted while a controller runs one of them.
+// CollectOrphans implements shardstore.GarbageCollector. Releases before 0.6 do not guard their writes, so
+// nothing is deleted while a controller runs one of them.
 func (h *garbageHost) CollectOrphans(writer *shardstore.Writer) {
 	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.peers.AllRunFor(h.now, peering.ReleaseChunks, h.cfg.ArchiveSettleTime) {
 		h.jobs.CollectOrphans(&h.orphans, writer)
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -14,33 +14,34 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// busyFleet is a full fleet with jobs of 13 tasks that wait, half of them for other machines: each
-// heartbeat shows that one task is completed, and the next is started. Jobs that are over are replaced,
-// so that as many wait all the time.
+// busyFleet is an owner of fully used machines with waiting jobs of 13 tasks, half of which need machines of
+// another type. Each heartbeat reports one completed task, and the next one is started. Finished jobs are
+// replaced, so that the number of waiting jobs stays the same.
 type busyFleet struct {
 	core       *Core
 	shard      *ownedShard
-	names      []string // of the machines
+	names      []string // names of the machines
 	teams      int
-	waiting    int // jobs
-	jobs       int // that came so far
+	waiting    int // number of waiting jobs
+	jobs       int // number of jobs submitted so far
 	heartbeats int
 	started    int
 }
 
-// fleetHeartbeats is how many heartbeats the 3,700 machines of the target send in a second.
+// fleetHeartbeats is the number of heartbeats per second that 3,700 machines, the target fleet size, send.
 const fleetHeartbeats = 740
 
+// newBusyFleet returns a fleet whose machines are all running tasks.
 func newBusyFleet(tb testing.TB, machines, teams, waiting int) *busyFleet {
 	busy := &busyFleet{teams: teams, waiting: waiting}
 	values := map[string]any{}
 	for i := 0; i < machines; i += fleet.MaxGroup {
-		g := fleet.Group{Type: "big", Zone: "z"}
+		group := fleet.Group{Type: "big", Zone: "z"}
 		for k := i; k < min(i+fleet.MaxGroup, machines); k++ {
-			g.Up = append(g.Up, fmt.Sprintf("n-%05d", k))
+			group.Up = append(group.Up, fmt.Sprintf("n-%05d", k))
 		}
-		busy.names = append(busy.names, g.Up...)
-		values[fmt.Sprintf("%sr-%05d", machinePrefix, i)] = g
+		busy.names = append(busy.names, group.Up...)
+		values[fmt.Sprintf("%sr-%05d", machinePrefix, i)] = group
 	}
 	busy.core = newOwner(tb, values)
 	busy.shard = busy.core.owned[0]
@@ -51,11 +52,11 @@
 	for i := range busy.core.cfg.Teams {
 		busy.core.teams[busy.core.cfg.Teams[i].Name] = &busy.core.cfg.Teams[i]
 	}
-	for _, m := range busy.shard.reconciler.Machines() {
-		m.Type, m.LastSeen = busy.core.types["big"], busy.core.now
-		busy.shard.reconciler.MarkReconciled(busy.core.now, m)
+	for _, machine := range busy.shard.reconciler.Machines() {
+		machine.Type, machine.LastSeen = busy.core.types["big"], busy.core.now
+		busy.shard.reconciler.MarkReconciled(busy.core.now, machine)
 	}
-	for busy.core.jobs.ActiveLen() < waiting+machines { // so many are about to run
+	for busy.core.jobs.ActiveLen() < waiting+machines { // about as many jobs as machines are about to run
 		busy.submit(busy.jobs%2 == 0 || busy.core.jobs.ActiveLen() > waiting)
 	}
 	for range machines {
@@ -65,34 +66,33 @@
 	return busy
 }
 
-// submit has a job come. One that is not for this fleet waits for machines of another type, and
-// goes before the others.
+// submit adds a job. If here is false, the job needs machines of another type and ranks before the others.
 func (f *busyFleet) submit(here bool) {
 	f.jobs++
 	id := fmt.Sprintf("wk-%06d", f.jobs)
-	r := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: f.core.wall, Spec: &jobs.Spec{Class: "c", Team: fmt.Sprintf("t%d", f.jobs%f.teams),
+	record := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: f.core.wall, Spec: &jobs.Spec{Class: "c", Team: fmt.Sprintf("t%d", f.jobs%f.teams),
 		Priority: jobs.Normal, Tasks: 13, AnyType: true, Demand: binpack.Vec{2000, 0, int64(1+f.jobs%4) * 1000}, Estimate: 70 * units.Second}}
 	if !here {
-		r.Spec.AnyType, r.Spec.Types, r.Spec.Priority = false, []string{"other"}, jobs.High
+		record.Spec.AnyType, record.Spec.Types, record.Spec.Priority = false, []string{"other"}, jobs.High
 	}
-	f.core.applyEvent(store.Event{Key: jobPrefix + id, Value: r.Encode(), Stamp: uint64(200 + f.jobs)})
+	f.core.applyEvent(store.Event{Key: jobPrefix + id, Value: record.Encode(), Stamp: uint64(200 + f.jobs)})
 }
 
-// heartbeat has the next machine finish a task, and be given others.
+// heartbeat lets the next machine finish a task and start others.
 func (f *busyFleet) heartbeat() {
-	c, shard := f.core, f.shard
-	c.advance(c.now + units.Second/fleetHeartbeats)
-	c.wall += units.Second / fleetHeartbeats
+	core, shard := f.core, f.shard
+	core.advance(core.now + units.Second/fleetHeartbeats)
+	core.wall += units.Second / fleetHeartbeats
 	f.heartbeats++
 	machine := shard.reconciler.Machine(f.names[f.heartbeats%len(f.names)])
-	machine.LastSeen = c.now
+	machine.LastSeen = core.now
 	if tasks := machine.TaskIDs(); len(tasks) > 0 {
 		id := tasks[f.heartbeats%len(tasks)]
-		j := c.jobs.Get(id.Job)
-		j.Finish(id.Task, c.jobs.Layout())
-		shard.reconciler.Remove(c.now, machine, id)
-		if j.AllFinished() {
-			c.applyEvent(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: j.Version})
+		job := core.jobs.Get(id.Job)
+		job.Finish(id.Task, core.jobs.Layout())
+		shard.reconciler.Remove(core.now, machine, id)
+		if job.AllFinished() {
+			core.applyEvent(store.Event{Key: jobPrefix + id.Job, Value: jobs.Record{Status: jobs.Done, Tasks: 13}.Encode(), Stamp: job.Version})
 			f.submit(true)
 		}
 	}
@@ -100,17 +100,18 @@
 	shard.scheduler.Preempt(machine)
 }
 
-// processorTime is what this process has used so far; other processes' load does not count.
+// processorTime returns the CPU time that this process has used so far. Unlike elapsed time it does not
+// depend on the load by other processes.
 func processorTime(tb testing.TB) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		tb.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkHeartbeatByJobs measures what a heartbeat costs that shows a completed task: rankings, the
-// next start, and the look for what it might stop.
+// BenchmarkHeartbeatByJobs measures the CPU time of a heartbeat that reports a completed task: ranking,
+// starting the next task, and the search for tasks to preempt.
 func BenchmarkHeartbeatByJobs(b *testing.B) {
 	for _, size := range []struct{ machines, teams, waiting int }{
 		{100, 10, 300}, {100, 30, 300}, {100, 100, 300}, {100, 340, 300},
@@ -129,37 +130,37 @@
 	}
 }
 
-// TestHeartbeatSteps holds what a heartbeat costs to a bound that grows neither with the jobs that wait
-// nor with the teams, counted in jobs that are looked at. It used to grow with both: each ranking
-// added up all teams for every job, and each heartbeat went through all jobs.
+// TestHeartbeatSteps guards against a cost per heartbeat that grows with the number of waiting jobs or of
+// teams. The cost is counted in jobs examined. It used to grow with both: each ranking summed over all teams
+// for every job, and each heartbeat iterated over all jobs.
 func TestHeartbeatSteps(t *testing.T) {
 	perHeartbeat := func(teams, waiting int) float64 {
 		f := newBusyFleet(t, 100, teams, waiting)
-		const reports = 3 * fleetHeartbeats
+		const heartbeats = 3 * fleetHeartbeats
 		from := f.shard.scheduler.Steps()
-		for range reports {
+		for range heartbeats {
 			f.heartbeat()
 		}
-		if f.started < reports*9/10 {
-			t.Errorf("%d teams, %d jobs: %d starts in %d heartbeats", teams, waiting, f.started, reports)
+		if f.started < heartbeats*9/10 {
+			t.Errorf("%d teams, %d jobs: %d starts in %d heartbeats", teams, waiting, f.started, heartbeats)
 		}
-		return float64(f.shard.scheduler.Steps()-from) / reports
+		return float64(f.shard.scheduler.Steps()-from) / heartbeats
 	}
 	base := perHeartbeat(10, 1000)
 	for _, size := range []struct {
 		teams, waiting int
-		times          float64 // that of the base, at most
+		times          float64 // upper bound, as a multiple of the base
 	}{{30, 1000, 1.1}, {100, 1000, 1.1}, {340, 1000, 1.1}, {340, 100, 1.1}, {340, 300, 1.1}, {10, 3000, 1.25}, {340, 3000, 1.25}, {340, 10_000, 1.6}} {
 		got := perHeartbeat(size.teams, size.waiting)
-		t.Logf("%d teams, %d jobs: %.1f steps a heartbeat (%.1f)", size.teams, size.waiting, got, base)
+		t.Logf("%d teams, %d jobs: %.1f steps a heartbeat (base %.1f)", size.teams, size.waiting, got, base)
 		if got > size.times*base {
 			t.Errorf("%d teams, %d jobs: more than %g times the steps with 10 teams and 1,000 jobs", size.teams, size.waiting, size.times)
 		}
 	}
 }
 
-// BenchmarkOwnerMemory measures what a holder keeps: of machines with their tasks, with few jobs
-// that wait; and of jobs that wait, with few machines.
+// BenchmarkOwnerMemory measures the memory of an owner: by the number of machines with their tasks, with few
+// waiting jobs, and by the number of waiting jobs, with few machines.
 func BenchmarkOwnerMemory(b *testing.B) {
 	for _, size := range []struct{ machines, waiting int }{{370, 300}, {925, 300}, {1850, 300}, {3700, 300}, {100, 1000}, {100, 3000}, {100, 10_000}, {100, 30_000}} {
 		b.Run(fmt.Sprintf("machines=%d/waiting=%d", size.machines, size.waiting), func(b *testing.B) {
@@ -173,30 +174,30 @@
 	}
 }
 
-// heap is what is alive, in bytes.
+// heap returns the size of the live heap, in bytes.
 func heap() uint64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
-// BenchmarkListing measures what it takes a controller that starts to take in the listing, by
-// jobs that are not over.
+// BenchmarkListing measures the CPU time in which a starting controller applies a listing, by the number of
+// unfinished jobs.
 func BenchmarkListing(b *testing.B) {
 	for _, count := range []int{1000, 3000, 10_000, 30_000} {
 		b.Run(fmt.Sprintf("jobs=%d", count), func(b *testing.B) {
 			var items []store.Event
 			for i := range count {
-				r := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t1", Tasks: 13, AnyType: true,
+				record := jobs.Record{Status: jobs.Pending, Tasks: 13, Submitted: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t1", Tasks: 13, AnyType: true,
 					Demand: binpack.Vec{2000, 0, 1000}, Estimate: 70 * units.Second, Image: "registry/image"}}
-				items = append(items, store.Event{Key: fmt.Sprintf("%swk-%06d", jobPrefix, i+1), Value: r.Encode(), Stamp: uint64(i + 1)})
+				items = append(items, store.Event{Key: fmt.Sprintf("%swk-%06d", jobPrefix, i+1), Value: record.Encode(), Stamp: uint64(i + 1)})
 			}
 			from := processorTime(b)
 			for b.Loop() {
-				c := newOwner(b, nil)
-				for _, e := range items {
-					c.applyEvent(e)
+				core := newOwner(b, nil)
+				for _, event := range items {
+					core.applyEvent(event)
 				}
 			}
 			b.ReportMetric(float64(processorTime(b)-from)/float64(b.N)/1e6, "cpu-ms/op")
@@ -204,7 +205,7 @@
 	}
 }
 
-// BenchmarkStats measures what a scrape of the metrics takes of the core, by machines.
+// BenchmarkStats measures the core's CPU time for a metrics scrape, by the number of machines.
 func BenchmarkStats(b *testing.B) {
 	for _, machines := range []int{370, 925, 1850, 3700} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
