--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -28,8 +28,8 @@
 	ArchiveKey = keys.ArchiveMark
 )
 
-// IsLeased reports whether a record is attached to a controller's lease, so that it is deleted when the lease
-// ends.
+// IsLeased reports whether a record is attached to a controller's lease, so that it is
+// deleted when the lease ends.
 func IsLeased(event store.Event) bool {
 	return strings.HasPrefix(event.Key, keys.MemberPrefix) || event.Key == keys.LeaderSinceArchive || event.Key == keys.Leader && !election.IsExclusionRecord(event.Value)
 }
@@ -48,8 +48,8 @@
 	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
-// OnKey handles the answer to a ReadKey. value is nil if the bucket is not stored. rev is the state service's
-// revision if the answer had one, else 0.
+// OnKey handles the answer to a ReadKey. value is nil if the bucket is not stored. rev
+// is the state service's revision if the answer had one, else 0.
 func (c *Core) OnKey(now units.Microseconds, read ReadKey, outcome store.Outcome, value []byte, stamp, rev uint64) {
 	c.advance(now)
 	outcome = c.noteOutcome(outcome)
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -28,9 +28,9 @@
 	return c.cancellations.UpdateFor(c.now, status.Known, c.cache.LoadRevision(), c.cache.Revision, complete)
 }
 
-// receiveCancellations handles the cancellations in a peer lease grant. The time at which the lease was
-// requested counts only if this process requested it, that is, if the membership matches: clocks restart with
-// each process.
+// receiveCancellations handles the cancellations in a peer lease grant. The time at
+// which the lease was requested counts only if this process requested it, that is, if
+// the membership matches: clocks restart with each process.
 func (c *Core) receiveCancellations(from string, promise PeerLeaseGrant) {
 	decoded := cancellations.Learn(cancellationsHost{c}, c.log, from, promise.Told.List)
 	if decoded && promise.Seat != 0 && promise.Seat == c.membership.ID() {
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -17,10 +17,10 @@
 	return store.Event{Key: jobPrefix + id, Value: jobs.Record{Status: jobs.Cancelled, Tasks: 1}.Encode(), Stamp: stamp}
 }
 
-// TestCancellationsFromPeers guards against an owner that ignores a cancellation reported by another
-// controller, or that applies a false one. A valid cancellation stops the job's task with the next heartbeat,
-// also if the owner receives the job's submission only later. Malformed cancellations, and those of finished
-// jobs, change nothing.
+// TestCancellationsFromPeers guards against an owner that ignores a cancellation reported
+// by another controller, or that applies a false one. A valid cancellation stops the
+// job's task with the next heartbeat, also if the owner receives the job's submission
+// only later. Malformed cancellations, and those of finished jobs, change nothing.
 func TestCancellationsFromPeers(t *testing.T) {
 	record := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Tasks: 1, AnyType: true}}
 	core := newOwner(t, map[string]any{
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestStaleCacheStopsHeartbeatAnswers guards against an owner that answers heartbeats with a stale watch
-// cache, which may lack cancellations. Lease renewals succeed while all reads fail. Authority used to be
-// renewed no matter how old the cache was, and the first renewal after an outage made the owner valid at once
-// with a cache from before the outage.
+// TestStaleCacheStopsHeartbeatAnswers guards against an owner that answers heartbeats with
+// a stale watch cache, which may lack cancellations. Lease renewals succeed while all reads
+// fail. Authority used to be renewed no matter how old the cache was, and the first renewal
+// after an outage made the owner valid at once with a cache from before the outage.
 func TestStaleCacheStopsHeartbeatAnswers(t *testing.T) {
 	core := newOwner(t, map[string]any{machinePrefix + "r-1": fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}})
 	core.cfg.CancelWithin, core.cfg.Lease, core.cfg.LeaderTTL = 60*units.Second, 20*units.Second, units.Second
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestFullTaskListGetsNoStarts guards against heartbeats of more than 64 KiB. While the state service stores
-// nothing, a machine keeps listing its exited tasks. Once the list is full, the machine is given no further
-// tasks.
+// TestFullTaskListGetsNoStarts guards against heartbeats of more than 64 KiB. While
+// the state service stores nothing, a machine keeps listing its exited tasks. Once the
+// list is full, the machine is given no further tasks.
 func TestFullTaskListGetsNoStarts(t *testing.T) {
 	for listed, want := range map[int]int{fleet.MaxListed: 0, fleet.MaxListed - 10: 10} {
 		core := newOwner(t, map[string]any{
--- a/internal/core/commits.go
+++ b/internal/core/commits.go
@@ -23,8 +23,8 @@
 	c.queues[queue].Finish(now, outcome, revision, failed)
 }
 
-// observeCommits looks for the changes of in-flight transactions among the events that the watch cache has
-// applied.
+// observeCommits looks for the changes of in-flight transactions among the events that
+// the watch cache has applied.
 func (c *Core) observeCommits(events []store.Event) {
 	if c.cache.Recovering() {
 		return
@@ -34,9 +34,9 @@
 	}
 }
 
-// resolveCommits resolves in-doubt transactions, whose answers are late. It ends those that the watch cache
-// has shown to be committed, and requests a fresh read for the others. These reads are rate-limited like all
-// others.
+// resolveCommits resolves in-doubt transactions, whose answers are late. It ends those
+// that the watch cache has shown to be committed, and requests a fresh read for the
+// others. These reads are rate-limited like all others.
 func (c *Core) resolveCommits() {
 	if c.cache.Recovering() {
 		return
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -94,10 +94,10 @@
 	return &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true}
 }
 
-// TestLostCommitAnswer guards against waiting for the request timeout when the answer to a committed
-// transaction is lost: of a submission, a cancellation or a job's end. The transaction is resolved as soon as
-// the watch shows it, or a fresh read if the watch hangs. Within 150 ms the user is answered and the queue
-// moves on. A late answer then has no effect.
+// TestLostCommitAnswer guards against waiting for the request timeout when the answer to a
+// committed transaction is lost: of a submission, a cancellation or a job's end. The
+// transaction is resolved as soon as the watch shows it, or a fresh read if the watch hangs.
+// Within 150 ms the user is answered and the queue moves on. A late answer then has no effect.
 func TestLostCommitAnswer(t *testing.T) {
 	for name, request := range map[string]func(core *Core) (key string, code int){
 		"submission": func(core *Core) (string, int) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Jobs of testLostAnswer. knownJob is the job of the request; otherJob is cancelled while that request is in
-// doubt.
+// Jobs of testLostAnswer. knownJob is the job of the request; otherJob is cancelled
+// while that request is in doubt.
 const (
 	knownJob = "wk-000001"
 	otherJob = "wk-000002"
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestLostCommitStaysInDoubt guards against answering an in-doubt write too early. A submission's transaction
-// is lost, or delayed so that it may still be committed. The user is not answered before the request has
-// timed out, and few reads are made for it.
+// TestLostCommitStaysInDoubt guards against answering an in-doubt write too early. A
+// submission's transaction is lost, or delayed so that it may still be committed. The
+// user is not answered before the request has timed out, and few reads are made for it.
 func TestLostCommitStaysInDoubt(t *testing.T) {
 	core := newOwner(t, nil)
 	state := newLossyState(core)
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -17,10 +17,10 @@
 
 const configPrefix = keys.ConfigPrefix
 
-// MaxOverQuotaBytes bounds the bytes that a status spends on teams above their quota allocation in a shard.
-// It is half of a frame between controllers, as a controller that cannot send its status loses its authority.
-// It holds 481 teams with names of the maximum length. Beyond it the shard's quota use is reported as
-// unknown.
+// MaxOverQuotaBytes bounds the bytes that a status spends on teams above their quota
+// allocation in a shard. It is half of a frame between controllers, as a controller
+// that cannot send its status loses its authority. It holds 481 teams with names of
+// the maximum length. Beyond it the shard's quota use is reported as unknown.
 const MaxOverQuotaBytes = 32 << 10
 
 // Bodies of replies about the configuration.
@@ -32,8 +32,8 @@
 	}
 	// ConfigStored is the version in which a change was stored.
 	ConfigStored struct{ Version uint64 }
-	// ConfigRefused says why a change was not made. Err is a *configuration.Invalid, *configuration.Missed or
-	// *configuration.Unavailable.
+	// ConfigRefused says why a change was not made. Err is a *configuration.Invalid,
+	// *configuration.Missed or *configuration.Unavailable.
 	ConfigRefused struct{ Err error }
 	// ConfigHistory lists the last versions, latest first.
 	ConfigHistory []configuration.Entry
@@ -86,8 +86,8 @@
 	c.emit(reply)
 }
 
-// reconfigure puts teams and objectives into force. Removed teams are kept only for the limits of their
-// remaining jobs.
+// reconfigure puts teams and objectives into force. Removed teams are kept only for
+// the limits of their remaining jobs.
 func (c *Core) reconfigure(content configuration.Content) {
 	c.teams = make(map[string]*Team, len(content.Teams))
 	c.cfg.Teams = nil
@@ -169,8 +169,8 @@
 	return c.cache.Loaded() && !c.cache.Recovering() && c.cache.Revision >= c.cache.Version(configuration.HeadKey)
 }
 
-// addConfigStatus adds to a status which version is in force here, and which teams are above their quota
-// allocation in each shard.
+// addConfigStatus adds to a status which version is in force here, and which teams are
+// above their quota allocation in each shard.
 func (c *Core) addConfigStatus(status *PeerStatus) {
 	if !c.config.Changed() {
 		return
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestOwnerWithStaleConfiguration guards against an owner that schedules by an outdated configuration. The
-// status or the peer lease grant of another controller mentions a later version. The owner starts and accepts
-// nothing until it has read that version.
+// TestOwnerWithStaleConfiguration guards against an owner that schedules by an outdated
+// configuration. The status or the peer lease grant of another controller mentions a
+// later version. The owner starts and accepts nothing until it has read that version.
 func TestOwnerWithStaleConfiguration(t *testing.T) {
 	spec := &jobs.Spec{Team: "t", Tasks: 1, Demand: binpack.Vec{1000}}
 	for name, message := range map[string]any{"status": PeerStatus{ConfigKnown: 3}, "promise": PeerLeaseGrant{ConfigKnown: 3}} {
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestAllocationFollowsLoweredLimit guards against a shard that keeps its old quota after a team's limit is
-// lowered. The shard's allocation becomes the same fraction of the new limit, the team is reported as over
-// its quota, and it starts nothing more.
+// TestAllocationFollowsLoweredLimit guards against a shard that keeps its old quota
+// after a team's limit is lowered. The shard's allocation becomes the same fraction of
+// the new limit, the team is reported as over its quota, and it starts nothing more.
 func TestAllocationFollowsLoweredLimit(t *testing.T) {
 	core := newOwner(t, configRecords(1, 40_000))
 	shard := core.owned[0]
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestOlderReleaseBlocksConfigurationChange guards against controllers with different configurations. While a
-// controller is known that only reads its settings file, changes are refused. Once a version is stored, such a
-// controller is assigned no shard.
+// TestOlderReleaseBlocksConfigurationChange guards against controllers with different
+// configurations. While a controller is known that only reads its settings file, changes
+// are refused. Once a version is stored, such a controller is assigned no shard.
 func TestOlderReleaseBlocksConfigurationChange(t *testing.T) {
 	core := newOwner(t, nil)
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core implements a controller's decisions as a deterministic state machine. Callers pass in events and
-// the current time by method calls and collect the resulting effects from Drain. The package has no clock, no
-// goroutines and no randomness of its own.
+// Package core implements a controller's decisions as a deterministic state machine.
+// Callers pass in events and the current time by method calls and collect the resulting
+// effects from Drain. The package has no clock, no goroutines and no randomness of its own.
 package core
 
 import (
@@ -72,9 +72,9 @@
 	// ShardMachines is the number of machines above which the work is split into several shards.
 	ShardMachines      int
 	SequentialFraction float64 // fraction of a job's time within which the autoscaler lets its tasks run one after the other
-	// KeepFinished is the number of finished jobs kept in memory before the oldest are archived; 0 keeps all.
-	// ArchiveSettleTime is how long every controller must have run a release that can read archived jobs before
-	// the first job is archived.
+	// KeepFinished is the number of finished jobs kept in memory before the oldest are
+	// archived; 0 keeps all. ArchiveSettleTime is how long every controller must have run
+	// a release that can read archived jobs before the first job is archived.
 	KeepFinished      int
 	ArchiveSettleTime units.Microseconds
 	Log               *slog.Logger
@@ -159,8 +159,8 @@
 	// maxUserWrites bounds the queue of users' changes, as overload protection. It holds what the state service
 	// accepts in some seconds. Users whose changes do not fit are told to retry later.
 	maxUserWrites = 256
-	// maxControlWrites bounds the queue of the leader's and the owners' changes. Their number is itself
-	// bounded by the numbers of jobs and machines.
+	// maxControlWrites bounds the queue of the leader's and the owners' changes. Their
+	// number is itself bounded by the numbers of jobs and machines.
 	maxControlWrites = 1 << 16
 )
 
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -8,8 +8,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Heartbeat handles a worker machine's heartbeat: it admits it, reconciles the machine's tasks, schedules
-// work and responds.
+// Heartbeat handles a worker machine's heartbeat: it admits it, reconciles the
+// machine's tasks, schedules work and responds.
 func (c *Core) Heartbeat(now units.Microseconds, request RequestID, heartbeat *fleet.Heartbeat) {
 	c.advance(now)
 	c.reachability.HeartbeatReceived()
@@ -31,8 +31,8 @@
 	c.answerHeartbeat(shard, accepted.Machine, request, HeartbeatResponse{FencingToken: shard.fencingToken, Commands: commands})
 }
 
-// shardOf returns the shard that a machine belongs to, and whether that is stored or about to be. An unknown
-// machine belongs to the first shard.
+// shardOf returns the shard that a machine belongs to, and whether that is stored or
+// about to be. An unknown machine belongs to the first shard.
 func (c *Core) shardOf(machine string) (number int, stored bool) {
 	number, stored = c.machineShard[machine]
 	if !stored {
@@ -45,8 +45,8 @@
 	return number, stored
 }
 
-// admitHeartbeat decides whether a heartbeat of a shard's machine may change any state. shard is nil if this
-// controller does not own the machine's shard.
+// admitHeartbeat decides whether a heartbeat of a shard's machine may change any
+// state. shard is nil if this controller does not own the machine's shard.
 func (c *Core) admitHeartbeat(shard *ownedShard, heartbeat *fleet.Heartbeat, stored bool) reconcile.Admission {
 	switch {
 	case shard == nil:
@@ -59,8 +59,8 @@
 	return shard.reconciler.Admit(c.now, heartbeat, stored)
 }
 
-// refuseHeartbeat answers a heartbeat that was not admitted, or keeps it pending until the shard's next owner
-// is known.
+// refuseHeartbeat answers a heartbeat that was not admitted, or keeps it pending until
+// the shard's next owner is known.
 func (c *Core) refuseHeartbeat(number int, request RequestID, admission reconcile.Admission) {
 	switch admission {
 	case reconcile.Postponed:
@@ -77,8 +77,8 @@
 	}
 }
 
-// schedule decides, after a machine's heartbeat was reconciled, which tasks the machine starts and which it
-// stops to make room for others.
+// schedule decides, after a machine's heartbeat was reconciled, which tasks the
+// machine starts and which it stops to make room for others.
 func (c *Core) schedule(shard *ownedShard, accepted reconcile.Accepted) []fleet.Command {
 	machine := accepted.Machine
 	proven := accepted.Standing == reconcile.Proven
--- a/internal/core/heartbeat_test.go
+++ b/internal/core/heartbeat_test.go
@@ -11,8 +11,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// BenchmarkHeartbeat measures the processing of a heartbeat that reports no change: admission, reconciliation,
-// scheduling and the response.
+// BenchmarkHeartbeat measures the processing of a heartbeat that reports no change:
+// admission, reconciliation, scheduling and the response.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, machines := range []int{100, 925} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -73,9 +73,9 @@
 	return core, replyTo(t, core, 9).Code
 }
 
-// TestStaleProbeAnswerKeepsStart guards against starting a task twice. A machine answers a probe after it was
-// told to start a task that the answer does not list yet. If the answer counted, the task would start on
-// another machine too.
+// TestStaleProbeAnswerKeepsStart guards against starting a task twice. A machine
+// answers a probe after it was told to start a task that the answer does not list yet.
+// If the answer counted, the task would start on another machine too.
 func TestStaleProbeAnswerKeepsStart(t *testing.T) {
 	for skipped, want := range map[guard.Guard]int{guard.None: 1, guard.ProbeAnswer: 0} {
 		core := newOwner(t, map[string]any{
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -28,8 +28,8 @@
 	return jobs.Record{Status: jobs.Pending, Tasks: spec.Tasks, Submitted: 900 * units.Second, Spec: spec}
 }
 
-// serveState acts as the state service for 400 ticks: it commits transactions and answers fresh reads at
-// once. It returns the replies to users.
+// serveState acts as the state service for 400 ticks: it commits transactions and
+// answers fresh reads at once. It returns the replies to users.
 func serveState(t *testing.T, core *Core, keys map[string]store.Event) map[RequestID]Reply {
 	t.Helper()
 	replies := map[RequestID]Reply{}
@@ -53,8 +53,8 @@
 	return replies
 }
 
-// commitTxn commits a transaction. It fails the test if the transaction exceeds the limits of a small state
-// service.
+// commitTxn commits a transaction. It fails the test if the transaction exceeds the
+// limits of a small state service.
 func commitTxn(t *testing.T, core *Core, keys map[string]store.Event, commit Commit, revision uint64) {
 	t.Helper()
 	txn := commit.Txn
@@ -293,9 +293,9 @@
 	}
 }
 
-// TestOwnerChoicePrefersNewRelease guards against needless shard moves in a rolling upgrade. A shard whose
-// owner has ended goes to a controller that already runs the new release, and not back to its last owner,
-// which is still to be upgraded.
+// TestOwnerChoicePrefersNewRelease guards against needless shard moves in a rolling
+// upgrade. A shard whose owner has ended goes to a controller that already runs the
+// new release, and not back to its last owner, which is still to be upgraded.
 func TestOwnerChoicePrefersNewRelease(t *testing.T) {
 	core := New(Config{Node: "c", Size: 3, Peers: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
 	for i, release := range []int{0, peering.Release, peering.Release} {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -43,8 +43,8 @@
 	c.planner.StartTerm(c.now, lead)
 }
 
-// tickLeadership runs the planner on the leader. On the other controllers it runs the election, in which they
-// campaign if there is no leader.
+// tickLeadership runs the planner on the leader. On the other controllers it runs the
+// election, in which they campaign if there is no leader.
 func (c *Core) tickLeadership() {
 	if c.election.Leads() {
 		c.planner.Tick(c.now)
@@ -53,8 +53,8 @@
 	c.election.Tick()
 }
 
-// plannerHost implements shardplan.Host and shardplan.Members: it gives the planner, which assigns shards to
-// controllers, access to this controller.
+// plannerHost implements shardplan.Host and shardplan.Members: it gives the planner,
+// which assigns shards to controllers, access to this controller.
 type plannerHost struct{ *Core }
 
 // CacheAge implements shardplan.Host.
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -20,8 +20,8 @@
 // pendingTime is how long package reconcile holds a heartbeat unanswered.
 const pendingTime = 2 * units.Second
 
-// idleFleet is an owner of machines that are all up and idle, in two zones. Machines of zone z are offered
-// work before those of zone y.
+// idleFleet is an owner of machines that are all up and idle, in two zones. Machines
+// of zone z are offered work before those of zone y.
 type idleFleet struct {
 	t          testing.TB
 	core       *Core
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestEveryPendingMachineIsOfferedWork guards against starvation of pending machines. In every tick new work
-// arrives that the machines which are offered work first cannot run. The others still get the work that they
-// can run.
+// TestEveryPendingMachineIsOfferedWork guards against starvation of pending machines.
+// In every tick new work arrives that the machines which are offered work first cannot
+// run. The others still get the work that they can run.
 func TestEveryPendingMachineIsOfferedWork(t *testing.T) {
 	idle := newIdleFleet(t, 3*reconcile.MaxOffers, reconcile.MaxOffers)
 	for range 3 {
@@ -196,10 +196,10 @@
 	}
 }
 
-// TestUnknownMachinesAtTheLimit checks the limit of remembered unknown machines. As many unprovisioned
-// machines as are remembered send heartbeats, and one more. All are redirected at first, and after
-// reconcile.AdoptAfter the remembered ones are adopted. The one beyond the limit is remembered once others
-// have been adopted.
+// TestUnknownMachinesAtTheLimit checks the limit of remembered unknown machines. As
+// many unprovisioned machines as are remembered send heartbeats, and one more. All are
+// redirected at first, and after reconcile.AdoptAfter the remembered ones are adopted.
+// The one beyond the limit is remembered once others have been adopted.
 func TestUnknownMachinesAtTheLimit(t *testing.T) {
 	if reconcile.MaxUnknown < fleet.FullShard {
 		t.Errorf("only %d unknown machines are remembered", reconcile.MaxUnknown)
@@ -238,10 +238,10 @@
 	}
 }
 
-// TestAttemptNumbersUsedUp guards against reused attempt numbers. An owner starts tasks up to the last
-// attempt number of its assignment. Numbers used to wrap around then, so that an attempt could have the
-// number of an earlier one. Instead the shard is released, and the next assignment starts the remaining
-// tasks.
+// TestAttemptNumbersUsedUp guards against reused attempt numbers. An owner starts
+// tasks up to the last attempt number of its assignment. Numbers used to wrap around
+// then, so that an attempt could have the number of an earlier one. Instead the shard
+// is released, and the next assignment starts the remaining tasks.
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	const left = 3
 	idle := newIdleFleet(t, 2*left, 0)
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -4,8 +4,8 @@
 	"shalestage.example/shalestage/internal/core/fleet"
 )
 
-// livenessHost implements liveness.Host: it gives the failure detection of a shard's machines access to the
-// shard.
+// livenessHost implements liveness.Host: it gives the failure detection of a shard's
+// machines access to the shard.
 type livenessHost struct {
 	*Core
 	shard *ownedShard
@@ -44,8 +44,8 @@
 	return false
 }
 
-// peerUnreachable reports whether worker machines are known to be unable to reach a controller, which may be
-// this one.
+// peerUnreachable reports whether worker machines are known to be unable to reach a
+// controller, which may be this one.
 func (c *Core) peerUnreachable(node string) bool {
 	if node == c.cfg.Node {
 		return c.reachability.UnreachableNow(c.now)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -5,8 +5,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// membershipHost implements membership.Host: it gives the membership access to this controller, and applies its
-// changes.
+// membershipHost implements membership.Host: it gives the membership access to this
+// controller, and applies its changes.
 type membershipHost struct{ *Core }
 
 // Emit implements membership.Host.
@@ -61,16 +61,16 @@
 // maxCacheAge is the age of the watch cache at which a fresh read is due.
 const maxCacheAge = 2 * units.Second
 
-// cancellationGrace is how long an owner may still answer worker machines after the time up to which it knows
-// every cancellation. Cancelled tasks stop at the latest one worker lease after the last answer, and that
-// must be within Config.CancelWithin.
+// cancellationGrace is how long an owner may still answer worker machines after the
+// time up to which it knows every cancellation. Cancelled tasks stop at the latest one
+// worker lease after the last answer, and that must be within Config.CancelWithin.
 func (c *Core) cancellationGrace() units.Microseconds {
 	return max(c.cfg.LeaderTTL, c.cfg.CancelWithin-c.leaseBound()-2*units.Second)
 }
 
-// ValidUntil returns the time from which this node may no longer answer worker machines, as far as is known
-// now: the authority of its membership ends, or a cancellation may have been confirmed that this node does
-// not know.
+// ValidUntil returns the time from which this node may no longer answer worker
+// machines, as far as is known now: the authority of its membership ends, or a
+// cancellation may have been confirmed that this node does not know.
 func (c *Core) ValidUntil() units.Microseconds {
 	return min(c.membership.Until(), c.cancellations.KnownUntil(c.now, c.cache.AsOf())+units.MinWithDrift(c.cancellationGrace()))
 }
--- a/internal/core/objectives.go
+++ b/internal/core/objectives.go
@@ -7,8 +7,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// propagateObjectives propagates deadlines and priorities from waiting jobs back to the jobs that they depend
-// on.
+// propagateObjectives propagates deadlines and priorities from waiting jobs back to
+// the jobs that they depend on.
 func (c *Core) propagateObjectives(shard *ownedShard) {
 	if c.jobs.PropagationDue() {
 		c.jobs.PropagateObjectives(func(job *jobs.Job) units.Microseconds { return c.expectedDuration(shard, job) })
@@ -34,8 +34,8 @@
 	return duration
 }
 
-// slowestFetchRate returns the image fetch rate, in MB/s, of the slowest machine type that a job may use; 0
-// if no rate is known.
+// slowestFetchRate returns the image fetch rate, in MB/s, of the slowest machine type
+// that a job may use; 0 if no rate is known.
 func (c *Core) slowestFetchRate(spec *jobs.Spec) int64 {
 	rates := []int64{}
 	for _, machineType := range c.types {
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -37,8 +37,8 @@
 	return c.zones.SetOverride(event.Key[len(overridePrefix):], stored.Override)
 }
 
-// OperatorOverrides returns the overrides among the keys of the state service, sorted by zone. Records that
-// cannot be decoded are left out.
+// OperatorOverrides returns the overrides among the keys of the state service, sorted
+// by zone. Records that cannot be decoded are left out.
 func OperatorOverrides(items map[string]store.Event) (out []OperatorOverride) {
 	for _, key := range slices.Sorted(maps.Keys(items)) {
 		if zone, ok := strings.CutPrefix(key, overridePrefix); ok {
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -9,9 +9,9 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// TestOperatorOverride checks that an operator's override changes the state of its zone when its record is
-// applied, and that deleting the record clears it. An override for a zone without any machine type is refused
-// with an error that names the known zones.
+// TestOperatorOverride checks that an operator's override changes the state of its zone
+// when its record is applied, and that deleting the record clears it. An override for a
+// zone without any machine type is refused with an error that names the known zones.
 func TestOperatorOverride(t *testing.T) {
 	items := map[string]store.Event{typePrefix + "big": {Key: typePrefix + "big", Value: store.Value(fleet.Type{Name: "big", Zones: []string{"a", "b"}}), Stamp: 3}}
 	core := New(Config{Node: "c", Size: 1, Zones: []string{"a", "b"}, TxnOps: 4, ValueKB: 8, StateRate: 100, WriteRate: 50})
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -71,8 +71,8 @@
 func (c *Core) status() PeerStatus {
 	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: peering.Release,
 		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
-	// Also after this controller's authority has expired: while all other controllers still grant it a peer
-	// lease, none has taken over its shards.
+	// Also after this controller's authority has expired: while all other controllers
+	// still grant it a peer lease, none has taken over its shards.
 	if c.membership.ID() != 0 {
 		status.Seat, status.Sent, status.Known = c.membership.ID(), c.now, c.cancellations.KnownRevision(c.cache.Revision)
 	}
@@ -108,8 +108,8 @@
 	}
 }
 
-// bestServedPeer returns a controller that is alive and was recently served by the state service, or "" if
-// none is.
+// bestServedPeer returns a controller that is alive and was recently served by the
+// state service, or "" if none is.
 func (c *Core) bestServedPeer() string {
 	return c.peers.BestServed(c.now, func(node string) bool { return !c.incompatible(node) })
 }
@@ -120,8 +120,8 @@
 	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedFor && c.bestServedPeer() != ""
 }
 
-// forward sends a request to a controller that the state service answers. If there is none, it tells the user
-// to retry later.
+// forward sends a request to a controller that the state service answers. If there is
+// none, it tells the user to retry later.
 func (c *Core) forward(request admission.Request) {
 	to := c.bestServedPeer()
 	if request.Spec != nil && len(request.Spec.Awaits) > 0 && c.peers.Release(to) < peering.ReleaseDependencies {
@@ -177,8 +177,8 @@
 // onStatus handles another controller's status, and grants the peer lease that it requests.
 func (c *Core) onStatus(from string, status PeerStatus) {
 	c.peers.ReceiveStatus(c.now, from, status)
-	// In an outage a partitioned controller may still report a shardStatus that another controller owns by now.
-	// Only the view of the assigned owner counts.
+	// In an outage a partitioned controller may still report a shard that another
+	// controller owns by now. Only the view of the assigned owner counts.
 	owns := func(shardStatus ShardStatus) bool { return c.shardRecords.Assignment(shardStatus.Block).Node == from }
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
 		c.zones.ReceivePeerView(status.Zones)
@@ -250,14 +250,14 @@
 	c.emit(SendPeer{origin.Node, answer})
 }
 
-// readyWithoutState is how long after the state service's last answer a controller is ready regardless of the
-// other controllers.
+// readyWithoutState is how long after the state service's last answer a controller is
+// ready regardless of the other controllers.
 const readyWithoutState = 3 * units.Second
 
-// Ready reports whether this controller can serve requests. A controller stays ready while the state service
-// serves no controller: going unready would help no user, and the load balancer would skip the controller for
-// a while after the outage. A controller that alone is not served by the state service is still useful while
-// it can forward requests.
+// Ready reports whether this controller can serve requests. A controller stays ready
+// while the state service serves no controller: going unready would help no user, and the
+// load balancer would skip the controller for a while after the outage. A controller that
+// alone is not served by the state service is still useful while it can forward requests.
 func (c *Core) Ready(now units.Microseconds) bool {
 	c.advance(now)
 	if !c.cache.Loaded() || len(c.types) == 0 || c.retiringSince != 0 {
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -33,8 +33,8 @@
 // SlotsNeeded implements provisioner.Host. The need is unknown while it is unknown what earlier owners started.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
 	few := provisioner.FewOf(len(h.shard.reconciler.Machines()))
-	// Machines in a lost zone are not counted: their tasks may still run there, but have to run elsewhere
-	// anyway.
+	// Machines in a lost zone are not counted: their tasks may still run there, but have
+	// to run elsewhere anyway.
 	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
 		return nil, false
 	}
@@ -124,8 +124,8 @@
 	}
 }
 
-// OnListMachines handles the cloud's machine list. Only the owner of the first shard uses it, as
-// unknown machines belong to the first shard.
+// OnListMachines handles the cloud's machine list. Only the owner of the first shard
+// uses it, as unknown machines belong to the first shard.
 func (c *Core) OnListMachines(now units.Microseconds, request ListMachines, outcome store.Outcome, list []ListedMachine) {
 	c.advance(now)
 	shard := c.owned[0]
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// newMachine adds a machine to a shard and to a stored group, or one that is about to be stored. age is the
-// time since the machine was provisioned.
+// newMachine adds a machine to a shard and to a stored group, or one that is about to
+// be stored. age is the time since the machine was provisioned.
 func (c *Core) newMachine(shard *ownedShard, name, group string, record fleet.Record, age units.Microseconds) *fleet.Machine {
 	machine := fleet.New(name, record, c.types[record.Type], c.now)
 	machine.Group, machine.ProvisionedAt = group, c.now-age
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -17,25 +17,25 @@
 type (
 	// ReplicationMessage tells a standby which tasks may have been started.
 	ReplicationMessage = replication.Message
-	// ReplicationAck answers ReplicationMessage.
+	// ReplicationAck acknowledges a ReplicationMessage.
 	ReplicationAck = replication.Ack
 )
 
-// replicationHost implements replication.Host: it gives the replication to a shard's standby access to the
-// shard.
+// replicationHost implements replication.Host: it gives the replication to a shard's
+// standby access to the shard.
 type replicationHost struct {
 	*Core
 	shard *ownedShard
 }
 
-// deferredResponse is the response to a heartbeat, with something to start.
+// deferredResponse is a heartbeat response that starts a task and waits until the standby has acknowledged it.
 type deferredResponse struct {
 	request  RequestID
 	response HeartbeatResponse
 }
 
-// Candidate implements replication.Host. It prefers a standby in another zone, so that the loss of a zone
-// does not take both the owner and its standby.
+// Candidate implements replication.Host. It prefers a standby in another zone, so that
+// the loss of a zone does not take both the owner and its standby.
 func (f replicationHost) Candidate() string {
 	best, bestCost := "", 4
 	names := f.controllerNames()
@@ -66,8 +66,8 @@
 // Send implements replication.Host.
 func (f replicationHost) Send(to string, message replication.Message) { f.emit(SendPeer{to, message}) }
 
-// Machines implements replication.Host. It includes machines that are being deprovisioned, as tasks may run
-// on them until the cloud has answered.
+// Machines implements replication.Host. It includes machines that are being
+// deprovisioned, as tasks may run on them until the cloud has answered.
 func (f replicationHost) Machines() []string {
 	var out []string
 	for _, name := range sortedKeys(f.shard.reconciler.Machines()) {
@@ -78,8 +78,8 @@
 	return out
 }
 
-// SnapshotMachine implements replication.Host. An unknown machine was deprovisioned, so that no task runs on
-// it.
+// SnapshotMachine implements replication.Host. An unknown machine was deprovisioned,
+// so that no task runs on it.
 func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
 	if machine := f.shard.reconciler.Machine(name); machine != nil {
 		return transfer.MachineSnapshot(machine)
@@ -102,8 +102,8 @@
 	key := keys.Standby(f.shard.number)
 	guards := []store.Guard{{Key: assignmentKey(f.shard.number), Version: f.shard.assignment}}
 	if record.Node != "" {
-		// The record that there is no standby overwrites any other, so it is not guarded. A record that names a
-		// standby must not overwrite a later one.
+		// The record that there is no standby overwrites any other record, so it is guarded by the assignment
+		// alone. A record that names a standby must not overwrite a later record.
 		guards = append(guards, store.Guard{Key: key, Version: f.cache.Version(key)})
 	}
 	f.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(record)}}, First: true,
@@ -125,8 +125,8 @@
 	f.reply(deferred.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
-// answerHeartbeat answers a heartbeat. A response that starts a task is deferred until the standby has
-// acknowledged the start.
+// answerHeartbeat answers a heartbeat. A response that starts a task is deferred until
+// the standby has acknowledged the start.
 func (c *Core) answerHeartbeat(shard *ownedShard, machine *fleet.Machine, request RequestID, response HeartbeatResponse) {
 	starts := slices.ContainsFunc(response.Commands, func(command fleet.Command) bool { return command.Op == fleet.Start })
 	if !starts || !c.guardEnabled(guard.StandbyAcknowledged) || !shard.replication.DeferAnswer(c.now, machine.Name, deferredResponse{request, response}) {
--- a/internal/core/retire.go
+++ b/internal/core/retire.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// Retired reports whether the process of a retiring controller may end. By then the controller owns no shard,
-// and each worker machine has had time for one more heartbeat, which was redirected. A machine that gets no
-// answer here tries the next controller only a second later. If shards are not released in time, the process
-// may end after retireTimeout.
+// Retired reports whether the process of a retiring controller may end. By then the
+// controller owns no shard, and each worker machine has had time for one more heartbeat,
+// which was redirected. A machine that gets no answer here tries the next controller only a
+// second later. If shards are not released in time, the process may end after retireTimeout.
 func (c *Core) Retired(now units.Microseconds) bool {
 	c.advance(now)
 	switch {
@@ -39,8 +39,8 @@
 	return !c.reachability.AnyHeartbeat() || now-c.emptySince > liveness.HeartbeatDeadline(c.cfg.HeartbeatInterval)
 }
 
-// Leave closes the membership's lease, so that the other controllers need not wait for it to expire. The
-// caller ends the process afterwards.
+// Leave closes the membership's lease, so that the other controllers need not wait for
+// it to expire. The caller ends the process afterwards.
 func (c *Core) Leave(now units.Microseconds) {
 	c.advance(now)
 	if c.membership.ID() != 0 {
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -4,8 +4,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// rollbackHost implements rollback.Host and rollback.Rewriter: it recovers this controller after a rollback
-// of the state service.
+// rollbackHost implements rollback.Host and rollback.Rewriter: it recovers this
+// controller after a rollback of the state service.
 type rollbackHost struct{ *Core }
 
 // RestoreArchived implements rollback.Host.
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -26,8 +26,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// ownedShard is a shard that this controller owns: its machines, the jobs that run on them, and its
-// allocation of the teams' quotas.
+// ownedShard is a shard that this controller owns: its machines, the jobs that run on
+// them, and its allocation of the teams' quotas.
 type ownedShard struct {
 	number       int
 	assignment   uint64 // version of the assignment record; every write is conditional on it
@@ -91,8 +91,8 @@
 	})
 }
 
-// takeOver adds the stored machines and jobs to a shard and restores the last owner's snapshot or replicated
-// state. From then on heartbeats are answered.
+// takeOver adds the stored machines and jobs to a shard and restores the last owner's
+// snapshot or replicated state. From then on heartbeats are answered.
 func (c *Core) takeOver(shard *ownedShard) {
 	snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
 	for _, key := range sortedKeys(c.machineGroups) {
@@ -106,8 +106,8 @@
 	c.log.Info("shard ready", "shard", shard.number, "jobs", len(shard.active), "machines", len(shard.reconciler.Machines()), "restored", restored, "replicated", snapshot.Complete())
 }
 
-// inheritGroup adds the machines of a stored group to a shard. The snapshot says for which of them the last
-// owner's state is known.
+// inheritGroup adds the machines of a stored group to a shard. The snapshot says for
+// which of them the last owner's state is known.
 func (c *Core) inheritGroup(shard *ownedShard, key string, group fleet.Group, snapshot *transfer.Snapshot) {
 	// An owner that treated the machines as new would keep idle ones for their minimum billing period again.
 	age := units.Microseconds(0)
@@ -137,9 +137,9 @@
 	}
 }
 
-// releaseShard gives up a shard while this node's membership is still valid, so that the leader can assign
-// the shard to another controller. From now on no heartbeat of the shard is answered, whether or not the
-// release is stored soon.
+// releaseShard gives up a shard while this node's membership is still valid, so that
+// the leader can assign the shard to another controller. From now on no heartbeat of
+// the shard is answered, whether or not the release is stored soon.
 func (c *Core) releaseShard(shard *ownedShard, why string) {
 	if shard.releasing {
 		return
@@ -251,8 +251,8 @@
 	c.tickCloud(shard)
 }
 
-// setRates sets this controller's share of the request budgets of the state service and the cloud, by the
-// share of open shards that it owns.
+// setRates sets this controller's share of the request budgets of the state service
+// and the cloud, by the share of open shards that it owns.
 func (c *Core) setRates() {
 	open, owned := 0, 0
 	for _, k := range c.shardRecords.Open() {
@@ -265,8 +265,8 @@
 	if open > 0 {
 		fraction = max(float64(owned), 0.5) / float64(max(open, owned))
 	}
-	// Submissions come in bursts that seldom coincide with the owners' changes, so the rates of the queues
-	// may add up to more than the budget.
+	// Submissions come in bursts that seldom coincide with the owners' changes, so the
+	// rates of the queues may add up to more than the budget.
 	c.queues[UserQueue].Rate = c.cfg.WriteRate / float64(2*c.cfg.Size)
 	c.queues[ControlQueue].Rate = c.cfg.WriteRate * 0.8 * fraction
 	c.queues[ArchiveQueue].Rate = c.cfg.WriteRate * archive.WriteShare
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -16,9 +16,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestMachineAgeSurvivesTakeover guards against a new owner that treats a machine provisioned long ago as
-// new. It would keep the idle machine for its minimum billing period again: with one takeover per minute no
-// machine was ever deprovisioned.
+// TestMachineAgeSurvivesTakeover guards against a new owner that treats a machine
+// provisioned long ago as new. It would keep the idle machine for its minimum billing
+// period again: with one takeover per minute no machine was ever deprovisioned.
 func TestMachineAgeSurvivesTakeover(t *testing.T) {
 	core := New(Config{Node: "a", Size: 1, TxnOps: 8, ValueKB: 8, StateRate: 100, WriteRate: 50,
 		LeaderTTL: 1000 * units.Second, Lease: 10 * units.Second, HeartbeatInterval: 3 * units.Second})
@@ -325,9 +325,9 @@
 	return Reply{}
 }
 
-// TestLeaderWaitsForCompleteCache guards against a leader that assigns shards by a partly reloaded watch
-// cache. During a reload the cache may show shards as of another time than memberships. The leader writes
-// nothing until the cache is complete again.
+// TestLeaderWaitsForCompleteCache guards against a leader that assigns shards by a
+// partly reloaded watch cache. During a reload the cache may show shards as of another
+// time than memberships. The leader writes nothing until the cache is complete again.
 func TestLeaderWaitsForCompleteCache(t *testing.T) {
 	core := newOwner(t, nil)
 	serveState(t, core, map[string]store.Event{})
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -10,8 +10,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// newShardWriter returns the writer that stores a shard's changes. The owner of the first shard also collects
-// garbage.
+// newShardWriter returns the writer that stores a shard's changes. The owner of the
+// first shard also collects garbage.
 func (c *Core) newShardWriter(shard *ownedShard) *shardstore.Writer {
 	cfg := shardstore.Config{Layout: c.jobs.Layout(), TxnOps: c.cfg.TxnOps}
 	if shard.number == 0 {
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// standbyOf returns the standby that knows everything that the last owner of a shard started, or "" if none
-// is stored.
+// standbyOf returns the standby that knows everything that the last owner of a shard
+// started, or "" if none is stored.
 func (c *Core) standbyOf(shard int) string {
 	last := c.shardRecords.Assignment(shard)
 	return c.transfers.StandbyOf(shard, authority.FencingToken(last.Term, last.Number))
@@ -106,8 +106,8 @@
 	c.emit(SendPeer{from, ack})
 }
 
-// redirectPending answers the heartbeats that are pending while a shard is being released. It redirects them
-// to the shard's next owner if that is known.
+// redirectPending answers the heartbeats that are pending while a shard is being
+// released. It redirects them to the shard's next owner if that is known.
 func (c *Core) redirectPending(shard *ownedShard) {
 	to := c.ownerOf(shard.number)
 	for _, request := range shard.reconciler.TakePending() {
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -100,8 +100,8 @@
 	shard.scheduler.Preempt(machine)
 }
 
-// processorTime returns the CPU time that this process has used so far. Unlike elapsed time it does not
-// depend on the load by other processes.
+// processorTime returns the CPU time that this process has used so far. Unlike elapsed
+// time it does not depend on the load by other processes.
 func processorTime(tb testing.TB) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -182,8 +182,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkListing measures the CPU time in which a starting controller applies a listing, by the number of
-// unfinished jobs.
+// BenchmarkListing measures the CPU time in which a starting controller applies a
+// listing, by the number of unfinished jobs.
 func BenchmarkListing(b *testing.B) {
 	for _, count := range []int{1000, 3000, 10_000, 30_000} {
 		b.Run(fmt.Sprintf("jobs=%d", count), func(b *testing.B) {
--- a/internal/core/watchcache.go
+++ b/internal/core/watchcache.go
@@ -47,8 +47,8 @@
 // ListPageSize is the number of keys in one page of a listing.
 const ListPageSize = watchcache.Page
 
-// readFresh requests a read of the state service that begins after this call. It calls f, if not nil, with
-// whether the read succeeded.
+// readFresh requests a read of the state service that begins after this call. It calls
+// done, if not nil, with whether the read succeeded.
 func (c *Core) readFresh(done func(ok bool)) { c.cache.ReadFresh(done) }
 
 // noteOutcome records whether the state service serves this node, and at what rate. It returns the outcome for
@@ -63,8 +63,8 @@
 	c.cache.OnList(c.now, list, outcome, rev, items, more)
 }
 
-// OnChanges handles the answer to a Watch. compacted means that the service no longer has all changes since
-// watch.After.
+// OnChanges handles the answer to a Watch. compacted means that the service no longer
+// has all changes since watch.After.
 func (c *Core) OnChanges(now units.Microseconds, watch Watch, outcome store.Outcome, rev uint64, events []store.Event, compacted bool) {
 	c.advance(now)
 	applied := outcome == store.OK && watch.After <= c.cache.Revision
