--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -38,7 +38,7 @@
 
 // replyUnavailable refuses a request for the moment and tells the user to retry later.
 func (c *Core) replyUnavailable(req RequestID, reason string) {
-	admissionHost{c}.Refuse(req, admission.NotNow(reason))
+	admissionHost{c}.Refuse(req, admission.TemporaryRefusal(reason))
 }
 
 // admissionHost implements admission.Host: it gives the admission of jobs access to this controller.
@@ -56,8 +56,8 @@
 	c.send(Reply{Request: req, Code: refusal.Reason.HTTPStatus(), Body: Problem{refusal.Text}, RetryAfter: refusal.RetryAfter})
 }
 
-// ForwardFirst implements admission.Host.
-func (c admissionHost) ForwardFirst(req RequestID) bool { return c.shouldForward(req) }
+// ShouldForward implements admission.Host.
+func (c admissionHost) ShouldForward(req RequestID) bool { return c.shouldForward(req) }
 
 // Forward implements admission.Host.
 func (c admissionHost) Forward(r admission.Request) { c.forward(r) }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -16,8 +16,8 @@
 // Version implements cancellations.Host.
 func (c cancellationsHost) Version(key string) uint64 { return c.cache.Version(key) }
 
-// Learn implements cancellations.Host.
-func (c cancellationsHost) Learn(record store.Event) { c.cache.Learn(record) }
+// ApplyCancellation implements cancellations.Host.
+func (c cancellationsHost) ApplyCancellation(record store.Event) { c.cache.Learn(record) }
 
 // cancellationsFor returns the cancellations to send to a controller that requests a peer lease.
 func (c *Core) cancellationsFor(status PeerStatus) cancellations.Update {
@@ -32,7 +32,7 @@
 // which the lease was requested counts only if this process requested it, that is, if
 // the membership matches: clocks restart with each process.
 func (c *Core) receiveCancellations(from string, promise PeerLeaseGrant) {
-	decoded := cancellations.Learn(cancellationsHost{c}, c.log, from, promise.Told.List)
+	decoded := cancellations.Apply(cancellationsHost{c}, c.log, from, promise.Told.List)
 	if decoded && promise.Seat != 0 && promise.Seat == c.membership.ID() {
 		c.cancellations.Receive(c.now, from, promise.Sent, promise.Told, c.cache.Revision)
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -37,22 +37,22 @@
 	}
 }
 
-// JobCompleting implements registry.Host.
-func (c jobsHost) JobCompleting(job *jobs.Job, status jobs.Status) {
+// JobFinalizing implements registry.Host.
+func (c jobsHost) JobFinalizing(job *jobs.Job, status jobs.Status) {
 	if shard := c.owned[job.Record.Shard]; shard != nil {
 		shard.jobFinished(c.Core, job, status)
 	}
 }
 
-// JobOver implements registry.Host. It marks the job for later archiving.
-func (c jobsHost) JobOver(id string) { c.archive.JobOver(c.now, id) }
+// JobFinalized implements registry.Host. It marks the job for later archiving.
+func (c jobsHost) JobFinalized(id string) { c.archive.JobOver(c.now, id) }
 
 // JobArchived implements registry.Host.
 func (c jobsHost) JobArchived(job *jobs.Job) { c.archive.JobArchived(job) }
 
-// CancellationLearnt implements registry.Host. A cancellation that the watch cache already covered is known
+// CancellationObserved implements registry.Host. A cancellation that the watch cache already covered is known
 // to every controller that has read up to the same revision, so it need not be sent to the others.
-func (c jobsHost) CancellationLearnt(record store.Event) {
+func (c jobsHost) CancellationObserved(record store.Event) {
 	if record.Stamp > c.cache.Revision {
 		c.cancellations.Record(record)
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -201,7 +201,7 @@
 
 // onForwardedRequest serves a user's request that another controller forwarded.
 func (c *Core) onForwardedRequest(from string, ask ForwardedRequest) {
-	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Sane() {
+	if !jobs.ValidID(ask.Job) || ask.Spec != nil && !ask.Spec.Valid() {
 		return
 	}
 	request, ok := c.forwarder.Receive(peering.Origin{Node: from, ID: ask.ID})
