--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -36,19 +36,19 @@
 
 // Candidate implements replication.Host. It prefers a standby in another zone, so that
 // the loss of a zone does not take both the owner and its standby.
-func (f replicationHost) Candidate() string {
+func (h replicationHost) Candidate() string {
 	best, bestCost := "", 4
-	names := f.controllerNames()
-	self := slices.Index(names, f.cfg.Node)
+	names := h.controllerNames()
+	self := slices.Index(names, h.cfg.Node)
 	for i := range names {
 		node := names[(self+i)%len(names)]
-		if node == f.cfg.Node || !f.Eligible(node) || f.stateAge() > peering.ServedFor {
+		if node == h.cfg.Node || !h.Eligible(node) || h.stateAge() > peering.ServedFor {
 			continue
 		}
 		cost := 0
-		if zone := f.cfg.PeerZones[node]; zone == f.cfg.HomeZone {
+		if zone := h.cfg.PeerZones[node]; zone == h.cfg.HomeZone {
 			cost += 2
-		} else if !f.zones.Reachable(zone) {
+		} else if !h.zones.Reachable(zone) {
 			cost++
 		}
 		if cost < bestCost {
@@ -59,19 +59,19 @@
 }
 
 // Eligible implements replication.Host.
-func (f replicationHost) Eligible(node string) bool {
-	return f.peers.Alive(f.now, node) && f.membership.CurrentID(node) != 0 && f.peers.Release(node) >= peering.ReleaseReplicates && !f.peerUnreachable(node)
+func (h replicationHost) Eligible(node string) bool {
+	return h.peers.Alive(h.now, node) && h.membership.CurrentID(node) != 0 && h.peers.Release(node) >= peering.ReleaseReplicates && !h.peerUnreachable(node)
 }
 
 // Send implements replication.Host.
-func (f replicationHost) Send(to string, message replication.Message) { f.emit(SendPeer{to, message}) }
+func (h replicationHost) Send(to string, message replication.Message) { h.emit(SendPeer{to, message}) }
 
 // Machines implements replication.Host. It includes machines that are being
 // deprovisioned, as tasks may run on them until the cloud has answered.
-func (f replicationHost) Machines() []string {
+func (h replicationHost) Machines() []string {
 	var out []string
-	for _, name := range sortedKeys(f.shard.reconciler.Machines()) {
-		if len(f.shard.reconciler.Machine(name).Tasks) > 0 {
+	for _, name := range sortedKeys(h.shard.reconciler.Machines()) {
+		if len(h.shard.reconciler.Machine(name).Tasks) > 0 {
 			out = append(out, name)
 		}
 	}
@@ -80,17 +80,17 @@
 
 // SnapshotMachine implements replication.Host. An unknown machine was deprovisioned,
 // so that no task runs on it.
-func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
-	if machine := f.shard.reconciler.Machine(name); machine != nil {
+func (h replicationHost) SnapshotMachine(name string) replication.MachinePicture {
+	if machine := h.shard.reconciler.Machine(name); machine != nil {
 		return transfer.MachineSnapshot(machine)
 	}
 	return replication.MachinePicture{Name: name}
 }
 
 // UnstoredTasks implements replication.Host.
-func (f replicationHost) UnstoredTasks() (out []FinishedTasks) {
-	for _, id := range sortedKeys(f.shard.active) {
-		if tasks := transfer.UnstoredTasks(f.shard.active[id]); len(tasks) > 0 {
+func (h replicationHost) UnstoredTasks() (out []FinishedTasks) {
+	for _, id := range sortedKeys(h.shard.active) {
+		if tasks := transfer.UnstoredTasks(h.shard.active[id]); len(tasks) > 0 {
 			out = append(out, FinishedTasks{Job: id, Tasks: tasks})
 		}
 	}
@@ -98,31 +98,31 @@
 }
 
 // Store implements replication.Host.
-func (f replicationHost) Store(record replication.Record, done func(bool)) {
-	key := keys.Standby(f.shard.number)
-	guards := []store.Guard{{Key: assignmentKey(f.shard.number), Version: f.shard.assignment}}
+func (h replicationHost) Store(record replication.Record, done func(bool)) {
+	key := keys.Standby(h.shard.number)
+	guards := []store.Guard{{Key: assignmentKey(h.shard.number), Version: h.shard.assignment}}
 	if record.Node != "" {
 		// The record that there is no standby overwrites any other record, so it is guarded by the assignment
 		// alone. A record that names a standby must not overwrite a later record.
-		guards = append(guards, store.Guard{Key: key, Version: f.cache.Version(key)})
+		guards = append(guards, store.Guard{Key: key, Version: h.cache.Version(key)})
 	}
-	f.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(record)}}, First: true,
+	h.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(record)}}, First: true,
 		Done: func(outcome store.Outcome, _ uint64) {
 			if outcome == store.OK {
-				f.log.Info("standby stored", "shard", f.shard.number, "standby", record.Node)
+				h.log.Info("standby stored", "shard", h.shard.number, "standby", record.Node)
 			}
 			done(outcome == store.OK)
 		}})
 }
 
 // Answer implements replication.Host.
-func (f replicationHost) Answer(answer any, ok bool) {
+func (h replicationHost) Answer(answer any, ok bool) {
 	deferred := answer.(deferredResponse)
-	if ok && f.owned[f.shard.number] == f.shard && f.Owns(f.now, f.shard.number) {
-		f.reply(deferred.request, http.StatusOK, deferred.response)
+	if ok && h.owned[h.shard.number] == h.shard && h.Owns(h.now, h.shard.number) {
+		h.reply(deferred.request, http.StatusOK, deferred.response)
 		return
 	}
-	f.reply(deferred.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
+	h.reply(deferred.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
 // answerHeartbeat answers a heartbeat. A response that starts a task is deferred until
