--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -58,7 +58,8 @@
 // HasDependents implements shardstore.Host.
 func (h writerHost) HasDependents(job string) bool { return h.jobs.HasDependents(job) }
 
-// garbageHost implements shardstore.Garbage: it collects garbage, guarded by the assignment of the first shard.
+// garbageHost implements shardstore.GarbageCollector: it collects garbage, guarded by
+// the assignment of the first shard.
 type garbageHost struct {
 	*Core
 	orphans registry.OrphanCollection
