--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -149,7 +149,7 @@
 	core.Cancel(core.now, 3, otherJob) // queued behind a user's request, and sent in parallel with a job's end
 	state.run(core, 14*units.Second/100)
 	if got := state.replies[1].Code; got != code {
-		t.Errorf("the request was answered %d, want %d", got, code)
+		t.Errorf("the request was answered %d", got)
 	}
 	job := core.jobs.Get(key[len(jobPrefix):])
 	if job == nil || name != "submission" && job.Active() {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -222,7 +222,7 @@
 		}
 	}
 	if unknown := core.owned[0].reconciler.Unknown(); unknown != reconcile.MaxUnknown {
-		t.Errorf("%d unknown machines are remembered, want %d", unknown, reconcile.MaxUnknown)
+		t.Errorf("%d unknown machines are remembered", unknown)
 	}
 	core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
 	for i := range reconcile.MaxUnknown {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -63,7 +63,7 @@
 			}
 		}
 		if len(deprovisioned) != want {
-			t.Errorf("%d of 9 machines responsive: %d deprovisioned, want %d", responsive, len(deprovisioned), want)
+			t.Errorf("%d of 9 machines responsive: %d deprovisioned", responsive, len(deprovisioned))
 		}
 	}
 }
@@ -183,7 +183,7 @@
 			}
 		}
 		if provisions != want {
-			t.Errorf("machine provisioned %.0f s ago: provisions another: %v, want %v", provisionedAgo.Seconds(), provisions, want)
+			t.Errorf("machine provisioned %.0f s ago: provisions another: %v", provisionedAgo.Seconds(), provisions)
 		}
 	}
 }
--- a/internal/core/watchcache.go
+++ b/internal/core/watchcache.go
@@ -53,9 +53,7 @@
 
 // noteOutcome records whether the state service serves this node, and at what rate. It returns the outcome for
 // callers that need not know why a request was refused: store.Limited becomes store.Refused.
-func (c *Core) noteOutcome(outcome store.Outcome) store.Outcome {
-	return c.cache.NoteOutcome(c.now, outcome)
-}
+func (c *Core) noteOutcome(o store.Outcome) store.Outcome { return c.cache.NoteOutcome(c.now, o) }
 
 // OnList handles one page of a listing, read at revision rev. more reports whether further pages follow.
 func (c *Core) OnList(now units.Microseconds, list List, outcome store.Outcome, rev uint64, items []store.Event, more bool) {
