--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -53,7 +53,7 @@
 		t.Fatal("the done job is no longer done, or the other job is not cancelled")
 	}
 	core.Drain()
-	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, Notice: units.MaxTime,
+	core.Heartbeat(core.now, 9, &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 7, FencingToken: shard.fencingToken, ReclaimIn: units.MaxTime,
 		Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000002"}, Attempt: 1, State: fleet.Running}}})
 	response, _ := replyTo(t, core, 9).Body.(HeartbeatResponse)
 	if len(response.Commands) != 1 || response.Commands[0].Op != fleet.Stop {
@@ -78,7 +78,7 @@
 	from, seq := core.now, uint64(0)
 	answered := func() bool {
 		seq++
-		core.Heartbeat(core.now, RequestID(seq), &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: core.owned[0].fencingToken, Notice: units.MaxTime,
+		core.Heartbeat(core.now, RequestID(seq), &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: core.owned[0].fencingToken, ReclaimIn: units.MaxTime,
 			Tasks: []fleet.Task{{ID: jobs.TaskID{Job: "wk-000001"}, Attempt: 1, State: fleet.Running}}})
 		return replyTo(t, core, RequestID(seq)).Code == 200
 	}
@@ -105,12 +105,12 @@
 // the state service stores nothing, a machine keeps listing its exited tasks. Once the
 // list is full, the machine is given no further tasks.
 func TestFullTaskListGetsNoStarts(t *testing.T) {
-	for listed, want := range map[int]int{fleet.MaxListed: 0, fleet.MaxListed - 10: 10} {
+	for listed, want := range map[int]int{fleet.MaxReportedTasks: 0, fleet.MaxReportedTasks - 10: 10} {
 		core := newOwner(t, map[string]any{
 			machinePrefix + "r-1":   fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}},
 			jobPrefix + "wk-000001": jobs.Record{Status: jobs.Pending, Tasks: 2000, Spec: &jobs.Spec{Team: "t", Tasks: 2000, AnyType: true, Demand: binpack.Vec{1, 0, 1}}},
 		})
-		heartbeat := &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: core.owned[0].fencingToken, Notice: units.MaxTime}
+		heartbeat := &fleet.Heartbeat{Machine: "n-1", Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: core.owned[0].fencingToken, ReclaimIn: units.MaxTime}
 		for i := range listed {
 			heartbeat.Tasks = append(heartbeat.Tasks, fleet.Task{ID: jobs.TaskID{Job: "wk-000001", Task: 1000 + i}, Attempt: uint64(i + 1), State: fleet.Exited, Cause: fleet.Completed})
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -39,10 +39,10 @@
 type Objective = demand.Objective
 
 // ListedMachine is a machine in the cloud's machine list.
-type ListedMachine = provisioner.Listed
+type ListedMachine = provisioner.ListedMachine
 
 // TickInterval is the interval at which callers call Tick.
-const TickInterval = liveness.TickEvery
+const TickInterval = liveness.TickInterval
 
 // Config configures a Core.
 type Config struct {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -24,8 +24,8 @@
 	accepted := shard.reconciler.Accept(c.now, heartbeat)
 	commands := accepted.Commands
 	commands = append(commands, c.schedule(shard, accepted)...)
-	idle := accepted.Standing == reconcile.Proven && len(commands) == 0
-	if idle && shard.reconciler.KeepIdle(c.now, reconcile.RequestID(request), accepted.Machine) {
+	idle := accepted.Status == reconcile.Confirmed && len(commands) == 0
+	if idle && shard.reconciler.HoldIdle(c.now, reconcile.RequestID(request), accepted.Machine) {
 		return // answered by OfferWork
 	}
 	c.answerHeartbeat(shard, accepted.Machine, request, HeartbeatResponse{FencingToken: shard.fencingToken, Commands: commands})
@@ -81,11 +81,11 @@
 // machine starts and which it stops to make room for others.
 func (c *Core) schedule(shard *ownedShard, accepted reconcile.Accepted) []fleet.Command {
 	machine := accepted.Machine
-	proven := accepted.Standing == reconcile.Proven
+	proven := accepted.Status == reconcile.Confirmed
 	switch {
-	case proven && machine.Notice != units.MaxTime:
+	case proven && machine.ReclaimAt != units.MaxTime:
 		return shard.scheduler.EvictBeforeReclaim(machine)
-	case machine.Notice != units.MaxTime || !machine.Schedulable():
+	case machine.ReclaimAt != units.MaxTime || !machine.Schedulable():
 		return nil
 	case proven:
 		commands := append(shard.scheduler.Fill(machine), shard.scheduler.Preempt(machine)...)
@@ -93,7 +93,7 @@
 			commands = shard.scheduler.EvictIdle(machine)
 		}
 		return commands
-	case accepted.Standing == reconcile.Unproven && machine.Transferred:
+	case accepted.Status == reconcile.Unconfirmed && machine.Transferred:
 		// What may run on the machine is known from the shard's last owner.
 		return shard.scheduler.Fill(machine)
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -52,7 +52,7 @@
 	idle.shard = idle.core.owned[0]
 	for i := range inZoneZ + inZoneY {
 		machine := idle.shard.reconciler.Machine(machineName(i))
-		idle.core.Heartbeat(idle.core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: machine.Name, Type: "big", Zone: machine.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, Notice: units.MaxTime})
+		idle.core.Heartbeat(idle.core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: machine.Name, Type: "big", Zone: machine.Record.Zone, Incarnation: 1, Seq: 1, FencingToken: idle.shard.fencingToken, ReclaimIn: units.MaxTime})
 	}
 	idle.collect()
 	return idle
@@ -112,8 +112,8 @@
 		pending := min(machines, reconcile.MaxPending)
 		for _, tasks := range []int{0, 1, 1 + rng.IntN(pending), pending} {
 			idle := newIdleFleet(t, machines, 0)
-			if idle.shard.reconciler.Pending() != pending || idle.newAnswers != machines-pending || idle.newStarts != 0 {
-				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.Pending(), idle.newAnswers)
+			if idle.shard.reconciler.PendingCount() != pending || idle.newAnswers != machines-pending || idle.newStarts != 0 {
+				t.Fatalf("%d machines: %d heartbeats pending, %d answered at once", machines, idle.shard.reconciler.PendingCount(), idle.newAnswers)
 			}
 			if machines > pending {
 				if _, ok := idle.answers[RequestID(1000+pending)]; !ok {
@@ -131,8 +131,8 @@
 					t.Fatalf("%d machines were given work in one tick", idle.newStarts)
 				}
 			}
-			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.Pending() != 0 {
-				t.Errorf("%d machines, %d tasks: %d started, %d heartbeats answered, %d pending", machines, tasks, started, len(idle.answers), idle.shard.reconciler.Pending())
+			if started != tasks || len(idle.answers) != machines || idle.shard.reconciler.PendingCount() != 0 {
+				t.Errorf("%d machines, %d tasks: %d started, %d heartbeats answered, %d pending", machines, tasks, started, len(idle.answers), idle.shard.reconciler.PendingCount())
 			}
 		}
 	}
@@ -172,13 +172,13 @@
 			reconciler, request := idle.shard.reconciler, reconcile.RequestID(0)
 			var spent time.Duration
 			for b.Loop() {
-				reconciler.TakePending()
+				reconciler.DrainPending()
 				idle.core.advance(idle.core.now + units.Second)
 				for i := range machines {
 					request++
 					machine := reconciler.Machine(machineName(i))
 					machine.LastSeen = idle.core.now
-					if !reconciler.KeepIdle(idle.core.now, request, machine) {
+					if !reconciler.HoldIdle(idle.core.now, request, machine) {
 						b.Fatal("a heartbeat was not held")
 					}
 				}
@@ -187,7 +187,7 @@
 				from := processorTime(b)
 				reconciler.OfferWork(idle.core.now, true)
 				spent += processorTime(b) - from
-				if reconciler.Pending() != machines {
+				if reconciler.PendingCount() != machines {
 					b.Fatal("a machine was given work")
 				}
 			}
@@ -201,14 +201,14 @@
 // redirected at first, and after reconcile.AdoptAfter the remembered ones are adopted.
 // The one beyond the limit is remembered once others have been adopted.
 func TestUnknownMachinesAtTheLimit(t *testing.T) {
-	if reconcile.MaxUnknown < fleet.FullShard {
+	if reconcile.MaxUnknown < fleet.FullShardMachines {
 		t.Errorf("only %d unknown machines are remembered", reconcile.MaxUnknown)
 	}
 	core := newOwner(t, nil)
 	request := RequestID(1000)
 	sendHeartbeat := func(i int) int {
 		request++
-		core.Heartbeat(core.now, request, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(request), Notice: units.MaxTime})
+		core.Heartbeat(core.now, request, &fleet.Heartbeat{Machine: machineName(i), Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(request), ReclaimIn: units.MaxTime})
 		for _, effect := range core.Drain() {
 			if reply, ok := effect.(Reply); ok && reply.Request == request {
 				return reply.Code
@@ -221,7 +221,7 @@
 			t.Fatalf("machine %d is answered %d", i, code)
 		}
 	}
-	if unknown := core.owned[0].reconciler.Unknown(); unknown != reconcile.MaxUnknown {
+	if unknown := core.owned[0].reconciler.UnknownCount(); unknown != reconcile.MaxUnknown {
 		t.Errorf("%d unknown machines are remembered", unknown)
 	}
 	core.Tick(core.now+reconcile.AdoptAfter, core.wall+reconcile.AdoptAfter)
--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -64,7 +64,7 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(known))
-	if err := zones.Check(names, zone, override); err != nil {
+	if err := zones.ValidateOverride(names, zone, override); err != nil {
 		return nil, err
 	}
 	key := overridePrefix + zone
--- a/internal/core/override_test.go
+++ b/internal/core/override_test.go
@@ -36,8 +36,8 @@
 		if err := setOverride("b", override); err != nil {
 			t.Fatal(err)
 		}
-		if core.zones.Lost("b") != (override == zones.OverrideLost) || core.zones.Returning("b") != (override == zones.OverrideReturning) {
-			t.Errorf("after %q: lost %v, returning %v", override, core.zones.Lost("b"), core.zones.Returning("b"))
+		if core.zones.Lost("b") != (override == zones.OverrideLost) || core.zones.DeclaredReturning("b") != (override == zones.OverrideReturning) {
+			t.Errorf("after %q: lost %v, returning %v", override, core.zones.Lost("b"), core.zones.DeclaredReturning("b"))
 		}
 	}
 	if err := setOverride("b", "soon"); err == nil {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -69,7 +69,7 @@
 
 // status returns this controller's status for the other controllers.
 func (c *Core) status() PeerStatus {
-	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: peering.Release,
+	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.Unreachable(c.now), Release: peering.Release,
 		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
 	// Also after this controller's authority has expired: while all other controllers
 	// still grant it a peer lease, none has taken over its shards.
@@ -104,7 +104,7 @@
 		}
 	}
 	for zone, n := range all {
-		c.zones.Controllers(zone, n, alive[zone])
+		c.zones.SetControllers(zone, n, alive[zone])
 	}
 }
 
@@ -181,7 +181,7 @@
 	// controller owns by now. Only the view of the assigned owner counts.
 	owns := func(shardStatus ShardStatus) bool { return c.shardRecords.Assignment(shardStatus.Block).Node == from }
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
-		c.zones.ReceivePeerView(status.Zones)
+		c.zones.ApplyPeerStatuses(status.Zones)
 	}
 	c.peers.NoteRelease(from, status.Release)
 	if c.peers.RollbackNoticed(from, status.Back) {
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -32,7 +32,7 @@
 
 // SlotsNeeded implements provisioner.Host. The need is unknown while it is unknown what earlier owners started.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
-	few := provisioner.FewOf(len(h.shard.reconciler.Machines()))
+	few := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
 	// Machines in a lost zone are not counted: their tasks may still run there, but have
 	// to run elsewhere anyway.
 	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
@@ -44,8 +44,8 @@
 // Types implements provisioner.Host.
 func (h provisionerHost) Types() map[string]*fleet.Type { return h.types }
 
-// Calls implements provisioner.Host.
-func (h provisionerHost) Calls() float64 { return h.cfg.CloudRate * h.cloudFraction }
+// CallRate implements provisioner.Host.
+func (h provisionerHost) CallRate() float64 { return h.cfg.CloudRate * h.cloudFraction }
 
 // Provisioned implements provisioner.Host.
 func (h provisionerHost) Provisioned(request string, record fleet.Record, names []string) {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -50,7 +50,7 @@
 		for i := range 200 {
 			for k := range responsive {
 				if i%20 == k {
-					core.Heartbeat(core.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: core.owned[0].fencingToken, Notice: units.MaxTime})
+					core.Heartbeat(core.now, RequestID(1000*i+k+1), &fleet.Heartbeat{Machine: names[k], Type: "big", Zone: "z", Incarnation: 1, Seq: uint64(i + 1), FencingToken: core.owned[0].fencingToken, ReclaimIn: units.MaxTime})
 				}
 			}
 			core.Tick(core.now+TickInterval, core.wall+TickInterval)
@@ -90,7 +90,7 @@
 		deprovisioned := 0
 		for i := range 40 { // 2 s
 			if i < alive {
-				core.Heartbeat(core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, Notice: units.MaxTime})
+				core.Heartbeat(core.now, RequestID(1000+i), &fleet.Heartbeat{Machine: names[i], Type: "big", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: shard.fencingToken, ReclaimIn: units.MaxTime})
 			}
 			core.Tick(core.now+TickInterval, core.wall+TickInterval)
 			for _, e := range core.Drain() {
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -110,7 +110,7 @@
 // released. It redirects them to the shard's next owner if that is known.
 func (c *Core) redirectPending(shard *ownedShard) {
 	to := c.ownerOf(shard.number)
-	for _, request := range shard.reconciler.TakePending() {
+	for _, request := range shard.reconciler.DrainPending() {
 		if to == "" {
 			c.reply(RequestID(request), http.StatusServiceUnavailable, Problem{"no authority at present"})
 		} else {
