--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestRestartAppliesStoredConfiguration guards against a restarted process that uses its settings file
-// although a configuration version is stored. It applies the stored version before it owns a shard, and keeps
-// the limits of removed teams for their remaining jobs.
+// TestRestartAppliesStoredConfiguration guards against a restarted process that uses its settings file although
+// a configuration version is stored. It applies the stored version as soon as it owns a shard, and keeps the
+// limits of removed teams for their remaining jobs.
 func TestRestartAppliesStoredConfiguration(t *testing.T) {
 	core := newOwner(t, configRecords(4, 5000))
 	if core.config.Version() != 4 || core.config.Behind() || core.teams["t"].Limit[binpack.CPU] != 5000 {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -81,13 +81,13 @@
 // machine starts and which it stops to make room for others.
 func (c *Core) schedule(shard *ownedShard, accepted reconcile.Accepted) []fleet.Command {
 	machine := accepted.Machine
-	proven := accepted.Status == reconcile.Confirmed
+	confirmed := accepted.Status == reconcile.Confirmed
 	switch {
-	case proven && machine.ReclaimAt != units.MaxTime:
+	case confirmed && machine.ReclaimAt != units.MaxTime:
 		return shard.scheduler.EvictBeforeReclaim(machine)
 	case machine.ReclaimAt != units.MaxTime || !machine.Schedulable():
 		return nil
-	case proven:
+	case confirmed:
 		commands := append(shard.scheduler.Fill(machine), shard.scheduler.Preempt(machine)...)
 		if len(commands) == 0 && len(accepted.Commands) == 0 {
 			commands = shard.scheduler.EvictIdle(machine)
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -30,12 +30,12 @@
 // Unreconciled implements provisioner.Host.
 func (h provisionerHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
 
-// SlotsNeeded implements provisioner.Host. The need is unknown while it is unknown what earlier owners started.
+// SlotsNeeded implements provisioner.Host. The result is unknown while it is unknown what earlier owners started.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
-	few := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
+	tolerated := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
 	// Machines in a lost zone are not counted: their tasks may still run there, but have
 	// to run elsewhere anyway.
-	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
+	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > tolerated {
 		return nil, false
 	}
 	return h.shard.demand.SlotsNeeded(h.now, h.wall, h.shard.scheduler.Jobs(), h), true
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -88,8 +88,8 @@
 }
 
 // ObserveRuntime implements reconcile.JobHost.
-func (h reconcileHost) ObserveRuntime(job *jobs.Job, took units.Microseconds) {
-	h.shard.demand.ObserveRuntime(job.Spec(), took)
+func (h reconcileHost) ObserveRuntime(job *jobs.Job, runtime units.Microseconds) {
+	h.shard.demand.ObserveRuntime(job.Spec(), runtime)
 }
 
 // TaskCompleted implements reconcile.JobHost.
