--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -231,7 +231,7 @@
 	if shard.scheduler.Tick() {
 		for _, job := range shard.scheduler.Jobs() {
 			if job.AllFinished() && c.guardEnabled(guard.CompleteAfterFailover) {
-				// This is checked on every tick and not only when the last task finishes: an earlier owner may
+				// This is checked regularly and not only when the last task finishes: an earlier owner may
 				// have stored that task and failed before it could store the job as finished.
 				shard.writer.CloseJob(job)
 			}
