--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -11,8 +11,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// provisionerHost is what the owner of a shard does for those that provision its machines and weigh
-// its work (packages provisioner and demand).
+// provisionerHost implements provisioner.Host and demand.Host: it gives the provisioning of a shard's
+// machines and the estimation of its demand access to the shard.
 type provisionerHost struct {
 	*Core
 	shard *ownedShard
@@ -30,12 +30,12 @@
 // Unreconciled implements provisioner.Host.
 func (h provisionerHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
 
-// SlotsNeeded implements provisioner.Host. While what earlier owners started is not known, neither
-// is what is needed.
+// SlotsNeeded implements provisioner.Host. The result is unknown while it is unknown what earlier owners started.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
-	few := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
-	// What is in a zone that is lost may run on there, and has to be done elsewhere.
-	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > few {
+	tolerated := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
+	// Machines in a lost zone are not counted: their tasks may still run there, but have
+	// to run elsewhere anyway.
+	if h.now < h.shard.ownedSince+h.leaseBound() && h.shard.reconciler.UnreconciledOutside(h.zones.Lost) > tolerated {
 		return nil, false
 	}
 	return h.shard.demand.SlotsNeeded(h.now, h.wall, h.shard.scheduler.Jobs(), h), true
@@ -45,7 +45,7 @@
 func (h provisionerHost) Types() map[string]*fleet.Type { return h.types }
 
 // CallRate implements provisioner.Host.
-func (h provisionerHost) CallRate() float64 { return h.cfg.CloudRate * h.cloudPart }
+func (h provisionerHost) CallRate() float64 { return h.cfg.CloudRate * h.cloudFraction }
 
 // Provisioned implements provisioner.Host.
 func (h provisionerHost) Provisioned(request string, record fleet.Record, names []string) {
@@ -98,33 +98,34 @@
 // CompatibleTypes implements demand.Host.
 func (h provisionerHost) CompatibleTypes(spec *jobs.Spec) []string { return h.compatibleTypes(spec) }
 
-// ownedUnder returns the shard that an answer is for, if it is still owned under the same version of
-// its assignment.
-func (c *Core) ownedUnder(number int, assignment uint64) *ownedShard {
+// ownedWithAssignment returns the shard that an answer is for, if this controller still owns it with the same
+// version of its assignment and has loaded it; else nil.
+func (c *Core) ownedWithAssignment(number int, assignment uint64) *ownedShard {
 	if shard := c.owned[number]; shard != nil && shard.assignment == assignment && shard.ready {
 		return shard
 	}
 	return nil
 }
 
-// OnScaleOut takes the outcome of a request for machines. Those of a shard that is no longer owned
-// are found by their heartbeats and in the list.
+// OnScaleOut handles the outcome of a ScaleOut. If the shard is no longer owned, its new machines are found
+// later by their heartbeats and in the cloud's machine list.
 func (c *Core) OnScaleOut(now units.Microseconds, request ScaleOut, outcome store.Outcome, names []string) {
 	c.advance(now)
-	if shard := c.ownedUnder(request.Shard, request.Assignment); shard != nil {
+	if shard := c.ownedWithAssignment(request.Shard, request.Assignment); shard != nil {
 		shard.provisioner.OnScaleOut(c.now, request, outcome, names)
 	}
 }
 
-// OnScaleIn takes the outcome of a request to delete machines.
+// OnScaleIn handles the outcome of a ScaleIn.
 func (c *Core) OnScaleIn(now units.Microseconds, request ScaleIn, outcome store.Outcome) {
 	c.advance(now)
-	if shard := c.ownedUnder(request.Shard, request.Assignment); shard != nil {
+	if shard := c.ownedWithAssignment(request.Shard, request.Assignment); shard != nil {
 		shard.provisioner.OnScaleIn(c.now, request, outcome)
 	}
 }
 
-// OnListMachines takes the machine list. Machines that nobody knows belong to the first shard.
+// OnListMachines handles the cloud's machine list. Only the owner of the first shard
+// uses it, as unknown machines belong to the first shard.
 func (c *Core) OnListMachines(now units.Microseconds, request ListMachines, outcome store.Outcome, list []ListedMachine) {
 	c.advance(now)
 	shard := c.owned[0]
@@ -133,7 +134,7 @@
 	}
 }
 
-// tickCloud talks to the cloud for a shard.
+// tickCloud runs the provisioner of a shard, and logs the shard's statistics every 10 s.
 func (c *Core) tickCloud(shard *ownedShard) {
 	if !shard.provisioner.Ready(c.now) || len(c.types) == 0 {
 		return
