--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -109,7 +109,7 @@
 
 // OlderReleasesGone implements archive.Host.
 func (c archiveHost) OlderReleasesGone() bool {
-	return c.peers.AllRunFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime)
+	return c.peers.AllUpgradedFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime)
 }
 
 // Types implements archive.Host.
--- a/internal/core/chunks/chunks.go
+++ b/internal/core/chunks/chunks.go
@@ -21,16 +21,16 @@
 	return fmt.Sprintf("%s%s/%s/%d", keys.ChunkPrefix, id, checksum, number)
 }
 
-// Owner returns the job that a key belongs to.
-func Owner(key string) string {
+// JobID returns the job that a key belongs to.
+func JobID(key string) string {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, keys.ChunkPrefix), "/")
 	return id
 }
 
-// First returns the key of the first chunk of the description that a key belongs to.
+// FirstKey returns the key of the first chunk of the description that a key belongs to.
 // The record that names a description guards the version of that chunk, so whoever
 // deletes it first may delete the others as long as it stays away.
-func First(key string) string { return key[:strings.LastIndexByte(key, '/')+1] + "0" }
+func FirstKey(key string) string { return key[:strings.LastIndexByte(key, '/')+1] + "0" }
 
 // Store is what a controller keeps of them. Its memory grows with the chunks that are
 // stored; a job's texts are dropped once its record has been learnt.
@@ -51,10 +51,10 @@
 	return &Store{texts: map[string]map[string]string{}, incomplete: map[string]store.Event{}, orphans: map[string]units.Microseconds{}}
 }
 
-// Learn takes a chunk. recordKnown says that its job's record has been learnt already, so that
+// Apply takes a chunk. recordKnown says that its job's record has been learnt already, so that
 // nobody needs the text. It returns the record that waits for chunks, if one does.
-func (s *Store) Learn(now units.Microseconds, chunk store.Event, recordKnown bool) (record store.Event, waits bool, err error) {
-	id := Owner(chunk.Key)
+func (s *Store) Apply(now units.Microseconds, chunk store.Event, recordKnown bool) (record store.Event, waits bool, err error) {
+	id := JobID(chunk.Key)
 	text, err := jobs.ChunkText(chunk.Value)
 	if err != nil {
 		return record, false, err
@@ -79,10 +79,10 @@
 	s.orphanQueue = append(s.orphanQueue, orphan{id, now})
 }
 
-// Deleted drops a chunk that is no longer stored, and reports whether it was the last of
+// Delete drops a chunk that is no longer stored, and reports whether it was the last of
 // its job's.
-func (s *Store) Deleted(key string) bool {
-	id := Owner(key)
+func (s *Store) Delete(key string) bool {
+	id := JobID(key)
 	if delete(s.texts[id], key); len(s.texts[id]) > 0 {
 		return false
 	}
@@ -95,8 +95,8 @@
 // first chunk comes first.
 func (s *Store) Keys(id string) []string { return slices.Sorted(maps.Keys(s.texts[id])) }
 
-// Any reports whether any chunk of a job is stored.
-func (s *Store) Any(id string) bool { return len(s.texts[id]) > 0 }
+// HasChunks reports whether any chunk of a job is stored.
+func (s *Store) HasChunks(id string) bool { return len(s.texts[id]) > 0 }
 
 // Join completes a record with its description, and reports whether all of its chunks
 // are there. Where they are not, the record waits for them.
@@ -121,15 +121,15 @@
 	return true, nil
 }
 
-// RecordLearnt notes that a job's record has been learnt, or needs no chunks.
-func (s *Store) RecordLearnt(id string) {
+// RecordApplied notes that a job's record has been learnt, or needs no chunks.
+func (s *Store) RecordApplied(id string) {
 	delete(s.incomplete, id)
 	delete(s.orphans, id)
 }
 
-// Orphaned returns a job of which chunks but no record have been known for some time: its
+// NextOrphan returns a job of which chunks but no record have been known for some time: its
 // submission was abandoned half-way. It is returned once, unless Defer puts it back.
-func (s *Store) Orphaned(now, after units.Microseconds) (id string, ok bool) {
+func (s *Store) NextOrphan(now, after units.Microseconds) (id string, ok bool) {
 	for len(s.orphanQueue) > 0 && now-s.orphanQueue[0].since >= after {
 		oldest := s.orphanQueue[0]
 		s.orphanQueue = s.orphanQueue[1:]
@@ -140,8 +140,8 @@
 	return "", false
 }
 
-// Defer has Orphaned return a job again after the same time.
-func (s *Store) Defer(now units.Microseconds, id string) {
+// RequeueOrphan has Orphaned return a job again after the same time.
+func (s *Store) RequeueOrphan(now units.Microseconds, id string) {
 	if _, orphaned := s.orphans[id]; orphaned {
 		s.recordMissing(now, id)
 	}
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -103,7 +103,7 @@
 func TestOlderReleases(t *testing.T) {
 	c := holding(t, nil)
 	c.peers = peering.NewDirectory(peering.Config{Node: c.cfg.Node, Peers: []string{"b"}})
-	c.peers.NoteRelease("b", peering.ReleaseConfig-1)
+	c.peers.SetRelease("b", peering.ReleaseConfig-1)
 	limit := int64(1000)
 	c.Configure(c.now, 7, configuration.Request{Teams: []configuration.TeamChange{{Name: "t", LimitCPU: &limit}}})
 	if r := replyTo(t, c, 7); r.Code != 503 || r.RetryAfter == 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -298,7 +298,7 @@
 	c.tickLead()
 	c.config.Tick(c.now, c.wall, c.election.Leads())
 	c.tickTypes()
-	c.peers.NoteOlderReleases(c.now)
+	c.peers.TrackOlderReleases(c.now)
 	c.archive.Tick(c.now)
 	for _, number := range sortedShards(c.owned) {
 		if shard := c.owned[number]; shard != nil { // one shard's step may give up others
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -103,7 +103,7 @@
 func (c *Core) ownerOf(number int) string {
 	assignment := c.shardRecords.Assignment(number)
 	owner := assignment.Node
-	if !c.peers.Knows(owner) || c.membership.CurrentID(owner) != assignment.MemberID || !c.peers.Alive(c.now, owner) && c.peers.AnyAlive(c.now) {
+	if !c.peers.IsPeer(owner) || c.membership.CurrentID(owner) != assignment.MemberID || !c.peers.Alive(c.now, owner) && c.peers.AnyAlive(c.now) {
 		return ""
 	}
 	return owner
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -67,7 +67,7 @@
 	state := introspect.JobState{Now: c.now, Job: job}
 	shard := c.owned[number]
 	if shard == nil {
-		state.Other = &introspect.ElsewhereView{
+		state.Other = &introspect.RemoteShard{
 			Assignment: c.shardRecords.Assignment(number),
 			Leader:     c.election.Record().Node,
 			Membership: c.membership.Describe(c.now),
@@ -96,7 +96,7 @@
 func (c *Core) StopReplication(now units.Microseconds) {
 	c.advance(now)
 	for _, shard := range c.owned {
-		shard.replication.Stop(c.now)
+		shard.replication.RemoveStandby(c.now)
 	}
 }
 
--- a/internal/core/introspect/explain.go
+++ b/internal/core/introspect/explain.go
@@ -15,11 +15,11 @@
 	Now   units.Microseconds
 	Job   *jobs.Job
 	Shard *OwnedShard    // nil: another controller owns it
-	Other *ElsewhereView // if so
+	Other *RemoteShard // if so
 }
 
-// ElsewhereView is what a controller knows of a shard that it does not own.
-type ElsewhereView struct {
+// RemoteShard is what a controller knows of a shard that it does not own.
+type RemoteShard struct {
 	Assignment any // as stored
 	Leader     string
 	Membership string // of this controller
--- a/internal/core/introspect/introspect_test.go
+++ b/internal/core/introspect/introspect_test.go
@@ -194,7 +194,7 @@
 		state JobState
 		want  []string
 	}{
-		"elsewhere": {JobState{Job: job, Other: &ElsewhereView{Assignment: 5, Leader: "b", Membership: "member", Cache: "loaded", Writes: 3}},
+		"elsewhere": {JobState{Job: job, Other: &RemoteShard{Assignment: 5, Leader: "b", Membership: "member", Cache: "loaded", Writes: 3}},
 			[]string{"wk-000002: pending", "waits for 1 of [wk-000001]", "cancelled with wk-000001", "assigned as 5", `leader "b"; member; loaded; 3 writes wait`}},
 		"here": {JobState{Job: job, Shard: &OwnedShard{Number: 2, Unreconciled: 4, Machines: map[string]*fleet.Machine{"n-1": machine("n-1", true, true, 1)}}},
 			[]string{"team t uses", "shard 2", "unreconciled 4", "\n  n-1 big/z spot true: up true, tasks 1, schedulable false (reconciled false"}},
--- a/internal/core/jobs/registry/garbage.go
+++ b/internal/core/jobs/registry/garbage.go
@@ -63,7 +63,7 @@
 				r.chunkDeleted(key)
 			}
 		}
-		if r.chunks.Any(id) {
+		if r.chunks.HasChunks(id) {
 			r.pendingDeletion[id] = true
 		}
 	}, chunkKeys, deletions(chunkKeys)...)
@@ -94,7 +94,7 @@
 	collection.nextAt = now + orphanInterval
 	id := collection.job
 	if id == "" {
-		id, _ = r.chunks.Orphaned(now, r.cfg.OrphanAge)
+		id, _ = r.chunks.NextOrphan(now, r.cfg.OrphanAge)
 	}
 	chunkKeys := r.chunks.Keys(id)
 	if r.all[id] != nil || len(chunkKeys) == 0 {
@@ -102,16 +102,16 @@
 		return
 	}
 	collection.job = id
-	first := chunks.First(chunkKeys[0])
+	first := chunks.FirstKey(chunkKeys[0])
 	count := 1
-	for count < min(len(chunkKeys), r.cfg.TxnOps) && chunks.First(chunkKeys[count]) == first {
+	for count < min(len(chunkKeys), r.cfg.TxnOps) && chunks.FirstKey(chunkKeys[count]) == first {
 		count++
 	}
 	chunkKeys = chunkKeys[:count]
 	w.Write(func(outcome store.Outcome) {
 		if outcome != store.OK {
 			collection.job = ""
-			r.chunks.Defer(r.host.Now(), id) // the submission has gone on, or nobody knows
+			r.chunks.RequeueOrphan(r.host.Now(), id) // the submission has gone on, or nobody knows
 			return
 		}
 		// They are dropped here when the copy shows that they are deleted, and not now: the first
--- a/internal/core/jobs/registry/learn.go
+++ b/internal/core/jobs/registry/learn.go
@@ -28,7 +28,7 @@
 			return err
 		}
 	}
-	r.chunks.RecordLearnt(id)
+	r.chunks.RecordApplied(id)
 	if job == nil {
 		job = r.add(id, record, event.Stamp)
 	}
@@ -98,7 +98,7 @@
 // over takes in that a job is final: those that depend on it may start, or are cancelled too.
 func (r *Registry) over(job *jobs.Job) {
 	r.deactivate(job)
-	if r.chunks.Any(job.ID) {
+	if r.chunks.HasChunks(job.ID) {
 		r.pendingDeletion[job.ID] = true
 	}
 	ready, cancelled := r.dependencies.JobOver(job, r.host.WallClock())
@@ -166,9 +166,9 @@
 		r.chunkDeleted(event.Key)
 		return nil
 	}
-	id := chunks.Owner(event.Key)
+	id := chunks.JobID(event.Key)
 	job := r.all[id]
-	record, waits, err := r.chunks.Learn(r.host.Now(), event, job != nil)
+	record, waits, err := r.chunks.Apply(r.host.Now(), event, job != nil)
 	switch {
 	case err != nil:
 		return err
@@ -182,10 +182,10 @@
 
 // chunkDeleted notes that a chunk is no longer stored.
 func (r *Registry) chunkDeleted(key string) {
-	if !r.chunks.Deleted(key) {
+	if !r.chunks.Delete(key) {
 		return
 	}
-	id := chunks.Owner(key)
+	id := chunks.JobID(key)
 	if job := r.all[id]; job != nil && job.CancelledBy == "" {
 		delete(r.pendingDeletion, id)
 	}
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -116,7 +116,7 @@
 // description names it, so that whoever learns that one has to learn how this one ended; or
 // something of it is yet to be deleted.
 func (r *Registry) Retained(id string) bool {
-	return r.dependencies.Referenced(id) || r.chunks.Any(id) || r.pendingDeletion[id]
+	return r.dependencies.Referenced(id) || r.chunks.HasChunks(id) || r.pendingDeletion[id]
 }
 
 // TaskRemoved drops a job whose record has been archived once none of its tasks may be running.
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -75,7 +75,7 @@
 // learn takes one change of the copy. Records that cannot be read are logged
 // and skipped: they end no process.
 func (c *Core) learn(event store.Event) {
-	c.rollback.Note(event)
+	c.rollback.RecordChange(event)
 	var err error
 	switch {
 	case event.Key == leaderKeyFirst || event.Key == keys.LeaderSinceArchive:
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -49,7 +49,7 @@
 }
 
 // PeerRelease implements membership.Host.
-func (c membershipHost) PeerRelease(node string, release int) { c.peers.NoteRelease(node, release) }
+func (c membershipHost) PeerRelease(node string, release int) { c.peers.SetRelease(node, release) }
 
 // shortFor is how many times its lease a majority's peer leases may carry a membership past its last
 // renewal. What is owned in a zone that is cut off with most controllers is free that much later;
--- a/internal/core/peering/directory.go
+++ b/internal/core/peering/directory.go
@@ -12,10 +12,10 @@
 const (
 	// StatusInterval is the time between two statuses of a controller.
 	StatusInterval units.Microseconds = 300_000
-	// AliveFor is how long a controller counts as alive after its last status: a few intervals.
-	AliveFor = 1200 * units.Second / 1000
-	// ServedFor is how long the state service counts as serving a controller after its last answer.
-	ServedFor = 1 * units.Second
+	// AliveTimeout is how long a controller counts as alive after its last status: a few intervals.
+	AliveTimeout = 1200 * units.Second / 1000
+	// ServedTimeout is how long the state service counts as serving a controller after its last answer.
+	ServedTimeout = 1 * units.Second
 )
 
 // Config is what stays the same for a directory's life.
@@ -57,8 +57,8 @@
 // Names returns the other controllers.
 func (d *Directory) Names() []string { return d.names }
 
-// Knows reports whether a controller is one of the others.
-func (d *Directory) Knows(node string) bool { return d.peers[node] != nil }
+// IsPeer reports whether a controller is one of the others.
+func (d *Directory) IsPeer(node string) bool { return d.peers[node] != nil }
 
 // ReceiveStatus takes a controller's status.
 func (d *Directory) ReceiveStatus(now units.Microseconds, node string, status PeerStatus) {
@@ -82,7 +82,7 @@
 }
 
 func (p *peer) alive(now units.Microseconds) bool {
-	return p.receivedAt != 0 && now-p.receivedAt < AliveFor
+	return p.receivedAt != 0 && now-p.receivedAt < AliveTimeout
 }
 
 // AnyAlive reports whether any of the others is alive.
@@ -105,10 +105,10 @@
 	return false
 }
 
-// BestServed names the controller, of those that are alive and usable, that the state service has
+// MostRecentlyServed names the controller, of those that are alive and usable, that the state service has
 // served last; "": it has served none lately.
-func (d *Directory) BestServed(now units.Microseconds, usable func(node string) bool) string {
-	best, bestAge := "", ServedFor
+func (d *Directory) MostRecentlyServed(now units.Microseconds, usable func(node string) bool) string {
+	best, bestAge := "", ServedTimeout
 	for _, node := range d.names {
 		known := d.peers[node]
 		if known.alive(now) && known.status.StateAge < bestAge && usable(node) {
@@ -129,10 +129,10 @@
 	}
 }
 
-// RollbackNoticed takes a controller's mark of when it last noticed that the state service went
+// RollbackReported takes a controller's mark of when it last noticed that the state service went
 // back, and reports whether that is news. Each controller has its own mark, as two may have noticed
 // two different times.
-func (d *Directory) RollbackNoticed(node string, mark units.Microseconds) bool {
+func (d *Directory) RollbackReported(node string, mark units.Microseconds) bool {
 	known := d.peers[node]
 	if known == nil || mark == known.rollbackMark {
 		return false
--- a/internal/core/peering/forwarder.go
+++ b/internal/core/peering/forwarder.go
@@ -62,15 +62,15 @@
 	return f.lastSent
 }
 
-// Answered returns the request that an answer is for; false: it has been given up, or is answered.
-func (f *Forwarder) Answered(id uint64) (admission.RequestID, bool) {
+// CompleteSent returns the request that an answer is for; false: it has been given up, or is answered.
+func (f *Forwarder) CompleteSent(id uint64) (admission.RequestID, bool) {
 	sent, waits := f.sent[id]
 	delete(f.sent, id)
 	return sent.request, waits
 }
 
-// Expired gives up the requests that no answer has come for in time, and returns them.
-func (f *Forwarder) Expired(now units.Microseconds) []admission.RequestID {
+// DrainExpired gives up the requests that no answer has come for in time, and returns them.
+func (f *Forwarder) DrainExpired(now units.Microseconds) []admission.RequestID {
 	var expired []admission.RequestID
 	for _, id := range slices.Sorted(maps.Keys(f.sent)) {
 		if sent := f.sent[id]; now >= sent.until {
@@ -92,8 +92,8 @@
 	return f.lastRequest, true
 }
 
-// Finish returns where the answer to a request goes; false: to a user of this controller.
-func (f *Forwarder) Finish(request admission.RequestID) (Origin, bool) {
+// FinishRemote returns where the answer to a request goes; false: to a user of this controller.
+func (f *Forwarder) FinishRemote(request admission.RequestID) (Origin, bool) {
 	origin, remote := f.remote[request]
 	delete(f.remote, request)
 	return origin, remote
--- a/internal/core/peering/messages.go
+++ b/internal/core/peering/messages.go
@@ -25,7 +25,7 @@
 	Seat     uint64             // the membership for which it asks for a peer lease; 0: none
 	Sent     units.Microseconds // on the sender's clock
 	Deaf     bool               // no worker has reached the sender for a while
-	Blocks   []BlockStatus      // the shards that the sender owns
+	Blocks   []ShardStatus      // the shards that the sender owns
 	Release  int                // what the sender understands; 0: less than 0.3 does
 	Full     bool               // the sender's memory is nearly full
 	Back     units.Microseconds // when the sender last noticed that the state service went back; 0: never
@@ -36,8 +36,8 @@
 	Config, ConfigKnown uint64
 }
 
-// BlockStatus tells of a shard that the sender owns.
-type BlockStatus struct {
+// ShardStatus tells of a shard that the sender owns.
+type ShardStatus struct {
 	Block int
 	Share uint64  // version of the quota allocation that the shard goes by
 	Use   float64 // largest part of a quota in use; -1: not known yet
@@ -46,9 +46,9 @@
 	Over []string
 }
 
-// PeerPromise grants the peer lease that a status asked for, and lists the cancellations that the
+// PeerLeaseGrant grants the peer lease that a status asked for, and lists the cancellations that the
 // other lacks.
-type PeerPromise struct {
+type PeerLeaseGrant struct {
 	Seat uint64
 	Sent units.Microseconds
 	Told cancellations.Update
@@ -56,32 +56,32 @@
 	ConfigKnown uint64
 }
 
-// PeerPermitAsk asks for a vote to take over what a controller's membership owned.
-type PeerPermitAsk struct {
+// TakeoverVoteRequest asks for a vote to take over what a controller's membership owned.
+type TakeoverVoteRequest struct {
 	Node string
 	Seat uint64
 }
 
-// PeerPermit is the vote that PeerPermitAsk asked for.
-type PeerPermit PeerPermitAsk
+// TakeoverVote is the vote that PeerPermitAsk asked for.
+type TakeoverVote TakeoverVoteRequest
 
-// PeerRelease is the leader's wish that a shard be released, by the version of its assignment.
-type PeerRelease struct {
+// ReleaseRequest is the leader's wish that a shard be released, by the version of its assignment.
+type ReleaseRequest struct {
 	Block int
 	Grant uint64
 }
 
-// PeerAsk forwards a user's request.
-type PeerAsk struct {
+// ForwardedRequest forwards a user's request.
+type ForwardedRequest struct {
 	ID   uint64
-	Kind AskKind
+	Kind RequestKind
 	Job  string
 	Spec *jobs.Spec
 	Bad  string // why a submission is malformed
 }
 
-// PeerAnswer answers a PeerAsk.
-type PeerAnswer struct {
+// ForwardedResponse answers a PeerAsk.
+type ForwardedResponse struct {
 	ID         uint64
 	Code       int                  // HTTP status
 	Body       *admission.JobAnswer // nil: Text says why not
@@ -89,12 +89,12 @@
 	RetryAfter units.Microseconds
 }
 
-// AskKind is what a user wants.
-type AskKind = admission.Kind
+// RequestKind is what a user wants.
+type RequestKind = admission.Kind
 
 // Kinds of requests that are forwarded.
 const (
-	AskSubmit = admission.Submit
-	AskQuery  = admission.Query
-	AskCancel = admission.Cancel
+	RequestSubmit = admission.Submit
+	RequestQuery  = admission.Query
+	RequestCancel = admission.Cancel
 )
--- a/internal/core/peering/peering_test.go
+++ b/internal/core/peering/peering_test.go
@@ -34,18 +34,18 @@
 				}
 			},
 			"answer": func(t *rapid.T) {
-				if request, ok := forwarder.Answered(rapid.Uint64Range(0, sent+1).Draw(t, "id")); ok {
+				if request, ok := forwarder.CompleteSent(rapid.Uint64Range(0, sent+1).Draw(t, "id")); ok {
 					end(request)
 				}
 			},
 			"time": func(*rapid.T) {
 				now += answerWithin / 4
-				for _, request := range forwarder.Expired(now) {
+				for _, request := range forwarder.DrainExpired(now) {
 					end(request)
 				}
 			},
 		})
-		for _, request := range forwarder.Expired(now + answerWithin) {
+		for _, request := range forwarder.DrainExpired(now + answerWithin) {
 			end(request)
 		}
 		if len(ended) != int(sent) {
@@ -66,7 +66,7 @@
 	if !forwarder.Full() {
 		t.Error("not full at the bound")
 	}
-	if forwarder.Answered(1); forwarder.Full() {
+	if forwarder.CompleteSent(1); forwarder.Full() {
 		t.Error("full though one has ended")
 	}
 }
@@ -83,7 +83,7 @@
 	if _, ok := forwarder.Receive(Origin{"b", maxForwarded}); ok {
 		t.Error("one more than the bound is taken")
 	}
-	if origin, remote := forwarder.Finish(firstRemoteRequest + 1); !remote || origin != (Origin{"b", 0}) {
+	if origin, remote := forwarder.FinishRemote(firstRemoteRequest + 1); !remote || origin != (Origin{"b", 0}) {
 		t.Errorf("finished %+v, %v", origin, remote)
 	}
 	if _, ok := forwarder.Receive(Origin{"b", maxForwarded}); !ok {
@@ -96,15 +96,15 @@
 func TestReleasesSettle(t *testing.T) {
 	const settleTime = 600 * units.Second
 	directory := NewDirectory(Config{Node: "a", Peers: []string{"b"}})
-	directory.NoteRelease("b", ReleaseArchive-1)
-	directory.NoteOlderReleases(1000 * units.Second)
+	directory.SetRelease("b", ReleaseArchive-1)
+	directory.TrackOlderReleases(1000 * units.Second)
 	if directory.OlderThan(ReleaseArchive) != "b" || directory.OlderThan(ReleaseArchive-1) != "" {
 		t.Error("the older controller is not named")
 	}
-	directory.NoteRelease("b", Release)
+	directory.SetRelease("b", Release)
 	for now, want := range map[units.Microseconds]bool{1599 * units.Second: false, 1600 * units.Second: true} {
-		directory.NoteOlderReleases(now)
-		if got := directory.AllRunFor(now, ReleaseArchive, settleTime); got != want {
+		directory.TrackOlderReleases(now)
+		if got := directory.AllUpgradedFor(now, ReleaseArchive, settleTime); got != want {
 			t.Errorf("at %g s: %v", now.Seconds(), got)
 		}
 	}
--- a/internal/core/peering/releases.go
+++ b/internal/core/peering/releases.go
@@ -12,7 +12,7 @@
 	ReleaseArchive       = 4 // archived jobs
 	ReleaseChunks        = 5 // guards the first chunk of a description
 	ReleaseTransfers     = 5 // snapshots of shards that are transferred
-	ReleaseReplicates    = 6 // is a standby of owners
+	ReleaseReplication    = 6 // is a standby of owners
 	ReleaseCancellations = 7 // cancellations that other controllers list
 	ReleaseConfig        = 8 // the stored configuration
 )
@@ -20,8 +20,8 @@
 // settlingReleases are those for which it counts how long all controllers have run them.
 var settlingReleases = []int{ReleaseArchive, ReleaseChunks}
 
-// NoteRelease takes which release a controller runs, from its status or its stored membership.
-func (d *Directory) NoteRelease(node string, release int) {
+// SetRelease takes which release a controller runs, from its status or its stored membership.
+func (d *Directory) SetRelease(node string, release int) {
 	if node == d.cfg.Node {
 		return
 	}
@@ -44,9 +44,9 @@
 	return ""
 }
 
-// NoteOlderReleases keeps since when all controllers run certain releases. It is called with every
+// TrackOlderReleases keeps since when all controllers run certain releases. It is called with every
 // tick.
-func (d *Directory) NoteOlderReleases(now units.Microseconds) {
+func (d *Directory) TrackOlderReleases(now units.Microseconds) {
 	for _, release := range settlingReleases {
 		for _, node := range d.names {
 			if d.releases[node] < release {
@@ -56,8 +56,8 @@
 	}
 }
 
-// AllRunFor reports whether every controller has run a release, ReleaseArchive or ReleaseChunks, or
+// AllUpgradedFor reports whether every controller has run a release, ReleaseArchive or ReleaseChunks, or
 // a later one for so long that nothing that an older one sent is expected any more.
-func (d *Directory) AllRunFor(now units.Microseconds, release int, settleTime units.Microseconds) bool {
+func (d *Directory) AllUpgradedFor(now units.Microseconds, release int, settleTime units.Microseconds) bool {
 	return now-d.olderReleaseAt[release] >= settleTime
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,28 +15,28 @@
 	// PeerStatus is a controller's heartbeat to the others.
 	PeerStatus = peering.PeerStatus
 	// ShardStatus is the part of it on one shard.
-	ShardStatus = peering.BlockStatus
+	ShardStatus = peering.ShardStatus
 	// PeerLeaseGrant grants a peer lease.
-	PeerLeaseGrant = peering.PeerPromise
+	PeerLeaseGrant = peering.PeerLeaseGrant
 	// TakeoverVoteRequest asks for a takeover vote.
-	TakeoverVoteRequest = peering.PeerPermitAsk
+	TakeoverVoteRequest = peering.TakeoverVoteRequest
 	// TakeoverVote is a takeover vote.
-	TakeoverVote = peering.PeerPermit
+	TakeoverVote = peering.TakeoverVote
 	// ReleaseRequest asks an owner to release a shard.
-	ReleaseRequest = peering.PeerRelease
+	ReleaseRequest = peering.ReleaseRequest
 	// ForwardedRequest forwards a user's request.
-	ForwardedRequest = peering.PeerAsk
+	ForwardedRequest = peering.ForwardedRequest
 	// ForwardedResponse answers it.
-	ForwardedResponse = peering.PeerAnswer
+	ForwardedResponse = peering.ForwardedResponse
 	// RequestKind is what a user wants.
-	RequestKind = peering.AskKind
+	RequestKind = peering.RequestKind
 )
 
 // Kinds of requests that are forwarded.
 const (
-	RequestSubmit = peering.AskSubmit
-	RequestQuery  = peering.AskQuery
-	RequestCancel = peering.AskCancel
+	RequestSubmit = peering.RequestSubmit
+	RequestQuery  = peering.RequestQuery
+	RequestCancel = peering.RequestCancel
 )
 
 // SendPeer is the effect that sends a message to another controller; it may be lost.
@@ -63,7 +63,7 @@
 		c.broadcast(c.status())
 	}
 	c.peers.LogChanges(c.now)
-	for _, request := range c.forwarder.Expired(c.now) {
+	for _, request := range c.forwarder.DrainExpired(c.now) {
 		c.unavailable(request, "no controller is served by the state service")
 	}
 }
@@ -99,7 +99,7 @@
 	for _, node := range c.peers.Names() {
 		zone := c.cfg.PeerZones[node]
 		all[zone]++
-		if c.peers.Alive(c.now, node) || c.membership.CurrentID(node) != 0 && c.stateAge() < peering.ServedFor {
+		if c.peers.Alive(c.now, node) || c.membership.CurrentID(node) != 0 && c.stateAge() < peering.ServedTimeout {
 			alive[zone]++
 		}
 	}
@@ -110,13 +110,13 @@
 
 // servedPeer names a controller that is alive and was served by the state service lately; "": none.
 func (c *Core) servedPeer() string {
-	return c.peers.BestServed(c.now, func(node string) bool { return !c.incompatible(node) })
+	return c.peers.MostRecentlyServed(c.now, func(node string) bool { return !c.incompatible(node) })
 }
 
 // shouldForward reports whether a request should go to another controller right away: the state
 // service has not answered this one for a while, and it has answered the other.
 func (c *Core) shouldForward(request RequestID) bool {
-	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedFor && c.servedPeer() != ""
+	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedTimeout && c.servedPeer() != ""
 }
 
 // forward gives a request that the state service does not let this controller serve to one that it
@@ -137,7 +137,7 @@
 // OnPeer takes a message of another controller.
 func (c *Core) OnPeer(now units.Microseconds, from string, message any) {
 	c.advance(now)
-	if !c.peers.Knows(from) {
+	if !c.peers.IsPeer(from) {
 		return
 	}
 	switch received := message.(type) {
@@ -149,7 +149,7 @@
 		c.receiveCancellations(from, received)
 	case TakeoverVoteRequest:
 		// Of no controller: whoever asks waits until its time is over.
-		if (received.Node == c.cfg.Node || c.peers.Knows(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
+		if (received.Node == c.cfg.Node || c.peers.IsPeer(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
 			c.emit(SendPeer{from, TakeoverVote(received)})
 		}
 	case TakeoverVote:
@@ -181,8 +181,8 @@
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
 		c.zones.ReceivePeerView(status.Zones)
 	}
-	c.peers.NoteRelease(from, status.Release)
-	if c.peers.RollbackNoticed(from, status.Back) {
+	c.peers.SetRelease(from, status.Release)
+	if c.peers.RollbackReported(from, status.Back) {
 		c.log.Warn("another controller says that the state service went back", "controller", from)
 		c.cache.Reload(c.now)
 	}
@@ -214,13 +214,13 @@
 	case RequestCancel:
 		c.Cancel(c.now, request, ask.Job)
 	default:
-		c.forwarder.Finish(request) // of a later release
+		c.forwarder.FinishRemote(request) // of a later release
 	}
 }
 
 // onForwardedAnswer answers a user whose request another controller has served.
 func (c *Core) onForwardedAnswer(answer ForwardedResponse) {
-	request, ok := c.forwarder.Answered(answer.ID)
+	request, ok := c.forwarder.CompleteSent(answer.ID)
 	if !ok {
 		return
 	}
@@ -233,7 +233,7 @@
 
 // send answers a request, wherever it came from.
 func (c *Core) send(r Reply) {
-	origin, remote := c.forwarder.Finish(r.Request)
+	origin, remote := c.forwarder.FinishRemote(r.Request)
 	if !remote {
 		c.emit(r)
 		return
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -41,7 +41,7 @@
 	at := slices.Index(names, f.cfg.Node)
 	for i := range names {
 		n := names[(at+i)%len(names)]
-		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > peering.ServedFor {
+		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > peering.ServedTimeout {
 			continue
 		}
 		cost := 0
@@ -59,7 +59,7 @@
 
 // Eligible implements replication.Host.
 func (f replicationHost) Eligible(n string) bool {
-	return f.peers.Alive(f.now, n) && f.membership.CurrentID(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplicates && !f.peerUnreachable(n)
+	return f.peers.Alive(f.now, n) && f.membership.CurrentID(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplication && !f.peerUnreachable(n)
 }
 
 // Send implements replication.Host.
@@ -78,11 +78,11 @@
 }
 
 // SnapshotMachine implements replication.Host. A machine that is not there was returned: nothing is on it.
-func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
+func (f replicationHost) SnapshotMachine(name string) replication.MachineSnapshot {
 	if m := f.shard.reconciler.Machine(name); m != nil {
 		return transfer.MachineSnapshot(m)
 	}
-	return replication.MachinePicture{Name: name}
+	return replication.MachineSnapshot{Name: name}
 }
 
 // UnstoredTasks implements replication.Host.
--- a/internal/core/replication/limits_test.go
+++ b/internal/core/replication/limits_test.go
@@ -19,8 +19,8 @@
 func (h *owner) Eligible(string) bool                       { return true }
 func (h *owner) Send(_ string, m Message)                   { h.sent = append(h.sent, m) }
 func (h *owner) Machines() []string                         { return nil }
-func (h *owner) SnapshotMachine(name string) MachinePicture { return MachinePicture{Name: name} }
-func (h *owner) UnstoredTasks() []TasksDone                 { return nil }
+func (h *owner) SnapshotMachine(name string) MachineSnapshot { return MachineSnapshot{Name: name} }
+func (h *owner) UnstoredTasks() []FinishedTasks                 { return nil }
 func (h *owner) Store(_ Record, done func(ok bool))         { done(true) }
 func (h *owner) Answer(a any, ok bool) {
 	if _, twice := h.answers[a.(int)]; twice {
@@ -40,7 +40,7 @@
 	now := units.Second
 	settle := func() {
 		for range 100 {
-			now += FlushEvery
+			now += FlushInterval
 			primary.Tick(now, true)
 			sent := host.sent
 			host.sent = nil
--- a/internal/core/replication/primary.go
+++ b/internal/core/replication/primary.go
@@ -73,8 +73,8 @@
 	return true
 }
 
-// TaskDone says that a task has completed; it is stored later.
-func (p *Primary) TaskDone(job string, task int) {
+// TaskFinished says that a task has completed; it is stored later.
+func (p *Primary) TaskFinished(job string, task int) {
 	if p.standby != "" && !p.leaving {
 		p.finished[job] = append(p.finished[job], task)
 	}
@@ -122,7 +122,7 @@
 
 // flush sends what the standby does not know yet, as far as the window allows.
 func (p *Primary) flush() {
-	if p.completeAt != 0 && (!p.news() || p.now-p.flushedAt < FlushEvery) {
+	if p.completeAt != 0 && (!p.news() || p.now-p.flushedAt < FlushInterval) {
 		return
 	}
 	for len(p.unacked) < window && (p.completeAt == 0 || p.news()) {
@@ -181,7 +181,7 @@
 		}
 		tasks := p.finished[job]
 		count := min(len(tasks), MessageSize-size)
-		message.Done = append(message.Done, TasksDone{job, tasks[:count:count]})
+		message.Done = append(message.Done, FinishedTasks{job, tasks[:count:count]})
 		size += count
 		if p.finished[job] = tasks[count:]; count == len(tasks) {
 			delete(p.finished, job)
@@ -256,8 +256,8 @@
 	}
 }
 
-// Stop has nobody stand by for now.
-func (p *Primary) Stop(now units.Microseconds) {
+// RemoveStandby has nobody stand by for now.
+func (p *Primary) RemoveStandby(now units.Microseconds) {
 	p.now = now
 	if p.standby != "" && !p.leaving {
 		p.leave()
--- a/internal/core/replication/replication.go
+++ b/internal/core/replication/replication.go
@@ -19,15 +19,15 @@
 )
 
 type (
-	// MachinePicture is a snapshot of a machine: what may be on it.
-	MachinePicture struct {
+	// MachineSnapshot is a snapshot of a machine: what may be on it.
+	MachineSnapshot struct {
 		Name         string
 		Addr         string
 		Session, Seq uint64 // incarnation and number of the last heartbeat
 		Tasks        []fleet.Task
 	}
-	// TasksDone are some tasks of a job that have completed.
-	TasksDone struct {
+	// FinishedTasks are some tasks of a job that have completed.
+	FinishedTasks struct {
 		Job   string
 		Tasks []int
 	}
@@ -39,8 +39,8 @@
 		Run      uint64 // tells the streams of one assignment apart
 		N        uint64 // 1, 2, 3 and so on
 		Whole    bool   // with this message the snapshot is complete
-		Machines []MachinePicture
-		Done     []TasksDone
+		Machines []MachineSnapshot
+		Done     []FinishedTasks
 	}
 	// Ack says that a standby has all messages of a stream up to N.
 	Ack struct {
@@ -66,9 +66,9 @@
 	Send(to string, message Message)
 	// Machines are those on which anything may be; SnapshotMachine tells what may be on one.
 	Machines() []string
-	SnapshotMachine(machine string) MachinePicture
+	SnapshotMachine(machine string) MachineSnapshot
 	// UnstoredTasks are the tasks that have completed and are not stored as done.
-	UnstoredTasks() []TasksDone
+	UnstoredTasks() []FinishedTasks
 	// Store writes a record, guarded by the owner's assignment and by the version of the record
 	// that was last known: a write that comes late must fail once another was stored. done is
 	// told whether it is surely stored.
@@ -78,9 +78,9 @@
 }
 
 const (
-	// FlushEvery is the least time between two messages, so that their number does not grow
+	// FlushInterval is the least time between two messages, so that their number does not grow
 	// with the starts.
-	FlushEvery = units.Second / 50
+	FlushInterval = units.Second / 50
 	// resendAfter is how long an Ack is waited for before messages go
 	// out again, and giveUpAfter before somebody else is to stand by.
 	resendAfter = units.Second / 5
--- a/internal/core/replication/standby.go
+++ b/internal/core/replication/standby.go
@@ -20,7 +20,7 @@
 	run          uint64
 	received     uint64 // all messages up to this one
 	complete     bool   // the snapshot is
-	machines     map[string]MachinePicture
+	machines     map[string]MachineSnapshot
 	finished     map[string]map[int]bool
 	unchecked    int                // finished tasks since those that are stored by now were forgotten
 	ahead        map[uint64]Message // that came before those before them
@@ -62,7 +62,7 @@
 }
 
 func newStream(first Message) *stream {
-	return &stream{fencingToken: first.Token, run: first.Run, machines: map[string]MachinePicture{}, finished: map[string]map[int]bool{}, ahead: map[uint64]Message{}}
+	return &stream{fencingToken: first.Token, run: first.Run, machines: map[string]MachineSnapshot{}, finished: map[string]map[int]bool{}, ahead: map[uint64]Message{}}
 }
 
 // olderThan reports whether a message is of a later stream.
@@ -108,7 +108,7 @@
 // Snapshot returns what the owner of a shard had started, if this node is the one that the
 // record names and has the whole of that very stream. Of a task that is on several machines
 // the last attempt counts: it was started once the others were known to be gone.
-func (s *Standby) Snapshot(shard int, node string, record Record) (machines map[string]MachinePicture, finished []TasksDone, ok bool) {
+func (s *Standby) Snapshot(shard int, node string, record Record) (machines map[string]MachineSnapshot, finished []FinishedTasks, ok bool) {
 	from := s.streams[shard]
 	if from == nil || record.Node != node || record.Token != from.fencingToken || record.Run != from.run || !from.complete {
 		return nil, nil, false
@@ -119,13 +119,13 @@
 			last[task.ID] = max(last[task.ID], task.Attempt)
 		}
 	}
-	machines = map[string]MachinePicture{}
+	machines = map[string]MachineSnapshot{}
 	for name, machine := range from.machines {
 		machine.Tasks = slices.DeleteFunc(slices.Clone(machine.Tasks), func(task fleet.Task) bool { return task.Attempt < last[task.ID] })
 		machines[name] = machine
 	}
 	for _, job := range slices.Sorted(maps.Keys(from.finished)) {
-		finished = append(finished, TasksDone{job, slices.Sorted(maps.Keys(from.finished[job]))})
+		finished = append(finished, FinishedTasks{job, slices.Sorted(maps.Keys(from.finished[job]))})
 	}
 	return machines, finished, true
 }
@@ -138,5 +138,5 @@
 	return 0
 }
 
-// Forget drops a shard's stream.
-func (s *Standby) Forget(shard int) { delete(s.streams, shard) }
+// DropStream drops a shard's stream.
+func (s *Standby) DropStream(shard int) { delete(s.streams, shard) }
--- a/internal/core/replication/trace.go
+++ b/internal/core/replication/trace.go
@@ -22,7 +22,7 @@
 	if len(p.unacked) > 0 {
 		fmt.Fprintf(&b, " progress %d sent %d", now-p.progressAt, now-p.sentAt)
 	}
-	fmt.Fprintf(&b, " flushed %d %v", min(now-p.flushedAt, FlushEvery), p.unacked)
+	fmt.Fprintf(&b, " flushed %d %v", min(now-p.flushedAt, FlushInterval), p.unacked)
 	return b.String()
 }
 
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -12,8 +12,8 @@
 	return c.archive.Restore(listed)
 }
 
-// Recover implements rollback.Host.
-func (c rollbackHost) Recover(revision uint64, listed []store.Event, newer map[string]bool) {
+// RestoreCache implements rollback.Host.
+func (c rollbackHost) RestoreCache(revision uint64, listed []store.Event, newer map[string]bool) {
 	c.cache.Recover(revision, listed, newer)
 }
 
@@ -39,7 +39,7 @@
 func (c rollbackHost) RestoreShards() {
 	for _, number := range sortedShards(c.owned) {
 		shard := c.owned[number]
-		shard.replication.Stop(c.now)
+		shard.replication.RemoveStandby(c.now)
 		for _, id := range sortedKeys(shard.active) {
 			shard.writer.StoreAllProgress(shard.active[id])
 		}
--- a/internal/core/rollback/rollback.go
+++ b/internal/core/rollback/rollback.go
@@ -27,9 +27,9 @@
 	// RestoreArchived puts right what a listing shows of archived jobs as unfinished, and
 	// returns what is to be written for that.
 	RestoreArchived(listed []store.Event) []store.Event
-	// Recover has the copy take a listing, as of a revision, but for keys whose known values
+	// RestoreCache has the copy take a listing, as of a revision, but for keys whose known values
 	// are newer.
-	Recover(revision uint64, listed []store.Event, newer map[string]bool)
+	RestoreCache(revision uint64, listed []store.Event, newer map[string]bool)
 	// StateRolledBack tells all who rely on what the state service had answered.
 	StateRolledBack()
 	// Rewriter is used for each lost value.
@@ -63,8 +63,8 @@
 	return &Recovery{host: host, log: log, past: replaylog.New(replayLogBytes)}
 }
 
-// Note remembers a change that was learnt.
-func (r *Recovery) Note(e store.Event) {
+// RecordChange remembers a change that was learnt.
+func (r *Recovery) RecordChange(e store.Event) {
 	if !decidesAuthority(e.Key) {
 		r.past.Note(e)
 	}
@@ -91,7 +91,7 @@
 			lost = append(lost, store.Event{Key: known.Key, Value: value, Stamp: there.Stamp})
 		}
 	}
-	r.host.Recover(revision, items, newer)
+	r.host.RestoreCache(revision, items, newer)
 	r.host.StateRolledBack()
 	for _, e := range lost {
 		r.log.Warn("written again", "key", e.Key, "listed_version", e.Stamp)
--- a/internal/core/rollback/rollback_test.go
+++ b/internal/core/rollback/rollback_test.go
@@ -123,12 +123,12 @@
 func TestAuthorityIsNotRemembered(t *testing.T) {
 	r := New(nil, nil)
 	for _, key := range []string{keys.Leader, keys.LeaderSinceArchive, keys.MemberPrefix + "a", keys.Standby(0)} {
-		r.Note(store.Event{Key: key, Value: json.RawMessage("{}"), Stamp: 1})
+		r.RecordChange(store.Event{Key: key, Value: json.RawMessage("{}"), Stamp: 1})
 	}
 	if lost := r.past.Lost(nil); len(lost) != 0 {
 		t.Fatalf("%+v", lost)
 	}
-	r.Note(store.Event{Key: keys.Assignment(0), Value: json.RawMessage("{}"), Stamp: 1})
+	r.RecordChange(store.Event{Key: keys.Assignment(0), Value: json.RawMessage("{}"), Stamp: 1})
 	if lost := r.past.Lost(nil); len(lost) != 1 {
 		t.Fatalf("%+v", lost)
 	}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -94,7 +94,7 @@
 // takeOver takes in the machines and jobs of a shard, and what its last owner knew. From then on
 // heartbeats are answered.
 func (c *Core) takeOver(shard *ownedShard) {
-	snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
+	snapshot := c.transfers.TakeSnapshot(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
 	for _, key := range sortedKeys(c.machineGroups) {
 		if group := c.machineGroups[key]; group.Shard == shard.number {
 			c.inheritGroup(shard, key, group, snapshot)
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -150,7 +150,7 @@
 	if !core.admission.AnyMemoryFull() {
 		t.Error("not crowded while another is full")
 	}
-	core.advance(core.now + 2*peering.AliveFor)
+	core.advance(core.now + 2*peering.AliveTimeout)
 	if core.admission.AnyMemoryFull() {
 		t.Error("crowded by one that is heard no more")
 	}
--- a/internal/core/shardstore.go
+++ b/internal/core/shardstore.go
@@ -53,7 +53,7 @@
 func (h writerHost) GroupDeleted(key string) { delete(h.machineGroups, key) }
 
 // TaskFinished implements shardstore.Host.
-func (h writerHost) TaskFinished(job string, task int) { h.shard.replication.TaskDone(job, task) }
+func (h writerHost) TaskFinished(job string, task int) { h.shard.replication.TaskFinished(job, task) }
 
 // HasDependents implements shardstore.Host.
 func (h writerHost) HasDependents(job string) bool { return h.jobs.Awaited(job) }
@@ -75,7 +75,7 @@
 // CollectOrphans implements shardstore.GarbageCollector. Releases before 0.6 guard nothing, so that nothing
 // is deleted beside one of them.
 func (h *garbageHost) CollectOrphans(writer *shardstore.Writer) {
-	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.peers.AllRunFor(h.now, peering.ReleaseChunks, h.cfg.ArchiveSettleTime) {
+	if h.orphans.Due(h.now) && h.queues[ControlQueue].Len() == 0 && h.peers.AllUpgradedFor(h.now, peering.ReleaseChunks, h.cfg.ArchiveSettleTime) {
 		h.jobs.CollectOrphans(&h.orphans, writer)
 	}
 }
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -20,9 +20,9 @@
 	// SnapshotMessage is a part of a shard's snapshot.
 	SnapshotMessage = transfer.Message
 	// MachineSnapshot is what may run on one machine.
-	MachineSnapshot = replication.MachinePicture
+	MachineSnapshot = replication.MachineSnapshot
 	// FinishedTasks are finished tasks of a job that are not stored yet.
-	FinishedTasks = replication.TasksDone
+	FinishedTasks = replication.FinishedTasks
 )
 
 // SnapshotMessageSize bounds the tasks and machines in one message.
@@ -64,7 +64,7 @@
 func (h transferHost) ActiveJob(id string) *jobs.Job { return h.shard.active[id] }
 
 // RestoreMachine implements transfer.Host.
-func (h transferHost) RestoreMachine(machine *fleet.Machine, last replication.MachinePicture) {
+func (h transferHost) RestoreMachine(machine *fleet.Machine, last replication.MachineSnapshot) {
 	h.shard.reconciler.Restore(h.now, machine, reconcile.Snapshot{Addr: last.Addr, Incarnation: last.Session, Seq: last.Seq, Tasks: last.Tasks})
 }
 
@@ -83,7 +83,7 @@
 			return err
 		}
 	}
-	c.transfers.LearnStandby(shard, record)
+	c.transfers.ApplyStandby(shard, record)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 	if m.Block < 0 || m.Block >= keys.MaxShards || c.shardRecords.Assignment(m.Block).Node != from {
 		return
 	}
-	ack := c.transfers.ReceiveStarts(m, func(id string, task int) bool {
+	ack := c.transfers.ReceiveReplication(m, func(id string, task int) bool {
 		job := c.jobs.Get(id)
 		return job == nil || !job.Active() || job.IsStored(task)
 	})
--- a/internal/core/transfer/snapshot.go
+++ b/internal/core/transfer/snapshot.go
@@ -13,8 +13,8 @@
 // Snapshot is what the last owner of a shard knew; the zero value knows nothing.
 type Snapshot struct {
 	fencingToken uint64
-	machines     map[string]replication.MachinePicture
-	finished     []replication.TasksDone
+	machines     map[string]replication.MachineSnapshot
+	finished     []replication.FinishedTasks
 	complete     bool // on machines that are not in it, nothing can be
 }
 
@@ -37,7 +37,7 @@
 	// ActiveJob returns a job of the shard that is not over, or nil.
 	ActiveJob(id string) *jobs.Job
 	// RestoreMachine takes in what may be on a machine, which need not be reconciled then.
-	RestoreMachine(machine *fleet.Machine, last replication.MachinePicture)
+	RestoreMachine(machine *fleet.Machine, last replication.MachineSnapshot)
 	// TaskFinished takes in that a task is finished, which is to be stored.
 	TaskFinished(job *jobs.Job, task int)
 }
--- a/internal/core/transfer/transfer.go
+++ b/internal/core/transfer/transfer.go
@@ -27,8 +27,8 @@
 type Message struct {
 	Block    int
 	Token    uint64 // fencing token under which it was made
-	Machines []replication.MachinePicture
-	Done     []replication.TasksDone // that are not stored as done yet
+	Machines []replication.MachineSnapshot
+	Done     []replication.FinishedTasks // that are not stored as done yet
 }
 
 const (
@@ -95,13 +95,13 @@
 			p.end()
 		}
 		count := min(len(tasks), MessageSize-p.size)
-		p.next.Done = append(p.next.Done, replication.TasksDone{Job: job, Tasks: tasks[:count:count]})
+		p.next.Done = append(p.next.Done, replication.FinishedTasks{Job: job, Tasks: tasks[:count:count]})
 		p.size += count
 		tasks = tasks[count:]
 	}
 }
 
-func (p *partition) addMachine(machine replication.MachinePicture) {
+func (p *partition) addMachine(machine replication.MachineSnapshot) {
 	size := len(machine.Tasks) + machineSize
 	if p.size > 0 && p.size+size > MessageSize {
 		p.end()
@@ -111,8 +111,8 @@
 }
 
 // MachineSnapshot tells what may be on a machine.
-func MachineSnapshot(machine *fleet.Machine) replication.MachinePicture {
-	snapshot := replication.MachinePicture{Name: machine.Name, Addr: machine.Addr, Session: machine.Incarnation, Seq: machine.Seq}
+func MachineSnapshot(machine *fleet.Machine) replication.MachineSnapshot {
+	snapshot := replication.MachineSnapshot{Name: machine.Name, Addr: machine.Addr, Session: machine.Incarnation, Seq: machine.Seq}
 	for _, id := range machine.TaskIDs() {
 		attempt := machine.Tasks[id]
 		snapshot.Tasks = append(snapshot.Tasks, fleet.Task{ID: id, Attempt: attempt.Number, State: attempt.State})
@@ -154,7 +154,7 @@
 	}
 	snapshot := r.snapshots[part.Block]
 	if snapshot == nil || snapshot.fencingToken < part.Token {
-		snapshot = &Snapshot{fencingToken: part.Token, machines: map[string]replication.MachinePicture{}}
+		snapshot = &Snapshot{fencingToken: part.Token, machines: map[string]replication.MachineSnapshot{}}
 		r.snapshots[part.Block] = snapshot
 	}
 	known := len(snapshot.machines) + len(snapshot.finished)
@@ -167,14 +167,14 @@
 	}
 }
 
-// ReceiveStarts takes what the owner of a shard has started, and returns what to answer. stored
+// ReceiveReplication takes what the owner of a shard has started, and returns what to answer. stored
 // reports whether a task is known to be stored as done, or its job to be over.
-func (r *Receiver) ReceiveStarts(message replication.Message, stored func(job string, task int) bool) replication.Ack {
+func (r *Receiver) ReceiveReplication(message replication.Message, stored func(job string, task int) bool) replication.Ack {
 	return r.standby.Receive(message, stored)
 }
 
-// LearnStandby takes the stored record of who stands by for the owner of a shard.
-func (r *Receiver) LearnStandby(shard int, record replication.Record) { r.records[shard] = record }
+// ApplyStandby takes the stored record of who stands by for the owner of a shard.
+func (r *Receiver) ApplyStandby(shard int, record replication.Record) { r.records[shard] = record }
 
 // StandbyOf names who knows all that the owner of a shard under a fencing token has started; ""
 // if nobody is stored to. A stream of an owner that has another standby, or none, is of no use
@@ -193,8 +193,8 @@
 // earlier time.
 func (r *Receiver) StateRolledBack() { r.standby = replication.NewStandby() }
 
-// Take returns what is known of a shard that was assigned to this node, and forgets it.
-func (r *Receiver) Take(shard int, assignment authority.Assignment) *Snapshot {
+// TakeSnapshot returns what is known of a shard that was assigned to this node, and forgets it.
+func (r *Receiver) TakeSnapshot(shard int, assignment authority.Assignment) *Snapshot {
 	sent := r.snapshots[shard]
 	delete(r.snapshots, shard)
 	if replicated := r.takeReplicated(shard, assignment); replicated != nil {
@@ -209,7 +209,7 @@
 // takeReplicated returns the snapshot of a shard whose owner had this node stand by up to the
 // end of the assignment before, or nil.
 func (r *Receiver) takeReplicated(shard int, assignment authority.Assignment) *Snapshot {
-	defer r.standby.Forget(shard)
+	defer r.standby.DropStream(shard)
 	record := r.records[shard]
 	if assignment.PreviousToken == 0 || assignment.PreviousToken != record.Token {
 		return nil // somebody else has owned it since, or an older release assigned it
--- a/internal/core/transfer/transfer_test.go
+++ b/internal/core/transfer/transfer_test.go
@@ -119,19 +119,19 @@
 		"was another's meanwhile": {assignment: follows, discard: true},
 	} {
 		r := NewReceiver("b")
-		r.Receive(Message{Block: 2, Token: token, Machines: []replication.MachinePicture{{Name: "n-1"}}})
-		r.Receive(Message{Block: 2, Token: token - 1, Machines: []replication.MachinePicture{{Name: "n-2"}}}) // late
+		r.Receive(Message{Block: 2, Token: token, Machines: []replication.MachineSnapshot{{Name: "n-1"}}})
+		r.Receive(Message{Block: 2, Token: token - 1, Machines: []replication.MachineSnapshot{{Name: "n-2"}}}) // late
 		if test.discard {
 			r.Discard(2)
 		}
-		snapshot := r.Take(2, test.assignment)
+		snapshot := r.TakeSnapshot(2, test.assignment)
 		if got := snapshot.Covers("n-1", keys.MachinePrefix+"r-1"); got != test.want {
 			t.Errorf("%s: covers %v", name, got)
 		}
 		if snapshot.Covers("n-2", keys.MachinePrefix+"r-1") || snapshot.Complete() {
 			t.Errorf("%s: tells of what an older one told", name)
 		}
-		if r.Take(2, test.assignment).Covers("n-1", keys.MachinePrefix+"r-1") {
+		if r.TakeSnapshot(2, test.assignment).Covers("n-1", keys.MachinePrefix+"r-1") {
 			t.Errorf("%s: used twice", name)
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 	part := Message{Block: 1, Token: token}
 	for n := range 1000 {
-		part.Machines = append(part.Machines, replication.MachinePicture{Name: fmt.Sprint(n)})
+		part.Machines = append(part.Machines, replication.MachineSnapshot{Name: fmt.Sprint(n)})
 	}
 	for n := range 80 {
 		for i := range part.Machines {
@@ -179,9 +179,9 @@
 		"the state service fell": {record: record, assignment: authority.Assignment{PreviousToken: token}, rolledBack: true},
 	} {
 		r := NewReceiver("b")
-		r.LearnStandby(2, test.record)
-		message := replication.Message{Block: 2, Token: token, Run: 1, N: 1, Whole: true, Machines: []replication.MachinePicture{{Name: "n-1"}}}
-		if ack := r.ReceiveStarts(message, func(string, int) bool { return false }); ack.N != 1 {
+		r.ApplyStandby(2, test.record)
+		message := replication.Message{Block: 2, Token: token, Run: 1, N: 1, Whole: true, Machines: []replication.MachineSnapshot{{Name: "n-1"}}}
+		if ack := r.ReceiveReplication(message, func(string, int) bool { return false }); ack.N != 1 {
 			t.Fatalf("%s: %+v", name, ack)
 		}
 		if test.rolledBack {
@@ -193,14 +193,14 @@
 		if got := r.StandbyOf(2, token+1); got != "" {
 			t.Errorf("%s: of the next owner %q stands by", name, got)
 		}
-		snapshot := r.Take(2, test.assignment)
+		snapshot := r.TakeSnapshot(2, test.assignment)
 		if snapshot.Complete() != test.want || snapshot.Covers("n-2", keys.MachinePrefix+"r-1") != test.want || snapshot.Covers("n-1", keys.MachinePrefix+"r-1") != test.want {
 			t.Errorf("%s: complete %v", name, snapshot.Complete())
 		}
 		if snapshot.Covers("n-2", keys.OrphanMachine("n-2")) {
 			t.Errorf("%s: covers a machine of nobody", name)
 		}
-		if r.Take(2, test.assignment).Complete() {
+		if r.TakeSnapshot(2, test.assignment).Complete() {
 			t.Errorf("%s: used twice", name)
 		}
 	}
@@ -216,7 +216,7 @@
 
 func (n *fakeNext) Machines() map[string]*fleet.Machine { return n.machines }
 func (n *fakeNext) ActiveJob(id string) *jobs.Job       { return n.jobs[id] }
-func (n *fakeNext) RestoreMachine(m *fleet.Machine, last replication.MachinePicture) {
+func (n *fakeNext) RestoreMachine(m *fleet.Machine, last replication.MachineSnapshot) {
 	n.restored = append(n.restored, fmt.Sprint(m.Name, " ", last.Addr, " ", last.Session, " ", last.Seq, " ", len(last.Tasks)))
 }
 func (n *fakeNext) TaskFinished(_ *jobs.Job, task int) { n.finished = append(n.finished, task) }
@@ -231,12 +231,12 @@
 	for _, part := range last.Messages() {
 		r.Receive(part)
 	}
-	r.Receive(Message{Block: 2, Token: token, Done: []replication.TasksDone{{Job: "wk-000001", Tasks: []int{-1, 5, 0, 3}}, {Job: "wk-000009", Tasks: []int{0}}}})
+	r.Receive(Message{Block: 2, Token: token, Done: []replication.FinishedTasks{{Job: "wk-000001", Tasks: []int{-1, 5, 0, 3}}, {Job: "wk-000009", Tasks: []int{0}}}})
 	next := &fakeNext{jobs: map[string]*jobs.Job{"wk-000001": job("wk-000001", 5, 1)}, machines: map[string]*fleet.Machine{}}
 	for _, name := range []string{"n-1", "n-2", "n-4"} {
 		next.machines[name] = fleet.New(name, fleet.Record{Type: "big", Zone: "z", Up: true}, nil, 0)
 	}
-	snapshot := r.Take(2, authority.Assignment{TransferredFrom: token})
+	snapshot := r.TakeSnapshot(2, authority.Assignment{TransferredFrom: token})
 	if n := snapshot.Restore(next); n != 2 {
 		t.Errorf("%d machines", n)
 	}
--- a/internal/explore/following/following.go
+++ b/internal/explore/following/following.go
@@ -114,11 +114,11 @@
 func (w *World) Machines() []string { return names }
 
 // UnstoredTasks implements follow.Host.
-func (w *World) UnstoredTasks() []replication.TasksDone { return nil }
+func (w *World) UnstoredTasks() []replication.FinishedTasks { return nil }
 
 // SnapshotMachine implements follow.Host.
-func (w *World) SnapshotMachine(name string) replication.MachinePicture {
-	return replication.MachinePicture{Name: name, Tasks: slices.Clone(w.on[slices.Index(names, name)])}
+func (w *World) SnapshotMachine(name string) replication.MachineSnapshot {
+	return replication.MachineSnapshot{Name: name, Tasks: slices.Clone(w.on[slices.Index(names, name)])}
 }
 
 // Send implements follow.Host.
@@ -257,7 +257,7 @@
 			w.apply(x)
 		}
 	}
-	w.now += replication.FlushEvery
+	w.now += replication.FlushInterval
 	w.source.Tick(w.now, true)
 }
 
