--- a/internal/core/chunks/chunks.go
+++ b/internal/core/chunks/chunks.go
@@ -1,7 +1,6 @@
-// Package chunks keeps descriptions that are stored in chunks, as one value of the
-// state service is too small for them: the texts until a job's record has been learnt
-// with them, records that came before all of their chunks, and orphaned chunks, whose record
-// never came. It is pure.
+// Package chunks keeps job descriptions that are stored in chunks because one value of the state service is
+// too small for them. It holds the texts until the job's record has been applied with them, records that
+// arrived before all of their chunks, and orphaned chunks, which have no record. The package does no I/O.
 package chunks
 
 import (
@@ -16,29 +15,29 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Key is where one chunk of a job's description is stored.
+// Key returns the key of one chunk of a job's description.
 func Key(id, checksum string, number int) string {
 	return fmt.Sprintf("%s%s/%s/%d", keys.ChunkPrefix, id, checksum, number)
 }
 
-// JobID returns the job that a key belongs to.
+// JobID returns the ID of the job to which a chunk's key belongs.
 func JobID(key string) string {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, keys.ChunkPrefix), "/")
 	return id
 }
 
-// FirstKey returns the key of the first chunk of the description that a key belongs to.
-// The record that names a description guards the version of that chunk, so whoever
-// deletes it first may delete the others as long as it stays away.
+// FirstKey returns the key of the first chunk of the description to which a key belongs.
+// The record that names a description guards the version of its first chunk. So whoever
+// deletes the first chunk first may delete the others as long as the first is absent.
 func FirstKey(key string) string { return key[:strings.LastIndexByte(key, '/')+1] + "0" }
 
-// Store is what a controller keeps of them. Its memory grows with the chunks that are
-// stored; a job's texts are dropped once its record has been learnt.
+// Store holds the chunks that a controller knows. Its memory grows with the number of
+// stored chunks; the texts of a job are dropped once its record has been applied. Use New.
 type Store struct {
-	texts       map[string]map[string]string  // by job and key; "" where nobody needs it any more
-	incomplete  map[string]store.Event        // records of which chunks are missing
-	orphans     map[string]units.Microseconds // jobs with chunks and no record, and when the last chunk came
-	orphanQueue []orphan                      // the same in the order of time; those that no longer hold are passed over
+	texts       map[string]map[string]string  // by job and key; "" once the text is no longer needed
+	incomplete  map[string]store.Event        // records whose chunks have not all arrived, by job
+	orphans     map[string]units.Microseconds // jobs with chunks and no record, with the time of the last chunk
+	orphanQueue []orphan                      // the same in order of time; outdated entries are skipped
 }
 
 type orphan struct {
@@ -51,8 +50,9 @@
 	return &Store{texts: map[string]map[string]string{}, incomplete: map[string]store.Event{}, orphans: map[string]units.Microseconds{}}
 }
 
-// Apply takes a chunk. recordKnown says that its job's record has been learnt already, so that
-// nobody needs the text. It returns the record that waits for chunks, if one does.
+// Apply applies a stored chunk. recordKnown reports whether its job's
+// record has been applied already, so that the text is not needed. If a
+// record waits for chunks of the job, Apply returns it, and waits is true.
 func (s *Store) Apply(now units.Microseconds, chunk store.Event, recordKnown bool) (record store.Event, waits bool, err error) {
 	id := JobID(chunk.Key)
 	text, err := jobs.ChunkText(chunk.Value)
@@ -68,19 +68,18 @@
 	}
 	s.texts[id][chunk.Key] = text
 	if record, waits = s.incomplete[id]; !waits {
-		s.recordMissing(now, id)
+		s.addOrphan(now, id)
 	}
 	return record, waits, nil
 }
 
-// recordMissing notes that a record is missing.
-func (s *Store) recordMissing(now units.Microseconds, id string) {
+// addOrphan records that a job has chunks and no record.
+func (s *Store) addOrphan(now units.Microseconds, id string) {
 	s.orphans[id] = now
 	s.orphanQueue = append(s.orphanQueue, orphan{id, now})
 }
 
-// Delete drops a chunk that is no longer stored, and reports whether it was the last of
-// its job's.
+// Delete removes a chunk that is no longer stored, and reports whether it was the last one of its job.
 func (s *Store) Delete(key string) bool {
 	id := JobID(key)
 	if delete(s.texts[id], key); len(s.texts[id]) > 0 {
@@ -91,15 +90,15 @@
 	return true
 }
 
-// Keys returns the keys of a job's chunks in their order: of each description the
-// first chunk comes first.
+// Keys returns the keys of a job's chunks in order, so that
+// the first chunk of each description precedes its others.
 func (s *Store) Keys(id string) []string { return slices.Sorted(maps.Keys(s.texts[id])) }
 
 // HasChunks reports whether any chunk of a job is stored.
 func (s *Store) HasChunks(id string) bool { return len(s.texts[id]) > 0 }
 
-// Join completes a record with its description, and reports whether all of its chunks
-// are there. Where they are not, the record waits for them.
+// Join adds the description to a record and returns true if all of its chunks are there. Otherwise it keeps
+// the record until they are. An error means that the chunks cannot be joined; the record is kept then too.
 func (s *Store) Join(id string, record *jobs.Record, event store.Event) (bool, error) {
 	delete(s.orphans, id)
 	texts := make([]string, record.Chunks)
@@ -121,14 +120,14 @@
 	return true, nil
 }
 
-// RecordApplied notes that a job's record has been learnt, or needs no chunks.
+// RecordApplied notes that a job's record has been applied, or needs no chunks.
 func (s *Store) RecordApplied(id string) {
 	delete(s.incomplete, id)
 	delete(s.orphans, id)
 }
 
-// NextOrphan returns a job of which chunks but no record have been known for some time: its
-// submission was abandoned half-way. It is returned once, unless Defer puts it back.
+// NextOrphan returns a job that has had chunks and no record for at least the given time, because
+// its submission was not completed. The job is removed from the queue; RequeueOrphan adds it again.
 func (s *Store) NextOrphan(now, after units.Microseconds) (id string, ok bool) {
 	for len(s.orphanQueue) > 0 && now-s.orphanQueue[0].since >= after {
 		oldest := s.orphanQueue[0]
@@ -140,9 +139,9 @@
 	return "", false
 }
 
-// RequeueOrphan has Orphaned return a job again after the same time.
+// RequeueOrphan makes NextOrphan return a job once more, after the full time.
 func (s *Store) RequeueOrphan(now units.Microseconds, id string) {
 	if _, orphaned := s.orphans[id]; orphaned {
-		s.recordMissing(now, id)
+		s.addOrphan(now, id)
 	}
 }
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -1,6 +1,6 @@
-// Package introspect answers operators' questions: what there is and what it does (Stats), why a
-// job waits (Explain), and whether everything in the state service should be there (Inspector).
-// It reads what other packages own, and changes nothing.
+// Package introspect answers operators' questions: the state of shards, machines and jobs
+// (Stats), why a job waits (Explain), and whether everything in the state service should
+// be there (Inspector). It reads data that other packages own, and changes nothing.
 package introspect
 
 import (
@@ -22,69 +22,69 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Finding is something in the state service that should not be there, or not so.
+// Finding is a key in the state service that should not be there, or has a wrong value.
 type Finding struct {
 	Kind string `json:"kind"` // see docs/backup.md
 	Key  string `json:"key"`
 	Text string `json:"text"`
-	// Clear are guarded changes that are safe at any time; none: it is for an operator
-	// to judge.
+	// Clear is a guarded write that is safe at any time and
+	// removes the cause. It is nil if an operator must decide.
 	Clear *store.Write `json:"-"`
 	Fix   bool         `json:"can_be_cleared,omitempty"`
 }
 
-// Inspector audits every key of a state service, those under keys.Root first and the archive's
-// buckets after them. Its memory grows with unfinished work and what is kept, and by a few bytes
-// with each bucket.
+// Inspector audits every key of a state service: first those under keys.Root,
+// then the archive's buckets. Its memory grows with the jobs that are unfinished
+// or not archived yet, and by a few bytes with each bucket. Use NewInspector.
 type Inspector struct {
-	found       []Finding
-	keyCounts   map[string]int // by folder
-	jobs        map[string]jobSummary
-	chunks      map[string][]store.Event // by job
-	progress    map[string][]store.Event // by job
-	members     map[string]uint64        // version of each member's record
-	assignments map[int]store.Event
-	groups      []store.Event
-	types       []store.Event
-	awaited     map[string][]string // ids that are awaited and have no record, by whom
-	mark        *archive.Mark
-	bucketBits  map[uint32]int // depth of each bucket
-	archived    int            // jobs
+	found        []Finding
+	keyCounts    map[string]int // by key prefix
+	jobs         map[string]jobSummary
+	chunks       map[string][]store.Event // by job
+	progress     map[string][]store.Event // by job
+	members      map[string]uint64        // version of each membership record
+	assignments  map[int]store.Event
+	groups       []store.Event
+	types        []store.Event
+	dependents   map[string][]string // by id of a job that is awaited and not archived: the jobs that await it
+	archiveMark  *archive.Mark
+	bucketDepths map[uint32]int // depth of each bucket
+	archived     int            // number of archived jobs
 }
 
-// jobSummary is what counts of a job's record.
+// jobSummary is the part of a job's record that the audit needs.
 type jobSummary struct {
-	status  jobs.Status
-	version uint64
-	chunks  int
-	sum     string
+	status   jobs.Status
+	version  uint64
+	chunks   int
+	checksum string
 }
 
-// overrideRecord is an operator's override for a zone, as stored.
+// overrideRecord is the stored record of an operator's override for a zone.
 type overrideRecord struct {
-	Word zones.Override `json:"word"`
+	Override zones.Override `json:"word"`
 }
 
-// NewInspector returns one that has seen nothing.
+// NewInspector returns an Inspector that has inspected nothing yet.
 func NewInspector() *Inspector {
 	return &Inspector{
-		keyCounts:   map[string]int{},
-		jobs:        map[string]jobSummary{},
-		chunks:      map[string][]store.Event{},
-		progress:    map[string][]store.Event{},
-		members:     map[string]uint64{},
-		assignments: map[int]store.Event{},
-		awaited:     map[string][]string{},
-		bucketBits:  map[uint32]int{},
+		keyCounts:    map[string]int{},
+		jobs:         map[string]jobSummary{},
+		chunks:       map[string][]store.Event{},
+		progress:     map[string][]store.Event{},
+		members:      map[string]uint64{},
+		assignments:  map[int]store.Event{},
+		dependents:   map[string][]string{},
+		bucketDepths: map[uint32]int{},
 	}
 }
 
-// find notes a finding; clear is nil where it is for an operator to judge.
-func (s *Inspector) find(kind, key string, clear *store.Write, format string, args ...any) {
+// addFinding records a finding; clear is nil if an operator must decide.
+func (s *Inspector) addFinding(kind, key string, clear *store.Write, format string, args ...any) {
 	s.found = append(s.found, Finding{Kind: kind, Key: key, Text: fmt.Sprintf(format, args...), Clear: clear, Fix: clear != nil})
 }
 
-// Inspect takes a key under keys.Root.
+// Inspect inspects one key under keys.Root.
 func (s *Inspector) Inspect(e store.Event) {
 	folder, rest, _ := strings.Cut(strings.TrimPrefix(e.Key, keys.Root), "/")
 	s.keyCounts[keys.Root+folder]++
@@ -93,17 +93,17 @@
 		known, err = s.inspectAuthority(e, rest)
 	}
 	if !known {
-		s.find("foreign", e.Key, nil, "no release of this program writes such a key")
+		s.addFinding("foreign", e.Key, nil, "no release of this program writes such a key")
 	}
 	if err != nil {
-		s.find("unreadable", e.Key, nil, "cannot be read: %v", err)
+		s.addFinding("unreadable", e.Key, nil, "cannot be read: %v", err)
 	}
 }
 
-// inspectWork takes a key of jobs, machines and archived jobs, and reports whether it is one.
+// inspectWork inspects a key of jobs, machines or the archive, and reports whether it is one.
 func (s *Inspector) inspectWork(event store.Event, rest string) (known bool, err error) {
 	id, _, _ := strings.Cut(rest, "/")
-	seen := store.Event{Key: event.Key, Stamp: event.Stamp} // without its value
+	seen := store.Event{Key: event.Key, Stamp: event.Stamp} // without its value, to save memory
 	switch {
 	case strings.HasPrefix(event.Key, keys.JobPrefix):
 		err = s.inspectJob(event)
@@ -119,15 +119,15 @@
 		s.types = append(s.types, seen)
 		err = json.Unmarshal(event.Value, &fleet.Type{})
 	case event.Key == keys.ArchiveMark:
-		s.mark = &archive.Mark{}
-		err = json.Unmarshal(event.Value, s.mark)
+		s.archiveMark = &archive.Mark{}
+		err = json.Unmarshal(event.Value, s.archiveMark)
 	default:
 		return false, nil
 	}
 	return true, err
 }
 
-// inspectAuthority takes a key of controllers and operators, and reports whether it is one.
+// inspectAuthority inspects a key of controllers or operators, and reports whether it is one.
 func (s *Inspector) inspectAuthority(event store.Event, rest string) (known bool, err error) {
 	switch {
 	case strings.HasPrefix(event.Key, keys.MemberPrefix):
@@ -160,46 +160,46 @@
 	id := e.Key[len(keys.JobPrefix):]
 	record, err := jobs.DecodeRecord(e.Value)
 	if err != nil {
-		s.jobs[id] = jobSummary{status: jobs.Pending, version: e.Stamp} // its chunks and progress stay
+		s.jobs[id] = jobSummary{status: jobs.Pending, version: e.Stamp} // as pending, so that its chunks and progress are not findings
 		return err
 	}
-	s.jobs[id] = jobSummary{status: record.Status, version: e.Stamp, chunks: record.Chunks, sum: record.Checksum}
+	s.jobs[id] = jobSummary{status: record.Status, version: e.Stamp, chunks: record.Chunks, checksum: record.Checksum}
 	if record.Spec != nil && !record.Status.Final() {
 		for _, awaited := range record.Spec.Awaits {
-			s.awaited[awaited] = append(s.awaited[awaited], id)
+			s.dependents[awaited] = append(s.dependents[awaited], id)
 		}
 	}
 	return nil
 }
 
-// InspectBucket takes a key of archived jobs.
+// InspectBucket inspects one bucket of archived jobs.
 func (s *Inspector) InspectBucket(e store.Event) {
 	s.keyCounts[strings.TrimSuffix(archive.Prefix, "/")]++
 	bucket, err := archive.Decode(e.Key, e.Value)
 	if err != nil {
-		s.find("unreadable", e.Key, nil, "archived jobs that cannot be read: %v", err)
+		s.addFinding("unreadable", e.Key, nil, "archived jobs that cannot be read: %v", err)
 		return
 	}
-	s.bucketBits[bucket.Number] = bucket.Depth
+	s.bucketDepths[bucket.Number] = bucket.Depth
 	s.archived += len(bucket.Jobs)
 	for id := range bucket.IDs() {
 		if job, ok := s.jobs[id]; ok && !job.status.Final() {
-			s.find("twice", keys.Job(id), nil, "is archived as over, and its record calls it %s", job.status)
+			s.addFinding("twice", keys.Job(id), nil, "is archived as over, and its record calls it %s", job.status)
 		}
-		delete(s.awaited, id)
+		delete(s.dependents, id)
 	}
 }
 
-// Keys returns how many keys there are by folder, and how many jobs are archived.
+// Keys returns the number of keys by prefix, and the number of archived jobs.
 func (s *Inspector) Keys() (counts map[string]int, archived int) { return s.keyCounts, s.archived }
 
-// Machines returns the record of each machine that has one.
+// Machines returns the key of the record of each machine that has one, by the machine's name.
 func (s *Inspector) Machines() map[string]string {
 	records := map[string]string{}
 	for _, e := range s.groups {
 		group, err := fleet.DecodeGroup(e.Key[len(keys.MachinePrefix):], e.Value)
 		if err != nil {
-			continue // Findings has it as unreadable
+			continue // Findings reports it as unreadable
 		}
 		for _, name := range slices.Concat(group.Up, group.Booting) {
 			records[name] = e.Key
@@ -208,7 +208,7 @@
 	return records
 }
 
-// Findings returns what was found once every key was inspected.
+// Findings returns all findings. It is called after every key was inspected.
 func (s *Inspector) Findings() []Finding {
 	s.auditDependencies()
 	s.auditChunks()
@@ -221,9 +221,9 @@
 }
 
 func (s *Inspector) auditDependencies() {
-	for _, id := range sortedKeys(s.awaited) {
+	for _, id := range sortedKeys(s.dependents) {
 		if _, ok := s.jobs[id]; !ok {
-			s.find("awaits_nothing", keys.Job(s.awaited[id][0]), nil, "%d jobs await %s, which has no record and is not archived: they never start", len(s.awaited[id]), id)
+			s.addFinding("awaits_nothing", keys.Job(s.dependents[id][0]), nil, "%d jobs await %s, which has no record and is not archived: they never start", len(s.dependents[id]), id)
 		}
 	}
 }
@@ -234,27 +234,27 @@
 		list := s.chunks[id]
 		switch {
 		case !ok:
-			// A submission may be storing them at this moment: its record could follow.
-			s.find("headless", list[0].Key, nil, "%d chunks of a description whose job was never accepted, or is archived; controllers delete them after ten minutes", len(list))
+			// The submission may still be in progress: its record is stored after its chunks.
+			s.addFinding("headless", list[0].Key, nil, "%d chunks of a description whose job was never accepted, or is archived; controllers delete them after ten minutes", len(list))
 		case job.status.Final():
-			s.find("leftover", list[0].Key, s.deletion(id, list), "%d chunks of the description of a job that is over", len(list))
+			s.addFinding("leftover", list[0].Key, s.deletion(id, list), "%d chunks of the description of a job that is over", len(list))
 		default:
 			s.auditDescription(id, job, list)
 		}
 	}
 }
 
-// auditDescription finds chunks that the record of an unfinished job names and that are missing.
+// auditDescription finds missing chunks of an unfinished job's description.
 func (s *Inspector) auditDescription(id string, job jobSummary, list []store.Event) {
 	have := 0
 	for n := range job.chunks {
-		key := chunks.Key(id, job.sum, n)
+		key := chunks.Key(id, job.checksum, n)
 		if slices.ContainsFunc(list, func(e store.Event) bool { return e.Key == key }) {
 			have++
 		}
 	}
 	if have < job.chunks {
-		s.find("incomplete", keys.Job(id), nil, "%d of %d chunks of its description are there: it never starts", have, job.chunks)
+		s.addFinding("incomplete", keys.Job(id), nil, "%d of %d chunks of its description are there: it never starts", have, job.chunks)
 	}
 }
 
@@ -264,13 +264,15 @@
 		if ok && !job.status.Final() {
 			continue
 		}
-		// Who stores progress guards the record of an unfinished job: none can come.
+		// No further progress can be stored, because such a
+		// write is guarded by the record of an unfinished job.
 		list := s.progress[id]
-		s.find("leftover", list[0].Key, s.deletion(id, list), "%d records of finished tasks of a job that is over or not there", len(list))
+		s.addFinding("leftover", list[0].Key, s.deletion(id, list), "%d records of finished tasks of a job that is over or not there", len(list))
 	}
 }
 
-// deletion deletes keys as long as the record of a job is as it was seen.
+// deletion returns a write that deletes keys, guarded by
+// the version of the job's record that was inspected.
 func (s *Inspector) deletion(id string, list []store.Event) *store.Write {
 	write := &store.Write{Guards: []store.Guard{{Key: keys.Job(id), Version: s.jobs[id].version}}}
 	for _, e := range list {
@@ -283,15 +285,15 @@
 	for _, e := range s.groups {
 		group, err := fleet.DecodeGroup(e.Key[len(keys.MachinePrefix):], e.Value)
 		if err != nil {
-			s.find("unreadable", e.Key, nil, "cannot be read: %v", err)
+			s.addFinding("unreadable", e.Key, nil, "cannot be read: %v", err)
 			continue
 		}
 		if len(group.Up)+len(group.Booting) == 0 {
 			clear := &store.Write{Guards: []store.Guard{{Key: e.Key, Version: e.Stamp}}, Changes: []store.Change{{Key: e.Key}}}
-			s.find("no_machines", e.Key, clear, "names no machine")
+			s.addFinding("no_machines", e.Key, clear, "names no machine")
 		}
 		if _, ok := s.assignments[group.Shard]; !ok {
-			s.find("no_block", e.Key, nil, "its machines belong to shard %d, which does not exist", group.Shard)
+			s.addFinding("no_block", e.Key, nil, "its machines belong to shard %d, which does not exist", group.Shard)
 		}
 	}
 }
@@ -301,28 +303,28 @@
 		assignment, err := authority.DecodeAssignment(s.assignments[shard].Value)
 		switch {
 		case err != nil:
-			s.find("unreadable", keys.Assignment(shard), nil, "cannot be read: %v", err)
+			s.addFinding("unreadable", keys.Assignment(shard), nil, "cannot be read: %v", err)
 		case assignment.Node != "" && s.members[assignment.Node] != assignment.MemberID:
-			s.find("no_seat", keys.Assignment(shard), nil, "is owned under a membership of %s that has ended; the leader assigns it anew", assignment.Node)
+			s.addFinding("no_seat", keys.Assignment(shard), nil, "is owned under a membership of %s that has ended; the leader assigns it anew", assignment.Node)
 		}
 	}
 }
 
 func (s *Inspector) auditTypes() {
-	if s.mark == nil {
+	if s.archiveMark == nil {
 		return
 	}
 	for _, e := range s.types {
 		if strings.HasPrefix(e.Key, keys.TypePrefix) {
-			s.find("leftover", e.Key, nil, "a machine type where only older releases look; the leader deletes it")
+			s.addFinding("leftover", e.Key, nil, "a machine type where only older releases look; the leader deletes it")
 		}
 	}
 }
 
 func (s *Inspector) auditBuckets() {
-	for _, number := range slices.Sorted(maps.Keys(s.bucketBits)) {
-		if key, why := archive.Misplaced(number, s.bucketBits); why != "" {
-			s.find("misplaced", key, nil, "%s", why)
+	for _, number := range slices.Sorted(maps.Keys(s.bucketDepths)) {
+		if key, why := archive.Misplaced(number, s.bucketDepths); why != "" {
+			s.addFinding("misplaced", key, nil, "%s", why)
 		}
 	}
 }
--- a/internal/core/introspect/explain.go
+++ b/internal/core/introspect/explain.go
@@ -10,37 +10,38 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// JobState is what a controller knows of a job and of where it belongs.
+// JobState is what a controller knows of a job and its shard.
 type JobState struct {
 	Now   units.Microseconds
 	Job   *jobs.Job
-	Shard *OwnedShard    // nil: another controller owns it
-	Other *RemoteShard // if so
+	Shard *OwnedShard  // nil: another controller owns it
+	Other *RemoteShard // set only if Shard is nil
 }
 
 // RemoteShard is what a controller knows of a shard that it does not own.
 type RemoteShard struct {
 	Assignment any // as stored
 	Leader     string
-	Membership string // of this controller
-	Cache      string // state of the copy of the state service's keys
-	Writes     int    // that wait
+	Membership string // state of this controller's membership
+	Cache      string // state of the watch cache
+	Writes     int    // number of writes that are queued
 }
 
-// OwnedShard is a shard as its owner knows it.
+// OwnedShard is the state of a shard as its owner knows it.
 type OwnedShard struct {
 	Number       int
 	FencingToken uint64
-	Allocation   float64 // part of every team's limit
+	Allocation   float64 // fraction of every team's limit
 	Usage        binpack.Vec
 	Releasing    bool
 	Unreconciled int
-	Provisioning int // requests to the cloud that are open
+	Provisioning int // number of open requests to the cloud
 	CloudReady   bool
 	Machines     map[string]*fleet.Machine
 }
 
-// Explain says in a few lines why a job is where it is, for operators' logs and for failed tests.
+// Explain describes in a few lines the state of a job and
+// why it waits, for operators' logs and for failed tests.
 func Explain(state JobState) string {
 	var text strings.Builder
 	job := state.Job
--- a/internal/core/introspect/introspect_test.go
+++ b/internal/core/introspect/introspect_test.go
@@ -22,7 +22,7 @@
 	return jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: &jobs.Spec{Team: "t", Tasks: 1, Awaits: awaits}}
 }
 
-// healthy is what a state service holds of which nothing is to be found.
+// healthy returns the contents of a state service without findings.
 func healthy() map[string]any {
 	return map[string]any{
 		keys.Leader:                     authority.LeaderRecord{Node: "a"},
@@ -37,12 +37,12 @@
 	}
 }
 
-// findingTest is what is stored beside, or in place of, what is healthy, and what is to be found.
+// findingTest is what a test stores in addition to healthy, or in place of it, and the expected finding.
 type findingTest struct {
 	stored map[string]any
-	kind   string // "": nothing is found
+	kind   string // "": no finding
 	key    string
-	guard  string // of what clears it; "": nothing does
+	guard  string // key that guards the write which clears it; "": no such write
 }
 
 func findingTests() map[string]findingTest {
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestFindings has one thing at a time wrong in what is stored. A finding may be cleared only by
-// changes that are guarded by what was seen.
+// TestFindings guards against an audit that misses a fault or clears something that is still in use. Each
+// case stores one fault. Only findings with a write that is guarded by what was inspected may be cleared.
 func TestFindings(t *testing.T) {
 	for name, test := range findingTests() {
 		t.Run(name, func(t *testing.T) {
@@ -124,6 +124,7 @@
 	}
 }
 
+// TestKeysAndMachines guards against wrong counts of keys and machines in the audit's result.
 func TestKeysAndMachines(t *testing.T) {
 	inspector := NewInspector()
 	for key, value := range healthy() {
@@ -150,7 +151,8 @@
 	return m
 }
 
-// TestShardStats counts machines by kind, and logs what it counts.
+// TestShardStats guards against machines counted for the
+// wrong kind, and against figures that are not logged.
 func TestShardStats(t *testing.T) {
 	stats := ShardStats{Shard: 1}
 	stats.AddMachines(map[string]*fleet.Machine{
@@ -186,8 +188,9 @@
 	}
 }
 
-// TestExplain names what a job waits for: dependencies, another owner, or its own shard's machines.
-func TestExplain(t *testing.T) {
+// TestExplainPendingJob checks that the text names what a job waits for:
+// dependencies, the shard's other owner, or its own shard's machines.
+func TestExplainPendingJob(t *testing.T) {
 	job := &jobs.Job{ID: "wk-000002", OpenDependencies: 1, CancelledBy: "wk-000001", Record: pending("wk-000001")}
 	job.ClearPlacements()
 	for name, test := range map[string]struct {
--- a/internal/core/introspect/stats.go
+++ b/internal/core/introspect/stats.go
@@ -9,37 +9,37 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// Stats is what an operator may want to watch of a controller.
+// Stats are the figures of a controller that an operator may want to monitor.
 type Stats struct {
 	Member       bool
 	Leading      bool
 	Full         bool   // memory is nearly full
 	KnownJobs    int    // in memory, final ones included
-	Keys         int    // in the copy of the state service's keys
-	FinishedJobs int    // jobs that are over and not archived
-	ArchivedIDs  int    // archived jobs that the filter knows
-	ArchiveReads uint64 // buckets read since the start
-	ArchiveShed  uint64 // look-ups refused since the start
+	Keys         int    // in the watch cache
+	FinishedJobs int    // final jobs that are not archived
+	ArchivedIDs  int    // archived jobs whose IDs the filter holds
+	ArchiveReads uint64 // buckets read since the controller started
+	ArchiveShed  uint64 // look-ups refused since the controller started
 	ActiveJobs   int    // of all shards
-	BlockedJobs  int    // of those, the ones that wait for others to be done
-	Writes       int    // that wait for the state service
+	BlockedJobs  int    // active jobs that wait for other jobs
+	Writes       int    // queued for the state service
 	Zones        []zones.ZoneStats
 	Shards       []ShardStats
 }
 
-// ShardStats tells of a shard that the controller owns.
+// ShardStats are the figures of a shard that the controller owns.
 type ShardStats struct {
 	Shard          int
 	Jobs           int
 	Waiting        int    // tasks
 	Placed         int    // tasks
-	Started        uint64 // tasks, since this controller has owned it
+	Started        uint64 // tasks started since this controller has owned the shard
 	Unreconciled   int    // machines
-	Standby        string // who knows all that is started here; "": nobody
+	Standby        string // stored standby; "": none
 	Ordinary, Spot PoolStats
 }
 
-// PoolStats tells of the machines of one kind.
+// PoolStats are the figures of the machines of one kind, ordinary or spot.
 type PoolStats struct {
 	Machines, Booting, Idle int
 	UsedCPUs, CPUs          int64
@@ -47,7 +47,7 @@
 
 const milliCPU = 1000 // thousandths of a CPU
 
-// AddMachines counts a shard's machines.
+// AddMachines adds machines to the figures.
 func (s *ShardStats) AddMachines(machines map[string]*fleet.Machine) {
 	for _, machine := range machines {
 		if machine.Record.Spot {
@@ -71,7 +71,7 @@
 	}
 }
 
-// AddJobs counts a shard's jobs.
+// AddJobs adds active jobs to the figures.
 func (s *ShardStats) AddJobs(active []*jobs.Job) {
 	s.Jobs += len(active)
 	for _, job := range active {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Log tells an operator what there is in a shard and what it does.
+// Log logs the figures of the shard's machines and jobs.
 func (s *ShardStats) Log(log *slog.Logger) {
 	s.Ordinary.log(log, "ordinary")
 	s.Spot.log(log, "spot")
--- a/internal/core/keys/keys.go
+++ b/internal/core/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys names every key of the state service in one place. Their text is what earlier
-// releases have stored and must stay as it is: "block" is a shard, "share" a quota allocation,
-// "follow" a standby, "seat" a membership, "past" the archive, "part" a chunk of a description.
+// Package keys defines every key of the state service. The texts of the keys are those of the first release
+// and must not change, because earlier releases have stored them: "block" is a shard, "share" a quota
+// allocation, "follow" a standby, "seat" a membership, "past" the archive, "part" a chunk of a description.
 package keys
 
 import (
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// Root is the prefix of every key but those of archived jobs.
+// Root is the prefix of every key except those of archived jobs.
 const Root = "shalestage/"
 
-// Prefixes, and keys that exist once. A listing comes in the order of the keys: jobs, then the
-// chunks of their descriptions, then their progress.
+// Prefixes, and keys that exist once. A listing is in the order of the keys: jobs
+// come before the chunks of their descriptions, and those before their progress.
 const (
 	JobPrefix        = Root + "job/"
-	ChunkPrefix      = Root + "part/"     // JOB/SUM/N, of a description that does not fit one value
-	ProgressPrefix   = Root + "progress/" // JOB/RECORD
-	MachinePrefix    = Root + "machine/"  // REQUEST, the group that was provisioned by it
+	ChunkPrefix      = Root + "part/"     // JOB/SUM/N: chunk N of a description that does not fit into one value
+	ProgressPrefix   = Root + "progress/" // JOB/RECORD: finished tasks of a job
+	MachinePrefix    = Root + "machine/"  // REQUEST: the group of machines that the request provisioned
 	TypePrefix       = Root + "type/"
 	MemberPrefix     = Root + "seat/"
 	AssignmentPrefix = Root + "block/"
@@ -28,35 +28,36 @@
 	OverridePrefix   = Root + "zone/"
 	Leader           = Root + "leader"
 	Term             = Root + "term"
-	// ArchiveMark tells up to which revision finished jobs are archived. Once it is there,
-	// the leader's record and machine types are where releases without an archive do not look.
+	// ArchiveMark holds the revision up to which finished jobs are archived.
+	// Once it exists, the leader record and machine types are stored under
+	// the keys below, where releases without an archive do not look for them.
 	ArchiveMark           = Root + "past"
 	LeaderSinceArchive    = Root + "lead"
 	TypePrefixWithArchive = Root + "kind/"
-	// ArchivePrefix is where buckets of archived jobs are, outside Root: no controller keeps a
-	// copy of them.
+	// ArchivePrefix is the prefix of buckets of archived jobs.
+	// It is outside Root, because no controller caches them.
 	ArchivePrefix = "shalestage-past/"
 )
 
-// Job is where a job's record is stored.
+// Job returns the key of a job's record.
 func Job(id string) string { return JobPrefix + id }
 
-// Progress is where a record of a job's finished tasks is stored.
+// Progress returns the key of a record of a job's finished tasks.
 func Progress(id, record string) string { return ProgressPrefix + id + "/" + record }
 
-// Assignment is where the owner of a shard is stored.
+// Assignment returns the key of a shard's assignment to its owner.
 func Assignment(shard int) string { return AssignmentPrefix + strconv.Itoa(shard) }
 
-// Allocation is where a shard's part of the quotas is stored.
+// Allocation returns the key of a shard's part of the quotas.
 func Allocation(shard int) string { return AllocationPrefix + strconv.Itoa(shard) }
 
-// Standby is where it is stored who stands by for a shard's owner.
+// Standby returns the key of the record of a shard's standby.
 func Standby(shard int) string { return StandbyPrefix + strconv.Itoa(shard) }
 
-// MaxShards bounds the numbers of shards, far above any number of controllers.
+// MaxShards bounds the numbers of shards. It is far above any number of controllers.
 const MaxShards = 1024
 
-// Shard returns the number of the shard that a key under a prefix is for.
+// Shard returns the shard number in a key with the given prefix.
 func Shard(key, prefix string) (int, error) {
 	shard, err := strconv.Atoi(key[len(prefix):])
 	if err != nil {
@@ -70,8 +71,8 @@
 
 const orphanPrefix = MachinePrefix + "x-"
 
-// OrphanMachine is where a machine is stored that no request is known to have provisioned.
+// OrphanMachine returns the key of a machine for which no provisioning request is known.
 func OrphanMachine(name string) string { return orphanPrefix + name }
 
-// IsOrphanMachine reports whether a key is one of OrphanMachine.
+// IsOrphanMachine reports whether a key was made by OrphanMachine.
 func IsOrphanMachine(key string) bool { return strings.HasPrefix(key, orphanPrefix) }
--- a/internal/core/keys/keys_test.go
+++ b/internal/core/keys/keys_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestText pins what earlier releases have stored.
-func TestText(t *testing.T) {
+// TestStoredKeyText guards against a changed key: data that
+// earlier releases have stored under it would be lost.
+func TestStoredKeyText(t *testing.T) {
 	for got, want := range map[string]string{
 		Job("wk-1"):            "shalestage/job/wk-1",
 		Progress("wk-1", "00"): "shalestage/progress/wk-1/00",
@@ -30,7 +31,9 @@
 	}
 }
 
-func TestShard(t *testing.T) {
+// TestShardNumberInKey guards against shard numbers out of
+// range and against orphaned machines that are not recognized.
+func TestShardNumberInKey(t *testing.T) {
 	for key, want := range map[string]int{Assignment(0): 0, Assignment(MaxShards - 1): MaxShards - 1} {
 		if n, err := Shard(key, AssignmentPrefix); err != nil || n != want {
 			t.Errorf("%s: %d, %v", key, n, err)
@@ -42,6 +45,6 @@
 		}
 	}
 	if !IsOrphanMachine(OrphanMachine("n-1")) || IsOrphanMachine(MachinePrefix+"r-1") {
-		t.Error("orphaned machines")
+		t.Error("IsOrphanMachine does not tell the key of an orphaned machine from that of a group")
 	}
 }
--- a/internal/core/peering/directory.go
+++ b/internal/core/peering/directory.go
@@ -6,43 +6,45 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// MaxPeers bounds the controllers that one controller is connected with.
+// MaxPeers bounds the other controllers to which one controller is connected.
 const MaxPeers = 32
 
 const (
-	// StatusInterval is the time between two statuses of a controller.
+	// StatusInterval is the time between two statuses that a controller sends.
 	StatusInterval units.Microseconds = 300_000
-	// AliveTimeout is how long a controller counts as alive after its last status: a few intervals.
+	// AliveTimeout is the time after its last status for
+	// which a controller counts as alive: four intervals.
 	AliveTimeout = 1200 * units.Second / 1000
-	// ServedTimeout is how long the state service counts as serving a controller after its last answer.
+	// ServedTimeout is the time after its last answer for
+	// which the state service counts as serving a controller.
 	ServedTimeout = 1 * units.Second
 )
 
-// Config is what stays the same for a directory's life.
+// Config is the fixed configuration of a Directory.
 type Config struct {
 	Node  string   // this controller
 	Peers []string // the others
 	Log   *slog.Logger
 }
 
-// Directory is what a controller knows of the others. Use NewDirectory.
+// Directory keeps the last status and the release of every other controller. Use NewDirectory.
 type Directory struct {
 	cfg            Config
 	names          []string
 	peers          map[string]*peer
-	releases       map[string]int             // as last sent or stored
-	olderReleaseAt map[int]units.Microseconds // by release: when another controller was last not known to run it or a later one
+	releases       map[string]int             // as last sent or stored, by controller
+	olderReleaseAt map[int]units.Microseconds // by release: when some other controller was last not known to run it or a later one
 }
 
 // peer is one other controller.
 type peer struct {
 	status       PeerStatus
-	receivedAt   units.Microseconds // when; 0: never
+	receivedAt   units.Microseconds // time of the last status; 0: none received yet
 	unresponsive bool               // as last logged
-	rollbackMark units.Microseconds // its mark of the last time that the state service went back
+	rollbackMark units.Microseconds // last value of PeerStatus.Back that was handled
 }
 
-// NewDirectory returns a directory that has heard of nobody yet.
+// NewDirectory returns a directory that has received no status yet.
 func NewDirectory(cfg Config) *Directory {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -60,14 +62,14 @@
 // IsPeer reports whether a controller is one of the others.
 func (d *Directory) IsPeer(node string) bool { return d.peers[node] != nil }
 
-// ReceiveStatus takes a controller's status.
+// ReceiveStatus stores a controller's status.
 func (d *Directory) ReceiveStatus(now units.Microseconds, node string, status PeerStatus) {
 	if known := d.peers[node]; known != nil {
 		known.status, known.receivedAt = status, now
 	}
 }
 
-// Status returns the last status of a controller; the zero value before there is any.
+// Status returns the last status of a controller, or the zero value if none was received.
 func (d *Directory) Status(node string) PeerStatus {
 	if known := d.peers[node]; known != nil {
 		return known.status
@@ -75,7 +77,7 @@
 	return PeerStatus{}
 }
 
-// Alive reports whether a controller has sent a status lately.
+// Alive reports whether the last status of a controller is younger than AliveTimeout.
 func (d *Directory) Alive(now units.Microseconds, node string) bool {
 	known := d.peers[node]
 	return known != nil && known.alive(now)
@@ -95,7 +97,7 @@
 	return false
 }
 
-// AnyMemoryFull reports whether a controller that is alive has no memory for more jobs.
+// AnyMemoryFull reports whether any live controller has no memory for more jobs.
 func (d *Directory) AnyMemoryFull(now units.Microseconds) bool {
 	for _, known := range d.peers {
 		if known.alive(now) && known.status.Full {
@@ -105,8 +107,8 @@
 	return false
 }
 
-// MostRecentlyServed names the controller, of those that are alive and usable, that the state service has
-// served last; "": it has served none lately.
+// MostRecentlyServed returns the live and usable controller that the state service
+// has served most recently, or "" if it has served none of them within ServedTimeout.
 func (d *Directory) MostRecentlyServed(now units.Microseconds, usable func(node string) bool) string {
 	best, bestAge := "", ServedTimeout
 	for _, node := range d.names {
@@ -124,14 +126,14 @@
 		known := d.peers[node]
 		if known.receivedAt != 0 && known.alive(now) == known.unresponsive {
 			known.unresponsive = !known.unresponsive
-			d.cfg.Log.Info("peer", "controller", node, "unresponsive", known.unresponsive)
+			d.cfg.Log.Info("peer responsiveness changed", "controller", node, "unresponsive", known.unresponsive)
 		}
 	}
 }
 
-// RollbackReported takes a controller's mark of when it last noticed that the state service went
-// back, and reports whether that is news. Each controller has its own mark, as two may have noticed
-// two different times.
+// RollbackReported handles a controller's mark of when it last noticed a
+// rollback of the state service, and reports whether the mark is new. Marks are
+// kept by controller, as two controllers may notice two different rollbacks.
 func (d *Directory) RollbackReported(node string, mark units.Microseconds) bool {
 	known := d.peers[node]
 	if known == nil || mark == known.rollbackMark {
--- a/internal/core/peering/forwarder.go
+++ b/internal/core/peering/forwarder.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// answerWithin leaves a user who polls, and waits 2 s, time for an answer, also
-	// where the controller that was asked stands still.
-	answerWithin = 1 * units.Second
-	// maxForwarded bounds the requests that are forwarded and not answered yet, and those of others
-	// that this controller serves. It is a guard against overload: users beyond are told to come back.
+	// answerTimeout is shorter than the 2 s for which a polling user waits, so that there is time
+	// left for an answer if the controller that received the forwarded request does not respond.
+	answerTimeout = 1 * units.Second
+	// maxForwarded bounds the forwarded requests that are not answered yet,
+	// and separately the requests of other controllers that this one serves.
+	// It protects against overload: users beyond it are told to retry later.
 	maxForwarded = 256
-	// firstRemoteRequest keeps the numbers of others' requests apart from those of this controller's.
+	// firstRemoteRequest is the start of the range of IDs for other controllers'
+	// requests, which keeps them apart from the IDs of this controller's own requests.
 	firstRemoteRequest admission.RequestID = 1 << 62
 )
 
-// Forwarder keeps the users' requests that this controller has forwarded, and those that others have
-// forwarded to it. Use NewForwarder.
+// Forwarder keeps the users' requests that this controller has forwarded
+// to others, and those that others have forwarded to it. Use NewForwarder.
 type Forwarder struct {
 	sent        map[uint64]sentRequest
 	lastSent    uint64
@@ -28,13 +30,13 @@
 	lastRequest admission.RequestID
 }
 
-// sentRequest is a request of a user of this controller that another is to answer.
+// sentRequest is a request of this controller's user that was forwarded to another controller.
 type sentRequest struct {
-	request admission.RequestID
-	until   units.Microseconds
+	request  admission.RequestID
+	deadline units.Microseconds
 }
 
-// Origin is where a remote request came from, and its number there.
+// Origin is the controller that forwarded a request, and the ID of the request there.
 type Origin struct {
 	Node string
 	ID   uint64
@@ -45,35 +47,36 @@
 	return &Forwarder{sent: map[uint64]sentRequest{}, remote: map[admission.RequestID]Origin{}, lastRequest: firstRemoteRequest}
 }
 
-// IsRemote reports whether a request was forwarded by another controller. It is not forwarded once
-// more.
+// IsRemote reports whether a request was forwarded by
+// another controller. Such a request is not forwarded again.
 func (f *Forwarder) IsRemote(request admission.RequestID) bool {
 	_, remote := f.remote[request]
 	return remote
 }
 
-// Full reports whether no more requests may be forwarded at present.
+// Full reports whether as many requests are forwarded as may be at a time.
 func (f *Forwarder) Full() bool { return len(f.sent) >= maxForwarded }
 
-// Send notes that a request is forwarded, and returns the number that its answer will have.
+// Send records that a request is forwarded, and returns the ID that its answer will have.
 func (f *Forwarder) Send(now units.Microseconds, request admission.RequestID) uint64 {
 	f.lastSent++
-	f.sent[f.lastSent] = sentRequest{request, now + answerWithin}
+	f.sent[f.lastSent] = sentRequest{request, now + answerTimeout}
 	return f.lastSent
 }
 
-// CompleteSent returns the request that an answer is for; false: it has been given up, or is answered.
+// CompleteSent removes and returns the request that an answer is for.
+// It returns false if the request has expired or was answered before.
 func (f *Forwarder) CompleteSent(id uint64) (admission.RequestID, bool) {
 	sent, waits := f.sent[id]
 	delete(f.sent, id)
 	return sent.request, waits
 }
 
-// DrainExpired gives up the requests that no answer has come for in time, and returns them.
+// DrainExpired removes and returns the forwarded requests that were not answered in time.
 func (f *Forwarder) DrainExpired(now units.Microseconds) []admission.RequestID {
 	var expired []admission.RequestID
 	for _, id := range slices.Sorted(maps.Keys(f.sent)) {
-		if sent := f.sent[id]; now >= sent.until {
+		if sent := f.sent[id]; now >= sent.deadline {
 			delete(f.sent, id)
 			expired = append(expired, sent.request)
 		}
@@ -81,8 +84,8 @@
 	return expired
 }
 
-// Receive takes a request that another controller has forwarded, and returns its number here; false:
-// there are too many.
+// Receive records a request that another controller has forwarded,
+// and returns its ID here. It returns false if there are too many.
 func (f *Forwarder) Receive(origin Origin) (admission.RequestID, bool) {
 	if len(f.remote) >= maxForwarded {
 		return 0, false
@@ -92,7 +95,8 @@
 	return f.lastRequest, true
 }
 
-// FinishRemote returns where the answer to a request goes; false: to a user of this controller.
+// FinishRemote removes a request and returns where its answer goes.
+// It returns false if the request is of a user of this controller.
 func (f *Forwarder) FinishRemote(request admission.RequestID) (Origin, bool) {
 	origin, remote := f.remote[request]
 	delete(f.remote, request)
--- a/internal/core/peering/peering_test.go
+++ b/internal/core/peering/peering_test.go
@@ -9,8 +9,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestForwardedRequestEndsOnce has requests forwarded, answered, answered again and given up in any
-// order: each ends once, and never more than maxForwarded wait.
+// TestForwardedRequestEndsOnce guards against a user's request that ends twice
+// or never: requests are forwarded, answered, answered again and expired in
+// any order. Each ends once, and at most maxForwarded are open at a time.
 func TestForwardedRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		forwarder := NewForwarder()
@@ -26,11 +27,11 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
 				if forwarder.Full() {
-					t.Skip("as many wait as may")
+					t.Skip("maxForwarded requests are open")
 				}
 				sent++
 				if id := forwarder.Send(now, admission.RequestID(sent)); id != sent {
-					t.Fatalf("number %d, want %d", id, sent)
+					t.Fatalf("forwarded request has ID %d, want %d", id, sent)
 				}
 			},
 			"answer": func(t *rapid.T) {
@@ -39,22 +40,23 @@
 				}
 			},
 			"time": func(*rapid.T) {
-				now += answerWithin / 4
+				now += answerTimeout / 4
 				for _, request := range forwarder.DrainExpired(now) {
 					end(request)
 				}
 			},
 		})
-		for _, request := range forwarder.DrainExpired(now + answerWithin) {
+		for _, request := range forwarder.DrainExpired(now + answerTimeout) {
 			end(request)
 		}
 		if len(ended) != int(sent) {
-			t.Fatalf("%d of %d requests have ended", len(ended), sent)
+			t.Fatalf("%d of %d requests have ended after the timeout", len(ended), sent)
 		}
 	})
 }
 
-// TestForwardedRequestsAreBounded has a controller forward as many requests as may wait.
+// TestForwardedRequestsAreBounded guards against overload by too many forwarded requests:
+// Full must report true once maxForwarded are open, and false as soon as one has ended.
 func TestForwardedRequestsAreBounded(t *testing.T) {
 	forwarder := NewForwarder()
 	for id := range uint64(maxForwarded) {
@@ -67,11 +69,12 @@
 		t.Error("not full at the bound")
 	}
 	if forwarder.CompleteSent(1); forwarder.Full() {
-		t.Error("full though one has ended")
+		t.Error("full although one has ended")
 	}
 }
 
-// TestRemoteRequestsAreBounded has more requests come from other controllers than are served at once.
+// TestRemoteRequestsAreBounded guards against overload by other controllers' requests:
+// one beyond maxForwarded must be refused, and accepted as soon as one has ended.
 func TestRemoteRequestsAreBounded(t *testing.T) {
 	forwarder := NewForwarder()
 	for id := range uint64(maxForwarded) {
@@ -81,31 +84,32 @@
 		}
 	}
 	if _, ok := forwarder.Receive(Origin{"b", maxForwarded}); ok {
-		t.Error("one more than the bound is taken")
+		t.Error("a request beyond the bound is accepted")
 	}
 	if origin, remote := forwarder.FinishRemote(firstRemoteRequest + 1); !remote || origin != (Origin{"b", 0}) {
 		t.Errorf("finished %+v, %v", origin, remote)
 	}
 	if _, ok := forwarder.Receive(Origin{"b", maxForwarded}); !ok {
-		t.Error("none is taken though one has ended")
+		t.Error("no request is accepted although one has ended")
 	}
 }
 
-// TestReleasesSettle has a controller of an older release go: only after the settling time does it
-// count that all have run the later one.
-func TestReleasesSettle(t *testing.T) {
+// TestUpgradeSettleTime guards against use of a feature while messages of
+// an older release may still arrive: after the last controller's upgrade,
+// AllUpgradedFor must report false until the settle time has passed.
+func TestUpgradeSettleTime(t *testing.T) {
 	const settleTime = 600 * units.Second
 	directory := NewDirectory(Config{Node: "a", Peers: []string{"b"}})
 	directory.SetRelease("b", ReleaseArchive-1)
 	directory.TrackOlderReleases(1000 * units.Second)
 	if directory.OlderThan(ReleaseArchive) != "b" || directory.OlderThan(ReleaseArchive-1) != "" {
-		t.Error("the older controller is not named")
+		t.Error("OlderThan does not return the controller of the older release")
 	}
 	directory.SetRelease("b", Release)
 	for now, want := range map[units.Microseconds]bool{1599 * units.Second: false, 1600 * units.Second: true} {
 		directory.TrackOlderReleases(now)
 		if got := directory.AllUpgradedFor(now, ReleaseArchive, settleTime); got != want {
-			t.Errorf("at %g s: %v", now.Seconds(), got)
+			t.Errorf("AllUpgradedFor at %g s: %v", now.Seconds(), got)
 		}
 	}
 }
--- a/internal/core/peering/releases.go
+++ b/internal/core/peering/releases.go
@@ -2,39 +2,40 @@
 
 import "shalestage.example/shalestage/internal/core/units"
 
-// Release is what this program understands. It is stored with the controller's membership and sent
-// with its status; releases before 0.3 sent none, which counts as 0.
+// Release is the protocol release of this program. It is stored with the controller's
+// membership and sent with its status. Releases before 0.3 sent none, which counts as 0.
 const Release = 8
 
-// Releases from which on a controller understands something.
+// Releases from which on a controller supports a feature.
 const (
 	ReleaseDependencies  = 3 // jobs with DAG dependencies
 	ReleaseArchive       = 4 // archived jobs
-	ReleaseChunks        = 5 // guards the first chunk of a description
-	ReleaseTransfers     = 5 // snapshots of shards that are transferred
-	ReleaseReplication    = 6 // is a standby of owners
-	ReleaseCancellations = 7 // cancellations that other controllers list
+	ReleaseChunks        = 5 // guard on the first chunk of a description
+	ReleaseTransfers     = 5 // snapshots of released shards
+	ReleaseReplication   = 6 // being the standby of an owner
+	ReleaseCancellations = 7 // lists of cancellations from other controllers
 	ReleaseConfig        = 8 // the stored configuration
 )
 
-// settlingReleases are those for which it counts how long all controllers have run them.
-var settlingReleases = []int{ReleaseArchive, ReleaseChunks}
+// trackedReleases are the releases for which AllUpgradedFor can be asked.
+var trackedReleases = []int{ReleaseArchive, ReleaseChunks}
 
-// SetRelease takes which release a controller runs, from its status or its stored membership.
+// SetRelease records the release that a controller runs, taken from its status or its stored membership.
 func (d *Directory) SetRelease(node string, release int) {
 	if node == d.cfg.Node {
 		return
 	}
 	if known, ok := d.releases[node]; !ok || known != release {
-		d.cfg.Log.Info("release of a controller", "controller", node, "release", release)
+		d.cfg.Log.Info("controller runs release", "controller", node, "release", release)
 		d.releases[node] = release
 	}
 }
 
-// Release returns the release that a controller is known to run; 0: not known, or before 0.3.
+// Release returns the release that a controller is known to run; 0 if it is not known, or before 0.3.
 func (d *Directory) Release(node string) int { return d.releases[node] }
 
-// OlderThan names a controller that is known to run a release before the given one; "": none.
+// OlderThan returns a controller that is known to run a
+// release before the given one, or "" if there is none.
 func (d *Directory) OlderThan(release int) string {
 	for _, node := range d.names {
 		if known, ok := d.releases[node]; ok && known < release {
@@ -44,10 +45,10 @@
 	return ""
 }
 
-// TrackOlderReleases keeps since when all controllers run certain releases. It is called with every
-// tick.
+// TrackOlderReleases updates since when all controllers
+// run the tracked releases. It is called with every tick.
 func (d *Directory) TrackOlderReleases(now units.Microseconds) {
-	for _, release := range settlingReleases {
+	for _, release := range trackedReleases {
 		for _, node := range d.names {
 			if d.releases[node] < release {
 				d.olderReleaseAt[release] = now
@@ -56,8 +57,8 @@
 	}
 }
 
-// AllUpgradedFor reports whether every controller has run a release, ReleaseArchive or ReleaseChunks, or
-// a later one for so long that nothing that an older one sent is expected any more.
+// AllUpgradedFor reports whether every controller has run a release, ReleaseArchive or ReleaseChunks, or a
+// later one for settleTime. After that, nothing that an older release sent is expected to arrive any more.
 func (d *Directory) AllUpgradedFor(now units.Microseconds, release int, settleTime units.Microseconds) bool {
 	return now-d.olderReleaseAt[release] >= settleTime
 }
--- a/internal/core/replication/limits_test.go
+++ b/internal/core/replication/limits_test.go
@@ -7,35 +7,35 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// owner is an owner of a full shard that has a standby, whose records are stored at
-// once.
-type owner struct {
+// fakeOwner is the owner of a full shard with standby "b". Its records are stored at once.
+type fakeOwner struct {
 	sent    []Message
-	answers map[int]bool // by number: whether it was let out
+	answers map[int]bool // by number: whether it was sent (false: refused)
 	t       *testing.T
 }
 
-func (h *owner) Candidate() string                          { return "b" }
-func (h *owner) Eligible(string) bool                       { return true }
-func (h *owner) Send(_ string, m Message)                   { h.sent = append(h.sent, m) }
-func (h *owner) Machines() []string                         { return nil }
-func (h *owner) SnapshotMachine(name string) MachineSnapshot { return MachineSnapshot{Name: name} }
-func (h *owner) UnstoredTasks() []FinishedTasks                 { return nil }
-func (h *owner) Store(_ Record, done func(ok bool))         { done(true) }
-func (h *owner) Answer(a any, ok bool) {
+func (h *fakeOwner) Candidate() string                           { return "b" }
+func (h *fakeOwner) Eligible(string) bool                        { return true }
+func (h *fakeOwner) Send(_ string, m Message)                    { h.sent = append(h.sent, m) }
+func (h *fakeOwner) Machines() []string                          { return nil }
+func (h *fakeOwner) SnapshotMachine(name string) MachineSnapshot { return MachineSnapshot{Name: name} }
+func (h *fakeOwner) UnstoredTasks() []FinishedTasks              { return nil }
+func (h *fakeOwner) Store(_ Record, done func(ok bool))          { done(true) }
+func (h *fakeOwner) Answer(a any, ok bool) {
 	if _, twice := h.answers[a.(int)]; twice {
-		h.t.Errorf("answer %d is given twice", a)
+		h.t.Errorf("answer %d is sent or refused twice", a)
 	}
 	h.answers[a.(int)] = ok
 }
 
-// TestAnswersOfAFullShard has a start wait for each machine of a full shard, and one more: that
-// one is refused at once, and the others are let out as soon as the standby knows of them.
-func TestAnswersOfAFullShard(t *testing.T) {
-	if maxWaiting < 4096 {
-		t.Errorf("%d may wait", maxWaiting)
+// TestDeferredAnswersAreBounded defers one answer for each machine of a full shard, and one
+// more. A lower bound would refuse starts of a full shard. The answer beyond the bound must be
+// refused at once, and the others must be sent as soon as the standby has acknowledged them.
+func TestDeferredAnswersAreBounded(t *testing.T) {
+	if maxDeferredAnswers < 4096 {
+		t.Errorf("at most %d answers are deferred, want 4096 or more", maxDeferredAnswers)
 	}
-	host := &owner{answers: map[int]bool{}, t: t}
+	host := &fakeOwner{answers: map[int]bool{}, t: t}
 	primary, standby := NewPrimary(0, 1, host), NewStandby()
 	now := units.Second
 	settle := func() {
@@ -51,20 +51,20 @@
 	}
 	settle()
 	if primary.Standby() != "b" {
-		t.Fatal("there is no standby")
+		t.Fatal("no standby is stored")
 	}
-	for i := range maxWaiting + 1 {
+	for i := range maxDeferredAnswers + 1 {
 		if !primary.DeferAnswer(now, string(rune('a'+i%26))+"-"+string(rune('a'+i/26)), i) {
-			t.Fatalf("answer %d does not wait", i)
+			t.Fatalf("answer %d is not deferred", i)
 		}
 	}
-	if ok, given := host.answers[maxWaiting]; len(host.answers) != 1 || !given || ok {
-		t.Fatalf("answers while the standby knows nothing: %v", host.answers)
+	if ok, given := host.answers[maxDeferredAnswers]; len(host.answers) != 1 || !given || ok {
+		t.Fatalf("answers before the standby has acknowledged any: %v", host.answers)
 	}
 	settle()
-	for i := range maxWaiting {
+	for i := range maxDeferredAnswers {
 		if !host.answers[i] {
-			t.Fatalf("answer %d of %d is not let out", i, fleet.FullShard)
+			t.Fatalf("answer %d of %d is not sent", i, fleet.FullShard)
 		}
 	}
 }
--- a/internal/core/replication/primary.go
+++ b/internal/core/replication/primary.go
@@ -7,125 +7,127 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// pendingAnswer waits until the standby knows what it starts.
+// pendingAnswer is an answer that is deferred until the standby has acknowledged what it starts.
 type pendingAnswer struct {
-	answer  any
-	message uint64 // that must have arrived; 0: it is not sent yet
-	at      units.Microseconds
+	answer        any
+	messageNumber uint64 // number of the message that must be acknowledged; 0: it is not sent yet
+	deferredAt    units.Microseconds
 }
 
-// Primary is the owner's side.
+// Primary is the owner's side of the replication of a shard. Use NewPrimary.
 type Primary struct {
 	shard        int
 	fencingToken uint64
 	host         Host
 	now          units.Microseconds
 
-	standby    string // who stands by, or is about to; "" nobody
-	run        uint64
-	sent       uint64 // number of the last message
-	acked      uint64
-	completeAt uint64 // number of the message with which the copy is complete; 0: not sent yet
-	sealAt     uint64 // of that which tells of the last start that was let out unknown; 0: not sent yet
-	unacked    []Message
-	uncopied   []string         // machines that are still to be sent for the copy
-	changed    map[string]bool  // machines of which the standby is to be told
-	finished   map[string][]int // tasks of which it is to be told
-	pending    []pendingAnswer
-	deferring  bool               // it may be stored, or is about to be, who stands by: answers wait
-	recorded   bool               // or was tried to be
-	recording  bool               // a record is being written
-	leaving    bool               // nobody is to stand by any more, and that is to be stored
-	progressAt units.Microseconds // when the standby last acknowledged anything, or had nothing to
-	sentAt     units.Microseconds
-	flushedAt  units.Microseconds
-	pausedTill units.Microseconds // nobody new before
+	standby         string // the standby, stored or not; "" for none
+	run             uint64
+	sent            uint64 // number of the last message
+	acked           uint64
+	snapshotEnd     uint64 // number of the message that completes the snapshot; 0: it is not sent yet
+	barrier         uint64 // number of the message with the last start that was sent to a worker without an Ack; 0: it is not sent yet
+	unacked         []Message
+	unsentMachines  []string         // machines of the snapshot that are still to be sent
+	changedMachines map[string]bool  // machines whose new state is still to be sent
+	finishedTasks   map[string][]int // finished tasks by job that are still to be sent
+	pending         []pendingAnswer
+	deferring       bool               // answers are deferred: the standby is stored, may be, or soon will be
+	recorded        bool               // a write of the standby's record was started; it may have failed
+	recording       bool               // a write of a record is in progress
+	removing        bool               // the standby is being removed: the record that there is none is still to be stored
+	progressAt      units.Microseconds // when the standby last acknowledged a message, or had none to acknowledge
+	sentAt          units.Microseconds
+	flushedAt       units.Microseconds
+	backoffUntil    units.Microseconds // no new standby is selected before
 }
 
-// NewPrimary returns the side of an owner without a standby.
+// NewPrimary returns the Primary of a new owner, which has no standby yet.
 func NewPrimary(shard int, fencingToken uint64, host Host) *Primary {
-	return &Primary{shard: shard, fencingToken: fencingToken, host: host, changed: map[string]bool{}, finished: map[string][]int{}}
+	return &Primary{shard: shard, fencingToken: fencingToken, host: host, changedMachines: map[string]bool{}, finishedTasks: map[string][]int{}}
 }
 
-// Standby names who surely stands by; "" if nobody does.
+// Standby returns the standby that is known to be stored, or "".
 func (p *Primary) Standby() string {
-	if p.recorded && !p.recording && !p.leaving {
+	if p.recorded && !p.recording && !p.removing {
 		return p.standby
 	}
 	return ""
 }
 
-// DeferAnswer says that an answer starts something on a machine. It is kept until the standby
-// knows, and true is returned; else it may be given at once.
+// DeferAnswer handles an answer that starts something on a machine. It returns
+// true if it has taken the answer over, to be passed to Host.Answer once the
+// standby has acknowledged the start. Otherwise the caller may send it at once.
 func (p *Primary) DeferAnswer(now units.Microseconds, machine string, answer any) bool {
 	p.now = now
-	if p.standby != "" && !p.leaving {
-		p.changed[machine] = true
+	if p.standby != "" && !p.removing {
+		p.changedMachines[machine] = true
 	}
 	if !p.deferring {
 		return false
 	}
-	if len(p.pending) >= maxWaiting {
+	if len(p.pending) >= maxDeferredAnswers {
 		p.host.Answer(answer, false)
 		return true
 	}
-	p.pending = append(p.pending, pendingAnswer{answer: answer, at: now})
+	p.pending = append(p.pending, pendingAnswer{answer: answer, deferredAt: now})
 	return true
 }
 
-// TaskFinished says that a task has completed; it is stored later.
+// TaskFinished records that a task has completed and is not stored as done yet.
 func (p *Primary) TaskFinished(job string, task int) {
-	if p.standby != "" && !p.leaving {
-		p.finished[job] = append(p.finished[job], task)
+	if p.standby != "" && !p.removing {
+		p.finishedTasks[job] = append(p.finishedTasks[job], task)
 	}
 }
 
-// Tick lets time pass; it is called often. reconciled: all that earlier owners started is known.
+// Tick runs all periodic work and is called often. reconciled reports whether
+// everything that earlier owners started is known; without that no standby is selected.
 func (p *Primary) Tick(now units.Microseconds, reconciled bool) {
 	p.now = now
 	switch {
-	case p.leaving:
-		p.store(p.noStandby())
+	case p.removing:
+		p.storeRecord(p.noStandbyRecord())
 	case p.standby == "":
-		if reconciled && now >= p.pausedTill {
-			p.begin()
+		if reconciled && now >= p.backoffUntil {
+			p.selectStandby()
 		}
-	case !p.host.Eligible(p.standby) || len(p.unacked) > 0 && now-p.progressAt > giveUpAfter:
-		p.leave()
+	case !p.host.Eligible(p.standby) || len(p.unacked) > 0 && now-p.progressAt > ackTimeout:
+		p.beginRemoval()
 	default:
 		p.flush()
 		p.resend()
 	}
-	p.expire()
+	p.expireAnswers()
 }
 
-// begin has somebody stand by from now on.
-func (p *Primary) begin() {
+// selectStandby selects a standby, if there is a candidate, and starts a new stream to it.
+func (p *Primary) selectStandby() {
 	standby := p.host.Candidate()
 	if standby == "" {
 		return
 	}
-	p.standby, p.sent, p.acked, p.completeAt, p.sealAt, p.unacked = standby, 0, 0, 0, 0, nil
+	p.standby, p.sent, p.acked, p.snapshotEnd, p.barrier, p.unacked = standby, 0, 0, 0, 0, nil
 	p.run++
 	p.progressAt, p.flushedAt = p.now, 0
-	p.uncopied = p.host.Machines()
-	clear(p.changed)
-	clear(p.finished)
+	p.unsentMachines = p.host.Machines()
+	clear(p.changedMachines)
+	clear(p.finishedTasks)
 	for _, tasks := range p.host.UnstoredTasks() {
-		p.finished[tasks.Job] = slices.Clone(tasks.Tasks)
+		p.finishedTasks[tasks.Job] = slices.Clone(tasks.Tasks)
 	}
 	p.flush()
 }
 
-// news reports whether anything has happened of which the standby is to be told.
-func (p *Primary) news() bool { return len(p.changed)+len(p.finished) > 0 }
+// hasChanges reports whether there are changes that are still to be sent.
+func (p *Primary) hasChanges() bool { return len(p.changedMachines)+len(p.finishedTasks) > 0 }
 
-// flush sends what the standby does not know yet, as far as the window allows.
+// flush sends everything that is still to be sent, up to maxUnacked unacknowledged messages.
 func (p *Primary) flush() {
-	if p.completeAt != 0 && (!p.news() || p.now-p.flushedAt < FlushInterval) {
+	if p.snapshotEnd != 0 && (!p.hasChanges() || p.now-p.flushedAt < FlushInterval) {
 		return
 	}
-	for len(p.unacked) < window && (p.completeAt == 0 || p.news()) {
+	for len(p.unacked) < maxUnacked && (p.snapshotEnd == 0 || p.hasChanges()) {
 		p.flushedAt = p.now
 		message := p.nextMessage()
 		if len(p.unacked) == 0 {
@@ -134,57 +136,57 @@
 		p.unacked = append(p.unacked, message)
 		p.host.Send(p.standby, message)
 	}
-	p.seal()
+	p.setBarrier()
 }
 
-// nextMessage takes what goes into the next message. What has changed goes first: answers wait
-// for it.
+// nextMessage fills the next message. Changed machines go before
+// the rest of the snapshot, because deferred answers wait for them.
 func (p *Primary) nextMessage() Message {
 	p.sent++
 	message := Message{Block: p.shard, Token: p.fencingToken, Run: p.run, N: p.sent}
-	size := p.takeChanged(&message)
-	if len(p.changed) == 0 {
+	size := p.addChangedMachines(&message)
+	if len(p.changedMachines) == 0 {
 		for i := range p.pending {
-			if p.pending[i].message == 0 {
-				p.pending[i].message = p.sent
+			if p.pending[i].messageNumber == 0 {
+				p.pending[i].messageNumber = p.sent
 			}
 		}
 	}
-	for len(p.uncopied) > 0 && size < MessageSize {
-		size += p.addMachine(&message, p.uncopied[0])
-		p.uncopied = p.uncopied[1:]
+	for len(p.unsentMachines) > 0 && size < MessageSize {
+		size += p.addMachine(&message, p.unsentMachines[0])
+		p.unsentMachines = p.unsentMachines[1:]
 	}
-	p.takeFinished(&message, size)
-	if p.completeAt == 0 && len(p.uncopied) == 0 && !p.news() {
-		p.completeAt, message.Whole = p.sent, true
+	p.addFinishedTasks(&message, size)
+	if p.snapshotEnd == 0 && len(p.unsentMachines) == 0 && !p.hasChanges() {
+		p.snapshotEnd, message.Whole = p.sent, true
 	}
 	return message
 }
 
-// takeChanged adds machines that have changed and returns the message's size.
-func (p *Primary) takeChanged(message *Message) (size int) {
-	for _, name := range slices.Sorted(maps.Keys(p.changed)) {
+// addChangedMachines adds changed machines to a message and returns its size.
+func (p *Primary) addChangedMachines(message *Message) (size int) {
+	for _, name := range slices.Sorted(maps.Keys(p.changedMachines)) {
 		if size >= MessageSize {
 			break
 		}
-		delete(p.changed, name)
+		delete(p.changedMachines, name)
 		size += p.addMachine(message, name)
 	}
 	return size
 }
 
-// takeFinished adds finished tasks to a message of a size.
-func (p *Primary) takeFinished(message *Message, size int) {
-	for _, job := range slices.Sorted(maps.Keys(p.finished)) {
+// addFinishedTasks adds finished tasks to a message that has the given size.
+func (p *Primary) addFinishedTasks(message *Message, size int) {
+	for _, job := range slices.Sorted(maps.Keys(p.finishedTasks)) {
 		if size >= MessageSize {
 			break
 		}
-		tasks := p.finished[job]
+		tasks := p.finishedTasks[job]
 		count := min(len(tasks), MessageSize-size)
 		message.Done = append(message.Done, FinishedTasks{job, tasks[:count:count]})
 		size += count
-		if p.finished[job] = tasks[count:]; count == len(tasks) {
-			delete(p.finished, job)
+		if p.finishedTasks[job] = tasks[count:]; count == len(tasks) {
+			delete(p.finishedTasks, job)
 		}
 	}
 }
@@ -192,29 +194,29 @@
 func (p *Primary) addMachine(message *Message, name string) (size int) {
 	machine := p.host.SnapshotMachine(name)
 	message.Machines = append(message.Machines, machine)
-	return len(machine.Tasks) + machineSize
+	return len(machine.Tasks) + machineOverhead
 }
 
-// resend sends the first messages without an Ack once more, from time to time.
+// resend sends the first unacknowledged messages again after each resendInterval.
 func (p *Primary) resend() {
-	if len(p.unacked) == 0 || p.now-p.sentAt <= resendAfter {
+	if len(p.unacked) == 0 || p.now-p.sentAt <= resendInterval {
 		return
 	}
 	p.sentAt = p.now
-	for _, message := range p.unacked[:min(len(p.unacked), window/4)] {
+	for _, message := range p.unacked[:min(len(p.unacked), maxUnacked/4)] {
 		p.host.Send(p.standby, message)
 	}
 }
 
-// seal notes by which message the standby knows of all that was let out before answers
-// began to wait.
-func (p *Primary) seal() {
-	if p.deferring && p.sealAt == 0 && len(p.changed) == 0 {
-		p.sealAt = p.sent
+// setBarrier records the message after which the standby knows
+// every start that was sent before answers were deferred.
+func (p *Primary) setBarrier() {
+	if p.deferring && p.barrier == 0 && len(p.changedMachines) == 0 {
+		p.barrier = p.sent
 	}
 }
 
-// OnAck takes a standby's word.
+// OnAck handles an acknowledgement by a standby.
 func (p *Primary) OnAck(now units.Microseconds, from string, ack Ack) {
 	p.now = now
 	if from != p.standby || ack.Token != p.fencingToken || ack.Run != p.run || ack.N <= p.acked || ack.N > p.sent {
@@ -224,23 +226,24 @@
 	for len(p.unacked) > 0 && p.unacked[0].N <= ack.N {
 		p.unacked = p.unacked[1:]
 	}
-	p.release(func(pending pendingAnswer) bool { return pending.message != 0 && pending.message <= ack.N })
-	if p.completeAt != 0 && ack.N >= p.completeAt && !p.deferring && !p.leaving {
+	p.releaseAnswers(func(pending pendingAnswer) bool { return pending.messageNumber != 0 && pending.messageNumber <= ack.N })
+	if p.snapshotEnd != 0 && ack.N >= p.snapshotEnd && !p.deferring && !p.removing {
 		p.deferring = true
-		p.seal()
+		p.setBarrier()
 	}
-	if p.sealAt != 0 && ack.N >= p.sealAt && !p.recorded && !p.leaving {
+	if p.barrier != 0 && ack.N >= p.barrier && !p.recorded && !p.removing {
 		p.recorded = true
-		p.store(Record{Node: p.standby, Token: p.fencingToken, Run: p.run})
+		p.storeRecord(Record{Node: p.standby, Token: p.fencingToken, Run: p.run})
 	}
 }
 
-// release lets answers out.
-func (p *Primary) release(which func(pendingAnswer) bool) {
+// releaseAnswers removes the selected answers from the queue.
+// Those within answerTimeout are sent, the others refused.
+func (p *Primary) releaseAnswers(which func(pendingAnswer) bool) {
 	var kept []pendingAnswer
 	for _, pending := range p.pending {
 		if which(pending) {
-			p.host.Answer(pending.answer, p.now-pending.at < answerWithin)
+			p.host.Answer(pending.answer, p.now-pending.deferredAt < answerTimeout)
 		} else {
 			kept = append(kept, pending)
 		}
@@ -248,45 +251,47 @@
 	p.pending = kept
 }
 
-// expire gives up answers that nobody waits for any more. What they start does not show in
-// the machine's next heartbeat, and was never carried out.
-func (p *Primary) expire() {
-	if len(p.pending) > 0 && p.now-p.pending[0].at >= answerWithin {
-		p.release(func(pending pendingAnswer) bool { return p.now-pending.at >= answerWithin })
+// expireAnswers refuses answers whose worker no longer waits for them. What such an
+// answer starts was never carried out, and the machine's next heartbeat does not show it.
+func (p *Primary) expireAnswers() {
+	if len(p.pending) > 0 && p.now-p.pending[0].deferredAt >= answerTimeout {
+		p.releaseAnswers(func(pending pendingAnswer) bool { return p.now-pending.deferredAt >= answerTimeout })
 	}
 }
 
-// RemoveStandby has nobody stand by for now.
+// RemoveStandby removes the standby. Tick selects another one later.
 func (p *Primary) RemoveStandby(now units.Microseconds) {
 	p.now = now
-	if p.standby != "" && !p.leaving {
-		p.leave()
+	if p.standby != "" && !p.removing {
+		p.beginRemoval()
 	}
 }
 
-// noStandby is the record that nobody stands by.
-func (p *Primary) noStandby() Record { return Record{Token: p.fencingToken, Run: p.run} }
+// noStandbyRecord returns the record that says that there is no standby.
+func (p *Primary) noStandbyRecord() Record { return Record{Token: p.fencingToken, Run: p.run} }
 
-// leave has nobody stand by any more. Until that is surely stored the standby may be assigned
-// the shard by what it has.
-func (p *Primary) leave() {
+// beginRemoval starts to remove the standby. Until it is known to be stored that there is none, the standby
+// may still be assigned the shard and use the snapshot that it has. So answers stay deferred until then.
+func (p *Primary) beginRemoval() {
 	if !p.recorded {
-		p.free()
+		p.finishRemoval()
 		return
 	}
-	p.leaving = true
-	p.store(p.noStandby())
+	p.removing = true
+	p.storeRecord(p.noStandbyRecord())
 }
 
-// free ends it: surely nobody is stored to stand by.
-func (p *Primary) free() {
-	p.standby, p.deferring, p.recorded, p.leaving, p.unacked, p.uncopied = "", false, false, false, nil, nil
-	p.pausedTill = p.now + pause
-	p.release(func(pendingAnswer) bool { return true })
+// finishRemoval completes the removal once it is certain that
+// no standby is stored, and releases the deferred answers.
+func (p *Primary) finishRemoval() {
+	p.standby, p.deferring, p.recorded, p.removing, p.unacked, p.unsentMachines = "", false, false, false, nil, nil
+	p.backoffUntil = p.now + standbyBackoff
+	p.releaseAnswers(func(pendingAnswer) bool { return true })
 }
 
-// store writes a record until it is known what became of it.
-func (p *Primary) store(record Record) {
+// storeRecord writes a record, unless a write is in progress
+// already. The outcome of an earlier write must be known first.
+func (p *Primary) storeRecord(record Record) {
 	if p.recording {
 		return
 	}
@@ -295,14 +300,14 @@
 		p.recording = false
 		switch {
 		case record.Node != "" && !stored:
-			p.leave() // it may yet be stored, or be so already
+			p.beginRemoval() // in doubt: the record may be stored already, or later
 		case record.Node == "" && stored:
-			p.free()
+			p.finishRemoval()
 		}
 	})
 }
 
-// Close ends it: the shard is released, and no answer is let out any more.
+// Close refuses all deferred answers: the shard is released, and no answer may be sent any more.
 func (p *Primary) Close(now units.Microseconds) {
 	p.now = now
 	for _, pending := range p.pending {
--- a/internal/core/replication/replication.go
+++ b/internal/core/replication/replication.go
@@ -1,16 +1,17 @@
-// Package replication has another controller know what the owner of a shard has started, at any
-// moment, so that it can go on at once should the owner end without a word.
+// Package replication keeps a standby controller up to date with everything that the owner of a shard
+// starts, so that the standby can take the shard over at once if the owner fails without releasing it.
 //
-// The owner (Primary) sends its Standby a snapshot of the shard, then every machine on which it
-// starts something, in numbered messages. Once the standby has the whole snapshot, answers with a
-// start wait; once it also has all that was let out before, the owner stores who its standby is.
-// Until it is surely stored that there is none, no such answer is let out before the standby has
-// said that it knows of it. So whoever is assigned the shard next, finds itself named, and has
-// that very stream, knows of every start that may ever have been sent: its snapshot may show more
-// than there is, which costs capacity, never less.
+// The owner (Primary) sends its Standby a snapshot of the shard and then, in numbered messages, the state
+// of every machine on which it starts something. Once the standby has acknowledged the whole snapshot, the
+// owner defers each answer that starts something until the standby has acknowledged that start. Once the
+// standby has also acknowledged all starts that were sent to workers before answers were deferred, the
+// owner stores the standby's name. Until the owner has confirmation that no standby is stored any more, it
+// sends no such answer before the standby has acknowledged it. So a controller that is assigned the shard
+// next, is named in the stored record and has received that same stream, knows every start that may have
+// been sent. Its snapshot may show more tasks than really run, which costs capacity, but never fewer.
 //
-// It is pure: messages and the time go in by method calls, what is to be done comes out by
-// its host. internal/explore/following plays every order of events of a small shard.
+// The package does no I/O: messages and the time come in by method calls, and actions go out
+// through Host. internal/explore/following checks every order of events of a small shard.
 package replication
 
 import (
@@ -19,11 +20,11 @@
 )
 
 type (
-	// MachineSnapshot is a snapshot of a machine: what may be on it.
+	// MachineSnapshot is the state of a machine: the tasks that may run on it.
 	MachineSnapshot struct {
 		Name         string
 		Addr         string
-		Session, Seq uint64 // incarnation and number of the last heartbeat
+		Session, Seq uint64 // incarnation of the machine and number of its last heartbeat
 		Tasks        []fleet.Task
 	}
 	// FinishedTasks are some tasks of a job that have completed.
@@ -31,23 +32,25 @@
 		Job   string
 		Tasks []int
 	}
-	// Message is one of a stream: what may now be on some machines, in place of what was
-	// told before, and tasks that have completed and may not be stored as done yet.
+	// Message is one message of a replication stream. It holds the current
+	// state of some machines, which replaces what earlier messages said of
+	// them, and tasks that have completed and may not be stored as done yet.
 	Message struct {
 		Block    int
 		Token    uint64 // fencing token under which the shard is owned
-		Run      uint64 // tells the streams of one assignment apart
-		N        uint64 // 1, 2, 3 and so on
-		Whole    bool   // with this message the snapshot is complete
+		Run      uint64 // number of the stream: one assignment may have several, one after another
+		N        uint64 // number of the message in its stream, from 1
+		Whole    bool   // the snapshot is complete with this message
 		Machines []MachineSnapshot
 		Done     []FinishedTasks
 	}
-	// Ack says that a standby has all messages of a stream up to N.
+	// Ack acknowledges all messages of a stream up to N.
 	Ack struct {
 		Block         int
 		Token, Run, N uint64
 	}
-	// Record is what is stored: who stands by for a shard's owner, by which stream; "" nobody.
+	// Record is the stored record of a shard's standby: its
+	// name, "" for none, and the stream that it receives.
 	Record struct {
 		Node  string `json:"node"`
 		Token uint64 `json:"token"`
@@ -55,48 +58,49 @@
 	}
 )
 
-// Host is the owner whose starts are replicated. Its methods are called while a Primary is half-way
-// through a step and must not call it; what Store tells comes later, from outside.
+// Host is the owner of the shard. Its methods are called in the middle of a step of Primary
+// and must not call Primary. The callback of Store is called later, from outside such a step.
 type Host interface {
-	// Candidate names a controller that should stand by; "" if there is none at present.
+	// Candidate returns a controller that can become the standby, or "" if there is none at present.
 	Candidate() string
-	// Eligible reports whether a standby should go on being one.
+	// Eligible reports whether a controller may remain the standby.
 	Eligible(node string) bool
 	// Send sends a message, which may be lost.
 	Send(to string, message Message)
-	// Machines are those on which anything may be; SnapshotMachine tells what may be on one.
+	// Machines returns the names of all machines on which tasks may run.
 	Machines() []string
+	// SnapshotMachine returns the state of a machine.
 	SnapshotMachine(machine string) MachineSnapshot
-	// UnstoredTasks are the tasks that have completed and are not stored as done.
+	// UnstoredTasks returns the tasks that have completed and are not stored as done.
 	UnstoredTasks() []FinishedTasks
-	// Store writes a record, guarded by the owner's assignment and by the version of the record
-	// that was last known: a write that comes late must fail once another was stored. done is
-	// told whether it is surely stored.
+	// Store writes a record, guarded by the owner's assignment and by the last known
+	// version of the record, so that a delayed write fails once another record was
+	// stored. It calls done with true only if the record is known to be stored.
 	Store(record Record, done func(stored bool))
-	// Answer lets an answer out; ok false: it must not be given any more.
+	// Answer sends an answer to its worker; if ok is false, the answer must not be sent any more.
 	Answer(answer any, ok bool)
 }
 
 const (
-	// FlushInterval is the least time between two messages, so that their number does not grow
-	// with the starts.
+	// FlushInterval is the minimum time between two messages, so that
+	// the number of messages does not grow with the number of starts.
 	FlushInterval = units.Second / 50
-	// resendAfter is how long an Ack is waited for before messages go
-	// out again, and giveUpAfter before somebody else is to stand by.
-	resendAfter = units.Second / 5
-	giveUpAfter = 4 * units.Second / 5
-	// pause is the time before somebody is to stand by again.
-	pause = units.Second
-	// window bounds the messages without an answer.
-	window = 16
+	// resendInterval is the time without an Ack after which messages are sent
+	// again, and ackTimeout the time after which the standby is replaced.
+	resendInterval = units.Second / 5
+	ackTimeout     = 4 * units.Second / 5
+	// standbyBackoff is the time between the removal of a standby and the selection of the next.
+	standbyBackoff = units.Second
+	// maxUnacked bounds the messages that are not acknowledged yet.
+	maxUnacked = 16
 	// MessageSize bounds the tasks and machines in a message, which must fit into a frame
-	// between controllers.
-	MessageSize = 400
-	// machineSize is what a machine counts of that beside its tasks.
-	machineSize = 4
-	// maxWaiting bounds the answers that wait, one for each machine of a full shard, and
-	// answerWithin how long each may: a worker drops what comes later than 4 s after its
-	// heartbeat. One beyond is refused at once, and its machine sends another.
-	maxWaiting   = fleet.FullShard
-	answerWithin = 3 * units.Second
+	// between controllers. A machine counts as machineOverhead, plus one for each of its tasks.
+	MessageSize     = 400
+	machineOverhead = 4
+	// maxDeferredAnswers bounds the deferred answers: one for each machine of a full
+	// shard. An answer beyond it is refused at once, and its machine sends another
+	// heartbeat. answerTimeout bounds the time for which an answer is deferred: a
+	// worker drops an answer that comes later than 4 s after its heartbeat.
+	maxDeferredAnswers = fleet.FullShard
+	answerTimeout      = 3 * units.Second
 )
--- a/internal/core/replication/standby.go
+++ b/internal/core/replication/standby.go
@@ -9,7 +9,8 @@
 	"shalestage.example/shalestage/internal/core/keys"
 )
 
-// Standby is the other side: the streams of the shards for whose owners a controller stands by.
+// Standby is the standby's side: it receives the replication streams of
+// all shards for which this controller is the standby. Use NewStandby.
 type Standby struct {
 	streams map[int]*stream
 }
@@ -18,27 +19,27 @@
 type stream struct {
 	fencingToken uint64
 	run          uint64
-	received     uint64 // all messages up to this one
-	complete     bool   // the snapshot is
+	received     uint64 // all messages up to this number have been received
+	complete     bool   // the snapshot is complete
 	machines     map[string]MachineSnapshot
 	finished     map[string]map[int]bool
-	unchecked    int                // finished tasks since those that are stored by now were forgotten
-	ahead        map[uint64]Message // that came before those before them
+	sincePrune   int                // finished tasks received since the last prune
+	outOfOrder   map[uint64]Message // messages received before an earlier one, by number
 }
 
-// MaxMachines bounds the machines of a shard that a stream may tell of, those that are gone
-// included. Beyond it nobody stands by until the owner has begun a new stream.
+// MaxMachines bounds the machines in a stream, including those that no longer exist. A stream that
+// reaches it accepts no more messages, so there is no standby until the owner starts a new stream.
 const MaxMachines = 1 << 16
 
-// forgetEvery is how many finished tasks are told before those that are stored by now are
-// forgotten.
-const forgetEvery = 2000
+// pruneInterval is the number of finished tasks received
+// after which those that are stored by then are dropped.
+const pruneInterval = 2000
 
-// NewStandby returns one that stands by for nobody.
+// NewStandby returns a Standby without streams.
 func NewStandby() *Standby { return &Standby{streams: map[int]*stream{}} }
 
-// Receive takes a message and returns what to answer. stored reports whether a task is known
-// to be stored as done, or its job to be over.
+// Receive handles a message and returns its acknowledgement. stored reports
+// whether a task is known to be stored as done, or its job to be final.
 func (s *Standby) Receive(message Message, stored func(job string, task int) bool) Ack {
 	from := s.streams[message.Block]
 	if message.N == 1 && message.Block >= 0 && message.Block < keys.MaxShards && (from == nil || from.olderThan(message)) {
@@ -49,12 +50,12 @@
 	if from == nil || from.fencingToken != message.Token || from.run != message.Run {
 		return ack
 	}
-	if message.N > from.received && message.N <= from.received+window {
-		from.ahead[message.N] = message
+	if message.N > from.received && message.N <= from.received+maxUnacked {
+		from.outOfOrder[message.N] = message
 	}
-	for from.takeNext() {
-		if from.unchecked > forgetEvery {
-			from.forget(stored)
+	for from.applyNext() {
+		if from.sincePrune > pruneInterval {
+			from.prune(stored)
 		}
 	}
 	ack.N = from.received
@@ -62,22 +63,23 @@
 }
 
 func newStream(first Message) *stream {
-	return &stream{fencingToken: first.Token, run: first.Run, machines: map[string]MachineSnapshot{}, finished: map[string]map[int]bool{}, ahead: map[uint64]Message{}}
+	return &stream{fencingToken: first.Token, run: first.Run, machines: map[string]MachineSnapshot{}, finished: map[string]map[int]bool{}, outOfOrder: map[uint64]Message{}}
 }
 
-// olderThan reports whether a message is of a later stream.
+// olderThan reports whether a message belongs to a later stream than s.
 func (s *stream) olderThan(message Message) bool {
 	return message.Token > s.fencingToken || message.Token == s.fencingToken && message.Run > s.run
 }
 
-// takeNext takes in the next message, and reports false where it has not come.
-func (s *stream) takeNext() bool {
-	message, ok := s.ahead[s.received+1]
+// applyNext applies the next message in order. It returns false if that
+// message has not arrived, or if the stream would exceed MaxMachines.
+func (s *stream) applyNext() bool {
+	message, ok := s.outOfOrder[s.received+1]
 	if !ok || len(s.machines)+len(message.Machines) > MaxMachines {
 		return false
 	}
 	s.received = message.N
-	delete(s.ahead, message.N)
+	delete(s.outOfOrder, message.N)
 	s.complete = s.complete || message.Whole
 	for _, machine := range message.Machines {
 		s.machines[machine.Name] = machine
@@ -89,14 +91,14 @@
 		for _, task := range tasks.Tasks {
 			s.finished[tasks.Job][task] = true
 		}
-		s.unchecked += len(tasks.Tasks)
+		s.sincePrune += len(tasks.Tasks)
 	}
 	return true
 }
 
-// forget drops finished tasks that are stored by now.
-func (s *stream) forget(stored func(job string, task int) bool) {
-	s.unchecked = 0
+// prune drops finished tasks that are stored by now.
+func (s *stream) prune(stored func(job string, task int) bool) {
+	s.sincePrune = 0
 	for job, tasks := range s.finished {
 		maps.DeleteFunc(tasks, func(task int, _ bool) bool { return stored(job, task) })
 		if len(tasks) == 0 {
@@ -105,9 +107,10 @@
 	}
 }
 
-// Snapshot returns what the owner of a shard had started, if this node is the one that the
-// record names and has the whole of that very stream. Of a task that is on several machines
-// the last attempt counts: it was started once the others were known to be gone.
+// Snapshot returns what the owner of a shard has started. ok is false unless the
+// record names this node and this node has the complete snapshot of the stream that
+// the record names. If a task is listed on several machines, only the last attempt
+// is kept: it was started only after the earlier ones were known to have ended.
 func (s *Standby) Snapshot(shard int, node string, record Record) (machines map[string]MachineSnapshot, finished []FinishedTasks, ok bool) {
 	from := s.streams[shard]
 	if from == nil || record.Node != node || record.Token != from.fencingToken || record.Run != from.run || !from.complete {
@@ -130,7 +133,7 @@
 	return machines, finished, true
 }
 
-// StreamID tells by which stream a shard is followed; 0: by none.
+// StreamID returns the number of the stream that is received for a shard, or 0 if there is none.
 func (s *Standby) StreamID(shard int) uint64 {
 	if from := s.streams[shard]; from != nil {
 		return from.run
--- a/internal/core/replication/trace.go
+++ b/internal/core/replication/trace.go
@@ -9,15 +9,15 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Trace tells all that counts of an owner's side, in times from now, for logs and for
-// exploring what may follow: equal traces act the same from then on.
+// Trace returns the state of p as text, with times relative to now, for logs and for
+// state-space exploration: two Primaries with equal traces behave the same from then on.
 func (p *Primary) Trace(now units.Microseconds) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "standby %q run %d sent %d acked %d complete %d seal %d deferring %v recorded %v recording %v leaving %v paused %d uncopied %v changed %v finished %v pending",
-		p.standby, p.run, p.sent, p.acked, p.completeAt, p.sealAt, p.deferring, p.recorded, p.recording, p.leaving, max(0, p.pausedTill-now),
-		p.uncopied, slices.Sorted(maps.Keys(p.changed)), p.finished)
+		p.standby, p.run, p.sent, p.acked, p.snapshotEnd, p.barrier, p.deferring, p.recorded, p.recording, p.removing, max(0, p.backoffUntil-now),
+		p.unsentMachines, slices.Sorted(maps.Keys(p.changedMachines)), p.finishedTasks)
 	for _, pending := range p.pending {
-		fmt.Fprintf(&b, " %v:%d:%d", pending.answer, pending.message, now-pending.at)
+		fmt.Fprintf(&b, " %v:%d:%d", pending.answer, pending.messageNumber, now-pending.deferredAt)
 	}
 	if len(p.unacked) > 0 {
 		fmt.Fprintf(&b, " progress %d sent %d", now-p.progressAt, now-p.sentAt)
@@ -26,12 +26,12 @@
 	return b.String()
 }
 
-// Trace tells all that counts of a standby's side.
+// Trace returns the state of s as text, as Primary.Trace does.
 func (s *Standby) Trace() string {
 	var b strings.Builder
 	for _, shard := range slices.Sorted(maps.Keys(s.streams)) {
 		from := s.streams[shard]
-		fmt.Fprintf(&b, "%d: %d %d %d %v %v %v %v;", shard, from.fencingToken, from.run, from.received, from.complete, from.machines, from.finished, from.ahead)
+		fmt.Fprintf(&b, "%d: %d %d %d %v %v %v %v;", shard, from.fencingToken, from.run, from.received, from.complete, from.machines, from.finished, from.outOfOrder)
 	}
 	return b.String()
 }
--- a/internal/core/rollback/merge.go
+++ b/internal/core/rollback/merge.go
@@ -13,30 +13,30 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// merge reports whether a value that is known here says more than the listed one (nil:
-// none), and returns what should be stored. A known value that cannot be read says nothing;
-// one that can says more than a listed one that cannot.
+// merge reports whether the known value of a key is newer than the listed one, and returns
+// the value to be stored. listed is nil if the key is not listed. A known value that cannot
+// be decoded is never newer; one that can be decoded is newer than a listed one that cannot.
 func merge(known store.Event, listed json.RawMessage) (json.RawMessage, bool) {
 	if listed == nil {
 		return known.Value, true
 	}
 	switch {
 	case strings.HasPrefix(known.Key, keys.JobPrefix):
-		return known.Value, says(known.Value, listed, jobs.DecodeRecord, laterRecord)
+		return known.Value, isNewer(known.Value, listed, jobs.DecodeRecord, isLaterRecord)
 	case strings.HasPrefix(known.Key, keys.MachinePrefix):
-		return joinGroups(known, listed)
+		return mergeGroups(known, listed)
 	case strings.HasPrefix(known.Key, keys.AssignmentPrefix):
-		return known.Value, says(known.Value, listed, authority.DecodeAssignment, laterAssignment)
+		return known.Value, isNewer(known.Value, listed, authority.DecodeAssignment, isLaterAssignment)
 	case known.Key == keys.ArchiveMark:
-		return known.Value, says(known.Value, listed, decode[archive.Mark], func(a, b archive.Mark) bool { return a.Cut > b.Cut })
+		return known.Value, isNewer(known.Value, listed, decode[archive.Mark], func(a, b archive.Mark) bool { return a.Cut > b.Cut })
 	case known.Key == keys.Term:
-		return known.Value, says(known.Value, listed, decode[authority.Term], func(a, b authority.Term) bool { return a.Term > b.Term })
+		return known.Value, isNewer(known.Value, listed, decode[authority.Term], func(a, b authority.Term) bool { return a.Term > b.Term })
 	}
 	return nil, false
 }
 
-// says reports whether the known value says more than the listed one.
-func says[T any](known, listed json.RawMessage, decode func([]byte) (T, error), more func(known, listed T) bool) bool {
+// isNewer reports whether the known value is newer than the listed one.
+func isNewer[T any](known, listed json.RawMessage, decode func([]byte) (T, error), more func(known, listed T) bool) bool {
 	a, err := decode(known)
 	if err != nil {
 		return false
@@ -51,21 +51,23 @@
 	return out, err
 }
 
-// laterRecord: an end says more than whatever else was stored meanwhile. So does a migration
-// to another shard: nobody who knew of it has moved the job since.
-func laterRecord(known, listed jobs.Record) bool {
+// isLaterRecord reports whether the known record of a job is later than the
+// listed one. A final status is later than anything else. So is a migration
+// to another shard: no controller that knew of it has moved the job since.
+func isLaterRecord(known, listed jobs.Record) bool {
 	return !listed.Status.Final() && (known.Status.Final() || known.Shard != listed.Shard)
 }
 
-// laterAssignment reports whether a shard's record is of a later assignment than another, or
-// of the same after the shard was released.
-func laterAssignment(known, listed authority.Assignment) bool {
+// isLaterAssignment reports whether a shard's known record is of a later assignment
+// than the listed one, or of the same assignment after the shard was released.
+func isLaterAssignment(known, listed authority.Assignment) bool {
 	a, b := authority.FencingToken(known.Term, known.Number), authority.FencingToken(listed.Term, listed.Number)
 	return a > b || a == b && known.ReleasedBy != "" && listed.ReleasedBy == ""
 }
 
-// joinGroups joins two records of machines: on all that either calls up, tasks may run.
-func joinGroups(known store.Event, listed json.RawMessage) (json.RawMessage, bool) {
+// mergeGroups merges two records of a group of machines. A machine that
+// is up in either is up in the result, because tasks may run on it.
+func mergeGroups(known store.Event, listed json.RawMessage) (json.RawMessage, bool) {
 	request := known.Key[len(keys.MachinePrefix):]
 	group, err := fleet.DecodeGroup(request, known.Value)
 	if err != nil {
--- a/internal/core/rollback/rollback.go
+++ b/internal/core/rollback/rollback.go
@@ -1,11 +1,12 @@
-// Package rollback puts right what a state service lacks that went back behind its answers.
+// Package rollback restores values that are missing after a rollback of the
+// state service, that is, after it has lost writes that it had acknowledged.
 //
-// By the protocol it never does. Should it all the same (it was put back to an older copy, or
-// has lost writes), controllers notice it by a revision below one that they have seen, or by a
-// transaction of theirs that got no higher one (package watchcache). Each then takes its copy
-// of the keys anew, keeps what it knows to be newer, and writes that again; its peers learn of
-// it by its status and do the same. What authority rests on, memberships and the leader
-// record, is as the service has it now.
+// By its protocol the state service never does so. If it happens all the same, because the service
+// was restored from an older backup or has lost writes, a controller detects it by a revision below
+// one that it has seen, or by a transaction of its own that got no higher revision (package
+// watchcache). The controller then lists all keys again, keeps the values that it knows to be newer,
+// and writes them again. Its peers detect the rollback by its status and do the same. Memberships
+// and the leader record, on which authority rests, are accepted as the service has them now.
 package rollback
 
 import (
@@ -17,20 +18,20 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// replayLogBytes bounds the memory for what may have to be written again: some minutes of
-// changes at the rates of docs/results.md.
+// replayLogBytes bounds the memory for changes that may have to be written
+// again. It holds some minutes of changes at the rates of docs/results.md.
 const replayLogBytes = 1 << 20
 
-// Host is the controller whose copy of the keys is taken anew. OnListing calls its methods in
-// the order in which they stand here; none of them calls OnListing.
+// Host is the controller whose watch cache is listed again. OnListing calls
+// its methods in the order of their declaration; none of them calls OnListing.
 type Host interface {
-	// RestoreArchived puts right what a listing shows of archived jobs as unfinished, and
-	// returns what is to be written for that.
+	// RestoreArchived corrects jobs that are archived and that a listing
+	// shows as unfinished, and returns the values to be written for that.
 	RestoreArchived(listed []store.Event) []store.Event
-	// RestoreCache has the copy take a listing, as of a revision, but for keys whose known values
-	// are newer.
+	// RestoreCache loads a listing, as of a revision, into
+	// the cache, except keys whose known values are newer.
 	RestoreCache(revision uint64, listed []store.Event, newer map[string]bool)
-	// StateRolledBack tells all who rely on what the state service had answered.
+	// StateRolledBack notifies every component that relies on earlier answers of the state service.
 	StateRolledBack()
 	// Rewriter is used for each lost value.
 	Rewriter
@@ -38,45 +39,46 @@
 	RestoreShards()
 }
 
-// Rewriter is what it takes to write a lost value again.
+// Rewriter is the access to the state service that is needed to write a lost value again.
 type Rewriter interface {
 	// Store queues a write ahead of others.
 	Store(w *store.Write)
-	// ReadFresh calls a function once a read that began after this call has ended.
+	// ReadFresh calls a function when a read has ended that
+	// began after this call; ok is false if the read failed.
 	ReadFresh(ended func(ok bool))
-	// Version is the version of a key in the copy of the state service's keys.
+	// Version returns the version of a key in the watch cache.
 	Version(key string) uint64
 }
 
-// Recovery remembers what may have to be written again.
+// Recovery keeps a bounded log of changes, and writes them again after a rollback. Use New.
 type Recovery struct {
-	host Host
-	log  *slog.Logger
-	past *replaylog.Log
+	host    Host
+	log     *slog.Logger
+	changes *replaylog.Log
 }
 
-// New returns a recovery that remembers nothing yet.
+// New returns a Recovery with an empty log.
 func New(host Host, log *slog.Logger) *Recovery {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	return &Recovery{host: host, log: log, past: replaylog.New(replayLogBytes)}
+	return &Recovery{host: host, log: log, changes: replaylog.New(replayLogBytes)}
 }
 
-// RecordChange remembers a change that was learnt.
+// RecordChange adds an observed change to the log.
 func (r *Recovery) RecordChange(e store.Event) {
 	if !decidesAuthority(e.Key) {
-		r.past.Note(e)
+		r.changes.Note(e)
 	}
 }
 
-// decidesAuthority reports whether a key says who may act: it is never written again by
-// others than its owner.
+// decidesAuthority reports whether a key decides which controller has
+// authority. Such a key is never written again except by its owner.
 func decidesAuthority(key string) bool {
 	return key == keys.Leader || key == keys.LeaderSinceArchive || strings.HasPrefix(key, keys.MemberPrefix) || strings.HasPrefix(key, keys.StandbyPrefix)
 }
 
-// OnListing takes the first listing, as of a revision, after the state service went back.
+// OnListing handles the first listing, as of a revision, after a rollback of the state service.
 func (r *Recovery) OnListing(revision uint64, items []store.Event) {
 	lost := r.host.RestoreArchived(items)
 	listed := make(map[string]store.Event, len(items))
@@ -84,7 +86,7 @@
 		listed[e.Key] = e
 	}
 	newer := map[string]bool{}
-	for _, known := range r.past.Lost(listed) {
+	for _, known := range r.changes.Lost(listed) {
 		there := listed[known.Key]
 		if value, ok := merge(known, there.Value); ok {
 			newer[known.Key] = true
@@ -94,14 +96,14 @@
 	r.host.RestoreCache(revision, items, newer)
 	r.host.StateRolledBack()
 	for _, e := range lost {
-		r.log.Warn("written again", "key", e.Key, "listed_version", e.Stamp)
+		r.log.Warn("rewriting value lost by the state service", "key", e.Key, "listed_version", e.Stamp)
 		r.Rewrite(e)
 	}
 	r.host.RestoreShards()
 }
 
-// Rewrite stores a value that was lost, unless somebody else changes the key first. What one
-// who knew less has written over it is judged again.
+// Rewrite stores a lost value, unless somebody else changes the key first. A value that a
+// controller with less knowledge has written over the key is compared again at the next listing.
 func (r *Recovery) Rewrite(e store.Event) {
 	r.host.Store(&store.Write{
 		Guards:  []store.Guard{{Key: e.Key, Version: e.Stamp}},
@@ -115,13 +117,13 @@
 	})
 }
 
-// retry decides by what is there now whether a value must still be written: its write was
-// refused, its outcome is unknown, or another was first.
+// retry decides whether a value must still be written after its write was
+// refused, has an unknown outcome, or has failed because the key had changed.
 func (r *Recovery) retry(e store.Event, o store.Outcome) {
 	r.host.ReadFresh(func(ok bool) {
 		changed := r.host.Version(e.Key) != e.Stamp
 		if ok && (changed || o == store.Failed) {
-			return // it is there, or somebody else's is
+			return // the value was stored, or another controller's change
 		}
 		r.Rewrite(e)
 	})
--- a/internal/core/rollback/rollback_test.go
+++ b/internal/core/rollback/rollback_test.go
@@ -13,9 +13,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// What is known here counts only where it says more than what the state service lists, and
-// only of keys of which that can be told.
-func TestMerge(t *testing.T) {
+// TestMergeKeepsNewerValue guards against a rewrite of an older value over a newer one: a known value
+// may replace a listed one only if it is newer, and only for kinds of keys whose values can be compared.
+func TestMergeKeepsNewerValue(t *testing.T) {
 	spec := &jobs.Spec{Tasks: 1}
 	pending := jobs.Record{Status: jobs.Pending, Tasks: 1, Spec: spec}.Encode()
 	migrated := jobs.Record{Status: jobs.Pending, Shard: 1, Tasks: 1, Spec: spec}.Encode()
@@ -29,43 +29,44 @@
 		known, listed json.RawMessage
 		want          bool
 	}{
-		"nothing is listed":               {keys.OverridePrefix + "z", garbage, nil, true},
-		"a key that cannot be compared":   {keys.OverridePrefix + "z", pending, garbage, false},
-		"a job's end":                     {keys.Job("wk-000001"), done, pending, true},
-		"a job's end is listed":           {keys.Job("wk-000001"), pending, done, false},
-		"a migration":                     {keys.Job("wk-000001"), migrated, pending, true},
-		"the same job":                    {keys.Job("wk-000001"), pending, pending, false},
-		"listed garbage":                  {keys.Job("wk-000001"), pending, garbage, true},
-		"known garbage":                   {keys.Job("wk-000001"), garbage, pending, false},
-		"a later assignment":              {keys.Assignment(0), assignment(2, ""), assignment(1, ""), true},
-		"an earlier assignment":           {keys.Assignment(0), assignment(1, "a"), assignment(2, ""), false},
-		"a release":                       {keys.Assignment(0), assignment(1, "a"), assignment(1, ""), true},
-		"a release is listed":             {keys.Assignment(0), assignment(1, ""), assignment(1, "a"), false},
-		"a higher term":                   {keys.Term, store.Value(authority.Term{Term: 3}), store.Value(authority.Term{Term: 2}), true},
-		"a lower term":                    {keys.Term, store.Value(authority.Term{Term: 2}), store.Value(authority.Term{Term: 3}), false},
-		"a higher cut of the archive":     {keys.ArchiveMark, store.Value(archive.Mark{Cut: 3}), store.Value(archive.Mark{Cut: 2}), true},
-		"a lower cut of the archive":      {keys.ArchiveMark, store.Value(archive.Mark{Cut: 2}), store.Value(archive.Mark{Cut: 3}), false},
-		"listed machines cannot be read":  {keys.MachinePrefix + "r-1", store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), garbage, true},
-		"known machines cannot be read":   {keys.MachinePrefix + "r-1", garbage, store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), false},
-		"a machine that is listed as up":  {keys.MachinePrefix + "r-1", store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), false},
-		"an allocation is as it is there": {keys.Allocation(0), store.Value(authority.QuotaAllocation{Fraction: 1}), store.Value(authority.QuotaAllocation{}), false},
+		"not listed":                     {keys.OverridePrefix + "z", garbage, nil, true},
+		"a key that cannot be compared":  {keys.OverridePrefix + "z", pending, garbage, false},
+		"a job's final record":           {keys.Job("wk-000001"), done, pending, true},
+		"a final record is listed":       {keys.Job("wk-000001"), pending, done, false},
+		"a migration":                    {keys.Job("wk-000001"), migrated, pending, true},
+		"the same job":                   {keys.Job("wk-000001"), pending, pending, false},
+		"listed record is unreadable":    {keys.Job("wk-000001"), pending, garbage, true},
+		"known record is unreadable":     {keys.Job("wk-000001"), garbage, pending, false},
+		"a later assignment":             {keys.Assignment(0), assignment(2, ""), assignment(1, ""), true},
+		"an earlier assignment":          {keys.Assignment(0), assignment(1, "a"), assignment(2, ""), false},
+		"a release":                      {keys.Assignment(0), assignment(1, "a"), assignment(1, ""), true},
+		"a release is listed":            {keys.Assignment(0), assignment(1, ""), assignment(1, "a"), false},
+		"a higher term":                  {keys.Term, store.Value(authority.Term{Term: 3}), store.Value(authority.Term{Term: 2}), true},
+		"a lower term":                   {keys.Term, store.Value(authority.Term{Term: 2}), store.Value(authority.Term{Term: 3}), false},
+		"a higher cut of the archive":    {keys.ArchiveMark, store.Value(archive.Mark{Cut: 3}), store.Value(archive.Mark{Cut: 2}), true},
+		"a lower cut of the archive":     {keys.ArchiveMark, store.Value(archive.Mark{Cut: 2}), store.Value(archive.Mark{Cut: 3}), false},
+		"listed machines cannot be read": {keys.MachinePrefix + "r-1", store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), garbage, true},
+		"known machines cannot be read":  {keys.MachinePrefix + "r-1", garbage, store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), false},
+		"a machine that is listed as up": {keys.MachinePrefix + "r-1", store.Value(fleet.Group{Type: "big", Zone: "z", Booting: []string{"n-1"}}), store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), false},
+		"a quota allocation":             {keys.Allocation(0), store.Value(authority.QuotaAllocation{Fraction: 1}), store.Value(authority.QuotaAllocation{}), false},
 	} {
 		value, got := merge(store.Event{Key: test.key, Value: test.known}, test.listed)
 		if got != test.want || got && string(value) != string(test.known) {
-			t.Errorf("%s: %v, %s", name, got, value)
+			t.Errorf("%s: newer %v, merged value %s", name, got, value)
 		}
 	}
 }
 
-// A machine on which tasks may run is up in the joined record, whoever says so.
-func TestJoinedMachinesAreUp(t *testing.T) {
+// TestMergedMachinesAreUp guards against the loss of machines on which tasks may run:
+// a machine that is up in the known or the listed record must be up in the merged one.
+func TestMergedMachinesAreUp(t *testing.T) {
 	key := keys.MachinePrefix + "r-1"
 	known := store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1", "n-2"}, Booting: []string{"n-3"}})
 	listed := store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-3"}, Booting: []string{"n-1"}})
 	value, more := merge(store.Event{Key: key, Value: known}, listed)
 	group, err := fleet.DecodeGroup("r-1", value)
 	if err != nil || !more {
-		t.Fatalf("%v, %v", more, err)
+		t.Fatalf("newer %v, %v", more, err)
 	}
 	slices.Sort(group.Up)
 	if !slices.Equal(group.Up, []string{"n-1", "n-2", "n-3"}) || len(group.Booting) != 0 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// rewriter is a state service in which somebody else may be first.
+// rewriter is a state service whose writes end with the outcome that a test chooses.
 type rewriter struct {
 	Host
 	version uint64
@@ -85,22 +86,23 @@
 func (r *rewriter) ReadFresh(ended func(ok bool)) { r.reads = append(r.reads, ended) }
 func (r *rewriter) Version(string) uint64         { return r.version }
 
-// A lost value is written until it is there, or somebody else's is.
-func TestRewrite(t *testing.T) {
+// TestRewriteRetriesUntilStored guards against a lost value that is not restored, and against one written
+// over another controller's change: the write is retried until the value is stored or the key was changed.
+func TestRewriteRetriesUntilStored(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcome store.Outcome
 		read    bool
-		version uint64 // that a read shows
+		version uint64 // version that the read shows
 		again   bool
 	}{
-		"written":                        {store.OK, true, 7, false},
-		"too large, and so never":        {store.TooLarge, true, 7, false},
-		"refused, and nothing is there":  {store.Refused, true, 7, true},
-		"unknown, and it is there":       {store.Unknown, true, 8, false},
-		"unknown, and nothing was read":  {store.Unknown, false, 8, true},
-		"another was first":              {store.Failed, true, 8, false},
-		"another was first, unread yet":  {store.Failed, false, 7, true},
-		"another was first, and removed": {store.Failed, true, 7, false},
+		"stored":                      {store.OK, true, 7, false},
+		"too large to be stored":      {store.TooLarge, true, 7, false},
+		"refused, key unchanged":      {store.Refused, true, 7, true},
+		"in doubt, key changed":       {store.Unknown, true, 8, false},
+		"in doubt, read failed":       {store.Unknown, false, 8, true},
+		"conflict, key changed":       {store.Failed, true, 8, false},
+		"conflict, read failed":       {store.Failed, false, 7, true},
+		"conflict, key deleted since": {store.Failed, true, 7, false},
 	} {
 		host := &rewriter{version: 7}
 		r := New(host, nil)
@@ -114,22 +116,23 @@
 			ended(test.read)
 		}
 		if again := len(host.writes) == 2; again != test.again {
-			t.Errorf("%s: again %v", name, again)
+			t.Errorf("%s: written again %v", name, again)
 		}
 	}
 }
 
-// What says who may act is never written again by others than its owner.
-func TestAuthorityIsNotRemembered(t *testing.T) {
+// TestAuthorityKeysAreNotRewritten guards against the restoration of an expired authority: the log
+// must leave out memberships, leader records and standby records, which only their owners write.
+func TestAuthorityKeysAreNotRewritten(t *testing.T) {
 	r := New(nil, nil)
 	for _, key := range []string{keys.Leader, keys.LeaderSinceArchive, keys.MemberPrefix + "a", keys.Standby(0)} {
 		r.RecordChange(store.Event{Key: key, Value: json.RawMessage("{}"), Stamp: 1})
 	}
-	if lost := r.past.Lost(nil); len(lost) != 0 {
+	if lost := r.changes.Lost(nil); len(lost) != 0 {
 		t.Fatalf("%+v", lost)
 	}
 	r.RecordChange(store.Event{Key: keys.Assignment(0), Value: json.RawMessage("{}"), Stamp: 1})
-	if lost := r.past.Lost(nil); len(lost) != 1 {
+	if lost := r.changes.Lost(nil); len(lost) != 1 {
 		t.Fatalf("%+v", lost)
 	}
 }
--- a/internal/core/transfer/snapshot.go
+++ b/internal/core/transfer/snapshot.go
@@ -10,39 +10,40 @@
 	"shalestage.example/shalestage/internal/core/replication"
 )
 
-// Snapshot is what the last owner of a shard knew; the zero value knows nothing.
+// Snapshot is what the last owner of a shard knew. The zero value is empty.
 type Snapshot struct {
 	fencingToken uint64
 	machines     map[string]replication.MachineSnapshot
 	finished     []replication.FinishedTasks
-	complete     bool // on machines that are not in it, nothing can be
+	complete     bool // nothing can run on a machine that is not in it
 }
 
-// Complete reports whether the snapshot tells of all that was started.
+// Complete reports whether the snapshot includes everything that was started.
 func (s *Snapshot) Complete() bool { return s.complete }
 
-// Covers reports whether a machine of a group need not be reconciled: the snapshot shows it, or
-// is complete without it. On a machine that nobody is known to have provisioned, anybody may have
-// started anything.
+// Covers reports whether a machine of a group need not be reconciled: the snapshot includes it,
+// or is complete without it. An orphaned machine that is not included is never covered: it is
+// not known which controller provisioned it, so any controller may have started tasks on it.
 func (s *Snapshot) Covers(machine, group string) bool {
 	_, shown := s.machines[machine]
 	return shown || s.complete && !keys.IsOrphanMachine(group)
 }
 
-// Host is the next owner, while it takes over and before it answers any worker. Its methods must
-// not change which machines there are.
+// Host is the next owner while it takes the shard over, before it
+// answers any worker. Its methods must not add or remove machines.
 type Host interface {
-	// Machines are those of the shard, by name.
+	// Machines returns the machines of the shard by name.
 	Machines() map[string]*fleet.Machine
-	// ActiveJob returns a job of the shard that is not over, or nil.
+	// ActiveJob returns a job of the shard that is not final, or nil.
 	ActiveJob(id string) *jobs.Job
-	// RestoreMachine takes in what may be on a machine, which need not be reconciled then.
+	// RestoreMachine applies the state of a machine, which need not be reconciled then.
 	RestoreMachine(machine *fleet.Machine, last replication.MachineSnapshot)
-	// TaskFinished takes in that a task is finished, which is to be stored.
+	// TaskFinished records that a task is finished, which is still to be stored.
 	TaskFinished(job *jobs.Job, task int)
 }
 
-// Restore hands the snapshot to the shard's next owner, and returns of how many machines it tells.
+// Restore applies the snapshot to the shard's next owner
+// and returns the number of machines that were restored.
 func (s *Snapshot) Restore(host Host) int {
 	restored := 0
 	machines := host.Machines()
--- a/internal/core/transfer/transfer.go
+++ b/internal/core/transfer/transfer.go
@@ -1,14 +1,14 @@
-// Package transfer lets the next owner of a shard go on with what the last one knew, instead of
-// waiting until every machine has sent a heartbeat.
+// Package transfer hands the state of a shard from its last owner to the next,
+// so that the next owner need not wait until every machine has sent a heartbeat.
 //
-// An owner that gives a shard up while its membership stands sends a snapshot: what may run on
-// each reconciled machine, and which tasks are finished and not stored as such. It answers no
-// worker any more from before the snapshot is made, so that nothing is missing in it. An owner
-// that ends without a word has had a standby told of all that it starts (package replication).
+// An owner that releases a shard while its membership is valid sends a snapshot: the tasks that may run
+// on each reconciled machine, and the tasks that are finished and not stored as such. It stops answering
+// workers before the snapshot is made, so that the snapshot misses nothing. An owner that fails without
+// releasing the shard has sent everything that it started to a standby (package replication).
 //
-// The next owner uses either only where the assignment says that it follows on the very one
-// under which it was made, with none between: somebody else may have started anything since.
-// Whatever is not in a snapshot, or was lost on the way, stays unreconciled.
+// The next owner uses a snapshot of either kind only if its assignment directly follows the one under
+// which the snapshot was made. If there was an assignment in between, another owner may have started
+// anything since. Machines that are not in the snapshot, or whose part was lost, stay unreconciled.
 package transfer
 
 import (
@@ -22,40 +22,39 @@
 	"shalestage.example/shalestage/internal/core/replication"
 )
 
-// Message is a part of an owner's snapshot of a shard. Its fields have the names by which
-// controllers of other releases know them.
+// Message is one part of an owner's snapshot of a shard. Its field names
+// are part of the protocol between controllers of different releases.
 type Message struct {
 	Block    int
-	Token    uint64 // fencing token under which it was made
+	Token    uint64 // fencing token under which the snapshot was made
 	Machines []replication.MachineSnapshot
-	Done     []replication.FinishedTasks // that are not stored as done yet
+	Done     []replication.FinishedTasks // finished tasks that are not stored as done yet
 }
 
 const (
 	// MessageSize bounds the tasks and machines in one part, which must fit into a frame
-	// between controllers.
-	MessageSize = 400
-	// machineSize is what a machine counts beside its tasks.
-	machineSize = 4
-	// maxSnapshot bounds the machines, and the parts of finished tasks, that are remembered of a
-	// snapshot. A machine beyond is unreconciled.
-	maxSnapshot = replication.MaxMachines
+	// between controllers. A machine counts as machineOverhead, plus one for each of its tasks.
+	MessageSize     = 400
+	machineOverhead = 4
+	// maxSnapshotEntries bounds the machines and the lists of finished tasks
+	// that are kept of a snapshot. Machines beyond it stay unreconciled.
+	maxSnapshotEntries = replication.MaxMachines
 )
 
-// Shard is what an owner knows of a shard that it gives up.
+// Shard is the state of a shard that its owner releases.
 type Shard struct {
 	Number       int
 	FencingToken uint64
-	Jobs         map[string]*jobs.Job // active ones
+	Jobs         map[string]*jobs.Job // active jobs
 	Machines     map[string]*fleet.Machine
 }
 
-// Messages returns a snapshot of a shard, in parts.
+// Messages returns a snapshot of a shard, split into messages.
 func (s Shard) Messages() []Message {
-	parts := &partition{next: Message{Block: s.Number, Token: s.FencingToken}}
+	parts := &messageBuilder{next: Message{Block: s.Number, Token: s.FencingToken}}
 	for _, id := range slices.Sorted(maps.Keys(s.Jobs)) {
-		// The rest would be done once more: machines show what has exited only with their
-		// next heartbeat.
+		// Without these, the next owner would run the tasks again: a
+		// machine reports exited tasks only with its next heartbeat.
 		parts.addTasks(id, UnstoredTasks(s.Jobs[id]))
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Machines)) {
@@ -63,13 +62,13 @@
 			parts.addMachine(MachineSnapshot(machine))
 		}
 	}
-	parts.end()
+	parts.finishMessage()
 	return parts.done
 }
 
-// transferable reports whether all that may be on a machine is known. One that has just come up
-// has not shown the fencing token yet; as all that earlier owners left is reconciled, nothing can
-// be on it, unless nobody knows who provisioned it.
+// transferable reports whether everything that may run on a machine is known. A machine that has just come
+// up has not confirmed this owner's fencing token yet. Nothing can run on it, because everything that
+// earlier owners started is reconciled, unless the machine is orphaned: it is not known who provisioned it.
 func transferable(machine *fleet.Machine) bool {
 	if machine.Deprovisioning || machine.Lost || !machine.Record.Up {
 		return false
@@ -77,22 +76,22 @@
 	return machine.Reconciled || !keys.IsOrphanMachine(machine.Group)
 }
 
-// partition divides a snapshot into messages.
-type partition struct {
+// messageBuilder splits a snapshot into messages.
+type messageBuilder struct {
 	done []Message
 	next Message
 	size int
 }
 
-func (p *partition) end() {
+func (p *messageBuilder) finishMessage() {
 	p.done = append(p.done, p.next)
 	p.next.Machines, p.next.Done, p.size = nil, nil, 0
 }
 
-func (p *partition) addTasks(job string, tasks []int) {
+func (p *messageBuilder) addTasks(job string, tasks []int) {
 	for len(tasks) > 0 {
 		if p.size >= MessageSize {
-			p.end()
+			p.finishMessage()
 		}
 		count := min(len(tasks), MessageSize-p.size)
 		p.next.Done = append(p.next.Done, replication.FinishedTasks{Job: job, Tasks: tasks[:count:count]})
@@ -101,16 +100,16 @@
 	}
 }
 
-func (p *partition) addMachine(machine replication.MachineSnapshot) {
-	size := len(machine.Tasks) + machineSize
+func (p *messageBuilder) addMachine(machine replication.MachineSnapshot) {
+	size := len(machine.Tasks) + machineOverhead
 	if p.size > 0 && p.size+size > MessageSize {
-		p.end()
+		p.finishMessage()
 	}
 	p.next.Machines = append(p.next.Machines, machine)
 	p.size += size
 }
 
-// MachineSnapshot tells what may be on a machine.
+// MachineSnapshot returns the state of a machine: the tasks that may run on it.
 func MachineSnapshot(machine *fleet.Machine) replication.MachineSnapshot {
 	snapshot := replication.MachineSnapshot{Name: machine.Name, Addr: machine.Addr, Session: machine.Incarnation, Seq: machine.Seq}
 	for _, id := range machine.TaskIDs() {
@@ -120,10 +119,10 @@
 	return snapshot
 }
 
-// UnstoredTasks are the tasks of a job that are finished and not stored as such.
+// UnstoredTasks returns the tasks of a job that are finished and not stored as such.
 func UnstoredTasks(job *jobs.Job) (tasks []int) {
 	if job.DirtySince == 0 && !job.AllFinished() {
-		return nil // all that is finished is stored
+		return nil // every finished task is stored
 	}
 	for task := range job.Record.Tasks {
 		if job.IsFinished(task) && !job.IsStored(task) {
@@ -133,21 +132,21 @@
 	return tasks
 }
 
-// Receiver keeps what this controller knows of shards that it may own next.
+// Receiver keeps the snapshots of shards that this controller may own next. Use NewReceiver.
 type Receiver struct {
 	node      string
-	snapshots map[int]*Snapshot          // as owners have sent them
-	records   map[int]replication.Record // who stands by for the owner of each shard, as stored
-	standby   *replication.Standby       // what owners have started for which this node stands by
+	snapshots map[int]*Snapshot          // sent by owners on release, by shard
+	records   map[int]replication.Record // stored record of the standby of each shard's owner
+	standby   *replication.Standby       // streams of the owners for which this node is the standby
 }
 
-// NewReceiver returns one of a controller that has received nothing.
+// NewReceiver returns the empty Receiver of a controller.
 func NewReceiver(node string) *Receiver {
 	return &Receiver{node: node, snapshots: map[int]*Snapshot{}, records: map[int]replication.Record{}, standby: replication.NewStandby()}
 }
 
-// Receive takes a part of a snapshot. Parts come in any order; those of an older one than the
-// last count for nothing.
+// Receive stores one part of a snapshot. Parts may come in any order.
+// Parts of a snapshot older than the latest one of the shard are ignored.
 func (r *Receiver) Receive(part Message) {
 	if part.Block < 0 || part.Block >= keys.MaxShards {
 		return
@@ -158,7 +157,7 @@
 		r.snapshots[part.Block] = snapshot
 	}
 	known := len(snapshot.machines) + len(snapshot.finished)
-	if snapshot.fencingToken != part.Token || known+len(part.Machines)+len(part.Done) > maxSnapshot {
+	if snapshot.fencingToken != part.Token || known+len(part.Machines)+len(part.Done) > maxSnapshotEntries {
 		return
 	}
 	snapshot.finished = append(snapshot.finished, part.Done...)
@@ -167,18 +166,17 @@
 	}
 }
 
-// ReceiveReplication takes what the owner of a shard has started, and returns what to answer. stored
-// reports whether a task is known to be stored as done, or its job to be over.
+// ReceiveReplication handles a message of the replication stream of a shard's owner and returns its
+// acknowledgement. stored reports whether a task is known to be stored as done, or its job to be final.
 func (r *Receiver) ReceiveReplication(message replication.Message, stored func(job string, task int) bool) replication.Ack {
 	return r.standby.Receive(message, stored)
 }
 
-// ApplyStandby takes the stored record of who stands by for the owner of a shard.
+// ApplyStandby applies the stored record of the standby of a shard's owner.
 func (r *Receiver) ApplyStandby(shard int, record replication.Record) { r.records[shard] = record }
 
-// StandbyOf names who knows all that the owner of a shard under a fencing token has started; ""
-// if nobody is stored to. A stream of an owner that has another standby, or none, is of no use
-// any more.
+// StandbyOf returns the stored standby of the owner that holds a shard under a fencing token, or
+// "" if none is stored. The stream of an owner with another standby, or none, is of no more use.
 func (r *Receiver) StandbyOf(shard int, fencingToken uint64) string {
 	if record := r.records[shard]; record.Token == fencingToken {
 		return record.Node
@@ -189,15 +187,16 @@
 // Discard drops the snapshot of a shard that was assigned to another controller.
 func (r *Receiver) Discard(shard int) { delete(r.snapshots, shard) }
 
-// StateRolledBack drops what owners have started: who is stored to stand by may be as of an
-// earlier time.
+// StateRolledBack drops all replication streams: after a rollback of
+// the state service, the stored standby records may be out of date.
 func (r *Receiver) StateRolledBack() { r.standby = replication.NewStandby() }
 
-// TakeSnapshot returns what is known of a shard that was assigned to this node, and forgets it.
+// TakeSnapshot removes and returns the snapshot of a shard that was assigned to
+// this node. The snapshot is empty if none may be used under the assignment.
 func (r *Receiver) TakeSnapshot(shard int, assignment authority.Assignment) *Snapshot {
 	sent := r.snapshots[shard]
 	delete(r.snapshots, shard)
-	if replicated := r.takeReplicated(shard, assignment); replicated != nil {
+	if replicated := r.takeReplicatedSnapshot(shard, assignment); replicated != nil {
 		return replicated
 	}
 	if sent == nil || assignment.TransferredFrom == 0 || sent.fencingToken != assignment.TransferredFrom {
@@ -206,13 +205,13 @@
 	return sent
 }
 
-// takeReplicated returns the snapshot of a shard whose owner had this node stand by up to the
-// end of the assignment before, or nil.
-func (r *Receiver) takeReplicated(shard int, assignment authority.Assignment) *Snapshot {
+// takeReplicatedSnapshot returns the snapshot of a shard whose last owner had
+// this node as its standby until the end of the previous assignment, or nil.
+func (r *Receiver) takeReplicatedSnapshot(shard int, assignment authority.Assignment) *Snapshot {
 	defer r.standby.DropStream(shard)
 	record := r.records[shard]
 	if assignment.PreviousToken == 0 || assignment.PreviousToken != record.Token {
-		return nil // somebody else has owned it since, or an older release assigned it
+		return nil // another controller has owned the shard since, or an older release assigned it
 	}
 	machines, finished, ok := r.standby.Snapshot(shard, r.node, record)
 	if !ok {
--- a/internal/core/transfer/transfer_test.go
+++ b/internal/core/transfer/transfer_test.go
@@ -15,7 +15,7 @@
 
 const token = 7
 
-// machine returns a machine that is stored as up and reconciled, with tasks of a job.
+// machine returns a machine that is stored as up, is reconciled, and runs tasks of a job.
 func machine(name string, tasks int) *fleet.Machine {
 	m := fleet.New(name, fleet.Record{Type: "big", Zone: "z", Up: true}, nil, 0)
 	m.Reconciled, m.Group, m.Addr, m.Incarnation, m.Seq = true, keys.MachinePrefix+"r-1", name+":1", 3, 9
@@ -25,7 +25,7 @@
 	return m
 }
 
-// job returns a job of which some tasks are finished and not stored as such.
+// job returns a job with some tasks that are finished and not stored as such.
 func job(id string, tasks, finished int) *jobs.Job {
 	j := &jobs.Job{ID: id, Record: jobs.Record{Status: jobs.Pending, Tasks: tasks, Spec: &jobs.Spec{Tasks: tasks}}}
 	j.ClearPlacements()
@@ -37,9 +37,9 @@
 	return j
 }
 
-// TestMessages divides a large snapshot into parts that each fit a frame, with nothing left out
-// and nothing twice.
-func TestMessages(t *testing.T) {
+// TestSnapshotIsSplitIntoMessages guards against parts of a large snapshot that exceed a frame,
+// and against machines and finished tasks that are lost or repeated when the snapshot is split.
+func TestSnapshotIsSplitIntoMessages(t *testing.T) {
 	shard := Shard{Number: 2, FencingToken: token, Jobs: map[string]*jobs.Job{}, Machines: map[string]*fleet.Machine{}}
 	for n := range 3 {
 		id := fmt.Sprintf("wk-%06d", n+1)
@@ -54,22 +54,22 @@
 	for _, part := range parts {
 		size := 0
 		if part.Block != 2 || part.Token != token {
-			t.Fatalf("of shard %d, token %d", part.Block, part.Token)
+			t.Fatalf("message of shard %d, token %d", part.Block, part.Token)
 		}
 		for _, m := range part.Machines {
 			if m.Name <= last {
-				t.Errorf("%s after %s", m.Name, last)
+				t.Errorf("machine %s comes after %s", m.Name, last)
 			}
 			last = m.Name
 			machines[m.Name] = len(m.Tasks)
-			size += len(m.Tasks) + machineSize
+			size += len(m.Tasks) + machineOverhead
 		}
 		for _, done := range part.Done {
 			finished[done.Job] += len(done.Tasks)
 			size += len(done.Tasks)
 		}
 		if size > MessageSize {
-			t.Errorf("a part of %d", size)
+			t.Errorf("message of size %d", size)
 		}
 	}
 	if len(parts) < 9 || len(machines) != 150 || machines["n-079"] != 39 {
@@ -80,43 +80,44 @@
 	}
 }
 
-// TestTransferable leaves out machines of which it is not known what may run there, or that are
-// about to go: the next owner must reconcile them.
-func TestTransferable(t *testing.T) {
+// TestSnapshotOmitsUnconfirmedMachines guards against a next owner that trusts
+// an incomplete state: machines on which unknown tasks may run, or that are
+// being removed, must be left out, so that the next owner reconciles them.
+func TestSnapshotOmitsUnconfirmedMachines(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(m *fleet.Machine)
 		want   bool
 	}{
-		"reconciled":            {func(*fleet.Machine) {}, true},
-		"just up":               {func(m *fleet.Machine) { m.Reconciled = false }, true},
-		"just up, of nobody":    {func(m *fleet.Machine) { m.Reconciled, m.Group = false, keys.OrphanMachine(m.Name) }, false},
-		"of nobody, reconciled": {func(m *fleet.Machine) { m.Group = keys.OrphanMachine(m.Name) }, true},
-		"booting":               {func(m *fleet.Machine) { m.Record.Up = false }, false},
-		"lost":                  {func(m *fleet.Machine) { m.Lost = true }, false},
-		"deprovisioning":        {func(m *fleet.Machine) { m.Deprovisioning = true }, false},
+		"reconciled":           {func(*fleet.Machine) {}, true},
+		"just up":              {func(m *fleet.Machine) { m.Reconciled = false }, true},
+		"just up, orphaned":    {func(m *fleet.Machine) { m.Reconciled, m.Group = false, keys.OrphanMachine(m.Name) }, false},
+		"orphaned, reconciled": {func(m *fleet.Machine) { m.Group = keys.OrphanMachine(m.Name) }, true},
+		"booting":              {func(m *fleet.Machine) { m.Record.Up = false }, false},
+		"lost":                 {func(m *fleet.Machine) { m.Lost = true }, false},
+		"deprovisioning":       {func(m *fleet.Machine) { m.Deprovisioning = true }, false},
 	} {
 		m := machine("n-1", 1)
 		test.change(m)
 		shard := Shard{FencingToken: token, Machines: map[string]*fleet.Machine{"n-1": m}}
 		if got := len(shard.Messages()[0].Machines) == 1; got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: in the snapshot %v", name, got)
 		}
 	}
 }
 
-// TestTake uses a snapshot only under the assignment that follows on the one under which it was
-// made, and only once.
-func TestTake(t *testing.T) {
-	follows := authority.Assignment{TransferredFrom: token}
+// TestSnapshotIsUsedOnceByNextOwner guards against the use of an outdated snapshot: it may be used
+// only under the assignment that directly follows the one under which it was made, and only once.
+func TestSnapshotIsUsedOnceByNextOwner(t *testing.T) {
+	next := authority.Assignment{TransferredFrom: token}
 	for name, test := range map[string]struct {
 		assignment authority.Assignment
 		discard    bool
 		want       bool
 	}{
-		"the next":                {assignment: follows, want: true},
-		"one between":             {assignment: authority.Assignment{TransferredFrom: token + 1}},
-		"of an older release":     {},
-		"was another's meanwhile": {assignment: follows, discard: true},
+		"next assignment":       {assignment: next, want: true},
+		"assignment in between": {assignment: authority.Assignment{TransferredFrom: token + 1}},
+		"of an older release":   {},
+		"discarded meanwhile":   {assignment: next, discard: true},
 	} {
 		r := NewReceiver("b")
 		r.Receive(Message{Block: 2, Token: token, Machines: []replication.MachineSnapshot{{Name: "n-1"}}})
@@ -129,7 +130,7 @@
 			t.Errorf("%s: covers %v", name, got)
 		}
 		if snapshot.Covers("n-2", keys.MachinePrefix+"r-1") || snapshot.Complete() {
-			t.Errorf("%s: tells of what an older one told", name)
+			t.Errorf("%s: includes a machine of an older snapshot, or counts as complete", name)
 		}
 		if r.TakeSnapshot(2, test.assignment).Covers("n-1", keys.MachinePrefix+"r-1") {
 			t.Errorf("%s: used twice", name)
@@ -137,14 +138,15 @@
 	}
 }
 
-// TestReceiveBounds takes no more than is remembered, and no shard that cannot be.
-func TestReceiveBounds(t *testing.T) {
+// TestReceivedSnapshotIsBounded guards against a peer that fills the memory: shard
+// numbers out of range are ignored, and so are parts beyond maxSnapshotEntries.
+func TestReceivedSnapshotIsBounded(t *testing.T) {
 	r := NewReceiver("b")
 	for _, shard := range []int{-1, keys.MaxShards} {
 		r.Receive(Message{Block: shard, Token: token})
 	}
 	if len(r.snapshots) != 0 {
-		t.Errorf("%d shards", len(r.snapshots))
+		t.Errorf("snapshots of %d shards out of range", len(r.snapshots))
 	}
 	part := Message{Block: 1, Token: token}
 	for n := range 1000 {
@@ -156,14 +158,16 @@
 		}
 		r.Receive(part)
 	}
-	if got := len(r.snapshots[1].machines); got != maxSnapshot/1000*1000 {
+	if got := len(r.snapshots[1].machines); got != maxSnapshotEntries/1000*1000 {
 		t.Errorf("%d machines", got)
 	}
 }
 
-// TestTakeReplicated prefers what this node has followed as the standby that is stored, and is
-// complete: on a machine that it does not show nothing can be, unless nobody provisioned it.
-func TestTakeReplicated(t *testing.T) {
+// TestReplicatedSnapshotNeedsStandbyRecord guards against the use of a replicated
+// snapshot that may miss starts: it counts as complete only if the stored record
+// names this node and its stream, and the assignment directly follows. Then nothing
+// can run on a machine that it does not include, unless that machine is orphaned.
+func TestReplicatedSnapshotNeedsStandbyRecord(t *testing.T) {
 	record := replication.Record{Node: "b", Token: token, Run: 1}
 	for name, test := range map[string]struct {
 		record     replication.Record
@@ -171,12 +175,12 @@
 		rolledBack bool
 		want       bool
 	}{
-		"the next":               {record: record, assignment: authority.Assignment{PreviousToken: token}, want: true},
-		"one between":            {record: record, assignment: authority.Assignment{PreviousToken: token + 1}},
+		"next assignment":        {record: record, assignment: authority.Assignment{PreviousToken: token}, want: true},
+		"assignment in between":  {record: record, assignment: authority.Assignment{PreviousToken: token + 1}},
 		"of an older release":    {record: record},
-		"another stood by":       {record: replication.Record{Node: "c", Token: token, Run: 1}, assignment: authority.Assignment{PreviousToken: token}},
+		"another standby":        {record: replication.Record{Node: "c", Token: token, Run: 1}, assignment: authority.Assignment{PreviousToken: token}},
 		"another stream":         {record: replication.Record{Node: "b", Token: token, Run: 2}, assignment: authority.Assignment{PreviousToken: token}},
-		"the state service fell": {record: record, assignment: authority.Assignment{PreviousToken: token}, rolledBack: true},
+		"state service rollback": {record: record, assignment: authority.Assignment{PreviousToken: token}, rolledBack: true},
 	} {
 		r := NewReceiver("b")
 		r.ApplyStandby(2, test.record)
@@ -188,17 +192,17 @@
 			r.StateRolledBack()
 		}
 		if got, want := r.StandbyOf(2, token), test.record.Node; got != want {
-			t.Errorf("%s: stands by %q", name, got)
+			t.Errorf("%s: standby %q", name, got)
 		}
 		if got := r.StandbyOf(2, token+1); got != "" {
-			t.Errorf("%s: of the next owner %q stands by", name, got)
+			t.Errorf("%s: standby of the next owner %q", name, got)
 		}
 		snapshot := r.TakeSnapshot(2, test.assignment)
 		if snapshot.Complete() != test.want || snapshot.Covers("n-2", keys.MachinePrefix+"r-1") != test.want || snapshot.Covers("n-1", keys.MachinePrefix+"r-1") != test.want {
 			t.Errorf("%s: complete %v", name, snapshot.Complete())
 		}
 		if snapshot.Covers("n-2", keys.OrphanMachine("n-2")) {
-			t.Errorf("%s: covers a machine of nobody", name)
+			t.Errorf("%s: covers an orphaned machine", name)
 		}
 		if r.TakeSnapshot(2, test.assignment).Complete() {
 			t.Errorf("%s: used twice", name)
@@ -206,24 +210,24 @@
 	}
 }
 
-// fakeNext is a shard's next owner.
-type fakeNext struct {
+// nextOwner is a shard's next owner.
+type nextOwner struct {
 	machines map[string]*fleet.Machine
 	jobs     map[string]*jobs.Job
 	restored []string
 	finished []int
 }
 
-func (n *fakeNext) Machines() map[string]*fleet.Machine { return n.machines }
-func (n *fakeNext) ActiveJob(id string) *jobs.Job       { return n.jobs[id] }
-func (n *fakeNext) RestoreMachine(m *fleet.Machine, last replication.MachineSnapshot) {
+func (n *nextOwner) Machines() map[string]*fleet.Machine { return n.machines }
+func (n *nextOwner) ActiveJob(id string) *jobs.Job       { return n.jobs[id] }
+func (n *nextOwner) RestoreMachine(m *fleet.Machine, last replication.MachineSnapshot) {
 	n.restored = append(n.restored, fmt.Sprint(m.Name, " ", last.Addr, " ", last.Session, " ", last.Seq, " ", len(last.Tasks)))
 }
-func (n *fakeNext) TaskFinished(_ *jobs.Job, task int) { n.finished = append(n.finished, task) }
+func (n *nextOwner) TaskFinished(_ *jobs.Job, task int) { n.finished = append(n.finished, task) }
 
-// TestRestore has the next owner take in what the last one knew: machines that it has a record
-// of, and finished tasks once, whatever is in the message.
-func TestRestore(t *testing.T) {
+// TestRestoreSnapshot guards against a next owner that restores machines without a
+// record, counts a finished task twice or accepts invalid task numbers from a message.
+func TestRestoreSnapshot(t *testing.T) {
 	last := Shard{Number: 2, FencingToken: token, Jobs: map[string]*jobs.Job{"wk-000001": job("wk-000001", 5, 2)},
 		Machines: map[string]*fleet.Machine{"n-1": machine("n-1", 2), "n-2": machine("n-2", 0), "n-3": machine("n-3", 1)}}
 	last.Machines["n-1"].Put(jobs.TaskID{Job: "wk-000001", Task: 4}, fleet.Attempt{Number: 9, State: fleet.Saving})
@@ -232,15 +236,15 @@
 		r.Receive(part)
 	}
 	r.Receive(Message{Block: 2, Token: token, Done: []replication.FinishedTasks{{Job: "wk-000001", Tasks: []int{-1, 5, 0, 3}}, {Job: "wk-000009", Tasks: []int{0}}}})
-	next := &fakeNext{jobs: map[string]*jobs.Job{"wk-000001": job("wk-000001", 5, 1)}, machines: map[string]*fleet.Machine{}}
+	next := &nextOwner{jobs: map[string]*jobs.Job{"wk-000001": job("wk-000001", 5, 1)}, machines: map[string]*fleet.Machine{}}
 	for _, name := range []string{"n-1", "n-2", "n-4"} {
 		next.machines[name] = fleet.New(name, fleet.Record{Type: "big", Zone: "z", Up: true}, nil, 0)
 	}
 	snapshot := r.TakeSnapshot(2, authority.Assignment{TransferredFrom: token})
 	if n := snapshot.Restore(next); n != 2 {
-		t.Errorf("%d machines", n)
+		t.Errorf("restored %d machines", n)
 	}
-	// n-3 has no record any more, and the last owner did not show n-4.
+	// n-3 has no record any more, and the snapshot does not include n-4.
 	if want := []string{"n-1 n-1:1 3 9 3", "n-2 n-2:1 3 9 0"}; !slices.Equal(next.restored, want) {
 		t.Errorf("restored %v", next.restored)
 	}
