--- a/internal/core/override.go
+++ b/internal/core/override.go
@@ -64,7 +64,7 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(known))
-	if err := zones.Check(names, zone, word); err != nil {
+	if err := zones.ValidateOverride(names, zone, word); err != nil {
 		return nil, err
 	}
 	key := overridePrefix + zone
--- a/internal/core/replication/limits_test.go
+++ b/internal/core/replication/limits_test.go
@@ -64,7 +64,7 @@
 	settle()
 	for i := range maxDeferredAnswers {
 		if !host.answers[i] {
-			t.Fatalf("answer %d of %d is not sent", i, fleet.FullShard)
+			t.Fatalf("answer %d of %d is not sent", i, fleet.FullShardMachines)
 		}
 	}
 }
--- a/internal/core/replication/replication.go
+++ b/internal/core/replication/replication.go
@@ -101,6 +101,6 @@
 	// shard. An answer beyond it is refused at once, and its machine sends another
 	// heartbeat. answerTimeout bounds the time for which an answer is deferred: a
 	// worker drops an answer that comes later than 4 s after its heartbeat.
-	maxDeferredAnswers = fleet.FullShard
+	maxDeferredAnswers = fleet.FullShardMachines
 	answerTimeout      = 3 * units.Second
 )
