--- a/internal/core/peering/directory.go
+++ b/internal/core/peering/directory.go
@@ -33,7 +33,7 @@
 	names          []string
 	peers          map[string]*peer
 	releases       map[string]int             // as last sent or stored, by controller
-	olderReleaseAt map[int]units.Microseconds // by release: when some other controller was last not known to run it or a later one
+	olderReleaseAt map[int]units.Microseconds // by release: last time at which some peer was not known to run it or a later one
 }
 
 // peer is one other controller.
--- a/internal/core/replication/primary.go
+++ b/internal/core/replication/primary.go
@@ -26,7 +26,7 @@
 	sent            uint64 // number of the last message
 	acked           uint64
 	snapshotEnd     uint64 // number of the message that completes the snapshot; 0: it is not sent yet
-	barrier         uint64 // number of the message with the last start that was sent to a worker without an Ack; 0: it is not sent yet
+	barrier         uint64 // number of the message with the last start that was not deferred; 0: it is not sent yet
 	unacked         []Message
 	unsentMachines  []string         // machines of the snapshot that are still to be sent
 	changedMachines map[string]bool  // machines whose new state is still to be sent
@@ -35,7 +35,7 @@
 	deferring       bool               // answers are deferred: the standby is stored, may be, or soon will be
 	recorded        bool               // a write of the standby's record was started; it may have failed
 	recording       bool               // a write of a record is in progress
-	removing        bool               // the standby is being removed: the record that there is none is still to be stored
+	removing        bool               // the standby is being removed; that is not stored yet
 	progressAt      units.Microseconds // when the standby last acknowledged a message, or had none to acknowledge
 	sentAt          units.Microseconds
 	flushedAt       units.Microseconds
@@ -56,8 +56,8 @@
 }
 
 // DeferAnswer handles an answer that starts something on a machine. It returns
-// true if it has taken the answer over, to be passed to Host.Answer once the
-// standby has acknowledged the start. Otherwise the caller may send it at once.
+// true if the answer is deferred, or refused because too many are: Host.Answer is then
+// called for it. If it returns false, the caller may send the answer at once.
 func (p *Primary) DeferAnswer(now units.Microseconds, machine string, answer any) bool {
 	p.now = now
 	if p.standby != "" && !p.removing {
