--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -107,7 +107,7 @@
 func TestOlderReleaseBlocksConfigurationChange(t *testing.T) {
 	core := newOwner(t, nil)
 	core.peers = peering.NewDirectory(peering.Config{Node: core.cfg.Node, Peers: []string{"b"}})
-	core.peers.NoteRelease("b", peering.ReleaseConfig-1)
+	core.peers.SetRelease("b", peering.ReleaseConfig-1)
 	limit := int64(1000)
 	core.Configure(core.now, 7, configuration.Request{Teams: []configuration.TeamChange{{Name: "t", LimitCPU: &limit}}})
 	if r := replyTo(t, core, 7); r.Code != 503 || r.RetryAfter == 0 {
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -50,7 +50,7 @@
 }
 
 // PeerRelease implements membership.Host.
-func (c membershipHost) PeerRelease(node string, release int) { c.peers.NoteRelease(node, release) }
+func (c membershipHost) PeerRelease(node string, release int) { c.peers.SetRelease(node, release) }
 
 // majorityExtensionTTLs bounds how long the peer leases of a majority may extend a membership past its last
 // renewal, in multiples of the membership's lease. A higher value delays the takeover of shards whose owner
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -151,7 +151,7 @@
 	if !core.admission.AnyMemoryFull() {
 		t.Error("memory does not count as full although that of another controller is")
 	}
-	core.advance(core.now + 2*peering.AliveFor)
+	core.advance(core.now + 2*peering.AliveTimeout)
 	if core.admission.AnyMemoryFull() {
 		t.Error("memory counts as full because of a controller that is no longer alive")
 	}
--- a/internal/core/watchcache.go
+++ b/internal/core/watchcache.go
@@ -75,7 +75,7 @@
 // applyEvent applies one change that the watch cache reports. Records that cannot be decoded are logged and
 // skipped, so that they do not crash the process.
 func (c *Core) applyEvent(event store.Event) {
-	c.rollback.Note(event)
+	c.rollback.RecordChange(event)
 	var err error
 	switch {
 	case event.Key == leaderKey || event.Key == keys.LeaderSinceArchive:
