--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -115,7 +115,7 @@
 		if err := json.Unmarshal(event.Value, &mark); err != nil {
 			return fmt.Errorf("%s: %w", event.Key, err)
 		}
-		mark.Cut = 0 // revisions begin anew
+		mark.Cutoff = 0 // revisions begin anew
 		event.Value = store.Value(mark)
 	}
 	return r.add(ctx, store.Change{Key: event.Key, Value: event.Value})
@@ -164,7 +164,7 @@
 }
 
 func (r *restorer) add(ctx context.Context, c store.Change) error {
-	if len(r.batch)+2 > r.options.Ops || r.size+c.Size() > store.TxnBytes {
+	if len(r.batch)+2 > r.options.Ops || r.size+c.Size() > store.MaxTxnBytes {
 		if err := r.flush(ctx); err != nil {
 			return err
 		}
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -254,7 +254,7 @@
 func Verify(r io.Reader) (Summary, error) {
 	summary := Summary{Lines: map[string]int{}}
 	err := Each(r, &summary, func(e store.Event) error {
-		summary.Lines[store.Folder(e.Key)]++
+		summary.Lines[store.KeyGroup(e.Key)]++
 		return nil
 	})
 	return summary, err
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -97,8 +97,8 @@
 
 // history is so many packed jobs.
 func history(count int) []store.Event {
-	return packed.Buckets(count, func(i uint64) (uint64, archive.Answer) {
-		return 1_000_000 + i*7919%90_000_000_000, archive.Answer{Status: jobs.Done, Tasks: int(1 + i%300), FinishedAt: units.Microseconds(1_790_000_000+i/2) * units.Second}
+	return packed.Buckets(count, func(i uint64) (uint64, archive.Summary) {
+		return 1_000_000 + i*7919%90_000_000_000, archive.Summary{Status: jobs.Done, Tasks: int(1 + i%300), FinishedAt: units.Microseconds(1_790_000_000+i/2) * units.Second}
 	})
 }
 
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -46,14 +46,14 @@
 
 // Archive looks up archived jobs.
 type Archive interface {
-	// On reports whether archiving is enabled.
-	On() bool
+	// Enabled reports whether archiving is enabled.
+	Enabled() bool
 	// Mark returns the archive's mark and the version of the key that holds it.
 	Mark() (archive.Mark, uint64)
-	// Known returns how an archived job ended, if that is already in memory.
-	Known(id string) (archive.Answer, bool)
-	// Find looks up how an archived job ended. It may call done before it returns.
-	Find(id string, urgent bool, done func(archive.Verdict, archive.Answer))
+	// CachedSummary returns how an archived job ended, if that is already in memory.
+	CachedSummary(id string) (archive.Summary, bool)
+	// Lookup looks up how an archived job ended. It may call done before it returns.
+	Lookup(id string, urgent bool, done func(archive.LookupResult, archive.Summary))
 }
 
 // Host is what admission needs from its controller. A callback may be called before the
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -27,7 +27,7 @@
 
 	archiveOn bool
 	mark      uint64
-	archived  map[string]archive.Answer
+	archived  map[string]archive.Summary
 
 	reads     []func(ok bool)
 	writes    []*store.Write
@@ -39,7 +39,7 @@
 }
 
 func newFakeHost() *fakeHost {
-	return &fakeHost{jobs: map[string]*jobs.Job{}, versions: map[string]uint64{}, limits: map[string]binpack.Vec{"t": {}}, archived: map[string]archive.Answer{}}
+	return &fakeHost{jobs: map[string]*jobs.Job{}, versions: map[string]uint64{}, limits: map[string]binpack.Vec{"t": {}}, archived: map[string]archive.Summary{}}
 }
 
 func (f *fakeHost) Answer(_ RequestID, accepted bool, answer JobAnswer) {
@@ -75,19 +75,19 @@
 }
 
 // fakeHost is also the archive: it holds the jobs in archived.
-func (f *fakeHost) On() bool                     { return f.archiveOn }
-func (f *fakeHost) Mark() (archive.Mark, uint64) { return archive.Mark{Cut: f.mark}, f.mark }
-func (f *fakeHost) Known(id string) (archive.Answer, bool) {
+func (f *fakeHost) Enabled() bool                { return f.archiveOn }
+func (f *fakeHost) Mark() (archive.Mark, uint64) { return archive.Mark{Cutoff: f.mark}, f.mark }
+func (f *fakeHost) CachedSummary(id string) (archive.Summary, bool) {
 	answer, known := f.archived[id]
 	return answer, known
 }
-func (f *fakeHost) Find(id string, _ bool, done func(archive.Verdict, archive.Answer)) {
+func (f *fakeHost) Lookup(id string, _ bool, done func(archive.LookupResult, archive.Summary)) {
 	f.lookups++
 	if answer, known := f.archived[id]; known {
 		done(archive.Found, answer)
 		return
 	}
-	done(archive.Absent, archive.Answer{})
+	done(archive.Absent, archive.Summary{})
 }
 
 // completeReads completes all pending reads.
@@ -286,7 +286,7 @@
 	}{{jobs.Done, jobs.Pending, jobs.Pending, 1}, {jobs.Done, jobs.Done, jobs.Pending, 0}, {jobs.Cancelled, jobs.Done, jobs.Cancelled, 0}} {
 		host := newFakeHost()
 		host.archiveOn, host.mark = true, 60
-		host.archived["wk-000001"] = archive.Answer{Status: test.first}
+		host.archived["wk-000001"] = archive.Summary{Status: test.first}
 		host.jobs["wk-000002"] = jobOf("wk-000002", jobs.Record{Status: test.second, Tasks: 1, Spec: specOf()})
 		newHandler(host).Submit(Request{ID: 1, Job: newJobID, Spec: specOf("wk-000001", "wk-000002")})
 		if len(host.writes) != 1 {
@@ -305,7 +305,7 @@
 	host := newFakeHost()
 	handler := newHandler(host)
 	host.jobs["wk-000001"] = jobOf("wk-000001", jobs.Record{Status: jobs.Done, Tasks: 2})
-	host.archived["wk-000002"] = archive.Answer{Status: jobs.Done, Tasks: 5}
+	host.archived["wk-000002"] = archive.Summary{Status: jobs.Done, Tasks: 5}
 	host.jobs["wk-000003"] = pendingJob("wk-000003")
 	handler.Query(1, "wk-000001")
 	handler.Query(2, "wk-000002")
--- a/internal/core/admission/answers.go
+++ b/internal/core/admission/answers.go
@@ -88,7 +88,7 @@
 }
 
 // answerArchived answers with how an archived job ended.
-func (h *Handler) answerArchived(request RequestID, id string, outcome archive.Answer, counts bool) {
+func (h *Handler) answerArchived(request RequestID, id string, outcome archive.Summary, counts bool) {
 	answer := JobAnswer{ID: id, Status: outcome.Status, Counts: counts}
 	if outcome.Status == jobs.Done {
 		answer.Done = outcome.Tasks
@@ -99,7 +99,7 @@
 // findArchived answers a query or a cancellation of a job that has no record. The
 // caller has found that by a read that began after the request arrived.
 func (h *Handler) findArchived(request RequestID, id string, counts bool) {
-	h.host.Archive().Find(id, false, func(verdict archive.Verdict, outcome archive.Answer) {
+	h.host.Archive().Lookup(id, false, func(verdict archive.LookupResult, outcome archive.Summary) {
 		switch verdict {
 		case archive.Found:
 			h.answerArchived(request, id, outcome, counts)
--- a/internal/core/admission/query.go
+++ b/internal/core/admission/query.go
@@ -9,7 +9,7 @@
 		h.answerJob(request, job, true)
 		return
 	}
-	if outcome, known := h.host.Archive().Known(id); known {
+	if outcome, known := h.host.Archive().CachedSummary(id); known {
 		h.answerArchived(request, id, outcome, true)
 		return
 	}
--- a/internal/core/admission/submit.go
+++ b/internal/core/admission/submit.go
@@ -37,7 +37,7 @@
 func (h *Handler) resolve(sub *submission) {
 	index := h.host.Archive()
 	_, sub.markVersion = index.Mark()
-	if !index.On() {
+	if !index.Enabled() {
 		h.answerOrAdmit(sub, true)
 		return
 	}
@@ -67,7 +67,7 @@
 			continue
 		}
 		pending++
-		index.Find(id, true, func(verdict archive.Verdict, _ archive.Answer) {
+		index.Lookup(id, true, func(verdict archive.LookupResult, _ archive.Summary) {
 			resolved = resolved && verdict != archive.Unknown
 			if verdict == archive.Absent {
 				sub.notArchived[id] = true
@@ -82,7 +82,7 @@
 // known; otherwise it accepts or refuses the job.
 func (h *Handler) answerOrAdmit(sub *submission, resolved bool) {
 	job := h.host.Job(sub.Job)
-	outcome, archived := h.host.Archive().Known(sub.Job)
+	outcome, archived := h.host.Archive().CachedSummary(sub.Job)
 	switch {
 	case job != nil && (sub.fresh || !job.Active()):
 		h.answerJob(sub.ID, job, false)
@@ -174,7 +174,7 @@
 	}
 	for _, id := range spec.Awaits {
 		switch job := h.host.Job(id); {
-		case job == nil && h.host.Archive().On() && !notArchived[id]:
+		case job == nil && h.host.Archive().Enabled() && !notArchived[id]:
 		case job == nil:
 			return "awaits " + id + ", which was never accepted"
 		case job.Active() && job.Spec().Service:
@@ -194,7 +194,7 @@
 	shard := h.host.LeastLoadedShard()
 	spec, cancelled, ok := h.dropFinishedDependencies(sub.Spec)
 	// A job is accepted only with a proof that it is not archived.
-	if !ok || h.host.Archive().On() && !sub.notArchived[sub.Job] {
+	if !ok || h.host.Archive().Enabled() && !sub.notArchived[sub.Job] {
 		h.host.Refuse(sub.ID, TemporaryRefusal("try again"))
 		return
 	}
@@ -229,7 +229,7 @@
 // the job is cancelled too. ok is false if it is not known how one of them ended.
 func (h *Handler) dropFinishedDependencies(submitted *jobs.Spec) (spec *jobs.Spec, cancelled, ok bool) {
 	index := h.host.Archive()
-	if len(submitted.Awaits) == 0 || !index.On() {
+	if len(submitted.Awaits) == 0 || !index.Enabled() {
 		return submitted, false, true
 	}
 	mark, _ := index.Mark()
@@ -240,12 +240,12 @@
 		job := h.host.Job(id)
 		switch {
 		case job == nil:
-			outcome, known := index.Known(id)
+			outcome, known := index.CachedSummary(id)
 			if !known {
 				return nil, false, false
 			}
 			status = outcome.Status
-		case !job.Active() && job.CancelledBy == "" && job.Version < mark.Cut:
+		case !job.Active() && job.CancelledBy == "" && job.Version < mark.Cutoff:
 			status = job.Record.Status
 		default:
 			remaining.Awaits = append(remaining.Awaits, id)
--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -16,8 +16,8 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-func genAnswer(t *rapid.T) Answer {
-	a := Answer{Status: jobs.Cancelled, Tasks: rapid.IntRange(0, jobs.MaxTasks).Draw(t, "tasks"),
+func genAnswer(t *rapid.T) Summary {
+	a := Summary{Status: jobs.Cancelled, Tasks: rapid.IntRange(0, jobs.MaxTasks).Draw(t, "tasks"),
 		FinishedAt: units.Microseconds(rapid.Int64Range(0, 4e9).Draw(t, "ended")) * units.Second}
 	if rapid.Bool().Draw(t, "done") {
 		a.Status = jobs.Done
@@ -27,9 +27,9 @@
 
 // What is written of a bucket is read again as it was, and its pieces hold each job
 // once, within the limit, where a look-up goes.
-func TestBucketsKeepWhatTheyHold(t *testing.T) {
+func TestBucketRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Bucket{Jobs: map[uint64]Answer{}}
+		b := &Bucket{Jobs: map[uint64]Summary{}}
 		for range rapid.IntRange(0, 400).Draw(t, "jobs") {
 			b.Jobs[rapid.Uint64Range(0, 999_999_999_999_999_999).Draw(t, "number")] = genAnswer(t)
 		}
@@ -60,8 +60,8 @@
 
 // Whatever stands at a bucket's key is read or refused, and what is read can be
 // written and read again.
-func TestDecodeTakesAnything(t *testing.T) {
-	good := (&Bucket{Jobs: map[uint64]Answer{1: {jobs.Done, 3, units.Second}, 17: {jobs.Cancelled, 1, 0}}}).Encode()
+func TestDecodeMalformedBucket(t *testing.T) {
+	good := (&Bucket{Jobs: map[uint64]Summary{1: {jobs.Done, 3, units.Second}, 17: {jobs.Cancelled, 1, 0}}}).Encode()
 	rapid.Check(t, func(t *rapid.T) {
 		value := []byte(slices.Clone(good))
 		for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -121,7 +121,7 @@
 	now      units.Microseconds
 	nodes    []*controller
 	accepted map[string]bool
-	ended    map[string]Answer
+	ended    map[string]Summary
 	late     []*txn
 	value    int
 }
@@ -156,7 +156,7 @@
 
 func (c *controller) learn(event store.Event) {
 	if event.Key == markAt {
-		if err := c.past.LearnMark(event.Value, event.Stamp); err != nil {
+		if err := c.past.ApplyMark(event.Value, event.Stamp); err != nil {
 			c.m.t.Fatal(err)
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 	c.jobs[id] = event
 	if string(event.Value) != "1" {
-		c.packer.JobOver(c.m.now, id)
+		c.packer.JobFinalized(c.m.now, id)
 	}
 }
 
@@ -190,7 +190,7 @@
 	if !ok || string(event.Value) == "1" {
 		return Candidate{}, false
 	}
-	var a Answer
+	var a Summary
 	if json.Unmarshal(event.Value, &a) != nil {
 		c.m.t.Fatal("unreadable")
 	}
@@ -199,7 +199,7 @@
 		c.m.t.Fatal(err)
 	}
 	// Each has some of which it thinks that something may still run.
-	return Candidate{Answer: a, Key: event.Key, Version: event.Stamp}, event.Stamp < cut && n%3 != c.spares
+	return Candidate{Summary: a, Key: event.Key, Version: event.Stamp}, event.Stamp < cut && n%3 != c.spares
 }
 
 // pump turns reads that are due into answers that may come at any later time.
@@ -243,7 +243,7 @@
 		return
 	}
 	life := c.life
-	c.past.Find(id, true, func(v Verdict, a Answer) {
+	c.past.Lookup(id, true, func(v LookupResult, a Summary) {
 		if v == Found {
 			c.check(id, a)
 		}
@@ -256,7 +256,7 @@
 	})
 }
 
-func (c *controller) check(id string, a Answer) {
+func (c *controller) check(id string, a Summary) {
 	if want, ok := c.m.ended[id]; !ok || a != want {
 		c.m.t.Fatalf("%s: told %+v, is %+v (%v)", id, a, want, ok)
 	}
@@ -269,7 +269,7 @@
 		return
 	}
 	before := c.m.accepted[id]
-	c.past.Find(id, false, func(v Verdict, a Answer) {
+	c.past.Lookup(id, false, func(v LookupResult, a Summary) {
 		if v == Found {
 			c.check(id, a)
 		}
@@ -283,13 +283,13 @@
 func (c *controller) mark() {
 	old, stamp := c.past.Mark()
 	c.m.late = append(c.m.late, &txn{w: &store.Write{Guards: []store.Guard{{Key: markAt, Version: stamp}},
-		Changes: []store.Change{{Key: markAt, Value: store.Value(Mark{Release: 4, Cut: max(old.Cut, c.rev+1)})}}}})
+		Changes: []store.Change{{Key: markAt, Value: store.Value(Mark{Release: 4, Cutoff: max(old.Cutoff, c.rev+1)})}}}})
 }
 
 // pack has a controller pack what it can, one step further.
 func (c *controller) pack(ops int) {
 	mark, stamp := c.past.Mark()
-	if mark.Cut == 0 || c.rev < stamp {
+	if mark.Cutoff == 0 || c.rev < stamp {
 		return
 	}
 	m := c.m
@@ -416,14 +416,14 @@
 	}
 }
 
-// TestPacking has controllers accept, finish, pack and look up the same jobs, with
+// TestConcurrentArchiving has controllers accept, finish, pack and look up the same jobs, with
 // transactions and answers that come at any later time or never, controllers that end
 // and start between any two steps, all of them packing at once, and a limit that
 // falls. Every accepted job is always in exactly one place, no id is accepted twice,
 // and no accepted one is called unknown.
-func TestPacking(t *testing.T) {
+func TestConcurrentArchiving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &machine{t: t, s: &service{keys: map[string]store.Event{}}, accepted: map[string]bool{}, ended: map[string]Answer{}, value: 140}
+		model := &machine{t: t, s: &service{keys: map[string]store.Event{}}, accepted: map[string]bool{}, ended: map[string]Summary{}, value: 140}
 		for i := range uint64(2) {
 			c := &controller{m: model, spares: i}
 			model.start(c)
@@ -484,18 +484,18 @@
 	})
 }
 
-// TestFoundByAnothersRead has two ask for the same old job, the second after the read
+// TestLookupJoinsReadInFlight has two ask for the same old job, the second after the read
 // was sent. Both are answered by it, and the answer is at hand from then on: it was
 // not, and the second's job was accepted once more (rehearsals/old-jobs.toml, seed 49).
-func TestFoundByAnothersRead(t *testing.T) {
+func TestLookupJoinsReadInFlight(t *testing.T) {
 	index := New()
-	if err := index.LearnMark(json.RawMessage(`{"release":4,"cut":9}`), 7); err != nil {
+	if err := index.ApplyMark(json.RawMessage(`{"release":4,"cut":9}`), 7); err != nil {
 		t.Fatal(err)
 	}
 	index.Next(0, 100)
 	told := 0
 	ask := func() {
-		index.Find("wk-000050", true, func(v Verdict, a Answer) {
+		index.Lookup("wk-000050", true, func(v LookupResult, a Summary) {
 			if v == Found && a.Tasks == 3 {
 				told++
 			}
@@ -505,13 +505,13 @@
 	reads := index.Next(units.Second, 100)
 	ask()
 	index.cache.Purge() // as if others' answers had come in between
-	b := &Bucket{Jobs: map[uint64]Answer{50: {jobs.Done, 3, 0}}}
+	b := &Bucket{Jobs: map[uint64]Summary{50: {jobs.Done, 3, 0}}}
 	for _, r := range reads {
 		if err := index.OnRead(units.Second, r, store.OK, b.Encode(), 8); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, known := index.Known("wk-000050"); told != 2 || !known {
+	if _, known := index.CachedSummary("wk-000050"); told != 2 || !known {
 		t.Errorf("%d of 2 were told; at hand: %v", told, known)
 	}
 }
--- a/internal/core/archive/archiver.go
+++ b/internal/core/archive/archiver.go
@@ -20,7 +20,7 @@
 // Candidate is a job that may be archived: its answer, the key and the version of its record,
 // and the keys of its progress, which are to go with that.
 type Candidate struct {
-	Answer   Answer
+	Summary  Summary
 	Key      string
 	Version  uint64
 	Progress []string
@@ -62,8 +62,8 @@
 	return &Archiver{index: index, oldest: list.New(), elements: map[string]*list.Element{}}
 }
 
-// JobOver notes that a job is over.
-func (a *Archiver) JobOver(now units.Microseconds, id string) {
+// JobFinalized notes that a job is over.
+func (a *Archiver) JobFinalized(now units.Microseconds, id string) {
 	if a.elements[id] == nil {
 		a.elements[id] = a.oldest.PushBack(entry{id, now})
 	}
@@ -118,7 +118,7 @@
 	if a.writing || now < a.retryAt {
 		return
 	}
-	cut := a.index.mark.Cut
+	cut := a.index.mark.Cutoff
 	for range maxPostponed {
 		first := a.oldest.Front()
 		if first == nil || now-first.Value.(entry).since < minAge {
@@ -134,7 +134,7 @@
 		if ok {
 			a.writing = true
 			s := step{now, minAge, source, limits, send}
-			a.index.Bucket(id, func(b *Bucket, version uint64) { a.archive(s, b, version) })
+			a.index.ReadBucket(id, func(b *Bucket, version uint64) { a.archive(s, b, version) })
 			return
 		}
 		a.postpone(now, id)
@@ -164,12 +164,12 @@
 }
 
 // written takes what became of the write that archives some jobs.
-func (a *Archiver) written(now units.Microseconds, o store.Outcome, taken map[string]Answer) {
+func (a *Archiver) written(now units.Microseconds, o store.Outcome, taken map[string]Summary) {
 	switch o {
 	case store.OK:
 		a.archived += len(taken)
 		for _, id := range slices.Sorted(maps.Keys(taken)) {
-			a.index.Remember(id, taken[id])
+			a.index.CacheSummary(id, taken[id])
 			a.RecordRemoved(id) // the copy shows it with the next read
 		}
 	case store.TooLarge:
@@ -180,7 +180,7 @@
 	}
 }
 
-func (a *Archiver) postponeAll(now units.Microseconds, taken map[string]Answer) {
+func (a *Archiver) postponeAll(now units.Microseconds, taken map[string]Summary) {
 	for _, id := range slices.Sorted(maps.Keys(taken)) {
 		a.postpone(now, id)
 	}
@@ -188,7 +188,7 @@
 
 // write makes the transaction that adds to a bucket as many jobs as fit. taken are those of
 // which it removes the records.
-func (a *Archiver) write(current step, b *Bucket, version uint64) (w *store.Write, taken map[string]Answer) {
+func (a *Archiver) write(current step, b *Bucket, version uint64) (w *store.Write, taken map[string]Summary) {
 	t := a.collect(current, b)
 	switch {
 	case t.progressOnly:
@@ -221,7 +221,7 @@
 
 // collect takes the oldest jobs of a bucket as far as they go with one transaction.
 func (a *Archiver) collect(current step, b *Bucket) *batch {
-	t := &batch{limits: current.limits, write: store.Write{Deferred: true}, taken: map[string]Answer{}, answers: map[uint64]Answer{}}
+	t := &batch{limits: current.limits, write: store.Write{Deferred: true}, taken: map[string]Summary{}, answers: map[uint64]Summary{}}
 	examined := 0
 	for element := a.oldest.Front(); element != nil && examined < maxExamined; element = element.Next() {
 		examined++
@@ -232,7 +232,7 @@
 		if !b.Covers(job.id) {
 			continue
 		}
-		if candidate, ok := current.source.Candidate(job.id, a.index.mark.Cut); ok && !t.add(job.id, candidate) {
+		if candidate, ok := current.source.Candidate(job.id, a.index.mark.Cutoff); ok && !t.add(job.id, candidate) {
 			break
 		}
 	}
@@ -243,8 +243,8 @@
 type batch struct {
 	limits       Limits
 	write        store.Write // its guards are those on the records of the jobs
-	taken        map[string]Answer
-	answers      map[uint64]Answer // the same, by number
+	taken        map[string]Summary
+	answers      map[uint64]Summary // the same, by number
 	deletions    []store.Change
 	bytes        int  // of the deletions
 	progressOnly bool // it removes progress of one job, of which there is too much, and nothing else
@@ -272,8 +272,8 @@
 		return false
 	}
 	t.bytes += bytes
-	t.taken[id] = candidate.Answer
-	t.answers[number] = candidate.Answer
+	t.taken[id] = candidate.Summary
+	t.answers[number] = candidate.Summary
 	t.write.Guards = append(t.write.Guards, store.Guard{Key: candidate.Key, Version: candidate.Version})
 	t.deletions = append(t.deletions, deletions...)
 	return true
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -31,8 +31,8 @@
 // service's limit fall.
 const maxBucketBytes = 4 << 10
 
-// Answer is what a user learns of a job that is over.
-type Answer struct {
+// Summary is what a user learns of a job that is over.
+type Summary struct {
 	Status     jobs.Status // final
 	Tasks      int
 	FinishedAt units.Microseconds // time of day, in whole seconds; 0: not known
@@ -43,7 +43,7 @@
 type Bucket struct {
 	Number uint32 // those bits
 	Depth  int    // how many they are
-	Jobs   map[uint64]Answer
+	Jobs   map[uint64]Summary
 }
 
 // hash places a job's id among the buckets. What is stored rests on it: it never
@@ -132,7 +132,7 @@
 	if s.Bits < 0 || s.Bits > MaxDepth || n >= 1<<s.Bits {
 		return nil, errors.New("unusable depth")
 	}
-	b := &Bucket{Number: n, Depth: s.Bits, Jobs: map[uint64]Answer{}}
+	b := &Bucket{Number: n, Depth: s.Bits, Jobs: map[uint64]Summary{}}
 	last := uint64(0)
 	for text := s.Jobs; text != ""; {
 		var one string
@@ -150,7 +150,7 @@
 	if i < 0 {
 		return bad()
 	}
-	answer := Answer{Status: jobs.Done}
+	answer := Summary{Status: jobs.Done}
 	if text[i] == '-' {
 		answer.Status = jobs.Cancelled
 	}
@@ -178,10 +178,10 @@
 }
 
 // Find returns a job's answer.
-func (b *Bucket) Find(id string) (Answer, bool) {
+func (b *Bucket) Find(id string) (Summary, bool) {
 	n, err := jobNumber(id)
 	if err != nil {
-		return Answer{}, false
+		return Summary{}, false
 	}
 	a, ok := b.Jobs[n]
 	return a, ok
@@ -193,8 +193,8 @@
 
 // split cuts a bucket in two, by one more bit. The first keeps its number.
 func (b *Bucket) split() (x, y *Bucket) {
-	x = &Bucket{Number: b.Number, Depth: b.Depth + 1, Jobs: map[uint64]Answer{}}
-	y = &Bucket{Number: b.Number | 1<<b.Depth, Depth: b.Depth + 1, Jobs: map[uint64]Answer{}}
+	x = &Bucket{Number: b.Number, Depth: b.Depth + 1, Jobs: map[uint64]Summary{}}
+	y = &Bucket{Number: b.Number | 1<<b.Depth, Depth: b.Depth + 1, Jobs: map[uint64]Summary{}}
 	for n, a := range b.Jobs {
 		if x.Covers(jobID(n)) {
 			x.Jobs[n] = a
@@ -229,7 +229,7 @@
 	return append(first, rest...)
 }
 
-func (b *Bucket) with(jobs map[uint64]Answer) *Bucket {
+func (b *Bucket) with(jobs map[uint64]Summary) *Bucket {
 	c := &Bucket{Number: b.Number, Depth: b.Depth, Jobs: maps.Clone(b.Jobs)}
 	maps.Copy(c.Jobs, jobs)
 	return c
@@ -246,9 +246,9 @@
 	}
 }
 
-// Misplaced says what is wrong with a bucket's place among the others, given the
+// CheckPlacement says what is wrong with a bucket's place among the others, given the
 // depth of each, or "": every job must belong to exactly one of them.
-func Misplaced(n uint32, depths map[uint32]int) (key, why string) {
+func CheckPlacement(n uint32, depths map[uint32]int) (key, why string) {
 	if n == 0 {
 		return Key(n), ""
 	}
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -29,16 +29,16 @@
 // controllers that can read buckets serve once it is there.
 type Mark struct {
 	Release int    `json:"release"` // the least that controllers must run
-	Cut     uint64 `json:"cut"`     // jobs whose end was stored at a lower revision may be archived
+	Cutoff  uint64 `json:"cut"`     // jobs whose end was stored at a lower revision may be archived
 	Jobs    int    `json:"jobs"`    // archived so far, about
 }
 
-// Verdict is what is known of an id.
-type Verdict int
+// LookupResult is what is known of an id.
+type LookupResult int
 
 // Verdicts.
 const (
-	Unknown Verdict = iota // could not be read, or there is too much to read: ask again
+	Unknown LookupResult = iota // could not be read, or there is too much to read: ask again
 	Found
 	Absent // not archived, as of the read
 )
@@ -61,8 +61,8 @@
 type (
 	// Read reads one key (OnRead).
 	Read struct {
-		Key   string
-		Known uint64 // the highest revision that was known when it was sent
+		Key           string
+		KnownRevision uint64 // the highest revision that was known when it was sent
 	}
 	// Scan reads some buckets, those after a key (OnScan).
 	Scan struct {
@@ -80,7 +80,7 @@
 	mark        Mark
 	markVersion uint64 // version of the mark; 0: it is not stored
 	enabled     bool   // there has been one: a mark that is lost takes no archived job with it
-	cache       *simplelru.LRU[string, Answer]
+	cache       *simplelru.LRU[string, Summary]
 	depths      []uint8 // depths of buckets as last seen, by number
 	maxDepth    int     // the largest of them
 
@@ -115,21 +115,21 @@
 	id       string
 	urgent   bool
 	reads    int
-	onAnswer func(Verdict, Answer)
+	onAnswer func(LookupResult, Summary)
 	onBucket func(b *Bucket, stamp uint64) // instead: wants the whole bucket; nil: unknown
 }
 
 // New returns what a controller knows when it starts.
 func New() *Index {
-	cache, err := simplelru.NewLRU[string, Answer](cachedAnswers, nil)
+	cache, err := simplelru.NewLRU[string, Summary](cachedAnswers, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
 	return &Index{cache: cache, filter: newFilter(filterBytes), reads: map[string]*read{}}
 }
 
-// LearnMark takes the mark as it is stored; nil: there is none.
-func (p *Index) LearnMark(value json.RawMessage, stamp uint64) error {
+// ApplyMark takes the mark as it is stored; nil: there is none.
+func (p *Index) ApplyMark(value json.RawMessage, stamp uint64) error {
 	if value == nil {
 		p.markVersion = 0
 		return nil
@@ -149,8 +149,8 @@
 // Mark returns the mark and its version, which is 0 where there is none.
 func (p *Index) Mark() (Mark, uint64) { return p.mark, p.markVersion }
 
-// On reports whether anything may be archived.
-func (p *Index) On() bool { return p.enabled }
+// Enabled reports whether anything may be archived.
+func (p *Index) Enabled() bool { return p.enabled }
 
 // Invalidate notes that archived jobs may have been missed: the copy was taken anew.
 func (p *Index) Invalidate() {
@@ -162,18 +162,18 @@
 // NoteArchived notes that a job's record has been removed.
 func (p *Index) NoteArchived(id string) { p.filter.add(id) }
 
-// Remember keeps an answer at hand.
-func (p *Index) Remember(id string, a Answer) { p.cache.Add(id, a) }
+// CacheSummary keeps an answer at hand.
+func (p *Index) CacheSummary(id string, a Summary) { p.cache.Add(id, a) }
 
-// Remembered returns the jobs whose answers are at hand, those of one bucket together.
-func (p *Index) Remembered() []string {
+// CachedIDs returns the jobs whose answers are at hand, those of one bucket together.
+func (p *Index) CachedIDs() []string {
 	ids := p.cache.Keys()
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(bits.Reverse64(hash(a)), bits.Reverse64(hash(b))) })
 	return ids
 }
 
-// Known returns an answer that is at hand.
-func (p *Index) Known(id string) (Answer, bool) { return p.cache.Get(id) }
+// CachedSummary returns an answer that is at hand.
+func (p *Index) CachedSummary(id string) (Summary, bool) { return p.cache.Get(id) }
 
 // ProvenAbsent reports whether an id is surely not that of a archived job, as of the copy that
 // the rest of the controller goes by.
@@ -182,23 +182,23 @@
 // Complete reports whether the filter is complete, and how many ids it holds.
 func (p *Index) Complete() (bool, int) { return p.complete, p.filter.count }
 
-// Find looks a job's answer up. done may be called before Find returns where that is
+// Lookup looks a job's answer up. done may be called before Find returns where that is
 // known, or where too much waits. Submissions are urgent.
-func (p *Index) Find(id string, urgent bool, done func(Verdict, Answer)) {
+func (p *Index) Lookup(id string, urgent bool, done func(LookupResult, Summary)) {
 	if a, ok := p.cache.Get(id); ok {
 		done(Found, a)
 		return
 	}
 	if p.ProvenAbsent(id) {
-		done(Absent, Answer{})
+		done(Absent, Summary{})
 		return
 	}
 	p.lookUp(&lookup{id: id, urgent: urgent, onAnswer: done})
 }
 
-// Bucket reads the bucket for an id: nil where that is not known, and a stamp of 0
+// ReadBucket reads the bucket for an id: nil where that is not known, and a stamp of 0
 // where it is not stored yet.
-func (p *Index) Bucket(id string, got func(b *Bucket, stamp uint64)) {
+func (p *Index) ReadBucket(id string, got func(b *Bucket, stamp uint64)) {
 	p.lookUp(&lookup{id: id, onBucket: got})
 }
 
@@ -207,7 +207,7 @@
 		l.onBucket(nil, 0)
 		return
 	}
-	l.onAnswer(Unknown, Answer{})
+	l.onAnswer(Unknown, Summary{})
 }
 
 // lookUp has the bucket read in which an id most likely is.
@@ -317,7 +317,7 @@
 		case err != nil:
 			asked.fail()
 		case b == nil && n == 0:
-			p.deliver(asked, &Bucket{Jobs: map[uint64]Answer{}}, 0)
+			p.deliver(asked, &Bucket{Jobs: map[uint64]Summary{}}, 0)
 		case b == nil: // not split off yet: it is in the one that this is split off
 			if int(n) < len(p.depths) {
 				p.depths[n] = 0
@@ -353,10 +353,10 @@
 	}
 	a, ok := b.Find(l.id)
 	if !ok {
-		l.onAnswer(Absent, Answer{})
+		l.onAnswer(Absent, Summary{})
 		return
 	}
-	p.Remember(l.id, a)
+	p.CacheSummary(l.id, a)
 	l.onAnswer(Found, a)
 }
 
--- a/internal/core/archive/keeper.go
+++ b/internal/core/archive/manager.go
@@ -43,9 +43,9 @@
 	ExclusionNeeded() bool
 	// ArchivingStarted says that the leader record is elsewhere from now on.
 	ArchivingStarted() error
-	// OlderReleasesGone reports whether all controllers have run a release that finds archived
+	// OlderReleasesRetired reports whether all controllers have run a release that finds archived
 	// jobs for so long that nothing of an older one's is under way.
-	OlderReleasesGone() bool
+	OlderReleasesRetired() bool
 	// Types are the machine types, by name; the map is the host's own.
 	Types() map[string]*fleet.Type
 
@@ -69,11 +69,11 @@
 	KeepFinished int // finished jobs that are kept before the oldest are archived; 0: all
 	// MinAge is for how long a job must be over: by then its machines have long reported what
 	// they ran of it, or lost their leases.
-	MinAge   units.Microseconds
-	ValueMax int // bytes of a stored value
-	TxnOps   int // changes of a transaction
-	Layout   jobs.ProgressLayout
-	Log      *slog.Logger
+	MinAge        units.Microseconds
+	MaxValueBytes int // bytes of a stored value
+	TxnOps        int // changes of a transaction
+	Layout        jobs.ProgressLayout
+	Log           *slog.Logger
 }
 
 const (
@@ -96,10 +96,10 @@
 	verifiedAtOnce = 16
 )
 
-// Keeper does for finished jobs what a controller has to: it keeps the index of those that are
+// Manager does for finished jobs what a controller has to: it keeps the index of those that are
 // archived, and the list of those that may be; as the leader it archives the oldest, and
 // before the first it has controllers of older releases kept out, which would not find them.
-type Keeper struct {
+type Manager struct {
 	cfg        Config
 	host       Host
 	index      *Index
@@ -109,17 +109,17 @@
 	verifying  int      // of those, being looked up
 }
 
-// NewKeeper returns one that knows of no job.
-func NewKeeper(cfg Config, host Host) *Keeper {
+// NewManager returns one that knows of no job.
+func NewManager(cfg Config, host Host) *Manager {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	index := New()
-	return &Keeper{cfg: cfg, host: host, index: index, archiver: NewArchiver(index)}
+	return &Manager{cfg: cfg, host: host, index: index, archiver: NewArchiver(index)}
 }
 
 // Index returns what is known of archived jobs.
-func (k *Keeper) Index() *Index { return k.index }
+func (k *Manager) Index() *Index { return k.index }
 
 // Stats are figures for operators.
 type Stats struct {
@@ -130,58 +130,58 @@
 }
 
 // Stats returns the present figures.
-func (k *Keeper) Stats() Stats {
+func (k *Manager) Stats() Stats {
 	_, archived := k.index.Complete()
 	return Stats{Finished: k.archiver.Len(), ArchivedIDs: archived, Reads: k.index.Reads, Refused: k.index.Refused}
 }
 
-// LearnMark takes the mark as it is stored. From the first one on the leader record is at
+// ApplyMark takes the mark as it is stored. From the first one on the leader record is at
 // another key.
-func (k *Keeper) LearnMark(e store.Event) error {
-	before := k.index.On()
-	if err := k.index.LearnMark(e.Value, e.Stamp); err != nil {
+func (k *Manager) ApplyMark(e store.Event) error {
+	before := k.index.Enabled()
+	if err := k.index.ApplyMark(e.Value, e.Stamp); err != nil {
 		return err
 	}
-	if before || !k.index.On() {
+	if before || !k.index.Enabled() {
 		return nil
 	}
 	k.cfg.Log.Info("finished jobs are archived from now on")
 	return k.host.ArchivingStarted()
 }
 
-// JobOver notes that a job is over, so that it is archived some day.
-func (k *Keeper) JobOver(now units.Microseconds, id string) { k.archiver.JobOver(now, id) }
+// JobFinalized notes that a job is over, so that it is archived some day.
+func (k *Manager) JobFinalized(now units.Microseconds, id string) { k.archiver.JobFinalized(now, id) }
 
 // JobArchived notes that the record of a finished job has been removed.
-func (k *Keeper) JobArchived(job *jobs.Job) {
+func (k *Manager) JobArchived(job *jobs.Job) {
 	k.index.NoteArchived(job.ID)
-	k.index.Remember(job.ID, answerOf(job))
+	k.index.CacheSummary(job.ID, answerOf(job))
 	k.archiver.RecordRemoved(job.ID)
 }
 
 // RecordRemoved notes that a job's record is not there, also of one that was never known.
-func (k *Keeper) RecordRemoved(id string) { k.index.NoteArchived(id) }
+func (k *Manager) RecordRemoved(id string) { k.index.NoteArchived(id) }
 
-// Gap says that removals may have been missed.
-func (k *Keeper) Gap() { k.index.Invalidate() }
+// EventsMissed says that removals may have been missed.
+func (k *Manager) EventsMissed() { k.index.Invalidate() }
 
-func answerOf(job *jobs.Job) Answer {
-	return Answer{Status: job.Record.Status, Tasks: job.Record.Tasks, FinishedAt: job.Record.FinishedAt / units.Second * units.Second}
+func answerOf(job *jobs.Job) Summary {
+	return Summary{Status: job.Record.Status, Tasks: job.Record.Tasks, FinishedAt: job.Record.FinishedAt / units.Second * units.Second}
 }
 
 // record is what is stored of a job in place of its answer.
-func (a Answer) record() []byte {
+func (a Summary) record() []byte {
 	return jobs.Record{Status: a.Status, Tasks: a.Tasks, FinishedAt: a.FinishedAt}.Encode()
 }
 
 // Candidate implements Jobs. A job that an unfinished one awaits stays, as whoever learns of
 // that one has to learn how it ended; so does one of which something is left to delete.
-func (k *Keeper) Candidate(id string, cut uint64) (Candidate, bool) {
+func (k *Manager) Candidate(id string, cut uint64) (Candidate, bool) {
 	job := k.host.Job(id)
 	if job == nil {
 		return Candidate{}, false
 	}
-	out := Candidate{Answer: answerOf(job), Key: keys.Job(id), Version: job.Version}
+	out := Candidate{Summary: answerOf(job), Key: keys.Job(id), Version: job.Version}
 	if job.Active() || job.CancelledBy != "" || job.Version >= cut || job.Placed() > 0 || k.host.Retained(id) {
 		return out, false
 	}
@@ -195,7 +195,7 @@
 }
 
 // Tick does what is due for finished jobs.
-func (k *Keeper) Tick(now units.Microseconds) {
+func (k *Manager) Tick(now units.Microseconds) {
 	k.verify()
 	if !k.host.CacheFresh() {
 		return
@@ -218,21 +218,21 @@
 
 // due reports whether finished jobs should be archived: some more than needed, so that it
 // does not begin again at once.
-func (k *Keeper) due() bool {
+func (k *Manager) due() bool {
 	_, version := k.index.Mark()
 	keep := k.cfg.KeepFinished - k.cfg.KeepFinished/4
 	return version != 0 && k.host.Revision() >= version && k.archiver.Len() > keep && k.host.Queue().Len() == 0
 }
 
 // step archives some jobs.
-func (k *Keeper) step(now units.Microseconds, leadership *election.Leadership) {
+func (k *Manager) step(now units.Microseconds, leadership *election.Leadership) {
 	share := WriteShare
 	if k.archiver.Len() > 2*k.cfg.KeepFinished {
 		share = writeShareMost
 	}
 	queue := k.host.Queue()
 	queue.Rate = k.host.WriteRate() * share
-	limits := Limits{ValueBytes: ValueLimit(k.cfg.ValueMax), TxnOps: k.cfg.TxnOps, TxnBytes: queue.MaxBytes}
+	limits := Limits{ValueBytes: ValueLimit(k.cfg.MaxValueBytes), TxnOps: k.cfg.TxnOps, TxnBytes: queue.MaxBytes}
 	k.archiver.Step(now, k.cfg.MinAge, k, limits, func(w *store.Write) bool {
 		if k.host.Leadership() != leadership {
 			return false
@@ -244,8 +244,8 @@
 
 // mark writes the mark when it is due, and what keeps older releases out. It reports whether
 // there was anything to write.
-func (k *Keeper) mark(now units.Microseconds, leadership *election.Leadership) bool {
-	if !k.index.On() {
+func (k *Manager) mark(now units.Microseconds, leadership *election.Leadership) bool {
+	if !k.index.Enabled() {
 		return k.begin(now, leadership)
 	}
 	k.nextMarkAt = now + nextMarkRetry
@@ -258,8 +258,8 @@
 
 // begin writes the first mark, once all machine types are stored where they are looked for
 // from then on. The leader record moves with it.
-func (k *Keeper) begin(now units.Microseconds, leadership *election.Leadership) bool {
-	if k.archiver.Len() <= k.cfg.KeepFinished || !k.host.OlderReleasesGone() {
+func (k *Manager) begin(now units.Microseconds, leadership *election.Leadership) bool {
+	if k.archiver.Len() <= k.cfg.KeepFinished || !k.host.OlderReleasesRetired() {
 		return false
 	}
 	types := k.host.Types()
@@ -270,7 +270,7 @@
 		}
 	}
 	member, leaseID := k.host.Member()
-	first := Mark{Release: k.cfg.Release, Cut: k.host.Revision() + 1}
+	first := Mark{Release: k.cfg.Release, Cutoff: k.host.Revision() + 1}
 	leadership.Write(
 		[]store.Guard{
 			{Key: keys.ArchiveMark},
@@ -287,7 +287,7 @@
 // excludeOlderReleases writes what keeps controllers of older releases out, where it is not
 // there, and removes the machine types that they would learn. It reports whether there was
 // anything to write.
-func (k *Keeper) excludeOlderReleases(leadership *election.Leadership) bool {
+func (k *Manager) excludeOlderReleases(leadership *election.Leadership) bool {
 	if k.host.ExclusionNeeded() {
 		leadership.Write([]store.Guard{{Key: keys.Leader, Version: k.host.Version(keys.Leader)}},
 			store.Change{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord())})
@@ -304,36 +304,36 @@
 
 // raiseCut lets further jobs be archived. A mark that the state service has lost is written
 // again in any case.
-func (k *Keeper) raiseCut(now units.Microseconds, leadership *election.Leadership) bool {
+func (k *Manager) raiseCut(now units.Microseconds, leadership *election.Leadership) bool {
 	mark, version := k.index.Mark()
 	if version != 0 && k.archiver.Len() <= k.cfg.KeepFinished {
 		return false
 	}
-	mark.Release, mark.Cut, mark.Jobs = k.cfg.Release, max(mark.Cut, k.host.Revision()+1), mark.Jobs+k.archiver.takeArchived()
+	mark.Release, mark.Cutoff, mark.Jobs = k.cfg.Release, max(mark.Cutoff, k.host.Revision()+1), mark.Jobs+k.archiver.takeArchived()
 	k.nextMarkAt = now + markInterval
 	leadership.Write([]store.Guard{{Key: keys.ArchiveMark, Version: version}}, store.Change{Key: keys.ArchiveMark, Value: store.Value(mark)})
 	return true
 }
 
-func (k *Keeper) readRate() float64 { return k.host.ReadRate() * readShare }
+func (k *Manager) readRate() float64 { return k.host.ReadRate() * readShare }
 
 // Pump sends the reads that are due.
-func (k *Keeper) Pump(now units.Microseconds) {
+func (k *Manager) Pump(now units.Microseconds) {
 	for _, read := range k.index.Next(now, k.readRate()) {
-		read.Known = k.host.HighestRevision()
+		read.KnownRevision = k.host.HighestRevision()
 		k.host.Emit(read)
 	}
 }
 
 // OnRead takes a bucket that was read; a nil value: it is not stored.
-func (k *Keeper) OnRead(now units.Microseconds, r Read, o store.Outcome, value []byte, version uint64) {
+func (k *Manager) OnRead(now units.Microseconds, r Read, o store.Outcome, value []byte, version uint64) {
 	if err := k.index.OnRead(now, r, o, value, version); err != nil {
 		k.cfg.Log.Error("unusable record", "key", r.Key, "err", err)
 	}
 }
 
 // OnScan takes some buckets; more says that there are others.
-func (k *Keeper) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) {
+func (k *Manager) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) {
 	for _, key := range k.index.OnScan(now, s, o, items, more) {
 		k.cfg.Log.Error("unusable record", "key", key)
 	}
@@ -345,14 +345,14 @@
 // Restore puts right what a state service that went back lists as unfinished although it is
 // known here that it was over and archived: it must not start again. It returns what is to
 // be written.
-func (k *Keeper) Restore(items []store.Event) []store.Event {
+func (k *Manager) Restore(items []store.Event) []store.Event {
 	var again []store.Event
 	for i, e := range items {
 		id, isJob := strings.CutPrefix(e.Key, keys.JobPrefix)
 		if !isJob || k.host.Job(id) != nil {
 			continue
 		}
-		answer, known := k.index.Known(id)
+		answer, known := k.index.CachedSummary(id)
 		if r, err := jobs.DecodeRecord(e.Value); !known || err != nil || r.Status.Final() {
 			continue
 		}
@@ -364,23 +364,23 @@
 
 // RolledBack says that the state service went back: what it has lost of the archived jobs
 // that are remembered here is written again.
-func (k *Keeper) RolledBack() {
+func (k *Manager) RolledBack() {
 	k.index.Invalidate()
-	k.unverified = k.index.Remembered()
+	k.unverified = k.index.CachedIDs()
 }
 
 // verify looks up some of the archived jobs that the state service may have lost.
-func (k *Keeper) verify() {
+func (k *Manager) verify() {
 	for len(k.unverified) > 0 && k.verifying < verifiedAtOnce && k.host.CacheComplete() {
 		id := k.unverified[0]
 		k.unverified = k.unverified[1:]
-		answer, known := k.index.Known(id)
+		answer, known := k.index.CachedSummary(id)
 		if k.host.Job(id) != nil || !known {
 			continue
 		}
 		k.verifying++
 		refused := k.index.Refused
-		k.index.Bucket(id, func(b *Bucket, _ uint64) {
+		k.index.ReadBucket(id, func(b *Bucket, _ uint64) {
 			k.verifying--
 			k.verified(id, answer, b)
 		})
@@ -391,7 +391,7 @@
 }
 
 // verified takes the bucket in which a job's answer should be; nil: it could not be read.
-func (k *Keeper) verified(id string, answer Answer, b *Bucket) {
+func (k *Manager) verified(id string, answer Summary, b *Bucket) {
 	if b == nil {
 		k.unverified = append(k.unverified, id)
 		return
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -36,7 +36,7 @@
 
 // typeKey is where a machine type is stored.
 func (c *Core) typeKey(name string) string {
-	if c.archive.Index().On() {
+	if c.archive.Index().Enabled() {
 		return keys.TypePrefixWithArchive + name
 	}
 	return keys.TypePrefix + name
@@ -45,7 +45,7 @@
 // incompatible reports whether a controller runs a release that cannot find archived jobs, or
 // does not go by the configuration that is stored.
 func (c *Core) incompatible(node string) bool {
-	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
+	return node != c.cfg.Node && (c.archive.Index().Enabled() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
 // OnKey takes a bucket that was read; a nil value: it is not stored. rev is the
@@ -53,7 +53,7 @@
 func (c *Core) OnKey(now units.Microseconds, r ReadKey, o store.Outcome, value []byte, stamp, rev uint64) {
 	c.advance(now)
 	o = c.noteOutcome(o)
-	if rev > 0 && c.cache.RolledBack(rev, r.Known) {
+	if rev > 0 && c.cache.DetectRollback(rev, r.KnownRevision) {
 		o = store.Unknown
 	}
 	c.archive.OnRead(now, r, o, value, stamp)
@@ -83,7 +83,7 @@
 
 // CacheFresh implements archive.Host.
 func (c archiveHost) CacheFresh() bool {
-	return c.CacheComplete() && c.stateAge() <= watchcache.Heartbeat+units.Second/2
+	return c.CacheComplete() && c.stateAge() <= watchcache.PollInterval+units.Second/2
 }
 
 // Revision implements archive.Host.
@@ -107,8 +107,8 @@
 // ArchivingStarted implements archive.Host.
 func (c archiveHost) ArchivingStarted() error { return c.election.ArchivingStarted() }
 
-// OlderReleasesGone implements archive.Host.
-func (c archiveHost) OlderReleasesGone() bool {
+// OlderReleasesRetired implements archive.Host.
+func (c archiveHost) OlderReleasesRetired() bool {
 	return c.peers.AllRunFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime)
 }
 
@@ -126,7 +126,7 @@
 
 // QueuesIdle implements archive.Host.
 func (c archiveHost) QueuesIdle(calm units.Microseconds) bool {
-	return !c.cache.Refused(c.now, calm) && c.queues[ControlQueue].Len() == 0 && c.queues[UserQueue].Len() == 0
+	return !c.cache.RateLimitedWithin(c.now, calm) && c.queues[ControlQueue].Len() == 0 && c.queues[UserQueue].Len() == 0
 }
 
 // Rewrite implements archive.Host.
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -17,7 +17,7 @@
 func (c cancellationsHost) Version(key string) uint64 { return c.cache.Version(key) }
 
 // ApplyCancellation implements cancellations.Host.
-func (c cancellationsHost) ApplyCancellation(record store.Event) { c.cache.Learn(record) }
+func (c cancellationsHost) ApplyCancellation(record store.Event) { c.cache.Apply(record) }
 
 // cancellationsFor answers a controller that asks for a peer lease.
 func (c *Core) cancellationsFor(status PeerStatus) cancellations.Update {
--- a/internal/core/commits.go
+++ b/internal/core/commits.go
@@ -12,11 +12,11 @@
 func (c *Core) OnCommit(now units.Microseconds, queue QueueID, txn *store.Txn, outcome store.Outcome, revision uint64, failed []string) {
 	c.advance(now)
 	outcome = c.noteOutcome(outcome)
-	if !c.queues[queue].UnderWay(txn) {
+	if !c.queues[queue].InFlight(txn) {
 		return
 	}
 	if outcome == store.OK {
-		c.cache.Committed(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // buckets are in no copy
+		c.cache.ApplyCommitted(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // buckets are in no copy
 	} else {
 		c.readFresh(nil)
 	}
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, queue := range c.queues {
-		if txn := queue.Conclude(c.now); txn != nil {
+		if txn := queue.FinishProven(c.now); txn != nil {
 			c.log.Debug("a transaction's answer is late, its changes are stored", "first", txn.Changes[0].Key)
 			c.emit(Abandon{txn})
 		} else if queue.ReadDue(c.now) {
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -154,7 +154,7 @@
 	if job == nil || name != "submission" && job.Active() {
 		t.Fatalf("job %+v", job)
 	}
-	if !slices.Contains(state.abandoned, sent.Txn) || core.queues[sent.Queue].UnderWay(sent.Txn) {
+	if !slices.Contains(state.abandoned, sent.Txn) || core.queues[sent.Queue].InFlight(sent.Txn) {
 		t.Error("the transaction is still waited for")
 	}
 	if got := state.replies[3].Code; got != http.StatusOK {
@@ -167,7 +167,7 @@
 	delete(state.replies, 1)
 	core.OnCommit(core.now, sent.Queue, sent.Txn, late, state.rev, []string{key})
 	state.serve(core, units.Second/100)
-	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].UnderWay(next.Txn) {
+	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].InFlight(next.Txn) {
 		t.Error("an answer that came late changed something")
 	}
 }
@@ -211,7 +211,7 @@
 		sent := state.of(jobPrefix + "wk-000009")
 		stored := []store.Event{{Key: jobPrefix + "wk-000009", Value: sent.Txn.Changes[0].Value, Stamp: state.rev + 5}}
 		if lost {
-			core.cache.Reload(core.now)
+			core.cache.StartRecovery(core.now)
 			core.OnList(core.now, List{}, store.OK, state.rev-3, nil, false)
 			core.OnChanges(core.now, Watch{After: state.rev - 3}, store.OK, state.rev+5, stored, false)
 		} else { // changes between the copy and this answer are not known
@@ -219,7 +219,7 @@
 		}
 		state.rev += 5
 		state.serve(core, units.Second/2)
-		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].UnderWay(sent.Txn) {
+		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].InFlight(sent.Txn) {
 			t.Errorf("lost %v: answered %d", lost, r.Code)
 		}
 	}
--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -24,7 +24,7 @@
 	// collectAfter is for how long chunks must have been of no use before they are removed.
 	collectAfter = 30 * units.Second
 	// partBytes bounds what goes into one transaction beside the head.
-	partBytes = store.TxnBytes / 2
+	partBytes = store.MaxTxnBytes / 2
 	maxID     = 64
 	maxText   = 160 // bytes of who and what in the history
 )
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -183,7 +183,7 @@
 	machineGroups map[string]fleet.Group // stored machines, by key
 	machineShard  map[string]int         // shard of each stored machine
 
-	archive       *archive.Keeper
+	archive       *archive.Manager
 	rollback      *rollback.Recovery
 	cancellations *cancellations.Tracker // which cancellations are known, and up to when all are
 	membership    *membership.Registry
@@ -223,9 +223,9 @@
 	for i := range cfg.Teams {
 		core.teams[cfg.Teams[i].Name] = &cfg.Teams[i]
 	}
-	core.cache = watchcache.New(watchcache.Config{Size: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, Fresh: min(freshFor, core.extension()/4), Log: cfg.Log}, cacheHost{core})
-	core.archive = archive.NewKeeper(archive.Config{Node: cfg.Node, Release: peering.ReleaseArchive, KeepFinished: cfg.KeepFinished, MinAge: 2*core.leaseBound() + cfg.CancelWithin,
-		ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{core})
+	core.cache = watchcache.New(watchcache.Config{Controllers: cfg.Size, Rate: cfg.StateRate, NextRate: cfg.NextStateRate, MaxStaleness: min(freshFor, core.extension()/4), Log: cfg.Log}, cacheHost{core})
+	core.archive = archive.NewManager(archive.Config{Node: cfg.Node, Release: peering.ReleaseArchive, KeepFinished: cfg.KeepFinished, MinAge: 2*core.leaseBound() + cfg.CancelWithin,
+		MaxValueBytes: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Layout: layout, Log: cfg.Log}, archiveHost{core})
 	core.election = election.New(election.Config{Node: cfg.Node, Log: cfg.Log}, electionHost{core})
 	core.planner = shardplan.New(shardplan.Config{Size: cfg.Size, ShardMachines: cfg.ShardMachines, TxnOps: cfg.TxnOps, ValueMax: core.cfg.ValueMax, Log: cfg.Log}, core.shardRecords, plannerHost{core})
 	core.membership = membership.New(membership.Config{Node: cfg.Node, Size: cfg.Size, Release: peering.Release, TTL: cfg.LeaderTTL, UnvotedExpiry: core.extension(), MajorityExtension: min(core.extension(), shortFor*cfg.LeaderTTL), Log: cfg.Log, SkippedGuard: cfg.SkippedGuard}, membershipHost{core})
@@ -238,7 +238,7 @@
 	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.HomeZone, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
 	core.reachability = liveness.NewReachability(cfg.HeartbeatInterval, core.leaseBound())
 	for i := range core.queues {
-		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.TxnBytes, MaxQueue: userWrites}
+		core.queues[i] = &store.WriteQueue{MaxOps: cfg.TxnOps, MaxBytes: store.MaxTxnBytes, MaxQueue: userWrites}
 	}
 	core.queues[ControlQueue].MaxQueue = controlWrites
 	core.queues[ArchiveQueue].MaxQueue = 1
@@ -272,7 +272,7 @@
 	}
 	for id, queue := range c.queues {
 		if txn := queue.Next(c.now); txn != nil {
-			txn.Known = c.cache.HighestRevision()
+			txn.KnownRevision = c.cache.HighestRevision()
 			c.emit(Commit{QueueID(id), txn})
 		}
 	}
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -25,7 +25,7 @@
 		Leading:      c.election.Leads(),
 		Full:         c.admission.MemoryFull(),
 		KnownJobs:    c.jobs.Len(),
-		Keys:         c.cache.Keys(),
+		Keys:         c.cache.Len(),
 		FinishedJobs: archived.Finished,
 		ArchivedIDs:  archived.ArchivedIDs,
 		ArchiveReads: archived.Reads,
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -321,7 +321,7 @@
 
 func (s *Inspector) auditBuckets() {
 	for _, number := range slices.Sorted(maps.Keys(s.bucketBits)) {
-		if key, why := archive.Misplaced(number, s.bucketBits); why != "" {
+		if key, why := archive.CheckPlacement(number, s.bucketBits); why != "" {
 			s.find("misplaced", key, nil, "%s", why)
 		}
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -45,7 +45,7 @@
 }
 
 // JobFinalized implements registry.Host: the job is archived some day.
-func (c jobsHost) JobFinalized(id string) { c.archive.JobOver(c.now, id) }
+func (c jobsHost) JobFinalized(id string) { c.archive.JobFinalized(c.now, id) }
 
 // JobArchived implements registry.Host.
 func (c jobsHost) JobArchived(job *jobs.Job) { c.archive.JobArchived(job) }
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -69,7 +69,7 @@
 	core.OnCommit(core.now, commit.Queue, txn, store.OK, rev, nil)
 	for _, ch := range txn.Changes {
 		if ch.Value == nil {
-			core.cache.Learn(store.Event{Key: ch.Key, Stamp: rev})
+			core.cache.Apply(store.Event{Key: ch.Key, Stamp: rev})
 		}
 	}
 }
@@ -236,7 +236,7 @@
 func TestRatesFall(t *testing.T) {
 	c := holding(t, nil)
 	before := c.queues[ControlQueue].Rate
-	if o := c.noteOutcome(store.Limited); o != store.Refused || c.queues[ControlQueue].Rate >= before || c.cfg.WriteRate != 20 {
+	if o := c.noteOutcome(store.RateLimited); o != store.Refused || c.queues[ControlQueue].Rate >= before || c.cfg.WriteRate != 20 {
 		t.Fatalf("%v, %v after %v", o, c.queues[ControlQueue].Rate, before)
 	}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -36,7 +36,7 @@
 }
 
 // Archiving implements election.Host.
-func (c electionHost) Archiving() bool { return c.archive.Index().On() }
+func (c electionHost) Archiving() bool { return c.archive.Index().Enabled() }
 
 // Elected implements election.Host.
 func (c electionHost) Elected(lead *election.Leadership) {
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -18,22 +18,22 @@
 // Emit implements watchcache.Host.
 func (c cacheHost) Emit(e any) { c.emit(e) }
 
-// Learn implements watchcache.Host.
-func (c cacheHost) Learn(e store.Event) { c.learn(e) }
+// Apply implements watchcache.Host.
+func (c cacheHost) Apply(e store.Event) { c.learn(e) }
 
-// Removed implements watchcache.Host.
-func (c cacheHost) Removed(key string) {
+// KeyRemoved implements watchcache.Host.
+func (c cacheHost) KeyRemoved(key string) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		c.archive.RecordRemoved(id)
 	}
 }
 
-// Gap implements watchcache.Host.
-func (c cacheHost) Gap() { c.archive.Gap() }
+// EventsMissed implements watchcache.Host.
+func (c cacheHost) EventsMissed() { c.archive.EventsMissed() }
 
-// Limited implements watchcache.Host: from now on the rates count that the state service was
+// RateLimited implements watchcache.Host: from now on the rates count that the state service was
 // to have later.
-func (c cacheHost) Limited() {
+func (c cacheHost) RateLimited() {
 	if next := c.cfg.NextWriteRate; 0 < next && next < c.cfg.WriteRate {
 		c.log.Info("state service takes fewer changes", "a_second", next)
 		c.cfg.WriteRate = next
@@ -41,11 +41,11 @@
 	}
 }
 
-// Reload implements watchcache.Host.
-func (c cacheHost) Reload(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
+// Rebuild implements watchcache.Host.
+func (c cacheHost) Rebuild(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
 
 // ListPageSize is how many keys are listed at once.
-const ListPageSize = watchcache.Page
+const ListPageSize = watchcache.PageSize
 
 // readFresh asks for a fresh read; f, if any, is told whether it worked.
 func (c *Core) readFresh(f func(ok bool)) { c.cache.ReadFresh(f) }
@@ -81,7 +81,7 @@
 	case event.Key == leaderKeyFirst || event.Key == keys.LeaderSinceArchive:
 		err = c.election.ApplyRecord(event)
 	case event.Key == keys.ArchiveMark:
-		err = c.archive.LearnMark(event)
+		err = c.archive.ApplyMark(event)
 	case strings.HasPrefix(event.Key, memberPrefix):
 		err = c.membership.ApplyRecord(c.now, event.Key[len(memberPrefix):], event)
 	case strings.HasPrefix(event.Key, assignmentPrefix):
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -71,7 +71,7 @@
 // status is what the other controllers are to know of this one.
 func (c *Core) status() PeerStatus {
 	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.UnreachableNow(c.now), Release: peering.Release,
-		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
+		Full: c.admission.MemoryFull(), Back: c.cache.LastRollback()}
 	// Also once authority has run out: while all still grant a peer lease, nobody has taken over.
 	if c.membership.ID() != 0 {
 		status.Seat, status.Sent, status.Known = c.membership.ID(), c.now, c.cancellations.KnownRevision(c.cache.Revision)
@@ -184,7 +184,7 @@
 	c.peers.NoteRelease(from, status.Release)
 	if c.peers.RollbackNoticed(from, status.Back) {
 		c.log.Warn("another controller says that the state service went back", "controller", from)
-		c.cache.Reload(c.now)
+		c.cache.StartRecovery(c.now)
 	}
 	c.receiveConfigStatus(from, status)
 	if c.membership.GrantPeerLease(c.now, from, status.Seat) {
--- a/internal/core/replaylog/replaylog.go
+++ b/internal/core/replaylog/replaylog.go
@@ -40,8 +40,8 @@
 // New returns a log of at most so many bytes.
 func New(maxBytes int) *Log { return &Log{maxBytes: maxBytes, entries: map[string]entry{}} }
 
-// Note takes a change that was learnt.
-func (l *Log) Note(event store.Event) {
+// Record takes a change that was learnt.
+func (l *Log) Record(event store.Event) {
 	old, known := l.entries[event.Key]
 	if known {
 		l.bytes -= len(old.value)
--- a/internal/core/replaylog/replaylog_test.go
+++ b/internal/core/replaylog/replaylog_test.go
@@ -27,7 +27,7 @@
 		if rapid.IntRange(0, 4).Draw(t, "removed") > 0 {
 			event.Value = json.RawMessage(fmt.Sprintf("%0*d", rapid.IntRange(1, 200).Draw(t, "size"), revision))
 		}
-		n.log.Note(event)
+		n.log.Record(event)
 		n.last[event.Key] = event
 		if n.log.Size() > n.maxBytes && len(n.log.entries) > 0 || n.log.Size() < 0 || len(n.log.order) > 4*len(n.log.entries)+64 {
 			t.Fatalf("%d bytes of %d, %d keys, %d entries", n.log.Size(), n.maxBytes, len(n.log.entries), len(n.log.order))
@@ -53,9 +53,9 @@
 	return there.Stamp < event.Stamp || string(there.Value) != string(event.Value)
 }
 
-// TestLost notes drawn changes: the log keeps within its bound, and what it
+// TestLostValues notes drawn changes: the log keeps within its bound, and what it
 // says is lost is the last value of each key that it still knows, and nothing else.
-func TestLost(t *testing.T) {
+func TestLostValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxBytes := rapid.IntRange(0, 4000).Draw(t, "max")
 		drawn := &noted{log: New(maxBytes), maxBytes: maxBytes, last: map[string]store.Event{}, listed: map[string]store.Event{}}
@@ -74,7 +74,7 @@
 		all := New(1 << 20)
 		want := 0
 		for _, event := range drawn.last {
-			all.Note(event)
+			all.Record(event)
 			if event.Value != nil && drawn.missing(event) {
 				want++
 			}
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -14,7 +14,7 @@
 
 // Recover implements rollback.Host.
 func (c rollbackHost) Recover(revision uint64, listed []store.Event, newer map[string]bool) {
-	c.cache.Recover(revision, listed, newer)
+	c.cache.Reset(revision, listed, newer)
 }
 
 // StateRolledBack implements rollback.Host.
--- a/internal/core/rollback/merge.go
+++ b/internal/core/rollback/merge.go
@@ -28,7 +28,7 @@
 	case strings.HasPrefix(known.Key, keys.AssignmentPrefix):
 		return known.Value, says(known.Value, listed, authority.DecodeAssignment, laterAssignment)
 	case known.Key == keys.ArchiveMark:
-		return known.Value, says(known.Value, listed, decode[archive.Mark], func(a, b archive.Mark) bool { return a.Cut > b.Cut })
+		return known.Value, says(known.Value, listed, decode[archive.Mark], func(a, b archive.Mark) bool { return a.Cutoff > b.Cutoff })
 	case known.Key == keys.Term:
 		return known.Value, says(known.Value, listed, decode[authority.Term], func(a, b authority.Term) bool { return a.Term > b.Term })
 	}
--- a/internal/core/rollback/rollback.go
+++ b/internal/core/rollback/rollback.go
@@ -66,7 +66,7 @@
 // Note remembers a change that was learnt.
 func (r *Recovery) Note(e store.Event) {
 	if !decidesAuthority(e.Key) {
-		r.past.Note(e)
+		r.past.Record(e)
 	}
 }
 
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -234,11 +234,11 @@
 		{Key: jobPrefix + "wk-000001", Value: store.Value(done), Stamp: 115},
 		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), Stamp: 118}}, false)
 	core.Drain()
-	core.OnChanges(core.now, Watch{After: 101, Known: 101}, store.OK, 110, nil, false)
+	core.OnChanges(core.now, Watch{After: 101, KnownRevision: 101}, store.OK, 110, nil, false)
 	if core.cache.Recovering() {
 		t.Fatal("an answer that was under way is taken for a service that went back")
 	}
-	core.OnChanges(core.now, Watch{After: 120, Known: 120}, store.OK, 107, nil, false)
+	core.OnChanges(core.now, Watch{After: 120, KnownRevision: 120}, store.OK, 107, nil, false)
 	lists := false
 	for _, e := range core.Drain() {
 		_, ok := e.(List)
--- a/internal/core/store/indoubt.go
+++ b/internal/core/store/indoubt.go
@@ -8,37 +8,38 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// A transaction without an answer is in doubt: the answer may be lost although the transaction
-// was carried out. The watch of the copy then shows its changes, long before the request times
-// out. A revision is made by one transaction, so a revision above all that were known when the
-// transaction was sent, with exactly its changes and values, proves that its changes are stored.
-// Nothing else ends a transaction early: that its changes are not seen proves nothing, as it may
-// be carried out late.
+// A transaction without a response is in doubt: the response may be lost although the transaction was
+// committed. In that case the watch delivers its changes long before the request times out. Each revision is
+// made by exactly one transaction. So a revision higher than every revision known when the transaction was
+// sent, with exactly its changes and values, proves that its changes are stored. This is the only reason to
+// complete a transaction before its response arrives. Not having seen its changes proves nothing, because it
+// may still be committed later.
 //
-// The transaction that made the revision need not be the one under way: another controller
-// may have stored the same (both cancel a job), or an earlier try of this controller's came
-// late. All of Done's callers act on what is stored, not on who stored it, and the one under
-// way may then still be carried out later, as after any outcome that is not known: its
-// guards are made for that. The exception is a put that is attached to a lease. It is this
-// process's only by that lease, which a watch does not show, and is never proven.
+// The revision may have been made by another transaction with the same changes: another controller stored the
+// same (for example, both cancel a job), or an earlier attempt of this controller was committed late. This is
+// safe because every Done callback depends on what is stored, not on who stored it. The transaction in flight
+// may then still be committed later, as after any unknown outcome; its guards make that safe. The exception
+// is a put attached to a lease: only the lease ties it to this process, and a watch does not show leases.
+// Such a transaction is never proven.
 
 const (
-	// firstLatency is how long an answer is taken to need before any has come.
-	firstLatency = 10 * units.Second / 1000
-	// latencySlack is added to what answers usually need before one counts as late.
+	// initialLatency is the expected latency before the first response.
+	initialLatency = 10 * units.Second / 1000
+	// latencySlack is added to the expected latency before a response counts as late.
 	latencySlack = 10 * units.Second / 1000
-	// readEvery is the time between two reads for one transaction, maxReads their number.
-	readEvery = units.Second / 4
-	maxReads  = 3
-	// latencySmoothing is how many answers count in the smoothed latency.
+	// readInterval is the time between two reads for one transaction, maxReads their maximum number.
+	readInterval = units.Second / 4
+	maxReads     = 3
+	// latencySmoothing is the divisor of the moving average: each response moves the expected latency
+	// by 1/latencySmoothing of its difference.
 	latencySmoothing = 8
 )
 
-// Observe takes changes of the service's keys, in the order of their revisions, each
-// revision whole. They must be in the copy already.
+// Observe checks whether events prove that the transaction in flight was committed. The events must be
+// ordered by revision, contain every change of each revision, and already be applied to the replica.
 func (q *WriteQueue) Observe(events []Event) {
 	txn := q.current
-	if txn == nil || txn.doubted || txn.proof != 0 {
+	if txn == nil || txn.rollbackSuspected || txn.provenBy != 0 {
 		return
 	}
 	for len(events) > 0 {
@@ -47,76 +48,76 @@
 		for count < len(events) && events[count].Stamp == revision {
 			count++
 		}
-		if txn.made(events[:count]) {
-			txn.proof = revision
+		if txn.committedBy(events[:count]) {
+			txn.provenBy = revision
 			return
 		}
 		events = events[count:]
 	}
 }
 
-// SuspectRollback says that the service has gone back behind its answers. Revisions may be given
-// out again, so that they prove nothing of the transaction under way.
+// SuspectRollback reports that the state service has lost revisions that it had already returned. It may then
+// assign the same revisions again, so revisions no longer prove anything about the transaction in flight.
 func (q *WriteQueue) SuspectRollback() {
 	if q.current != nil {
-		q.current.doubted, q.current.proof = true, 0
+		q.current.rollbackSuspected, q.current.provenBy = true, 0
 	}
 }
 
-// Conclude ends the transaction under way where it is proven to have been carried out and
-// its answer is late. It returns that transaction, or nil. An answer that still comes is to
-// be dropped, see UnderWay.
-func (q *WriteQueue) Conclude(now units.Microseconds) *Txn {
+// FinishProven completes the transaction in flight with outcome OK if it is proven to be committed and its
+// response is late. It returns that transaction, or nil. The caller must drop a response that arrives later;
+// see InFlight.
+func (q *WriteQueue) FinishProven(now units.Microseconds) *Txn {
 	txn := q.current
-	if txn == nil || txn.proof == 0 || now < txn.sent+q.usualLatency()*3/2+latencySlack {
+	if txn == nil || txn.provenBy == 0 || now < txn.sentAt+q.expectedLatency()*3/2+latencySlack {
 		return nil
 	}
-	q.settle(now, OK, txn.proof, nil)
+	q.complete(now, OK, txn.provenBy, nil)
 	return txn
 }
 
-// UnderWay reports whether a transaction is the one under way: the answer to any other
-// comes too late.
-func (q *WriteQueue) UnderWay(txn *Txn) bool { return txn != nil && q.current == txn }
+// InFlight reports whether txn is the transaction in flight. Responses to any other transaction are outdated.
+func (q *WriteQueue) InFlight(txn *Txn) bool { return txn != nil && q.current == txn }
 
-// ReadDue reports whether the copy should be read now for the transaction under way, whose
-// answer is late and which the watch has not shown. It is true a few times for each.
+// ReadDue reports whether the changes of the state service should be read now because the response to the
+// transaction in flight is late and the watch has not delivered its changes. It returns true at most maxReads
+// times for each transaction.
 func (q *WriteQueue) ReadDue(now units.Microseconds) bool {
 	txn := q.current
-	if txn == nil || txn.proof != 0 || txn.doubted || txn.reads == maxReads {
+	if txn == nil || txn.provenBy != 0 || txn.rollbackSuspected || txn.reads == maxReads {
 		return false
 	}
-	if now < txn.sent+3*q.usualLatency()+2*latencySlack+units.Microseconds(txn.reads)*readEvery {
+	if now < txn.sentAt+3*q.expectedLatency()+2*latencySlack+units.Microseconds(txn.reads)*readInterval {
 		return false
 	}
 	txn.reads++
 	return true
 }
 
-// usualLatency is about how long an answer takes.
-func (q *WriteQueue) usualLatency() units.Microseconds {
+// expectedLatency returns the smoothed latency, or initialLatency before the first response.
+func (q *WriteQueue) expectedLatency() units.Microseconds {
 	if q.latency == 0 {
-		return firstLatency
+		return initialLatency
 	}
 	return q.latency
 }
 
-// noteLatency notes how long an answer has taken. One that took very long counts as less, so
-// that single slow answers change little.
-func (q *WriteQueue) noteLatency(latency units.Microseconds) {
-	usual := q.usualLatency()
-	q.latency = max(1, usual+(min(latency, 2*usual+latencySlack)-usual)/latencySmoothing)
+// observeLatency adds a response time to the moving average. It caps very long times, so that a single slow
+// response changes the average little.
+func (q *WriteQueue) observeLatency(latency units.Microseconds) {
+	expected := q.expectedLatency()
+	q.latency = max(1, expected+(min(latency, 2*expected+latencySlack)-expected)/latencySmoothing)
 }
 
-// made reports whether a revision's changes are exactly those of the transaction. One that only
-// deletes is never proven: where the keys are gone already it makes no revision.
-func (t *Txn) made(events []Event) bool {
-	if len(events) != len(t.Changes) || events[0].Stamp <= t.Known {
+// committedBy reports whether the events of one revision are exactly the changes of the transaction. It is
+// always false for a transaction that only deletes: if its keys do not exist, it makes no revision.
+func (t *Txn) committedBy(events []Event) bool {
+	if len(events) != len(t.Changes) || events[0].Stamp <= t.KnownRevision {
 		return false
 	}
 	puts := false
 	for _, change := range t.Changes {
-		if change.Lease != 0 || !contains(events, change) {
+		if change.Lease != 0 || !containsChange(events, change) {
 			return false
 		}
 		puts = puts || change.Value != nil
@@ -124,7 +125,7 @@
 	return puts
 }
 
-func contains(events []Event, change Change) bool {
+func containsChange(events []Event, change Change) bool {
 	for _, event := range events {
 		if event.Key == change.Key {
 			return (event.Value == nil) == (change.Value == nil) && sameValue(event.Value, change.Value)
@@ -133,17 +134,17 @@
 	return false
 }
 
-// sameValue reports whether two values are the same JSON, however it is written.
+// sameValue reports whether two values are equal as JSON, regardless of formatting and key order.
 func sameValue(a, b json.RawMessage) bool {
 	if bytes.Equal(a, b) {
 		return true
 	}
-	x, okX := decoded(a)
-	y, okY := decoded(b)
+	x, okX := decodeJSON(a)
+	y, okY := decodeJSON(b)
 	return okX && okY && reflect.DeepEqual(x, y)
 }
 
-func decoded(value json.RawMessage) (out any, ok bool) {
+func decodeJSON(value json.RawMessage) (out any, ok bool) {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.UseNumber()
 	err := decoder.Decode(&out)
--- a/internal/core/store/indoubt_test.go
+++ b/internal/core/store/indoubt_test.go
@@ -11,35 +11,36 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// revision is what a transaction made: the number of each value, 0: removed.
+// revision is the changes of one revision: the number in each value by key, 0 if the key was deleted.
 type revision map[string]int
 
-// stored returns a value as it is sent, or as a service may give it back.
-func stored(n int, rewritten bool) json.RawMessage {
+// encodedValue returns the value for n as it is sent, or in another formatting in which a service may return
+// it.
+func encodedValue(n int, rewritten bool) json.RawMessage {
 	if rewritten {
 		return json.RawMessage(fmt.Sprintf(`{ "b": [true], "a": %d }`, n))
 	}
 	return json.RawMessage(fmt.Sprintf(`{"a":%d,"b":[true]}`, n))
 }
 
-// lostAnswers is a queue, a service that carries out its transactions at any time or never,
-// and others who write the same and nearly the same.
-type lostAnswers struct {
-	t        *rapid.T
-	queue    WriteQueue
-	now      units.Microseconds
-	log      []revision // the first made revision 1
-	versions map[string]uint64
-	observed int    // revisions that the queue was shown
-	current  *Txn   // nil: none is under way
-	from     int    // revisions that were observed when it was sent
-	doubted  bool   // the service went back meanwhile
-	old      []*Txn // those that are not under way any more and may still come
-	told     map[int]int
-	added    int
+// inDoubtModel is a queue, a service that commits its transactions at any time or never, and other clients
+// that write the same or almost the same changes.
+type inDoubtModel struct {
+	t                 *rapid.T
+	queue             WriteQueue
+	now               units.Microseconds
+	log               []revision // log[0] is revision 1
+	versions          map[string]uint64
+	observed          int         // number of revisions passed to Observe
+	current           *Txn        // in flight; nil: none
+	observedWhenSent  int         // value of observed when current was sent
+	rollbackSuspected bool        // the service may have been rolled back since
+	retired           []*Txn      // transactions no longer in flight that may still be committed
+	doneCalls         map[int]int // calls of Done, by write
+	added             int
 }
 
-func (m *lostAnswers) commit(r revision) {
+func (m *inDoubtModel) commit(r revision) {
 	m.log = append(m.log, r)
 	for k, v := range r {
 		if m.versions[k] = uint64(len(m.log)); v == 0 {
@@ -48,8 +49,8 @@
 	}
 }
 
-// made returns what a transaction makes.
-func made(t *Txn) revision {
+// changesOf returns the changes that a transaction makes.
+func changesOf(t *Txn) revision {
 	r := revision{}
 	for _, c := range t.Changes {
 		var v struct{ A int }
@@ -61,19 +62,19 @@
 	return r
 }
 
-// carryOut carries out a transaction if its guards hold.
-func (m *lostAnswers) carryOut(t *Txn) {
+// commitIfGuardsHold commits a transaction if its guards hold.
+func (m *inDoubtModel) commitIfGuardsHold(t *Txn) {
 	for _, g := range t.Guards {
 		if m.versions[g.Key] != g.Version {
 			return
 		}
 	}
-	m.commit(made(t))
+	m.commit(changesOf(t))
 }
 
-// proven is the first revision that the queue was shown and that proves the transaction
-// under way; 0: none.
-func (m *lostAnswers) proven() int {
+// provenRevision returns the first revision passed to the queue that proves that the transaction
+// in flight was committed, or 0.
+func (m *inDoubtModel) provenRevision() int {
 	puts := false
 	for _, c := range m.current.Changes {
 		if c.Lease != 0 {
@@ -81,22 +82,22 @@
 		}
 		puts = puts || c.Value != nil
 	}
-	for i := m.from; i < m.observed && puts && !m.doubted; i++ {
-		if maps.Equal(m.log[i], made(m.current)) {
+	for i := m.observedWhenSent; i < m.observed && puts && !m.rollbackSuspected; i++ {
+		if maps.Equal(m.log[i], changesOf(m.current)) {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-func (m *lostAnswers) add() {
+func (m *inDoubtModel) add() {
 	id := m.added
 	w := &Write{Deferred: rapid.Bool().Draw(m.t, "late")}
 	for range rapid.IntRange(1, 2).Draw(m.t, "changes") {
 		k := fmt.Sprint(rapid.IntRange(0, 2).Draw(m.t, "key"))
 		c := Change{Key: k}
 		if v := rapid.IntRange(0, 2).Draw(m.t, "value"); v > 0 {
-			c.Value = stored(v, false)
+			c.Value = encodedValue(v, false)
 		}
 		if c.Value != nil && rapid.IntRange(0, 9).Draw(m.t, "leased") == 0 {
 			c.Lease = 7
@@ -108,16 +109,16 @@
 		w.Changes, w.Guards = w.Changes[:1], w.Guards[:1]
 	}
 	w.Done = func(o Outcome, rev uint64) {
-		m.told[id]++
+		m.doneCalls[id]++
 		if o != OK {
 			return
 		}
 		if rev == 0 || int(rev) > len(m.log) {
-			m.t.Fatalf("told revision %d of %d", rev, len(m.log))
+			m.t.Fatalf("Done was called with revision %d of %d", rev, len(m.log))
 		}
-		for k, v := range made(&Txn{Changes: w.Changes}) {
+		for k, v := range changesOf(&Txn{Changes: w.Changes}) {
 			if got, ok := m.log[rev-1][k]; !ok || got != v {
-				m.t.Fatalf("told that revision %d stored %d at %s, which it did not", rev, v, k)
+				m.t.Fatalf("Done was called with revision %d, which did not store %d at %s", rev, v, k)
 			}
 		}
 	}
@@ -126,29 +127,29 @@
 	}
 }
 
-func (m *lostAnswers) over() {
-	m.old = append(m.old, m.current)
+func (m *inDoubtModel) retireCurrent() {
+	m.retired = append(m.retired, m.current)
 	m.current = nil
 }
 
-// conclude lets much time pass, and checks that the transaction under way ends if and only
-// if what was shown proves that it was carried out.
-func (m *lostAnswers) conclude() {
-	if m.queue.Conclude(m.current.sent) != nil {
-		m.t.Fatal("concluded before the answer can be late")
+// checkFinishProven advances the time by more than any latency. It checks that the transaction in flight then
+// completes if and only if the observed revisions prove that it was committed.
+func (m *inDoubtModel) checkFinishProven() {
+	if m.queue.FinishProven(m.current.sentAt) != nil {
+		m.t.Fatal("completed before its response can be late")
 	}
 	m.now += 100 * units.Second
-	rev, t := m.proven(), m.queue.Conclude(m.now)
+	rev, t := m.provenRevision(), m.queue.FinishProven(m.now)
 	if (rev != 0) != (t != nil) {
-		m.t.Fatalf("proven by revision %d, concluded: %v", rev, t != nil)
+		m.t.Fatalf("proven by revision %d, completed: %v", rev, t != nil)
 	}
 	if t != nil {
-		m.over()
+		m.retireCurrent()
 	}
 }
 
-// watch shows the lane further revisions, and some once more.
-func (m *lostAnswers) watch(t *rapid.T) {
+// watch passes further revisions to the queue, and may repeat earlier ones.
+func (m *inDoubtModel) watch(t *rapid.T) {
 	begin := rapid.IntRange(0, m.observed).Draw(t, "again_from")
 	upto := rapid.IntRange(m.observed, len(m.log)).Draw(t, "upto")
 	rewritten := rapid.Bool().Draw(t, "rewritten")
@@ -157,7 +158,7 @@
 		for k, v := range m.log[i] {
 			e := Event{Key: k, Stamp: uint64(i + 1)}
 			if v > 0 {
-				e.Value = stored(v, rewritten)
+				e.Value = encodedValue(v, rewritten)
 			}
 			events = append(events, e)
 		}
@@ -166,14 +167,14 @@
 	m.queue.Observe(events)
 }
 
-func (m *lostAnswers) underWay(t *rapid.T) *Txn {
+func (m *inDoubtModel) inFlight(t *rapid.T) *Txn {
 	if m.current == nil {
 		t.Skip()
 	}
 	return m.current
 }
 
-func (m *lostAnswers) send(t *rapid.T) {
+func (m *inDoubtModel) send(t *rapid.T) {
 	if m.current != nil {
 		t.Skip()
 	}
@@ -183,21 +184,21 @@
 	if m.current = m.queue.Next(m.now); m.current == nil {
 		t.Skip()
 	}
-	m.current.Known = uint64(m.observed)
-	m.from, m.doubted = m.observed, false
+	m.current.KnownRevision = uint64(m.observed)
+	m.observedWhenSent, m.rollbackSuspected = m.observed, false
 }
 
-func (m *lostAnswers) carriedOutLate(t *rapid.T) {
-	if len(m.old) == 0 {
+func (m *inDoubtModel) commitLate(t *rapid.T) {
+	if len(m.retired) == 0 {
 		t.Skip()
 	}
-	m.carryOut(rapid.SampledFrom(m.old).Draw(t, "which"))
+	m.commitIfGuardsHold(rapid.SampledFrom(m.retired).Draw(t, "which"))
 }
 
-// anotherWrites has somebody else store the same, or something nearly the same.
-func (m *lostAnswers) anotherWrites(t *rapid.T) {
+// writeByOther lets another client write the same changes, or almost the same.
+func (m *inDoubtModel) writeByOther(t *rapid.T) {
 	m.t = t
-	written := made(m.underWay(t))
+	written := changesOf(m.inFlight(t))
 	key := rapid.SampledFrom(m.current.Changes).Draw(t, "of").Key
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0:
@@ -206,75 +207,76 @@
 		delete(written, key)
 	case 2:
 		written["other"] = 1
-	} // else the same
+	} // otherwise the same changes
 	if len(written) > 0 {
 		m.commit(written)
 	}
 	if rapid.Bool().Draw(t, "shown") {
 		m.watch(t)
-		m.conclude()
+		m.checkFinishProven()
 	}
 }
 
-func (m *lostAnswers) answer(t *rapid.T) {
-	txn := m.underWay(t)
-	if !m.queue.UnderWay(txn) {
-		t.Fatal("not under way")
+func (m *inDoubtModel) answer(t *rapid.T) {
+	txn := m.inFlight(t)
+	if !m.queue.InFlight(txn) {
+		t.Fatal("the transaction is not in flight")
 	}
 	before := len(m.log)
 	outcome := rapid.SampledFrom([]Outcome{OK, Refused, Failed, Unknown, TooLarge}).Draw(t, "outcome")
 	var failed []string
 	if outcome == OK {
-		if m.carryOut(txn); len(m.log) == before {
+		if m.commitIfGuardsHold(txn); len(m.log) == before {
 			outcome, failed = Failed, []string{txn.Guards[0].Key}
 		}
 	}
 	m.queue.Finish(m.now, outcome, uint64(len(m.log)), failed)
-	m.over()
+	m.retireCurrent()
 }
 
-func (m *lostAnswers) lateAnswer(t *rapid.T) {
-	if len(m.old) == 0 {
+func (m *inDoubtModel) lateAnswer(t *rapid.T) {
+	if len(m.retired) == 0 {
 		t.Skip()
 	}
-	if m.queue.UnderWay(rapid.SampledFrom(m.old).Draw(t, "which")) {
-		t.Fatal("an answer to a transaction that is over would end the one under way")
+	if m.queue.InFlight(rapid.SampledFrom(m.retired).Draw(t, "which")) {
+		t.Fatal("a response to a completed transaction would complete the one in flight")
 	}
 }
 
-func (m *lostAnswers) check(t *rapid.T) {
+func (m *inDoubtModel) check(t *rapid.T) {
 	count := 0
-	for id, times := range m.told {
+	for id, times := range m.doneCalls {
 		if times != 1 {
-			t.Fatalf("write %d told %d times", id, times)
+			t.Fatalf("Done of write %d was called %d times", id, times)
 		}
 		count++
 	}
 	if count+m.queue.Len() != m.added {
-		t.Fatalf("%d told and %d waiting of %d", count, m.queue.Len(), m.added)
+		t.Fatalf("%d completed and %d queued of %d", count, m.queue.Len(), m.added)
 	}
 }
 
-// TestLostAnswers has transactions carried out at once, late and never, whose answers come
-// or are lost, while others write the same values, one value that differs, or one more or
-// less key. A transaction is ended early exactly when a revision that was shown since it
-// was sent has all of its changes and no others; whoever is told that a write is stored can
-// find it at that revision; and each is told once.
-func TestLostAnswers(t *testing.T) {
+// TestInDoubtTransactions guards against a write that is reported stored without being stored, and
+// against one that completes twice or never. Transactions are committed at once, late or never, and
+// their responses arrive or are lost, while other clients write the same values, one different value, or
+// one key more or less. A transaction completes early exactly if a revision observed since it was sent
+// has all of its changes and no others. A write that completes with OK is stored at the reported
+// revision. Each write completes once.
+func TestInDoubtTransactions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &lostAnswers{t: t, queue: WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 1e6}, versions: map[string]uint64{}, told: map[int]int{}}
+		model := &inDoubtModel{t: t, queue: WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 1e6}, versions: map[string]uint64{}, doneCalls: map[int]int{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"add":              func(t *rapid.T) { model.t = t; model.add() },
 			"send":             model.send,
-			"carried out":      func(t *rapid.T) { model.carryOut(model.underWay(t)) },
-			"carried out late": model.carriedOutLate,
-			"another writes":   model.anotherWrites,
+			"carried out":      func(t *rapid.T) { model.commitIfGuardsHold(model.inFlight(t)) },
+			"carried out late": model.commitLate,
+			"another writes":   model.writeByOther,
 			"watch":            model.watch,
-			"wait":             func(t *rapid.T) { model.t = t; model.underWay(t); model.conclude() },
+			"wait":             func(t *rapid.T) { model.t = t; model.inFlight(t); model.checkFinishProven() },
 			"went back": func(t *rapid.T) {
-				model.underWay(t)
+				model.inFlight(t)
 				model.queue.SuspectRollback()
-				model.doubted = true
+				model.rollbackSuspected = true
 			},
 			"answer":      model.answer,
 			"late answer": model.lateAnswer,
@@ -283,12 +285,12 @@
 	})
 }
 
-// TestReadsForLateAnswers counts the reads that a transaction without an answer causes: a
-// few, soon where answers are quick, and none before its time is up where all are slow.
-func TestReadsForLateAnswers(t *testing.T) {
+// TestReadsForLateResponses guards against too many or too late reads for a transaction without a response:
+// there are at most three, soon if responses are usually fast, and none within a second if all are slow.
+func TestReadsForLateResponses(t *testing.T) {
 	for _, test := range []struct {
 		usual units.Microseconds
-		first units.Microseconds // at which the first read is due at the latest
+		first units.Microseconds // latest time of the first read
 		reads int                // within a second
 	}{{2_000, 60_000, 3}, {10_000, 100_000, 3}, {400_000, units.MaxTime, 0}} {
 		queue := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 100}
@@ -296,7 +298,7 @@
 		send := func() {
 			queue.Add(&Write{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}, Done: func(Outcome, uint64) {}})
 			if queue.Next(now) == nil {
-				t.Fatal("nothing is sent")
+				t.Fatal("no transaction is due")
 			}
 		}
 		for range 50 {
@@ -314,7 +316,7 @@
 			}
 		}
 		if reads != test.reads || first > test.first {
-			t.Errorf("answers take %v us: %d reads, the first after %v us", test.usual, reads, first)
+			t.Errorf("responses take %v us: %d reads, the first after %v us", test.usual, reads, first)
 		}
 	}
 }
--- a/internal/core/store/replica.go
+++ b/internal/core/store/replica.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Replica is the copy of the keys: their versions, while the values go to whoever applies them.
+// Replica follows the keys of the state service. It stores their versions only; values are passed to apply.
 type Replica struct {
-	Revision uint64 // up to which the copy is complete
+	Revision uint64 // the replica contains all changes up to this revision
 	versions map[string]uint64
 	apply    func(Event)
-	listing  *listing // that is being taken; nil: none is
+	listing  *listing // in progress; nil: none
 }
 
-// listing is one of which the pages come one after the other, while changes go on to be learnt.
+// listing is a full listing whose pages arrive one by one while the replica keeps applying changes.
 type listing struct {
 	revision uint64
 	listed   map[string]bool
-	deleted  map[string]uint64 // learnt since it began: older pages may still show them
+	deleted  map[string]uint64 // deletions since it began: pages read earlier may still list the keys
 }
 
-// NewReplica returns an empty copy that hands every change to apply, once and in order per key.
+// NewReplica returns an empty replica that passes every change to apply, once and in order for each key.
 func NewReplica(apply func(Event)) *Replica {
 	return &Replica{versions: map[string]uint64{}, apply: apply}
 }
 
-// Version returns a key's version in the copy, 0 if it does not exist.
+// Version returns the version of a key in the replica, or 0 if the key does not exist.
 func (r *Replica) Version(key string) uint64 { return r.versions[key] }
 
-// Keys returns how many keys the copy holds.
-func (r *Replica) Keys() int { return len(r.versions) }
+// Len returns the number of keys in the replica.
+func (r *Replica) Len() int { return len(r.versions) }
 
-// Learn applies one event unless something newer is known of its key.
-func (r *Replica) Learn(event Event) {
+// Apply applies an event unless the replica has the same or a newer version of its key.
+func (r *Replica) Apply(event Event) {
 	known, exists := r.versions[event.Key]
 	if event.Stamp <= known {
 		return
@@ -51,60 +51,59 @@
 	}
 }
 
-// Advance applies what a watch answered: all changes after a revision up to another.
-func (r *Replica) Advance(after, upTo uint64, events []Event) {
+// ApplyChanges applies the response to a watch: all changes after one revision up to and including another.
+func (r *Replica) ApplyChanges(after, upTo uint64, events []Event) {
 	if after > r.Revision {
-		return // a gap: the copy was taken anew meanwhile
+		return // changes are missing: the replica was listed again after the watch was sent
 	}
 	for _, event := range events {
 		if event.Stamp > r.Revision {
-			r.Learn(event)
+			r.Apply(event)
 		}
 	}
 	r.Revision = max(r.Revision, upTo)
 }
 
-// Begin begins to take a full listing, of which the first page was read at a revision. From
-// then on watches go on from there, while further pages come.
-func (r *Replica) Begin(revision uint64) {
+// BeginListing starts a full listing whose first page was read at revision. Watches continue from that
+// revision while further pages arrive.
+func (r *Replica) BeginListing(revision uint64) {
 	r.listing = &listing{revision: revision, listed: map[string]bool{}, deleted: map[string]uint64{}}
 	r.Revision = revision
 }
 
-// Page takes a part of the listing.
-func (r *Replica) Page(items []Event) {
+// ApplyPage applies one page of the listing in progress, if any.
+func (r *Replica) ApplyPage(items []Event) {
 	if r.listing == nil {
 		return
 	}
 	for _, event := range items {
 		r.listing.listed[event.Key] = true
 		if event.Stamp > r.listing.deleted[event.Key] {
-			r.Learn(event)
+			r.Apply(event)
 		}
 	}
 }
 
-// End ends the listing: keys that it lacks are gone unless the copy knows that they
-// were written later.
-func (r *Replica) End() {
-	taken := r.listing
-	if taken == nil {
+// EndListing completes the listing. It deletes keys that no page contained, unless they were
+// written after the listing started.
+func (r *Replica) EndListing() {
+	finished := r.listing
+	if finished == nil {
 		return
 	}
 	r.listing = nil
 	for key, version := range r.versions {
-		if !taken.listed[key] && version <= taken.revision {
+		if !finished.listed[key] && version <= finished.revision {
 			delete(r.versions, key)
-			r.apply(Event{Key: key, Stamp: taken.revision})
+			r.apply(Event{Key: key, Stamp: finished.revision})
 		}
 	}
 }
 
-// Recover takes a full listing of a service that went back behind the copy. Every
-// version is as listed, whatever was known, and every value is applied, as the service may
-// have given out a version a second time; the keys to keep are not, as the copy knows
-// better of them.
-func (r *Replica) Recover(revision uint64, items []Event, keep map[string]bool) {
+// Reset replaces the contents by a full listing after a rollback of the state service. Listed versions
+// replace newer ones, and every value is applied even if its version is unchanged, because the service may
+// have assigned a version twice. Keys in keep are not applied: the caller has newer values for them.
+func (r *Replica) Reset(revision uint64, items []Event, keep map[string]bool) {
 	old := r.versions
 	r.listing = nil
 	r.versions = make(map[string]uint64, len(items))
@@ -122,9 +121,9 @@
 	r.Revision = revision
 }
 
-// Put takes what a transaction of this node's has stored, also where the service has given out
-// revisions a second time.
-func (r *Replica) Put(event Event) {
+// Overwrite applies an event stored by a transaction of this controller, even if the replica has a newer
+// version: after a rollback the service assigns revisions a second time.
+func (r *Replica) Overwrite(event Event) {
 	r.versions[event.Key] = event.Stamp
 	r.apply(event)
 }
--- a/internal/core/store/store.go
+++ b/internal/core/store/store.go
@@ -1,5 +1,5 @@
-// Package store holds a copy of the state service's keys (Replica) and groups changes into
-// transactions (WriteQueue). It does no input or output itself, and knows no key's meaning.
+// Package store follows the keys of the state service (Replica) and batches changes into transactions
+// (WriteQueue). It does no input or output itself and does not interpret keys or values.
 package store
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Value returns plain data in the form in which it is stored.
+// Value encodes plain data as the JSON value that is stored. It panics if v cannot be encoded.
 func Value(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -16,55 +16,54 @@
 	return b
 }
 
-// Guard is a condition: the key has this version (0: it does not exist).
+// Guard is a condition of a transaction: the key has this version (0: it does not exist).
 type Guard struct {
 	Key     string
 	Version uint64
 }
 
-// Change is a put, or a delete where Value is nil.
+// Change is a put, or a delete if Value is nil.
 type Change struct {
 	Key   string
 	Value json.RawMessage
-	Lease uint64 // the value goes when this lease ends; 0: it stays
+	Lease uint64 // id of the lease whose end deletes the key; 0: none
 }
 
-// changeOverhead is what the state service's form of a change and of a guard takes beside keys
-// and value, in bytes.
+// changeOverhead is the size in bytes of an encoded change and guard without their keys and value.
 const changeOverhead = 200
 
-// Size is about how many bytes a change takes of a transaction, with a guard on its key.
+// Size returns the approximate size in bytes of a change in a transaction, with a guard on its key.
 func (c Change) Size() int { return 2*len(c.Key) + len(c.Value) + changeOverhead }
 
-// TxnBytes is how large transactions are made, below what the service takes.
-const TxnBytes = 48 << 10
+// MaxTxnBytes is the largest size of a transaction in bytes. It is below the state service's limit.
+const MaxTxnBytes = 48 << 10
 
-// Event is a change that happened at a revision.
+// Event is a stored change of a key.
 type Event struct {
 	Key   string
 	Value json.RawMessage // nil: deleted
-	Stamp uint64          // the revision, which is the key's version from then on
+	Stamp uint64          // revision of the change; it is the key's version until its next change
 }
 
-// Folder is the part of a key that says what it is of: its first two parts, or the
-// first where there is nothing after the second.
-func Folder(key string) string {
+// KeyGroup returns the part of a key that identifies the kind of its record: the first two components, or
+// only the first if there is no third.
+func KeyGroup(key string) string {
 	top, rest, _ := strings.Cut(key, "/")
-	if folder, _, ok := strings.Cut(rest, "/"); ok {
-		return top + "/" + folder
+	if second, _, ok := strings.Cut(rest, "/"); ok {
+		return top + "/" + second
 	}
 	return top
 }
 
-// Outcome is what is known of a request to an outside service.
+// Outcome is the result of a request to an external service, as far as it is known.
 type Outcome int
 
-// Outcomes. Unknown means that the request may have been carried out or may yet be.
+// Outcomes. Unknown means that the request may have been carried out, or may be carried out later.
 const (
 	OK      Outcome = iota
-	Refused         // surely not carried out
-	Failed          // a guard did not hold, or the thing is gone
+	Refused         // certainly not carried out
+	Failed          // a guard did not hold, or the object does not exist any more
 	Unknown
-	Limited  // refused, as there were too many requests or changes
-	TooLarge // refused for good: the service takes nothing of that size
+	RateLimited // refused because of too many requests or changes
+	TooLarge    // refused permanently: larger than the service's limit
 )
--- a/internal/core/store/writequeue.go
+++ b/internal/core/store/writequeue.go
@@ -6,17 +6,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Write is one group of changes that go together.
+// Write is a group of guards and changes that are always part of the same transaction.
 type Write struct {
 	Guards   []Guard
 	Changes  []Change
-	Deferred bool // goes only when nothing else waits
-	First    bool // goes ahead of all that waits
-	// Done is told the outcome once, and the revision where it is OK.
+	Deferred bool // sent only when no other write is queued
+	First    bool // queued ahead of all writes without First
+	// Done is called once with the outcome, and with the revision if the outcome is OK.
 	Done func(outcome Outcome, revision uint64)
 }
 
-// size is about how many bytes the write takes of a transaction.
+// size returns the approximate size in bytes of the write in a transaction.
 func (w *Write) size() int {
 	size := 0
 	for _, change := range w.Changes {
@@ -25,45 +25,47 @@
 	return size
 }
 
-// Txn is a transaction made of several writes.
+// Txn is a transaction that consists of one or more writes.
 type Txn struct {
-	Guards  []Guard
-	Changes []Change
-	Known   uint64 // the highest revision that was known when it was sent
-	writes  []*Write
-	sent    units.Microseconds
-	proof   uint64 // the revision that proves that it was carried out; 0: none yet
-	doubted bool   // revisions prove nothing of it
-	reads   int    // made for it as its answer was late
+	Guards            []Guard
+	Changes           []Change
+	KnownRevision     uint64 // highest revision known when it was sent
+	writes            []*Write
+	sentAt            units.Microseconds
+	provenBy          uint64 // revision that proves that it was committed; 0: none yet
+	rollbackSuspected bool   // revisions prove nothing about it
+	reads             int    // number of reads made because its response was late
 }
 
 const (
-	// pauseAfterRefusal is how long nothing is sent after a refusal.
+	// pauseAfterRefusal is how long the queue sends nothing after a refusal.
 	pauseAfterRefusal = 300 * units.Second / 1000
-	// minTxnBytes bounds how far transactions are made smaller where the service takes none
-	// of their size.
+	// minTxnBytes is the lower bound of MaxBytes when the queue reduces it because the service refused a
+	// transaction as too large.
 	minTxnBytes = 1 << 10
-	// guardsPerOp bounds the guards of a transaction, which cost the service less than changes.
+	// guardsPerOp limits the guards of a transaction to this multiple of MaxOps. Guards cost the service less
+	// than changes.
 	guardsPerOp = 4
 )
 
-// WriteQueue queues writes and has one transaction under way at a time.
+// WriteQueue queues writes and batches them into transactions. At most one transaction is in flight at a
+// time.
 type WriteQueue struct {
-	MaxOps   int
-	MaxBytes int
-	MaxQueue int
-	Rate     float64 // changes a second
+	MaxOps   int     // changes of one transaction
+	MaxBytes int     // bytes of one transaction
+	MaxQueue int     // queued writes
+	Rate     float64 // changes per second
 
 	queue       []*Write
 	deferred    []*Write
-	current     *Txn    // under way; nil: none is
+	current     *Txn    // in flight; nil: none
 	credit      float64 // changes that may be sent, as of creditAt
 	creditAt    units.Microseconds
 	pausedUntil units.Microseconds
-	latency     units.Microseconds // how long answers take, smoothed; 0: none has come
+	latency     units.Microseconds // moving average of response times; 0: no response yet
 }
 
-// Add queues a write; it reports false when the queue is full.
+// Add queues a write. It reports false if the queue is full.
 func (q *WriteQueue) Add(write *Write) bool {
 	if len(q.queue)+len(q.deferred) >= q.MaxQueue {
 		return false
@@ -83,7 +85,7 @@
 	return true
 }
 
-// Len returns how many writes wait or are under way.
+// Len returns the number of writes that are queued or in flight.
 func (q *WriteQueue) Len() int {
 	count := len(q.queue) + len(q.deferred)
 	if q.current != nil {
@@ -92,55 +94,55 @@
 	return count
 }
 
-// Capacity returns how many deferred writes may be added so that they go with the next
-// transaction: whoever has many to make makes them only then, so that what is
-// written is as it is then, and several changes of a key are one.
+// Capacity returns how many deferred writes can be added and still be part of the next transaction. A
+// caller with many writes creates only that many at a time, so that each has the latest value, and several
+// changes of one key become one write.
 func (q *WriteQueue) Capacity(now units.Microseconds) int {
 	if q.current != nil || now < q.pausedUntil {
 		return 0
 	}
-	return max(0, min(q.MaxOps, int(q.creditNow(now)))-len(q.queue)-len(q.deferred))
+	return max(0, min(q.MaxOps, int(q.currentCredit(now)))-len(q.queue)-len(q.deferred))
 }
 
-// creditNow is how many changes may be sent now.
-func (q *WriteQueue) creditNow(now units.Microseconds) float64 {
+// currentCredit returns how many changes may be sent now by the rate limit.
+func (q *WriteQueue) currentCredit(now units.Microseconds) float64 {
 	return min(q.credit+q.Rate*(now-q.creditAt).Seconds(), max(float64(q.MaxOps), q.Rate))
 }
 
-// Next returns the next transaction to send, or nil. Deferred writes fill it up where nothing
-// else waits any more.
+// Next returns the next transaction to send, or nil. Deferred writes are added only if all other
+// queued writes are part of it.
 func (q *WriteQueue) Next(now units.Microseconds) *Txn {
-	q.credit, q.creditAt = q.creditNow(now), now
+	q.credit, q.creditAt = q.currentCredit(now), now
 	if q.current != nil || now < q.pausedUntil || len(q.queue)+len(q.deferred) == 0 {
 		return nil
 	}
 	assembly := assembly{queue: q, txn: &Txn{}, guarded: map[string]uint64{}, changed: map[string]bool{}}
-	for assembly.takeFrom(&q.queue) {
+	for assembly.addFrom(&q.queue) {
 	}
-	for len(q.queue) == 0 && assembly.takeFrom(&q.deferred) {
+	for len(q.queue) == 0 && assembly.addFrom(&q.deferred) {
 	}
 	txn := assembly.txn
 	if len(txn.writes) == 0 {
 		return nil
 	}
 	q.credit -= float64(len(txn.Changes))
-	txn.sent = now
+	txn.sentAt = now
 	q.current = txn
 	return txn
 }
 
-// assembly puts writes together into a transaction.
+// assembly combines writes into a transaction.
 type assembly struct {
 	queue   *WriteQueue
 	txn     *Txn
-	guarded map[string]uint64 // versions of its guards, by key
+	guarded map[string]uint64 // version that a guard requires, by key
 	changed map[string]bool
 	size    int // bytes
 }
 
-// takeFrom moves the first of some writes into the transaction, and reports false where there is
-// none or it does not fit. A first write that is larger than the limits goes alone.
-func (a *assembly) takeFrom(writes *[]*Write) bool {
+// addFrom moves the first of writes into the transaction. It reports false if there is none or if it does not
+// fit. A write that alone exceeds the limits becomes a transaction of its own.
+func (a *assembly) addFrom(writes *[]*Write) bool {
 	if len(*writes) == 0 {
 		return false
 	}
@@ -157,7 +159,7 @@
 	return true
 }
 
-// exceeds reports whether a transaction with one more write is over a limit.
+// exceeds reports whether the transaction would exceed a limit with one more write.
 func (a *assembly) exceeds(write *Write) bool {
 	changes := len(a.txn.Changes) + len(write.Changes)
 	return changes > a.queue.MaxOps ||
@@ -166,8 +168,8 @@
 		len(a.guarded)+len(write.Guards) > guardsPerOp*a.queue.MaxOps
 }
 
-// conflicts reports whether a write changes the same key as an earlier one, or expects another
-// version of a key.
+// conflicts reports whether a write changes the same key as an earlier write of the transaction, or has a
+// guard that requires another version of the same key.
 func (a *assembly) conflicts(write *Write) bool {
 	for _, change := range write.Changes {
 		if a.changed[change.Key] {
@@ -197,59 +199,59 @@
 	}
 }
 
-// Finish takes the outcome of the transaction under way. Writes whose guards
-// failed are told so; the others of that transaction go again, ahead of the
-// queue. After a refusal the next transaction waits for a moment. Where the
-// service took no transaction of that size, its writes go again in smaller ones;
-// one that is too large by itself is told so, and never sent again as it is.
+// Finish completes the transaction in flight with the outcome of its request. If guards failed, only
+// their writes complete with Failed; the other writes of the transaction are queued again, ahead of all
+// others. After a refusal the queue pauses for pauseAfterRefusal. If the transaction was too large, its
+// writes are queued again for smaller transactions; a write that is too large on its own completes with
+// TooLarge and is not sent again.
 func (q *WriteQueue) Finish(now units.Microseconds, outcome Outcome, revision uint64, failed []string) {
 	if q.current == nil {
 		return
 	}
 	if outcome == OK || outcome == Failed {
-		q.noteLatency(now - q.current.sent)
+		q.observeLatency(now - q.current.sentAt)
 	}
-	q.settle(now, outcome, revision, failed)
+	q.complete(now, outcome, revision, failed)
 }
 
-// settle tells the writes of the transaction under way its outcome, or queues them again. They
-// are told last: what they do may add further writes.
-func (q *WriteQueue) settle(now units.Microseconds, outcome Outcome, revision uint64, failed []string) {
+// complete completes or requeues each write of the transaction in flight. It calls Done last, because a
+// callback may add further writes.
+func (q *WriteQueue) complete(now units.Microseconds, outcome Outcome, revision uint64, failed []string) {
 	txn := q.current
 	q.current = nil
-	if outcome == Refused || outcome == Limited {
+	if outcome == Refused || outcome == RateLimited {
 		q.pausedUntil = now + pauseAfterRefusal
 	}
 	split := outcome == TooLarge && len(txn.writes) > 1
 	if split {
 		q.MaxOps, q.MaxBytes = max(1, len(txn.Changes)/2), max(q.MaxBytes/2, minTxnBytes)
 	}
-	var told, again, againDeferred []*Write
+	var completed, requeued, requeuedDeferred []*Write
 	for _, write := range txn.writes {
-		retried := split || outcome == Failed && write.spared(failed)
+		retry := split || outcome == Failed && write.unaffected(failed)
 		switch {
-		case !retried:
-			told = append(told, write)
+		case !retry:
+			completed = append(completed, write)
 		case write.Deferred:
-			againDeferred = append(againDeferred, write)
+			requeuedDeferred = append(requeuedDeferred, write)
 		default:
-			again = append(again, write)
+			requeued = append(requeued, write)
 		}
 	}
-	q.queue, q.deferred = append(again, q.queue...), append(againDeferred, q.deferred...)
-	for _, write := range told {
+	q.queue, q.deferred = append(requeued, q.queue...), append(requeuedDeferred, q.deferred...)
+	for _, write := range completed {
 		write.Done(outcome, revision)
 	}
 }
 
-// spared reports whether a transaction surely failed by the guards of other writes, where it is
-// known of which keys these were.
-func (w *Write) spared(failed []string) bool {
+// unaffected reports whether a transaction certainly failed because of the guards of other writes. failed are
+// the keys whose guards failed; it is empty if they are not known.
+func (w *Write) unaffected(failed []string) bool {
 	return len(failed) > 0 && !slices.ContainsFunc(w.Guards, func(guard Guard) bool { return slices.Contains(failed, guard.Key) })
 }
 
-// Clear drops everything that waits, telling each that it was refused. What
-// is under way still gets its outcome.
+// Clear drops all queued writes and completes them with Refused. The transaction in flight still completes
+// with its own outcome.
 func (q *WriteQueue) Clear() {
 	dropped := slices.Concat(q.queue, q.deferred)
 	q.queue, q.deferred = nil, nil
--- a/internal/core/store/writequeue_test.go
+++ b/internal/core/store/writequeue_test.go
@@ -10,18 +10,18 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Each write gets exactly one outcome, in whatever way transactions end, and
-// no transaction goes over the limits.
+// TestWriteQueueOutcomes guards against a write that completes twice or never, and against transactions that
+// exceed the limits or overlap. Transactions end with every outcome.
 func TestWriteQueueOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := &WriteQueue{MaxOps: 4, MaxBytes: 4000, MaxQueue: 20, Rate: 50}
-		told := map[int]int{}
+		doneCalls := map[int]int{}
 		added := 0
 		var now = int64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				id := added
-				w := &Write{Deferred: rapid.Bool().Draw(t, "late"), First: rapid.Bool().Draw(t, "first"), Done: func(Outcome, uint64) { told[id]++ }}
+				w := &Write{Deferred: rapid.Bool().Draw(t, "late"), First: rapid.Bool().Draw(t, "first"), Done: func(Outcome, uint64) { doneCalls[id]++ }}
 				for range rapid.IntRange(1, 3).Draw(t, "changes") {
 					k := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "key"))
 					w.Changes = append(w.Changes, Change{Key: k, Value: json.RawMessage("1")})
@@ -41,7 +41,7 @@
 					t.Fatalf("%d changes, %d guards", len(txn.Changes), len(txn.Guards))
 				}
 				if queue.Next(micros(now)) != nil {
-					t.Fatal("two transactions under way")
+					t.Fatal("two transactions in flight")
 				}
 				var failed []string
 				o := Outcome(rapid.IntRange(int(OK), int(TooLarge)).Draw(t, "outcome"))
@@ -52,14 +52,14 @@
 			},
 			"": func(t *rapid.T) {
 				n := 0
-				for id, k := range told {
+				for id, k := range doneCalls {
 					if k != 1 {
-						t.Fatalf("write %d told %d times", id, k)
+						t.Fatalf("Done of write %d was called %d times", id, k)
 					}
 					n++
 				}
 				if n+queue.Len() != added {
-					t.Fatalf("%d told and %d waiting of %d", n, queue.Len(), added)
+					t.Fatalf("%d completed and %d queued of %d", n, queue.Len(), added)
 				}
 			},
 		})
--- a/internal/emulator/packed/packed.go
+++ b/internal/emulator/packed/packed.go
@@ -10,14 +10,14 @@
 
 // Buckets returns the keys and values of so many packed jobs, some 100 to 200 in each
 // bucket: the i-th has the given number and answer.
-func Buckets(jobs int, job func(i uint64) (number uint64, a archive.Answer)) []store.Event {
+func Buckets(jobs int, job func(i uint64) (number uint64, a archive.Summary)) []store.Event {
 	depth := 0
 	for jobs>>depth > 200 {
 		depth++
 	}
 	buckets := make([]*archive.Bucket, 1<<depth)
 	for i := range buckets {
-		buckets[i] = &archive.Bucket{Number: uint32(i), Depth: depth, Jobs: map[uint64]archive.Answer{}}
+		buckets[i] = &archive.Bucket{Number: uint32(i), Depth: depth, Jobs: map[uint64]archive.Summary{}}
 	}
 	for i := range uint64(jobs) {
 		n, a := job(i)
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -160,8 +160,8 @@
 func preload(w *World, submitted int) {
 	var items []kv.Item
 	rev := uint64(0)
-	for _, e := range packed.Buckets(submitted, func(i uint64) (uint64, archive.Answer) {
-		return 1_000_000 + i, archive.Answer{Status: jobs.Done, Tasks: 2, FinishedAt: second}
+	for _, e := range packed.Buckets(submitted, func(i uint64) (uint64, archive.Summary) {
+		return 1_000_000 + i, archive.Summary{Status: jobs.Done, Tasks: 2, FinishedAt: second}
 	}) {
 		rev++
 		items = append(items, kv.Item{Key: e.Key, Value: e.Value, Stamp: rev})
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -54,7 +54,7 @@
 	case http.StatusServiceUnavailable:
 		return store.Refused
 	case http.StatusTooManyRequests:
-		return store.Limited
+		return store.RateLimited
 	}
 	return store.Failed
 }
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -124,7 +124,7 @@
 	bytes := 0
 	for _, e := range events {
 		bytes += len(e.Key) + len(e.Value)
-		t.Message(n.Name, "in change of "+strings.TrimPrefix(store.Folder(e.Key), core.Root), len(e.Key)+len(e.Value))
+		t.Message(n.Name, "in change of "+strings.TrimPrefix(store.KeyGroup(e.Key), core.Root), len(e.Key)+len(e.Value))
 	}
 	t.Message(n.Name, "in watch", bytes)
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -74,7 +74,7 @@
 	case http.StatusTooManyRequests:
 		c.log.Debug("state service", "method", method, "path", path, "code", status)
 		c.limiter.SetLimit(min(c.limiter.Limit(), c.nextRate))
-		return status, store.Limited
+		return status, store.RateLimited
 	}
 	if status >= http.StatusInternalServerError {
 		return status, store.Unknown // none of the service's own answers
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -30,7 +30,7 @@
 		{"bad request without a reason", http.StatusBadRequest, `{}`, store.TooLarge, 100},
 		{"body too large", http.StatusRequestEntityTooLarge, `{}`, store.TooLarge, 100},
 		{"out of order", http.StatusServiceUnavailable, `{"error":"trouble"}`, store.Refused, 100},
-		{"too many requests", http.StatusTooManyRequests, `{}`, store.Limited, 40},
+		{"too many requests", http.StatusTooManyRequests, `{}`, store.RateLimited, 40},
 		{"not the service's own answer", http.StatusInternalServerError, `nothing`, store.Unknown, 100},
 	} {
 		t.Run(test.name, func(t *testing.T) {
