--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -38,7 +38,7 @@
 			t.Fatalf("%v: %s", err, b.Encode())
 		}
 		limit := rapid.IntRange(200, 4096).Draw(t, "limit")
-		pieces := b.pieces(limit, 64)
+		pieces := b.splitToFit(limit, 64)
 		left := maps.Clone(b.Jobs)
 		for _, p := range pieces {
 			v := p.Encode()
--- a/internal/core/archive/archiver.go
+++ b/internal/core/archive/archiver.go
@@ -9,16 +9,16 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Source is what the archiver needs to know of the jobs that are over. It is called from Step
-// and when the bucket has been read, and calls back into nothing.
+// Source provides the finished jobs to the archiver. It is called from Step and after a bucket has been read.
+// It must not call back into the archiver.
 type Source interface {
-	// Candidate returns what is to be archived of a job; ok is false while it must stay. A job
-	// whose end was stored at or after the cut must.
-	Candidate(id string, cut uint64) (job Candidate, ok bool)
+	// Candidate returns what to archive of a job. ok is false if the job must not be archived yet, for
+	// example because its final record was stored at or after the cutoff revision.
+	Candidate(id string, cutoff uint64) (job Candidate, ok bool)
 }
 
-// Candidate is a job that may be archived: its answer, the key and the version of its record,
-// and the keys of its progress, which are to go with that.
+// Candidate is a job that may be archived: its summary, the key and version of its record, and the keys of
+// its progress records, which are deleted with it.
 type Candidate struct {
 	Summary  Summary
 	Key      string
@@ -26,50 +26,50 @@
 	Progress []string
 }
 
-// Archiver moves the answers of jobs that are over into buckets, the oldest first. Every
-// controller keeps the list; the leader archives.
+// Archiver moves summaries of finished jobs into buckets, oldest first. Every controller maintains the list
+// of finished jobs; only the leader archives.
 type Archiver struct {
-	index    *Index
-	oldest   *list.List // of entry, as they were learnt
-	elements map[string]*list.Element
-	writing  bool               // a step is under way
-	retryAt  units.Microseconds // no step is made before
-	archived int                // jobs, by this controller, since the last call of takeArchived
+	index         *Index
+	oldest        *list.List // of entry, in the order in which the jobs were observed to be final
+	elements      map[string]*list.Element
+	writing       bool               // a read or write of a step is in flight
+	retryAt       units.Microseconds // earliest time of the next step
+	archivedCount int                // jobs archived by this controller since the last call of takeArchived
 }
 
 type entry struct {
-	id    string
-	since units.Microseconds
+	id       string
+	queuedAt units.Microseconds
 }
 
 const (
-	// maxExamined bounds how many of the jobs are examined for those of one bucket.
+	// maxExamined limits how many jobs are examined to find those of one bucket.
 	maxExamined = 1 << 13
-	// maxPostponed bounds how many jobs that must stay a step puts behind the others.
+	// maxPostponed limits how many jobs that cannot be archived yet one step moves to the back of the list.
 	maxPostponed = 64
-	// idleRetry is the pause where nothing can be archived yet, failedRetry that after a
-	// write that was not carried out.
-	idleRetry   = units.Second
-	failedRetry = units.Second / 2
-	// txnReserve are bytes of a transaction for its guards, and splitValues the most values
-	// of a bucket in it: the bucket may have to be split.
-	txnReserve  = 1024
+	// idleRetryDelay is the pause when nothing can be archived yet, failedRetryDelay the pause after a write
+	// that failed or has an unknown outcome.
+	idleRetryDelay   = units.Second
+	failedRetryDelay = units.Second / 2
+	// txnOverhead is the number of bytes of a transaction reserved for its guards. splitValues is the number
+	// of bucket values for which space is reserved: the bucket may have to be split.
+	txnOverhead = 1024
 	splitValues = 2
 )
 
-// NewArchiver returns an archiver that knows of no job.
+// NewArchiver returns an archiver with an empty list of finished jobs.
 func NewArchiver(index *Index) *Archiver {
 	return &Archiver{index: index, oldest: list.New(), elements: map[string]*list.Element{}}
 }
 
-// JobFinalized notes that a job is over.
+// JobFinalized adds a job that has become final to the list.
 func (a *Archiver) JobFinalized(now units.Microseconds, id string) {
 	if a.elements[id] == nil {
 		a.elements[id] = a.oldest.PushBack(entry{id, now})
 	}
 }
 
-// RecordRemoved notes that a job's record is not there any more.
+// RecordRemoved removes a job whose record has been deleted from the list.
 func (a *Archiver) RecordRemoved(id string) {
 	if element := a.elements[id]; element != nil {
 		a.oldest.Remove(element)
@@ -77,17 +77,17 @@
 	}
 }
 
-// Len returns how many jobs that are over are kept in memory.
+// Len returns the number of finished jobs in the list.
 func (a *Archiver) Len() int { return len(a.elements) }
 
-// takeArchived returns how many jobs were archived since it was last called.
+// takeArchived returns the number of jobs archived since its last call.
 func (a *Archiver) takeArchived() int {
-	n := a.archived
-	a.archived = 0
+	n := a.archivedCount
+	a.archivedCount = 0
 	return n
 }
 
-// postpone puts a job that cannot be archived yet behind the others.
+// postpone moves a job that cannot be archived yet to the back of the list.
 func (a *Archiver) postpone(now units.Microseconds, id string) {
 	if element := a.elements[id]; element != nil {
 		element.Value = entry{id, now}
@@ -95,40 +95,41 @@
 	}
 }
 
-// Limits are those of the state service.
+// Limits are the limits of the state service.
 type Limits struct {
-	ValueBytes int // bytes of a bucket's value
+	ValueBytes int // bytes of the value of a bucket
 	TxnOps     int // changes of one transaction
 	TxnBytes   int // bytes of one transaction
 }
 
-// step is what one step goes by.
+// step holds the parameters of one call of Step.
 type step struct {
 	now    units.Microseconds
-	minAge units.Microseconds // for so long a job must be over
+	minAge units.Microseconds // time for which a job must have been final
 	source Source
 	limits Limits
 	send   func(*store.Write) bool
 }
 
-// Step archives some jobs, if any has been over for long enough: it reads a bucket and
-// hands the write to send, which has guards for all but the archiver's own authority.
-// One step is under way at a time.
+// Step archives jobs that have been final for at least minAge, if there are any. It reads the
+// bucket of the oldest one and passes the write to send, which reports whether it was queued. The
+// write has all guards except the one for this controller's leadership, which send must add. At
+// most one step is in progress at a time.
 func (a *Archiver) Step(now units.Microseconds, minAge units.Microseconds, source Source, limits Limits, send func(*store.Write) bool) {
 	if a.writing || now < a.retryAt {
 		return
 	}
-	cut := a.index.mark.Cutoff
+	cutoff := a.index.mark.Cutoff
 	for range maxPostponed {
 		first := a.oldest.Front()
-		if first == nil || now-first.Value.(entry).since < minAge {
-			a.retryAt = now + idleRetry
+		if first == nil || now-first.Value.(entry).queuedAt < minAge {
+			a.retryAt = now + idleRetryDelay
 			return
 		}
 		id := first.Value.(entry).id
-		candidate, ok := source.Candidate(id, cut)
-		if candidate.Version >= cut { // the next cut is for it and those behind it
-			a.retryAt = now + idleRetry
+		candidate, ok := source.Candidate(id, cutoff)
+		if candidate.Version >= cutoff { // this job and all later ones have to wait for a higher cutoff
+			a.retryAt = now + idleRetryDelay
 			return
 		}
 		if ok {
@@ -141,155 +142,155 @@
 	}
 }
 
-// archive writes a bucket that was read just now.
+// archive sends the write for a bucket that has just been read.
 func (a *Archiver) archive(current step, b *Bucket, version uint64) {
 	a.writing = false
-	if b == nil { // not known: the state service is asked again soon
-		a.retryAt = max(a.retryAt, current.now+idleRetry)
+	if b == nil { // the read failed: retry after a delay
+		a.retryAt = max(a.retryAt, current.now+idleRetryDelay)
 		return
 	}
-	w, taken := a.write(current, b, version)
+	w, archived := a.buildWrite(current, b, version)
 	if w == nil {
 		return
 	}
 	a.writing = true
 	w.Done = func(o store.Outcome, _ uint64) {
 		a.writing = false
-		a.written(current.now, o, taken)
+		a.onWritten(current.now, o, archived)
 	}
 	if !current.send(w) {
 		a.writing = false
-		a.retryAt = current.now + idleRetry
+		a.retryAt = current.now + idleRetryDelay
 	}
 }
 
-// written takes what became of the write that archives some jobs.
-func (a *Archiver) written(now units.Microseconds, o store.Outcome, taken map[string]Summary) {
+// onWritten handles the outcome of a write that archives jobs.
+func (a *Archiver) onWritten(now units.Microseconds, o store.Outcome, archived map[string]Summary) {
 	switch o {
 	case store.OK:
-		a.archived += len(taken)
-		for _, id := range slices.Sorted(maps.Keys(taken)) {
-			a.index.CacheSummary(id, taken[id])
-			a.RecordRemoved(id) // the copy shows it with the next read
+		a.archivedCount += len(archived)
+		for _, id := range slices.Sorted(maps.Keys(archived)) {
+			a.index.CacheSummary(id, archived[id])
+			a.RecordRemoved(id) // the watch cache shows the deletion later
 		}
 	case store.TooLarge:
-		a.retryAt = max(a.retryAt, now+idleRetry)
-		a.postponeAll(now, taken)
-	default: // what has come of it shows when the bucket is read again
-		a.retryAt = max(a.retryAt, now+failedRetry)
+		a.retryAt = max(a.retryAt, now+idleRetryDelay)
+		a.postponeAll(now, archived)
+	default: // reading the bucket again shows whether the write was committed
+		a.retryAt = max(a.retryAt, now+failedRetryDelay)
 	}
 }
 
-func (a *Archiver) postponeAll(now units.Microseconds, taken map[string]Summary) {
-	for _, id := range slices.Sorted(maps.Keys(taken)) {
+func (a *Archiver) postponeAll(now units.Microseconds, archived map[string]Summary) {
+	for _, id := range slices.Sorted(maps.Keys(archived)) {
 		a.postpone(now, id)
 	}
 }
 
-// write makes the transaction that adds to a bucket as many jobs as fit. taken are those of
-// which it removes the records.
-func (a *Archiver) write(current step, b *Bucket, version uint64) (w *store.Write, taken map[string]Summary) {
-	t := a.collect(current, b)
+// buildWrite builds the write that adds as many jobs to a bucket as fit. archived holds the
+// jobs whose records it deletes.
+func (a *Archiver) buildWrite(current step, b *Bucket, version uint64) (w *store.Write, archived map[string]Summary) {
+	pending := a.collect(current, b)
 	switch {
-	case t.progressOnly:
-		return &t.write, nil
-	case len(t.taken) == 0:
+	case pending.progressOnly:
+		return &pending.write, nil
+	case len(pending.archived) == 0:
 		return nil, nil
 	}
-	pieces := b.with(t.answers).pieces(current.limits.ValueBytes, current.limits.TxnOps-len(t.deletions))
+	pieces := b.withJobs(pending.byNumber).splitToFit(current.limits.ValueBytes, current.limits.TxnOps-len(pending.deletions))
 	if pieces == nil {
-		// Splitting alone takes all that goes with one transaction: the jobs come next.
-		pieces = b.pieces(current.limits.ValueBytes, current.limits.TxnOps)
+		// Splitting the bucket needs the whole transaction. The jobs are archived by the next one.
+		pieces = b.splitToFit(current.limits.ValueBytes, current.limits.TxnOps)
 		if pieces == nil || len(pieces) == 1 {
-			a.postponeAll(current.now, t.taken)
+			a.postponeAll(current.now, pending.archived)
 			return nil, nil
 		}
-		t.taken, t.deletions, t.write.Guards = nil, nil, nil
+		pending.archived, pending.deletions, pending.write.Guards = nil, nil, nil
 	}
 	for _, piece := range pieces {
 		guard := store.Guard{Key: Key(piece.Number)}
 		if piece.Number == b.Number {
 			guard.Version = version
 		}
-		t.write.Guards = append(t.write.Guards, guard)
-		t.write.Changes = append(t.write.Changes, store.Change{Key: guard.Key, Value: piece.Encode()})
-		a.index.noteDepth(piece.Number, piece.Depth)
+		pending.write.Guards = append(pending.write.Guards, guard)
+		pending.write.Changes = append(pending.write.Changes, store.Change{Key: guard.Key, Value: piece.Encode()})
+		a.index.recordDepth(piece.Number, piece.Depth)
 	}
-	t.write.Changes = append(t.write.Changes, t.deletions...)
-	return &t.write, t.taken
+	pending.write.Changes = append(pending.write.Changes, pending.deletions...)
+	return &pending.write, pending.archived
 }
 
-// collect takes the oldest jobs of a bucket as far as they go with one transaction.
+// collect returns the oldest jobs of a bucket, as many as fit into one transaction.
 func (a *Archiver) collect(current step, b *Bucket) *batch {
-	t := &batch{limits: current.limits, write: store.Write{Deferred: true}, taken: map[string]Summary{}, answers: map[uint64]Summary{}}
+	pending := &batch{limits: current.limits, write: store.Write{Deferred: true}, archived: map[string]Summary{}, byNumber: map[uint64]Summary{}}
 	examined := 0
 	for element := a.oldest.Front(); element != nil && examined < maxExamined; element = element.Next() {
 		examined++
 		job := element.Value.(entry)
-		if current.now-job.since < current.minAge {
+		if current.now-job.queuedAt < current.minAge {
 			break
 		}
 		if !b.Covers(job.id) {
 			continue
 		}
-		if candidate, ok := current.source.Candidate(job.id, a.index.mark.Cutoff); ok && !t.add(job.id, candidate) {
+		if candidate, ok := current.source.Candidate(job.id, a.index.mark.Cutoff); ok && !pending.add(job.id, candidate) {
 			break
 		}
 	}
-	return t
+	return pending
 }
 
-// batch is a transaction in the making.
+// batch is a transaction that is being built.
 type batch struct {
 	limits       Limits
-	write        store.Write // its guards are those on the records of the jobs
-	taken        map[string]Summary
-	answers      map[uint64]Summary // the same, by number
+	write        store.Write // with guards on the records of the jobs
+	archived     map[string]Summary
+	byNumber     map[uint64]Summary // the same summaries by job number
 	deletions    []store.Change
-	bytes        int  // of the deletions
-	progressOnly bool // it removes progress of one job, of which there is too much, and nothing else
+	bytes        int  // size of the deletions
+	progressOnly bool // it only deletes progress records of one job that has too many of them
 }
 
-// add takes a job unless it does not fit. It reports whether others may.
-func (t *batch) add(id string, candidate Candidate) (more bool) {
-	// A bucket may have to be split, which takes one change more.
-	room := t.limits.TxnOps - splitValues - len(t.deletions)
-	if room < 1 {
+// add adds a job if it fits. It reports whether further jobs may fit.
+func (b *batch) add(id string, candidate Candidate) (more bool) {
+	// Two changes are reserved for the bucket, because it may have to be split.
+	available := b.limits.TxnOps - splitValues - len(b.deletions)
+	if available < 1 {
 		return false
 	}
-	if len(candidate.Progress)+1 > room {
-		if len(t.taken) == 0 {
-			t.removeProgress(candidate)
+	if len(candidate.Progress)+1 > available {
+		if len(b.archived) == 0 {
+			b.removeProgress(candidate)
 		}
-		return len(t.taken) > 0
+		return len(b.archived) > 0
 	}
 	number, err := jobNumber(id)
 	if err != nil {
 		return true
 	}
 	deletions, bytes := candidate.deletions()
-	if t.bytes+bytes+splitValues*t.limits.ValueBytes+txnReserve > t.limits.TxnBytes {
+	if b.bytes+bytes+splitValues*b.limits.ValueBytes+txnOverhead > b.limits.TxnBytes {
 		return false
 	}
-	t.bytes += bytes
-	t.taken[id] = candidate.Summary
-	t.answers[number] = candidate.Summary
-	t.write.Guards = append(t.write.Guards, store.Guard{Key: candidate.Key, Version: candidate.Version})
-	t.deletions = append(t.deletions, deletions...)
+	b.bytes += bytes
+	b.archived[id] = candidate.Summary
+	b.byNumber[number] = candidate.Summary
+	b.write.Guards = append(b.write.Guards, store.Guard{Key: candidate.Key, Version: candidate.Version})
+	b.deletions = append(b.deletions, deletions...)
 	return true
 }
 
-// removeProgress makes the transaction remove as much of a job's progress as it can. The job
-// comes once little enough is left.
-func (t *batch) removeProgress(candidate Candidate) {
-	t.progressOnly = true
-	for _, key := range candidate.Progress[:min(len(candidate.Progress), t.limits.TxnOps)] {
-		t.write.Changes = append(t.write.Changes, store.Change{Key: key})
+// removeProgress makes the transaction delete as many progress records of a job as it can. The job is
+// archived once the rest fits into one transaction.
+func (b *batch) removeProgress(candidate Candidate) {
+	b.progressOnly = true
+	for _, key := range candidate.Progress[:min(len(candidate.Progress), b.limits.TxnOps)] {
+		b.write.Changes = append(b.write.Changes, store.Change{Key: key})
 	}
-	t.write.Guards = append(t.write.Guards, store.Guard{Key: candidate.Key, Version: candidate.Version})
+	b.write.Guards = append(b.write.Guards, store.Guard{Key: candidate.Key, Version: candidate.Version})
 }
 
-// deletions are the changes that remove all that is stored of a job, and their size.
+// deletions returns the changes that delete all records of a job, and their size in bytes.
 func (c Candidate) deletions() (changes []store.Change, bytes int) {
 	for _, key := range append([]string{c.Key}, c.Progress...) {
 		change := store.Change{Key: key}
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -19,81 +19,78 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Prefix is that of all buckets. It lies outside of what controllers list and watch.
+// Prefix is the key prefix of all buckets. Controllers neither list nor watch it.
 const Prefix = keys.ArchivePrefix
 
-// MaxDepth bounds the depth of a bucket: 2^28 of them hold more answers than the
-// state service could ever be given.
+// MaxDepth is the maximum depth of a bucket: 2^28 buckets hold more summaries than the state service can
+// store.
 const MaxDepth = 28
 
-// maxBucketBytes bounds a bucket's value, however much the state service takes: one is
-// read for one answer. It also leaves room to cut one into a few should the
-// service's limit fall.
+// maxBucketBytes limits the value of a bucket even if the state service allows more, because a
+// lookup of one job reads a whole bucket. A small bucket can also still be split into a few if the
+// limit of the service is reduced.
 const maxBucketBytes = 4 << 10
 
-// Summary is what a user learns of a job that is over.
+// Summary is the part of a finished job that its users can still query.
 type Summary struct {
 	Status     jobs.Status // final
 	Tasks      int
-	FinishedAt units.Microseconds // time of day, in whole seconds; 0: not known
+	FinishedAt units.Microseconds // time of day, in whole seconds; 0: unknown
 }
 
-// Bucket holds the answers of all archived jobs whose ids' hashes end in the same
-// bits.
+// Bucket holds the summaries of all archived jobs whose id hashes have the same lowest Depth bits.
 type Bucket struct {
-	Number uint32 // those bits
-	Depth  int    // how many they are
-	Jobs   map[uint64]Summary
+	Number uint32             // value of these bits
+	Depth  int                // number of these bits
+	Jobs   map[uint64]Summary // by job number
 }
 
-// hash places a job's id among the buckets. What is stored rests on it: it never
-// changes.
+// hash maps a job id to a bucket. Stored buckets depend on it, so it must never change.
 func hash(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Key is where a bucket is stored. In the order of the keys, what is split off a
-// bucket comes after it.
+// Key returns the key of a bucket. A bucket that is split off another one sorts after it.
 func Key(n uint32) string { return fmt.Sprintf("%s%08x", Prefix, n) }
 
-// ParseKey returns the bucket that is stored at a key.
+// ParseKey returns the number of the bucket stored at a key.
 func ParseKey(key string) (uint32, error) {
 	hex, ok := strings.CutPrefix(key, Prefix)
 	n, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || Key(uint32(n)) != key || n >= 1<<MaxDepth {
-		return 0, fmt.Errorf("%q is no bucket's key", key)
+		return 0, fmt.Errorf("invalid bucket key %q", key)
 	}
 	return uint32(n), nil
 }
 
-// bucketAt returns the bucket for a hash among those of a depth.
+// bucketAt returns the number of the bucket for a hash at a depth.
 func bucketAt(h uint64, depth int) uint32 { return uint32(h & (1<<depth - 1)) }
 
-// BucketOf returns the number of the bucket for an id among those of a depth.
+// BucketOf returns the number of the bucket for a job id at a depth.
 func BucketOf(id string, depth int) uint32 { return bucketAt(hash(id), depth) }
 
-// Covers reports whether a bucket is the one for an id.
+// Covers reports whether the bucket is the one for a job id.
 func (b *Bucket) Covers(id string) bool { return bucketAt(hash(id), b.Depth) == b.Number }
 
-// jobNumber is an id's own number, which tells the id.
+// jobNumber returns the number in a job id, which identifies the job.
 func jobNumber(id string) (uint64, error) {
 	if !jobs.ValidID(id) {
-		return 0, fmt.Errorf("job id %q", id)
+		return 0, fmt.Errorf("invalid job id %q", id)
 	}
 	return strconv.ParseUint(id[len("wk-"):], 10, 64)
 }
 
 func jobID(n uint64) string { return fmt.Sprintf("wk-%06d", n) }
 
-// stored is a bucket's value: for each job, in the order of their numbers, the
-// difference from the number before, a letter, the tasks and the second in which the
-// job ended, all to the base 36.
-type stored struct {
+// encodedBucket is the stored value of a bucket. Jobs has an entry for each job, in the order of the job
+// numbers: the difference to the previous number, "+" for done or "-" for cancelled, the number of tasks, and
+// "@" with the time in seconds at which the job finished if it is known. All numbers are in base 36.
+type encodedBucket struct {
 	Bits int    `json:"bits"`
 	Jobs string `json:"jobs"`
 }
 
 const base = 36
 
-// Encode returns a bucket's value.
+// Encode returns the stored value of the bucket.
 func (b *Bucket) Encode() json.RawMessage {
 	out := make([]byte, 0, 16*len(b.Jobs)+32)
 	last := uint64(0)
@@ -115,22 +112,22 @@
 		}
 		last = n
 	}
-	return store.Value(stored{b.Depth, string(out)})
+	return store.Value(encodedBucket{b.Depth, string(out)})
 }
 
-// Decode reads the value of a key. Whatever it holds, the outcome is a bucket as
-// Encode could have written it, or an error.
+// Decode decodes the value stored at key. For any input it returns either a bucket that Encode
+// could have written or an error.
 func Decode(key string, value []byte) (*Bucket, error) {
 	n, err := ParseKey(key)
 	if err != nil {
 		return nil, err
 	}
-	var s stored
+	var s encodedBucket
 	if err := json.Unmarshal(value, &s); err != nil {
 		return nil, err
 	}
 	if s.Bits < 0 || s.Bits > MaxDepth || n >= 1<<s.Bits {
-		return nil, errors.New("unusable depth")
+		return nil, errors.New("invalid bucket depth")
 	}
 	b := &Bucket{Number: n, Depth: s.Bits, Jobs: map[uint64]Summary{}}
 	last := uint64(0)
@@ -145,7 +142,7 @@
 }
 
 func (b *Bucket) decodeJob(text string, last uint64) (uint64, error) {
-	bad := func() (uint64, error) { return 0, fmt.Errorf("answer %q", text) }
+	bad := func() (uint64, error) { return 0, fmt.Errorf("invalid job entry %q", text) }
 	i := strings.IndexAny(text, "+-")
 	if i < 0 {
 		return bad()
@@ -177,7 +174,7 @@
 	return n, nil
 }
 
-// Find returns a job's answer.
+// Find returns the summary of a job.
 func (b *Bucket) Find(id string) (Summary, bool) {
 	n, err := jobNumber(id)
 	if err != nil {
@@ -187,11 +184,11 @@
 	return a, ok
 }
 
-// ValueLimit is the size of a bucket's value where the state service takes values of max
-// bytes.
+// ValueLimit returns the maximum size in bytes of a bucket's value if the state service
+// accepts values of max bytes.
 func ValueLimit(max int) int { return min(max, maxBucketBytes) }
 
-// split cuts a bucket in two, by one more bit. The first keeps its number.
+// split splits the bucket into two by one more bit of the hash. The first keeps the number.
 func (b *Bucket) split() (x, y *Bucket) {
 	x = &Bucket{Number: b.Number, Depth: b.Depth + 1, Jobs: map[uint64]Summary{}}
 	y = &Bucket{Number: b.Number | 1<<b.Depth, Depth: b.Depth + 1, Jobs: map[uint64]Summary{}}
@@ -205,37 +202,38 @@
 	return x, y
 }
 
-// pieces cuts a bucket until each value keeps within a limit. It returns nil where
-// that takes more than most of them.
-func (b *Bucket) pieces(limit, most int) []*Bucket {
-	if most < 1 {
+// splitToFit splits the bucket until each value has at most maxBytes. It returns nil if that needs more than
+// maxBuckets buckets.
+func (b *Bucket) splitToFit(maxBytes, maxBuckets int) []*Bucket {
+	if maxBuckets < 1 {
 		return nil
 	}
-	if len(b.Encode()) <= limit {
+	if len(b.Encode()) <= maxBytes {
 		return []*Bucket{b}
 	}
-	if b.Depth == MaxDepth || most < 2 {
+	if b.Depth == MaxDepth || maxBuckets < 2 {
 		return nil
 	}
 	x, y := b.split()
-	first := x.pieces(limit, most-1)
+	first := x.splitToFit(maxBytes, maxBuckets-1)
 	if first == nil {
 		return nil
 	}
-	rest := y.pieces(limit, most-len(first))
+	rest := y.splitToFit(maxBytes, maxBuckets-len(first))
 	if rest == nil {
 		return nil
 	}
 	return append(first, rest...)
 }
 
-func (b *Bucket) with(jobs map[uint64]Summary) *Bucket {
+// withJobs returns a copy of the bucket with further jobs.
+func (b *Bucket) withJobs(jobs map[uint64]Summary) *Bucket {
 	c := &Bucket{Number: b.Number, Depth: b.Depth, Jobs: maps.Clone(b.Jobs)}
 	maps.Copy(c.Jobs, jobs)
 	return c
 }
 
-// IDs returns the ids of the jobs in a bucket.
+// IDs returns the ids of the jobs in the bucket, in no particular order.
 func (b *Bucket) IDs() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for n := range b.Jobs {
@@ -246,8 +244,9 @@
 	}
 }
 
-// CheckPlacement says what is wrong with a bucket's place among the others, given the
-// depth of each, or "": every job must belong to exactly one of them.
+// CheckPlacement checks that every job belongs to exactly one bucket: the bucket that n was split off must
+// exist and have a depth at which n is separate. depths holds the depths of all buckets. It returns the key
+// of bucket n, and why its place is invalid or "".
 func CheckPlacement(n uint32, depths map[uint32]int) (key, why string) {
 	if n == 0 {
 		return Key(n), ""
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -1,16 +1,16 @@
-// Package archive holds the answers of jobs that are over and have left the
-// controllers' memory. They are archived into buckets, by a hash of the job's id, under
-// keys of their own in the state service: looked up when somebody asks, never listed
-// nor watched. The package decides what to read, what an id's absence proves, and
-// what to pack; it does no input or output itself.
+// Package archive archives finished jobs: it moves their summaries from the controllers' memory into buckets
+// in the state service. A hash of the job's id selects the bucket. Buckets are read when a job is looked up;
+// they are neither listed nor watched. The package decides what to read, what the absence of an id proves,
+// and which jobs to archive. It does no input or output itself.
 //
-// A job is archived by one transaction that writes its bucket and removes its record.
-// So whoever has seen that the record is not there, and then finds no answer in the
-// bucket, knows that the job had not been accepted when it saw that.
+// A job is archived by one transaction that writes its bucket and deletes its record. So a reader that has
+// seen that the record does not exist, and then finds no summary in the bucket, knows that the job had not
+// been accepted at the time when it saw that.
 //
-// Who accepts a job guards the version of the mark. Every job that is archived was over
-// at a revision below the mark's cut, and the mark was written after that: a late
-// acceptance of a archived job's id fails, as the mark has changed since it was sent.
+// A transaction that accepts a job has a guard on the version of the archive mark. Every archived
+// job became final at a revision below the cutoff of the mark, and the mark was written after that.
+// So a late transaction that would accept the id of an archived job again fails, because the mark
+// has changed since it was sent.
 package archive
 
 import (
@@ -25,46 +25,47 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Mark is the record that says that jobs are archived, and which may be. Only
-// controllers that can read buckets serve once it is there.
+// Mark is the archive mark, the record that enables archiving and limits which jobs may be archived. Once it
+// is stored, only controllers that can read buckets may serve.
 type Mark struct {
-	Release int    `json:"release"` // the least that controllers must run
-	Cutoff  uint64 `json:"cut"`     // jobs whose end was stored at a lower revision may be archived
-	Jobs    int    `json:"jobs"`    // archived so far, about
+	Release int    `json:"release"` // lowest release that controllers must run
+	Cutoff  uint64 `json:"cut"`     // jobs whose final record has a lower revision may be archived
+	Jobs    int    `json:"jobs"`    // approximate number of archived jobs
 }
 
-// LookupResult is what is known of an id.
+// LookupResult is the result of the lookup of a job id.
 type LookupResult int
 
-// Verdicts.
+// Results of a lookup.
 const (
-	Unknown LookupResult = iota // could not be read, or there is too much to read: ask again
+	Unknown LookupResult = iota // the read failed or was refused because of overload: retry
 	Found
-	Absent // not archived, as of the read
+	Absent // not archived at the time of the read
 )
 
 const (
-	cachedAnswers = 1 << 13
-	filterBytes   = 8 << 20
-	maxDepths     = 1 << 18
-	// Reads wait no longer than those who asked do: so many seconds' worth of them are
-	// queued, for submissions and for all else, and others are refused at once.
-	urgentWait, backgroundWait = 3, 1.2
-	minQueued                  = 4
-	maxPerRead                 = 1024 // who wait for the same read
-	// maxSteps bounds the buckets that are read for one answer. One read is the
-	// rule, and a hint that is out of date costs another.
-	maxSteps = 2*MaxDepth + 2
+	cachedSummaries   = 1 << 13
+	maxFilterBytes    = 8 << 20
+	maxTrackedBuckets = 1 << 18
+	// urgentWaitSeconds and backgroundWaitSeconds limit the queues of reads, for submissions and for all
+	// other lookups, to the reads of so many seconds. So no read waits longer than its requester. Further
+	// lookups are refused immediately. A queue may always hold minQueueLimit reads.
+	urgentWaitSeconds, backgroundWaitSeconds = 3, 1.2
+	minQueueLimit                            = 4
+	maxWaitersPerRead                        = 1024 // lookups that wait for the same read
+	// maxReadsPerLookup limits the reads for one lookup. Usually one read is enough; an outdated
+	// bucket depth costs another one.
+	maxReadsPerLookup = 2*MaxDepth + 2
 )
 
-// Effects of lookups. Each is answered by the method named in its comment, exactly once.
+// Requests to the state service. Each is completed by exactly one call of the method named in its comment.
 type (
 	// Read reads one key (OnRead).
 	Read struct {
 		Key           string
-		KnownRevision uint64 // the highest revision that was known when it was sent
+		KnownRevision uint64 // highest revision known when it was sent
 	}
-	// Scan reads some buckets, those after a key (OnScan).
+	// Scan reads up to Page buckets, starting after the key After (OnScan).
 	Scan struct {
 		After string
 		Page  int
@@ -72,134 +73,137 @@
 	}
 )
 
-// scanPage is how many buckets are read at once.
+// scanPage is the number of buckets in one page of a scan.
 const scanPage = 64
 
-// Index is what a controller knows of archived jobs. It is owned by one goroutine.
+// Index holds what a controller knows about archived jobs. It must be used by one goroutine only.
 type Index struct {
 	mark        Mark
-	markVersion uint64 // version of the mark; 0: it is not stored
-	enabled     bool   // there has been one: a mark that is lost takes no archived job with it
+	markVersion uint64 // version of the mark; 0: not stored
+	enabled     bool   // a mark has been seen; stays true if the mark is lost, because archived jobs remain
 	cache       *simplelru.LRU[string, Summary]
-	depths      []uint8 // depths of buckets as last seen, by number
-	maxDepth    int     // the largest of them
+	depths      []uint8 // last known depth of each bucket, by number
+	maxDepth    int     // largest known depth
 
 	filter      *filter
-	complete    bool // the filter holds every archived id
+	complete    bool // the filter contains every archived id
 	scanning    bool
-	lastScanned string // the last key of the scan
-	scanRound   uint64 // tells scans apart
+	lastScanned string // last key read by the scan
+	scanRound   uint64 // identifies the scan; responses to earlier scans are ignored
 	nextScanAt  units.Microseconds
 
-	reads      map[string]*read
-	urgent     []string // keys to be read: for submissions, and for all else
-	background []string
-	inFlight   int     // reads under way
-	rate       float64 // at which reads are sent
-	credit     float64
-	creditedAt units.Microseconds
-	heldUntil  units.Microseconds // nothing is read before
-	Refused    uint64             // lookups that were refused
-	Reads      uint64             // buckets that were read for somebody
+	reads       map[string]*read
+	urgent      []string // keys of queued reads for submissions
+	background  []string // keys of all other queued reads
+	inFlight    int      // reads sent and not yet answered
+	rate        float64  // reads per second
+	credit      float64
+	creditAt    units.Microseconds
+	pausedUntil units.Microseconds // no read is sent before
+	Refused     uint64             // number of refused lookups
+	Reads       uint64             // number of buckets read for lookups
 }
 
-// read is a bucket that is being read, or is to be.
+// read is the queued or sent read of a bucket.
 type read struct {
-	sent    bool
-	waiting []*lookup
-	late    []*lookup // asked after it was sent: to those it proves nothing but what it shows
+	sent       bool
+	waiting    []*lookup
+	joinedLate []*lookup // started after the read was sent: they may use what it finds, but not the absence of a job
 }
 
-// lookup is one who waits for an answer.
+// lookup is a request for the summary of a job, or for its whole bucket.
 type lookup struct {
 	id       string
 	urgent   bool
 	reads    int
-	onAnswer func(LookupResult, Summary)
-	onBucket func(b *Bucket, stamp uint64) // instead: wants the whole bucket; nil: unknown
+	onResult func(LookupResult, Summary)
+	onBucket func(b *Bucket, stamp uint64) // set instead of onResult to get the whole bucket; b is nil if unknown
 }
 
-// New returns what a controller knows when it starts.
+// New returns the index of a controller that has just started.
 func New() *Index {
-	cache, err := simplelru.NewLRU[string, Summary](cachedAnswers, nil)
+	cache, err := simplelru.NewLRU[string, Summary](cachedSummaries, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
-	return &Index{cache: cache, filter: newFilter(filterBytes), reads: map[string]*read{}}
+	return &Index{cache: cache, filter: newFilter(maxFilterBytes), reads: map[string]*read{}}
 }
 
-// ApplyMark takes the mark as it is stored; nil: there is none.
-func (p *Index) ApplyMark(value json.RawMessage, stamp uint64) error {
+// ApplyMark applies the stored archive mark. value is nil if there is none.
+func (x *Index) ApplyMark(value json.RawMessage, stamp uint64) error {
 	if value == nil {
-		p.markVersion = 0
+		x.markVersion = 0
 		return nil
 	}
 	var m Mark
 	if err := json.Unmarshal(value, &m); err != nil {
 		return err
 	}
-	if !p.enabled {
-		p.enabled = true
-		p.Invalidate() // whatever was archived before this node knew of it is to be read
+	if !x.enabled {
+		x.enabled = true
+		x.Invalidate() // jobs archived before this controller saw the mark must be read
 	}
-	p.mark, p.markVersion = m, stamp
+	x.mark, x.markVersion = m, stamp
 	return nil
 }
 
-// Mark returns the mark and its version, which is 0 where there is none.
-func (p *Index) Mark() (Mark, uint64) { return p.mark, p.markVersion }
+// Mark returns the last mark and its version, which is 0 if no mark is stored.
+func (x *Index) Mark() (Mark, uint64) { return x.mark, x.markVersion }
 
-// Enabled reports whether anything may be archived.
-func (p *Index) Enabled() bool { return p.enabled }
+// Enabled reports whether archiving has been enabled, so that jobs may be archived.
+func (x *Index) Enabled() bool { return x.enabled }
 
-// Invalidate notes that archived jobs may have been missed: the copy was taken anew.
-func (p *Index) Invalidate() {
-	p.complete, p.scanning, p.lastScanned = false, false, ""
-	p.scanRound++
-	p.filter = newFilter(filterBytes)
+// Invalidate clears the filter and restarts the scan, because archived jobs may have been missed when
+// the watch cache was listed again.
+func (x *Index) Invalidate() {
+	x.complete, x.scanning, x.lastScanned = false, false, ""
+	x.scanRound++
+	x.filter = newFilter(maxFilterBytes)
 }
 
-// NoteArchived notes that a job's record has been removed.
-func (p *Index) NoteArchived(id string) { p.filter.add(id) }
+// NoteArchived adds a job whose record has been deleted to the filter.
+func (x *Index) NoteArchived(id string) { x.filter.add(id) }
 
-// CacheSummary keeps an answer at hand.
-func (p *Index) CacheSummary(id string, a Summary) { p.cache.Add(id, a) }
+// CacheSummary adds the summary of an archived job to the cache.
+func (x *Index) CacheSummary(id string, a Summary) { x.cache.Add(id, a) }
 
-// CachedIDs returns the jobs whose answers are at hand, those of one bucket together.
-func (p *Index) CachedIDs() []string {
-	ids := p.cache.Keys()
+// CachedIDs returns the ids of the jobs whose summaries are cached. Jobs of one bucket are adjacent.
+func (x *Index) CachedIDs() []string {
+	ids := x.cache.Keys()
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(bits.Reverse64(hash(a)), bits.Reverse64(hash(b))) })
 	return ids
 }
 
-// CachedSummary returns an answer that is at hand.
-func (p *Index) CachedSummary(id string) (Summary, bool) { return p.cache.Get(id) }
+// CachedSummary returns the summary of an archived job if it is cached.
+func (x *Index) CachedSummary(id string) (Summary, bool) { return x.cache.Get(id) }
 
-// ProvenAbsent reports whether an id is surely not that of a archived job, as of the copy that
-// the rest of the controller goes by.
-func (p *Index) ProvenAbsent(id string) bool { return !p.enabled || p.complete && !p.filter.has(id) }
+// ProvenAbsent reports whether a job id is certainly not archived, as of the state that the watch cache
+// shows.
+func (x *Index) ProvenAbsent(id string) bool {
+	return !x.enabled || x.complete && !x.filter.mayContain(id)
+}
 
-// Complete reports whether the filter is complete, and how many ids it holds.
-func (p *Index) Complete() (bool, int) { return p.complete, p.filter.count }
+// Complete reports whether the filter is complete, and the number of ids in it.
+func (x *Index) Complete() (bool, int) { return x.complete, x.filter.count }
 
-// Lookup looks a job's answer up. done may be called before Find returns where that is
-// known, or where too much waits. Submissions are urgent.
-func (p *Index) Lookup(id string, urgent bool, done func(LookupResult, Summary)) {
-	if a, ok := p.cache.Get(id); ok {
+// Lookup looks up the summary of a job. It may call done before it returns: if the result is known, or if the
+// lookup is refused because too many are queued. Lookups for submissions are urgent.
+func (x *Index) Lookup(id string, urgent bool, done func(LookupResult, Summary)) {
+	if a, ok := x.cache.Get(id); ok {
 		done(Found, a)
 		return
 	}
-	if p.ProvenAbsent(id) {
+	if x.ProvenAbsent(id) {
 		done(Absent, Summary{})
 		return
 	}
-	p.lookUp(&lookup{id: id, urgent: urgent, onAnswer: done})
+	x.startLookup(&lookup{id: id, urgent: urgent, onResult: done})
 }
 
-// ReadBucket reads the bucket for an id: nil where that is not known, and a stamp of 0
-// where it is not stored yet.
-func (p *Index) ReadBucket(id string, got func(b *Bucket, stamp uint64)) {
-	p.lookUp(&lookup{id: id, onBucket: got})
+// ReadBucket reads the bucket for a job id and calls done with it. b is nil if the read failed or was
+// refused. stamp is the version of the bucket's key, or 0 if the bucket is not stored yet.
+func (x *Index) ReadBucket(id string, done func(b *Bucket, stamp uint64)) {
+	x.startLookup(&lookup{id: id, onBucket: done})
 }
 
 func (l *lookup) fail() {
@@ -207,101 +211,103 @@
 		l.onBucket(nil, 0)
 		return
 	}
-	l.onAnswer(Unknown, Summary{})
+	l.onResult(Unknown, Summary{})
 }
 
-// lookUp has the bucket read in which an id most likely is.
-func (p *Index) lookUp(l *lookup) { p.lookUpIn(l, p.likelyBucket(hash(l.id))) }
+// startLookup queues a read of the bucket that most likely covers the id.
+func (x *Index) startLookup(l *lookup) { x.readFor(l, x.likelyBucket(hash(l.id))) }
 
-// likelyBucket returns the bucket, by the depths seen last, for a hash.
-func (p *Index) likelyBucket(h uint64) uint32 {
-	for depth := p.maxDepth; depth > 0; depth-- {
+// likelyBucket returns the number of the bucket for a hash by the last known depths.
+func (x *Index) likelyBucket(h uint64) uint32 {
+	for depth := x.maxDepth; depth > 0; depth-- {
 		n := bucketAt(h, depth)
-		if int(n) >= len(p.depths) { // deeper than what depths are kept for
+		if int(n) >= len(x.depths) { // depths are only recorded up to maxTrackedBuckets
 			continue
 		}
-		if d := int(p.depths[n]); d > 0 && bucketAt(h, d) == n {
+		if d := int(x.depths[n]); d > 0 && bucketAt(h, d) == n {
 			return n
 		}
 	}
 	return 0
 }
 
-// noteDepth notes a bucket's depth.
-func (p *Index) noteDepth(n uint32, depth int) {
-	p.maxDepth = max(p.maxDepth, depth)
-	if n >= maxDepths || depth == 0 {
+// recordDepth records the depth of a bucket.
+func (x *Index) recordDepth(n uint32, depth int) {
+	x.maxDepth = max(x.maxDepth, depth)
+	if n >= maxTrackedBuckets || depth == 0 {
 		return
 	}
-	for int(n) >= len(p.depths) {
-		p.depths = append(p.depths, make([]uint8, max(64, len(p.depths)))...)
+	for int(n) >= len(x.depths) {
+		x.depths = append(x.depths, make([]uint8, max(64, len(x.depths)))...)
 	}
-	p.depths[n] = uint8(depth)
+	x.depths[n] = uint8(depth)
 }
 
-func (p *Index) lookUpIn(asked *lookup, n uint32) {
-	asked.reads++
+// readFor joins a lookup to the queued or sent read of bucket n, queues a new read, or refuses the lookup.
+func (x *Index) readFor(request *lookup, n uint32) {
+	request.reads++
 	key := Key(n)
-	r := p.reads[key]
-	queue, room := &p.background, max(minQueued, int(p.rate*backgroundWait))
-	if asked.urgent {
-		queue, room = &p.urgent, max(minQueued, int(p.rate*urgentWait))
+	r := x.reads[key]
+	queue, maxQueued := &x.background, max(minQueueLimit, int(x.rate*backgroundWaitSeconds))
+	if request.urgent {
+		queue, maxQueued = &x.urgent, max(minQueueLimit, int(x.rate*urgentWaitSeconds))
 	}
 	switch {
-	case asked.reads > maxSteps || r == nil && len(*queue) >= room || r != nil && len(r.waiting)+len(r.late) >= maxPerRead:
-		p.Refused++
-		asked.fail()
+	case request.reads > maxReadsPerLookup || r == nil && len(*queue) >= maxQueued || r != nil && len(r.waiting)+len(r.joinedLate) >= maxWaitersPerRead:
+		x.Refused++
+		request.fail()
 	case r == nil:
-		p.reads[key] = &read{waiting: []*lookup{asked}}
+		x.reads[key] = &read{waiting: []*lookup{request}}
 		*queue = append(*queue, key)
 	case r.sent:
-		r.late = append(r.late, asked)
+		r.joinedLate = append(r.joinedLate, request)
 	default:
-		r.waiting = append(r.waiting, asked)
-		if asked.urgent && !slices.Contains(p.urgent, key) {
-			p.background = slices.DeleteFunc(p.background, func(k string) bool { return k == key })
-			p.urgent = append(p.urgent, key)
+		r.waiting = append(r.waiting, request)
+		if request.urgent && !slices.Contains(x.urgent, key) {
+			x.background = slices.DeleteFunc(x.background, func(k string) bool { return k == key })
+			x.urgent = append(x.urgent, key)
 		}
 	}
 }
 
-// Next returns the reads that are due, at most rate a second.
-func (p *Index) Next(now units.Microseconds, rate float64) []Read {
-	p.rate = rate
-	p.credit = min(p.credit+rate*(now-p.creditedAt).Seconds(), max(2, rate/2))
-	p.creditedAt = now
-	if now < p.heldUntil {
+// Next returns the reads that are due. rate limits the reads per second.
+func (x *Index) Next(now units.Microseconds, rate float64) []Read {
+	x.rate = rate
+	x.credit = min(x.credit+rate*(now-x.creditAt).Seconds(), max(2, rate/2))
+	x.creditAt = now
+	if now < x.pausedUntil {
 		return nil
 	}
 	var out []Read
-	for p.credit >= 1 && p.inFlight < 8 && len(p.urgent)+len(p.background) > 0 {
-		queue := &p.urgent
+	for x.credit >= 1 && x.inFlight < 8 && len(x.urgent)+len(x.background) > 0 {
+		queue := &x.urgent
 		if len(*queue) == 0 {
-			queue = &p.background
+			queue = &x.background
 		}
 		key := (*queue)[0]
 		*queue = (*queue)[1:]
-		p.reads[key].sent = true
-		p.credit--
-		p.inFlight++
-		p.Reads++
+		x.reads[key].sent = true
+		x.credit--
+		x.inFlight++
+		x.Reads++
 		out = append(out, Read{Key: key})
 	}
 	return out
 }
 
-// OnRead takes the answer to a read: the value, nil where the key does not exist.
-func (p *Index) OnRead(now units.Microseconds, r Read, o store.Outcome, value json.RawMessage, stamp uint64) error {
-	w := p.reads[r.Key]
-	if w == nil || !w.sent {
+// OnRead handles the response to a Read. value is nil if the key does not exist. It returns an
+// error if the value is invalid.
+func (x *Index) OnRead(now units.Microseconds, r Read, o store.Outcome, value json.RawMessage, stamp uint64) error {
+	pending := x.reads[r.Key]
+	if pending == nil || !pending.sent {
 		return nil
 	}
-	delete(p.reads, r.Key)
-	p.inFlight--
+	delete(x.reads, r.Key)
+	x.inFlight--
 	if o != store.OK && o != store.Failed {
-		p.heldUntil = now + units.Second/4
-		for _, asked := range slices.Concat(w.waiting, w.late) {
-			asked.fail()
+		x.pausedUntil = now + units.Second/4
+		for _, request := range slices.Concat(pending.waiting, pending.joinedLate) {
+			request.fail()
 		}
 		return nil
 	}
@@ -309,78 +315,78 @@
 	var b *Bucket
 	if err == nil && value != nil {
 		if b, err = Decode(r.Key, value); err == nil {
-			p.noteDepth(n, b.Depth)
+			x.recordDepth(n, b.Depth)
 		}
 	}
-	for _, asked := range w.waiting {
+	for _, request := range pending.waiting {
 		switch {
 		case err != nil:
-			asked.fail()
+			request.fail()
 		case b == nil && n == 0:
-			p.deliver(asked, &Bucket{Jobs: map[uint64]Summary{}}, 0)
-		case b == nil: // not split off yet: it is in the one that this is split off
-			if int(n) < len(p.depths) {
-				p.depths[n] = 0
+			x.deliver(request, &Bucket{Jobs: map[uint64]Summary{}}, 0)
+		case b == nil: // not split off yet: the parent covers the id
+			if int(n) < len(x.depths) {
+				x.depths[n] = 0
 			}
-			p.lookUpIn(asked, parent(n))
-		case !b.Covers(asked.id): // split since
-			p.lookUpIn(asked, bucketAt(hash(asked.id), b.Depth))
+			x.readFor(request, parent(n))
+		case !b.Covers(request.id): // the bucket has been split since its depth was recorded
+			x.readFor(request, bucketAt(hash(request.id), b.Depth))
 		default:
-			p.deliver(asked, b, stamp)
+			x.deliver(request, b, stamp)
 		}
 	}
-	for _, asked := range w.late {
-		if b != nil && asked.onAnswer != nil {
-			if _, ok := b.Find(asked.id); ok {
-				p.deliver(asked, b, stamp)
+	for _, request := range pending.joinedLate {
+		if b != nil && request.onResult != nil {
+			if _, ok := b.Find(request.id); ok {
+				x.deliver(request, b, stamp)
 				continue
 			}
 		}
-		p.lookUpIn(asked, n)
+		x.readFor(request, n)
 	}
 	return err
 }
 
-// parent returns the bucket that another was split off.
+// parent returns the number of the bucket that bucket n is split off.
 func parent(n uint32) uint32 {
 	return n &^ (1 << bits.Len32(n) >> 1)
 }
 
-func (p *Index) deliver(l *lookup, b *Bucket, stamp uint64) {
+func (x *Index) deliver(l *lookup, b *Bucket, stamp uint64) {
 	if l.onBucket != nil {
 		l.onBucket(b, stamp)
 		return
 	}
 	a, ok := b.Find(l.id)
 	if !ok {
-		l.onAnswer(Absent, Summary{})
+		l.onResult(Absent, Summary{})
 		return
 	}
-	p.CacheSummary(l.id, a)
-	l.onAnswer(Found, a)
+	x.CacheSummary(l.id, a)
+	l.onResult(Found, a)
 }
 
-// NextScan returns the read of buckets that is due, if any: until every archived id is
-// in the filter. every is the time between two such reads.
-func (p *Index) NextScan(now units.Microseconds, every units.Microseconds) *Scan {
-	if !p.enabled || p.complete || p.scanning || now < p.nextScanAt {
+// NextScan returns the next page of the scan that fills the filter, or nil if none is due or the filter is
+// complete. interval is the time between two pages.
+func (x *Index) NextScan(now units.Microseconds, interval units.Microseconds) *Scan {
+	if !x.enabled || x.complete || x.scanning || now < x.nextScanAt {
 		return nil
 	}
-	p.scanning, p.nextScanAt = true, now+every
-	return &Scan{After: p.lastScanned, Page: scanPage, round: p.scanRound}
+	x.scanning, x.nextScanAt = true, now+interval
+	return &Scan{After: x.lastScanned, Page: scanPage, round: x.scanRound}
 }
 
-// OnScan takes the answer to a scan. What is split off a bucket meanwhile comes
-// after it in the order of the keys, and what is archived meanwhile is passed to NoteArchived:
-// nothing is missed. It returns the keys that cannot be read, of which nothing is
-// known: the filter proves nothing while there are any.
-func (p *Index) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) (bad []string) {
-	if s.round != p.scanRound {
+// OnScan handles the response to a Scan. more reports whether further buckets follow. The scan misses no job:
+// a bucket that is split off during the scan sorts after its parent, and jobs archived during the scan are
+// passed to NoteArchived. OnScan returns the keys with invalid values. Their jobs are unknown, so the filter
+// stays incomplete and the scan restarts a minute later.
+func (x *Index) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) (bad []string) {
+	if s.round != x.scanRound {
 		return nil
 	}
-	p.scanning = false
+	x.scanning = false
 	if o != store.OK {
-		p.nextScanAt = now + units.Second/2
+		x.nextScanAt = now + units.Second/2
 		return nil
 	}
 	for _, it := range items {
@@ -389,18 +395,18 @@
 			bad = append(bad, it.Key)
 			continue
 		}
-		p.noteDepth(b.Number, b.Depth)
+		x.recordDepth(b.Number, b.Depth)
 		for n := range b.Jobs {
-			p.filter.add(jobID(n))
+			x.filter.add(jobID(n))
 		}
-		p.lastScanned = it.Key
+		x.lastScanned = it.Key
 	}
 	switch {
 	case len(bad) > 0:
-		p.Invalidate()
-		p.nextScanAt = now + 60*units.Second
+		x.Invalidate()
+		x.nextScanAt = now + 60*units.Second
 	case !more || len(items) == 0:
-		p.complete = true
+		x.complete = true
 	}
 	return bad
 }
--- a/internal/core/archive/manager.go
+++ b/internal/core/archive/manager.go
@@ -14,102 +14,103 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the controller whose finished jobs are archived. The keeper calls it from Tick and
-// Pump and from the answers to its reads and writes. It calls back into none of the keeper's
-// methods but for ArchivingStarted, which may ask the keeper's Index whether it is on.
+// Host is the controller whose finished jobs are archived. The manager calls it from Tick, Pump and ApplyMark
+// and when its reads and writes complete. The host must not call back into the manager, except that
+// ArchivingStarted may call Index().Enabled.
 type Host interface {
 	// Emit sends a Read or a Scan.
 	Emit(effect any)
-	// ReadRate is how many requests a second this controller may send to the state service,
-	// and WriteRate how many changes a second all controllers may make together.
+	// ReadRate returns how many requests per second this controller may send to the state service. WriteRate
+	// returns how many changes per second all controllers may make together.
 	ReadRate() float64
 	WriteRate() float64
 
-	// CacheComplete reports whether the copy of the state service's keys is whole, and as the
-	// service has it after it went back; CacheFresh whether it is recent as well.
+	// CacheComplete reports whether the watch cache is complete and no recovery from a rollback of the state
+	// service is in progress. CacheFresh reports whether it is also recent.
 	CacheComplete() bool
 	CacheFresh() bool
-	// Revision is the one that the copy shows, HighestRevision the highest that any answer showed.
+	// Revision returns the revision of the watch cache, HighestRevision the highest revision in any response.
 	Revision() uint64
 	HighestRevision() uint64
-	// Version is the version of a key in the copy.
+	// Version returns the version of a key in the watch cache.
 	Version(key string) uint64
 
-	// Leadership is what this controller may do as the leader; nil unless it leads.
+	// Leadership returns this controller's leadership, or nil if it is not the leader.
 	Leadership() *election.Leadership
-	// Member returns this controller's membership and the lease that it rests on.
+	// Member returns the id of this controller's membership and the id of its lease.
 	Member() (id, leaseID uint64)
-	// ExclusionNeeded reports whether the leader record does not keep older releases out yet.
+	// ExclusionNeeded reports whether the record that keeps older releases out still has to be written.
 	ExclusionNeeded() bool
-	// ArchivingStarted says that the leader record is elsewhere from now on.
+	// ArchivingStarted reports that archiving is enabled. From now on the leader record is at another key.
 	ArchivingStarted() error
-	// OlderReleasesRetired reports whether all controllers have run a release that finds archived
-	// jobs for so long that nothing of an older one's is under way.
+	// OlderReleasesRetired reports whether all controllers have run a release that finds archived jobs for
+	// long enough that no request of an older release is still in flight.
 	OlderReleasesRetired() bool
-	// Types are the machine types, by name; the map is the host's own.
+	// Types returns the machine types by name. The manager must not modify the map.
 	Types() map[string]*fleet.Type
 
-	// Job returns a job whose record is stored; nil: there is none.
+	// Job returns the job whose record is stored, or nil if there is none.
 	Job(id string) *jobs.Job
-	// Retained reports whether a finished job's record must stay.
+	// Retained reports whether the record of a finished job must not be archived.
 	Retained(id string) bool
-	// Queue is the queue of writes that nobody waits for, used by the keeper alone.
+	// Queue returns the queue for background writes, which only the manager uses.
 	Queue() *store.WriteQueue
-	// QueuesIdle reports whether nothing else waits to be written, and the state service has
-	// refused nothing as too much for a while.
+	// QueuesIdle reports whether no other writes are queued and the state service has not rate-limited
+	// a request during the last calm.
 	QueuesIdle(calm units.Microseconds) bool
-	// Rewrite stores a value that the state service has lost.
+	// Rewrite stores a value again that the state service has lost.
 	Rewrite(e store.Event)
 }
 
-// Config is set when a keeper starts.
+// Config is the fixed configuration of a Manager.
 type Config struct {
 	Node         string
-	Release      int // the first that finds archived jobs
-	KeepFinished int // finished jobs that are kept before the oldest are archived; 0: all
-	// MinAge is for how long a job must be over: by then its machines have long reported what
-	// they ran of it, or lost their leases.
+	Release      int // first release that finds archived jobs
+	KeepFinished int // number of finished jobs above which the oldest are archived; 0: archive none
+	// MinAge is the time for which a job must have been final. By then its worker machines have reported
+	// their tasks of the job or have lost their leases.
 	MinAge        units.Microseconds
-	MaxValueBytes int // bytes of a stored value
-	TxnOps        int // changes of a transaction
+	MaxValueBytes int // limit of a stored value in bytes
+	TxnOps        int // limit of changes in a transaction
 	Layout        jobs.ProgressLayout
 	Log           *slog.Logger
 }
 
 const (
-	// markInterval is the least time between two marks, each of which fails the submissions
-	// under way; they are tried again at once.
+	// markInterval is the minimum time between two writes of the mark. Each makes the submissions in flight
+	// fail, which are retried immediately.
 	markInterval = 30 * units.Second
-	// firstMarkRetry and nextMarkRetry are when it is looked again whether a mark is due.
-	firstMarkRetry = units.Second
-	nextMarkRetry  = units.Second / 2
-	// calmFor is for how long the state service must not have refused anything as too much.
-	calmFor = 30 * units.Second
-	// WriteShare is the part of the state service's changes that archiving takes at most, and
-	// writeShareMost that when twice as much is kept as should be.
-	WriteShare     = 0.1
-	writeShareMost = 0.25
-	// readShare is the part of a controller's reads that lookups take, and as much again is
-	// for filling the filter after a start.
+	// firstMarkRetryDelay and markRetryDelay are the delays until the next check whether the mark has to be
+	// written: after the first mark was written, and otherwise.
+	firstMarkRetryDelay = units.Second
+	markRetryDelay      = units.Second / 2
+	// quietPeriod is the time without a rate-limited request before jobs are archived.
+	quietPeriod = 30 * units.Second
+	// WriteShare is the largest fraction of the state service's rate of changes that archiving uses, and
+	// maxWriteShare the fraction when more than twice KeepFinished jobs are kept.
+	WriteShare    = 0.1
+	maxWriteShare = 0.25
+	// readShare is the fraction of a controller's rate of reads for lookups. The scan that fills the filter
+	// after a start uses the same fraction again.
 	readShare = 1.0 / 6
-	// verifiedAtOnce bounds the lookups under way after the state service went back.
-	verifiedAtOnce = 16
+	// maxVerifying limits the concurrent lookups after a rollback of the state service.
+	maxVerifying = 16
 )
 
-// Manager does for finished jobs what a controller has to: it keeps the index of those that are
-// archived, and the list of those that may be; as the leader it archives the oldest, and
-// before the first it has controllers of older releases kept out, which would not find them.
+// Manager manages the finished jobs of a controller: the index of archived jobs and the list of jobs that may
+// be archived. On the leader it archives the oldest jobs. Before it archives the first one, it keeps
+// controllers of older releases out, because they would not find archived jobs.
 type Manager struct {
 	cfg        Config
 	host       Host
 	index      *Index
 	archiver   *Archiver
 	nextMarkAt units.Microseconds
-	unverified []string // archived jobs of which the state service may have lost the answers
-	verifying  int      // of those, being looked up
+	unverified []string // archived jobs whose summaries the state service may have lost
+	verifying  int      // number of these jobs that are being looked up
 }
 
-// NewManager returns one that knows of no job.
+// NewManager returns a manager without jobs.
 func NewManager(cfg Config, host Host) *Manager {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -118,123 +119,123 @@
 	return &Manager{cfg: cfg, host: host, index: index, archiver: NewArchiver(index)}
 }
 
-// Index returns what is known of archived jobs.
-func (k *Manager) Index() *Index { return k.index }
+// Index returns the index of archived jobs.
+func (m *Manager) Index() *Index { return m.index }
 
-// Stats are figures for operators.
+// Stats are statistics for operators.
 type Stats struct {
-	Finished    int    // jobs that are over and not archived
-	ArchivedIDs int    // archived jobs that the filter holds
-	Reads       uint64 // buckets read since the start
+	Finished    int    // finished jobs that are not archived
+	ArchivedIDs int    // archived jobs in the filter
+	Reads       uint64 // buckets read for lookups since the start
 	Refused     uint64 // lookups refused since the start
 }
 
-// Stats returns the present figures.
-func (k *Manager) Stats() Stats {
-	_, archived := k.index.Complete()
-	return Stats{Finished: k.archiver.Len(), ArchivedIDs: archived, Reads: k.index.Reads, Refused: k.index.Refused}
+// Stats returns the current statistics.
+func (m *Manager) Stats() Stats {
+	_, archived := m.index.Complete()
+	return Stats{Finished: m.archiver.Len(), ArchivedIDs: archived, Reads: m.index.Reads, Refused: m.index.Refused}
 }
 
-// ApplyMark takes the mark as it is stored. From the first one on the leader record is at
-// another key.
-func (k *Manager) ApplyMark(e store.Event) error {
-	before := k.index.Enabled()
-	if err := k.index.ApplyMark(e.Value, e.Stamp); err != nil {
+// ApplyMark applies the stored archive mark. The first mark enables archiving and moves the leader record to
+// another key, of which ApplyMark notifies the host.
+func (m *Manager) ApplyMark(e store.Event) error {
+	before := m.index.Enabled()
+	if err := m.index.ApplyMark(e.Value, e.Stamp); err != nil {
 		return err
 	}
-	if before || !k.index.Enabled() {
+	if before || !m.index.Enabled() {
 		return nil
 	}
-	k.cfg.Log.Info("finished jobs are archived from now on")
-	return k.host.ArchivingStarted()
+	m.cfg.Log.Info("archiving of finished jobs is enabled")
+	return m.host.ArchivingStarted()
 }
 
-// JobFinalized notes that a job is over, so that it is archived some day.
-func (k *Manager) JobFinalized(now units.Microseconds, id string) { k.archiver.JobFinalized(now, id) }
+// JobFinalized adds a job that has become final to the jobs to be archived.
+func (m *Manager) JobFinalized(now units.Microseconds, id string) { m.archiver.JobFinalized(now, id) }
 
-// JobArchived notes that the record of a finished job has been removed.
-func (k *Manager) JobArchived(job *jobs.Job) {
-	k.index.NoteArchived(job.ID)
-	k.index.CacheSummary(job.ID, answerOf(job))
-	k.archiver.RecordRemoved(job.ID)
+// JobArchived records that the record of a finished job has been deleted because the job was archived.
+func (m *Manager) JobArchived(job *jobs.Job) {
+	m.index.NoteArchived(job.ID)
+	m.index.CacheSummary(job.ID, summaryOf(job))
+	m.archiver.RecordRemoved(job.ID)
 }
 
-// RecordRemoved notes that a job's record is not there, also of one that was never known.
-func (k *Manager) RecordRemoved(id string) { k.index.NoteArchived(id) }
+// RecordRemoved records that the record of a job has been deleted. The job need not have been known.
+func (m *Manager) RecordRemoved(id string) { m.index.NoteArchived(id) }
 
-// EventsMissed says that removals may have been missed.
-func (k *Manager) EventsMissed() { k.index.Invalidate() }
+// EventsMissed records that deletions of job records may have been missed.
+func (m *Manager) EventsMissed() { m.index.Invalidate() }
 
-func answerOf(job *jobs.Job) Summary {
+func summaryOf(job *jobs.Job) Summary {
 	return Summary{Status: job.Record.Status, Tasks: job.Record.Tasks, FinishedAt: job.Record.FinishedAt / units.Second * units.Second}
 }
 
-// record is what is stored of a job in place of its answer.
-func (a Summary) record() []byte {
+// encodeRecord returns the encoded job record that is stored when the summary has been lost.
+func (a Summary) encodeRecord() []byte {
 	return jobs.Record{Status: a.Status, Tasks: a.Tasks, FinishedAt: a.FinishedAt}.Encode()
 }
 
-// Candidate implements Jobs. A job that an unfinished one awaits stays, as whoever learns of
-// that one has to learn how it ended; so does one of which something is left to delete.
-func (k *Manager) Candidate(id string, cut uint64) (Candidate, bool) {
-	job := k.host.Job(id)
+// Candidate implements Source. A job on which an unfinished job depends is not archived, because the
+// dependent job needs its result. Neither is a job whose other records still have to be deleted.
+func (m *Manager) Candidate(id string, cutoff uint64) (Candidate, bool) {
+	job := m.host.Job(id)
 	if job == nil {
 		return Candidate{}, false
 	}
-	out := Candidate{Summary: answerOf(job), Key: keys.Job(id), Version: job.Version}
-	if job.Active() || job.CancelledBy != "" || job.Version >= cut || job.Placed() > 0 || k.host.Retained(id) {
+	out := Candidate{Summary: summaryOf(job), Key: keys.Job(id), Version: job.Version}
+	if job.Active() || job.CancelledBy != "" || job.Version >= cutoff || job.Placed() > 0 || m.host.Retained(id) {
 		return out, false
 	}
-	// A cancelled job's finished tasks are still stored.
-	for _, name := range k.cfg.Layout.Names(job.Record.Tasks) {
-		if key := keys.Progress(id, name); k.host.Version(key) != 0 {
+	// The progress records of a cancelled job are still stored.
+	for _, name := range m.cfg.Layout.Names(job.Record.Tasks) {
+		if key := keys.Progress(id, name); m.host.Version(key) != 0 {
 			out.Progress = append(out.Progress, key)
 		}
 	}
 	return out, true
 }
 
-// Tick does what is due for finished jobs.
-func (k *Manager) Tick(now units.Microseconds) {
-	k.verify()
-	if !k.host.CacheFresh() {
+// Tick sends the lookups, scans and writes that are due.
+func (m *Manager) Tick(now units.Microseconds) {
+	m.verify()
+	if !m.host.CacheFresh() {
 		return
 	}
-	if scan := k.index.NextScan(now, units.Seconds(1/k.readRate())); scan != nil {
-		k.host.Emit(*scan)
+	if scan := m.index.NextScan(now, units.Seconds(1/m.lookupRate())); scan != nil {
+		m.host.Emit(*scan)
 	}
-	leadership := k.host.Leadership()
-	// Archiving takes only what nobody else needs.
-	if leadership == nil || k.cfg.KeepFinished == 0 || !k.host.QueuesIdle(calmFor) {
+	leadership := m.host.Leadership()
+	// Archiving only uses capacity that nothing else needs.
+	if leadership == nil || m.cfg.KeepFinished == 0 || !m.host.QueuesIdle(quietPeriod) {
 		return
 	}
-	if leadership.Writing() || now >= k.nextMarkAt && k.mark(now, leadership) {
+	if leadership.Writing() || now >= m.nextMarkAt && m.writeMark(now, leadership) {
 		return
 	}
-	if k.due() {
-		k.step(now, leadership)
+	if m.archivingDue() {
+		m.step(now, leadership)
 	}
 }
 
-// due reports whether finished jobs should be archived: some more than needed, so that it
-// does not begin again at once.
-func (k *Manager) due() bool {
-	_, version := k.index.Mark()
-	keep := k.cfg.KeepFinished - k.cfg.KeepFinished/4
-	return version != 0 && k.host.Revision() >= version && k.archiver.Len() > keep && k.host.Queue().Len() == 0
+// archivingDue reports whether finished jobs should be archived. Archiving goes on until a quarter fewer jobs
+// than KeepFinished are left, so that it does not have to start again immediately.
+func (m *Manager) archivingDue() bool {
+	_, version := m.index.Mark()
+	target := m.cfg.KeepFinished - m.cfg.KeepFinished/4
+	return version != 0 && m.host.Revision() >= version && m.archiver.Len() > target && m.host.Queue().Len() == 0
 }
 
-// step archives some jobs.
-func (k *Manager) step(now units.Microseconds, leadership *election.Leadership) {
+// step runs one step of the archiver.
+func (m *Manager) step(now units.Microseconds, leadership *election.Leadership) {
 	share := WriteShare
-	if k.archiver.Len() > 2*k.cfg.KeepFinished {
-		share = writeShareMost
+	if m.archiver.Len() > 2*m.cfg.KeepFinished {
+		share = maxWriteShare
 	}
-	queue := k.host.Queue()
-	queue.Rate = k.host.WriteRate() * share
-	limits := Limits{ValueBytes: ValueLimit(k.cfg.MaxValueBytes), TxnOps: k.cfg.TxnOps, TxnBytes: queue.MaxBytes}
-	k.archiver.Step(now, k.cfg.MinAge, k, limits, func(w *store.Write) bool {
-		if k.host.Leadership() != leadership {
+	queue := m.host.Queue()
+	queue.Rate = m.host.WriteRate() * share
+	limits := Limits{ValueBytes: ValueLimit(m.cfg.MaxValueBytes), TxnOps: m.cfg.TxnOps, TxnBytes: queue.MaxBytes}
+	m.archiver.Step(now, m.cfg.MinAge, m, limits, func(w *store.Write) bool {
+		if m.host.Leadership() != leadership {
 			return false
 		}
 		w.Guards = append(w.Guards, leadership.Guard())
@@ -242,164 +243,164 @@
 	})
 }
 
-// mark writes the mark when it is due, and what keeps older releases out. It reports whether
-// there was anything to write.
-func (k *Manager) mark(now units.Microseconds, leadership *election.Leadership) bool {
-	if !k.index.Enabled() {
-		return k.begin(now, leadership)
+// writeMark writes the archive mark and the records that keep older releases out, if due. It reports
+// whether there was anything to write.
+func (m *Manager) writeMark(now units.Microseconds, leadership *election.Leadership) bool {
+	if !m.index.Enabled() {
+		return m.enableArchiving(now, leadership)
 	}
-	k.nextMarkAt = now + nextMarkRetry
-	if k.excludeOlderReleases(leadership) {
-		k.nextMarkAt = now
+	m.nextMarkAt = now + markRetryDelay
+	if m.excludeOlderReleases(leadership) {
+		m.nextMarkAt = now
 		return true
 	}
-	return k.raiseCut(now, leadership)
+	return m.raiseCutoff(now, leadership)
 }
 
-// begin writes the first mark, once all machine types are stored where they are looked for
-// from then on. The leader record moves with it.
-func (k *Manager) begin(now units.Microseconds, leadership *election.Leadership) bool {
-	if k.archiver.Len() <= k.cfg.KeepFinished || !k.host.OlderReleasesRetired() {
+// enableArchiving writes the first mark, after it has stored all machine types under the keys that are used
+// once archiving is enabled. The same transaction moves the leader record.
+func (m *Manager) enableArchiving(now units.Microseconds, leadership *election.Leadership) bool {
+	if m.archiver.Len() <= m.cfg.KeepFinished || !m.host.OlderReleasesRetired() {
 		return false
 	}
-	types := k.host.Types()
+	types := m.host.Types()
 	for _, name := range slices.Sorted(maps.Keys(types)) {
-		if key := keys.TypePrefixWithArchive + name; k.host.Version(key) == 0 {
+		if key := keys.TypePrefixWithArchive + name; m.host.Version(key) == 0 {
 			leadership.Write([]store.Guard{{Key: key}}, store.Change{Key: key, Value: store.Value(types[name])})
 			return true
 		}
 	}
-	member, leaseID := k.host.Member()
-	first := Mark{Release: k.cfg.Release, Cutoff: k.host.Revision() + 1}
+	member, leaseID := m.host.Member()
+	first := Mark{Release: m.cfg.Release, Cutoff: m.host.Revision() + 1}
 	leadership.Write(
 		[]store.Guard{
 			{Key: keys.ArchiveMark},
-			{Key: keys.LeaderSinceArchive, Version: k.host.Version(keys.LeaderSinceArchive)},
-			{Key: keys.MemberPrefix + k.cfg.Node, Version: member},
+			{Key: keys.LeaderSinceArchive, Version: m.host.Version(keys.LeaderSinceArchive)},
+			{Key: keys.MemberPrefix + m.cfg.Node, Version: member},
 		},
 		store.Change{Key: keys.LeaderSinceArchive, Value: store.Value(leadership.Record(member)), Lease: leaseID},
 		store.Change{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord())},
 		store.Change{Key: keys.ArchiveMark, Value: store.Value(first)})
-	k.nextMarkAt = now + firstMarkRetry
+	m.nextMarkAt = now + firstMarkRetryDelay
 	return true
 }
 
-// excludeOlderReleases writes what keeps controllers of older releases out, where it is not
-// there, and removes the machine types that they would learn. It reports whether there was
-// anything to write.
-func (k *Manager) excludeOlderReleases(leadership *election.Leadership) bool {
-	if k.host.ExclusionNeeded() {
-		leadership.Write([]store.Guard{{Key: keys.Leader, Version: k.host.Version(keys.Leader)}},
+// excludeOlderReleases writes the record that keeps controllers of older releases out if it is missing, and
+// deletes the machine types that they would load. It reports whether there was anything to write.
+func (m *Manager) excludeOlderReleases(leadership *election.Leadership) bool {
+	if m.host.ExclusionNeeded() {
+		leadership.Write([]store.Guard{{Key: keys.Leader, Version: m.host.Version(keys.Leader)}},
 			store.Change{Key: keys.Leader, Value: store.Value(leadership.ExclusionRecord())})
 		return true
 	}
-	for _, name := range slices.Sorted(maps.Keys(k.host.Types())) {
-		if key := keys.TypePrefix + name; k.host.Version(key) != 0 {
-			leadership.Write([]store.Guard{{Key: key, Version: k.host.Version(key)}}, store.Change{Key: key})
+	for _, name := range slices.Sorted(maps.Keys(m.host.Types())) {
+		if key := keys.TypePrefix + name; m.host.Version(key) != 0 {
+			leadership.Write([]store.Guard{{Key: key, Version: m.host.Version(key)}}, store.Change{Key: key})
 			return true
 		}
 	}
 	return false
 }
 
-// raiseCut lets further jobs be archived. A mark that the state service has lost is written
-// again in any case.
-func (k *Manager) raiseCut(now units.Microseconds, leadership *election.Leadership) bool {
-	mark, version := k.index.Mark()
-	if version != 0 && k.archiver.Len() <= k.cfg.KeepFinished {
+// raiseCutoff raises the cutoff of the mark so that more jobs can be archived. It also writes the mark again
+// if the state service has lost it. It reports whether there was anything to write.
+func (m *Manager) raiseCutoff(now units.Microseconds, leadership *election.Leadership) bool {
+	mark, version := m.index.Mark()
+	if version != 0 && m.archiver.Len() <= m.cfg.KeepFinished {
 		return false
 	}
-	mark.Release, mark.Cutoff, mark.Jobs = k.cfg.Release, max(mark.Cutoff, k.host.Revision()+1), mark.Jobs+k.archiver.takeArchived()
-	k.nextMarkAt = now + markInterval
+	mark.Release, mark.Cutoff, mark.Jobs = m.cfg.Release, max(mark.Cutoff, m.host.Revision()+1), mark.Jobs+m.archiver.takeArchived()
+	m.nextMarkAt = now + markInterval
 	leadership.Write([]store.Guard{{Key: keys.ArchiveMark, Version: version}}, store.Change{Key: keys.ArchiveMark, Value: store.Value(mark)})
 	return true
 }
 
-func (k *Manager) readRate() float64 { return k.host.ReadRate() * readShare }
+func (m *Manager) lookupRate() float64 { return m.host.ReadRate() * readShare }
 
-// Pump sends the reads that are due.
-func (k *Manager) Pump(now units.Microseconds) {
-	for _, read := range k.index.Next(now, k.readRate()) {
-		read.KnownRevision = k.host.HighestRevision()
-		k.host.Emit(read)
+// Pump sends the reads of buckets that are due.
+func (m *Manager) Pump(now units.Microseconds) {
+	for _, read := range m.index.Next(now, m.lookupRate()) {
+		read.KnownRevision = m.host.HighestRevision()
+		m.host.Emit(read)
 	}
 }
 
-// OnRead takes a bucket that was read; a nil value: it is not stored.
-func (k *Manager) OnRead(now units.Microseconds, r Read, o store.Outcome, value []byte, version uint64) {
-	if err := k.index.OnRead(now, r, o, value, version); err != nil {
-		k.cfg.Log.Error("unusable record", "key", r.Key, "err", err)
+// OnRead handles the response to a Read. value is nil if the bucket is not stored.
+func (m *Manager) OnRead(now units.Microseconds, r Read, o store.Outcome, value []byte, version uint64) {
+	if err := m.index.OnRead(now, r, o, value, version); err != nil {
+		m.cfg.Log.Error("unusable record", "key", r.Key, "err", err)
 	}
 }
 
-// OnScan takes some buckets; more says that there are others.
-func (k *Manager) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) {
-	for _, key := range k.index.OnScan(now, s, o, items, more) {
-		k.cfg.Log.Error("unusable record", "key", key)
+// OnScan handles the response to a Scan. more reports whether further buckets follow.
+func (m *Manager) OnScan(now units.Microseconds, s Scan, o store.Outcome, items []store.Event, more bool) {
+	for _, key := range m.index.OnScan(now, s, o, items, more) {
+		m.cfg.Log.Error("unusable record", "key", key)
 	}
-	if whole, archived := k.index.Complete(); whole && !more && o == store.OK {
-		k.cfg.Log.Info("archived jobs are known", "jobs", archived)
+	if complete, archived := m.index.Complete(); complete && !more && o == store.OK {
+		m.cfg.Log.Info("scan of archived jobs is complete", "jobs", archived)
 	}
 }
 
-// Restore puts right what a state service that went back lists as unfinished although it is
-// known here that it was over and archived: it must not start again. It returns what is to
-// be written.
-func (k *Manager) Restore(items []store.Event) []store.Event {
-	var again []store.Event
+// Restore corrects items, the listing of a state service after a rollback. It replaces the records of jobs
+// that are listed as unfinished but cached here as archived, because these jobs must not start again. It
+// returns the replaced records, which have to be stored again.
+func (m *Manager) Restore(items []store.Event) []store.Event {
+	var replaced []store.Event
 	for i, e := range items {
 		id, isJob := strings.CutPrefix(e.Key, keys.JobPrefix)
-		if !isJob || k.host.Job(id) != nil {
+		if !isJob || m.host.Job(id) != nil {
 			continue
 		}
-		answer, known := k.index.CachedSummary(id)
+		summary, known := m.index.CachedSummary(id)
 		if r, err := jobs.DecodeRecord(e.Value); !known || err != nil || r.Status.Final() {
 			continue
 		}
-		items[i].Value = answer.record()
-		again = append(again, items[i])
+		items[i].Value = summary.encodeRecord()
+		replaced = append(replaced, items[i])
 	}
-	return again
+	return replaced
 }
 
-// RolledBack says that the state service went back: what it has lost of the archived jobs
-// that are remembered here is written again.
-func (k *Manager) RolledBack() {
-	k.index.Invalidate()
-	k.unverified = k.index.CachedIDs()
+// RolledBack reports a rollback of the state service. Archived jobs whose summaries are cached here are
+// looked up, and stored again if the service has lost them.
+func (m *Manager) RolledBack() {
+	m.index.Invalidate()
+	m.unverified = m.index.CachedIDs()
 }
 
-// verify looks up some of the archived jobs that the state service may have lost.
-func (k *Manager) verify() {
-	for len(k.unverified) > 0 && k.verifying < verifiedAtOnce && k.host.CacheComplete() {
-		id := k.unverified[0]
-		k.unverified = k.unverified[1:]
-		answer, known := k.index.CachedSummary(id)
-		if k.host.Job(id) != nil || !known {
+// verify looks up archived jobs that the state service may have lost, up to maxVerifying at a time.
+func (m *Manager) verify() {
+	for len(m.unverified) > 0 && m.verifying < maxVerifying && m.host.CacheComplete() {
+		id := m.unverified[0]
+		m.unverified = m.unverified[1:]
+		summary, known := m.index.CachedSummary(id)
+		if m.host.Job(id) != nil || !known {
 			continue
 		}
-		k.verifying++
-		refused := k.index.Refused
-		k.index.ReadBucket(id, func(b *Bucket, _ uint64) {
-			k.verifying--
-			k.verified(id, answer, b)
+		m.verifying++
+		refused := m.index.Refused
+		m.index.ReadBucket(id, func(b *Bucket, _ uint64) {
+			m.verifying--
+			m.verified(id, summary, b)
 		})
-		if k.index.Refused != refused {
-			return // too many wait: this one and the others are looked up at a later tick
+		if m.index.Refused != refused {
+			return // too many lookups are queued: verify this job and the remaining ones at a later tick
 		}
 	}
 }
 
-// verified takes the bucket in which a job's answer should be; nil: it could not be read.
-func (k *Manager) verified(id string, answer Summary, b *Bucket) {
+// verified checks that the bucket contains a job, and otherwise stores its record again. b is nil
+// if the bucket could not be read.
+func (m *Manager) verified(id string, summary Summary, b *Bucket) {
 	if b == nil {
-		k.unverified = append(k.unverified, id)
+		m.unverified = append(m.unverified, id)
 		return
 	}
-	// It may be suspected once more meanwhile, and is looked up again then.
-	if _, stored := b.Find(id); stored || k.host.Job(id) != nil || slices.Contains(k.unverified, id) {
+	// After another rollback the job is in unverified again, and will be looked up again.
+	if _, stored := b.Find(id); stored || m.host.Job(id) != nil || slices.Contains(m.unverified, id) {
 		return
 	}
-	k.cfg.Log.Warn("written again", "job", id)
-	k.host.Rewrite(store.Event{Key: keys.Job(id), Value: answer.record()})
+	m.cfg.Log.Warn("restoring the lost record of an archived job", "job", id)
+	m.host.Rewrite(store.Event{Key: keys.Job(id), Value: summary.encodeRecord()})
 }
--- a/internal/core/archive/manager_test.go
+++ b/internal/core/archive/manager_test.go
@@ -34,7 +34,7 @@
 	k := NewManager(Config{}, host)
 	const depth, remembered = 5, 200
 	for n := range uint32(1 << depth) {
-		k.index.noteDepth(n, depth)
+		k.index.recordDepth(n, depth)
 	}
 	for i := range remembered {
 		k.index.CacheSummary(fmt.Sprintf("wk-%06d", i), Summary{Status: jobs.Done, Tasks: 1})
--- a/internal/core/replaylog/replaylog.go
+++ b/internal/core/replaylog/replaylog.go
@@ -1,7 +1,7 @@
-// Package replaylog remembers what the state service answered lately. Should the
-// service go back behind an answer that it gave (a restored copy, a lost write), it
-// tells what was lost, so that those who know it can write it again. It is bounded: an answer
-// that is older than what it remembers is lost with the service.
+// Package replaylog records the latest changes that the state service has reported. If the service is
+// rolled back (restored from a backup, or after a lost write), the log returns the lost values, so that
+// controllers that know them can store them again. The log has bounded memory: a lost change that is no
+// longer in the log cannot be restored.
 package replaylog
 
 import (
@@ -14,75 +14,76 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// Log keeps the last value of the keys that were learnt last, within a bound:
-// what is lost is what was written last.
+// Log keeps the last values of the most recently changed keys within a memory limit. A rollback loses
+// the most recent changes first.
 type Log struct {
 	maxBytes int
 	bytes    int
 	entries  map[string]entry
-	order    []string // keys as they were noted, the oldest first; some twice
+	order    []string // keys in the order of their changes, oldest first; with duplicates
 }
 
 type entry struct {
-	value   json.RawMessage // nil: removed
-	version uint64
-	times   int // that its key is in order
+	value       json.RawMessage // nil: deleted
+	version     uint64
+	occurrences int // number of occurrences of the key in order
 }
 
 const (
-	// entryCost is what a key costs beside its name and value, in bytes.
-	entryCost = 120
-	// maxRepeats and spareOrder bound the order, in which keys that change often are many times.
-	maxRepeats = 4
-	spareOrder = 64
+	// entryOverhead is the memory in bytes for an entry without its key and value.
+	entryOverhead = 120
+	// maxOrderPerKey and orderReserve limit the length of order, which contains frequently changed keys many
+	// times: maxOrderPerKey for each entry, and orderReserve in addition.
+	maxOrderPerKey = 4
+	orderReserve   = 64
 )
 
-// New returns a log of at most so many bytes.
+// New returns a log that uses at most maxBytes bytes.
 func New(maxBytes int) *Log { return &Log{maxBytes: maxBytes, entries: map[string]entry{}} }
 
-// Record takes a change that was learnt.
+// Record adds a change to the log. It drops the oldest changes if the log exceeds its limits.
 func (l *Log) Record(event store.Event) {
-	old, known := l.entries[event.Key]
-	if known {
+	old, recorded := l.entries[event.Key]
+	if recorded {
 		l.bytes -= len(old.value)
 	} else {
-		l.bytes += len(event.Key) + entryCost
+		l.bytes += len(event.Key) + entryOverhead
 	}
-	l.entries[event.Key] = entry{value: event.Value, version: event.Stamp, times: old.times + 1}
+	l.entries[event.Key] = entry{value: event.Value, version: event.Stamp, occurrences: old.occurrences + 1}
 	l.bytes += len(event.Value)
 	l.order = append(l.order, event.Key)
-	for len(l.order) > 0 && (l.bytes > l.maxBytes || len(l.order) > maxRepeats*len(l.entries)+spareOrder) {
-		l.forgetFirst()
+	for len(l.order) > 0 && (l.bytes > l.maxBytes || len(l.order) > maxOrderPerKey*len(l.entries)+orderReserve) {
+		l.dropOldest()
 	}
 }
 
-// forgetFirst drops the oldest note, and its key unless that was noted again.
-func (l *Log) forgetFirst() {
+// dropOldest drops the oldest change, and the entry of its key unless the key was changed again later.
+func (l *Log) dropOldest() {
 	key := l.order[0]
 	l.order = l.order[1:]
-	first := l.entries[key]
-	if first.times--; first.times > 0 {
-		l.entries[key] = first
+	oldest := l.entries[key]
+	if oldest.occurrences--; oldest.occurrences > 0 {
+		l.entries[key] = oldest
 		return
 	}
-	l.bytes -= len(key) + entryCost + len(first.value)
+	l.bytes -= len(key) + entryOverhead + len(oldest.value)
 	delete(l.entries, key)
 }
 
-// Size returns the bytes in use, about.
+// Size returns the approximate memory in use in bytes.
 func (l *Log) Size() int { return l.bytes }
 
-// Lost returns the values that a listing lacks or has in an older version, or in the same
-// where that was given out a second time, in the order of their versions. Removed keys are
-// not among them.
+// Lost returns the recorded values that the service has lost, in the order of their versions. A value is lost
+// if listed lacks its key, has an older version of it, or has the same version with another value, which the
+// service then has assigned twice. Deletions are not returned.
 func (l *Log) Lost(listed map[string]store.Event) []store.Event {
 	var lost []store.Event
-	for key, known := range l.entries {
-		there := listed[key]
-		older := there.Stamp < known.version
-		another := there.Stamp == known.version && !bytes.Equal(there.Value, known.value)
-		if known.value != nil && (older || another) {
-			lost = append(lost, store.Event{Key: key, Value: known.value, Stamp: known.version})
+	for key, recorded := range l.entries {
+		current := listed[key]
+		older := current.Stamp < recorded.version
+		different := current.Stamp == recorded.version && !bytes.Equal(current.Value, recorded.value)
+		if recorded.value != nil && (older || different) {
+			lost = append(lost, store.Event{Key: key, Value: recorded.value, Stamp: recorded.version})
 		}
 	}
 	slices.SortFunc(lost, func(a, b store.Event) int {
--- a/internal/core/replaylog/replaylog_test.go
+++ b/internal/core/replaylog/replaylog_test.go
@@ -11,15 +11,15 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// noted is a log with drawn changes, and the last of each key.
-type noted struct {
+// logModel is a log with random changes, the last change of each key, and a listing of the service.
+type logModel struct {
 	log      *Log
 	maxBytes int
 	last     map[string]store.Event
 	listed   map[string]store.Event
 }
 
-func (n *noted) note(t *rapid.T) {
+func (n *logModel) recordChanges(t *rapid.T) {
 	revision := uint64(0)
 	for range rapid.IntRange(0, 300).Draw(t, "changes") {
 		revision++
@@ -30,13 +30,13 @@
 		n.log.Record(event)
 		n.last[event.Key] = event
 		if n.log.Size() > n.maxBytes && len(n.log.entries) > 0 || n.log.Size() < 0 || len(n.log.order) > 4*len(n.log.entries)+64 {
-			t.Fatalf("%d bytes of %d, %d keys, %d entries", n.log.Size(), n.maxBytes, len(n.log.entries), len(n.log.order))
+			t.Fatalf("%d bytes of %d, %d keys, order of length %d", n.log.Size(), n.maxBytes, len(n.log.entries), len(n.log.order))
 		}
 	}
 }
 
-// list has some of the keys listed, some in an older version or with another value.
-func (n *noted) list(t *rapid.T) {
+// list adds some of the keys to the listing, some with an older version or another value.
+func (n *logModel) list(t *rapid.T) {
 	for key, event := range n.last {
 		if rapid.Bool().Draw(t, "listed "+key) {
 			event.Stamp -= uint64(rapid.IntRange(0, 1).Draw(t, "older"))
@@ -48,38 +48,38 @@
 	}
 }
 
-func (n *noted) missing(event store.Event) bool {
-	there := n.listed[event.Key]
-	return there.Stamp < event.Stamp || string(there.Value) != string(event.Value)
+func (n *logModel) missing(event store.Event) bool {
+	current := n.listed[event.Key]
+	return current.Stamp < event.Stamp || string(current.Value) != string(event.Value)
 }
 
-// TestLostValues notes drawn changes: the log keeps within its bound, and what it
-// says is lost is the last value of each key that it still knows, and nothing else.
+// TestLostValues guards against a log that exceeds its memory limit, restores an outdated value or one that
+// is not lost, or misses a lost value although it has memory for all changes.
 func TestLostValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxBytes := rapid.IntRange(0, 4000).Draw(t, "max")
-		drawn := &noted{log: New(maxBytes), maxBytes: maxBytes, last: map[string]store.Event{}, listed: map[string]store.Event{}}
-		drawn.note(t)
-		drawn.list(t)
-		lost := drawn.log.Lost(drawn.listed)
+		model := &logModel{log: New(maxBytes), maxBytes: maxBytes, last: map[string]store.Event{}, listed: map[string]store.Event{}}
+		model.recordChanges(t)
+		model.list(t)
+		lost := model.log.Lost(model.listed)
 		for i, event := range lost {
-			if l := drawn.last[event.Key]; l.Stamp != event.Stamp || string(l.Value) != string(event.Value) || event.Value == nil || !drawn.missing(event) {
-				t.Fatalf("%+v is called lost, last %+v, listed %+v", event, l, drawn.listed[event.Key])
+			if l := model.last[event.Key]; l.Stamp != event.Stamp || string(l.Value) != string(event.Value) || event.Value == nil || !model.missing(event) {
+				t.Fatalf("%+v is reported lost, last %+v, listed %+v", event, l, model.listed[event.Key])
 			}
 			if i > 0 && lost[i-1].Stamp > event.Stamp {
-				t.Fatal("not in the order of their versions")
+				t.Fatal("lost values are not in the order of their versions")
 			}
 		}
-		// With room for all, nothing is missed.
+		// A log with memory for all changes misses no lost value.
 		all := New(1 << 20)
 		want := 0
-		for _, event := range drawn.last {
+		for _, event := range model.last {
 			all.Record(event)
-			if event.Value != nil && drawn.missing(event) {
+			if event.Value != nil && model.missing(event) {
 				want++
 			}
 		}
-		if got := len(all.Lost(drawn.listed)); got != want {
+		if got := len(all.Lost(model.listed)); got != want {
 			t.Fatalf("%d lost, want %d", got, want)
 		}
 	})
