--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -16,7 +16,7 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-func genAnswer(t *rapid.T) Summary {
+func genSummary(t *rapid.T) Summary {
 	a := Summary{Status: jobs.Cancelled, Tasks: rapid.IntRange(0, jobs.MaxTasks).Draw(t, "tasks"),
 		FinishedAt: units.Microseconds(rapid.Int64Range(0, 4e9).Draw(t, "ended")) * units.Second}
 	if rapid.Bool().Draw(t, "done") {
@@ -25,13 +25,13 @@
 	return a
 }
 
-// What is written of a bucket is read again as it was, and its pieces hold each job
-// once, within the limit, where a look-up goes.
+// TestBucketRoundTrip guards against a bucket that decodes differently from what was encoded, and against a
+// split that loses a job, exceeds the size limit or puts a job into a bucket where a lookup does not find it.
 func TestBucketRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Bucket{Jobs: map[uint64]Summary{}}
 		for range rapid.IntRange(0, 400).Draw(t, "jobs") {
-			b.Jobs[rapid.Uint64Range(0, 999_999_999_999_999_999).Draw(t, "number")] = genAnswer(t)
+			b.Jobs[rapid.Uint64Range(0, 999_999_999_999_999_999).Draw(t, "number")] = genSummary(t)
 		}
 		back, err := Decode(Key(0), b.Encode())
 		if err != nil || !maps.Equal(back.Jobs, b.Jobs) {
@@ -43,9 +43,9 @@
 		for _, p := range pieces {
 			v := p.Encode()
 			if len(v) > limit {
-				t.Fatalf("%d bytes of %d", len(v), limit)
+				t.Fatalf("piece has %d bytes, limit %d", len(v), limit)
 			}
-			if _, err := Decode(Key(p.Number), v); err != nil { // also checks that each is where it belongs
+			if _, err := Decode(Key(p.Number), v); err != nil { // also checks that each job is in its bucket
 				t.Fatal(err)
 			}
 			for n := range p.Jobs {
@@ -53,13 +53,13 @@
 			}
 		}
 		if pieces != nil && len(left) > 0 {
-			t.Fatalf("%d jobs are in no piece", len(left))
+			t.Fatalf("%d jobs are missing in the pieces", len(left))
 		}
 	})
 }
 
-// Whatever stands at a bucket's key is read or refused, and what is read can be
-// written and read again.
+// TestDecodeMalformedBucket guards against a decoder that panics on a malformed value or accepts a bucket
+// that cannot be encoded and decoded again. The values are valid ones with up to four changed bytes.
 func TestDecodeMalformedBucket(t *testing.T) {
 	good := (&Bucket{Jobs: map[uint64]Summary{1: {jobs.Done, 3, units.Second}, 17: {jobs.Cancelled, 1, 0}}}).Encode()
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,19 +73,19 @@
 			return
 		}
 		if again, err := Decode(Key(0), b.Encode()); err != nil || !maps.Equal(again.Jobs, b.Jobs) {
-			t.Fatalf("%s is read, and then not: %v", value, err)
+			t.Fatalf("%s is decoded, but not after it was encoded again: %v", value, err)
 		}
 	})
 }
 
-// service is a state service in which everything may come late.
+// service is a state service. Requests to it may be delayed.
 type service struct {
 	keys map[string]store.Event
 	log  []store.Event
 	rev  uint64
 }
 
-// commit carries a transaction out and reports whether its guards held.
+// commit commits a transaction if its guards hold, and reports whether they did.
 func (s *service) commit(w *store.Write) bool {
 	for _, g := range w.Guards {
 		if s.keys[g.Key].Stamp != g.Version {
@@ -109,111 +109,111 @@
 }
 
 const (
-	jobAt  = "shalestage/job/"
-	markAt = "shalestage/past"
+	jobPrefix = "shalestage/job/"
+	markKey   = "shalestage/past"
 )
 
-// machine is the world of the state machine test: a service, and controllers that
-// all accept and pack.
-type machine struct {
-	t        *rapid.T
-	s        *service
-	now      units.Microseconds
-	nodes    []*controller
-	accepted map[string]bool
-	ended    map[string]Summary
-	late     []*txn
-	value    int
+// archiveModel is the model of TestConcurrentArchiving: a service, and controllers that all accept and
+// archive jobs.
+type archiveModel struct {
+	t         *rapid.T
+	s         *service
+	now       units.Microseconds
+	nodes     []*controller
+	accepted  map[string]bool
+	finished  map[string]Summary // summaries of finished jobs
+	inTransit []*txn             // sent and not yet committed or dropped
+	value     int                // limit of a value in bytes
 }
 
 type txn struct {
-	w      *store.Write
-	accept string // the job that it accepts
-	lost   bool   // its sender waits no more
+	w         *store.Write
+	accept    string // the job that it accepts
+	abandoned bool   // its sender no longer waits for the outcome
 }
 
-// controller has a copy of the keys, made of what it has synced.
+// controller has a copy of the job records as of its last sync.
 type controller struct {
-	m      *machine
-	past   *Index
-	packer *Archiver
-	jobs   map[string]store.Event
-	rev    uint64
-	reads  []*pending
-	life   int
-	spares uint64
+	m              *archiveModel
+	index          *Index
+	archiver       *Archiver
+	jobs           map[string]store.Event
+	rev            uint64
+	reads          []*pending
+	incarnation    int
+	skippedResidue uint64
 }
 
-func (m *machine) start(c *controller) {
-	c.past = New()
-	c.packer = NewArchiver(c.past)
+func (m *archiveModel) start(c *controller) {
+	c.index = New()
+	c.archiver = NewArchiver(c.index)
 	c.jobs, c.reads, c.rev = map[string]store.Event{}, nil, m.s.rev
-	c.life++
+	c.incarnation++
 	for _, k := range slices.Sorted(maps.Keys(m.s.keys)) {
-		c.learn(m.s.keys[k])
+		c.apply(m.s.keys[k])
 	}
 }
 
-func (c *controller) learn(event store.Event) {
-	if event.Key == markAt {
-		if err := c.past.ApplyMark(event.Value, event.Stamp); err != nil {
+func (c *controller) apply(event store.Event) {
+	if event.Key == markKey {
+		if err := c.index.ApplyMark(event.Value, event.Stamp); err != nil {
 			c.m.t.Fatal(err)
 		}
 	}
-	id, ok := strings.CutPrefix(event.Key, jobAt)
+	id, ok := strings.CutPrefix(event.Key, jobPrefix)
 	if !ok {
 		return
 	}
 	if event.Value == nil {
 		delete(c.jobs, id)
-		c.past.NoteArchived(id)
-		c.packer.RecordRemoved(id)
+		c.index.NoteArchived(id)
+		c.archiver.RecordRemoved(id)
 		return
 	}
 	c.jobs[id] = event
 	if string(event.Value) != "1" {
-		c.packer.JobFinalized(c.m.now, id)
+		c.archiver.JobFinalized(c.m.now, id)
 	}
 }
 
 func (c *controller) sync() {
 	for _, e := range c.m.s.log {
 		if e.Stamp > c.rev {
-			c.learn(e)
+			c.apply(e)
 		}
 	}
 	c.rev = c.m.s.rev
 }
 
-func (c *controller) Candidate(id string, cut uint64) (Candidate, bool) {
+func (c *controller) Candidate(id string, cutoff uint64) (Candidate, bool) {
 	event, ok := c.jobs[id]
 	if !ok || string(event.Value) == "1" {
 		return Candidate{}, false
 	}
 	var a Summary
 	if json.Unmarshal(event.Value, &a) != nil {
-		c.m.t.Fatal("unreadable")
+		c.m.t.Fatal("invalid summary")
 	}
 	n, err := jobNumber(id)
 	if err != nil {
 		c.m.t.Fatal(err)
 	}
-	// Each has some of which it thinks that something may still run.
-	return Candidate{Summary: a, Key: event.Key, Version: event.Stamp}, event.Stamp < cut && n%3 != c.spares
+	// Each controller considers a different third of the jobs not ready to be archived.
+	return Candidate{Summary: a, Key: event.Key, Version: event.Stamp}, event.Stamp < cutoff && n%3 != c.skippedResidue
 }
 
-// pump turns reads that are due into answers that may come at any later time.
+// pump sends the reads that are due. Each is carried out and answered at later times.
 func (c *controller) pump() {
-	model, past, life := c.m, c.past, c.life
-	for _, r := range past.Next(model.now, 50) {
+	model, index, incarnation := c.m, c.index, c.incarnation
+	for _, r := range index.Next(model.now, 50) {
 		var e store.Event
-		c.reads = append(c.reads, &pending{run: func() { e = model.s.keys[r.Key] }, tell: func() {
-			if err := past.OnRead(model.now, r, store.OK, e.Value, e.Stamp); err != nil && c.life == life {
+		c.reads = append(c.reads, &pending{run: func() { e = model.s.keys[r.Key] }, respond: func() {
+			if err := index.OnRead(model.now, r, store.OK, e.Value, e.Stamp); err != nil && c.incarnation == incarnation {
 				model.t.Fatal(err)
 			}
 		}})
 	}
-	if scan := past.NextScan(model.now, 1); scan != nil {
+	if scan := index.NextScan(model.now, 1); scan != nil {
 		var items []store.Event
 		more := false
 		c.reads = append(c.reads, &pending{run: func() {
@@ -226,101 +226,101 @@
 					items = append(items, model.s.keys[k])
 				}
 			}
-		}, tell: func() { past.OnScan(model.now, *scan, store.OK, items, more) }})
+		}, respond: func() { index.OnScan(model.now, *scan, store.OK, items, more) }})
 	}
 }
 
-// pending is a read that is carried out at one time and answered at a later one.
+// pending is a read that is carried out (run) and answered (respond) at different times.
 type pending struct {
-	run, tell func()
-	ran       bool
+	run, respond func()
+	ran          bool
 }
 
-// accept asks a controller for a job, as the core does.
+// accept submits a job to a controller, following the same steps as package core.
 func (c *controller) accept(id string) {
-	_, stamp := c.past.Mark()
+	_, stamp := c.index.Mark()
 	if _, known := c.jobs[id]; known || c.rev < stamp {
 		return
 	}
-	life := c.life
-	c.past.Lookup(id, true, func(v LookupResult, a Summary) {
+	incarnation := c.incarnation
+	c.index.Lookup(id, true, func(v LookupResult, a Summary) {
 		if v == Found {
-			c.check(id, a)
+			c.checkSummary(id, a)
 		}
-		if _, known := c.jobs[id]; v != Absent || known || life != c.life {
+		if _, known := c.jobs[id]; v != Absent || known || incarnation != c.incarnation {
 			return
 		}
-		c.m.late = append(c.m.late, &txn{accept: id, w: &store.Write{
-			Guards:  []store.Guard{{Key: jobAt + id}, {Key: markAt, Version: stamp}},
-			Changes: []store.Change{{Key: jobAt + id, Value: json.RawMessage("1")}}}})
+		c.m.inTransit = append(c.m.inTransit, &txn{accept: id, w: &store.Write{
+			Guards:  []store.Guard{{Key: jobPrefix + id}, {Key: markKey, Version: stamp}},
+			Changes: []store.Change{{Key: jobPrefix + id, Value: json.RawMessage("1")}}}})
 	})
 }
 
-func (c *controller) check(id string, a Summary) {
-	if want, ok := c.m.ended[id]; !ok || a != want {
-		c.m.t.Fatalf("%s: told %+v, is %+v (%v)", id, a, want, ok)
+func (c *controller) checkSummary(id string, a Summary) {
+	if want, ok := c.m.finished[id]; !ok || a != want {
+		c.m.t.Fatalf("%s: lookup returned %+v, want %+v (finished: %v)", id, a, want, ok)
 	}
 }
 
-// poll asks a controller for a job: the copy first, and then what is packed.
+// poll queries a job: first in the copy, then in the archive.
 func (c *controller) poll(id string) {
 	c.sync()
 	if _, known := c.jobs[id]; known {
 		return
 	}
 	before := c.m.accepted[id]
-	c.past.Lookup(id, false, func(v LookupResult, a Summary) {
+	c.index.Lookup(id, false, func(v LookupResult, a Summary) {
 		if v == Found {
-			c.check(id, a)
+			c.checkSummary(id, a)
 		}
 		if v == Absent && before {
-			c.m.t.Fatalf("%s was accepted, and is called unknown", id)
+			c.m.t.Fatalf("%s was accepted, but its lookup reports it absent", id)
 		}
 	})
 }
 
-// mark has a controller raise the cut.
-func (c *controller) mark() {
-	old, stamp := c.past.Mark()
-	c.m.late = append(c.m.late, &txn{w: &store.Write{Guards: []store.Guard{{Key: markAt, Version: stamp}},
-		Changes: []store.Change{{Key: markAt, Value: store.Value(Mark{Release: 4, Cutoff: max(old.Cutoff, c.rev+1)})}}}})
+// raiseCutoff lets a controller raise the cutoff.
+func (c *controller) raiseCutoff() {
+	old, stamp := c.index.Mark()
+	c.m.inTransit = append(c.m.inTransit, &txn{w: &store.Write{Guards: []store.Guard{{Key: markKey, Version: stamp}},
+		Changes: []store.Change{{Key: markKey, Value: store.Value(Mark{Release: 4, Cutoff: max(old.Cutoff, c.rev+1)})}}}})
 }
 
-// pack has a controller pack what it can, one step further.
-func (c *controller) pack(ops int) {
-	mark, stamp := c.past.Mark()
+// archive runs one step of a controller's archiver.
+func (c *controller) archive(ops int) {
+	mark, stamp := c.index.Mark()
 	if mark.Cutoff == 0 || c.rev < stamp {
 		return
 	}
 	m := c.m
 	m.now += units.Second
-	lim := Limits{ValueBytes: m.value, TxnOps: ops, TxnBytes: 10_000}
-	c.packer.Step(m.now, units.Second, c, lim, func(w *store.Write) bool {
-		if len(w.Changes) > lim.TxnOps {
-			m.t.Fatalf("%d changes of %d", len(w.Changes), lim.TxnOps)
+	limits := Limits{ValueBytes: m.value, TxnOps: ops, TxnBytes: 10_000}
+	c.archiver.Step(m.now, units.Second, c, limits, func(w *store.Write) bool {
+		if len(w.Changes) > limits.TxnOps {
+			m.t.Fatalf("%d changes, limit %d", len(w.Changes), limits.TxnOps)
 		}
 		for _, ch := range w.Changes {
-			if len(ch.Value) > lim.ValueBytes {
-				m.t.Fatalf("%d bytes of %d", len(ch.Value), lim.ValueBytes)
+			if len(ch.Value) > limits.ValueBytes {
+				m.t.Fatalf("%d bytes, limit %d", len(ch.Value), limits.ValueBytes)
 			}
 		}
-		m.late = append(m.late, &txn{w: w})
+		m.inTransit = append(m.inTransit, &txn{w: w})
 		return true
 	})
 }
 
-func (m *machine) carryOut(i int, answered bool) {
-	sent := m.late[i]
-	m.late = slices.Delete(m.late, i, i+1)
+func (m *archiveModel) finishTxn(i int, answered bool) {
+	sent := m.inTransit[i]
+	m.inTransit = slices.Delete(m.inTransit, i, i+1)
 	ok := m.s.commit(sent.w)
 	if ok && sent.accept != "" {
 		if m.accepted[sent.accept] {
-			m.t.Fatalf("%s is accepted a second time", sent.accept)
+			m.t.Fatalf("%s was accepted a second time", sent.accept)
 		}
 		m.accepted[sent.accept] = true
 	}
-	if sent.w.Done != nil && !sent.lost && answered {
-		sent.lost = true
+	if sent.w.Done != nil && !sent.abandoned && answered {
+		sent.abandoned = true
 		if ok {
 			sent.w.Done(store.OK, m.s.rev)
 		} else {
@@ -329,34 +329,34 @@
 	}
 }
 
-// finishSome ends some of the jobs that are accepted.
-func (m *machine) finishSome(t *rapid.T) {
+// finishSome finishes some of the accepted jobs.
+func (m *archiveModel) finishSome(t *rapid.T) {
 	for _, id := range slices.Sorted(maps.Keys(m.accepted)) {
-		if _, over := m.ended[id]; !over && rapid.Bool().Draw(t, "ends") {
-			m.ended[id] = genAnswer(t)
-			m.s.commit(&store.Write{Changes: []store.Change{{Key: jobAt + id, Value: store.Value(m.ended[id])}}})
+		if _, done := m.finished[id]; !done && rapid.Bool().Draw(t, "ends") {
+			m.finished[id] = genSummary(t)
+			m.s.commit(&store.Write{Changes: []store.Change{{Key: jobPrefix + id, Value: store.Value(m.finished[id])}}})
 		}
 	}
 }
 
-// loseAnswers tells some senders that the outcome of what is under way is not known.
-func (m *machine) loseAnswers(t *rapid.T) {
-	for _, sent := range m.late {
-		if sent.w.Done != nil && !sent.lost && rapid.Bool().Draw(t, "no answer") {
-			sent.lost = true
+// loseAnswers completes some transactions in transit with an unknown outcome.
+func (m *archiveModel) loseAnswers(t *rapid.T) {
+	for _, sent := range m.inTransit {
+		if sent.w.Done != nil && !sent.abandoned && rapid.Bool().Draw(t, "no answer") {
+			sent.abandoned = true
 			sent.w.Done(store.Unknown, 0)
 		}
 	}
 }
 
-// answerSome carries some reads out, and answers some of those that were.
+// answerSome carries out some reads, and answers some that were carried out before.
 func (c *controller) answerSome(t *rapid.T) {
 	for _, p := range slices.Clone(c.reads) {
 		switch {
 		case rapid.Bool().Draw(t, "later"):
 		case p.ran:
 			c.reads = slices.DeleteFunc(c.reads, func(q *pending) bool { return q == p })
-			p.tell()
+			p.respond()
 		default:
 			p.run()
 			p.ran = true
@@ -364,12 +364,12 @@
 	}
 }
 
-// calm is a while in which everything is prompt.
-func (c *controller) calm(t *rapid.T) {
+// runPromptly runs several rounds in which reads are answered and most transactions committed without delay.
+func (c *controller) runPromptly(t *rapid.T) {
 	for range 4 {
 		c.sync()
-		c.mark()
-		c.pack(8)
+		c.raiseCutoff()
+		c.archive(8)
 		c.pump()
 		for len(c.reads) > 0 {
 			p := c.reads[0]
@@ -377,18 +377,19 @@
 			if !p.ran {
 				p.run()
 			}
-			p.tell()
+			p.respond()
 		}
-		for i := len(c.m.late) - 1; i >= 0; i-- { // but for some
+		for i := len(c.m.inTransit) - 1; i >= 0; i-- { // a few stay in transit
 			if rapid.IntRange(0, 7).Draw(t, "late") > 0 {
-				c.m.carryOut(i, true)
+				c.m.finishTxn(i, true)
 			}
 		}
 	}
 }
 
-// whole checks that every accepted job is in one place, as it should be.
-func (m *machine) whole() {
+// checkAllJobs checks that every accepted job either has its record or is in exactly one bucket with its
+// summary.
+func (m *archiveModel) checkAllJobs() {
 	buckets := map[uint32]*Bucket{}
 	for k, e := range m.s.keys {
 		if strings.HasPrefix(k, Prefix) {
@@ -400,32 +401,31 @@
 		}
 	}
 	for id := range m.accepted {
-		_, there := m.s.keys[jobAt+id]
+		_, exists := m.s.keys[jobPrefix+id]
 		n := 0
 		for _, b := range buckets {
 			if a, ok := b.Find(id); ok {
 				n++
-				if a != m.ended[id] {
-					m.t.Fatalf("%s is packed as %+v", id, a)
+				if a != m.finished[id] {
+					m.t.Fatalf("%s is archived as %+v", id, a)
 				}
 			}
 		}
-		if there && n > 0 || !there && n != 1 {
-			m.t.Fatalf("%s: its record is there: %v; packed in %d buckets", id, there, n)
+		if exists && n > 0 || !exists && n != 1 {
+			m.t.Fatalf("%s: its record exists: %v; archived in %d buckets", id, exists, n)
 		}
 	}
 }
 
-// TestConcurrentArchiving has controllers accept, finish, pack and look up the same jobs, with
-// transactions and answers that come at any later time or never, controllers that end
-// and start between any two steps, all of them packing at once, and a limit that
-// falls. Every accepted job is always in exactly one place, no id is accepted twice,
-// and no accepted one is called unknown.
+// TestConcurrentArchiving guards against an accepted job that is lost or stored twice, an id that is accepted
+// twice, and an accepted job that a lookup reports absent. Two controllers accept, finish, archive and look
+// up the same jobs concurrently. Transactions and responses are delayed or lost, controllers restart between
+// any two steps, and the limit of the value size is reduced.
 func TestConcurrentArchiving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &machine{t: t, s: &service{keys: map[string]store.Event{}}, accepted: map[string]bool{}, ended: map[string]Summary{}, value: 140}
+		model := &archiveModel{t: t, s: &service{keys: map[string]store.Event{}}, accepted: map[string]bool{}, finished: map[string]Summary{}, value: 140}
 		for i := range uint64(2) {
-			c := &controller{m: model, spares: i}
+			c := &controller{m: model, skippedResidue: i}
 			model.start(c)
 			model.nodes = append(model.nodes, c)
 		}
@@ -433,7 +433,7 @@
 			return model.nodes[rapid.IntRange(0, len(model.nodes)-1).Draw(t, "node")]
 		}
 		step := 0
-		// Users submit a few new jobs again and again, and poll any.
+		// Users submit the newest ids repeatedly and poll all ids.
 		fresh := func(t *rapid.T) string { return fmt.Sprintf("wk-%06d", step/20+rapid.IntRange(0, 5).Draw(t, "id")) }
 		any := func(t *rapid.T) string { return fmt.Sprintf("wk-%06d", rapid.IntRange(0, step/20+5).Draw(t, "id")) }
 		actions := map[string]func(*rapid.T){
@@ -450,19 +450,19 @@
 				}
 			},
 			"end":  model.finishSome,
-			"mark": func(t *rapid.T) { node(t).mark() },
-			"pack": func(t *rapid.T) { node(t).pack(rapid.IntRange(3, 8).Draw(t, "ops")) },
+			"mark": func(t *rapid.T) { node(t).raiseCutoff() },
+			"pack": func(t *rapid.T) { node(t).archive(rapid.IntRange(3, 8).Draw(t, "ops")) },
 			"commit": func(t *rapid.T) {
-				if len(model.late) == 0 {
+				if len(model.inTransit) == 0 {
 					return
 				}
-				model.carryOut(rapid.IntRange(0, len(model.late)-1).Draw(t, "which"), rapid.Bool().Draw(t, "answered"))
+				model.finishTxn(rapid.IntRange(0, len(model.inTransit)-1).Draw(t, "which"), rapid.Bool().Draw(t, "answered"))
 			},
 			"unknown": model.loseAnswers,
 			"answer":  func(t *rapid.T) { node(t).answerSome(t) },
 			"read":    func(t *rapid.T) { model.now += units.Second; node(t).pump() },
 			"sync":    func(t *rapid.T) { node(t).sync() },
-			"calm":    func(t *rapid.T) { node(t).calm(t) },
+			"calm":    func(t *rapid.T) { node(t).runPromptly(t) },
 			"crash": func(t *rapid.T) {
 				if c := node(t); rapid.IntRange(0, 3).Draw(t, "rarely") == 0 {
 					model.start(c)
@@ -474,44 +474,45 @@
 				}
 			},
 		}
-		// Time passes and work goes on between the rarer events.
+		// Common actions are drawn more often than the others.
 		often := []string{"accept", "end", "mark", "pack", "commit", "answer", "read", "sync"}
 		names := slices.Concat(slices.Sorted(maps.Keys(actions)), often, often)
 		for ; step < 500; step++ {
 			actions[rapid.SampledFrom(names).Draw(t, "action")](t)
-			model.whole()
+			model.checkAllJobs()
 		}
 	})
 }
 
-// TestLookupJoinsReadInFlight has two ask for the same old job, the second after the read
-// was sent. Both are answered by it, and the answer is at hand from then on: it was
-// not, and the second's job was accepted once more (rehearsals/old-jobs.toml, seed 49).
+// TestLookupJoinsReadInFlight guards against an archived job that is accepted again: two
+// lookups ask for it, the second after the read was sent, and the summary that the read found
+// was not cached (rehearsals/old-jobs.toml, seed 49). Both lookups must find the job, and its
+// summary must be cached afterwards.
 func TestLookupJoinsReadInFlight(t *testing.T) {
 	index := New()
 	if err := index.ApplyMark(json.RawMessage(`{"release":4,"cut":9}`), 7); err != nil {
 		t.Fatal(err)
 	}
 	index.Next(0, 100)
-	told := 0
+	found := 0
 	ask := func() {
 		index.Lookup("wk-000050", true, func(v LookupResult, a Summary) {
 			if v == Found && a.Tasks == 3 {
-				told++
+				found++
 			}
 		})
 	}
 	ask()
 	reads := index.Next(units.Second, 100)
 	ask()
-	index.cache.Purge() // as if others' answers had come in between
+	index.cache.Purge() // simulates eviction by other summaries
 	b := &Bucket{Jobs: map[uint64]Summary{50: {jobs.Done, 3, 0}}}
 	for _, r := range reads {
 		if err := index.OnRead(units.Second, r, store.OK, b.Encode(), 8); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, known := index.CachedSummary("wk-000050"); told != 2 || !known {
-		t.Errorf("%d of 2 were told; at hand: %v", told, known)
+	if _, known := index.CachedSummary("wk-000050"); found != 2 || !known {
+		t.Errorf("%d of 2 lookups found the job; cached: %v", found, known)
 	}
 }
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -95,20 +95,20 @@
 	out := make([]byte, 0, 16*len(b.Jobs)+32)
 	last := uint64(0)
 	for _, n := range slices.Sorted(maps.Keys(b.Jobs)) {
-		answer := b.Jobs[n]
+		summary := b.Jobs[n]
 		if len(out) > 0 {
 			out = append(out, ' ')
 		}
 		out = strconv.AppendUint(out, n-last, base)
-		if answer.Status == jobs.Done {
+		if summary.Status == jobs.Done {
 			out = append(out, '+')
 		} else {
 			out = append(out, '-')
 		}
-		out = strconv.AppendInt(out, int64(answer.Tasks), base)
-		if answer.FinishedAt > 0 {
+		out = strconv.AppendInt(out, int64(summary.Tasks), base)
+		if summary.FinishedAt > 0 {
 			out = append(out, '@')
-			out = strconv.AppendInt(out, int64(answer.FinishedAt/units.Second), base)
+			out = strconv.AppendInt(out, int64(summary.FinishedAt/units.Second), base)
 		}
 		last = n
 	}
@@ -147,9 +147,9 @@
 	if i < 0 {
 		return bad()
 	}
-	answer := Summary{Status: jobs.Done}
+	summary := Summary{Status: jobs.Done}
 	if text[i] == '-' {
-		answer.Status = jobs.Cancelled
+		summary.Status = jobs.Cancelled
 	}
 	tasks, ended, timed := strings.Cut(text[i+1:], "@")
 	diff, err1 := strconv.ParseUint(text[:i], base, 64)
@@ -162,15 +162,15 @@
 		if err != nil || s <= 0 || s > int64(units.MaxTime/units.Second) {
 			return bad()
 		}
-		answer.FinishedAt = units.Microseconds(s) * units.Second
+		summary.FinishedAt = units.Microseconds(s) * units.Second
 	}
 	n := last + diff
 	id := jobID(n)
 	if !jobs.ValidID(id) || !b.Covers(id) {
 		return bad()
 	}
-	answer.Tasks = int(count)
-	b.Jobs[n] = answer
+	summary.Tasks = int(count)
+	b.Jobs[n] = summary
 	return n, nil
 }
 
--- a/internal/core/archive/manager_test.go
+++ b/internal/core/archive/manager_test.go
@@ -10,8 +10,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// managerHost is a controller whose state service has lost all buckets. What it does not
-// override is not called here.
+// managerHost is a controller whose state service has lost all buckets. Methods that it does not
+// override are not called by the test.
 type managerHost struct {
 	Host
 	emitted   []any
@@ -26,38 +26,38 @@
 func (h *managerHost) Job(string) *jobs.Job    { return nil }
 func (h *managerHost) Rewrite(e store.Event)   { h.rewritten[e.Key] = true }
 
-// After the state service went back everything that is remembered of archived jobs is looked
-// up, and written again where it is lost. Lookups are refused while too many wait: those are
-// made later, and the tick ends.
+// TestVerifyBeyondQueueLimit guards against a Tick that does not end after a rollback of the state service.
+// All cached summaries are then verified, which are more lookups than may be queued. Refused lookups must be
+// made at a later tick, and all lost jobs must be stored again.
 func TestVerifyBeyondQueueLimit(t *testing.T) {
 	host := &managerHost{rewritten: map[string]bool{}}
-	k := NewManager(Config{}, host)
-	const depth, remembered = 5, 200
+	m := NewManager(Config{}, host)
+	const depth, cached = 5, 200
 	for n := range uint32(1 << depth) {
-		k.index.recordDepth(n, depth)
+		m.index.recordDepth(n, depth)
 	}
-	for i := range remembered {
-		k.index.CacheSummary(fmt.Sprintf("wk-%06d", i), Summary{Status: jobs.Done, Tasks: 1})
+	for i := range cached {
+		m.index.CacheSummary(fmt.Sprintf("wk-%06d", i), Summary{Status: jobs.Done, Tasks: 1})
 	}
-	k.RolledBack()
-	ended := make(chan struct{})
+	m.RolledBack()
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		for now := units.Second; now < 4000*units.Second && len(host.rewritten) < remembered; now += units.Second {
-			k.Tick(now)
-			k.Pump(now)
+		defer close(done)
+		for now := units.Second; now < 4000*units.Second && len(host.rewritten) < cached; now += units.Second {
+			m.Tick(now)
+			m.Pump(now)
 			for _, effect := range host.emitted {
-				k.OnRead(now, effect.(Read), store.OK, nil, 0)
+				m.OnRead(now, effect.(Read), store.OK, nil, 0)
 			}
 			host.emitted = nil
 		}
 	}()
 	select {
-	case <-ended:
+	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a tick does not end")
+		t.Fatal("verification did not end within 20 s")
 	}
-	if len(host.rewritten) != remembered {
-		t.Fatalf("%d of %d lost answers are written again", len(host.rewritten), remembered)
+	if len(host.rewritten) != cached {
+		t.Fatalf("%d of %d lost summaries were stored again", len(host.rewritten), cached)
 	}
 }
--- a/internal/core/replaylog/replaylog.go
+++ b/internal/core/replaylog/replaylog.go
@@ -14,8 +14,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// Log keeps the last values of the most recently changed keys within a memory limit. A rollback loses
-// the most recent changes first.
+// Log keeps the last values of the most recently changed keys within a memory limit, because a rollback
+// loses the most recent changes.
 type Log struct {
 	maxBytes int
 	bytes    int
--- a/internal/core/replaylog/replaylog_test.go
+++ b/internal/core/replaylog/replaylog_test.go
@@ -19,7 +19,7 @@
 	listed   map[string]store.Event
 }
 
-func (n *logModel) recordChanges(t *rapid.T) {
+func (m *logModel) recordChanges(t *rapid.T) {
 	revision := uint64(0)
 	for range rapid.IntRange(0, 300).Draw(t, "changes") {
 		revision++
@@ -27,29 +27,29 @@
 		if rapid.IntRange(0, 4).Draw(t, "removed") > 0 {
 			event.Value = json.RawMessage(fmt.Sprintf("%0*d", rapid.IntRange(1, 200).Draw(t, "size"), revision))
 		}
-		n.log.Record(event)
-		n.last[event.Key] = event
-		if n.log.Size() > n.maxBytes && len(n.log.entries) > 0 || n.log.Size() < 0 || len(n.log.order) > 4*len(n.log.entries)+64 {
-			t.Fatalf("%d bytes of %d, %d keys, order of length %d", n.log.Size(), n.maxBytes, len(n.log.entries), len(n.log.order))
+		m.log.Record(event)
+		m.last[event.Key] = event
+		if m.log.Size() > m.maxBytes && len(m.log.entries) > 0 || m.log.Size() < 0 || len(m.log.order) > 4*len(m.log.entries)+64 {
+			t.Fatalf("%d bytes of %d, %d keys, order of length %d", m.log.Size(), m.maxBytes, len(m.log.entries), len(m.log.order))
 		}
 	}
 }
 
 // list adds some of the keys to the listing, some with an older version or another value.
-func (n *logModel) list(t *rapid.T) {
-	for key, event := range n.last {
+func (m *logModel) list(t *rapid.T) {
+	for key, event := range m.last {
 		if rapid.Bool().Draw(t, "listed "+key) {
 			event.Stamp -= uint64(rapid.IntRange(0, 1).Draw(t, "older"))
 			if rapid.IntRange(0, 3).Draw(t, "given out again") == 0 {
 				event.Value = json.RawMessage(`"another's"`)
 			}
-			n.listed[key] = event
+			m.listed[key] = event
 		}
 	}
 }
 
-func (n *logModel) missing(event store.Event) bool {
-	current := n.listed[event.Key]
+func (m *logModel) missing(event store.Event) bool {
+	current := m.listed[event.Key]
 	return current.Stamp < event.Stamp || string(current.Value) != string(event.Value)
 }
 
--- a/internal/core/watchcache/watchcache_test.go
+++ b/internal/core/watchcache/watchcache_test.go
@@ -45,23 +45,23 @@
 }
 
 // fakeHost is the host of the cache. It records the values that were applied.
-type host struct {
-	m      *Cache
+type fakeHost struct {
+	cache  *Cache
 	sent   []any
 	values map[string]string
 }
 
-func (r *host) Emit(e any) { r.sent = append(r.sent, e) }
-func (r *host) Apply(e store.Event) {
-	if r.values[e.Key] = string(e.Value); e.Value == nil {
-		delete(r.values, e.Key)
+func (h *fakeHost) Emit(e any) { h.sent = append(h.sent, e) }
+func (h *fakeHost) Apply(e store.Event) {
+	if h.values[e.Key] = string(e.Value); e.Value == nil {
+		delete(h.values, e.Key)
 	}
 }
-func (r *host) KeyRemoved(string) {}
-func (r *host) EventsMissed()     {}
-func (r *host) RateLimited()      {}
-func (r *host) Rebuild(rev uint64, items []store.Event) {
-	r.m.Reset(rev, items, nil)
+func (h *fakeHost) KeyRemoved(string) {}
+func (h *fakeHost) EventsMissed()     {}
+func (h *fakeHost) RateLimited()      {}
+func (h *fakeHost) Rebuild(rev uint64, items []store.Event) {
+	h.cache.Reset(rev, items, nil)
 }
 
 // stored is a put and its time.
@@ -73,7 +73,7 @@
 // cacheModel is a service and the cache of its keys, with requests in transit between them.
 type cacheModel struct {
 	service     *service
-	host        *host
+	host        *fakeHost
 	now         units.Microseconds
 	mayRollBack bool     // the service may be rolled back
 	earlier     *service // an earlier state of the service
@@ -82,8 +82,8 @@
 }
 
 func newCacheModel(t *rapid.T) *cacheModel {
-	c := &cacheModel{service: &service{rev: 5, keys: map[string]store.Event{}}, host: &host{values: map[string]string{}}, now: units.Second}
-	c.host.m = New(Config{Controllers: 1, Rate: 100, MaxStaleness: 2 * units.Second}, c.host)
+	c := &cacheModel{service: &service{rev: 5, keys: map[string]store.Event{}}, host: &fakeHost{values: map[string]string{}}, now: units.Second}
+	c.host.cache = New(Config{Controllers: 1, Rate: 100, MaxStaleness: 2 * units.Second}, c.host)
 	c.mayRollBack = rapid.Bool().Draw(t, "goes_back")
 	return c
 }
@@ -98,7 +98,7 @@
 		if outcome != store.OK {
 			items = nil
 		}
-		c.host.m.OnList(c.now, request, outcome, c.service.rev, items, more)
+		c.host.cache.OnList(c.now, request, outcome, c.service.rev, items, more)
 	case Watch:
 		c.answerWatch(request, outcome)
 	}
@@ -106,17 +106,17 @@
 
 func (c *cacheModel) answerWatch(request Watch, outcome store.Outcome) {
 	changes := c.service.changes
-	gone := outcome == store.OK && c.service.rev > request.After && (len(changes) == 0 || changes[0].Stamp > request.After+1)
+	compacted := outcome == store.OK && c.service.rev > request.After && (len(changes) == 0 || changes[0].Stamp > request.After+1)
 	var events []store.Event
 	for _, change := range changes {
-		if change.Stamp > request.After && !gone {
+		if change.Stamp > request.After && !compacted {
 			events = append(events, change)
 		}
 	}
-	if gone {
+	if compacted {
 		outcome = store.Failed
 	}
-	c.host.m.OnChanges(c.now, request, outcome, c.service.rev, events, gone)
+	c.host.cache.OnChanges(c.now, request, outcome, c.service.rev, events, compacted)
 }
 
 // answerAll answers all requests, including those that are sent meanwhile.
@@ -128,8 +128,8 @@
 
 func (c *cacheModel) step(d units.Microseconds) {
 	c.now += d
-	c.host.m.Tick(c.now, c.now)
-	c.host.m.Pump(c.now)
+	c.host.cache.Tick(c.now, c.now)
+	c.host.cache.Pump(c.now)
 }
 
 func (c *cacheModel) sameAsService() bool {
@@ -160,7 +160,7 @@
 // read requests a fresh read, which has to show everything that is stored now.
 func (c *cacheModel) read(t *rapid.T) {
 	want := maps.Clone(c.service.keys)
-	cache := c.host.m
+	cache := c.host.cache
 	cache.ReadFresh(func(ok bool) {
 		for key, e := range want {
 			if ok && !c.mayRollBack && cache.Version(key) < e.Stamp && c.service.keys[key].Stamp == e.Stamp {
@@ -172,7 +172,7 @@
 
 // asOf checks that the cache contains everything stored before AsOf, whichever other requests were answered.
 func (c *cacheModel) asOf(t *rapid.T) {
-	cache := c.host.m
+	cache := c.host.cache
 	for _, put := range c.puts {
 		if !c.mayRollBack && put.at < cache.AsOf() && c.service.keys[put.Key].Stamp == put.Stamp && cache.Version(put.Key) < put.Stamp {
 			t.Fatalf("at %d AsOf is %d, but the cache lacks %s, which was stored at %d", c.now, cache.AsOf(), put.Key, put.at)
@@ -188,7 +188,7 @@
 // revisions cannot be detected. It then has a request answered immediately: if new writes first reach the
 // lost revision, the rollback is not detected either.
 func (c *cacheModel) rollBack(t *rapid.T) {
-	cache := c.host.m
+	cache := c.host.cache
 	if !c.mayRollBack || c.earlier == nil || c.earlier.rev >= cache.HighestRevision() || !cache.Loaded() || len(c.host.sent) > 0 {
 		return
 	}
@@ -222,7 +222,7 @@
 			model.step(units.Second / 10)
 			model.answerAll()
 		}
-		cache := model.host.m
+		cache := model.host.cache
 		cache.ReadFresh(nil)
 		for range 20 {
 			model.step(units.Second / 10)
@@ -241,22 +241,22 @@
 	if maxWaiters < 4096 {
 		t.Errorf("at most %d requests may wait", maxWaiters)
 	}
-	r := &host{values: map[string]string{}}
-	r.m = New(Config{Controllers: 1, Rate: 100, MaxStaleness: 2 * units.Second}, r)
-	r.m.Tick(units.Second, units.Second)
-	r.m.OnList(units.Second, List{}, store.OK, 5, nil, false)
-	r.m.Pump(units.Second)
-	r.m.OnChanges(units.Second, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
+	r := &fakeHost{values: map[string]string{}}
+	r.cache = New(Config{Controllers: 1, Rate: 100, MaxStaleness: 2 * units.Second}, r)
+	r.cache.Tick(units.Second, units.Second)
+	r.cache.OnList(units.Second, List{}, store.OK, 5, nil, false)
+	r.cache.Pump(units.Second)
+	r.cache.OnChanges(units.Second, Watch{After: 5, Fresh: true}, store.OK, 5, nil, false)
 	succeeded := make([]int, maxWaiters)
 	for i := range succeeded {
-		r.m.ReadFresh(func(ok bool) {
+		r.cache.ReadFresh(func(ok bool) {
 			if ok {
 				succeeded[i]++
 			}
 		})
 	}
 	failed := 0
-	r.m.ReadFresh(func(ok bool) {
+	r.cache.ReadFresh(func(ok bool) {
 		if !ok {
 			failed++
 		}
@@ -265,14 +265,14 @@
 		t.Fatalf("the request beyond the limit failed %d times", failed)
 	}
 	r.sent = nil
-	r.m.Pump(2 * units.Second)
+	r.cache.Pump(2 * units.Second)
 	if len(r.sent) != 1 {
 		t.Fatalf("%d reads for all waiting requests", len(r.sent))
 	}
 	// A request that arrives while the read is in flight waits for the next one.
 	late := 0
-	r.m.ReadFresh(func(bool) { late++ })
-	r.m.OnChanges(2*units.Second, r.sent[0].(Watch), store.OK, 6, nil, false)
+	r.cache.ReadFresh(func(bool) { late++ })
+	r.cache.OnChanges(2*units.Second, r.sent[0].(Watch), store.OK, 6, nil, false)
 	if slices.ContainsFunc(succeeded, func(n int) bool { return n != 1 }) || failed != 1 || late != 0 {
 		t.Errorf("successes of the waiting requests: %v; failures beyond the limit: %d; calls of the late request: %d", succeeded, failed, late)
 	}
