--- a/internal/core/provisioner/provisioner_test.go
+++ b/internal/core/provisioner/provisioner_test.go
@@ -15,14 +15,14 @@
 
 const second = units.Second
 
-// fakeShard is the shard whose machines are provisioned.
+// fakeShard implements Host.
 type fakeShard struct {
 	machines     map[string]*fleet.Machine
 	unreconciled map[string]bool
 	effects      []any
 	adopted      []string
 	provisioned  []string
-	elsewhere    string // a machine of another shard
+	elsewhere    string // name of a machine of another shard
 }
 
 var bigType = &fleet.Type{Name: "big", Capacity: binpack.Vec{16_000}, Boot: 20 * second, Zones: []string{"z"}, Price: 1.6}
@@ -37,7 +37,7 @@
 	return New(cfg, shard, view), shard
 }
 
-// add adds a machine that was provisioned at some time.
+// add adds a machine that was provisioned at the given time.
 func (s *fakeShard) add(name string, at units.Microseconds) *fleet.Machine {
 	machine := fleet.New(name, fleet.Record{Type: "big", Zone: "z"}, bigType, at)
 	s.machines[name] = machine
@@ -49,7 +49,7 @@
 func (s *fakeShard) Machines() map[string]*fleet.Machine { return s.machines }
 func (s *fakeShard) Unreconciled() map[string]bool       { return s.unreconciled }
 func (*fakeShard) Types() map[string]*fleet.Type         { return map[string]*fleet.Type{"big": bigType} }
-func (*fakeShard) Calls() float64                        { return 10 }
+func (*fakeShard) CallRate() float64                     { return 10 }
 func (*fakeShard) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
 	return map[autoscaler.Group]autoscaler.Need{}, true
 }
@@ -58,16 +58,16 @@
 	s.provisioned = append(s.provisioned, names...)
 }
 func (s *fakeShard) Deprovisioned(machine *fleet.Machine) { delete(s.machines, machine.Name) }
-func (s *fakeShard) Adopt(listed Listed)                  { s.adopted = append(s.adopted, listed.Name) }
+func (s *fakeShard) Adopt(listed ListedMachine)           { s.adopted = append(s.adopted, listed.Name) }
 func (s *fakeShard) InAnotherShard(machine string) bool   { return machine == s.elsewhere }
-func listed(name string, age units.Microseconds) Listed {
-	return Listed{Name: name, Addr: name + ":1", Age: age}
+func listed(name string, age units.Microseconds) ListedMachine {
+	return ListedMachine{Name: name, Addr: name + ":1", Age: age}
 }
-func failed(name string) Listed { return Listed{Name: name, Failed: true} }
+func failed(name string) ListedMachine { return ListedMachine{Name: name, Failed: true} }
 
-// TestUselessMachines plans with machines that are deprovisioned whatever work there is, and some
-// just before they are.
-func TestUselessMachines(t *testing.T) {
+// TestDeprovisionConditions checks each reason for which a machine is deprovisioned whatever work there
+// is, and the state just before the reason applies.
+func TestDeprovisionConditions(t *testing.T) {
 	const now = 1000 * second
 	for _, test := range []struct {
 		name string
@@ -76,12 +76,14 @@
 	}{
 		{"boots in time", func(m *fleet.Machine) { m.ProvisionedAt = now - bootDeadline(m) }, false},
 		{"never came up", func(m *fleet.Machine) { m.ProvisionedAt = now - bootDeadline(m) - 1 }, true},
-		{"of unknown type, boots", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownBoot }, false},
-		{"of unknown type, never came up", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownBoot-1 }, true},
+		{"of unknown type, boots", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownTypeBootDeadline }, false},
+		{"of unknown type, never came up", func(m *fleet.Machine) { m.Type, m.ProvisionedAt = nil, now-unknownTypeBootDeadline-1 }, true},
 		{"quarantined, not reconciled", func(m *fleet.Machine) { m.LastSeen, m.Quarantined = now, true }, false},
 		{"quarantined and idle", func(m *fleet.Machine) { m.LastSeen, m.Quarantined, m.Reconciled = now, true, true }, true},
-		{"lost for long", func(m *fleet.Machine) { m.Lost, m.IdleSince = true, now-keepLost-1 }, true},
-		{"lost, young", func(m *fleet.Machine) { m.Lost, m.IdleSince, m.ProvisionedAt = true, now-keepLost, now-60*second }, false},
+		{"lost for long", func(m *fleet.Machine) { m.Lost, m.IdleSince = true, now-lostGracePeriod-1 }, true},
+		{"lost, young", func(m *fleet.Machine) {
+			m.Lost, m.IdleSince, m.ProvisionedAt = true, now-lostGracePeriod, now-60*second
+		}, false},
 		{"on its way", func(m *fleet.Machine) { m.Deprovisioning, m.ProvisionedAt = true, 0 }, false},
 	} {
 		provisioner, shard := newProvisioner(t)
@@ -94,39 +96,41 @@
 	}
 }
 
-// TestScaleInOutcomes has a request to delete machines answered: after OK they are no more and are
-// remembered as deleted, otherwise the next plan tries again, after a pause.
+// TestScaleInOutcomes checks the outcomes of a request to delete machines. After store.OK the machines
+// must be removed and remembered as deleted. After any other outcome the next plan must try again, after
+// errorPause.
 func TestScaleInOutcomes(t *testing.T) {
 	provisioner, shard := newProvisioner(t)
 	machine := shard.add("n-1", 0)
-	provisioner.Release(machine)
+	provisioner.Deprovision(machine)
 	provisioner.Flush()
 	request := shard.effects[0].(ScaleIn)
 	if !slices.Equal(request.Names, []string{"n-1"}) || request.Assignment != 3 || !machine.Deprovisioning {
 		t.Fatalf("request %+v", request)
 	}
 	provisioner.OnScaleIn(second, request, store.Unknown)
-	if machine.Deprovisioning || provisioner.Deprovisioned("n-1") || provisioner.Ready(second+pause-1) || !provisioner.Ready(second+pause) {
-		t.Error("after an unknown outcome the machine must stay and the cloud rest")
+	if machine.Deprovisioning || provisioner.Deprovisioned("n-1") || provisioner.Ready(second+errorPause-1) || !provisioner.Ready(second+errorPause) {
+		t.Error("after an unknown outcome the machine must stay and calls to the cloud must pause")
 	}
 	provisioner.OnScaleIn(5*second, request, store.OK)
 	if shard.machines["n-1"] != nil || !provisioner.Deprovisioned("n-1") {
-		t.Error("after OK the machine is still there")
+		t.Error("after OK the machine is still recorded, or not remembered as deleted")
 	}
-	// The list may show it, and heartbeats may be held back: it is remembered for a while.
-	keep := 4*provisioner.cfg.ListLag + forgetDeprovisioned
-	provisioner.OnListMachines(5*second+keep, ListMachines{}, []Listed{listed("n-1", 500*second)})
+	// The list may still show the machine and delayed heartbeats may arrive, so it is remembered for a
+	// while.
+	keep := 4*provisioner.cfg.ListLag + deprovisionedRetention
+	provisioner.OnListMachines(5*second+keep, ListMachines{}, []ListedMachine{listed("n-1", 500*second)})
 	if !provisioner.Deprovisioned("n-1") || len(shard.adopted) != 0 {
 		t.Errorf("adopted %v", shard.adopted)
 	}
 	provisioner.OnListMachines(5*second+keep+1, ListMachines{}, nil)
 	if provisioner.Deprovisioned("n-1") {
-		t.Error("remembered for ever")
+		t.Error("a deleted machine is still remembered after its retention")
 	}
 }
 
-// TestScaleOutOutcomes counts open requests, takes in what came, and leaves a pool alone that had no
-// capacity.
+// TestScaleOutOutcomes checks that open requests are counted, that provisioned machines are added, and
+// that the cloud is not called right after an unknown outcome.
 func TestScaleOutOutcomes(t *testing.T) {
 	provisioner, shard := newProvisioner(t)
 	increase := autoscaler.Increase{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: fleet.MaxGroup + 1}
@@ -144,13 +148,13 @@
 	}
 	provisioner.OnScaleOut(2*second, first, store.Unknown, nil)
 	if provisioner.OpenRequests() != 0 || provisioner.Ready(2*second) {
-		t.Error("the cloud is called at once after it did not answer")
+		t.Error("no pause after an unknown outcome")
 	}
 }
 
-// TestMachineList has the cloud list machines: one that has failed, one of another shard, one that
-// nobody is known to have provisioned, and one that is too young to be called so. An unreconciled
-// machine that should be on the list and is not is noted.
+// TestMachineList has the cloud list a failed machine, a machine of another shard, one that no shard is
+// known to have provisioned, and one that is too new to count as such. An unreconciled machine that is
+// missing from the list though it is old enough must be marked.
 func TestMachineList(t *testing.T) {
 	const now = 1000 * second
 	provisioner, shard := newProvisioner(t)
@@ -161,10 +165,10 @@
 	}
 	shard.elsewhere = "elsewhere"
 	old := 2*provisioner.cfg.ListLag + provisioner.cfg.AdoptAfter + 1
-	provisioner.OnListMachines(now, ListMachines{SentAt: now}, []Listed{listed("known", old), failed("broken"), failed("stranger"),
+	provisioner.OnListMachines(now, ListMachines{SentAt: now}, []ListedMachine{listed("known", old), failed("broken"), failed("stranger"),
 		listed("elsewhere", old), listed("orphan", old), listed("new", old-1)})
 	if known.Addr != "known:1" || known.Unlisted || !absent.Unlisted || young.Unlisted {
-		t.Errorf("known %+v, absent %v, young %v", known, absent.Unlisted, young.Unlisted)
+		t.Errorf("known %+v; unlisted: absent %v, young %v", known, absent.Unlisted, young.Unlisted)
 	}
 	if !broken.Deprovisioning || !slices.Equal(provisioner.queue, []string{"broken", "stranger"}) {
 		t.Errorf("to be deprovisioned: %v", provisioner.queue)
