--- a/internal/core/archive/filter.go
+++ b/internal/core/archive/filter.go
@@ -21,7 +21,7 @@
 func newFilter(max int) *filter { return &filter{maxBytes: max} }
 
 func (f *filter) add(id string) {
-	if f.mayContain(id) {
+	if f.has(id) {
 		return
 	}
 	f.count++
@@ -41,7 +41,7 @@
 	return len(f.parts) == 0 || f.bytes+firstFilterIDs<<len(f.parts)*bitsPerID/8 <= f.maxBytes
 }
 
-func (f *filter) mayContain(id string) bool {
+func (f *filter) has(id string) bool {
 	for i := len(f.parts) - 1; i >= 0; i-- {
 		if f.parts[i].TestString(id) {
 			return true
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -46,7 +46,7 @@
 const (
 	cachedSummaries   = 1 << 13
 	maxFilterBytes    = 8 << 20
-	maxTrackedBuckets = 1 << 18
+	maxTrackedBuckets = 1 << 18 // buckets whose depths are recorded
 	// urgentWaitSeconds and backgroundWaitSeconds limit the queues of reads, for submissions and for all
 	// other lookups, to the reads of so many seconds. So no read waits longer than its requester. Further
 	// lookups are refused immediately. A queue may always hold minQueueLimit reads.
@@ -108,7 +108,7 @@
 type read struct {
 	sent       bool
 	waiting    []*lookup
-	joinedLate []*lookup // started after the read was sent: they may use what it finds, but not the absence of a job
+	joinedLate []*lookup // started after the read was sent: the jobs that it finds count, their absence does not
 }
 
 // lookup is a request for the summary of a job, or for its whole bucket.
@@ -153,8 +153,8 @@
 // Enabled reports whether archiving has been enabled, so that jobs may be archived.
 func (x *Index) Enabled() bool { return x.enabled }
 
-// Invalidate clears the filter and restarts the scan, because archived jobs may have been missed when
-// the watch cache was listed again.
+// Invalidate clears the filter and restarts the scan. It is called when archived jobs may have been missed, for
+// example because the watch cache was listed again.
 func (x *Index) Invalidate() {
 	x.complete, x.scanning, x.lastScanned = false, false, ""
 	x.scanRound++
@@ -179,9 +179,7 @@
 
 // ProvenAbsent reports whether a job id is certainly not archived, as of the state that the watch cache
 // shows.
-func (x *Index) ProvenAbsent(id string) bool {
-	return !x.enabled || x.complete && !x.filter.mayContain(id)
-}
+func (x *Index) ProvenAbsent(id string) bool { return !x.enabled || x.complete && !x.filter.has(id) }
 
 // Complete reports whether the filter is complete, and the number of ids in it.
 func (x *Index) Complete() (bool, int) { return x.complete, x.filter.count }
@@ -347,7 +345,7 @@
 	return err
 }
 
-// parent returns the number of the bucket that bucket n is split off.
+// parent returns the number of the bucket from which bucket n is split off.
 func parent(n uint32) uint32 {
 	return n &^ (1 << bits.Len32(n) >> 1)
 }
--- a/internal/core/archive/manager_test.go
+++ b/internal/core/archive/manager_test.go
@@ -31,23 +31,23 @@
 // made at a later tick, and all lost jobs must be stored again.
 func TestVerifyBeyondQueueLimit(t *testing.T) {
 	host := &managerHost{rewritten: map[string]bool{}}
-	m := NewManager(Config{}, host)
+	manager := NewManager(Config{}, host)
 	const depth, cached = 5, 200
 	for n := range uint32(1 << depth) {
-		m.index.recordDepth(n, depth)
+		manager.index.recordDepth(n, depth)
 	}
 	for i := range cached {
-		m.index.CacheSummary(fmt.Sprintf("wk-%06d", i), Summary{Status: jobs.Done, Tasks: 1})
+		manager.index.CacheSummary(fmt.Sprintf("wk-%06d", i), Summary{Status: jobs.Done, Tasks: 1})
 	}
-	m.RolledBack()
+	manager.RolledBack()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for now := units.Second; now < 4000*units.Second && len(host.rewritten) < cached; now += units.Second {
-			m.Tick(now)
-			m.Pump(now)
+			manager.Tick(now)
+			manager.Pump(now)
 			for _, effect := range host.emitted {
-				m.OnRead(now, effect.(Read), store.OK, nil, 0)
+				manager.OnRead(now, effect.(Read), store.OK, nil, 0)
 			}
 			host.emitted = nil
 		}
