--- a/internal/core/watchcache/watchcache_test.go
+++ b/internal/core/watchcache/watchcache_test.go
@@ -184,7 +184,7 @@
 	c.earlier = &service{c.service.rev, maps.Clone(c.service.keys), slices.Clone(c.service.changes)}
 }
 
-// goBack rolls the service back behind a revision that the cache has seen, because the loss of other
+// rollBack rolls the service back behind a revision that the cache has seen, because the loss of other
 // revisions cannot be detected. It then has a request answered immediately: if new writes first reach the
 // lost revision, the rollback is not detected either.
 func (c *cacheModel) rollBack(t *rapid.T) {
