--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,7 +8,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// jobsHost is what the registry of jobs tells this controller, and asks of it.
+// jobsHost implements registry.Host: it gives the registry of jobs access to this controller.
 type jobsHost struct{ *Core }
 
 var _ registry.Host = jobsHost{}
@@ -40,18 +40,18 @@
 // JobFinalizing implements registry.Host.
 func (c jobsHost) JobFinalizing(job *jobs.Job, status jobs.Status) {
 	if shard := c.owned[job.Record.Shard]; shard != nil {
-		shard.jobOver(c.Core, job, status)
+		shard.jobFinished(c.Core, job, status)
 	}
 }
 
-// JobFinalized implements registry.Host: the job is archived some day.
+// JobFinalized implements registry.Host. It marks the job for later archiving.
 func (c jobsHost) JobFinalized(id string) { c.archive.JobFinalized(c.now, id) }
 
 // JobArchived implements registry.Host.
 func (c jobsHost) JobArchived(job *jobs.Job) { c.archive.JobArchived(job) }
 
-// CancellationObserved implements registry.Host. What the copy of the state service's keys already had
-// is known to every controller that has read as far.
+// CancellationObserved implements registry.Host. A cancellation that the watch cache already covered is known
+// to every controller that has read up to the same revision, so it need not be sent to the others.
 func (c jobsHost) CancellationObserved(record store.Event) {
 	if record.Stamp > c.cache.Revision {
 		c.cancellations.Record(record)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -12,14 +12,15 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// reconcileHost is what the owner of a shard does for its machines (package reconcile).
+// reconcileHost implements reconcile.Host, reconcile.JobHost and reconcile.IdleHost: it gives the
+// reconciliation of a shard's machines access to the shard.
 type reconcileHost struct {
 	*Core
 	shard *ownedShard
 }
 
 // GuardEnabled implements reconcile.Host.
-func (h reconcileHost) GuardEnabled(check guard.Guard) bool { return h.guarded(check) }
+func (h reconcileHost) GuardEnabled(check guard.Guard) bool { return h.guardEnabled(check) }
 
 // Assignment implements reconcile.Host.
 func (h reconcileHost) Assignment() uint64 { return h.shard.assignment }
@@ -87,8 +88,8 @@
 }
 
 // ObserveRuntime implements reconcile.JobHost.
-func (h reconcileHost) ObserveRuntime(job *jobs.Job, took units.Microseconds) {
-	h.shard.demand.ObserveRuntime(job.Spec(), took)
+func (h reconcileHost) ObserveRuntime(job *jobs.Job, runtime units.Microseconds) {
+	h.shard.demand.ObserveRuntime(job.Spec(), runtime)
 }
 
 // TaskCompleted implements reconcile.JobHost.
@@ -115,19 +116,19 @@
 	h.answerHeartbeat(h.shard, machine, RequestID(request), HeartbeatResponse{FencingToken: h.shard.fencingToken, Commands: commands})
 }
 
-// Probe shows this owner's fencing token to a machine (OnProbe).
+// Probe is the effect that presents this owner's fencing token to a machine (OnProbe).
 type Probe = reconcile.Probe
 
-// OnProbe takes a machine's answer to a probe.
+// OnProbe handles a machine's answer to a Probe.
 func (c *Core) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	c.advance(now)
-	if shard := c.ownedUnder(probe.Shard, probe.Assignment); shard != nil {
+	if shard := c.ownedWithAssignment(probe.Shard, probe.Assignment); shard != nil {
 		shard.reconciler.OnProbe(c.now, probe, outcome, answer)
 	}
 }
 
-// newMachine adds a machine that is, or is about to be, stored with a group, and that was
-// provisioned some time ago.
+// newMachine adds a machine to a shard and to a stored group, or one that is about to
+// be stored. age is the time since the machine was provisioned.
 func (c *Core) newMachine(shard *ownedShard, name, group string, record fleet.Record, age units.Microseconds) *fleet.Machine {
 	machine := fleet.New(name, record, c.types[record.Type], c.now)
 	machine.Group, machine.ProvisionedAt = group, c.now-age
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -13,82 +13,84 @@
 	"shalestage.example/shalestage/internal/core/transfer"
 )
 
-// Messages between controllers of what an owner starts, see package replication.
+// Messages that replicate what a shard's owner starts to its standby; see package replication.
 type (
-	// ReplicationMessage tells a standby what may have been started.
+	// ReplicationMessage tells a standby which tasks may have been started.
 	ReplicationMessage = replication.Message
-	// ReplicationAck answers ReplicationMessage.
+	// ReplicationAck acknowledges a ReplicationMessage.
 	ReplicationAck = replication.Ack
 )
 
-// replicationHost is the owner of a shard, for the stream to its standby.
+// replicationHost implements replication.Host: it gives the replication to a shard's
+// standby access to the shard.
 type replicationHost struct {
 	*Core
 	shard *ownedShard
 }
 
-// startReply is the response to a heartbeat, with something to start.
-type startReply struct {
-	req    RequestID
-	orders HeartbeatResponse
+// deferredResponse is a heartbeat response that starts a task and waits until the standby has acknowledged it.
+type deferredResponse struct {
+	request  RequestID
+	response HeartbeatResponse
 }
 
-// Candidate implements replication.Host. A zone that is lost takes all in it with it: whoever
-// follows is in another one, where that can be.
-func (f replicationHost) Candidate() string {
+// Candidate implements replication.Host. It prefers a standby in another zone, so that
+// the loss of a zone does not take both the owner and its standby.
+func (h replicationHost) Candidate() string {
 	best, bestCost := "", 4
-	names := f.everyone()
-	at := slices.Index(names, f.cfg.Node)
+	names := h.controllerNames()
+	self := slices.Index(names, h.cfg.Node)
 	for i := range names {
-		n := names[(at+i)%len(names)]
-		if n == f.cfg.Node || !f.Eligible(n) || f.stateAge() > peering.ServedFor {
+		node := names[(self+i)%len(names)]
+		if node == h.cfg.Node || !h.Eligible(node) || h.stateAge() > peering.ServedFor {
 			continue
 		}
 		cost := 0
-		if z := f.cfg.PeerZones[n]; z == f.cfg.HomeZone {
+		if zone := h.cfg.PeerZones[node]; zone == h.cfg.HomeZone {
 			cost += 2
-		} else if !f.zones.Reachable(z) {
+		} else if !h.zones.Reachable(zone) {
 			cost++
 		}
 		if cost < bestCost {
-			best, bestCost = n, cost
+			best, bestCost = node, cost
 		}
 	}
 	return best
 }
 
 // Eligible implements replication.Host.
-func (f replicationHost) Eligible(n string) bool {
-	return f.peers.Alive(f.now, n) && f.membership.CurrentID(n) != 0 && f.peers.Release(n) >= peering.ReleaseReplicates && !f.peerUnreachable(n)
+func (h replicationHost) Eligible(node string) bool {
+	return h.peers.Alive(h.now, node) && h.membership.CurrentID(node) != 0 && h.peers.Release(node) >= peering.ReleaseReplicates && !h.peerUnreachable(node)
 }
 
 // Send implements replication.Host.
-func (f replicationHost) Send(to string, m replication.Message) { f.emit(SendPeer{to, m}) }
+func (h replicationHost) Send(to string, message replication.Message) { h.emit(SendPeer{to, message}) }
 
-// Machines implements replication.Host. Tasks may run on one that is being returned until the
-// cloud has answered.
-func (f replicationHost) Machines() []string {
+// Machines implements replication.Host. It includes machines that are being
+// deprovisioned, as tasks may run on them until the cloud has answered.
+func (h replicationHost) Machines() []string {
 	var out []string
-	for _, name := range sortedKeys(f.shard.reconciler.Machines()) {
-		if len(f.shard.reconciler.Machine(name).Tasks) > 0 {
+	for _, name := range sortedKeys(h.shard.reconciler.Machines()) {
+		if len(h.shard.reconciler.Machine(name).Tasks) > 0 {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// SnapshotMachine implements replication.Host. A machine that is not there was returned: nothing is on it.
-func (f replicationHost) SnapshotMachine(name string) replication.MachinePicture {
-	if m := f.shard.reconciler.Machine(name); m != nil {
-		return transfer.MachineSnapshot(m)
+// SnapshotMachine implements replication.Host. An unknown machine was deprovisioned,
+// so that no task runs on it.
+func (h replicationHost) SnapshotMachine(name string) replication.MachinePicture {
+	if machine := h.shard.reconciler.Machine(name); machine != nil {
+		return transfer.MachineSnapshot(machine)
 	}
 	return replication.MachinePicture{Name: name}
 }
 
 // UnstoredTasks implements replication.Host.
-func (f replicationHost) UnstoredTasks() (out []FinishedTasks) {
-	for _, id := range sortedKeys(f.shard.active) {
-		if tasks := transfer.UnstoredTasks(f.shard.active[id]); len(tasks) > 0 {
+func (h replicationHost) UnstoredTasks() (out []FinishedTasks) {
+	for _, id := range sortedKeys(h.shard.active) {
+		if tasks := transfer.UnstoredTasks(h.shard.active[id]); len(tasks) > 0 {
 			out = append(out, FinishedTasks{Job: id, Tasks: tasks})
 		}
 	}
@@ -96,37 +98,38 @@
 }
 
 // Store implements replication.Host.
-func (f replicationHost) Store(r replication.Record, done func(bool)) {
-	key := keys.Standby(f.shard.number)
-	guards := []store.Guard{{Key: assignmentKey(f.shard.number), Version: f.shard.assignment}}
-	if r.Node != "" {
-		// That nobody follows is written over whatever is there; that somebody does must not
-		// come after it.
-		guards = append(guards, store.Guard{Key: key, Version: f.cache.Version(key)})
+func (h replicationHost) Store(record replication.Record, done func(bool)) {
+	key := keys.Standby(h.shard.number)
+	guards := []store.Guard{{Key: assignmentKey(h.shard.number), Version: h.shard.assignment}}
+	if record.Node != "" {
+		// The record that there is no standby overwrites any other record, so it is guarded by the assignment
+		// alone. A record that names a standby must not overwrite a later record.
+		guards = append(guards, store.Guard{Key: key, Version: h.cache.Version(key)})
 	}
-	f.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(r)}}, First: true,
-		Done: func(o store.Outcome, _ uint64) {
-			if o == store.OK {
-				f.log.Info("standby stored", "shard", f.shard.number, "standby", r.Node)
+	h.queues[ControlQueue].Add(&store.Write{Guards: guards, Changes: []store.Change{{Key: key, Value: store.Value(record)}}, First: true,
+		Done: func(outcome store.Outcome, _ uint64) {
+			if outcome == store.OK {
+				h.log.Info("standby stored", "shard", h.shard.number, "standby", record.Node)
 			}
-			done(o == store.OK)
+			done(outcome == store.OK)
 		}})
 }
 
 // Answer implements replication.Host.
-func (f replicationHost) Answer(a any, ok bool) {
-	x := a.(startReply)
-	if ok && f.owned[f.shard.number] == f.shard && f.Owns(f.now, f.shard.number) {
-		f.reply(x.req, http.StatusOK, x.orders)
+func (h replicationHost) Answer(answer any, ok bool) {
+	deferred := answer.(deferredResponse)
+	if ok && h.owned[h.shard.number] == h.shard && h.Owns(h.now, h.shard.number) {
+		h.reply(deferred.request, http.StatusOK, deferred.response)
 		return
 	}
-	f.reply(x.req, http.StatusServiceUnavailable, Problem{"no authority at present"})
+	h.reply(deferred.request, http.StatusServiceUnavailable, Problem{"no authority at present"})
 }
 
-// answerHeartbeat answers a heartbeat. A response that starts something waits until the standby knows.
-func (c *Core) answerHeartbeat(shard *ownedShard, m *fleet.Machine, req RequestID, o HeartbeatResponse) {
-	starts := slices.ContainsFunc(o.Commands, func(x fleet.Command) bool { return x.Op == fleet.Start })
-	if !starts || !c.guarded(guard.StandbyAcknowledged) || !shard.replication.DeferAnswer(c.now, m.Name, startReply{req, o}) {
-		c.reply(req, http.StatusOK, o)
+// answerHeartbeat answers a heartbeat. A response that starts a task is deferred until
+// the standby has acknowledged the start.
+func (c *Core) answerHeartbeat(shard *ownedShard, machine *fleet.Machine, request RequestID, response HeartbeatResponse) {
+	starts := slices.ContainsFunc(response.Commands, func(command fleet.Command) bool { return command.Op == fleet.Start })
+	if !starts || !c.guardEnabled(guard.StandbyAcknowledged) || !shard.replication.DeferAnswer(c.now, machine.Name, deferredResponse{request, response}) {
+		c.reply(request, http.StatusOK, response)
 	}
 }
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -4,7 +4,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// rollbackHost is what this controller does once the state service went back.
+// rollbackHost implements rollback.Host and rollback.Rewriter: it recovers this
+// controller after a rollback of the state service.
 type rollbackHost struct{ *Core }
 
 // RestoreArchived implements rollback.Host.
@@ -21,7 +22,7 @@
 func (c rollbackHost) StateRolledBack() {
 	c.config.Reloaded()
 	c.cancellations.StateRolledBack(c.now)
-	c.suspectCommits()
+	c.suspectRollback()
 	c.archive.RolledBack()
 	c.transfers.StateRolledBack()
 }
