--- a/internal/core/commits.go
+++ b/internal/core/commits.go
@@ -12,11 +12,11 @@
 func (c *Core) OnCommit(now units.Microseconds, queue QueueID, txn *store.Txn, outcome store.Outcome, revision uint64, failed []string) {
 	c.advance(now)
 	outcome = c.noteOutcome(outcome)
-	if !c.queues[queue].UnderWay(txn) {
+	if !c.queues[queue].InFlight(txn) {
 		return
 	}
 	if outcome == store.OK {
-		c.cache.Committed(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // archive buckets are not cached
+		c.cache.ApplyCommitted(now, txn, revision, func(key string) bool { return strings.HasPrefix(key, root) }) // archive buckets are not cached
 	} else {
 		c.readFresh(nil)
 	}
@@ -42,7 +42,7 @@
 		return
 	}
 	for _, queue := range c.queues {
-		if txn := queue.Conclude(c.now); txn != nil {
+		if txn := queue.FinishProven(c.now); txn != nil {
 			c.log.Debug("transaction answer is late; the watch cache shows that it was committed", "first", txn.Changes[0].Key)
 			c.emit(Abandon{txn})
 		} else if queue.ReadDue(c.now) {
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -323,7 +323,7 @@
 
 func (s *Inspector) auditBuckets() {
 	for _, number := range slices.Sorted(maps.Keys(s.bucketDepths)) {
-		if key, why := archive.Misplaced(number, s.bucketDepths); why != "" {
+		if key, why := archive.CheckPlacement(number, s.bucketDepths); why != "" {
 			s.addFinding("misplaced", key, nil, "%s", why)
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -70,7 +70,7 @@
 // status returns this controller's status for the other controllers.
 func (c *Core) status() PeerStatus {
 	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.Unreachable(c.now), Release: peering.Release,
-		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
+		Full: c.admission.MemoryFull(), Back: c.cache.LastRollback()}
 	// Also after this controller's authority has expired: while all other controllers
 	// still grant it a peer lease, none has taken over its shards.
 	if c.membership.ID() != 0 {
@@ -186,7 +186,7 @@
 	c.peers.SetRelease(from, status.Release)
 	if c.peers.RollbackReported(from, status.Back) {
 		c.log.Warn("another controller reports that the state service was rolled back; reloading", "controller", from)
-		c.cache.Reload(c.now)
+		c.cache.StartRecovery(c.now)
 	}
 	c.receiveConfigStatus(from, status)
 	if c.membership.GrantPeerLease(c.now, from, status.Seat) {
--- a/internal/core/rollback/rollback.go
+++ b/internal/core/rollback/rollback.go
@@ -68,7 +68,7 @@
 // RecordChange adds an observed change to the log.
 func (r *Recovery) RecordChange(e store.Event) {
 	if !decidesAuthority(e.Key) {
-		r.changes.Note(e)
+		r.changes.Record(e)
 	}
 }
 
--- a/internal/core/watchcache.go
+++ b/internal/core/watchcache.go
@@ -18,22 +18,22 @@
 // Emit implements watchcache.Host.
 func (c cacheHost) Emit(e any) { c.emit(e) }
 
-// Learn implements watchcache.Host.
-func (c cacheHost) Learn(e store.Event) { c.applyEvent(e) }
+// Apply implements watchcache.Host.
+func (c cacheHost) Apply(e store.Event) { c.applyEvent(e) }
 
-// Removed implements watchcache.Host.
-func (c cacheHost) Removed(key string) {
+// KeyRemoved implements watchcache.Host.
+func (c cacheHost) KeyRemoved(key string) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		c.archive.RecordRemoved(id)
 	}
 }
 
-// Gap implements watchcache.Host.
-func (c cacheHost) Gap() { c.archive.Gap() }
+// EventsMissed implements watchcache.Host.
+func (c cacheHost) EventsMissed() { c.archive.EventsMissed() }
 
-// Limited implements watchcache.Host. The state service has refused a request as over its limit, so from now
+// RateLimited implements watchcache.Host. The state service has refused a request as over its limit, so from now
 // on the lower rates apply that are configured for later.
-func (c cacheHost) Limited() {
+func (c cacheHost) RateLimited() {
 	if next := c.cfg.NextWriteRate; 0 < next && next < c.cfg.WriteRate {
 		c.log.Info("state service has lowered its write limit; reducing the write rate", "a_second", next)
 		c.cfg.WriteRate = next
@@ -41,18 +41,18 @@
 	}
 }
 
-// Reload implements watchcache.Host.
-func (c cacheHost) Reload(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
+// Rebuild implements watchcache.Host.
+func (c cacheHost) Rebuild(rev uint64, items []store.Event) { c.rollback.OnListing(rev, items) }
 
 // ListPageSize is the number of keys in one page of a listing.
-const ListPageSize = watchcache.Page
+const ListPageSize = watchcache.PageSize
 
 // readFresh requests a read of the state service that begins after this call. It calls
 // done, if not nil, with whether the read succeeded.
 func (c *Core) readFresh(done func(ok bool)) { c.cache.ReadFresh(done) }
 
 // noteOutcome records whether the state service serves this node, and at what rate. It returns the outcome for
-// callers that need not know why a request was refused: store.Limited becomes store.Refused.
+// callers that need not know why a request was refused: store.RateLimited becomes store.Refused.
 func (c *Core) noteOutcome(o store.Outcome) store.Outcome { return c.cache.NoteOutcome(c.now, o) }
 
 // OnList handles one page of a listing, read at revision rev. more reports whether further pages follow.
@@ -81,7 +81,7 @@
 	case event.Key == leaderKey || event.Key == keys.LeaderSinceArchive:
 		err = c.election.ApplyRecord(event)
 	case event.Key == keys.ArchiveMark:
-		err = c.archive.LearnMark(event)
+		err = c.archive.ApplyMark(event)
 	case strings.HasPrefix(event.Key, memberPrefix):
 		err = c.membership.ApplyRecord(c.now, event.Key[len(memberPrefix):], event)
 	case strings.HasPrefix(event.Key, assignmentPrefix):
