--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -22,51 +22,50 @@
 	ScanKeys = archive.Scan
 )
 
-// TermKey and ArchiveKey are keys whose values a restore has to change.
+// TermKey and ArchiveKey are the keys whose values a restore from a backup has to change.
 const (
 	TermKey    = keys.Term
 	ArchiveKey = keys.ArchiveMark
 )
 
-// IsLeased reports whether a key and its value belong to a controller's lease: with
-// that they are gone.
-func IsLeased(e store.Event) bool {
-	return strings.HasPrefix(e.Key, keys.MemberPrefix) || e.Key == keys.LeaderSinceArchive || e.Key == keys.Leader && !election.IsExclusionRecord(e.Value)
+// IsLeased reports whether a record is attached to a controller's lease, so that it is
+// deleted when the lease ends.
+func IsLeased(event store.Event) bool {
+	return strings.HasPrefix(event.Key, keys.MemberPrefix) || event.Key == keys.LeaderSinceArchive || event.Key == keys.Leader && !election.IsExclusionRecord(event.Value)
 }
 
-// typeKey is where a machine type is stored.
+// typeKey returns the key under which a machine type is stored.
 func (c *Core) typeKey(name string) string {
-	if c.archive.Index().On() {
+	if c.archive.Index().Enabled() {
 		return keys.TypePrefixWithArchive + name
 	}
 	return keys.TypePrefix + name
 }
 
-// incompatible reports whether a controller runs a release that cannot find archived jobs, or
-// does not go by the configuration that is stored.
+// incompatible reports whether another controller runs a release that cannot find archived jobs, while there
+// are some, or that ignores the stored configuration, while there is one.
 func (c *Core) incompatible(node string) bool {
-	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
+	return node != c.cfg.Node && (c.archive.Index().Enabled() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
-// OnKey takes a bucket that was read; a nil value: it is not stored. rev is the
-// service's revision where it told one, else 0.
-func (c *Core) OnKey(now units.Microseconds, r ReadKey, o store.Outcome, value []byte, stamp, rev uint64) {
+// OnKey handles the answer to a ReadKey. value is nil if the bucket is not stored. rev
+// is the state service's revision if the answer had one, else 0.
+func (c *Core) OnKey(now units.Microseconds, read ReadKey, outcome store.Outcome, value []byte, stamp, rev uint64) {
 	c.advance(now)
-	o = c.noteOutcome(o)
-	if rev > 0 && c.cache.RolledBack(rev, r.Known) {
-		o = store.Unknown
+	outcome = c.noteOutcome(outcome)
+	if rev > 0 && c.cache.DetectRollback(rev, read.KnownRevision) {
+		outcome = store.Unknown
 	}
-	c.archive.OnRead(now, r, o, value, stamp)
+	c.archive.OnRead(now, read, outcome, value, stamp)
 }
 
-// OnScan takes some buckets.
-func (c *Core) OnScan(now units.Microseconds, s ScanKeys, o store.Outcome, items []store.Event, more bool) {
+// OnScan handles the answer to a ScanKeys. more reports whether further buckets follow.
+func (c *Core) OnScan(now units.Microseconds, scan ScanKeys, outcome store.Outcome, items []store.Event, more bool) {
 	c.advance(now)
-	c.archive.OnScan(now, s, c.noteOutcome(o), items, more)
+	c.archive.OnScan(now, scan, c.noteOutcome(outcome), items, more)
 }
 
-// archiveHost is what this controller does for the archive of finished jobs, and what that
-// depends on.
+// archiveHost implements archive.Host: it gives the archive of finished jobs access to this controller.
 type archiveHost struct{ *Core }
 
 // Emit implements archive.Host.
@@ -83,7 +82,7 @@
 
 // CacheFresh implements archive.Host.
 func (c archiveHost) CacheFresh() bool {
-	return c.CacheComplete() && c.stateAge() <= watchcache.Heartbeat+units.Second/2
+	return c.CacheComplete() && c.stateAge() <= watchcache.PollInterval+units.Second/2
 }
 
 // Revision implements archive.Host.
@@ -107,8 +106,8 @@
 // ArchivingStarted implements archive.Host.
 func (c archiveHost) ArchivingStarted() error { return c.election.ArchivingStarted() }
 
-// OlderReleasesGone implements archive.Host.
-func (c archiveHost) OlderReleasesGone() bool {
+// OlderReleasesRetired implements archive.Host.
+func (c archiveHost) OlderReleasesRetired() bool {
 	return c.peers.AllUpgradedFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime)
 }
 
@@ -126,7 +125,7 @@
 
 // QueuesIdle implements archive.Host.
 func (c archiveHost) QueuesIdle(calm units.Microseconds) bool {
-	return !c.cache.Refused(c.now, calm) && c.queues[ControlQueue].Len() == 0 && c.queues[UserQueue].Len() == 0
+	return !c.cache.RateLimitedWithin(c.now, calm) && c.queues[ControlQueue].Len() == 0 && c.queues[UserQueue].Len() == 0
 }
 
 // Rewrite implements archive.Host.
--- a/internal/core/reconcile/probe.go
+++ b/internal/core/reconcile/probe.go
@@ -80,7 +80,7 @@
 
 // OnProbe handles the outcome of a probe; answer is nil if the machine did not answer. An answer counts
 // only while no task has been started on the machine under this assignment: a start may be in flight to
-// it that the answer does not show (TestProbeAnswerBesideStart).
+// it that the answer does not show (TestStaleProbeAnswerKeepsStart).
 func (r *Reconciler) OnProbe(now units.Microseconds, probe Probe, outcome store.Outcome, answer *fleet.Heartbeat) {
 	r.probes.inFlight--
 	machine := r.machines[probe.Machine]
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -4,7 +4,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// rollbackHost is what this controller does once the state service went back.
+// rollbackHost implements rollback.Host and rollback.Rewriter: it recovers this
+// controller after a rollback of the state service.
 type rollbackHost struct{ *Core }
 
 // RestoreArchived implements rollback.Host.
@@ -14,14 +15,14 @@
 
 // RestoreCache implements rollback.Host.
 func (c rollbackHost) RestoreCache(revision uint64, listed []store.Event, newer map[string]bool) {
-	c.cache.Recover(revision, listed, newer)
+	c.cache.Reset(revision, listed, newer)
 }
 
 // StateRolledBack implements rollback.Host.
 func (c rollbackHost) StateRolledBack() {
 	c.config.Reloaded()
 	c.cancellations.StateRolledBack(c.now)
-	c.suspectCommits()
+	c.suspectRollback()
 	c.archive.RolledBack()
 	c.transfers.StateRolledBack()
 }
