--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -116,7 +116,7 @@
 		if err := json.Unmarshal(event.Value, &mark); err != nil {
 			return fmt.Errorf("%s: %w", event.Key, err)
 		}
-		mark.Cut = 0 // the revisions of the restored service start over
+		mark.Cutoff = 0 // the revisions of the restored service start over
 		event.Value = store.Value(mark)
 	}
 	return r.add(ctx, store.Change{Key: event.Key, Value: event.Value})
@@ -165,7 +165,7 @@
 }
 
 func (r *restorer) add(ctx context.Context, c store.Change) error {
-	if len(r.batch)+2 > r.options.TxnOps || r.size+c.Size() > store.TxnBytes {
+	if len(r.batch)+2 > r.options.TxnOps || r.size+c.Size() > store.MaxTxnBytes {
 		if err := r.flush(ctx); err != nil {
 			return err
 		}
--- a/internal/core/commits_test.go
+++ b/internal/core/commits_test.go
@@ -155,7 +155,7 @@
 	if job == nil || name != "submission" && job.Active() {
 		t.Fatalf("job %+v", job)
 	}
-	if !slices.Contains(state.abandoned, sent.Txn) || core.queues[sent.Queue].UnderWay(sent.Txn) {
+	if !slices.Contains(state.abandoned, sent.Txn) || core.queues[sent.Queue].InFlight(sent.Txn) {
 		t.Error("the transaction is still in flight")
 	}
 	if got := state.replies[3].Code; got != http.StatusOK {
@@ -168,7 +168,7 @@
 	delete(state.replies, 1)
 	core.OnCommit(core.now, sent.Queue, sent.Txn, late, state.rev, []string{key})
 	state.run(core, units.Second/100)
-	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].UnderWay(next.Txn) {
+	if len(state.replies) > 0 && (state.replies[1].Code != 0 || state.replies[4].Code != 0) || job.Record.Status != status || !core.queues[UserQueue].InFlight(next.Txn) {
 		t.Error("a late answer changed something")
 	}
 }
@@ -212,7 +212,7 @@
 		sent := state.commitOf(jobPrefix + "wk-000009")
 		stored := []store.Event{{Key: jobPrefix + "wk-000009", Value: sent.Txn.Changes[0].Value, Stamp: state.rev + 5}}
 		if lost {
-			core.cache.Reload(core.now)
+			core.cache.StartRecovery(core.now)
 			core.OnList(core.now, List{}, store.OK, state.rev-3, nil, false)
 			core.OnChanges(core.now, Watch{After: state.rev - 3}, store.OK, state.rev+5, stored, false)
 		} else { // the changes between the cache's revision and this answer are missing
@@ -220,7 +220,7 @@
 		}
 		state.rev += 5
 		state.run(core, units.Second/2)
-		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].UnderWay(sent.Txn) {
+		if r, ok := state.replies[1]; ok || !core.queues[UserQueue].InFlight(sent.Txn) {
 			t.Errorf("state service rolled back %v: answered %d", lost, r.Code)
 		}
 	}
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -25,7 +25,7 @@
 		Leading:      c.election.Leads(),
 		Full:         c.admission.MemoryFull(),
 		KnownJobs:    c.jobs.Len(),
-		Keys:         c.cache.Keys(),
+		Keys:         c.cache.Len(),
 		FinishedJobs: archived.Finished,
 		ArchivedIDs:  archived.ArchivedIDs,
 		ArchiveReads: archived.Reads,
@@ -66,7 +66,7 @@
 	state := introspect.JobState{Now: c.now, Job: job}
 	shard := c.owned[number]
 	if shard == nil {
-		state.Other = &introspect.ElsewhereView{
+		state.Other = &introspect.RemoteShard{
 			Assignment: c.shardRecords.Assignment(number),
 			Leader:     c.election.Record().Node,
 			Membership: c.membership.Describe(c.now),
@@ -95,7 +95,7 @@
 func (c *Core) StopReplication(now units.Microseconds) {
 	c.advance(now)
 	for _, shard := range c.owned {
-		shard.replication.Stop(c.now)
+		shard.replication.RemoveStandby(c.now)
 	}
 }
 
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -72,7 +72,7 @@
 	core.OnCommit(core.now, commit.Queue, txn, store.OK, revision, nil)
 	for _, change := range txn.Changes {
 		if change.Value == nil {
-			core.cache.Learn(store.Event{Key: change.Key, Stamp: revision})
+			core.cache.Apply(store.Event{Key: change.Key, Stamp: revision})
 		}
 	}
 }
@@ -243,7 +243,7 @@
 func TestWriteRateFallsWhenLimited(t *testing.T) {
 	core := newOwner(t, nil)
 	before := core.queues[ControlQueue].Rate
-	if outcome := core.noteOutcome(store.Limited); outcome != store.Refused || core.queues[ControlQueue].Rate >= before || core.cfg.WriteRate != 20 {
+	if outcome := core.noteOutcome(store.RateLimited); outcome != store.Refused || core.queues[ControlQueue].Rate >= before || core.cfg.WriteRate != 20 {
 		t.Fatalf("outcome %v, rate %v, before %v", outcome, core.queues[ControlQueue].Rate, before)
 	}
 }
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -42,7 +42,7 @@
 	self := slices.Index(names, h.cfg.Node)
 	for i := range names {
 		node := names[(self+i)%len(names)]
-		if node == h.cfg.Node || !h.Eligible(node) || h.stateAge() > peering.ServedFor {
+		if node == h.cfg.Node || !h.Eligible(node) || h.stateAge() > peering.ServedTimeout {
 			continue
 		}
 		cost := 0
@@ -60,7 +60,7 @@
 
 // Eligible implements replication.Host.
 func (h replicationHost) Eligible(node string) bool {
-	return h.peers.Alive(h.now, node) && h.membership.CurrentID(node) != 0 && h.peers.Release(node) >= peering.ReleaseReplicates && !h.peerUnreachable(node)
+	return h.peers.Alive(h.now, node) && h.membership.CurrentID(node) != 0 && h.peers.Release(node) >= peering.ReleaseReplication && !h.peerUnreachable(node)
 }
 
 // Send implements replication.Host.
@@ -80,11 +80,11 @@
 
 // SnapshotMachine implements replication.Host. An unknown machine was deprovisioned,
 // so that no task runs on it.
-func (h replicationHost) SnapshotMachine(name string) replication.MachinePicture {
+func (h replicationHost) SnapshotMachine(name string) replication.MachineSnapshot {
 	if machine := h.shard.reconciler.Machine(name); machine != nil {
 		return transfer.MachineSnapshot(machine)
 	}
-	return replication.MachinePicture{Name: name}
+	return replication.MachineSnapshot{Name: name}
 }
 
 // UnstoredTasks implements replication.Host.
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -13,9 +13,9 @@
 	return c.archive.Restore(listed)
 }
 
-// Recover implements rollback.Host.
-func (c rollbackHost) Recover(revision uint64, listed []store.Event, newer map[string]bool) {
-	c.cache.Recover(revision, listed, newer)
+// RestoreCache implements rollback.Host.
+func (c rollbackHost) RestoreCache(revision uint64, listed []store.Event, newer map[string]bool) {
+	c.cache.Reset(revision, listed, newer)
 }
 
 // StateRolledBack implements rollback.Host.
@@ -40,7 +40,7 @@
 func (c rollbackHost) RestoreShards() {
 	for _, number := range sortedShards(c.owned) {
 		shard := c.owned[number]
-		shard.replication.Stop(c.now)
+		shard.replication.RemoveStandby(c.now)
 		for _, id := range sortedKeys(shard.active) {
 			shard.writer.StoreAllProgress(shard.active[id])
 		}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -73,7 +73,7 @@
 	case http.StatusTooManyRequests:
 		c.log.Debug("the state service rejected a request", "method", method, "path", path, "code", status)
 		c.limiter.SetLimit(min(c.limiter.Limit(), c.reducedRate))
-		return status, store.Limited
+		return status, store.RateLimited
 	}
 	if status >= http.StatusInternalServerError {
 		return status, store.Unknown // not a response of the service itself
