--- a/cmd/shalestage/config.go
+++ b/cmd/shalestage/config.go
@@ -107,7 +107,7 @@
 		case err != nil:
 			return err
 		default:
-			return exit{exitFailed, fmt.Errorf("not confirmed yet: %s", strings.Join(s.Lacking(), ", "))}
+			return exit{exitFailed, fmt.Errorf("not confirmed yet: %s", strings.Join(s.Unconfirmed(), ", "))}
 		}
 	}
 	return nil
@@ -197,7 +197,7 @@
 	}
 	t := newTable(os.Stdout, "version", "at", "by", "what")
 	for _, e := range list {
-		t.AppendRow([]any{e.Version, e.At.Format(time.RFC3339), e.By, e.What})
+		t.AppendRow([]any{e.Version, e.At.Format(time.RFC3339), e.By, e.Summary})
 	}
 	t.Render()
 	return nil
@@ -220,7 +220,7 @@
 	}
 	t := newTable(os.Stdout, "controller", "version", "knows of", "heard", "done")
 	for _, c := range s.Controllers {
-		t.AppendRow([]any{c.Node, c.InForce, c.Known, !c.Silent, c.Done})
+		t.AppendRow([]any{c.Node, c.Version, c.KnownVersion, !c.Unresponsive, c.Confirmed})
 	}
 	t.Render()
 	fmt.Printf("version %d is confirmed: %v\n", s.Version, s.Confirmed)
--- a/cmd/shalestage/jobs.go
+++ b/cmd/shalestage/jobs.go
@@ -74,7 +74,7 @@
 					return fmt.Errorf("%s: its description cannot be uploaded: %w", j.Name, err)
 				}
 			}
-			r, err := client.Insist(ctx, submitWithin, func(ctx context.Context) (client.Reply, error) { return c.Submit(ctx, id, spec) })
+			r, err := client.Retry(ctx, submitWithin, func(ctx context.Context) (client.Reply, error) { return c.Submit(ctx, id, spec) })
 			if err != nil {
 				return fmt.Errorf("%s: %w", j.Name, err)
 			}
@@ -123,7 +123,7 @@
 
 // poll fills a row in.
 func (r *jobRow) poll(ctx context.Context, c *client.Client) error {
-	a, err := client.Insist(ctx, pollWithin, func(ctx context.Context) (client.Reply, error) { return c.Poll(ctx, r.ID) })
+	a, err := client.Retry(ctx, pollWithin, func(ctx context.Context) (client.Reply, error) { return c.Poll(ctx, r.ID) })
 	if err != nil {
 		return fmt.Errorf("%s: %w", r.ID, err)
 	}
@@ -258,7 +258,7 @@
 	missing := false
 	for i := range rows {
 		r := &rows[i]
-		a, err := client.Insist(ctx, submitWithin, func(ctx context.Context) (client.Reply, error) { return c.Cancel(ctx, r.ID) })
+		a, err := client.Retry(ctx, submitWithin, func(ctx context.Context) (client.Reply, error) { return c.Cancel(ctx, r.ID) })
 		if err != nil {
 			return fmt.Errorf("%s: %w", r.ID, err)
 		}
--- a/cmd/shalestage/serve.go
+++ b/cmd/shalestage/serve.go
@@ -45,7 +45,7 @@
 	}
 	if files, err := openFiles(); err != nil {
 		log.Warn("limit of open files is not known", "err", err)
-	} else if err := s.LimitFiles(files); err != nil {
+	} else if err := s.LimitOpenFiles(files); err != nil {
 		// Refusing to start would cost more: what is beyond the limit was never of use.
 		log.Warn("fewer sockets than set", "err", err)
 	}
@@ -66,8 +66,8 @@
 		addrs[p.Node] = p.Addr
 	}
 	link := peer.New(s.Node, addrs, log)
-	n := node.New(core.New(s.Core(log)),
-		state.New(s.Services.State, d.State.RPS/share, d.State.Later().RPS/share, log),
+	n := node.New(core.New(s.CoreConfig(log)),
+		state.New(s.Services.State, d.State.RPS/share, d.State.NextLimits().RPS/share, log),
 		cloud.New(s.Services.Cloud, d.Cloud.RPS, log), worker.New(log), link, log)
 	n.WatchMemory(memory.New(limit).Full)
 	go n.Run(context.Background())
--- a/internal/api/internal.go
+++ b/internal/api/internal.go
@@ -19,9 +19,9 @@
 	"shalestage.example/shalestage/internal/core/configuration"
 )
 
-// Configurable is what operators ask of the controller on its internal address. Every call
+// ConfigNode is what operators ask of the controller on its internal address. Every call
 // returns an answer, whatever happens.
-type Configurable interface {
+type ConfigNode interface {
 	Configure(ctx context.Context, r configuration.Request) core.Reply
 	ConfigContent(ctx context.Context) core.Reply
 	ConfigHistory(ctx context.Context) core.Reply
@@ -29,14 +29,14 @@
 }
 
 // ServeInternal answers operators' requests on a listener.
-func ServeInternal(l net.Listener, n Configurable) error {
+func ServeInternal(l net.Listener, n ConfigNode) error {
 	s := &http.Server{Handler: InternalHandler(n), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
 	return s.Serve(l)
 }
 
 // InternalHandler serves the configuration.
-func InternalHandler(n Configurable) http.Handler {
+func InternalHandler(n ConfigNode) http.Handler {
 	r := chi.NewRouter()
 	r.Get(config.ConfigPath, func(w http.ResponseWriter, req *http.Request) { writeConfig(w, n.ConfigContent(req.Context())) })
 	r.Get(config.ConfigHistoryPath, func(w http.ResponseWriter, req *http.Request) { writeConfig(w, n.ConfigHistory(req.Context())) })
@@ -63,8 +63,8 @@
 
 // changeConfig reads a change strictly, as a misspelt field would silently not be changed, and
 // asks for it.
-func changeConfig(w http.ResponseWriter, req *http.Request, n Configurable, change configChange) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, config.MaxDocument))
+func changeConfig(w http.ResponseWriter, req *http.Request, n ConfigNode, change configChange) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, config.MaxDocumentBytes))
 	if err != nil {
 		refuseField(w, http.StatusBadRequest, "", "body cannot be read or is too long")
 		return
@@ -118,7 +118,7 @@
 func refusal(err error) config.Refusal {
 	body := config.Refusal{Error: err.Error()}
 	var invalid *configuration.Invalid
-	var conflict *configuration.Missed
+	var conflict *configuration.Conflict
 	var unavailable *configuration.Unavailable
 	switch {
 	case errors.As(err, &invalid):
--- a/internal/api/internal_test.go
+++ b/internal/api/internal_test.go
@@ -24,7 +24,7 @@
 	case r.By == "slow":
 		return core.Reply{Code: 503, Body: core.Problem{Text: "busy"}}
 	case r.Base != nil && *r.Base != 7:
-		return core.Reply{Code: 409, Body: core.ConfigRefused{Err: &configuration.Missed{Base: *r.Base, Current: 7}}}
+		return core.Reply{Code: 409, Body: core.ConfigRefused{Err: &configuration.Conflict{Base: *r.Base, Current: 7}}}
 	}
 	return core.Reply{Code: 200, Body: core.ConfigStored{Version: 8}}
 }
@@ -36,11 +36,11 @@
 }
 
 func (f *fakeConfigurable) ConfigHistory(context.Context) core.Reply {
-	return core.Reply{Code: 200, Body: core.ConfigHistory{{Version: 7, By: "ann", At: 1_000_000, What: "red: new"}}}
+	return core.Reply{Code: 200, Body: core.ConfigHistory{{Version: 7, By: "ann", At: 1_000_000, Summary: "red: new"}}}
 }
 
 func (f *fakeConfigurable) ConfigStatus(_ context.Context, version uint64) core.Reply {
-	return core.Reply{Code: 200, Body: core.ConfigStatus{Version: version, Controllers: []configuration.ControllerStatus{{Node: "node-0", InForce: 6}}}}
+	return core.Reply{Code: 200, Body: core.ConfigStatus{Version: version, Controllers: []configuration.ControllerStatus{{Node: "node-0", Version: 6}}}}
 }
 
 // TestConfiguration asks for and changes the configuration over HTTP, rightly and wrongly.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -95,16 +95,16 @@
 	return reply, nil
 }
 
-// retryFor is how long Insist repeats a request that nobody takes.
+// retryFor is how long Retry repeats a request that nobody takes.
 const retryFor = 60 * time.Second
 
-// ErrNotTaken is wrapped by Insist's error when the request was repeated long enough.
-var ErrNotTaken = errors.New("nobody takes the request")
+// ErrRetriesExhausted is wrapped by Retry's error when the request was repeated long enough.
+var ErrRetriesExhausted = errors.New("nobody takes the request")
 
-// Insist repeats a request as users do until it is answered for good, or for a minute: 200,
-// 201, 400, 404 and 422 are answers. timeout bounds each attempt. The error wraps ErrNotTaken,
+// Retry repeats a request as users do until it is answered for good, or for a minute: 200,
+// 201, 400, 404 and 422 are answers. timeout bounds each attempt. The error wraps ErrRetriesExhausted,
 // or is the context's.
-func Insist(ctx context.Context, timeout time.Duration, call func(context.Context) (Reply, error)) (Reply, error) {
+func Retry(ctx context.Context, timeout time.Duration, call func(context.Context) (Reply, error)) (Reply, error) {
 	start := time.Now()
 	for {
 		attempt, cancel := context.WithTimeout(ctx, timeout)
@@ -119,7 +119,7 @@
 		}
 		pause := max(time.Second, time.Duration(min(reply.RetryAfter, 30*units.Second))*time.Microsecond)
 		if time.Since(start)+pause > retryFor {
-			return reply, fmt.Errorf("%w: %w", ErrNotTaken, err)
+			return reply, fmt.Errorf("%w: %w", ErrRetriesExhausted, err)
 		}
 		select {
 		case <-time.After(pause):
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -95,8 +95,8 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// Later returns the limits that the service will have in the end.
-func (s State) Later() Limits {
+// NextLimits returns the limits that the service will have in the end.
+func (s State) NextLimits() Limits {
 	return Limits{RPS: cmp.Or(s.Next.RPS, s.RPS), WriteRPS: cmp.Or(s.Next.WriteRPS, s.WriteRPS),
 		ValueKB: cmp.Or(s.Next.ValueKB, s.ValueKB), TxnOps: cmp.Or(s.Next.TxnOps, s.TxnOps)}
 }
@@ -121,19 +121,19 @@
 	EpsilonScale     float64 `json:"epsilon_scale"`   // factor on the paper's epsilon
 	ImagePenalty     float64 `json:"image_penalty"`   // share of the alignment lost without the image
 	LeaderLeaseS     float64 `json:"leader_lease_s"`  // life of the leader's lease
-	SpareFraction    float64 `json:"spare_share"`     // room kept above average demand, as a share of it
+	HeadroomFraction    float64 `json:"spare_share"`     // room kept above average demand, as a share of it
 	IdleReturnS      float64 `json:"idle_return_s"`   // idle time after which a machine is returned
 	DemandWindowS    float64 `json:"demand_memory_s"` // time over which demand is averaged
-	WorthS           float64 `json:"worth_s"`         // work that must wait for each slot of a machine to be worth renting
+	WorkPerSlotS           float64 `json:"worth_s"`         // work that must wait for each slot of a machine to be worth renting
 	MachinesPerShard float64 `json:"block_machines"`  // machines that one block carries; 0: by the processor share and the sockets
-	RoundFraction    float64 `json:"round_share"`     // share of a job's time that renting counts on for tasks one after the other
+	SequentialFraction    float64 `json:"round_share"`     // share of a job's time that renting counts on for tasks one after the other
 	KeepFinished     float64 `json:"keep_done"`       // jobs that are over and are kept in memory before the oldest are packed; 0: all
-	PackSettleS      float64 `json:"pack_settle_s"`   // for how long all controllers must have run a release that reads packed jobs
+	ArchiveSettleS      float64 `json:"pack_settle_s"`   // for how long all controllers must have run a release that reads packed jobs
 }
 
 // DefaultTuning returns the knobs' defaults.
 func DefaultTuning() Tuning {
-	return Tuning{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5, LeaderLeaseS: 2, SpareFraction: 0, IdleReturnS: 5, DemandWindowS: 15, WorthS: 20, RoundFraction: 0.5, KeepFinished: 8192, PackSettleS: 600}
+	return Tuning{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5, LeaderLeaseS: 2, HeadroomFraction: 0, IdleReturnS: 5, DemandWindowS: 15, WorkPerSlotS: 20, SequentialFraction: 0.5, KeepFinished: 8192, ArchiveSettleS: 600}
 }
 
 // Load reads and checks a settings file.
@@ -226,7 +226,7 @@
 	if d.State.TxnOps < minTxnOps {
 		return invalid("deployment.state.txn_ops", "want at least %d", minTxnOps)
 	}
-	if d.State.Later().TxnOps < minTxnOps {
+	if d.State.NextLimits().TxnOps < minTxnOps {
 		return invalid("deployment.state.next.txn_ops", "want at least %d", minTxnOps)
 	}
 	if d.Quota.FDLimit < minFDLimit {
@@ -260,7 +260,7 @@
 }
 
 func (d *Deployment) checkRanges() error {
-	later := d.State.Later()
+	later := d.State.NextLimits()
 	return checkRanges([]bounded{
 		{"deployment.workers.report_s", d.Workers.HeartbeatS, 0.1, 600, "seconds"},
 		{"deployment.workers.lease_s", d.Workers.LeaseS, 1, 3600, "seconds"},
@@ -286,13 +286,13 @@
 		{"tuning.epsilon_scale", t.EpsilonScale, 0, 100, ""},
 		{"tuning.image_penalty", t.ImagePenalty, 0, 1, ""},
 		{"tuning.leader_lease_s", t.LeaderLeaseS, 1, 60, "seconds"},
-		{"tuning.spare_share", t.SpareFraction, 0, 10, ""},
+		{"tuning.spare_share", t.HeadroomFraction, 0, 10, ""},
 		{"tuning.idle_return_s", t.IdleReturnS, 1, 3600, "seconds"},
 		{"tuning.demand_memory_s", t.DemandWindowS, 1, 3600, "seconds"},
-		{"tuning.worth_s", t.WorthS, 1, 3600, "seconds"},
+		{"tuning.worth_s", t.WorkPerSlotS, 1, 3600, "seconds"},
 		{"tuning.block_machines", t.MachinesPerShard, 0, core.MaxShardMachines, "machines"},
-		{"tuning.round_share", t.RoundFraction, 0, 1, ""},
-		{"tuning.keep_done", t.KeepFinished, 0, 1e7, "jobs"}, {"tuning.pack_settle_s", t.PackSettleS, 0, 1e6, "seconds"},
+		{"tuning.round_share", t.SequentialFraction, 0, 1, ""},
+		{"tuning.keep_done", t.KeepFinished, 0, 1e7, "jobs"}, {"tuning.pack_settle_s", t.ArchiveSettleS, 0, 1e6, "seconds"},
 	})
 }
 
@@ -317,11 +317,11 @@
 // LeaseTime is how long a worker keeps its tasks without an answer.
 func (s *Settings) LeaseTime() units.Microseconds { return units.Seconds(s.Deployment.Workers.LeaseS) }
 
-// LimitFiles lowers the sockets that the controller may use to the files that its process may have
+// LimitOpenFiles lowers the sockets that the controller may use to the files that its process may have
 // open, and returns a *FieldError that says so. Beyond that limit the operating system refuses every
 // socket, those of the state service too, where a controller that keeps to fewer sends machines
 // and users on to others.
-func (s *Settings) LimitFiles(files uint64) error {
+func (s *Settings) LimitOpenFiles(files uint64) error {
 	quota := &s.Deployment.Quota
 	if uint64(quota.FDLimit) <= files {
 		return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 		`,"next":{"txn_ops":4,"write_rps":56,"x":1}`: {200, 56, 8, 4},
 	} {
 		s, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12`+next, 1)))
-		if err != nil || s.Deployment.State.Later() != want {
+		if err != nil || s.Deployment.State.NextLimits() != want {
 			t.Errorf("%q: %+v %v", next, s, err)
 		}
 	}
@@ -121,7 +121,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = s.LimitFiles(files)
+		err = s.LimitOpenFiles(files)
 		if s.Deployment.Quota.FDLimit != want || (err != nil) != (want < 1800) {
 			t.Errorf("%d files: %d sockets, %v", files, s.Deployment.Quota.FDLimit, err)
 		}
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -9,10 +9,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Core returns what the settings tell a controller's core.
-func (s *Settings) Core(log *slog.Logger) core.Config {
+// CoreConfig returns what the settings tell a controller's core.
+func (s *Settings) CoreConfig(log *slog.Logger) core.Config {
 	deployment, t := s.Deployment, s.Tuning
-	now, later := deployment.State.Limits, deployment.State.Later()
+	now, later := deployment.State.Limits, deployment.State.NextLimits()
 	settings := core.Config{
 		Node: s.Node, Size: deployment.Size, Zones: deployment.Zones, HomeZone: s.Zone, PeerZones: map[string]string{},
 		Lease: s.LeaseTime(), HeartbeatInterval: units.Seconds(deployment.Workers.HeartbeatS),
@@ -21,9 +21,9 @@
 		TxnOps: min(now.TxnOps, later.TxnOps), ValueKB: now.ValueKB, ValueMax: int(min(now.ValueKB, later.ValueKB) * 1024),
 		StateRate: now.RPS, WriteRate: now.WriteRPS, NextStateRate: later.RPS, NextWriteRate: later.WriteRPS, CloudRate: deployment.Cloud.RPS,
 		Pack:          binpack.Params{Fairness: t.Fairness, EpsilonScale: t.EpsilonScale, ImagePenalty: t.ImagePenalty},
-		Scale:         autoscaler.Params{Headroom: t.SpareFraction, AverageOver: units.Seconds(t.DemandWindowS), WorkPerSlot: units.Seconds(t.WorthS), ScaleInAfter: units.Seconds(t.IdleReturnS)},
-		ShardMachines: s.MachinesPerShard(), SequentialFraction: t.RoundFraction,
-		KeepFinished: int(t.KeepFinished), ArchiveSettleTime: units.Seconds(t.PackSettleS),
+		Scale:         autoscaler.Params{Headroom: t.HeadroomFraction, AverageOver: units.Seconds(t.DemandWindowS), WorkPerSlot: units.Seconds(t.WorkPerSlotS), ScaleInAfter: units.Seconds(t.IdleReturnS)},
+		ShardMachines: s.MachinesPerShard(), SequentialFraction: t.SequentialFraction,
+		KeepFinished: int(t.KeepFinished), ArchiveSettleTime: units.Seconds(t.ArchiveSettleS),
 		Log: log,
 	}
 	for _, p := range s.Peers {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -24,8 +24,8 @@
 	ConfigStatusPath  = "/config/status"
 )
 
-// MaxDocument bounds the bytes of a document.
-const MaxDocument = 1 << 20
+// MaxDocumentBytes bounds the bytes of a document.
+const MaxDocumentBytes = 1 << 20
 
 // Document is a whole configuration.
 type Document struct {
@@ -72,16 +72,16 @@
 	Version uint64    `json:"version"`
 	At      time.Time `json:"at"`
 	By      string    `json:"by"`
-	What    string    `json:"what"`
+	Summary    string    `json:"what"`
 }
 
 // ControllerStatus tells by which version a controller goes.
 type ControllerStatus struct {
 	Node    string `json:"controller"`
-	InForce uint64 `json:"version"`
-	Known   uint64 `json:"known"` // latest version that it knows of; it starts nothing while that is later
-	Silent  bool   `json:"silent,omitempty"`
-	Done    bool   `json:"done"` // starts nothing by a version before the one asked for
+	Version uint64 `json:"version"`
+	KnownVersion   uint64 `json:"known"` // latest version that it knows of; it starts nothing while that is later
+	Unresponsive  bool   `json:"silent,omitempty"`
+	Confirmed    bool   `json:"done"` // starts nothing by a version before the one asked for
 }
 
 // Status tells how far a version has come.
@@ -93,11 +93,11 @@
 	Controllers []ControllerStatus `json:"controllers"`
 }
 
-// Lacking returns the controllers for which a version is not confirmed.
-func (s Status) Lacking() []string {
+// Unconfirmed returns the controllers for which a version is not confirmed.
+func (s Status) Unconfirmed() []string {
 	var out []string
 	for _, c := range s.Controllers {
-		if !c.Done {
+		if !c.Confirmed {
 			out = append(out, c.Node)
 		}
 	}
@@ -138,20 +138,20 @@
 
 // Request returns the change that a whole document asks for.
 func (d Document) Request() (configuration.Request, error) {
-	request := configuration.Request{By: d.By, Base: d.Version, Whole: &configuration.Content{}}
+	request := configuration.Request{By: d.By, Base: d.Version, Replacement: &configuration.Content{}}
 	for _, t := range d.Teams {
 		for name, v := range map[string]float64{"cpus": t.CPUs, "cpus_max": t.CPUsMax, "gpus": t.GPUs, "gpus_max": t.GPUsMax} {
 			if _, err := amount("teams["+t.Name+"]."+name, v); err != nil {
 				return request, err
 			}
 		}
-		request.Whole.Teams = append(request.Whole.Teams, teamOf(t))
+		request.Replacement.Teams = append(request.Replacement.Teams, teamOf(t))
 	}
 	for i, o := range d.Objectives {
 		if !(o.WithinS >= 0 && o.WithinS <= 1e9) {
 			return request, &configuration.Invalid{Field: fmt.Sprintf("objectives[%d].within_s", i), Reason: fmt.Sprintf("want 0 to 1e9, got %g", o.WithinS)}
 		}
-		request.Whole.Objectives = append(request.Whole.Objectives, objectiveOf(o))
+		request.Replacement.Objectives = append(request.Replacement.Objectives, objectiveOf(o))
 	}
 	return request, nil
 }
@@ -198,7 +198,7 @@
 func NewHistory(list core.ConfigHistory) []HistoryEntry {
 	out := []HistoryEntry{}
 	for _, e := range list {
-		out = append(out, HistoryEntry{Version: e.Version, At: time.UnixMicro(int64(e.At)).UTC(), By: e.By, What: e.What})
+		out = append(out, HistoryEntry{Version: e.Version, At: time.UnixMicro(int64(e.At)).UTC(), By: e.By, Summary: e.Summary})
 	}
 	return out
 }
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -45,7 +45,7 @@
 // incompatible reports whether a controller runs a release that cannot find archived jobs, or
 // does not go by the configuration that is stored.
 func (c *Core) incompatible(node string) bool {
-	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
+	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.HasStoredVersion() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
 // OnKey takes a bucket that was read; a nil value: it is not stored. rev is the
--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -36,19 +36,19 @@
 	// force by then, nothing is changed.
 	Base  *uint64
 	Teams []TeamChange
-	Whole *Content // needs Base
+	Replacement *Content // needs Base
 }
 
-// Answer is the outcome of a request.
-type Answer struct {
+// Result is the outcome of a request.
+type Result struct {
 	Version uint64 // that holds the change
 	Err     error  // nil, *Invalid, *Missed or *Unavailable
 }
 
-// Missed says that a change was made for another version than the present one.
-type Missed struct{ Base, Current uint64 }
+// Conflict says that a change was made for another version than the present one.
+type Conflict struct{ Base, Current uint64 }
 
-func (e *Missed) Error() string {
+func (e *Conflict) Error() string {
 	return fmt.Sprintf("was made for version %d, and the present one is %d", e.Base, e.Current)
 }
 
@@ -87,34 +87,34 @@
 	encoded encoded
 	head    head
 	headAt  uint64 // version of the head's key that is guarded
-	entry   Entry
+	entry   HistoryEntry
 	missing []string // chunks that are still to be stored
 	inHead  int      // of these, the last ones, which go with the head
 }
 
 // Change asks for a change; the host is told the answer.
-func (b *Versions) Change(now, wall units.Microseconds, number uint64, r Request) {
+func (b *Manager) Change(now, wall units.Microseconds, number uint64, r Request) {
 	b.now, b.wall = max(b.now, now), wall
 	if err := b.checkRequest(r); err != nil {
-		b.host.Answered(number, Answer{Err: err})
+		b.host.Respond(number, Result{Err: err})
 		return
 	}
 	if len(b.queue.waiting) >= maxWaiting {
-		b.host.Answered(number, Answer{Err: &Unavailable{Reason: "too many changes wait"}})
+		b.host.Respond(number, Result{Err: &Unavailable{Reason: "too many changes wait"}})
 		return
 	}
 	b.queue.waiting = append(b.queue.waiting, waitingChange{number, r})
 	b.pump()
 }
 
-func (b *Versions) checkRequest(r Request) error {
-	if len(r.By) > MaxName {
-		return invalid("by", "want at most %d bytes", MaxName)
+func (b *Manager) checkRequest(r Request) error {
+	if len(r.By) > MaxNameBytes {
+		return invalid("by", "want at most %d bytes", MaxNameBytes)
 	}
-	if r.Whole != nil && r.Base == nil {
+	if r.Replacement != nil && r.Base == nil {
 		return invalid("base", "missing: the version for which the whole was made")
 	}
-	if r.Whole == nil && len(r.Teams) == 0 {
+	if r.Replacement == nil && len(r.Teams) == 0 {
 		return invalid("teams", "nothing is changed")
 	}
 	if len(r.Teams) > MaxTeams {
@@ -124,7 +124,7 @@
 }
 
 // Tick does what time asks for. leads says that this controller leads: it cleans up.
-func (b *Versions) Tick(now, wall units.Microseconds, leads bool) {
+func (b *Manager) Tick(now, wall units.Microseconds, leads bool) {
 	b.now, b.wall = max(b.now, now), wall
 	if len(b.queue.waiting) > 0 {
 		b.pump()
@@ -138,7 +138,7 @@
 
 // pump begins to store the changes that wait, once those before are stored. Each batch
 // begins with a fresh read, so that whoever missed a version is told the right one.
-func (b *Versions) pump() {
+func (b *Manager) pump() {
 	q := &b.queue
 	if q.current != nil || len(q.waiting) == 0 || b.now < q.nextAt {
 		return
@@ -150,7 +150,7 @@
 	b.read(q.current)
 }
 
-func (b *Versions) newID() string {
+func (b *Manager) newID() string {
 	id := fmt.Sprintf("%s.%x.%d", b.cfg.Node, int64(b.wall), b.queue.made)
 	if len(id) > maxID {
 		sum := sha256.Sum256([]byte(id))
@@ -160,9 +160,9 @@
 }
 
 // read reads afresh and goes on with a batch.
-func (b *Versions) read(x *batch) {
-	b.host.Read(func(ok bool) {
-		if !ok || !b.host.Current() {
+func (b *Manager) read(x *batch) {
+	b.host.ReadFresh(func(ok bool) {
+		if !ok || !b.host.CacheCurrent() {
 			b.giveUp(x, "the state service does not answer")
 			return
 		}
@@ -175,24 +175,24 @@
 }
 
 // giveUp answers all changes of a batch that they could not be stored.
-func (b *Versions) giveUp(x *batch, why string) {
+func (b *Manager) giveUp(x *batch, why string) {
 	b.queue.current = nil
 	for _, ch := range x.changes {
-		b.host.Answered(ch.number, Answer{Err: &Unavailable{why, x.unknown}})
+		b.host.Respond(ch.number, Result{Err: &Unavailable{why, x.unknown}})
 	}
 }
 
 // done answers all changes of a batch that are stored.
-func (b *Versions) done(x *batch, version uint64) {
+func (b *Manager) done(x *batch, version uint64) {
 	b.queue.current = nil
 	for _, ch := range x.changes {
-		b.host.Answered(ch.number, Answer{Version: version})
+		b.host.Respond(ch.number, Result{Version: version})
 	}
 }
 
 // build makes the version that a batch asks for and begins to store it. What cannot be done
 // is answered and left out.
-func (b *Versions) build(batch *batch) {
+func (b *Manager) build(batch *batch) {
 	content := b.content
 	if !batch.repair {
 		content = b.merge(batch)
@@ -206,45 +206,45 @@
 		}
 	}
 	var err error
-	if batch.encoded, err = encode(content, b.cfg.ValueMax); err != nil {
+	if batch.encoded, err = encode(content, b.cfg.MaxValueBytes); err != nil {
 		b.refuse(batch, err)
 		return
 	}
 	batch.head = head{Version: max(b.latestKnown, b.version) + 1, ID: batch.id, Chunks: batch.encoded.names}
-	batch.entry = Entry{Version: batch.head.Version, ID: batch.id, By: b.authors(batch), At: b.wall, What: summary(b.content, content)}
+	batch.entry = HistoryEntry{Version: batch.head.Version, ID: batch.id, By: b.authors(batch), At: b.wall, Summary: summary(b.content, content)}
 	if batch.repair {
 		batch.head.Version, batch.head.ID = b.version, b.id
 		batch.entry = b.history[historyKey(b.version)]
 		if batch.entry.Version != b.version {
-			batch.entry = Entry{Version: b.version, ID: b.id, At: b.wall, What: "stored again, as the state service had lost it"}
+			batch.entry = HistoryEntry{Version: b.version, ID: b.id, At: b.wall, Summary: "stored again, as the state service had lost it"}
 		}
 	}
-	batch.headAt = b.host.Stamp(HeadKey)
+	batch.headAt = b.host.KeyVersion(HeadKey)
 	batch.missing = b.lacking(batch.encoded)
 	batch.inHead = b.chunksWithHead(batch)
 	b.storeChunks(batch)
 }
 
-func (b *Versions) refuse(batch *batch, err error) {
+func (b *Manager) refuse(batch *batch, err error) {
 	b.queue.current = nil
 	for _, ch := range batch.changes {
-		b.host.Answered(ch.number, Answer{Err: err})
+		b.host.Respond(ch.number, Result{Err: err})
 	}
 }
 
 // merge returns the content with all changes of a batch that can be made, one after the
 // other; the others are answered.
-func (b *Versions) merge(batch *batch) Content {
-	content := b.content.tidied(b.wall, b.host.Busy)
+func (b *Manager) merge(batch *batch) Content {
+	content := b.content.tidied(b.wall, b.host.HasUnfinishedJobs)
 	current := max(b.latestKnown, b.version)
 	var accepted []waitingChange
 	for _, ch := range batch.changes {
 		next, err := b.apply(content, ch.request, current, len(accepted) > 0)
 		if err == nil && len(next.Teams) > len(content.Teams) {
-			_, err = encode(next, b.cfg.ValueMax)
+			_, err = encode(next, b.cfg.MaxValueBytes)
 		}
 		if err != nil {
-			b.host.Answered(ch.number, Answer{Err: err})
+			b.host.Respond(ch.number, Result{Err: err})
 			continue
 		}
 		content = next
@@ -256,15 +256,15 @@
 
 // apply returns the content after one request. others says that requests of the same batch
 // come before it.
-func (b *Versions) apply(content Content, r Request, current uint64, others bool) (Content, error) {
+func (b *Manager) apply(content Content, r Request, current uint64, others bool) (Content, error) {
 	if r.Base != nil && *r.Base != current {
-		return content, &Missed{*r.Base, current}
+		return content, &Conflict{*r.Base, current}
 	}
 	if r.Base != nil && others {
-		return content, &Missed{*r.Base, current + 1}
+		return content, &Conflict{*r.Base, current + 1}
 	}
-	if r.Whole != nil {
-		content = content.replaced(*r.Whole, b.wall)
+	if r.Replacement != nil {
+		content = content.replaced(*r.Replacement, b.wall)
 		return content, content.Check()
 	}
 	if b.Behind() {
@@ -280,7 +280,7 @@
 }
 
 // authors names who asked for the changes of a batch.
-func (b *Versions) authors(x *batch) string {
+func (b *Manager) authors(x *batch) string {
 	var names []string
 	for _, ch := range x.changes {
 		if by := ch.request.By; by != "" && !slices.Contains(names, by) {
@@ -299,7 +299,7 @@
 
 // lacking returns the chunks of a version that the service does not surely have as long as
 // the head stays as it is: only chunks that a head names are never removed.
-func (b *Versions) lacking(e encoded) []string {
+func (b *Manager) lacking(e encoded) []string {
 	var out []string
 	for _, name := range e.names {
 		kept := b.headThere && slices.Contains(b.head.Chunks, name) && b.chunks[name] != nil
@@ -311,7 +311,7 @@
 }
 
 // chunksWithHead returns how many of the missing chunks go into the head's own transaction.
-func (b *Versions) chunksWithHead(batch *batch) int {
+func (b *Manager) chunksWithHead(batch *batch) int {
 	free, bytes := b.cfg.TxnOps-2, 0 // the head and its entry of the history
 	n := 0
 	for i := len(batch.missing) - 1; i >= 0 && n < free; i-- {
@@ -327,7 +327,7 @@
 // storeChunks stores the chunks that do not go with the head, then the head. They are under
 // names of their content: to store one late or twice does no harm. None of them can be
 // removed before the head is stored, as that changes the head's key (clean), which is guarded.
-func (b *Versions) storeChunks(batch *batch) {
+func (b *Manager) storeChunks(batch *batch) {
 	early := batch.missing[:len(batch.missing)-batch.inHead]
 	if len(early) == 0 {
 		b.storeHead(batch)
@@ -355,7 +355,7 @@
 	b.queueWrite(batch, w)
 }
 
-func (b *Versions) queueWrite(x *batch, w *store.Write) {
+func (b *Manager) queueWrite(x *batch, w *store.Write) {
 	if !b.host.Store(w) {
 		b.giveUp(x, "too many changes wait for the state service")
 	}
@@ -363,7 +363,7 @@
 
 // storeHead stores the head with the last chunks, guarded by the head's version: of two that
 // store at once one fails, and so does one that comes late.
-func (b *Versions) storeHead(batch *batch) {
+func (b *Manager) storeHead(batch *batch) {
 	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Version: batch.headAt}}}
 	for _, name := range batch.missing {
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name), Value: batch.encoded.values[name]})
@@ -386,7 +386,7 @@
 }
 
 // unused returns the stored chunks that a head with some chunks does not name.
-func (b *Versions) unused(named []string) []string {
+func (b *Manager) unused(named []string) []string {
 	var out []string
 	for name := range b.chunks {
 		if !slices.Contains(named, name) {
@@ -399,7 +399,7 @@
 
 // again tries a batch once more after an outcome that was not OK: what counts is what is
 // stored then.
-func (b *Versions) again(x *batch, o store.Outcome) {
+func (b *Manager) again(x *batch, o store.Outcome) {
 	x.unknown = x.unknown || o == store.Unknown
 	if o == store.TooLarge {
 		b.giveUp(x, "the state service takes no records of that size")
@@ -413,9 +413,9 @@
 }
 
 // repair stores the version in force again where the service lost it or a part of it.
-func (b *Versions) repair() {
+func (b *Manager) repair() {
 	queue := &b.queue
-	if b.version == 0 || queue.current != nil || b.now < queue.repairAt || !b.host.Current() {
+	if b.version == 0 || queue.current != nil || b.now < queue.repairAt || !b.host.CacheCurrent() {
 		return
 	}
 	queue.repairAt = b.now + repairEvery
@@ -432,9 +432,9 @@
 
 // collectGarbage removes chunks of no use. The head is written again as it is, so that nothing that
 // was made for the head as it was before can still be stored.
-func (b *Versions) collectGarbage(leads bool) {
+func (b *Manager) collectGarbage(leads bool) {
 	queue := &b.queue
-	if !leads || queue.current != nil || queue.cleaning || !b.headThere || !b.host.Current() || len(b.chunks) <= len(b.head.Chunks) {
+	if !leads || queue.current != nil || queue.cleaning || !b.headThere || !b.host.CacheCurrent() || len(b.chunks) <= len(b.head.Chunks) {
 		queue.unusedAt = 0
 		return
 	}
@@ -445,7 +445,7 @@
 		return
 	}
 	queue.unusedAt = 0
-	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Version: b.host.Stamp(HeadKey)}},
+	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Version: b.host.KeyVersion(HeadKey)}},
 		Changes: []store.Change{{Key: HeadKey, Value: store.Value(b.head)}}}
 	for _, name := range b.unused(b.head.Chunks) {
 		if len(w.Changes) >= b.cfg.TxnOps {
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -105,7 +105,7 @@
 	if requested.base != nil && rapid.Bool().Draw(t, "whole") {
 		whole, _ := member.Content().with(limit(requested.team, requested.limit), member.now)
 		whole.Objectives = whole.Objectives[:rapid.IntRange(0, len(whole.Objectives)).Draw(t, "objectives")]
-		ask = Request{By: member.name, Base: requested.base, Whole: &whole}
+		ask = Request{By: member.name, Base: requested.base, Replacement: &whole}
 	}
 	requested.number = member.change(ask)
 	f.requests = append(f.requests, requested)
@@ -166,7 +166,7 @@
 		return // its process ended
 	}
 	truth := f.service.truth
-	var missed *Missed
+	var missed *Conflict
 	switch {
 	case answer.Err == nil && answer.Version > 0:
 		i, there := truth[answer.Version].Find(request.team)
@@ -222,7 +222,7 @@
 	} {
 		var content Content
 		for i := range test.teams {
-			content.Teams = append(content.Teams, Team{Name: fmt.Sprintf("%0*d", MaxName, i), Guarantee: binpack.Vec{1e11, 1e11}, Limit: binpack.Vec{1e11, 1e11}})
+			content.Teams = append(content.Teams, Team{Name: fmt.Sprintf("%0*d", MaxNameBytes, i), Guarantee: binpack.Vec{1e11, 1e11}, Limit: binpack.Vec{1e11, 1e11}})
 		}
 		err := content.Check()
 		var e encoded
@@ -251,10 +251,10 @@
 		"teams[team-001].gpus_max": {Teams: []TeamChange{{Name: "team-001", LimitGPU: number(-1)}}},
 		"teams[].name":             {Teams: []TeamChange{{Name: ""}}},
 		"teams[nobody]":            {Teams: []TeamChange{{Name: "nobody", Remove: true}}},
-		"teams":                    {Base: &zero, Whole: &Content{}},
-		"base":                     {Whole: &Content{Teams: []Team{{Name: "x"}}}},
-		"objectives[0].kind":       {Base: &zero, Whole: &Content{Teams: []Team{{Name: "x"}}, Objectives: []Objective{{Kind: "soon"}}}},
-		"teams[x].name":            {Base: &zero, Whole: &Content{Teams: []Team{{Name: "x"}, {Name: "x"}}}},
+		"teams":                    {Base: &zero, Replacement: &Content{}},
+		"base":                     {Replacement: &Content{Teams: []Team{{Name: "x"}}}},
+		"objectives[0].kind":       {Base: &zero, Replacement: &Content{Teams: []Team{{Name: "x"}}, Objectives: []Objective{{Kind: "soon"}}}},
+		"teams[x].name":            {Base: &zero, Replacement: &Content{Teams: []Team{{Name: "x"}, {Name: "x"}}}},
 	} {
 		n := member.change(r)
 		member.settle()
@@ -267,7 +267,7 @@
 	for i := range 1000 {
 		many.Teams = append(many.Teams, Team{Name: fmt.Sprintf("a-rather-long-name-of-a-team-which-takes-much-room-%d", i), Limit: binpack.Vec{1e9, 1e9}})
 	}
-	n := member.change(Request{Base: &zero, Whole: &many})
+	n := member.change(Request{Base: &zero, Replacement: &many})
 	member.settle()
 	if a := member.answers[n]; a.Err != nil && service.rev == 0 {
 		var invalid *Invalid
@@ -292,8 +292,8 @@
 	memberB.read(true) // both have read version 0
 	memberA.settle()
 	memberB.settle()
-	var missed *Missed
-	if x, y := memberA.answers[first], memberB.answers[second]; x.Err != nil || x.Version != 1 || !errors.As(y.Err, &missed) || *missed != (Missed{0, 1}) {
+	var missed *Conflict
+	if x, y := memberA.answers[first], memberB.answers[second]; x.Err != nil || x.Version != 1 || !errors.As(y.Err, &missed) || *missed != (Conflict{0, 1}) {
 		t.Errorf("%+v, %+v", x, y)
 	}
 	one := uint64(1)
@@ -361,7 +361,7 @@
 	for i := range whole.Teams {
 		whole.Teams[i].Limit[binpack.CPU]--
 	}
-	n := memberA.change(Request{Base: &base, Whole: &whole})
+	n := memberA.change(Request{Base: &base, Replacement: &whole})
 	memberA.read(true)
 	for range 2 { // some of its chunks
 		w, _ := memberA.send()
@@ -443,25 +443,25 @@
 			h := head{Version: 2, ID: "earlier", Chunks: service.head().Chunks}
 			member.stamps[HeadKey]++
 			service.keys[HeadKey] = store.Event{Key: HeadKey, Value: store.Value(h), Stamp: member.stamps[HeadKey]}
-			_ = member.Learn(member.now, service.keys[HeadKey])
+			_ = member.Apply(member.now, service.keys[HeadKey])
 		},
 		func() { // a chunk
 			k := chunkKey(service.head().Chunks[1])
 			delete(service.keys, k)
 			delete(member.stamps, k)
-			_ = member.Learn(member.now, store.Event{Key: k, Stamp: 99})
+			_ = member.Apply(member.now, store.Event{Key: k, Stamp: 99})
 		},
 		func() { // everything
 			clear(service.keys)
 			for k := range member.stamps {
 				delete(member.stamps, k)
-				_ = member.Learn(member.now, store.Event{Key: k, Stamp: 99})
+				_ = member.Apply(member.now, store.Event{Key: k, Stamp: 99})
 			}
 		},
 	} {
 		clear(service.ids) // the same change is stored a second time
 		lose()
-		member.Reloaded()
+		member.CacheRebuilt()
 		if member.Version() != 4 || member.Behind() {
 			t.Fatalf("goes by %d, behind %v", member.Version(), member.Behind())
 		}
@@ -483,7 +483,7 @@
 func TestLacksRecords(t *testing.T) {
 	service := newService(t, 4, 2048)
 	member := newMember(service, "a", []string{"b"}, 3)
-	if member.MayStart("team-000", 0) != true || !member.PeerKnows(3) || member.MayStart("team-000", 0) {
+	if member.MayStart("team-000", 0) != true || !member.ObserveVersion(3) || member.MayStart("team-000", 0) {
 		t.Error("starts by an older version than it knows of")
 	}
 	n := member.change(Request{Teams: []TeamChange{limit("team-000", 1000)}})
@@ -493,7 +493,7 @@
 		t.Errorf("%+v", a)
 	}
 	base, whole := uint64(3), initial(3)
-	n = member.change(Request{Base: &base, Whole: &whole})
+	n = member.change(Request{Base: &base, Replacement: &whole})
 	member.settle()
 	if a := member.answers[n]; a.Version != 4 || member.Behind() || !member.MayStart("team-000", 0) {
 		t.Errorf("%+v, behind %v", a, member.Behind())
@@ -516,22 +516,22 @@
 	if status(0).Confirmed {
 		t.Error("confirmed, and nobody else has it")
 	}
-	member.PeerStatus(member.now, "b", 1, 1)
+	member.ApplyPeerStatus(member.now, "b", 1, 1)
 	silent["c"] = true
-	if x := status(member.cfg.Bound - units.Second); x.Confirmed {
+	if x := status(member.cfg.IsolatedStartLimit - units.Second); x.Confirmed {
 		t.Errorf("confirmed before one that is silent surely starts nothing: %+v", x)
 	}
 	silent["c"] = false
-	if x := status(30 * units.Second); x.Confirmed || x.Controllers[2].Done {
+	if x := status(30 * units.Second); x.Confirmed || x.Controllers[2].Confirmed {
 		t.Errorf("confirmed by time alone of one that is heard: %+v", x)
 	}
 	silent["c"] = true
-	if x := status(40 * units.Second); !x.Confirmed || !x.Controllers[2].Done {
+	if x := status(40 * units.Second); !x.Confirmed || !x.Controllers[2].Confirmed {
 		t.Errorf("not confirmed: %+v", x)
 	}
 	silent["c"] = false
-	member.PeerStatus(member.now, "c", 0, 0) // it has just begun, and reads all keys before it starts anything
-	if x := status(0); !x.Confirmed || x.Controllers[2].Done {
+	member.ApplyPeerStatus(member.now, "c", 0, 0) // it has just begun, and reads all keys before it starts anything
+	if x := status(0); !x.Confirmed || x.Controllers[2].Confirmed {
 		t.Errorf("%+v", x)
 	}
 	if x := member.Status(member.now, 2, func(string) bool { return false }); x.Confirmed {
@@ -560,7 +560,7 @@
 	member.SetOverQuota(0, 1, nil)
 	member.SetOverQuota(1, 1, nil)
 	member.SetShards([]int{0, 1})
-	if !member.MayStart("team-000", 0) || member.Falling() {
+	if !member.MayStart("team-000", 0) || member.LimitsReduced() {
 		t.Error("held back, and all blocks keep within their shares")
 	}
 	set("team-000", 70_000)
@@ -584,12 +584,12 @@
 	}
 	member.SetOverQuota(1, 3, nil)
 	member.SetShards([]int{0, 1})
-	if !member.MayStart("team-000", 0) || member.MayStart("team-000", 1) || !member.Falling() {
+	if !member.MayStart("team-000", 0) || member.MayStart("team-000", 1) || !member.LimitsReduced() {
 		t.Error("the block above its share holds back the one that is not, or not the other way round")
 	}
 	member.SetOverQuota(0, 3, nil)
 	member.SetShards([]int{0, 1})
-	if member.Falling() {
+	if member.LimitsReduced() {
 		t.Error("never settled")
 	}
 }
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -56,12 +56,12 @@
 // ControllerStatus tells by which version a controller goes.
 type ControllerStatus struct {
 	Node    string
-	InForce uint64
-	Known   uint64 // the latest that it knows of: while that is later it starts nothing
-	Silent  bool   // it sends this controller no status
-	// Done says that it starts nothing by an older version than the one asked for. An unresponsive
+	Version uint64
+	KnownVersion   uint64 // the latest that it knows of: while that is later it starts nothing
+	Unresponsive  bool   // it sends this controller no status
+	// Confirmed says that it starts nothing by an older version than the one asked for. An unresponsive
 	// one does so once Bound has passed: either it knows, or it may start nothing.
-	Done bool
+	Confirmed bool
 }
 
 // Status tells how far a version has come.
@@ -69,15 +69,15 @@
 	Version   uint64 // asked for
 	Current   uint64 // in force at the controller that was asked
 	Confirmed bool
-	// ConfirmedFor is the latest version that is known to be confirmed.
-	ConfirmedFor uint64
+	// LatestConfirmed is the latest version that is known to be confirmed.
+	LatestConfirmed uint64
 	Waiting      int // changes that wait to be stored
 	Controllers  []ControllerStatus
 }
 
-// PeerStatus takes another controller's status: the version that it goes by, and the latest that
+// ApplyPeerStatus takes another controller's status: the version that it goes by, and the latest that
 // it knows of.
-func (b *Versions) PeerStatus(now units.Microseconds, from string, inForce, known uint64) {
+func (b *Manager) ApplyPeerStatus(now units.Microseconds, from string, inForce, known uint64) {
 	b.now = max(b.now, now)
 	if p := b.confirm.peers[from]; p != nil {
 		p.inForce, p.known = inForce, known
@@ -86,7 +86,7 @@
 
 // Status tells how far a version has come, 0: the one in force here. silent reports whether
 // another controller sends no status at present.
-func (b *Versions) Status(now units.Microseconds, version uint64, unresponsive func(node string) bool) Status {
+func (b *Manager) Status(now units.Microseconds, version uint64, unresponsive func(node string) bool) Status {
 	b.now = max(b.now, now)
 	if version == 0 {
 		version = b.version
@@ -97,21 +97,21 @@
 		status.Waiting += len(b.queue.current.changes)
 	}
 	since, here := confirm.since(version)
-	late := here && b.now-since >= units.MaxWithDrift(b.cfg.Bound)
+	late := here && b.now-since >= units.MaxWithDrift(b.cfg.IsolatedStartLimit)
 	all := b.version >= version && !b.Behind()
-	status.Controllers = append(status.Controllers, ControllerStatus{Node: b.cfg.Node, InForce: b.version, Known: max(b.version, b.latestKnown), Done: all})
+	status.Controllers = append(status.Controllers, ControllerStatus{Node: b.cfg.Node, Version: b.version, KnownVersion: max(b.version, b.latestKnown), Confirmed: all})
 	for _, n := range confirm.names {
 		p := confirm.peers[n]
-		x := ControllerStatus{Node: n, InForce: p.inForce, Known: p.known, Silent: unresponsive(n)}
-		x.Done = p.inForce >= version || x.Silent && late
-		all = all && x.Done
+		x := ControllerStatus{Node: n, Version: p.inForce, KnownVersion: p.known, Unresponsive: unresponsive(n)}
+		x.Confirmed = p.inForce >= version || x.Unresponsive && late
+		all = all && x.Confirmed
 		status.Controllers = append(status.Controllers, x)
 	}
 	// Nobody goes back to an older version, so what was confirmed stays so.
 	if all {
 		confirm.confirmed = max(confirm.confirmed, version)
 	}
-	status.ConfirmedFor = confirm.confirmed
+	status.LatestConfirmed = confirm.confirmed
 	status.Confirmed = version <= confirm.confirmed
 	return status
 }
@@ -146,7 +146,7 @@
 // quotas in a shard than its allocation. It is to be taken only from the shard's owner as stored,
 // from a copy that is complete up to the version in force here, and only once all machines of
 // the shard are reconciled.
-func (b *Versions) SetOverQuota(shard int, version uint64, teams []string) {
+func (b *Manager) SetOverQuota(shard int, version uint64, teams []string) {
 	if len(b.fall.fallen) == 0 || version > b.version {
 		return
 	}
@@ -157,14 +157,14 @@
 	b.fall.shards[shard] = clearance
 }
 
-// Falling reports whether quotas fell of which not all shards are known to keep within their
+// LimitsReduced reports whether quotas fell of which not all shards are known to keep within their
 // allocations.
-func (b *Versions) Falling() bool { return len(b.fall.fallen) > 0 }
+func (b *Manager) LimitsReduced() bool { return len(b.fall.fallen) > 0 }
 
 // MayStart reports whether a team's tasks may start in a shard, apart from its quota there:
 // not while this controller is behind, nor after the quota fell until all other shards keep
 // within their allocations of it.
-func (b *Versions) MayStart(team string, shard int) bool {
+func (b *Manager) MayStart(team string, shard int) bool {
 	if b.Behind() {
 		return false
 	}
@@ -188,7 +188,7 @@
 
 // SetShards says which shards there are, and forgets that a team's limit fell once all of them
 // keep within their allocations: none starts anything beyond its share, so that it stays so.
-func (b *Versions) SetShards(all []int) {
+func (b *Manager) SetShards(all []int) {
 	c := &b.fall
 	c.all = all
 	for team, version := range c.fallen {
--- a/internal/core/configuration/content.go
+++ b/internal/core/configuration/content.go
@@ -28,7 +28,7 @@
 const (
 	MaxTeams      = 1024 // removed ones that still have jobs included
 	MaxObjectives = 256
-	MaxName       = 64  // bytes of a team's or class's name
+	MaxNameBytes       = 64  // bytes of a team's or class's name
 	maxAmount     = 1e9 // CPUs or GPUs
 )
 
@@ -129,8 +129,8 @@
 	switch {
 	case name == "":
 		return invalid(field, "missing")
-	case len(name) > MaxName:
-		return invalid(field, "want at most %d bytes, got %d", MaxName, len(name))
+	case len(name) > MaxNameBytes:
+		return invalid(field, "want at most %d bytes, got %d", MaxNameBytes, len(name))
 	case !utf8.ValidString(name) || strings.ContainsFunc(name, unicode.IsControl):
 		return invalid(field, "has characters that cannot be used")
 	}
@@ -146,7 +146,7 @@
 		if kinds := demand.ObjectiveKinds(); !slices.Contains(kinds, objective.Kind) {
 			return invalid(field+".kind", "want one of %v, got %q", kinds, objective.Kind)
 		}
-		if len(objective.Class) > MaxName || !utf8.ValidString(objective.Class) {
+		if len(objective.Class) > MaxNameBytes || !utf8.ValidString(objective.Class) {
 			return invalid(field+".class", "cannot be used")
 		}
 		if objective.Within < 0 || objective.Within > units.Seconds(1e9) {
--- a/internal/core/configuration/versions.go
+++ b/internal/core/configuration/manager.go
@@ -16,18 +16,18 @@
 type Host interface {
 	// Store queues a write; false: too many wait.
 	Store(w *store.Write) bool
-	// Stamp is the version of a key in the copy of the state service's keys.
-	Stamp(key string) uint64
-	// Read asks for a fresh read; f is told whether it worked.
-	Read(f func(ok bool))
-	// Current reports whether the copy is complete and of a service that did not go back.
-	Current() bool
-	// Busy reports whether a team has jobs that are not over.
-	Busy(team string) bool
+	// KeyVersion is the version of a key in the copy of the state service's keys.
+	KeyVersion(key string) uint64
+	// ReadFresh asks for a fresh read; f is told whether it worked.
+	ReadFresh(f func(ok bool))
+	// CacheCurrent reports whether the copy is complete and of a service that did not go back.
+	CacheCurrent() bool
+	// HasUnfinishedJobs reports whether a team has jobs that are not over.
+	HasUnfinishedJobs(team string) bool
 	// Adopted tells that another content is in force from now on.
 	Adopted(c Content)
-	// Answered answers a request for a change.
-	Answered(request uint64, a Answer)
+	// Respond answers a request for a change.
+	Respond(request uint64, a Result)
 }
 
 // Config is what stays the same for the life of versions.
@@ -35,16 +35,16 @@
 	Node     string
 	Initial  Content // of the settings file: version 0
 	Peers    []string
-	ValueMax int // bytes of a value, at most
+	MaxValueBytes int // bytes of a value, at most
 	TxnOps   int // changes of a transaction, at most
-	// Bound is for how long a controller that nobody hears may at most start tasks by
+	// IsolatedStartLimit is for how long a controller that nobody hears may at most start tasks by
 	// what it knew before.
-	Bound units.Microseconds
+	IsolatedStartLimit units.Microseconds
 	Log   *slog.Logger
 }
 
-// Versions is what a controller knows of the configuration.
-type Versions struct {
+// Manager is what a controller knows of the configuration.
+type Manager struct {
 	cfg  Config
 	host Host
 	now  units.Microseconds
@@ -61,7 +61,7 @@
 	head      head
 	headThere bool
 	chunks    map[string]json.RawMessage
-	history   map[string]Entry // by key
+	history   map[string]HistoryEntry // by key
 
 	queue   changeQueue
 	confirm confirmation
@@ -69,24 +69,24 @@
 }
 
 // New returns the versions of a controller that knows the settings file's content alone.
-func New(cfg Config, host Host) *Versions {
+func New(cfg Config, host Host) *Manager {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	b := &Versions{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, history: map[string]Entry{}}
+	b := &Manager{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, history: map[string]HistoryEntry{}}
 	b.confirm = newConfirmation(cfg.Peers)
 	b.fall = newClearance()
 	return b
 }
 
 // Version is the version in force here.
-func (b *Versions) Version() uint64 { return b.version }
+func (b *Manager) Version() uint64 { return b.version }
 
 // Content is what the version in force here says.
-func (b *Versions) Content() Content { return b.content }
+func (b *Manager) Content() Content { return b.content }
 
-// Known is the latest version that this controller has in force or knows to be stored.
-func (b *Versions) Known() uint64 {
+// KnownVersion is the latest version that this controller has in force or knows to be stored.
+func (b *Manager) KnownVersion() uint64 {
 	if b.headThere {
 		return max(b.version, b.head.Version)
 	}
@@ -95,13 +95,13 @@
 
 // Behind reports whether a version is known to exist that is later than the one in force
 // here. Whoever is behind starts no tasks and accepts no jobs.
-func (b *Versions) Behind() bool { return b.latestKnown > b.version }
+func (b *Manager) Behind() bool { return b.latestKnown > b.version }
 
-// Changed reports whether any version but the settings file's is known to exist.
-func (b *Versions) Changed() bool { return b.latestKnown > 0 }
+// HasStoredVersion reports whether any version but the settings file's is known to exist.
+func (b *Manager) HasStoredVersion() bool { return b.latestKnown > 0 }
 
-// Learn takes a change of a record under Prefix.
-func (b *Versions) Learn(now units.Microseconds, event store.Event) error {
+// Apply takes a change of a record under Prefix.
+func (b *Manager) Apply(now units.Microseconds, event store.Event) error {
 	b.now = max(b.now, now)
 	switch {
 	case event.Key == HeadKey:
@@ -120,7 +120,7 @@
 	return nil // of a later release
 }
 
-func (b *Versions) learnHead(e store.Event) error {
+func (b *Manager) learnHead(e store.Event) error {
 	b.head, b.headThere = head{}, false
 	if e.Value == nil {
 		return nil
@@ -134,12 +134,12 @@
 	return b.adopt()
 }
 
-func (b *Versions) learnHistory(e store.Event) error {
+func (b *Manager) learnHistory(e store.Event) error {
 	if e.Value == nil {
 		delete(b.history, e.Key)
 		return nil
 	}
-	var entry Entry
+	var entry HistoryEntry
 	if err := json.Unmarshal(e.Value, &entry); err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 
 // adopt puts the stored version in force once all its records are there, unless a later one
 // is in force already.
-func (b *Versions) adopt() error {
+func (b *Manager) adopt() error {
 	if !b.headThere || b.head.Version < b.version || b.head.Version == b.version && b.head.ID == b.id {
 		return nil
 	}
@@ -169,21 +169,21 @@
 	return nil
 }
 
-// PeerKnows takes from another controller that a version exists, and reports whether this
+// ObserveVersion takes from another controller that a version exists, and reports whether this
 // controller lacks it.
-func (b *Versions) PeerKnows(version uint64) bool {
+func (b *Manager) ObserveVersion(version uint64) bool {
 	b.latestKnown = max(b.latestKnown, version)
 	return b.Behind()
 }
 
-// Reloaded says that the copy was taken anew as the state service went back behind its
+// CacheRebuilt says that the copy was taken anew as the state service went back behind its
 // answers: a version that nobody has in force may be gone for good.
-func (b *Versions) Reloaded() { b.latestKnown = b.Known() }
+func (b *Manager) CacheRebuilt() { b.latestKnown = b.KnownVersion() }
 
 // History returns the last versions, the latest first.
-func (b *Versions) History() []Entry {
+func (b *Manager) History() []HistoryEntry {
 	list := slices.Collect(maps.Values(b.history))
-	slices.SortFunc(list, func(x, y Entry) int {
+	slices.SortFunc(list, func(x, y HistoryEntry) int {
 		if x.Version > y.Version {
 			return -1
 		}
@@ -193,7 +193,7 @@
 }
 
 // storedAs returns the version that a change was stored as.
-func (b *Versions) storedAs(id string) (uint64, bool) {
+func (b *Manager) storedAs(id string) (uint64, bool) {
 	if b.headThere && b.head.ID == id {
 		return b.head.Version, true
 	}
--- a/internal/core/configuration/record.go
+++ b/internal/core/configuration/record.go
@@ -25,8 +25,8 @@
 	HeadKey       = Prefix + "head"
 	chunkPrefix   = Prefix + "chunk/"
 	historyPrefix = Prefix + "past/"
-	// HistoryKept is how many of the last versions history tells of.
-	HistoryKept = 32
+	// MaxHistory is how many of the last versions history tells of.
+	MaxHistory = 32
 	maxBuckets  = 256
 	// valueSlack is what a value stays below the service's limit.
 	valueSlack = 64
@@ -63,19 +63,19 @@
 	Objectives []objectiveRecord `json:"objectives,omitempty"`
 }
 
-// Entry tells of a version.
-type Entry struct {
+// HistoryEntry tells of a version.
+type HistoryEntry struct {
 	Version uint64             `json:"version"`
 	ID      string             `json:"id"`
 	By      string             `json:"by"`
 	At      units.Microseconds `json:"at"` // time of day
-	What    string             `json:"what"`
+	Summary    string             `json:"what"`
 }
 
 func chunkKey(name string) string { return chunkPrefix + name }
 
 func historyKey(version uint64) string {
-	return fmt.Sprintf("%s%02d", historyPrefix, version%HistoryKept)
+	return fmt.Sprintf("%s%02d", historyPrefix, version%MaxHistory)
 }
 
 // encoded is a content in its stored form: chunks by name, in the order in which the head
@@ -169,9 +169,9 @@
 	return content.sorted(), nil
 }
 
-// Stored returns the version that a set of records holds and its content; version 0: none is
+// ReadStored returns the version that a set of records holds and its content; version 0: none is
 // stored whole.
-func Stored(value func(key string) json.RawMessage) (uint64, Content) {
+func ReadStored(value func(key string) json.RawMessage) (uint64, Content) {
 	var h head
 	if v := value(HeadKey); v == nil || json.Unmarshal(v, &h) != nil {
 		return 0, Content{}
@@ -183,15 +183,15 @@
 	return h.Version, c
 }
 
-// Readable reports why a record under Prefix cannot be read.
-func Readable(key string, value json.RawMessage) error {
+// CheckRecord reports why a record under Prefix cannot be read.
+func CheckRecord(key string, value json.RawMessage) error {
 	switch {
 	case key == HeadKey:
 		return json.Unmarshal(value, &head{})
 	case strings.HasPrefix(key, chunkPrefix):
 		return json.Unmarshal(value, &chunk{})
 	case strings.HasPrefix(key, historyPrefix):
-		return json.Unmarshal(value, &Entry{})
+		return json.Unmarshal(value, &HistoryEntry{})
 	}
 	return errors.New("no record of a configuration")
 }
--- a/internal/core/configuration/service_test.go
+++ b/internal/core/configuration/service_test.go
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal(e.Value, &head); err != nil {
 		s.t.Fatalf("%v", err)
 	}
-	version, content := Stored(func(key string) json.RawMessage { return s.keys[key].Value })
+	version, content := ReadStored(func(key string) json.RawMessage { return s.keys[key].Value })
 	if version != head.Version {
 		s.t.Fatalf("version %d is stored without all of its chunks", head.Version)
 	}
@@ -96,7 +96,7 @@
 
 // member is a controller with its copy of the keys.
 type member struct {
-	*Versions
+	*Manager
 	name    string
 	service *service
 	stamps  map[string]uint64
@@ -104,7 +104,7 @@
 	now     units.Microseconds
 	queue   []*store.Write
 	reads   []func(bool)
-	answers map[uint64]Answer
+	answers map[uint64]Result
 	busy    map[string]bool
 	adopted uint64
 	number  uint64
@@ -120,7 +120,7 @@
 }
 
 func newMember(service *service, name string, peers []string, teams int) *member {
-	member := &member{name: name, service: service, answers: map[uint64]Answer{}, busy: map[string]bool{}}
+	member := &member{name: name, service: service, answers: map[uint64]Result{}, busy: map[string]bool{}}
 	member.start(peers, teams)
 	return member
 }
@@ -128,7 +128,7 @@
 // start begins the process anew, with a copy as the service has it.
 func (member *member) start(peers []string, teams int) {
 	member.stamps, member.queue, member.reads, member.adopted = map[string]uint64{}, nil, nil, 0
-	member.Versions = New(Config{Node: member.name, Initial: initial(teams), Peers: peers, ValueMax: member.service.value, TxnOps: member.service.ops, Bound: 20 * units.Second}, member)
+	member.Manager = New(Config{Node: member.name, Initial: initial(teams), Peers: peers, MaxValueBytes: member.service.value, TxnOps: member.service.ops, IsolatedStartLimit: 20 * units.Second}, member)
 	member.seen = len(member.service.log)
 	for _, k := range slices.Sorted(maps.Keys(member.service.keys)) {
 		member.learn(member.service.keys[k])
@@ -144,7 +144,7 @@
 		delete(member.stamps, e.Key)
 	}
 	before := member.Version()
-	if err := member.Learn(member.now, e); err != nil {
+	if err := member.Apply(member.now, e); err != nil {
 		member.service.t.Fatalf("%s: %v", e.Key, err)
 	}
 	if member.Version() < before {
@@ -221,12 +221,12 @@
 }
 
 func (member *member) Store(w *store.Write) bool { member.queue = append(member.queue, w); return true }
-func (member *member) Stamp(key string) uint64   { return member.stamps[key] }
-func (member *member) Read(f func(bool))         { member.reads = append(member.reads, f) }
-func (member *member) Current() bool             { return true }
-func (member *member) Busy(team string) bool     { return member.busy[team] }
+func (member *member) KeyVersion(key string) uint64   { return member.stamps[key] }
+func (member *member) ReadFresh(f func(bool))         { member.reads = append(member.reads, f) }
+func (member *member) CacheCurrent() bool             { return true }
+func (member *member) HasUnfinishedJobs(team string) bool     { return member.busy[team] }
 func (member *member) Adopted(Content)           { member.adopted++ }
-func (member *member) Answered(n uint64, a Answer) {
+func (member *member) Respond(n uint64, a Result) {
 	if _, twice := member.answers[n]; twice {
 		member.service.t.Fatalf("%s: request %d is answered twice", member.name, n)
 	}
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -32,10 +32,10 @@
 	// ConfigStored says which version holds a change.
 	ConfigStored struct{ Version uint64 }
 	// ConfigRefused says why a change was not made: *configuration.Invalid,
-	// *configuration.Missed or *configuration.Unavailable.
+	// *configuration.Conflict or *configuration.Unavailable.
 	ConfigRefused struct{ Err error }
 	// ConfigHistory is a list of the last versions, the latest first.
-	ConfigHistory []configuration.Entry
+	ConfigHistory []configuration.HistoryEntry
 	// ConfigStatus tells how far a version has come.
 	ConfigStatus = configuration.Status
 )
@@ -46,17 +46,17 @@
 // Store implements configuration.Host.
 func (c configurationHost) Store(w *store.Write) bool { return c.queues[UserQueue].Add(w) }
 
-// Stamp implements configuration.Host.
-func (c configurationHost) Stamp(key string) uint64 { return c.cache.Version(key) }
+// KeyVersion implements configuration.Host.
+func (c configurationHost) KeyVersion(key string) uint64 { return c.cache.Version(key) }
 
-// Read implements configuration.Host.
-func (c configurationHost) Read(f func(ok bool)) { c.readFresh(f) }
+// ReadFresh implements configuration.Host.
+func (c configurationHost) ReadFresh(f func(ok bool)) { c.readFresh(f) }
 
-// Current implements configuration.Host.
-func (c configurationHost) Current() bool { return c.cache.Loaded() && !c.cache.Recovering() }
+// CacheCurrent implements configuration.Host.
+func (c configurationHost) CacheCurrent() bool { return c.cache.Loaded() && !c.cache.Recovering() }
 
-// Busy implements configuration.Host.
-func (c configurationHost) Busy(team string) bool {
+// HasUnfinishedJobs implements configuration.Host.
+func (c configurationHost) HasUnfinishedJobs(team string) bool {
 	for j := range c.jobs.Active() {
 		if j.Spec().Team == team {
 			return true
@@ -68,10 +68,10 @@
 // Adopted implements configuration.Host.
 func (c configurationHost) Adopted(content configuration.Content) { c.reconfigure(content) }
 
-// Answered implements configuration.Host.
-func (c configurationHost) Answered(request uint64, a configuration.Answer) {
+// Respond implements configuration.Host.
+func (c configurationHost) Respond(request uint64, a configuration.Result) {
 	r := Reply{Request: RequestID(request), Code: http.StatusOK, Body: ConfigStored{a.Version}}
-	var missed *configuration.Missed
+	var missed *configuration.Conflict
 	var invalid *configuration.Invalid
 	switch {
 	case a.Err == nil:
@@ -146,11 +146,11 @@
 
 // receiveConfigStatus takes what another controller's status says of the configuration.
 func (c *Core) receiveConfigStatus(from string, status PeerStatus) {
-	c.config.PeerStatus(c.now, from, status.Config, status.ConfigKnown)
-	if c.config.PeerKnows(status.ConfigKnown) {
+	c.config.ApplyPeerStatus(c.now, from, status.Config, status.ConfigKnown)
+	if c.config.ObserveVersion(status.ConfigKnown) {
 		c.readFresh(nil)
 	}
-	if !c.config.Falling() || !c.configComplete() {
+	if !c.config.LimitsReduced() || !c.configComplete() {
 		return
 	}
 	for _, b := range status.Blocks {
@@ -170,11 +170,11 @@
 // addConfigStatus adds to a status which version is in force here, and which teams are above
 // their allocation in a shard.
 func (c *Core) addConfigStatus(status *PeerStatus) {
-	if !c.config.Changed() {
+	if !c.config.HasStoredVersion() {
 		return
 	}
-	status.Config, status.ConfigKnown = c.config.Version(), c.config.Known()
-	complete := c.config.Falling() && c.configComplete()
+	status.Config, status.ConfigKnown = c.config.Version(), c.config.KnownVersion()
+	complete := c.config.LimitsReduced() && c.configComplete()
 	room := MaxOverQuotaBytes
 	for i := range status.Blocks {
 		b := &status.Blocks[i]
@@ -202,5 +202,5 @@
 // mayAccept reports whether this controller surely knows the configuration well enough to
 // accept jobs: it knows of no later one, and its copy is recent.
 func (c *Core) mayAccept() bool {
-	return !c.config.Changed() || !c.config.Behind() && c.now-c.cache.AsOf() < c.extension()
+	return !c.config.HasStoredVersion() || !c.config.Behind() && c.now-c.cache.AsOf() < c.extension()
 }
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -112,7 +112,7 @@
 	if c.incompatible("b") {
 		t.Error("too old, and nothing is stored")
 	}
-	c.config.PeerKnows(1)
+	c.config.ObserveVersion(1)
 	if !c.incompatible("b") {
 		t.Error("may hold a block though it does not go by the stored version")
 	}
@@ -145,7 +145,7 @@
 // TestTeamsOverAllocationAtTheLimit has as many teams with the longest names above their share
 // as a status has room for, and one more: then none is named, and the use is not known.
 func TestTeamsOverAllocationAtTheLimit(t *testing.T) {
-	const room = MaxOverQuotaBytes / (configuration.MaxName + 4) // 4 bytes round each name
+	const room = MaxOverQuotaBytes / (configuration.MaxNameBytes + 4) // 4 bytes round each name
 	if room < 340 {
 		t.Errorf("room for %d teams", room)
 	}
@@ -154,7 +154,7 @@
 		shard := c.owned[0]
 		var content configuration.Content
 		for i := range teams {
-			name := fmt.Sprintf("%0*d", configuration.MaxName, i)
+			name := fmt.Sprintf("%0*d", configuration.MaxNameBytes, i)
 			content.Teams = append(content.Teams, Team{Name: name, Limit: binpack.Vec{1000}})
 			shard.quota.Charge(name, binpack.Vec{2000})
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -172,7 +172,7 @@
 	wall    units.Microseconds // time of day
 	effects []Effect
 	teams   map[string]*Team
-	config  *configuration.Versions // teams and objectives as they are in force
+	config  *configuration.Manager // teams and objectives as they are in force
 	cache   *watchcache.Cache       // the copy of the state service's keys
 	queues  [queueCount]*store.WriteQueue
 
@@ -234,7 +234,7 @@
 	core.peers = peering.NewDirectory(peering.Config{Node: cfg.Node, Peers: cfg.Peers, Log: cfg.Log})
 	core.forwarder = peering.NewForwarder()
 	core.config = configuration.New(configuration.Config{Node: cfg.Node, Initial: configuration.Content{Teams: cfg.Teams, Objectives: cfg.Objectives},
-		Peers: cfg.Peers, ValueMax: core.cfg.ValueMax, TxnOps: cfg.TxnOps, Bound: core.extension() + units.Second, Log: cfg.Log}, configurationHost{core})
+		Peers: cfg.Peers, MaxValueBytes: core.cfg.ValueMax, TxnOps: cfg.TxnOps, IsolatedStartLimit: core.extension() + units.Second, Log: cfg.Log}, configurationHost{core})
 	core.zones = zones.New(zones.Config{Zones: cfg.Zones, Home: cfg.HomeZone, HeartbeatInterval: cfg.HeartbeatInterval, Log: cfg.Log})
 	core.reachability = liveness.NewReachability(cfg.HeartbeatInterval, core.leaseBound())
 	for i := range core.queues {
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -139,7 +139,7 @@
 			s.assignments[shard] = event
 		}
 	case strings.HasPrefix(event.Key, keys.ConfigPrefix):
-		err = configuration.Readable(event.Key, event.Value)
+		err = configuration.CheckRecord(event.Key, event.Value)
 	case strings.HasPrefix(event.Key, keys.OverridePrefix):
 		err = json.Unmarshal(event.Value, &overrideRecord{})
 	case strings.HasPrefix(event.Key, keys.StandbyPrefix):
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -87,7 +87,7 @@
 	case strings.HasPrefix(event.Key, assignmentPrefix):
 		err = c.learnAssignment(event)
 	case strings.HasPrefix(event.Key, configPrefix):
-		err = c.config.Learn(c.now, event)
+		err = c.config.Apply(c.now, event)
 	case strings.HasPrefix(event.Key, overridePrefix):
 		err = c.learnOverride(event)
 	case strings.HasPrefix(event.Key, standbyPrefix):
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -145,7 +145,7 @@
 		c.onStatus(from, received)
 	case PeerLeaseGrant:
 		c.membership.PeerLeaseGranted(now, from, received.Seat, received.Sent)
-		c.config.PeerKnows(received.ConfigKnown) // before the others' word lengthens this owner's authority
+		c.config.ObserveVersion(received.ConfigKnown) // before the others' word lengthens this owner's authority
 		c.receiveCancellations(from, received)
 	case TakeoverVoteRequest:
 		// Of no controller: whoever asks waits until its time is over.
@@ -188,7 +188,7 @@
 	}
 	c.receiveConfigStatus(from, status)
 	if c.membership.GrantPeerLease(c.now, from, status.Seat) {
-		c.emit(SendPeer{from, PeerLeaseGrant{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.Known()}})
+		c.emit(SendPeer{from, PeerLeaseGrant{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.KnownVersion()}})
 	}
 	if c.election.Leads() {
 		for _, b := range status.Blocks {
--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -19,7 +19,7 @@
 
 // StateRolledBack implements rollback.Host.
 func (c rollbackHost) StateRolledBack() {
-	c.config.Reloaded()
+	c.config.CacheRebuilt()
 	c.cancellations.StateRolledBack(c.now)
 	c.suspectCommits()
 	c.archive.RolledBack()
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -69,9 +69,9 @@
 	if f := w.opt.Break.Clock; f != nil {
 		n.rate = f(n.index)
 	}
-	cfg := set.Core(nil)
+	cfg := set.CoreConfig(nil)
 	if w.opt.Log != nil {
-		cfg = set.Core(w.opt.Log(n.Name, func() units.Microseconds { return w.now }))
+		cfg = set.CoreConfig(w.opt.Log(n.Name, func() units.Microseconds { return w.now }))
 	}
 	if f := w.opt.Break.Core; f != nil {
 		f(&cfg)
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -118,7 +118,7 @@
 			records[it.Key] = it.Value
 		}
 	})
-	version, content := configuration.Stored(func(key string) json.RawMessage { return records[key] })
+	version, content := configuration.ReadStored(func(key string) json.RawMessage { return records[key] })
 	if version == 0 {
 		w.Check.RecordViolation(w.now, check.Lost, "a version of the configuration is stored without all of its records")
 		return
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -16,8 +16,8 @@
 // maxAnswer bounds what is read of an answer, in bytes.
 const maxAnswer = 64 << 20
 
-// ErrUnreadable is wrapped by the error of an answer that is not the JSON that was expected.
-var ErrUnreadable = errors.New("unreadable answer")
+// ErrInvalidResponse is wrapped by the error of an answer that is not the JSON that was expected.
+var ErrInvalidResponse = errors.New("unreadable answer")
 
 // NewClient returns a client for a service on the same network: maxConns connections at
 // most, of which none is waited for long.
@@ -66,7 +66,7 @@
 		return answer.StatusCode, nil
 	}
 	if err := json.Unmarshal(text, response); err != nil {
-		return answer.StatusCode, fmt.Errorf("%w: %w", ErrUnreadable, err)
+		return answer.StatusCode, fmt.Errorf("%w: %w", ErrInvalidResponse, err)
 	}
 	return answer.StatusCode, nil
 }
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -20,7 +20,7 @@
 		{"an answer", http.StatusOK, `{"Text":"yes"}`, "yes", nil},
 		{"a refusal", http.StatusConflict, `{"Text":"no"}`, "no", nil},
 		{"an empty answer", http.StatusOK, ``, "", nil},
-		{"not JSON", http.StatusOK, `nothing`, "", ErrUnreadable},
+		{"not JSON", http.StatusOK, `nothing`, "", ErrInvalidResponse},
 		{"not JSON, from something on the way", http.StatusBadGateway, `<html>`, "", nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -16,17 +16,17 @@
 // liveHeapMetric is what the last collection found in use, in bytes.
 const liveHeapMetric = "/gc/heap/live:bytes"
 
-// Watch watches the memory of this process. It is for one goroutine.
-type Watch struct {
+// Monitor watches the memory of this process. It is for one goroutine.
+type Monitor struct {
 	limit    float64 // bytes
 	liveHeap func() uint64
 	full     bool
 }
 
 // New returns a watch for a limit in bytes.
-func New(limit int64) *Watch {
+func New(limit int64) *Monitor {
 	sample := []metrics.Sample{{Name: liveHeapMetric}}
-	return &Watch{limit: float64(limit), liveHeap: func() uint64 {
+	return &Monitor{limit: float64(limit), liveHeap: func() uint64 {
 		metrics.Read(sample)
 		if sample[0].Value.Kind() != metrics.KindUint64 {
 			return 0 // a runtime that does not have this metric
@@ -36,7 +36,7 @@
 }
 
 // Full reports whether no more should be taken on.
-func (w *Watch) Full() bool {
+func (w *Monitor) Full() bool {
 	threshold := highWater
 	if w.full {
 		threshold = lowWater
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -8,7 +8,7 @@
 // TestFull goes up and down past the edges: between them it stays as it was.
 func TestFull(t *testing.T) {
 	var live uint64
-	watch := &Watch{limit: 1000, liveHeap: func() uint64 { return live }}
+	watch := &Monitor{limit: 1000, liveHeap: func() uint64 { return live }}
 	for _, test := range []struct {
 		live uint64
 		want bool
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -100,8 +100,8 @@
 	for k := range peering.MaxPeers + 1 {
 		status.Blocks = append(status.Blocks, core.ShardStatus{Block: k, Share: 1<<64 - 1, Use: 1.0 / 3})
 	}
-	for room := core.MaxOverQuotaBytes; room >= configuration.MaxName+4; room -= configuration.MaxName + 4 {
-		status.Blocks[0].Over = append(status.Blocks[0].Over, fmt.Sprintf("%0*d", configuration.MaxName, room))
+	for room := core.MaxOverQuotaBytes; room >= configuration.MaxNameBytes+4; room -= configuration.MaxNameBytes + 4 {
+		status.Blocks[0].Over = append(status.Blocks[0].Over, fmt.Sprintf("%0*d", configuration.MaxNameBytes, room))
 	}
 	if n := len(status.Blocks[0].Over); n < 340 {
 		t.Errorf("a status names %d teams", n)
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -103,7 +103,7 @@
 			ClockErrMs: n.ClockErrorMS}}
 	out.Tuning, _ = s.tuning() // checked when the file was read
 	out.Tuning.LeaderLeaseS, out.Tuning.MachinesPerShard = n.LeaseS, n.BlockMachines
-	out.Tuning.KeepFinished, out.Tuning.PackSettleS = n.KeepDone, n.PackSettleS
+	out.Tuning.KeepFinished, out.Tuning.ArchiveSettleS = n.KeepDone, n.PackSettleS
 	for k := range n.Count {
 		if k != i {
 			name := NodeName(k)
