--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	// changeEvery is the least time between two versions that one controller stores:
-	// changes that come meanwhile are stored together.
-	changeEvery = units.Second / 4
-	// maxWaiting bounds the changes that wait.
-	maxWaiting = 128
-	// maxTries bounds how often a change is tried again whose outcome was not OK.
-	maxTries = 4
-	// repairEvery is the least time between two tries to store again what the service lost.
-	repairEvery = units.Second
-	// collectAfter is for how long chunks must have been of no use before they are removed.
-	collectAfter = 30 * units.Second
-	// partBytes bounds what goes into one transaction beside the head.
-	partBytes = store.TxnBytes / 2
-	maxID     = 64
-	maxText   = 160 // bytes of who and what in the history
+	// minChangeInterval is the minimum time between two versions stored by one controller. Changes
+	// that arrive in between are stored together as one version.
+	minChangeInterval = units.Second / 4
+	// maxPendingChanges limits the queue of changes; further requests are refused.
+	maxPendingChanges = 128
+	// maxAttempts limits how often a batch is attempted whose writes do not succeed.
+	maxAttempts = 4
+	// repairInterval is the minimum time between two attempts to restore records that the state
+	// service has lost.
+	repairInterval = units.Second
+	// collectDelay is how long there must have been unused chunks before they are removed.
+	collectDelay = 30 * units.Second
+	// maxChunkBytesPerTxn limits the bytes of chunks in one transaction, and leaves space for the head.
+	maxChunkBytesPerTxn = store.TxnBytes / 2
+	maxIDBytes          = 64
+	maxSummaryBytes     = 160 // of an author or summary in the history
 )
 
-// Request asks for a change: of some teams, or of the whole.
+// Request asks for a change of some teams, or for a replacement of the whole content.
 type Request struct {
-	By string // who asks
-	// Base, if given, is the version that the change was made for: where another is in
-	// force by then, nothing is changed.
-	Base  *uint64
-	Teams []TeamChange
-	Replacement *Content // needs Base
+	By string // the author
+	// Base, if given, is the version that the change was made for. If another version is in force
+	// when the change is processed, it fails with a *Conflict.
+	Base        *uint64
+	Teams       []TeamChange
+	Replacement *Content // requires Base
 }
 
 // Result is the outcome of a request.
 type Result struct {
-	Version uint64 // that holds the change
-	Err     error  // nil, *Invalid, *Missed or *Unavailable
+	Version uint64 // that includes the change
+	Err     error  // nil, *Invalid, *Conflict or *Unavailable
 }
 
-// Conflict says that a change was made for another version than the present one.
+// Conflict is the error of a change whose base is not the current version.
 type Conflict struct{ Base, Current uint64 }
 
 func (e *Conflict) Error() string {
 	return fmt.Sprintf("was made for version %d, and the present one is %d", e.Base, e.Current)
 }
 
-// Unavailable says that a change could not be stored now. Unknown: it may have been, or may
-// yet be as long as no later version is stored.
+// Unavailable is the error of a change that could not be stored now. If Unknown is set, the write is
+// in doubt: the change may have been stored, or may still be as long as no later version is stored.
 type Unavailable struct {
 	Reason  string
 	Unknown bool
@@ -61,53 +62,54 @@
 
 func (e *Unavailable) Error() string { return e.Reason }
 
-type waitingChange struct {
+type pendingChange struct {
 	number  uint64
 	request Request
 }
 
-// changeQueue holds the changes that wait, and the one that is being stored.
+// changeQueue holds the changes that wait, and the batch that is being stored.
 type changeQueue struct {
-	waiting  []waitingChange
-	current  *batch
-	nextAt   units.Microseconds
-	made     uint64 // batches
-	repairAt units.Microseconds
-	unusedAt units.Microseconds // since when there are chunks of no use; 0: there are none
-	cleaning bool
+	pending     []pendingChange
+	current     *batch
+	nextAt      units.Microseconds
+	started     uint64 // batches so far; makes their ids unique
+	repairAt    units.Microseconds
+	unusedSince units.Microseconds // since when there are unused chunks; 0: there are none
+	collecting  bool
 }
 
 // batch is a group of changes that become one version.
 type batch struct {
-	id      string
-	changes []waitingChange // not answered yet
-	tries   int
-	unknown bool // an outcome was not known
-	repair  bool // stores the version in force again
-	encoded encoded
-	head    head
-	headAt  uint64 // version of the head's key that is guarded
-	entry   HistoryEntry
-	missing []string // chunks that are still to be stored
-	inHead  int      // of these, the last ones, which go with the head
-}
-
-// Change asks for a change; the host is told the answer.
-func (b *Manager) Change(now, wall units.Microseconds, number uint64, r Request) {
-	b.now, b.wall = max(b.now, now), wall
-	if err := b.checkRequest(r); err != nil {
-		b.host.Respond(number, Result{Err: err})
+	id             string
+	changes        []pendingChange // without a response yet
+	attempts       int
+	outcomeUnknown bool // the outcome of a write was unknown
+	repair         bool // stores the version in force once more
+	encoded        encoded
+	head           head
+	headVersion    uint64 // version of the head's key, which the write is guarded by
+	entry          HistoryEntry
+	missing        []string // chunks that still have to be stored
+	withHead       int      // how many of these, from the end, are stored in the head's transaction
+}
+
+// Change queues a change. The result is passed to Host.Respond under the given request number.
+// now is the controller's monotonic time, wall is the time of day.
+func (m *Manager) Change(now, wall units.Microseconds, number uint64, r Request) {
+	m.now, m.wall = max(m.now, now), wall
+	if err := m.checkRequest(r); err != nil {
+		m.host.Respond(number, Result{Err: err})
 		return
 	}
-	if len(b.queue.waiting) >= maxWaiting {
-		b.host.Respond(number, Result{Err: &Unavailable{Reason: "too many changes wait"}})
+	if len(m.queue.pending) >= maxPendingChanges {
+		m.host.Respond(number, Result{Err: &Unavailable{Reason: "too many changes wait"}})
 		return
 	}
-	b.queue.waiting = append(b.queue.waiting, waitingChange{number, r})
-	b.pump()
+	m.queue.pending = append(m.queue.pending, pendingChange{number, r})
+	m.startBatch()
 }
 
-func (b *Manager) checkRequest(r Request) error {
+func (m *Manager) checkRequest(r Request) error {
 	if len(r.By) > MaxNameBytes {
 		return invalid("by", "want at most %d bytes", MaxNameBytes)
 	}
@@ -123,128 +125,130 @@
 	return nil
 }
 
-// Tick does what time asks for. leads says that this controller leads: it cleans up.
-func (b *Manager) Tick(now, wall units.Microseconds, leads bool) {
-	b.now, b.wall = max(b.now, now), wall
-	if len(b.queue.waiting) > 0 {
-		b.pump()
+// Tick does the periodic work: it starts the next batch, restores lost records and, if this controller
+// is the leader (leads), removes unused chunks.
+func (m *Manager) Tick(now, wall units.Microseconds, leads bool) {
+	m.now, m.wall = max(m.now, now), wall
+	if len(m.queue.pending) > 0 {
+		m.startBatch()
 	}
-	if b.latestKnown == 0 {
+	if m.latestKnown == 0 {
 		return
 	}
-	b.repair()
-	b.collectGarbage(leads)
+	m.repair()
+	m.collectGarbage(leads)
 }
 
-// pump begins to store the changes that wait, once those before are stored. Each batch
-// begins with a fresh read, so that whoever missed a version is told the right one.
-func (b *Manager) pump() {
-	q := &b.queue
-	if q.current != nil || len(q.waiting) == 0 || b.now < q.nextAt {
+// startBatch begins to store the pending changes once the previous batch is done. Each batch begins with
+// a fresh read, so that a conflict reports the version that is really the current one.
+func (m *Manager) startBatch() {
+	q := &m.queue
+	if q.current != nil || len(q.pending) == 0 || m.now < q.nextAt {
 		return
 	}
-	q.made++
-	q.nextAt = b.now + changeEvery
-	q.current = &batch{id: b.newID(), changes: q.waiting}
-	q.waiting = nil
-	b.read(q.current)
+	q.started++
+	q.nextAt = m.now + minChangeInterval
+	q.current = &batch{id: m.newID(), changes: q.pending}
+	q.pending = nil
+	m.readAndBuild(q.current)
 }
 
-func (b *Manager) newID() string {
-	id := fmt.Sprintf("%s.%x.%d", b.cfg.Node, int64(b.wall), b.queue.made)
-	if len(id) > maxID {
+func (m *Manager) newID() string {
+	id := fmt.Sprintf("%s.%x.%d", m.cfg.Node, int64(m.wall), m.queue.started)
+	if len(id) > maxIDBytes {
 		sum := sha256.Sum256([]byte(id))
 		id = base64.RawURLEncoding.EncodeToString(sum[:])
 	}
 	return id
 }
 
-// read reads afresh and goes on with a batch.
-func (b *Manager) read(x *batch) {
-	b.host.ReadFresh(func(ok bool) {
-		if !ok || !b.host.CacheCurrent() {
-			b.giveUp(x, "the state service does not answer")
+// readAndBuild waits for a fresh read of the state service and then builds a batch. A batch that an earlier
+// attempt in doubt has already stored is complete.
+func (m *Manager) readAndBuild(x *batch) {
+	m.host.ReadFresh(func(ok bool) {
+		if !ok || !m.host.CacheCurrent() {
+			m.failBatch(x, "the state service does not answer")
 			return
 		}
-		if v, stored := b.storedAs(x.id); stored && !x.repair {
-			b.done(x, v)
+		if v, stored := m.storedAs(x.id); stored && !x.repair {
+			m.completeBatch(x, v)
 			return
 		}
-		b.build(x)
+		m.build(x)
 	})
 }
 
-// giveUp answers all changes of a batch that they could not be stored.
-func (b *Manager) giveUp(x *batch, why string) {
-	b.queue.current = nil
+// failBatch responds to all changes of a batch that they could not be stored.
+func (m *Manager) failBatch(x *batch, reason string) {
+	m.queue.current = nil
 	for _, ch := range x.changes {
-		b.host.Respond(ch.number, Result{Err: &Unavailable{why, x.unknown}})
+		m.host.Respond(ch.number, Result{Err: &Unavailable{reason, x.outcomeUnknown}})
 	}
 }
 
-// done answers all changes of a batch that are stored.
-func (b *Manager) done(x *batch, version uint64) {
-	b.queue.current = nil
+// completeBatch responds to all changes of a batch that they are stored as a version.
+func (m *Manager) completeBatch(x *batch, version uint64) {
+	m.queue.current = nil
 	for _, ch := range x.changes {
-		b.host.Respond(ch.number, Result{Version: version})
+		m.host.Respond(ch.number, Result{Version: version})
 	}
 }
 
-// build makes the version that a batch asks for and begins to store it. What cannot be done
-// is answered and left out.
-func (b *Manager) build(batch *batch) {
-	content := b.content
+// build makes the version that a batch asks for and begins to store it. Changes that are not possible are
+// refused and left out.
+func (m *Manager) build(batch *batch) {
+	content := m.content
 	if !batch.repair {
-		content = b.merge(batch)
+		content = m.merge(batch)
 		if len(batch.changes) == 0 {
-			b.queue.current = nil
+			m.queue.current = nil
 			return
 		}
-		if content.equal(b.content) && !b.Behind() {
-			b.done(batch, b.version) // nothing is to be stored
+		if content.equal(m.content) && !m.Behind() {
+			m.completeBatch(batch, m.version) // the changes make no difference
 			return
 		}
 	}
 	var err error
-	if batch.encoded, err = encode(content, b.cfg.MaxValueBytes); err != nil {
-		b.refuse(batch, err)
+	if batch.encoded, err = encode(content, m.cfg.MaxValueBytes); err != nil {
+		m.rejectBatch(batch, err)
 		return
 	}
-	batch.head = head{Version: max(b.latestKnown, b.version) + 1, ID: batch.id, Chunks: batch.encoded.names}
-	batch.entry = HistoryEntry{Version: batch.head.Version, ID: batch.id, By: b.authors(batch), At: b.wall, Summary: summary(b.content, content)}
+	batch.head = head{Version: max(m.latestKnown, m.version) + 1, ID: batch.id, Chunks: batch.encoded.names}
+	batch.entry = HistoryEntry{Version: batch.head.Version, ID: batch.id, By: m.authors(batch), At: m.wall, Summary: summarize(m.content, content)}
 	if batch.repair {
-		batch.head.Version, batch.head.ID = b.version, b.id
-		batch.entry = b.history[historyKey(b.version)]
-		if batch.entry.Version != b.version {
-			batch.entry = HistoryEntry{Version: b.version, ID: b.id, At: b.wall, Summary: "stored again, as the state service had lost it"}
+		batch.head.Version, batch.head.ID = m.version, m.id
+		batch.entry = m.history[historyKey(m.version)]
+		if batch.entry.Version != m.version {
+			batch.entry = HistoryEntry{Version: m.version, ID: m.id, At: m.wall, Summary: "stored again, as the state service had lost it"}
 		}
 	}
-	batch.headAt = b.host.KeyVersion(HeadKey)
-	batch.missing = b.lacking(batch.encoded)
-	batch.inHead = b.chunksWithHead(batch)
-	b.storeChunks(batch)
+	batch.headVersion = m.host.KeyVersion(HeadKey)
+	batch.missing = m.missingChunks(batch.encoded)
+	batch.withHead = m.chunksWithHead(batch)
+	m.storeChunks(batch)
 }
 
-func (b *Manager) refuse(batch *batch, err error) {
-	b.queue.current = nil
+func (m *Manager) rejectBatch(batch *batch, err error) {
+	m.queue.current = nil
 	for _, ch := range batch.changes {
-		b.host.Respond(ch.number, Result{Err: err})
+		m.host.Respond(ch.number, Result{Err: err})
 	}
 }
 
-// merge returns the content with all changes of a batch that can be made, one after the
-// other; the others are answered.
-func (b *Manager) merge(batch *batch) Content {
-	content := b.content.tidied(b.wall, b.host.HasUnfinishedJobs)
-	current := max(b.latestKnown, b.version)
-	var accepted []waitingChange
+// merge returns the content after all changes of a batch that are possible, applied in their order. The
+// others are refused and removed from the batch.
+func (m *Manager) merge(batch *batch) Content {
+	content := m.content.pruned(m.wall, m.host.HasUnfinishedJobs)
+	current := max(m.latestKnown, m.version)
+	var accepted []pendingChange
 	for _, ch := range batch.changes {
-		next, err := b.apply(content, ch.request, current, len(accepted) > 0)
+		next, err := m.applyRequest(content, ch.request, current, len(accepted) > 0)
 		if err == nil && len(next.Teams) > len(content.Teams) {
-			_, err = encode(next, b.cfg.MaxValueBytes)
+			_, err = encode(next, m.cfg.MaxValueBytes)
 		}
 		if err != nil {
-			b.host.Respond(ch.number, Result{Err: err})
+			m.host.Respond(ch.number, Result{Err: err})
 			continue
 		}
 		content = next
@@ -254,69 +258,69 @@
 	return content
 }
 
-// apply returns the content after one request. others says that requests of the same batch
-// come before it.
-func (b *Manager) apply(content Content, r Request, current uint64, others bool) (Content, error) {
+// applyRequest returns the content after one request. follows says that earlier requests of the same batch
+// were accepted, so that a request made for the current version comes too late.
+func (m *Manager) applyRequest(content Content, r Request, current uint64, follows bool) (Content, error) {
 	if r.Base != nil && *r.Base != current {
 		return content, &Conflict{*r.Base, current}
 	}
-	if r.Base != nil && others {
+	if r.Base != nil && follows {
 		return content, &Conflict{*r.Base, current + 1}
 	}
 	if r.Replacement != nil {
-		content = content.replaced(*r.Replacement, b.wall)
+		content = content.replacedBy(*r.Replacement, m.wall)
 		return content, content.Check()
 	}
-	if b.Behind() {
+	if m.Behind() {
 		return content, &Unavailable{Reason: "records of the present version are missing here: give the whole"}
 	}
 	for _, ch := range r.Teams {
 		var err error
-		if content, err = content.with(ch, b.wall); err != nil {
+		if content, err = content.withTeamChange(ch, m.wall); err != nil {
 			return content, err
 		}
 	}
 	return content, content.Check()
 }
 
-// authors names who asked for the changes of a batch.
-func (b *Manager) authors(x *batch) string {
+// authors returns the distinct authors of the changes of a batch, separated by commas.
+func (m *Manager) authors(x *batch) string {
 	var names []string
 	for _, ch := range x.changes {
 		if by := ch.request.By; by != "" && !slices.Contains(names, by) {
 			names = append(names, by)
 		}
 	}
-	return shortened(strings.Join(names, ", "))
+	return truncate(strings.Join(names, ", "))
 }
 
-func shortened(service string) string {
-	if len(service) <= maxText {
-		return service
+func truncate(text string) string {
+	if len(text) <= maxSummaryBytes {
+		return text
 	}
-	return strings.ToValidUTF8(service[:maxText-3], "") + "..."
+	return strings.ToValidUTF8(text[:maxSummaryBytes-3], "") + "..."
 }
 
-// lacking returns the chunks of a version that the service does not surely have as long as
-// the head stays as it is: only chunks that a head names are never removed.
-func (b *Manager) lacking(e encoded) []string {
+// missingChunks returns the chunks of a version that must be stored before its head. A chunk need not be
+// stored if the present head names it: such chunks are never removed while the head stays the same.
+func (m *Manager) missingChunks(e encoded) []string {
 	var out []string
 	for _, name := range e.names {
-		kept := b.headThere && slices.Contains(b.head.Chunks, name) && b.chunks[name] != nil
-		if !kept && !slices.Contains(out, name) {
+		present := m.headStored && slices.Contains(m.head.Chunks, name) && m.chunks[name] != nil
+		if !present && !slices.Contains(out, name) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// chunksWithHead returns how many of the missing chunks go into the head's own transaction.
-func (b *Manager) chunksWithHead(batch *batch) int {
-	free, bytes := b.cfg.TxnOps-2, 0 // the head and its entry of the history
+// chunksWithHead returns how many of the missing chunks fit into the head's transaction.
+func (m *Manager) chunksWithHead(batch *batch) int {
+	free, bytes := m.cfg.TxnOps-2, 0 // the head and its history entry
 	n := 0
 	for i := len(batch.missing) - 1; i >= 0 && n < free; i-- {
 		bytes += len(batch.encoded.values[batch.missing[i]])
-		if n > 0 && bytes > partBytes {
+		if n > 0 && bytes > maxChunkBytesPerTxn {
 			break
 		}
 		n++
@@ -324,20 +328,21 @@
 	return n
 }
 
-// storeChunks stores the chunks that do not go with the head, then the head. They are under
-// names of their content: to store one late or twice does no harm. None of them can be
-// removed before the head is stored, as that changes the head's key (clean), which is guarded.
-func (b *Manager) storeChunks(batch *batch) {
-	early := batch.missing[:len(batch.missing)-batch.inHead]
+// storeChunks stores the chunks that do not fit into the head's transaction, then the head. Chunks are named
+// by a hash of their content, so that storing one late or twice does no harm. None of them can be removed
+// before the head is stored: a removal writes the head too (collectGarbage), and the head's write is
+// guarded by the head's version.
+func (m *Manager) storeChunks(batch *batch) {
+	early := batch.missing[:len(batch.missing)-batch.withHead]
 	if len(early) == 0 {
-		b.storeHead(batch)
+		m.storeHead(batch)
 		return
 	}
 	w := &store.Write{First: true}
 	bytes := 0
-	for len(early) > 0 && len(w.Changes) < b.cfg.TxnOps {
+	for len(early) > 0 && len(w.Changes) < m.cfg.TxnOps {
 		value := batch.encoded.values[early[0]]
-		if bytes += len(value); len(w.Changes) > 0 && bytes > partBytes {
+		if bytes += len(value); len(w.Changes) > 0 && bytes > maxChunkBytesPerTxn {
 			break
 		}
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(early[0]), Value: value})
@@ -346,49 +351,50 @@
 	stored := len(w.Changes)
 	w.Done = func(o store.Outcome, _ uint64) {
 		if o != store.OK {
-			b.again(batch, o)
+			m.retry(batch, o)
 			return
 		}
 		batch.missing = batch.missing[stored:]
-		b.storeChunks(batch)
+		m.storeChunks(batch)
 	}
-	b.queueWrite(batch, w)
+	m.queueWrite(batch, w)
 }
 
-func (b *Manager) queueWrite(x *batch, w *store.Write) {
-	if !b.host.Store(w) {
-		b.giveUp(x, "too many changes wait for the state service")
+func (m *Manager) queueWrite(x *batch, w *store.Write) {
+	if !m.host.Store(w) {
+		m.failBatch(x, "too many changes wait for the state service")
 	}
 }
 
-// storeHead stores the head with the last chunks, guarded by the head's version: of two that
-// store at once one fails, and so does one that comes late.
-func (b *Manager) storeHead(batch *batch) {
-	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Version: batch.headAt}}}
+// storeHead stores the head with the remaining chunks, guarded by the head's version: of two concurrent
+// writes one fails, and so does a delayed one. Unused chunks are removed as far as the transaction has
+// space for them.
+func (m *Manager) storeHead(batch *batch) {
+	w := &store.Write{First: true, Guards: []store.Guard{{Key: HeadKey, Version: batch.headVersion}}}
 	for _, name := range batch.missing {
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name), Value: batch.encoded.values[name]})
 	}
 	w.Changes = append(w.Changes, store.Change{Key: HeadKey, Value: store.Value(batch.head)}, store.Change{Key: historyKey(batch.entry.Version), Value: store.Value(batch.entry)})
-	for _, name := range b.unused(batch.head.Chunks) {
-		if len(w.Changes) >= b.cfg.TxnOps {
+	for _, name := range m.unusedChunks(batch.head.Chunks) {
+		if len(w.Changes) >= m.cfg.TxnOps {
 			break
 		}
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name)})
 	}
 	w.Done = func(o store.Outcome, _ uint64) {
 		if o != store.OK {
-			b.again(batch, o)
+			m.retry(batch, o)
 			return
 		}
-		b.done(batch, batch.head.Version)
+		m.completeBatch(batch, batch.head.Version)
 	}
-	b.queueWrite(batch, w)
+	m.queueWrite(batch, w)
 }
 
-// unused returns the stored chunks that a head with some chunks does not name.
-func (b *Manager) unused(named []string) []string {
+// unusedChunks returns the stored chunks that are not in a head's list of chunks, sorted.
+func (m *Manager) unusedChunks(named []string) []string {
 	var out []string
-	for name := range b.chunks {
+	for name := range m.chunks {
 		if !slices.Contains(named, name) {
 			out = append(out, name)
 		}
@@ -397,87 +403,87 @@
 	return out
 }
 
-// again tries a batch once more after an outcome that was not OK: what counts is what is
-// stored then.
-func (b *Manager) again(x *batch, o store.Outcome) {
-	x.unknown = x.unknown || o == store.Unknown
+// retry attempts a batch again after an outcome that was not OK. It starts over with a fresh read, which
+// shows whether the failed attempt was stored after all. After maxAttempts the batch fails.
+func (m *Manager) retry(x *batch, o store.Outcome) {
+	x.outcomeUnknown = x.outcomeUnknown || o == store.Unknown
 	if o == store.TooLarge {
-		b.giveUp(x, "the state service takes no records of that size")
+		m.failBatch(x, "the state service takes no records of that size")
 		return
 	}
-	if x.tries++; x.tries >= maxTries || x.repair {
-		b.giveUp(x, "the state service did not store it")
+	if x.attempts++; x.attempts >= maxAttempts || x.repair {
+		m.failBatch(x, "the state service did not store it")
 		return
 	}
-	b.read(x)
+	m.readAndBuild(x)
 }
 
-// repair stores the version in force again where the service lost it or a part of it.
-func (b *Manager) repair() {
-	queue := &b.queue
-	if b.version == 0 || queue.current != nil || b.now < queue.repairAt || !b.host.CacheCurrent() {
+// repair stores the version in force again if the state service has lost it or some of its chunks.
+func (m *Manager) repair() {
+	queue := &m.queue
+	if m.version == 0 || queue.current != nil || m.now < queue.repairAt || !m.host.CacheCurrent() {
 		return
 	}
-	queue.repairAt = b.now + repairEvery
-	older := !b.headThere || b.head.Version < b.version
-	holed := b.headThere && b.head.ID == b.id && b.head.Version == b.version &&
-		slices.ContainsFunc(b.head.Chunks, func(name string) bool { return b.chunks[name] == nil })
-	if !older && !holed {
+	queue.repairAt = m.now + repairInterval
+	older := !m.headStored || m.head.Version < m.version
+	incomplete := m.headStored && m.head.ID == m.id && m.head.Version == m.version &&
+		slices.ContainsFunc(m.head.Chunks, func(name string) bool { return m.chunks[name] == nil })
+	if !older && !incomplete {
 		return
 	}
-	b.cfg.Log.Warn("configuration is stored again", "version", b.version, "stored", b.head.Version)
-	queue.current = &batch{id: b.id, repair: true}
-	b.build(queue.current)
+	m.cfg.Log.Warn("state service lost the configuration in force, storing it again", "version", m.version, "stored", m.head.Version)
+	queue.current = &batch{id: m.id, repair: true}
+	m.build(queue.current)
 }
 
-// collectGarbage removes chunks of no use. The head is written again as it is, so that nothing that
-// was made for the head as it was before can still be stored.
-func (b *Manager) collectGarbage(leads bool) {
-	queue := &b.queue
-	if !leads || queue.current != nil || queue.cleaning || !b.headThere || !b.host.CacheCurrent() || len(b.chunks) <= len(b.head.Chunks) {
-		queue.unusedAt = 0
+// collectGarbage removes unused chunks. The head is written again unchanged: its key gets a new version, so
+// that a delayed write that is guarded by the earlier one can no longer be stored.
+func (m *Manager) collectGarbage(leads bool) {
+	queue := &m.queue
+	if !leads || queue.current != nil || queue.collecting || !m.headStored || !m.host.CacheCurrent() || len(m.chunks) <= len(m.head.Chunks) {
+		queue.unusedSince = 0
 		return
 	}
-	if queue.unusedAt == 0 {
-		queue.unusedAt = b.now
+	if queue.unusedSince == 0 {
+		queue.unusedSince = m.now
 	}
-	if b.now-queue.unusedAt < collectAfter {
+	if m.now-queue.unusedSince < collectDelay {
 		return
 	}
-	queue.unusedAt = 0
-	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Version: b.host.KeyVersion(HeadKey)}},
-		Changes: []store.Change{{Key: HeadKey, Value: store.Value(b.head)}}}
-	for _, name := range b.unused(b.head.Chunks) {
-		if len(w.Changes) >= b.cfg.TxnOps {
+	queue.unusedSince = 0
+	w := &store.Write{Guards: []store.Guard{{Key: HeadKey, Version: m.host.KeyVersion(HeadKey)}},
+		Changes: []store.Change{{Key: HeadKey, Value: store.Value(m.head)}}}
+	for _, name := range m.unusedChunks(m.head.Chunks) {
+		if len(w.Changes) >= m.cfg.TxnOps {
 			break
 		}
 		w.Changes = append(w.Changes, store.Change{Key: chunkKey(name)})
 	}
-	w.Done = func(store.Outcome, uint64) { queue.cleaning = false }
-	queue.cleaning = b.host.Store(w)
+	w.Done = func(store.Outcome, uint64) { queue.collecting = false }
+	queue.collecting = m.host.Store(w)
 }
 
-// summary says in a few words what differs between two contents.
-func summary(before, after Content) string {
+// summarize describes the differences between two contents for the history.
+func summarize(before, after Content) string {
 	var parts []string
 	for _, t := range after.Teams {
-		i, there := before.Find(t.Name)
+		i, exists := before.Find(t.Name)
 		switch {
-		case !there:
+		case !exists:
 			parts = append(parts, t.Name+": new")
 		case t != before.Teams[i] && t.Removed != 0 && before.Teams[i].Removed == 0:
 			parts = append(parts, t.Name+": removed")
 		case t != before.Teams[i]:
-			parts = append(parts, t.Name+": "+amounts(before.Teams[i])+" -> "+amounts(t))
+			parts = append(parts, t.Name+": "+formatAmounts(before.Teams[i])+" -> "+formatAmounts(t))
 		}
 	}
 	if !slices.Equal(before.Objectives, after.Objectives) {
 		parts = append(parts, "objectives")
 	}
-	return shortened(strings.Join(parts, "; "))
+	return truncate(strings.Join(parts, "; "))
 }
 
-// amounts writes a team's guarantee and limit as CPUs and GPUs.
-func amounts(t Team) string {
+// formatAmounts formats a team's guarantee and limit in CPUs/GPUs.
+func formatAmounts(t Team) string {
 	return fmt.Sprintf("%g/%g to %g/%g", float64(t.Guarantee[0])/1000, float64(t.Guarantee[1])/1000, float64(t.Limit[0])/1000, float64(t.Limit[1])/1000)
 }
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -14,11 +14,11 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// TestChangesUnderFaults has three controllers change the configuration at once, while
-// transactions are refused, carried out without an answer, or carried out late, watches lag
-// and processes end. Every version that is ever stored is whole and right, each change is
-// stored once, nobody goes back, and every answer is true.
-func TestChangesUnderFaults(t *testing.T) {
+// TestConcurrentChangesUnderFaults changes the configuration from three controllers at once. Transactions
+// conflict, are in doubt, or are committed late; watches lag; processes restart. Every version ever stored
+// must be complete and valid, each change stored once, no controller may go back to an older version, and
+// every result must be true.
+func TestConcurrentChangesUnderFaults(t *testing.T) {
 	stored := 0
 	rapid.Check(t, func(t *rapid.T) {
 		trial := newFaultTrial(t)
@@ -29,25 +29,25 @@
 		}
 		trial.settle(t)
 		for _, request := range trial.requests {
-			trial.checkAnswer(t, request)
+			trial.checkResult(t, request)
 		}
-		stored += len(trial.service.truth)
+		stored += len(trial.service.contents)
 	})
 	if stored < 50 {
 		t.Fatalf("only %d versions were ever stored", stored)
 	}
 }
 
-// faultTrial is three controllers that change the configuration at once under faults.
+// faultTrial holds the state of one run of TestConcurrentChangesUnderFaults.
 type faultTrial struct {
 	service  *service
 	members  []*member
 	teams    int
 	requests []requestedChange
-	late     []*store.Write // transactions that are still on their way
+	delayed  []*store.Write // transactions in doubt that may still be committed
 }
 
-// requestedChange is a change of one team's limit that a member was asked for.
+// requestedChange is a change of one team's limit that was requested of a member.
 type requestedChange struct {
 	member *member
 	number uint64
@@ -68,7 +68,7 @@
 	return trial
 }
 
-// step has one thing happen to a member.
+// step performs one random action or fault on a member.
 func (f *faultTrial) step(t *rapid.T, member *member, step int) {
 	switch step {
 	case 0, 1:
@@ -85,34 +85,34 @@
 		f.commitLate(t)
 	case 11:
 		switch rapid.IntRange(0, 3).Draw(t, "end") {
-		case 0: // a process ends, and another begins
+		case 0: // the process restarts
 			member.start(member.cfg.Peers, f.teams)
-		case 1: // chunks of no use are old enough to be removed
+		case 1: // unused chunks become old enough to be removed
 			member.now += 31 * units.Second
 			member.Tick(member.now, member.now, true)
 		}
 	}
 }
 
-// request asks a member for a change.
+// request requests a change of a member, of one team or as a replacement of the whole.
 func (f *faultTrial) request(t *rapid.T, member *member) {
 	requested := requestedChange{member: member, team: fmt.Sprintf("team-%03d", rapid.IntRange(0, f.teams).Draw(t, "team")), limit: int64(rapid.IntRange(1, 99).Draw(t, "limit")) * 1000}
 	if rapid.Bool().Draw(t, "based") {
 		v := member.Version()
 		requested.base = &v
 	}
-	ask := Request{By: member.name, Base: requested.base, Teams: []TeamChange{limit(requested.team, requested.limit)}}
+	change := Request{By: member.name, Base: requested.base, Teams: []TeamChange{limit(requested.team, requested.limit)}}
 	if requested.base != nil && rapid.Bool().Draw(t, "whole") {
-		whole, _ := member.Content().with(limit(requested.team, requested.limit), member.now)
+		whole, _ := member.Content().withTeamChange(limit(requested.team, requested.limit), member.now)
 		whole.Objectives = whole.Objectives[:rapid.IntRange(0, len(whole.Objectives)).Draw(t, "objectives")]
-		ask = Request{By: member.name, Base: requested.base, Replacement: &whole}
+		change = Request{By: member.name, Base: requested.base, Replacement: &whole}
 	}
-	requested.number = member.change(ask)
+	requested.number = member.change(change)
 	f.requests = append(f.requests, requested)
 }
 
-// send has a member's next transaction carried out, carried out without an answer (step 8), or
-// held up without one (step 9).
+// send commits a member's next transaction and reports its outcome. In step 8 the outcome is reported as
+// unknown; in step 9 the transaction is delayed as well.
 func (f *faultTrial) send(member *member, step int) {
 	w, ok := member.send()
 	if !ok {
@@ -123,95 +123,95 @@
 		f.service.commit(w)
 		w.Done(store.Unknown, 0)
 	case 9:
-		f.late = append(f.late, w)
+		f.delayed = append(f.delayed, w)
 		w.Done(store.Unknown, 0)
 	default:
 		member.finish(w, f.service.commit(w))
 	}
 }
 
-// commitLate carries out one of the transactions that were held up.
+// commitLate commits one of the delayed transactions.
 func (f *faultTrial) commitLate(t *rapid.T) {
-	if len(f.late) == 0 {
+	if len(f.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(f.late)-1).Draw(t, "late")
-	f.service.commit(f.late[i])
-	f.late = append(f.late[:i], f.late[i+1:]...)
+	i := rapid.IntRange(0, len(f.delayed)-1).Draw(t, "late")
+	f.service.commit(f.delayed[i])
+	f.delayed = append(f.delayed[:i], f.delayed[i+1:]...)
 }
 
-// settle lets all faults end. Then all go by the same version.
+// settle ends all faults. After that all members must have the same version in force.
 func (f *faultTrial) settle(t *rapid.T) {
 	for range 3 {
 		for _, member := range f.members {
 			member.settle()
 		}
 	}
-	for _, w := range f.late {
+	for _, w := range f.delayed {
 		f.service.commit(w)
 	}
 	first := f.members[0]
 	for _, member := range f.members {
 		member.settle()
 		if member.Version() != first.Version() || !member.Content().equal(first.Content()) || member.Behind() {
-			t.Fatalf("%s goes by %d (behind %v), %s by %d", member.name, member.Version(), member.Behind(), first.name, first.Version())
+			t.Fatalf("%s has version %d in force (behind %v), %s has %d", member.name, member.Version(), member.Behind(), first.name, first.Version())
 		}
 	}
 }
 
-// checkAnswer fails the test if the answer to a request, if it got any, is not true.
-func (f *faultTrial) checkAnswer(t *rapid.T, request requestedChange) {
-	answer, ok := request.member.answers[request.number]
+// checkResult fails the test if a request has a result that is not true.
+func (f *faultTrial) checkResult(t *rapid.T, request requestedChange) {
+	result, ok := request.member.results[request.number]
 	if !ok {
-		return // its process ended
+		return // its process was restarted
 	}
-	truth := f.service.truth
-	var missed *Conflict
+	contents := f.service.contents
+	var conflict *Conflict
 	switch {
-	case answer.Err == nil && answer.Version > 0:
-		i, there := truth[answer.Version].Find(request.team)
-		if !there {
-			t.Fatalf("version %d is to have %s, and has not", answer.Version, request.team)
+	case result.Err == nil && result.Version > 0:
+		i, exists := contents[result.Version].Find(request.team)
+		if !exists {
+			t.Fatalf("version %d lacks %s", result.Version, request.team)
 		}
-		if request.base != nil && truth[answer.Version].Teams[i].Limit[binpack.CPU] != request.limit {
-			t.Fatalf("version %d is to have %s at %d, and has %v", answer.Version, request.team, request.limit, truth[answer.Version].Teams[i])
+		if request.base != nil && contents[result.Version].Teams[i].Limit[binpack.CPU] != request.limit {
+			t.Fatalf("version %d must have %s with limit %d, has %v", result.Version, request.team, request.limit, contents[result.Version].Teams[i])
 		}
-		if request.base != nil && answer.Version != *request.base+1 && !truth[answer.Version].equal(truth[*request.base]) {
-			t.Fatalf("made for version %d, stored as %d", *request.base, answer.Version)
+		if request.base != nil && result.Version != *request.base+1 && !contents[result.Version].equal(contents[*request.base]) {
+			t.Fatalf("change with base %d was stored as version %d", *request.base, result.Version)
 		}
-	case errors.As(answer.Err, &missed) && missed.Current <= missed.Base:
-		t.Fatalf("%v", missed)
+	case errors.As(result.Err, &conflict) && conflict.Current <= conflict.Base:
+		t.Fatalf("%v", conflict)
 	}
 }
 
-// TestLargeConfiguration stores 340 teams in values of 2 KiB with three changes a
-// transaction: the whole once, then one team at a time by one chunk.
-func TestLargeConfiguration(t *testing.T) {
+// TestTeamChangeWritesOneChunk stores 340 teams in values of 2 KiB with three changes per transaction, and in
+// larger ones. All chunks are stored only once; after that, a change of one team must write one chunk.
+func TestTeamChangeWritesOneChunk(t *testing.T) {
 	for _, c := range []struct{ value, ops int }{{2048, 3}, {8192, 12}} {
 		service := newService(t, c.ops, c.value)
 		member := newMember(service, "a", nil, 340)
 		n := member.change(Request{By: "op", Teams: []TeamChange{limit("team-007", 7000)}})
 		member.settle()
-		if a := member.answers[n]; a.Err != nil || a.Version != 1 {
+		if a := member.results[n]; a.Err != nil || a.Version != 1 {
 			t.Fatalf("%d bytes: %+v", c.value, a)
 		}
 		before := service.writes
 		n = member.change(Request{By: "op", Teams: []TeamChange{limit("team-008", 8000)}})
 		member.settle()
-		if a := member.answers[n]; a.Err != nil || a.Version != 2 || service.writes-before > 4 {
+		if a := member.results[n]; a.Err != nil || a.Version != 2 || service.writes-before > 4 {
 			t.Fatalf("%d bytes: %+v, %d changes", c.value, a, service.writes-before)
 		}
-		member.start(nil, 1) // another settings file counts no more
+		member.start(nil, 1) // the stored version takes precedence over another settings file
 		if i, ok := member.Content().Find("team-008"); !ok || len(member.Content().Teams) != 340 || member.Content().Teams[i].Limit[binpack.CPU] != 8000 {
 			t.Errorf("read back: %v", member.Content().Teams)
 		}
 	}
 }
 
-// TestMostTeams stores as many teams with the longest names as there may be in values of 8 KiB,
-// and 340 in values of 2 KiB. One more, or what such values cannot hold, is refused with the
-// field and the limit.
-func TestMostTeams(t *testing.T) {
+// TestMaxTeams encodes the maximum number of teams with names of maximum length in values of 8 KiB, and 340
+// teams in values of 2 KiB. One more team, or more than the values can hold, must be refused with the field
+// and the limit.
+func TestMaxTeams(t *testing.T) {
 	for _, test := range []struct {
 		value, teams int
 		refused      string
@@ -234,14 +234,15 @@
 		}
 		for k, v := range e.values {
 			if len(v) > test.value {
-				t.Errorf("%s takes %d bytes of %d", k, len(v), test.value)
+				t.Errorf("chunk %s takes %d bytes, more than %d", k, len(v), test.value)
 			}
 		}
 	}
 }
 
-// TestWrongOnesAreRefused has wrong contents refused with the field, and nothing changed.
-func TestWrongOnesAreRefused(t *testing.T) {
+// TestInvalidRequestsAreRefused requests invalid changes. Each must be refused with the field's name, and
+// nothing may be changed.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	service := newService(t, 4, 2048)
 	member := newMember(service, "a", nil, 3)
 	number := func(v int64) *int64 { return &v }
@@ -259,7 +260,7 @@
 		n := member.change(r)
 		member.settle()
 		var invalid *Invalid
-		if a := member.answers[n]; !errors.As(a.Err, &invalid) || invalid.Field != field || invalid.Reason == "" {
+		if a := member.results[n]; !errors.As(a.Err, &invalid) || invalid.Field != field || invalid.Reason == "" {
 			t.Errorf("%s: %+v", field, a)
 		}
 	}
@@ -269,20 +270,20 @@
 	}
 	n := member.change(Request{Base: &zero, Replacement: &many})
 	member.settle()
-	if a := member.answers[n]; a.Err != nil && service.rev == 0 {
+	if a := member.results[n]; a.Err != nil && service.rev == 0 {
 		var invalid *Invalid
 		if !errors.As(a.Err, &invalid) {
 			t.Errorf("too large: %+v", a)
 		}
 	}
-	if a := member.answers[n]; a.Err == nil && member.Version() != 1 {
+	if a := member.results[n]; a.Err == nil && member.Version() != 1 {
 		t.Errorf("%+v, and version %d", a, member.Version())
 	}
 }
 
-// TestTwoWriters has two operators change the same version: the second is told which one
-// it missed. Changes that were made for no version are both stored.
-func TestTwoWriters(t *testing.T) {
+// TestConflictingWriters makes two changes for the same base version, on two controllers and in one batch. The
+// second must fail with a conflict that names both versions. A change without a base must be stored.
+func TestConflictingWriters(t *testing.T) {
 	service := newService(t, 4, 8192)
 	memberA, memberB := newMember(service, "a", []string{"b"}, 3), newMember(service, "b", []string{"a"}, 3)
 	zero := uint64(0)
@@ -292,8 +293,8 @@
 	memberB.read(true) // both have read version 0
 	memberA.settle()
 	memberB.settle()
-	var missed *Conflict
-	if x, y := memberA.answers[first], memberB.answers[second]; x.Err != nil || x.Version != 1 || !errors.As(y.Err, &missed) || *missed != (Conflict{0, 1}) {
+	var conflict *Conflict
+	if x, y := memberA.results[first], memberB.results[second]; x.Err != nil || x.Version != 1 || !errors.As(y.Err, &conflict) || *conflict != (Conflict{0, 1}) {
 		t.Errorf("%+v, %+v", x, y)
 	}
 	one := uint64(1)
@@ -301,38 +302,38 @@
 	second = memberA.change(Request{Base: &one, Teams: []TeamChange{limit("team-001", 2000)}})
 	third := memberA.change(Request{Teams: []TeamChange{limit("team-002", 3000)}})
 	memberA.settle()
-	if x, y, z := memberA.answers[first], memberA.answers[second], memberA.answers[third]; x.Err != nil || !errors.As(y.Err, &missed) || z.Err != nil {
+	if x, y, z := memberA.results[first], memberA.results[second], memberA.results[third]; x.Err != nil || !errors.As(y.Err, &conflict) || z.Err != nil {
 		t.Errorf("%+v, %+v, %+v", x, y, z)
 	}
 }
 
-// TestManyChangesAtOnce asks for more changes than may wait: those beyond are refused at
-// once, and the others are stored in few versions.
-func TestManyChangesAtOnce(t *testing.T) {
+// TestPendingChangesLimit requests more changes than the queue holds. Those beyond its limit must be refused
+// at once, the others stored in few versions.
+func TestPendingChangesLimit(t *testing.T) {
 	service := newService(t, 12, 8192)
 	member := newMember(service, "a", nil, 340)
 	var numbers []uint64
-	for i := range 2*maxWaiting + 1 {
+	for i := range 2*maxPendingChanges + 1 {
 		numbers = append(numbers, member.change(Request{Teams: []TeamChange{limit(fmt.Sprintf("team-%03d", i), 1000)}}))
 	}
 	member.settle()
 	refused := 0
 	for _, n := range numbers {
-		var gone *Unavailable
-		if errors.As(member.answers[n].Err, &gone) {
+		var unavailable *Unavailable
+		if errors.As(member.results[n].Err, &unavailable) {
 			refused++
-		} else if member.answers[n].Err != nil {
-			t.Fatal(member.answers[n].Err)
+		} else if member.results[n].Err != nil {
+			t.Fatal(member.results[n].Err)
 		}
 	}
-	if refused != maxWaiting || member.Version() != 2 || service.writes > 30 {
+	if refused != maxPendingChanges || member.Version() != 2 || service.writes > 30 {
 		t.Errorf("%d refused, version %d, %d changes", refused, member.Version(), service.writes)
 	}
 }
 
-// TestChangesInASecond asks for a change every 10 ms of a service that answers at once: they
-// are stored in a few versions a second.
-func TestChangesInASecond(t *testing.T) {
+// TestChangesAreBatched requests a change every 10 ms while the state service responds at once. The changes
+// of a second must be stored in a few versions.
+func TestChangesAreBatched(t *testing.T) {
 	service := newService(t, 12, 8192)
 	member := newMember(service, "a", nil, 340)
 	for i := range 100 {
@@ -345,14 +346,14 @@
 		}
 	}
 	member.settle()
-	if i, _ := member.Content().Find("team-007"); member.Version() > 5 || member.Version() < 3 || member.Content().Teams[i].Limit[binpack.CPU] != 1099 || len(member.answers) != 100 {
-		t.Errorf("%d versions, %v, %d answers", member.Version(), member.Content().Teams[i], len(member.answers))
+	if i, _ := member.Content().Find("team-007"); member.Version() > 5 || member.Version() < 3 || member.Content().Teams[i].Limit[binpack.CPU] != 1099 || len(member.results) != 100 {
+		t.Errorf("%d versions, %v, %d results", member.Version(), member.Content().Teams[i], len(member.results))
 	}
 }
 
-// TestCleaningMeetsAnApply has the leader remove chunks of no use between the parts of a large
-// change that another controller stores: the change is not stored with a hole.
-func TestCleaningMeetsAnApply(t *testing.T) {
+// TestGarbageCollectionDuringChange has the leader remove unused chunks while another controller has stored
+// only some chunks of a large change, which no head lists yet. The change must not be stored without them.
+func TestGarbageCollectionDuringChange(t *testing.T) {
 	service := newService(t, 4, 2048)
 	memberA, memberB := newMember(service, "a", []string{"b"}, 340), newMember(service, "b", []string{"a"}, 340)
 	memberA.change(Request{Teams: []TeamChange{limit("team-000", 1000)}})
@@ -377,17 +378,17 @@
 		t.Fatal("nothing was removed")
 	}
 	memberA.settle()
-	if x := memberA.answers[n]; x.Err != nil || x.Version != 2 || memberA.Version() != 2 {
-		t.Errorf("%+v, goes by %d", x, memberA.Version())
+	if x := memberA.results[n]; x.Err != nil || x.Version != 2 || memberA.Version() != 2 {
+		t.Errorf("%+v, version %d in force", x, memberA.Version())
 	}
 }
 
-// TestRemovedTeam keeps the limit of a removed team as long as it has jobs, and no shorter
-// than a controller that lags could accept one.
-func TestRemovedTeam(t *testing.T) {
+// TestRemovedTeamRetention removes a team. Its limit must be kept while it has jobs, and for at least as long
+// as a controller that lags behind could still accept one.
+func TestRemovedTeamRetention(t *testing.T) {
 	service := newService(t, 4, 8192)
 	member := newMember(service, "a", nil, 3)
-	there := func() (Team, bool) {
+	find := func() (Team, bool) {
 		i, ok := member.Content().Find("team-001")
 		if !ok {
 			return Team{}, false
@@ -398,60 +399,60 @@
 		t.Helper()
 		n := member.change(Request{Teams: []TeamChange{c}})
 		member.settle()
-		if a := member.answers[n]; a.Err != nil {
+		if a := member.results[n]; a.Err != nil {
 			t.Fatal(a.Err)
 		}
 	}
 	member.busy["team-001"] = true
 	set(TeamChange{Name: "team-001", Remove: true})
-	if x, ok := there(); !ok || x.Removed == 0 || x.Limit[binpack.CPU] != 50_000 || x.Guarantee != (binpack.Vec{}) {
+	if x, ok := find(); !ok || x.Removed == 0 || x.Limit[binpack.CPU] != 50_000 || x.Guarantee != (binpack.Vec{}) {
 		t.Errorf("%v %+v", ok, x)
 	}
 	member.busy["team-001"] = false
 	set(limit("team-000", 1900))
-	if _, ok := there(); !ok {
-		t.Error("forgotten while a controller that lags may accept a job")
+	if _, ok := find(); !ok {
+		t.Error("removed team dropped while a lagging controller may still accept a job of it")
 	}
 	member.busy["team-001"] = true
-	member.now += 2 * forgetAfter
+	member.now += 2 * removedRetention
 	set(limit("team-000", 1000))
-	if _, ok := there(); !ok {
-		t.Error("forgotten with a job")
+	if _, ok := find(); !ok {
+		t.Error("removed team dropped while it has a job")
 	}
 	member.busy["team-001"] = false
 	set(limit("team-000", 2000))
-	if _, ok := there(); ok {
-		t.Error("kept without a job")
+	if _, ok := find(); ok {
+		t.Error("removed team kept without a job after its retention")
 	}
 	set(limit("team-001", 5000))
-	if x, ok := there(); !ok || x.Removed != 0 {
+	if x, ok := find(); !ok || x.Removed != 0 {
 		t.Errorf("%v %+v", ok, x)
 	}
 }
 
-// TestServiceRollsBack has the state service lose the last versions: nobody goes by an older
-// one, and the last is stored again with all its chunks.
-func TestServiceRollsBack(t *testing.T) {
+// TestStateServiceRollback makes the state service lose the last versions, a chunk, or all records. The version
+// in force must not go back, and it must be stored again with all its chunks.
+func TestStateServiceRollback(t *testing.T) {
 	service := newService(t, 4, 2048)
 	member := newMember(service, "a", nil, 60)
 	for i := range 4 {
 		member.change(Request{Teams: []TeamChange{limit("team-000", int64(1000*(i+1)))}})
 		member.settle()
 	}
-	for _, lose := range []func(){
-		func() { // as it was two versions ago
+	for _, loseRecords := range []func(){
+		func() { // back to the head of two versions ago
 			h := head{Version: 2, ID: "earlier", Chunks: service.head().Chunks}
 			member.stamps[HeadKey]++
 			service.keys[HeadKey] = store.Event{Key: HeadKey, Value: store.Value(h), Stamp: member.stamps[HeadKey]}
 			_ = member.Apply(member.now, service.keys[HeadKey])
 		},
-		func() { // a chunk
+		func() { // one chunk is lost
 			k := chunkKey(service.head().Chunks[1])
 			delete(service.keys, k)
 			delete(member.stamps, k)
 			_ = member.Apply(member.now, store.Event{Key: k, Stamp: 99})
 		},
-		func() { // everything
+		func() { // all records are lost
 			clear(service.keys)
 			for k := range member.stamps {
 				delete(member.stamps, k)
@@ -459,49 +460,50 @@
 			}
 		},
 	} {
-		clear(service.ids) // the same change is stored a second time
-		lose()
+		clear(service.ids) // storing the same change again is expected here
+		loseRecords()
 		member.CacheRebuilt()
 		if member.Version() != 4 || member.Behind() {
-			t.Fatalf("goes by %d, behind %v", member.Version(), member.Behind())
+			t.Fatalf("version %d in force, behind %v", member.Version(), member.Behind())
 		}
 		member.settle()
 		if h := service.head(); h.Version != 4 || h.ID != member.id {
 			t.Fatalf("stored: %+v", h)
 		}
-		service.look()
+		service.checkStored()
 	}
 	n := member.change(Request{Teams: []TeamChange{limit("team-000", 9000)}})
 	member.settle()
-	if a := member.answers[n]; a.Version != 5 {
+	if a := member.results[n]; a.Version != 5 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// TestLacksRecords has a controller know of a version without its records: it starts
-// nothing, changes nothing, and goes on once an operator gives the whole.
-func TestLacksRecords(t *testing.T) {
+// TestMissingRecords tells a controller of a version whose records are missing. It must not start tasks or
+// change teams until an operator replaces the whole configuration.
+func TestMissingRecords(t *testing.T) {
 	service := newService(t, 4, 2048)
 	member := newMember(service, "a", []string{"b"}, 3)
 	if member.MayStart("team-000", 0) != true || !member.ObserveVersion(3) || member.MayStart("team-000", 0) {
-		t.Error("starts by an older version than it knows of")
+		t.Error("tasks may start although a later version is known")
 	}
 	n := member.change(Request{Teams: []TeamChange{limit("team-000", 1000)}})
 	member.settle()
-	var gone *Unavailable
-	if a := member.answers[n]; !errors.As(a.Err, &gone) {
+	var unavailable *Unavailable
+	if a := member.results[n]; !errors.As(a.Err, &unavailable) {
 		t.Errorf("%+v", a)
 	}
 	base, whole := uint64(3), initial(3)
 	n = member.change(Request{Base: &base, Replacement: &whole})
 	member.settle()
-	if a := member.answers[n]; a.Version != 4 || member.Behind() || !member.MayStart("team-000", 0) {
+	if a := member.results[n]; a.Version != 4 || member.Behind() || !member.MayStart("team-000", 0) {
 		t.Errorf("%+v, behind %v", a, member.Behind())
 	}
 }
 
-// TestConfirmation confirms a version once all go by it, and those that nobody hears may
-// start nothing by an older one; what is confirmed stays so.
+// TestConfirmation checks that a version is confirmed once all controllers have it in force, or are
+// unresponsive for so long that they may no longer start tasks under an older one. A confirmed version
+// must stay confirmed.
 func TestConfirmation(t *testing.T) {
 	service := newService(t, 4, 8192)
 	member := newMember(service, "a", []string{"b", "c"}, 3)
@@ -509,39 +511,40 @@
 	member.read(true)
 	w, _ := member.send()
 	member.finish(w, service.commit(w))
-	silent := map[string]bool{}
+	unresponsive := map[string]bool{}
 	status := func(after units.Microseconds) Status {
-		return member.Status(member.now+after, 1, func(n string) bool { return silent[n] })
+		return member.Status(member.now+after, 1, func(n string) bool { return unresponsive[n] })
 	}
 	if status(0).Confirmed {
-		t.Error("confirmed, and nobody else has it")
+		t.Error("confirmed although no other controller has it")
 	}
 	member.ApplyPeerStatus(member.now, "b", 1, 1)
-	silent["c"] = true
+	unresponsive["c"] = true
 	if x := status(member.cfg.IsolatedStartLimit - units.Second); x.Confirmed {
-		t.Errorf("confirmed before one that is silent surely starts nothing: %+v", x)
+		t.Errorf("confirmed while an unresponsive controller may still start tasks: %+v", x)
 	}
-	silent["c"] = false
+	unresponsive["c"] = false
 	if x := status(30 * units.Second); x.Confirmed || x.Controllers[2].Confirmed {
-		t.Errorf("confirmed by time alone of one that is heard: %+v", x)
+		t.Errorf("confirmed for a responsive controller because of the time: %+v", x)
 	}
-	silent["c"] = true
+	unresponsive["c"] = true
 	if x := status(40 * units.Second); !x.Confirmed || !x.Controllers[2].Confirmed {
 		t.Errorf("not confirmed: %+v", x)
 	}
-	silent["c"] = false
-	member.ApplyPeerStatus(member.now, "c", 0, 0) // it has just begun, and reads all keys before it starts anything
+	unresponsive["c"] = false
+	member.ApplyPeerStatus(member.now, "c", 0, 0) // just restarted: it reads all keys before it starts tasks
 	if x := status(0); !x.Confirmed || x.Controllers[2].Confirmed {
 		t.Errorf("%+v", x)
 	}
 	if x := member.Status(member.now, 2, func(string) bool { return false }); x.Confirmed {
-		t.Errorf("a version that there is not: %+v", x)
+		t.Errorf("a version that does not exist is confirmed: %+v", x)
 	}
 }
 
-// TestOtherShards holds back a team's tasks after its limit fell, until every other shard is
-// told to keep within its allocation by that version or a later one.
-func TestOtherShards(t *testing.T) {
+// TestReducedLimitHoldsBackOtherShards reduces a team's limit. Its tasks must be held back in a shard until the
+// owners of all other shards have reported, with that version in force, that they are within
+// their allocations.
+func TestReducedLimitHoldsBackOtherShards(t *testing.T) {
 	service := newService(t, 12, 8192)
 	member := newMember(service, "a", []string{"b"}, 3)
 	member.SetShards([]int{0, 1})
@@ -549,48 +552,48 @@
 		member.change(Request{Teams: []TeamChange{limit(team, cpus)}})
 		member.settle()
 	}
-	set("team-000", 50_000) // the first that this process knows: any limit may have fallen
+	set("team-000", 50_000) // the first version that this process knows: any limit may have been reduced
 	if member.Version() != 0 {
-		t.Fatal("stored, though nothing differs")
+		t.Fatal("a change without a difference was stored")
 	}
 	set("team-000", 60_000)
 	if member.MayStart("team-000", 0) {
-		t.Error("the first version that a process knows clears nothing")
+		t.Error("first known version: tasks may start although the limit may have been reduced")
 	}
 	member.SetOverQuota(0, 1, nil)
 	member.SetOverQuota(1, 1, nil)
 	member.SetShards([]int{0, 1})
 	if !member.MayStart("team-000", 0) || member.LimitsReduced() {
-		t.Error("held back, and all blocks keep within their shares")
+		t.Error("held back although all shards are within their allocations")
 	}
 	set("team-000", 70_000)
 	if !member.MayStart("team-000", 0) {
-		t.Error("a limit that rose holds back")
+		t.Error("held back after the limit was raised")
 	}
 	set("team-000", 20_000)
 	member.SetOverQuota(0, 3, []string{"team-000"})
-	member.SetOverQuota(1, 2, nil) // by an older version
+	member.SetOverQuota(1, 2, nil) // reported under an older version
 	member.SetShards([]int{0, 1})
 	if member.MayStart("team-000", 0) || !member.MayStart("team-001", 0) {
-		t.Error("a block that goes by an older version clears the new one")
+		t.Error("a report under an older version ends the reduction")
 	}
 	member.SetOverQuota(1, 3, []string{"team-000"})
 	if member.MayStart("team-000", 0) {
-		t.Error("starts while another block is above its share")
+		t.Error("tasks may start while another shard is above its allocation")
 	}
 	member.SetOverQuota(1, 4, nil)
 	if member.MayStart("team-000", 0) {
-		t.Error("the word of a version that this controller does not go by yet: who holds the block then is not known")
+		t.Error("a report under a version that is not in force here counts, though the shard may have another owner in it")
 	}
 	member.SetOverQuota(1, 3, nil)
 	member.SetShards([]int{0, 1})
 	if !member.MayStart("team-000", 0) || member.MayStart("team-000", 1) || !member.LimitsReduced() {
-		t.Error("the block above its share holds back the one that is not, or not the other way round")
+		t.Error("the shard above its allocation must hold back the other one, and not itself be held back by it")
 	}
 	member.SetOverQuota(0, 3, nil)
 	member.SetShards([]int{0, 1})
 	if member.LimitsReduced() {
-		t.Error("never settled")
+		t.Error("the reduction never ended")
 	}
 }
 
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -6,23 +6,23 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// keptTimes bounds for how many versions it is kept since when they are in force here.
-const keptTimes = 64
+// maxAdoptions is the number of versions whose time of adoption is kept.
+const maxAdoptions = 64
 
 type adoption struct {
 	version uint64
 	at      units.Microseconds
 }
 
-// confirmation keeps which version each controller goes by.
+// confirmation tracks which version each controller has in force.
 type confirmation struct {
 	peers     map[string]*peerVersions
 	names     []string
-	adoptions []adoption // here, by version
-	confirmed uint64
+	adoptions []adoption // by this controller, by version
+	confirmed uint64     // the latest confirmed version
 }
 
-// peerVersions is what another controller has last sent.
+// peerVersions holds the versions of another controller's last status.
 type peerVersions struct {
 	inForce, known uint64
 }
@@ -35,16 +35,15 @@
 	return c
 }
 
-func (c *confirmation) adopted(now units.Microseconds, version uint64) {
+func (c *confirmation) recordAdoption(now units.Microseconds, version uint64) {
 	c.adoptions = append(c.adoptions, adoption{version, now})
-	if len(c.adoptions) > keptTimes {
+	if len(c.adoptions) > maxAdoptions {
 		c.adoptions = c.adoptions[1:]
 	}
 }
 
-// since is when this controller surely knew of a version: when it first had that or a later
-// one in force.
-func (c *confirmation) since(version uint64) (units.Microseconds, bool) {
+// knownSince returns the time at which this controller first had a version or a later one in force.
+func (c *confirmation) knownSince(version uint64) (units.Microseconds, bool) {
 	for _, a := range c.adoptions {
 		if a.version >= version {
 			return a.at, true
@@ -53,62 +52,63 @@
 	return 0, false
 }
 
-// ControllerStatus tells by which version a controller goes.
+// ControllerStatus says which version a controller has in force.
 type ControllerStatus struct {
-	Node    string
-	Version uint64
-	KnownVersion   uint64 // the latest that it knows of: while that is later it starts nothing
-	Unresponsive  bool   // it sends this controller no status
-	// Confirmed says that it starts nothing by an older version than the one asked for. An unresponsive
-	// one does so once Bound has passed: either it knows, or it may start nothing.
+	Node         string
+	Version      uint64
+	KnownVersion uint64 // the latest that it knows of; while it is later than Version no tasks are started
+	Unresponsive bool   // no current status from it has arrived
+	// Confirmed says that it no longer starts tasks under an older version than the requested one. For an
+	// unresponsive controller this holds once IsolatedStartLimit has passed: by then it either knows
+	// the version or may not start tasks.
 	Confirmed bool
 }
 
-// Status tells how far a version has come.
+// Status is the progress of a version's rollout to the controllers.
 type Status struct {
-	Version   uint64 // asked for
-	Current   uint64 // in force at the controller that was asked
-	Confirmed bool
+	Version   uint64 // the requested one
+	Current   uint64 // in force at the controller that responds
+	Confirmed bool   // for all controllers
 	// LatestConfirmed is the latest version that is known to be confirmed.
 	LatestConfirmed uint64
-	Waiting      int // changes that wait to be stored
-	Controllers  []ControllerStatus
+	Waiting         int // changes that wait to be stored
+	Controllers     []ControllerStatus
 }
 
-// ApplyPeerStatus takes another controller's status: the version that it goes by, and the latest that
-// it knows of.
-func (b *Manager) ApplyPeerStatus(now units.Microseconds, from string, inForce, known uint64) {
-	b.now = max(b.now, now)
-	if p := b.confirm.peers[from]; p != nil {
+// ApplyPeerStatus records another controller's status: the version that it has in force, and the latest one
+// that it knows of. Controllers that are not peers are ignored.
+func (m *Manager) ApplyPeerStatus(now units.Microseconds, from string, inForce, known uint64) {
+	m.now = max(m.now, now)
+	if p := m.confirm.peers[from]; p != nil {
 		p.inForce, p.known = inForce, known
 	}
 }
 
-// Status tells how far a version has come, 0: the one in force here. silent reports whether
-// another controller sends no status at present.
-func (b *Manager) Status(now units.Microseconds, version uint64, unresponsive func(node string) bool) Status {
-	b.now = max(b.now, now)
+// Status returns the rollout status of a version; 0 stands for the one in force here. unresponsive reports
+// whether no current status of another controller has arrived.
+func (m *Manager) Status(now units.Microseconds, version uint64, unresponsive func(node string) bool) Status {
+	m.now = max(m.now, now)
 	if version == 0 {
-		version = b.version
+		version = m.version
 	}
-	confirm := &b.confirm
-	status := Status{Version: version, Current: b.version, Waiting: len(b.queue.waiting)}
-	if b.queue.current != nil {
-		status.Waiting += len(b.queue.current.changes)
+	confirm := &m.confirm
+	status := Status{Version: version, Current: m.version, Waiting: len(m.queue.pending)}
+	if m.queue.current != nil {
+		status.Waiting += len(m.queue.current.changes)
 	}
-	since, here := confirm.since(version)
-	late := here && b.now-since >= units.MaxWithDrift(b.cfg.IsolatedStartLimit)
-	all := b.version >= version && !b.Behind()
-	status.Controllers = append(status.Controllers, ControllerStatus{Node: b.cfg.Node, Version: b.version, KnownVersion: max(b.version, b.latestKnown), Confirmed: all})
+	since, adopted := confirm.knownSince(version)
+	expired := adopted && m.now-since >= units.MaxWithDrift(m.cfg.IsolatedStartLimit)
+	allConfirmed := m.version >= version && !m.Behind()
+	status.Controllers = append(status.Controllers, ControllerStatus{Node: m.cfg.Node, Version: m.version, KnownVersion: max(m.version, m.latestKnown), Confirmed: allConfirmed})
 	for _, n := range confirm.names {
 		p := confirm.peers[n]
 		x := ControllerStatus{Node: n, Version: p.inForce, KnownVersion: p.known, Unresponsive: unresponsive(n)}
-		x.Confirmed = p.inForce >= version || x.Unresponsive && late
-		all = all && x.Confirmed
+		x.Confirmed = p.inForce >= version || x.Unresponsive && expired
+		allConfirmed = allConfirmed && x.Confirmed
 		status.Controllers = append(status.Controllers, x)
 	}
-	// Nobody goes back to an older version, so what was confirmed stays so.
-	if all {
+	// No controller goes back to an older version, so a confirmed version stays confirmed.
+	if allConfirmed {
 		confirm.confirmed = max(confirm.confirmed, version)
 	}
 	status.LatestConfirmed = confirm.confirmed
@@ -116,84 +116,85 @@
 	return status
 }
 
-// clearance holds back what must not start after a limit fell. Limits are divided among
-// shards by allocations. After one fell, a shard may use more of it than its allocation, with tasks
-// that go on; another shard must start nothing of that team as long as this is so, or the
-// team would start tasks while it is above its limit.
-type clearance struct {
-	fallen map[string]uint64      // teams, and the version in which their limit last fell
-	shards map[int]shardClearance // as last stated
-	all    []int                  // shards that there are
+// limitReductions tracks teams whose limit was reduced and holds back their tasks. Limits are divided among
+// shards by allocations. After a reduction, a shard's running tasks may use more than its new allocation.
+// Until they no longer do, other shards must not start tasks of that team: the team would start tasks
+// while it is above its limit.
+type limitReductions struct {
+	reducedIn map[string]uint64  // by team: the version that last reduced its limit
+	shards    map[int]shardUsage // as last reported by the owners
+	allShards []int              // all shards that exist
 }
 
-// shardClearance is what a shard's owner has last stated.
-type shardClearance struct {
-	version uint64 // that it goes by
-	over    map[string]bool
+// shardUsage is the last report of a shard's owner.
+type shardUsage struct {
+	version        uint64          // in force at the owner when it reported
+	overAllocation map[string]bool // teams above the shard's allocation
 }
 
-func newClearance() clearance {
-	return clearance{fallen: map[string]uint64{}, shards: map[int]shardClearance{}}
+func newLimitReductions() limitReductions {
+	return limitReductions{reducedIn: map[string]uint64{}, shards: map[int]shardUsage{}}
 }
 
-func (c *clearance) fell(version uint64, teams []string) {
+func (r *limitReductions) record(version uint64, teams []string) {
 	for _, t := range teams {
-		c.fallen[t] = version
+		r.reducedIn[t] = version
 	}
 }
 
-// SetOverQuota takes an owner's statement, by a version that it goes by, which teams use more of their
-// quotas in a shard than its allocation. It is to be taken only from the shard's owner as stored,
-// from a copy that is complete up to the version in force here, and only once all machines of
-// the shard are reconciled.
-func (b *Manager) SetOverQuota(shard int, version uint64, teams []string) {
-	if len(b.fall.fallen) == 0 || version > b.version {
+// SetOverQuota records an owner's report of the teams that use more in a shard than its allocation of their
+// quotas, and the version that the owner had in force. The caller must make sure of three things: the report
+// is from the shard's owner as stored, the watch cache is complete up to the version in force here, and
+// all machines of the shard are reconciled.
+func (m *Manager) SetOverQuota(shard int, version uint64, teams []string) {
+	if len(m.reductions.reducedIn) == 0 || version > m.version {
 		return
 	}
-	clearance := shardClearance{version: version, over: map[string]bool{}}
+	usage := shardUsage{version: version, overAllocation: map[string]bool{}}
 	for _, t := range teams {
-		clearance.over[t] = true
+		usage.overAllocation[t] = true
 	}
-	b.fall.shards[shard] = clearance
+	m.reductions.shards[shard] = usage
 }
 
-// LimitsReduced reports whether quotas fell of which not all shards are known to keep within their
-// allocations.
-func (b *Manager) LimitsReduced() bool { return len(b.fall.fallen) > 0 }
+// LimitsReduced reports whether there is a reduced limit for which not all shards are known to be within
+// their allocations yet.
+func (m *Manager) LimitsReduced() bool { return len(m.reductions.reducedIn) > 0 }
 
-// MayStart reports whether a team's tasks may start in a shard, apart from its quota there:
-// not while this controller is behind, nor after the quota fell until all other shards keep
-// within their allocations of it.
-func (b *Manager) MayStart(team string, shard int) bool {
-	if b.Behind() {
+// MayStart reports whether the configuration in force allows a team's tasks to start in a shard; the team's
+// quota there is checked elsewhere. Tasks may not start while this controller is behind, nor after the
+// team's limit was reduced until all other shards are within their allocations of it.
+func (m *Manager) MayStart(team string, shard int) bool {
+	if m.Behind() {
 		return false
 	}
-	version, fell := b.fall.fallen[team]
-	if !fell {
+	version, reduced := m.reductions.reducedIn[team]
+	if !reduced {
 		return true
 	}
-	for _, k := range b.fall.all {
-		if k != shard && !b.fall.within(k, team, version) {
+	for _, k := range m.reductions.allShards {
+		if k != shard && !m.reductions.withinAllocation(k, team, version) {
 			return false
 		}
 	}
 	return true
 }
 
-// within reports whether a shard is known to keep within its allocation of a team's limit.
-func (c *clearance) within(block int, team string, version uint64) bool {
-	told, ok := c.shards[block]
-	return ok && told.version >= version && !told.over[team]
+// withinAllocation reports whether a shard is known to be within its allocation of a team's limit, as that
+// limit is since a version.
+func (r *limitReductions) withinAllocation(shard int, team string, version uint64) bool {
+	usage, ok := r.shards[shard]
+	return ok && usage.version >= version && !usage.overAllocation[team]
 }
 
-// SetShards says which shards there are, and forgets that a team's limit fell once all of them
-// keep within their allocations: none starts anything beyond its share, so that it stays so.
-func (b *Manager) SetShards(all []int) {
-	c := &b.fall
-	c.all = all
-	for team, version := range c.fallen {
-		if !slices.ContainsFunc(all, func(k int) bool { return !c.within(k, team, version) }) {
-			delete(c.fallen, team)
+// SetShards sets the list of all shards, and ends the reduction of a team's limit once all of them are within
+// their allocations. They stay within them, as no shard starts tasks beyond its allocation.
+func (m *Manager) SetShards(all []int) {
+	reductions := &m.reductions
+	reductions.allShards = all
+	for team, version := range reductions.reducedIn {
+		if !slices.ContainsFunc(all, func(k int) bool { return !reductions.withinAllocation(k, team, version) }) {
+			delete(reductions.reducedIn, team)
 		}
 	}
 }
--- a/internal/core/configuration/content.go
+++ b/internal/core/configuration/content.go
@@ -1,13 +1,13 @@
-// Package configuration keeps what operators may change while the service runs: teams with
-// their guarantees and limits, and the objectives of classes of jobs. A version of it is
-// stored as a head record that names immutable chunks by their content, so that a version
-// is adopted as a whole or not at all. The settings file is version 0.
+// Package configuration manages the settings that operators may change while the service runs: teams with
+// their guarantees and limits, and the objectives of classes of jobs. A version is stored as a head record
+// that lists immutable chunks, named by a hash of their content. A controller therefore adopts a version as
+// a whole or not at all. The settings file is version 0.
 //
-// The package owns its state: the version in force on this controller, what is known of
-// newer ones, the queue of requested changes, and which controllers go by which version. It
-// does no input or output: records and the time go in by method calls, writes and replies
-// come out by its Host. Versions in force only rise. docs/design.md, "Configuration that
-// changes while the service runs", says why it is safe.
+// The package owns the version in force on this controller, the newer ones that it knows to exist, the queue
+// of requested changes, and which version each controller has in force. It does no input or output: records
+// and the time come in by method calls, writes and responses go out through its Host. The version in force
+// never decreases. docs/design.md, "Configuration that changes while the service runs", explains why
+// this is safe.
 package configuration
 
 import (
@@ -24,34 +24,34 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Bounds of a configuration.
+// Limits of a configuration.
 const (
-	MaxTeams      = 1024 // removed ones that still have jobs included
+	MaxTeams      = 1024 // including removed teams that still have jobs
 	MaxObjectives = 256
-	MaxNameBytes       = 64  // bytes of a team's or class's name
+	MaxNameBytes  = 64  // of a team's or class's name
 	maxAmount     = 1e9 // CPUs or GPUs
 )
 
-// Team holds a team's guarantee and limit, in thousandths; 0 means none.
+// Team holds a team's guarantee and limit in thousandths of a CPU or GPU; 0 means none.
 type Team struct {
 	Name      string
 	Guarantee binpack.Vec
 	Limit     binpack.Vec
-	// Removed is the time of day at which the team was removed; 0: it was not. Its known
-	// jobs go on under its last limit, and it is given no new ones.
+	// Removed is the time of day at which the team was removed, 0 if it was not. Its known jobs
+	// continue under its last limit; new ones are not accepted.
 	Removed units.Microseconds
 }
 
-// Objective is one of the users' aims for a class of jobs.
+// Objective is a service-level objective of a class of jobs.
 type Objective = demand.Objective
 
-// Content is a whole configuration. Teams are sorted by name.
+// Content is a complete configuration. Teams are sorted by name.
 type Content struct {
 	Teams      []Team
 	Objectives []Objective
 }
 
-// Invalid says why a configuration is refused.
+// Invalid is the error of a request or configuration that is refused because of one field.
 type Invalid struct{ Field, Reason string }
 
 func (e *Invalid) Error() string { return e.Field + ": " + e.Reason }
@@ -60,14 +60,14 @@
 	return &Invalid{field, fmt.Sprintf(format, args...)}
 }
 
-func byName(t Team, name string) int { return strings.Compare(t.Name, name) }
+func compareName(t Team, name string) int { return strings.Compare(t.Name, name) }
 
-// Find returns the place of a team among the sorted teams, and whether it is there.
+// Find returns the index of a team, or that at which it would be inserted, and whether it exists.
 func (c Content) Find(name string) (int, bool) {
-	return slices.BinarySearchFunc(c.Teams, name, byName)
+	return slices.BinarySearchFunc(c.Teams, name, compareName)
 }
 
-// sorted returns the content with its teams by name, sharing nothing with the original.
+// sorted returns a copy of the content with its teams sorted by name.
 func (c Content) sorted() Content {
 	out := Content{Teams: slices.Clone(c.Teams), Objectives: slices.Clone(c.Objectives)}
 	slices.SortFunc(out.Teams, func(a, b Team) int { return cmp.Compare(a.Name, b.Name) })
@@ -78,12 +78,12 @@
 	return slices.Equal(c.Teams, o.Teams) && slices.Equal(c.Objectives, o.Objectives)
 }
 
-// Check reports the first field that cannot be used, as an *Invalid.
+// Check returns an *Invalid for the first field that is not valid.
 func (c Content) Check() error {
 	if len(c.Teams) > MaxTeams {
 		return invalid("teams", "want at most %d, removed ones that still have jobs included, got %d", MaxTeams, len(c.Teams))
 	}
-	serving := 0
+	remaining := 0
 	for i, t := range c.Teams {
 		field := fmt.Sprintf("teams[%s]", t.Name)
 		if err := checkName(field+".name", t.Name); err != nil {
@@ -93,7 +93,7 @@
 			return invalid(field+".name", "is given twice")
 		}
 		if t.Removed == 0 {
-			serving++
+			remaining++
 		}
 		for _, r := range []struct {
 			name string
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	if serving == 0 {
+	if remaining == 0 {
 		return invalid("teams", "at least one is needed")
 	}
 	return checkObjectives(c.Objectives)
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// TeamChange changes some amounts of a team, which is made if it is not there. Amounts that
-// are nil stay as they are.
+// TeamChange changes some amounts of a team, which is created if it does not exist. Amounts that are nil
+// stay unchanged.
 type TeamChange struct {
 	Name                       string
 	GuaranteeCPU, GuaranteeGPU *int64 // thousandths
@@ -171,11 +171,12 @@
 	Remove                     bool
 }
 
-// with returns the content after a change of one team at a time of day.
-func (c Content) with(change TeamChange, wall units.Microseconds) (Content, error) {
-	i, there := c.Find(change.Name)
+// withTeamChange returns the content after a change of one team. wall is the time of day, which becomes the
+// time of a removal.
+func (c Content) withTeamChange(change TeamChange, wall units.Microseconds) (Content, error) {
+	i, exists := c.Find(change.Name)
 	if change.Remove {
-		if !there || c.Teams[i].Removed != 0 {
+		if !exists || c.Teams[i].Removed != 0 {
 			return c, invalid("teams["+change.Name+"]", "there is no such team")
 		}
 		changed := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
@@ -183,7 +184,7 @@
 		return changed, nil
 	}
 	changed := Content{Teams: slices.Clone(c.Teams), Objectives: c.Objectives}
-	if !there {
+	if !exists {
 		changed.Teams = slices.Insert(changed.Teams, i, Team{Name: change.Name})
 	}
 	t := &changed.Teams[i]
@@ -199,12 +200,12 @@
 	return changed, nil
 }
 
-// replaced returns the content after all of it was given anew. Teams that are missing there
-// are removed.
-func (c Content) replaced(whole Content, wall units.Microseconds) Content {
+// replacedBy returns the new content after a replacement of the whole. Teams that are missing from the
+// replacement are kept as removed ones.
+func (c Content) replacedBy(whole Content, wall units.Microseconds) Content {
 	out := whole.sorted()
 	for _, t := range c.Teams {
-		if i, there := out.Find(t.Name); !there {
+		if i, exists := out.Find(t.Name); !exists {
 			if t.Removed == 0 {
 				t.Guarantee, t.Removed = binpack.Vec{}, max(wall, 1)
 			}
@@ -214,41 +215,42 @@
 	return out
 }
 
-// forgetAfter is how long a removed team is kept at least. Until then no controller can
-// still go by a version in which it was there, and all that such a one accepted is known.
-const forgetAfter = 3600 * units.Second
+// removedRetention is the minimum time for which a removed team is kept. Once it has passed, no controller can
+// still have a version with the team in force, and all jobs accepted by one that did are known.
+const removedRetention = 3600 * units.Second
 
-// tidied returns the content without the removed teams that have no unfinished jobs.
-func (c Content) tidied(wall units.Microseconds, busy func(team string) bool) Content {
+// pruned returns the content without the teams that were removed more than removedRetention ago and that
+// have no unfinished jobs.
+func (c Content) pruned(wall units.Microseconds, hasUnfinishedJobs func(team string) bool) Content {
 	if !slices.ContainsFunc(c.Teams, func(t Team) bool { return t.Removed != 0 }) {
 		return c
 	}
 	out := Content{Objectives: c.Objectives}
 	for _, t := range c.Teams {
-		if t.Removed == 0 || wall-t.Removed < forgetAfter || busy(t.Name) {
+		if t.Removed == 0 || wall-t.Removed < removedRetention || hasUnfinishedJobs(t.Name) {
 			out.Teams = append(out.Teams, t)
 		}
 	}
 	return out
 }
 
-// below reports whether a limit allows less than another of any resource; 0 is no limit.
-func below(limit, than binpack.Vec) bool {
+// lowerThan reports whether a limit is lower than another one in any resource; 0 means no limit.
+func lowerThan(limit, other binpack.Vec) bool {
 	for i := range limit {
-		if limit[i] != 0 && (than[i] == 0 || limit[i] < than[i]) {
+		if limit[i] != 0 && (other[i] == 0 || limit[i] < other[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// fallen returns the teams with a limit that may have been higher before: where the content
-// before is not the version just before (known is false), all that have a limit.
-func fallen(before, now Content, known bool) []string {
+// reducedTeams returns the teams whose limit is, or may be, lower than in the preceding version. If before is
+// not the content of that version (consecutive is false), these are all teams that have a limit.
+func reducedTeams(before, now Content, consecutive bool) []string {
 	var out []string
 	for _, t := range now.Teams {
-		i, there := before.Find(t.Name)
-		if t.Limit != (binpack.Vec{}) && (!known || there && below(t.Limit, before.Teams[i].Limit)) {
+		i, exists := before.Find(t.Name)
+		if t.Limit != (binpack.Vec{}) && (!consecutive || exists && lowerThan(t.Limit, before.Teams[i].Limit)) {
 			out = append(out, t.Name)
 		}
 	}
--- a/internal/core/configuration/manager.go
+++ b/internal/core/configuration/manager.go
@@ -12,116 +12,117 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the controller whose configuration it is.
+// Host is the controller as the Manager needs it.
 type Host interface {
-	// Store queues a write; false: too many wait.
+	// Store queues a write. It returns false if the queue is full.
 	Store(w *store.Write) bool
-	// KeyVersion is the version of a key in the copy of the state service's keys.
+	// KeyVersion returns the version of a key in the watch cache.
 	KeyVersion(key string) uint64
-	// ReadFresh asks for a fresh read; f is told whether it worked.
+	// ReadFresh brings the watch cache up to date and then calls f; ok says whether it succeeded.
 	ReadFresh(f func(ok bool))
-	// CacheCurrent reports whether the copy is complete and of a service that did not go back.
+	// CacheCurrent reports whether the watch cache is complete and no rollback of the state service is
+	// being recovered from.
 	CacheCurrent() bool
-	// HasUnfinishedJobs reports whether a team has jobs that are not over.
+	// HasUnfinishedJobs reports whether a team has jobs that are not final.
 	HasUnfinishedJobs(team string) bool
-	// Adopted tells that another content is in force from now on.
+	// Adopted is called when another content has come into force.
 	Adopted(c Content)
-	// Respond answers a request for a change.
+	// Respond passes on the result of a change, once for each request.
 	Respond(request uint64, a Result)
 }
 
-// Config is what stays the same for the life of versions.
+// Config holds the constant parameters of a Manager.
 type Config struct {
-	Node     string
-	Initial  Content // of the settings file: version 0
-	Peers    []string
-	MaxValueBytes int // bytes of a value, at most
-	TxnOps   int // changes of a transaction, at most
-	// IsolatedStartLimit is for how long a controller that nobody hears may at most start tasks by
-	// what it knew before.
+	Node          string
+	Initial       Content // of the settings file, which is version 0
+	Peers         []string
+	MaxValueBytes int // largest value that the state service accepts
+	TxnOps        int // largest number of changes in a transaction
+	// IsolatedStartLimit is the longest time for which a controller that is cut off from the others may still
+	// start tasks by its last known state.
 	IsolatedStartLimit units.Microseconds
-	Log   *slog.Logger
+	Log                *slog.Logger
 }
 
-// Manager is what a controller knows of the configuration.
+// Manager tracks the configuration in force on a controller, the stored one, and requested changes.
 type Manager struct {
 	cfg  Config
 	host Host
 	now  units.Microseconds
 	wall units.Microseconds
 
-	// In force here.
+	// The version in force here.
 	version uint64
 	id      string
 	content Content
 
-	latestKnown uint64 // the latest version that this controller knows to exist
+	latestKnown uint64 // the latest version known to exist; its records may not have arrived yet
 
-	// As stored.
-	head      head
-	headThere bool
-	chunks    map[string]json.RawMessage
-	history   map[string]HistoryEntry // by key
+	// Records as stored, from the watch cache.
+	head       head
+	headStored bool
+	chunks     map[string]json.RawMessage // by name
+	history    map[string]HistoryEntry    // by key
 
-	queue   changeQueue
-	confirm confirmation
-	fall    clearance
+	queue      changeQueue
+	confirm    confirmation
+	reductions limitReductions
 }
 
-// New returns the versions of a controller that knows the settings file's content alone.
+// New returns a Manager with the settings file's content in force.
 func New(cfg Config, host Host) *Manager {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	b := &Manager{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, history: map[string]HistoryEntry{}}
-	b.confirm = newConfirmation(cfg.Peers)
-	b.fall = newClearance()
-	return b
+	m := &Manager{cfg: cfg, host: host, content: cfg.Initial.sorted(), chunks: map[string]json.RawMessage{}, history: map[string]HistoryEntry{}}
+	m.confirm = newConfirmation(cfg.Peers)
+	m.reductions = newLimitReductions()
+	return m
 }
 
-// Version is the version in force here.
-func (b *Manager) Version() uint64 { return b.version }
+// Version returns the version in force here.
+func (m *Manager) Version() uint64 { return m.version }
 
-// Content is what the version in force here says.
-func (b *Manager) Content() Content { return b.content }
+// Content returns the content of the version in force here. It must not be changed.
+func (m *Manager) Content() Content { return m.content }
 
-// KnownVersion is the latest version that this controller has in force or knows to be stored.
-func (b *Manager) KnownVersion() uint64 {
-	if b.headThere {
-		return max(b.version, b.head.Version)
+// KnownVersion returns the latest version that is in force here or named by the stored head.
+func (m *Manager) KnownVersion() uint64 {
+	if m.headStored {
+		return max(m.version, m.head.Version)
 	}
-	return b.version
+	return m.version
 }
 
-// Behind reports whether a version is known to exist that is later than the one in force
-// here. Whoever is behind starts no tasks and accepts no jobs.
-func (b *Manager) Behind() bool { return b.latestKnown > b.version }
+// Behind reports whether a later version than the one in force here is known to exist. A controller that is
+// behind starts no tasks and accepts no jobs.
+func (m *Manager) Behind() bool { return m.latestKnown > m.version }
 
-// HasStoredVersion reports whether any version but the settings file's is known to exist.
-func (b *Manager) HasStoredVersion() bool { return b.latestKnown > 0 }
+// HasStoredVersion reports whether any version other than the settings file's is known to exist.
+func (m *Manager) HasStoredVersion() bool { return m.latestKnown > 0 }
 
-// Apply takes a change of a record under Prefix.
-func (b *Manager) Apply(now units.Microseconds, event store.Event) error {
-	b.now = max(b.now, now)
+// Apply applies a change of a stored record under Prefix. It returns an error if the record cannot be decoded.
+func (m *Manager) Apply(now units.Microseconds, event store.Event) error {
+	m.now = max(m.now, now)
 	switch {
 	case event.Key == HeadKey:
-		return b.learnHead(event)
+		return m.applyHead(event)
 	case strings.HasPrefix(event.Key, chunkPrefix):
 		name := event.Key[len(chunkPrefix):]
 		if event.Value == nil {
-			delete(b.chunks, name)
+			delete(m.chunks, name)
 			return nil
 		}
-		b.chunks[name] = event.Value
-		return b.adopt()
+		m.chunks[name] = event.Value
+		return m.adopt()
 	case strings.HasPrefix(event.Key, historyPrefix):
-		return b.learnHistory(event)
+		return m.applyHistory(event)
 	}
-	return nil // of a later release
+	return nil // a record of a later release
 }
 
-func (b *Manager) learnHead(e store.Event) error {
-	b.head, b.headThere = head{}, false
+func (m *Manager) applyHead(e store.Event) error {
+	m.head, m.headStored = head{}, false
 	if e.Value == nil {
 		return nil
 	}
@@ -129,60 +130,60 @@
 	if err := json.Unmarshal(e.Value, &h); err != nil {
 		return err
 	}
-	b.head, b.headThere = h, true
-	b.latestKnown = max(b.latestKnown, h.Version)
-	return b.adopt()
+	m.head, m.headStored = h, true
+	m.latestKnown = max(m.latestKnown, h.Version)
+	return m.adopt()
 }
 
-func (b *Manager) learnHistory(e store.Event) error {
+func (m *Manager) applyHistory(e store.Event) error {
 	if e.Value == nil {
-		delete(b.history, e.Key)
+		delete(m.history, e.Key)
 		return nil
 	}
 	var entry HistoryEntry
 	if err := json.Unmarshal(e.Value, &entry); err != nil {
 		return err
 	}
-	b.history[e.Key] = entry
+	m.history[e.Key] = entry
 	return nil
 }
 
-// adopt puts the stored version in force once all its records are there, unless a later one
-// is in force already.
-func (b *Manager) adopt() error {
-	if !b.headThere || b.head.Version < b.version || b.head.Version == b.version && b.head.ID == b.id {
+// adopt puts the stored version into force once all of its chunks have arrived, unless a later one is in
+// force already.
+func (m *Manager) adopt() error {
+	if !m.headStored || m.head.Version < m.version || m.head.Version == m.version && m.head.ID == m.id {
 		return nil
 	}
-	c, err := decode(b.head, func(name string) json.RawMessage { return b.chunks[name] })
+	c, err := decode(m.head, func(name string) json.RawMessage { return m.chunks[name] })
 	if errors.Is(err, errIncomplete) {
-		return nil // the rest is on its way
+		return nil // more chunks will arrive
 	}
 	if err != nil {
 		return err
 	}
-	known := b.version > 0 && b.head.Version == b.version+1
-	b.fall.fell(b.head.Version, fallen(b.content, c, known))
-	b.version, b.id, b.content = b.head.Version, b.head.ID, c
-	b.confirm.adopted(b.now, b.version)
-	b.cfg.Log.Info("configuration in force", "version", b.version, "teams", len(c.Teams), "objectives", len(c.Objectives))
-	b.host.Adopted(c)
+	consecutive := m.version > 0 && m.head.Version == m.version+1
+	m.reductions.record(m.head.Version, reducedTeams(m.content, c, consecutive))
+	m.version, m.id, m.content = m.head.Version, m.head.ID, c
+	m.confirm.recordAdoption(m.now, m.version)
+	m.cfg.Log.Info("configuration in force", "version", m.version, "teams", len(c.Teams), "objectives", len(c.Objectives))
+	m.host.Adopted(c)
 	return nil
 }
 
-// ObserveVersion takes from another controller that a version exists, and reports whether this
-// controller lacks it.
-func (b *Manager) ObserveVersion(version uint64) bool {
-	b.latestKnown = max(b.latestKnown, version)
-	return b.Behind()
+// ObserveVersion records that a version exists, as another controller reports, and reports whether this
+// controller is now behind.
+func (m *Manager) ObserveVersion(version uint64) bool {
+	m.latestKnown = max(m.latestKnown, version)
+	return m.Behind()
 }
 
-// CacheRebuilt says that the copy was taken anew as the state service went back behind its
-// answers: a version that nobody has in force may be gone for good.
-func (b *Manager) CacheRebuilt() { b.latestKnown = b.KnownVersion() }
+// CacheRebuilt must be called when the watch cache was rebuilt after a rollback of the state service. A version
+// that is known to exist but is neither in force here nor stored may be lost for good, so it no longer counts.
+func (m *Manager) CacheRebuilt() { m.latestKnown = m.KnownVersion() }
 
-// History returns the last versions, the latest first.
-func (b *Manager) History() []HistoryEntry {
-	list := slices.Collect(maps.Values(b.history))
+// History returns the entries of the last versions, the latest first.
+func (m *Manager) History() []HistoryEntry {
+	list := slices.Collect(maps.Values(m.history))
 	slices.SortFunc(list, func(x, y HistoryEntry) int {
 		if x.Version > y.Version {
 			return -1
@@ -192,12 +193,12 @@
 	return list
 }
 
-// storedAs returns the version that a change was stored as.
-func (b *Manager) storedAs(id string) (uint64, bool) {
-	if b.headThere && b.head.ID == id {
-		return b.head.Version, true
+// storedAs returns the version that the batch with an id was stored as, if it was.
+func (m *Manager) storedAs(id string) (uint64, bool) {
+	if m.headStored && m.head.ID == id {
+		return m.head.Version, true
 	}
-	for _, e := range b.history {
+	for _, e := range m.history {
 		if e.ID == id {
 			return e.Version, true
 		}
--- a/internal/core/configuration/record.go
+++ b/internal/core/configuration/record.go
@@ -17,30 +17,31 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Prefix is where configurations are stored.
+// Prefix is the key prefix of all records of the configuration.
 const Prefix = keys.ConfigPrefix
 
 const (
-	// HeadKey names the stored version.
+	// HeadKey is the key of the head record.
 	HeadKey       = Prefix + "head"
 	chunkPrefix   = Prefix + "chunk/"
 	historyPrefix = Prefix + "past/"
-	// MaxHistory is how many of the last versions history tells of.
+	// MaxHistory is the number of versions in the history. A version's entry overwrites the one of
+	// MaxHistory versions before.
 	MaxHistory = 32
-	maxBuckets  = 256
-	// valueSlack is what a value stays below the service's limit.
-	valueSlack = 64
+	maxBuckets = 256
+	// valueMargin is by how many bytes a value stays below the state service's limit.
+	valueMargin = 64
 )
 
-// head is the record that says which version is stored. Whoever stores another guards the
-// head's version in the state service.
+// head is the record that says which version is stored. Writes of another version are guarded by the version
+// of the head's key in the state service (compare-and-swap).
 type head struct {
 	Version uint64   `json:"version"`
-	ID      string   `json:"id"` // of the change that made it
+	ID      string   `json:"id"` // of the batch of changes that created it
 	Chunks  []string `json:"chunks"`
 }
 
-// teamRecord, objectiveRecord and chunk are how a configuration is stored.
+// teamRecord, objectiveRecord and chunk are the stored form of a configuration. Amounts are in thousandths.
 type teamRecord struct {
 	Name    string             `json:"name"`
 	CPU     int64              `json:"cpu,omitempty"`
@@ -63,13 +64,13 @@
 	Objectives []objectiveRecord `json:"objectives,omitempty"`
 }
 
-// HistoryEntry tells of a version.
+// HistoryEntry describes a version in the history.
 type HistoryEntry struct {
 	Version uint64             `json:"version"`
 	ID      string             `json:"id"`
 	By      string             `json:"by"`
 	At      units.Microseconds `json:"at"` // time of day
-	Summary    string             `json:"what"`
+	Summary string             `json:"what"`
 }
 
 func chunkKey(name string) string { return chunkPrefix + name }
@@ -78,8 +79,8 @@
 	return fmt.Sprintf("%s%02d", historyPrefix, version%MaxHistory)
 }
 
-// encoded is a content in its stored form: chunks by name, in the order in which the head
-// names them.
+// encoded is a content in its stored form: the values of the chunks by name, and the names in the order
+// of the head's list.
 type encoded struct {
 	names  []string
 	values map[string]json.RawMessage
@@ -93,24 +94,27 @@
 	e.values[name] = value
 }
 
-// encode returns a content's stored form, of which no value is larger than some bytes. Teams
-// are spread over buckets by their names, so that a change of one team changes one chunk.
-func encode(content Content, valueMax int) (encoded, error) {
-	valueBytes := valueMax - valueSlack
+// encode returns a content's stored form, in which no value is larger than maxValueBytes. Teams are distributed
+// over buckets by a hash of their names, so that a change of one team changes one chunk. It returns an
+// *Invalid if the content is too large.
+func encode(content Content, maxValueBytes int) (encoded, error) {
+	valueBytes := maxValueBytes - valueMargin
 	for buckets := 1; buckets <= maxBuckets; buckets *= 2 {
-		result, ok := encodeIn(content, buckets, valueBytes)
+		result, ok := encodeInBuckets(content, buckets, valueBytes)
 		if !ok {
 			continue
 		}
-		if n := len(store.Value(head{Version: 1 << 62, ID: strings.Repeat("x", maxID), Chunks: result.names})); n > valueBytes {
-			return encoded{}, invalid("teams", "too many for values of %d bytes: their list takes %d", valueMax, n)
+		if n := len(store.Value(head{Version: 1 << 62, ID: strings.Repeat("x", maxIDBytes), Chunks: result.names})); n > valueBytes {
+			return encoded{}, invalid("teams", "too many for values of %d bytes: their list takes %d", maxValueBytes, n)
 		}
 		return result, nil
 	}
-	return encoded{}, invalid("teams", "too many for values of %d bytes", valueMax)
+	return encoded{}, invalid("teams", "too many for values of %d bytes", maxValueBytes)
 }
 
-func encodeIn(content Content, buckets, valueBytes int) (result encoded, ok bool) {
+// encodeInBuckets encodes a content with its teams in a given number of buckets. ok is false if a chunk would be
+// larger than valueBytes.
+func encodeInBuckets(content Content, buckets, valueBytes int) (result encoded, ok bool) {
 	result.values = map[string]json.RawMessage{}
 	parts := make([]chunk, buckets)
 	for _, t := range content.Teams {
@@ -119,7 +123,7 @@
 		p := &parts[hash.Sum32()%uint32(buckets)]
 		p.Teams = append(p.Teams, teamRecord{t.Name, t.Guarantee[binpack.CPU], t.Limit[binpack.CPU], t.Guarantee[binpack.GPU], t.Limit[binpack.GPU], t.Removed})
 	}
-	// Objectives keep their order; a chunk is closed when the next does not fit.
+	// Objectives keep their order. A new chunk begins where the next objective does not fit.
 	var list chunk
 	for i, o := range content.Objectives {
 		next := append(slices.Clone(list.Objectives), objectiveRecord{string(o.Kind), o.Class, o.Within, o.Times, o.Share})
@@ -141,10 +145,11 @@
 	return result, true
 }
 
-// errIncomplete says that not all records of a version are there.
+// errIncomplete is returned by decode if a chunk of the version has not arrived.
 var errIncomplete = errors.New("a chunk is missing")
 
-// decode joins the chunks that a head names.
+// decode returns the content whose chunks a head lists. value returns the chunk with a name, nil if there is
+// none.
 func decode(h head, value func(name string) json.RawMessage) (Content, error) {
 	var content Content
 	for _, name := range h.Chunks {
@@ -169,8 +174,8 @@
 	return content.sorted(), nil
 }
 
-// ReadStored returns the version that a set of records holds and its content; version 0: none is
-// stored whole.
+// ReadStored returns the stored version and its content from a set of records. It returns version 0 if there is
+// none, or if it is incomplete.
 func ReadStored(value func(key string) json.RawMessage) (uint64, Content) {
 	var h head
 	if v := value(HeadKey); v == nil || json.Unmarshal(v, &h) != nil {
@@ -183,7 +188,7 @@
 	return h.Version, c
 }
 
-// CheckRecord reports why a record under Prefix cannot be read.
+// CheckRecord returns an error if a record under Prefix cannot be decoded.
 func CheckRecord(key string, value json.RawMessage) error {
 	switch {
 	case key == HeadKey:
