--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,4 +1,5 @@
-// Package api is the HTTP interface for users, workers and health checks.
+// Package api implements the HTTP interfaces of a controller: one for users, workers, health checks and metrics,
+// and an internal one for operators.
 package api
 
 import (
@@ -24,8 +25,8 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// Node is what the interface asks of the controller. Every call returns an
-// answer, whatever happens. A submission without a spec is invalid for the given reason.
+// Node is the controller as the interface needs it. Every call returns a reply, also on errors and timeouts. A
+// submission whose spec is nil is invalid for the given reason.
 type Node interface {
 	Submit(ctx context.Context, id string, spec *jobs.Spec, invalid string) core.Reply
 	Query(ctx context.Context, id string) core.Reply
@@ -35,15 +36,14 @@
 	Stats(ctx context.Context) (core.Stats, bool)
 }
 
-// Handler serves the interface. The metrics hold those of the collectors beside the
-// controller's own.
+// Handler returns the handler of the public interface. Its metrics include those of the given collectors.
 func Handler(n Node, log *slog.Logger, collectors ...prometheus.Collector) http.Handler {
 	r := chi.NewRouter()
 	if log.Enabled(context.Background(), slog.LevelDebug) {
 		r.Use(logRequests(log))
 	}
 	r.Post(wire.JobsPath, func(w http.ResponseWriter, req *http.Request) {
-		body, ok := read(w, req)
+		body, ok := readBody(w, req)
 		if !ok {
 			return
 		}
@@ -52,11 +52,11 @@
 		if err != nil {
 			invalid = err.Error()
 			if id = wire.SubmissionID(body); id == "" {
-				refuse(w, invalid)
+				writeBadRequest(w, invalid)
 				return
 			}
 		}
-		write(w, n.Submit(req.Context(), id, spec, invalid))
+		writeReply(w, n.Submit(req.Context(), id, spec, invalid))
 	})
 	r.Get(wire.JobsPath+"/{id}", func(w http.ResponseWriter, req *http.Request) {
 		withJobID(w, req, n.Query)
@@ -65,29 +65,29 @@
 		withJobID(w, req, n.Cancel)
 	})
 	r.Post(wire.HeartbeatPath, func(w http.ResponseWriter, req *http.Request) {
-		body, ok := read(w, req)
+		body, ok := readBody(w, req)
 		if !ok {
 			return
 		}
-		rep, err := wire.DecodeHeartbeat(body)
+		heartbeat, err := wire.DecodeHeartbeat(body)
 		if err != nil {
-			refuse(w, err.Error())
+			writeBadRequest(w, err.Error())
 			return
 		}
-		write(w, n.Heartbeat(req.Context(), rep))
+		writeReply(w, n.Heartbeat(req.Context(), heartbeat))
 	})
 	r.Get(wire.ReadyPath, func(w http.ResponseWriter, req *http.Request) {
 		if !n.Ready(req.Context()) {
-			write(w, core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "not ready"}})
+			writeReply(w, core.Reply{Code: http.StatusServiceUnavailable, Body: core.Problem{Text: "not ready"}})
 			return
 		}
-		write(w, core.Reply{Code: http.StatusOK})
+		writeReply(w, core.Reply{Code: http.StatusOK})
 	})
 	r.Method(http.MethodGet, metricsPath, metrics(n, collectors...))
 	return r
 }
 
-// logRequests logs every request but workers' reports with its outcome.
+// logRequests logs every request and its outcome, except workers' heartbeats.
 func logRequests(log *slog.Logger) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -104,27 +104,29 @@
 func withJobID(w http.ResponseWriter, req *http.Request, call func(context.Context, string) core.Reply) {
 	id := chi.URLParam(req, "id")
 	if !jobs.ValidID(id) {
-		write(w, core.Reply{Code: http.StatusNotFound, Body: core.Problem{Text: "no such job"}})
+		writeReply(w, core.Reply{Code: http.StatusNotFound, Body: core.Problem{Text: "no such job"}})
 		return
 	}
-	write(w, call(req.Context(), id))
+	writeReply(w, call(req.Context(), id))
 }
 
-// read takes a request's body. One that is too long is malformed.
-func read(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
+// readBody reads a request's body. If that fails or the body is too long, it responds with 400 and returns false.
+func readBody(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBody))
 	if err != nil {
-		refuse(w, "body cannot be read or is too long")
+		writeBadRequest(w, "body cannot be read or is too long")
 		return nil, false
 	}
 	return body, true
 }
 
-func refuse(w http.ResponseWriter, why string) {
-	write(w, core.Reply{Code: http.StatusBadRequest, Body: core.Problem{Text: why}})
+// writeBadRequest responds with 400 and a reason.
+func writeBadRequest(w http.ResponseWriter, reason string) {
+	writeReply(w, core.Reply{Code: http.StatusBadRequest, Body: core.Problem{Text: reason}})
 }
 
-func write(w http.ResponseWriter, r core.Reply) {
+// writeReply encodes the controller's reply as an HTTP response.
+func writeReply(w http.ResponseWriter, r core.Reply) {
 	var body any
 	switch answer := r.Body.(type) {
 	case core.JobAnswer:
@@ -158,11 +160,11 @@
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(r.Code)
-	_, _ = w.Write(encoded) // the client may be gone
+	_, _ = w.Write(encoded) // fails only if the client has disconnected
 }
 
-// peerKind tells who sends a request.
-func peerKind(r *http.Request) connlimit.Kind {
+// connKind returns the kind of client that sends a request, by its path.
+func connKind(r *http.Request) connlimit.Kind {
 	switch r.URL.Path {
 	case wire.HeartbeatPath:
 		return connlimit.Machine
@@ -172,8 +174,9 @@
 	return connlimit.User
 }
 
-// Serve answers requests on a listener. Slow, half-open and idle clients lose
-// their connection; of maxConns, users may hold a part, see package connlimit.
+// Serve serves the public interface on a listener until that fails, and returns the error. Connections of slow
+// clients, half-open ones and those idle for longer than idle are closed. At most maxConns are open, of which
+// users may hold a part (see package connlimit).
 func Serve(l net.Listener, n Node, maxConns int, idle units.Microseconds, log *slog.Logger) error {
 	limited := connlimit.New(l, maxConns)
 	s := &http.Server{
@@ -184,6 +187,6 @@
 		IdleTimeout:       time.Duration(idle) * time.Microsecond,
 		MaxHeaderBytes:    16 << 10,
 	}
-	limited.Track(s, peerKind)
+	limited.Track(s, connKind)
 	return s.Serve(limited)
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,7 +14,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fakeNode answers as a controller would, and notes what reached it.
+// fakeNode returns fixed replies and records the requests.
 type fakeNode struct {
 	invalid    string
 	heartbeats int
@@ -47,7 +47,7 @@
 	return core.Stats{Member: true, Shards: []core.ShardStats{{Shard: 2, Waiting: 7, Spot: core.PoolStats{Machines: 5, Booting: 1, Idle: 1}}}}, true
 }
 
-func TestStatuses(t *testing.T) {
+func TestHandlerResponses(t *testing.T) {
 	const job = `{"name_id":"wk-000412","jobline":"a","crew":"b","shape":"sweep","urgency":"prod","cues":1,"cores":1,"cards":0,
 	 "memory_gb":1,"reel":"i","image_gb":1,"same_place":false,"apart":false,"standby":false,"runtime_s":1,"bookmark_s":0,"stow_s":0}`
 	node := &fakeNode{}
@@ -84,13 +84,13 @@
 		})
 	}
 	if node.heartbeats != 0 {
-		t.Error("a malformed report reached the controller")
+		t.Error("a malformed heartbeat reached the controller")
 	}
 }
 
-// TestLongestAnswer encodes as many orders as an answer to a report may have, with
-// the longest ids: workers take no line longer than 64 KiB.
-func TestLongestAnswer(t *testing.T) {
+// TestLargestHeartbeatResponse encodes the maximum number of commands in a heartbeat response, with the longest
+// ids. Workers do not accept lines longer than 64 KiB.
+func TestLargestHeartbeatResponse(t *testing.T) {
 	var commands []fleet.Command
 	add := func(op fleet.Op, n int) {
 		for range n {
@@ -98,11 +98,11 @@
 		}
 	}
 	add(fleet.Forget, fleet.MaxForgets)
-	add(fleet.Stop, 2*fleet.MaxStops) // of what should not be there, and for others
+	add(fleet.Stop, 2*fleet.MaxStops) // of unexpected tasks, and of cancelled ones
 	add(fleet.Start, fleet.MaxStarts)
 	w := httptest.NewRecorder()
-	write(w, core.Reply{Code: http.StatusOK, Body: core.HeartbeatResponse{FencingToken: 1<<64 - 1, Commands: commands}})
+	writeReply(w, core.Reply{Code: http.StatusOK, Body: core.HeartbeatResponse{FencingToken: 1<<64 - 1, Commands: commands}})
 	if n := w.Body.Len(); n > 64<<10 || n < 40<<10 {
-		t.Fatalf("%d bytes", n)
+		t.Fatalf("response of %d bytes", n)
 	}
 }
--- a/internal/api/internal.go
+++ b/internal/api/internal.go
@@ -19,8 +19,8 @@
 	"shalestage.example/shalestage/internal/core/configuration"
 )
 
-// ConfigNode is what operators ask of the controller on its internal address. Every call
-// returns an answer, whatever happens.
+// ConfigNode is the controller as the internal interface needs it. Every call returns a reply, also on errors
+// and timeouts.
 type ConfigNode interface {
 	Configure(ctx context.Context, r configuration.Request) core.Reply
 	ConfigContent(ctx context.Context) core.Reply
@@ -28,14 +28,15 @@
 	ConfigStatus(ctx context.Context, version uint64) core.Reply
 }
 
-// ServeInternal answers operators' requests on a listener.
+// ServeInternal serves the internal interface on a listener until that fails, and returns the error.
 func ServeInternal(l net.Listener, n ConfigNode) error {
 	s := &http.Server{Handler: InternalHandler(n), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
 	return s.Serve(l)
 }
 
-// InternalHandler serves the configuration.
+// InternalHandler returns the handler of the internal interface, by which operators read and change the
+// configuration.
 func InternalHandler(n ConfigNode) http.Handler {
 	r := chi.NewRouter()
 	r.Get(config.ConfigPath, func(w http.ResponseWriter, req *http.Request) { writeConfig(w, n.ConfigContent(req.Context())) })
@@ -45,7 +46,7 @@
 		if v := req.URL.Query().Get("version"); v != "" {
 			var err error
 			if version, err = strconv.ParseUint(v, 10, 64); err != nil {
-				refuseField(w, http.StatusBadRequest, "version", "want a number")
+				writeFieldError(w, http.StatusBadRequest, "version", "want a number")
 				return
 			}
 		}
@@ -56,28 +57,28 @@
 	return r
 }
 
-// configChange is a body that asks for a change.
+// configChange is the body of a request for a change.
 type configChange interface {
 	Request() (configuration.Request, error)
 }
 
-// changeConfig reads a change strictly, as a misspelt field would silently not be changed, and
-// asks for it.
+// changeConfig decodes a change and passes it on to the controller. Unknown fields are refused: a misspelt
+// field would otherwise be ignored without notice.
 func changeConfig(w http.ResponseWriter, req *http.Request, n ConfigNode, change configChange) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, config.MaxDocumentBytes))
 	if err != nil {
-		refuseField(w, http.StatusBadRequest, "", "body cannot be read or is too long")
+		writeFieldError(w, http.StatusBadRequest, "", "body cannot be read or is too long")
 		return
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(change); err != nil {
 		field := ""
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			field = wrong.Field
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			field = wrongType.Field
 		}
-		refuseField(w, http.StatusBadRequest, field, err.Error())
+		writeFieldError(w, http.StatusBadRequest, field, err.Error())
 		return
 	}
 	r, err := change.Request()
@@ -88,8 +89,9 @@
 	writeConfig(w, n.Configure(req.Context(), r))
 }
 
-func refuseField(w http.ResponseWriter, code int, field, why string) {
-	writeJSON(w, code, config.Refusal{Field: field, Error: why})
+// writeFieldError responds with a refusal because of one field; field may be empty.
+func writeFieldError(w http.ResponseWriter, code int, field, reason string) {
+	writeJSON(w, code, config.Refusal{Field: field, Error: reason})
 }
 
 func writeConfig(w http.ResponseWriter, r core.Reply) {
@@ -107,14 +109,14 @@
 		writeJSON(w, r.Code, config.NewHistory(b))
 	case core.ConfigRefused:
 		writeJSON(w, r.Code, refusal(b.Err))
-	case core.Problem: // nobody has answered in time: a change may be under way
+	case core.Problem: // the controller did not respond in time; the change may still be stored
 		writeJSON(w, r.Code, config.Refusal{Error: b.Text, Unknown: true})
 	default:
 		writeJSON(w, r.Code, struct{}{})
 	}
 }
 
-// refusal tells why a change was not made.
+// refusal returns the response body for the error of a change.
 func refusal(err error) config.Refusal {
 	body := config.Refusal{Error: err.Error()}
 	var invalid *configuration.Invalid
@@ -139,5 +141,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_, _ = w.Write(append(encoded, '\n')) // the client may be gone
+	_, _ = w.Write(append(encoded, '\n')) // fails only if the client has disconnected
 }
--- a/internal/api/internal_test.go
+++ b/internal/api/internal_test.go
@@ -13,10 +13,10 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fakeConfigurable answers as a controller would whose present version is 7.
-type fakeConfigurable struct{ requests []configuration.Request }
+// fakeConfigNode returns the replies of a controller whose current version is 7, and records the requests.
+type fakeConfigNode struct{ requests []configuration.Request }
 
-func (f *fakeConfigurable) Configure(_ context.Context, r configuration.Request) core.Reply {
+func (f *fakeConfigNode) Configure(_ context.Context, r configuration.Request) core.Reply {
 	f.requests = append(f.requests, r)
 	switch {
 	case r.By == "late":
@@ -29,29 +29,29 @@
 	return core.Reply{Code: 200, Body: core.ConfigStored{Version: 8}}
 }
 
-func (f *fakeConfigurable) ConfigContent(context.Context) core.Reply {
+func (f *fakeConfigNode) ConfigContent(context.Context) core.Reply {
 	return core.Reply{Code: 200, Body: core.ConfigContent{Version: 7, Content: configuration.Content{
 		Teams:      []configuration.Team{{Name: "red", Guarantee: binpack.Vec{1500}, Limit: binpack.Vec{2500, 1000}}, {Name: "old", Removed: 1}},
 		Objectives: []configuration.Objective{{Kind: "wait", Class: "x", Within: 1500_000, Share: 0.9}}}}}
 }
 
-func (f *fakeConfigurable) ConfigHistory(context.Context) core.Reply {
+func (f *fakeConfigNode) ConfigHistory(context.Context) core.Reply {
 	return core.Reply{Code: 200, Body: core.ConfigHistory{{Version: 7, By: "ann", At: 1_000_000, Summary: "red: new"}}}
 }
 
-func (f *fakeConfigurable) ConfigStatus(_ context.Context, version uint64) core.Reply {
+func (f *fakeConfigNode) ConfigStatus(_ context.Context, version uint64) core.Reply {
 	return core.Reply{Code: 200, Body: core.ConfigStatus{Version: version, Controllers: []configuration.ControllerStatus{{Node: "node-0", Version: 6}}}}
 }
 
-// TestConfiguration asks for and changes the configuration over HTTP, rightly and wrongly.
-func TestConfiguration(t *testing.T) {
-	node := &fakeConfigurable{}
+// TestInternalHandler reads and changes the configuration over HTTP, with valid and invalid requests.
+func TestInternalHandler(t *testing.T) {
+	node := &fakeConfigNode{}
 	handler := InternalHandler(node)
 	for _, test := range []struct {
 		method, path, body string
 		code               int
 		want               string
-		asked              int
+		requests           int
 	}{
 		{"GET", "/config", "", 200, `{"version":7,"teams":[{"name":"red","cpus":1.5,"cpus_max":2.5,"gpus":0,"gpus_max":1}],"objectives":[{"kind":"wait","class":"x","within_s":1.5,"share":0.9,"times":0}],"removed":["old"]}`, 0},
 		{"GET", "/config/history", "", 200, `[{"version":7,"at":"1970-01-01T00:00:01Z","by":"ann","what":"red: new"}]`, 0},
@@ -74,15 +74,15 @@
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(test.method, test.path, strings.NewReader(test.body)))
-			if w.Code != test.code || !strings.Contains(w.Body.String(), test.want) || len(node.requests) != test.asked {
-				t.Errorf("%s %s %.60s: %d %s, %d asked", test.method, test.path, test.body, w.Code, w.Body, len(node.requests))
+			if w.Code != test.code || !strings.Contains(w.Body.String(), test.want) || len(node.requests) != test.requests {
+				t.Errorf("%s %s %.60s: %d %s, %d requests", test.method, test.path, test.body, w.Code, w.Body, len(node.requests))
 			}
 			if strings.Contains(test.body, "late") && w.Header().Get("Retry-After") != "1" {
 				t.Errorf("Retry-After %q", w.Header().Get("Retry-After"))
 			}
 			if len(node.requests) == 1 && test.code == http.StatusOK && test.method == "POST" {
 				if ch := node.requests[0].Teams[0]; ch.Name != "red" || *ch.LimitCPU != 3000 || ch.LimitGPU != nil {
-					t.Errorf("asked for %+v", ch)
+					t.Errorf("requested %+v", ch)
 				}
 			}
 		})
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -13,7 +13,7 @@
 	"shalestage.example/shalestage/internal/core/zones"
 )
 
-// collector asks the controller for its figures whenever they are read.
+// collector is a prometheus.Collector that asks the controller for its statistics at each scrape.
 type collector struct{ node Node }
 
 const (
@@ -26,31 +26,31 @@
 }
 
 var (
-	descSeated         = desc("seated", "1 while the controller has a seat in the state service.")
-	descLeading        = desc("leading", "1 while the controller leases blocks to the others.")
-	descFull           = desc("memory_full", "1 while no new jobs are accepted, as memory is nearly full.")
-	descKnownJobs      = desc("jobs_known", "Jobs in the controller's copy, final ones included.")
-	descFinishedJobs   = desc("jobs_kept_done", "Jobs that are over and not packed.")
-	descPacked         = desc("jobs_packed", "Packed jobs that the filter holds.")
-	descLookups        = desc("buckets_read", "Buckets of packed jobs read since the start.")
-	descRefusedLookups = desc("lookups_refused", "Look-ups of packed jobs refused since the start, as there were too many.")
-	descActiveJobs     = desc("jobs_active", "Jobs that are not over, of all blocks.")
-	descAwaitJobs      = desc("jobs_awaiting", "Jobs that wait for other jobs to be done, of all blocks.")
-	descWrites         = desc("writes_waiting", "Changes that wait for the state service.")
-	descTasks          = desc("block_tasks", "Tasks of a held block.", "block", "state")
-	descUnreconciled   = desc("block_machines_unaccounted", "Machines of a held block on which earlier holders' tasks may run.", "block")
-	descFollowed       = desc("block_followed", "1 while another controller knows all that is started in a held block.", "block")
+	descMember         = desc("seated", "1 while the controller is a registered member in the state service.")
+	descLeading        = desc("leading", "1 while the controller is the leader, which assigns shards.")
+	descMemoryFull     = desc("memory_full", "1 while no new jobs are accepted, as memory is nearly full.")
+	descKnownJobs      = desc("jobs_known", "Jobs in the controller's watch cache, including final ones.")
+	descFinishedJobs   = desc("jobs_kept_done", "Finished jobs that are not archived.")
+	descArchived       = desc("jobs_packed", "Archived jobs in the filter.")
+	descLookups        = desc("buckets_read", "Buckets of archived jobs read since the start.")
+	descRefusedLookups = desc("lookups_refused", "Lookups of archived jobs refused since the start because there were too many.")
+	descActiveJobs     = desc("jobs_active", "Unfinished jobs, of all shards.")
+	descBlockedJobs    = desc("jobs_awaiting", "Jobs that wait for jobs they depend on, of all shards.")
+	descWrites         = desc("writes_waiting", "Writes queued for the state service.")
+	descTasks          = desc("block_tasks", "Tasks of an owned shard.", "block", "state")
+	descUnreconciled   = desc("block_machines_unaccounted", "Machines of an owned shard that may still run tasks of earlier owners.", "block")
+	descHasStandby     = desc("block_followed", "1 while a standby has all task starts of an owned shard.", "block")
 	descZone           = desc("zone_state", "1 for the state that a zone is in, as this controller sees it: serving, doubt, lost or back.", "zone", "state")
-	descZoneFor        = desc("zone_state_seconds", "How long a zone has been in its state.", "zone")
-	descZoneTimes      = desc("zone_times_lost", "How often a zone was lost lately.", "zone")
-	descZoneMachines   = desc("zone_machines", "Machines of a zone that are up, as a holder of blocks sees them.", "zone", "heard")
-	descMachines       = desc("block_machines", "Machines of a held block.", "block", "kind", "state")
-	descCPUs           = desc("block_cpus", "CPUs of a held block's machines.", "block", "kind", "state")
+	descZoneStateAge   = desc("zone_state_seconds", "How long a zone has been in its current state.", "zone")
+	descZoneLosses     = desc("zone_times_lost", "How often a zone was lost recently.", "zone")
+	descZoneMachines   = desc("zone_machines", "Machines of a zone that are up, as seen by this owner of shards.", "zone", "heard")
+	descMachines       = desc("block_machines", "Machines of an owned shard.", "block", "kind", "state")
+	descCPUs           = desc("block_cpus", "CPUs of the machines of an owned shard.", "block", "kind", "state")
 )
 
 // Describe implements prometheus.Collector.
 func (c collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descSeated, descLeading, descFull, descKnownJobs, descFinishedJobs, descPacked, descLookups, descRefusedLookups, descActiveJobs, descAwaitJobs, descWrites, descTasks, descUnreconciled, descFollowed, descZone, descZoneFor, descZoneTimes, descZoneMachines, descMachines, descCPUs} {
+	for _, d := range []*prometheus.Desc{descMember, descLeading, descMemoryFull, descKnownJobs, descFinishedJobs, descArchived, descLookups, descRefusedLookups, descActiveJobs, descBlockedJobs, descWrites, descTasks, descUnreconciled, descHasStandby, descZone, descZoneStateAge, descZoneLosses, descZoneMachines, descMachines, descCPUs} {
 		ch <- d
 	}
 }
@@ -59,29 +59,29 @@
 func (c collector) Collect(ch chan<- prometheus.Metric) {
 	stats, ok := c.node.Stats(context.Background())
 	if !ok {
-		return // too much to do: the figures are missing for once
+		return // the controller is overloaded; this scrape has no statistics
 	}
 	put := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	flag := map[bool]float64{true: 1}
-	put(descSeated, flag[stats.Member])
+	put(descMember, flag[stats.Member])
 	put(descLeading, flag[stats.Leading])
-	put(descFull, flag[stats.Full])
+	put(descMemoryFull, flag[stats.Full])
 	put(descKnownJobs, float64(stats.KnownJobs))
 	put(descFinishedJobs, float64(stats.FinishedJobs))
-	put(descPacked, float64(stats.ArchivedIDs))
+	put(descArchived, float64(stats.ArchivedIDs))
 	put(descLookups, float64(stats.ArchiveReads))
 	put(descRefusedLookups, float64(stats.ArchiveShed))
 	put(descActiveJobs, float64(stats.ActiveJobs))
-	put(descAwaitJobs, float64(stats.BlockedJobs))
+	put(descBlockedJobs, float64(stats.BlockedJobs))
 	put(descWrites, float64(stats.Writes))
 	for _, z := range stats.Zones {
 		for _, st := range zones.States {
 			put(descZone, flag[z.State == st], z.Zone, st.String())
 		}
-		put(descZoneFor, z.For.Seconds(), z.Zone)
-		put(descZoneTimes, float64(z.Times), z.Zone)
+		put(descZoneStateAge, z.For.Seconds(), z.Zone)
+		put(descZoneLosses, float64(z.Times), z.Zone)
 		put(descZoneMachines, float64(z.Responsive), z.Zone, "yes")
 		put(descZoneMachines, float64(z.Up-z.Responsive), z.Zone, "no")
 	}
@@ -90,7 +90,7 @@
 		put(descTasks, float64(b.Waiting), n, "waiting")
 		put(descTasks, float64(b.Placed), n, "placed")
 		put(descUnreconciled, float64(b.Unreconciled), n)
-		put(descFollowed, flag[b.Standby != ""], n)
+		put(descHasStandby, flag[b.Standby != ""], n)
 		for _, p := range []struct {
 			kind string
 			core.PoolStats
@@ -104,7 +104,7 @@
 	}
 }
 
-// metrics serves the figures in the text form that Prometheus reads.
+// metrics returns the handler of the Prometheus metrics: the controller's, the process's and the extra ones.
 func metrics(n Node, extra ...prometheus.Collector) http.Handler {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collector{n}, collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client speaks the users' side of the protocol to any controllers, or to
-// their load balancer.
+// Package client implements the users' side of the job API. It talks to a controller or to the load balancer
+// before them.
 package client
 
 import (
@@ -17,8 +17,8 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 10
+// maxResponseBytes is the maximum number of bytes that are read of a response.
+const maxResponseBytes = 64 << 10
 
 // Client talks to one address.
 type Client struct {
@@ -26,23 +26,23 @@
 	http    *http.Client
 }
 
-// New returns a client of an address, HOST:PORT. Connections are kept open for a short time only: a load
-// balancer never moves an open one.
+// New returns a client for an address, HOST:PORT. Idle connections are closed after a short time, because a
+// load balancer cannot move an open connection to another controller.
 func New(addr string) *Client {
 	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}}
 }
 
-// Reply is an answer about a job.
+// Reply is a response about a job, of any HTTP status.
 type Reply struct {
 	Code          int
-	Status        jobs.Status // of a 200 or 201
-	Done, Running int         // tasks, of a poll
+	Status        jobs.Status // for codes 200 and 201
+	Done, Running int         // numbers of tasks, in response to Poll
 	RetryAfter    units.Microseconds
-	Error         string // what a refusal says
+	Error         string // the reason of a refusal
 }
 
-// Submit submits a job. Submitting it again under the same id is the same request.
+// Submit submits a job. It is idempotent: submitting the job again under the same id is the same request.
 func (c *Client) Submit(ctx context.Context, id string, spec *jobs.Spec) (Reply, error) {
 	b, err := wire.EncodeSubmission(id, spec)
 	if err != nil {
@@ -51,33 +51,33 @@
 	return c.call(ctx, http.MethodPost, wire.JobsPath, b)
 }
 
-// Poll asks for a job's state.
+// Poll queries a job's state.
 func (c *Client) Poll(ctx context.Context, id string) (Reply, error) {
 	return c.call(ctx, http.MethodGet, wire.JobsPath+"/"+id, nil)
 }
 
-// Cancel asks to cancel a job.
+// Cancel requests the cancellation of a job.
 func (c *Client) Cancel(ctx context.Context, id string) (Reply, error) {
 	return c.call(ctx, http.MethodPost, wire.JobsPath+"/"+id+"/abort", nil)
 }
 
-// call sends a request. Every answer that can be read is a reply, of whatever status.
+// call sends a request. A response of any status is returned as a reply, unless it cannot be decoded.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (Reply, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return Reply{}, err
 	}
-	answer, err := c.http.Do(request)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return Reply{}, err // a *url.Error, which names the method and the URL
 	}
-	defer func() { _ = answer.Body.Close() }() // read to its end, or of no more use
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }() // already read to its end, or not needed
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return Reply{}, fmt.Errorf("reading the answer to %s %s: %w", method, path, err)
+		return Reply{}, fmt.Errorf("reading the response to %s %s: %w", method, path, err)
 	}
-	reply := Reply{Code: answer.StatusCode}
-	if seconds, err := strconv.Atoi(answer.Header.Get("Retry-After")); err == nil && seconds >= 0 {
+	reply := Reply{Code: response.StatusCode}
+	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && seconds >= 0 {
 		reply.RetryAfter = units.Microseconds(min(seconds, 3600)) * units.Second
 	}
 	if reply.Code != http.StatusOK && reply.Code != http.StatusCreated {
@@ -86,7 +86,7 @@
 	}
 	job, status, err := wire.DecodeJobStatus(text)
 	if err != nil {
-		return Reply{}, fmt.Errorf("unreadable answer to %s %s: %w", method, path, err)
+		return Reply{}, fmt.Errorf("invalid response to %s %s: %w", method, path, err)
 	}
 	reply.Status = status
 	if job.Done != nil && job.Running != nil {
@@ -95,15 +95,15 @@
 	return reply, nil
 }
 
-// retryFor is how long Retry repeats a request that nobody takes.
+// retryFor is how long Retry repeats a request that no controller accepts.
 const retryFor = 60 * time.Second
 
-// ErrRetriesExhausted is wrapped by Retry's error when the request was repeated long enough.
-var ErrRetriesExhausted = errors.New("nobody takes the request")
+// ErrRetriesExhausted is wrapped by Retry's error if no attempt had a final response in time.
+var ErrRetriesExhausted = errors.New("no controller accepted the request")
 
-// Retry repeats a request as users do until it is answered for good, or for a minute: 200,
-// 201, 400, 404 and 422 are answers. timeout bounds each attempt. The error wraps ErrRetriesExhausted,
-// or is the context's.
+// Retry repeats a request, as users do, until it gets a final response, for up to a minute. Codes 200, 201,
+// 400, 404 and 422 are final. Between attempts it waits for the response's Retry-After, at least a second and
+// at most 30 seconds. timeout limits each attempt. The error wraps ErrRetriesExhausted or is the context's.
 func Retry(ctx context.Context, timeout time.Duration, call func(context.Context) (Reply, error)) (Reply, error) {
 	start := time.Now()
 	for {
@@ -115,7 +115,7 @@
 			case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
 				return reply, nil
 			}
-			err = fmt.Errorf("answered %d: %s", reply.Code, reply.Error)
+			err = fmt.Errorf("status %d: %s", reply.Code, reply.Error)
 		}
 		pause := max(time.Second, time.Duration(min(reply.RetryAfter, 30*units.Second))*time.Microsecond)
 		if time.Since(start)+pause > retryFor {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads and checks the settings file.
+// Package config reads and checks the settings file of a controller, and defines the JSON documents by which
+// operators read and change the configuration.
 package config
 
 import (
@@ -17,8 +18,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Settings is what one controller knows from the start about itself and its deployment. Fields
-// ending in S are seconds, in Ms milliseconds, in KB and MB kibi- and mebibytes.
+// Settings is the settings file of one controller: its own settings and those of its deployment. Fields whose
+// names end in S are in seconds, in Ms milliseconds, in KB kibibytes, in MB mebibytes.
 type Settings struct {
 	Node       string     `json:"node_name"`
 	Zone       string     `json:"site"`
@@ -30,20 +31,20 @@
 	Tuning     Tuning     `json:"tuning"`
 }
 
-// Peer names another controller.
+// Peer is another controller.
 type Peer struct {
 	Node string `json:"node_name"`
 	Zone string `json:"site"`
 	Addr string `json:"endpoint"`
 }
 
-// Services holds the addresses of the outside services.
+// Services holds the addresses of the external services.
 type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// Deployment describes what all controllers share.
+// Deployment holds the settings that all controllers share.
 type Deployment struct {
 	Size       int         `json:"size"`
 	Zones      []string    `json:"zones"`
@@ -56,7 +57,7 @@
 	ClockErrMs float64     `json:"clock_error_ms"`
 }
 
-// Team holds a team's guarantee and limit; 0 means none.
+// Team holds a team's guarantee and limit (the Max fields); 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -65,7 +66,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective that users were promised.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -74,20 +75,20 @@
 	Times   float64 `json:"times"`
 }
 
-// Workers holds the timing that every worker follows.
+// Workers holds the timing parameters of all workers.
 type Workers struct {
 	HeartbeatS float64 `json:"report_s"`
 	LeaseS     float64 `json:"lease_s"`
 	CancelS    float64 `json:"cancel_s"`
 }
 
-// State holds the limits of the state service, and those that it will have later.
+// State holds the limits of the state service, and those that are announced to replace them.
 type State struct {
 	Limits
-	Next Limits `json:"next"` // from some moment on; what is missing stays as it is
+	Next Limits `json:"next"` // from some later time on; fields that are missing stay the same
 }
 
-// Limits of the state service.
+// Limits holds the limits of the state service.
 type Limits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -95,48 +96,47 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// NextLimits returns the limits that the service will have in the end.
+// NextLimits returns the limits that the service will have after the announced change.
 func (s State) NextLimits() Limits {
 	return Limits{RPS: cmp.Or(s.Next.RPS, s.RPS), WriteRPS: cmp.Or(s.Next.WriteRPS, s.WriteRPS),
 		ValueKB: cmp.Or(s.Next.ValueKB, s.ValueKB), TxnOps: cmp.Or(s.Next.TxnOps, s.TxnOps)}
 }
 
-// Cloud holds the limits of the cloud's interface.
+// Cloud holds the limits of the cloud's API.
 type Cloud struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Quota is what one controller may use.
+// Quota holds the resources that one controller may use.
 type Quota struct {
 	CPU     float64 `json:"cpu"`
 	RAMMB   float64 `json:"ram_mb"`
 	FDLimit int     `json:"fd_limit"`
 }
 
-// Tuning holds the knobs worth turning; each has a default (DefaultTuning), so the section may
-// be absent.
+// Tuning holds the tuning parameters. Each has a default (DefaultTuning), so the section may be absent.
 type Tuning struct {
-	Fairness         float64 `json:"fairness"`        // f of the paper's section 3.4, in [0, 1)
-	EpsilonScale     float64 `json:"epsilon_scale"`   // factor on the paper's epsilon
-	ImagePenalty     float64 `json:"image_penalty"`   // share of the alignment lost without the image
-	LeaderLeaseS     float64 `json:"leader_lease_s"`  // life of the leader's lease
-	HeadroomFraction    float64 `json:"spare_share"`     // room kept above average demand, as a share of it
-	IdleReturnS      float64 `json:"idle_return_s"`   // idle time after which a machine is returned
-	DemandWindowS    float64 `json:"demand_memory_s"` // time over which demand is averaged
-	WorkPerSlotS           float64 `json:"worth_s"`         // work that must wait for each slot of a machine to be worth renting
-	MachinesPerShard float64 `json:"block_machines"`  // machines that one block carries; 0: by the processor share and the sockets
-	SequentialFraction    float64 `json:"round_share"`     // share of a job's time that renting counts on for tasks one after the other
-	KeepFinished     float64 `json:"keep_done"`       // jobs that are over and are kept in memory before the oldest are packed; 0: all
-	ArchiveSettleS      float64 `json:"pack_settle_s"`   // for how long all controllers must have run a release that reads packed jobs
+	Fairness           float64 `json:"fairness"`        // f of the paper's section 3.4, in [0, 1)
+	EpsilonScale       float64 `json:"epsilon_scale"`   // factor on the paper's epsilon
+	ImagePenalty       float64 `json:"image_penalty"`   // share of the alignment score lost if a machine lacks the image
+	LeaderLeaseS       float64 `json:"leader_lease_s"`  // duration of the leader's lease
+	HeadroomFraction   float64 `json:"spare_share"`     // spare capacity kept above the average demand, as a share of it
+	IdleReturnS        float64 `json:"idle_return_s"`   // idle time after which a machine is returned to the cloud
+	DemandWindowS      float64 `json:"demand_memory_s"` // time over which demand is averaged
+	WorkPerSlotS       float64 `json:"worth_s"`         // work that must be waiting per slot of a machine before one is provisioned
+	MachinesPerShard   float64 `json:"block_machines"`  // machines per shard; 0: derived from the CPU quota and the sockets
+	SequentialFraction float64 `json:"round_share"`     // share of a job's time in which scaling out expects its tasks to run one after another
+	KeepFinished       float64 `json:"keep_done"`       // finished jobs that are kept in memory before the oldest are archived; 0: all
+	ArchiveSettleS     float64 `json:"pack_settle_s"`   // how long all controllers must have run a release that reads archived jobs
 }
 
-// DefaultTuning returns the knobs' defaults.
+// DefaultTuning returns the defaults of the tuning parameters.
 func DefaultTuning() Tuning {
 	return Tuning{Fairness: 0.25, EpsilonScale: 3, ImagePenalty: 0.5, LeaderLeaseS: 2, HeadroomFraction: 0, IdleReturnS: 5, DemandWindowS: 15, WorkPerSlotS: 20, SequentialFraction: 0.5, KeepFinished: 8192, ArchiveSettleS: 600}
 }
 
-// Load reads and checks a settings file.
+// Load reads and checks a settings file. The error is that of the file system or of Parse.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return Parse(text)
 }
 
-// FieldError says which field of a settings file is wrong, by its path, and why.
+// FieldError is the error of a field of a settings file, which Field names by its path.
 type FieldError struct {
 	Field, Reason string
 }
@@ -156,8 +156,8 @@
 	return &FieldError{field, fmt.Sprintf(reason, args...)}
 }
 
-// Parse decodes and checks the text of a settings file. Unknown fields are ignored; a wrong
-// one is a *FieldError, the first where there are several.
+// Parse decodes and checks the text of a settings file. Unknown fields are ignored. The first invalid field is
+// returned as a *FieldError.
 func Parse(text []byte) (*Settings, error) {
 	settings := &Settings{Tuning: DefaultTuning()}
 	if err := json.Unmarshal(text, settings); err != nil {
@@ -175,7 +175,7 @@
 	return settings, nil
 }
 
-// checkNodes checks the names of this node and its peers, and that they make up the deployment.
+// checkNodes checks the names of this node and its peers.
 func (s *Settings) checkNodes() error {
 	for i, peer := range s.Peers {
 		if peer.Node == "" || peer.Node == s.Node {
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// checkAddrs checks the addresses to listen on and to connect to.
+// checkAddrs checks the addresses to listen on and to connect to, and that this node and its peers make up the
+// deployment.
 func (s *Settings) checkAddrs() error {
 	type addr struct{ field, value string }
 	addrs := []addr{
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// check checks that the lists that must hold something do, and the whole numbers.
+// check checks that required lists are not empty, and checks the fields that are integers.
 func (d *Deployment) check() error {
 	if len(d.Zones) == 0 {
 		return invalid("deployment.zones", "missing")
@@ -236,10 +237,10 @@
 }
 
 const (
-	// minTxnOps is the least number of changes that a transaction must take: a job's record
-	// and two that go with it.
+	// minTxnOps is the minimum number of changes that a transaction must support: a job's record and two
+	// records that are stored with it.
 	minTxnOps = 3
-	// minFDLimit is the least number of file descriptors that a controller can run with.
+	// minFDLimit is the minimum number of file descriptors that a controller can run with.
 	minFDLimit = 32
 )
 
@@ -251,7 +252,7 @@
 		}
 		names[team.Name] = true
 		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
-			if !(amount >= 0 && amount < 1e9) { // NaN is neither
+			if !(amount >= 0 && amount < 1e9) { // also refuses NaN
 				return invalid(fmt.Sprintf("deployment.teams[%d]", i), "amount %v out of range", amount)
 			}
 		}
@@ -279,7 +280,7 @@
 	})
 }
 
-// Check returns a *FieldError for the first knob that is out of range.
+// Check returns a *FieldError for the first tuning parameter that is out of range.
 func (t Tuning) Check() error {
 	return checkRanges([]bounded{
 		{"tuning.fairness", t.Fairness, 0, 0.999, ""},
@@ -296,8 +297,8 @@
 	})
 }
 
-// bounded is a field with its value, the range that it must be in, both ends included, and what it
-// counts; a share or a factor has no unit.
+// bounded is a field with its value, its range including both ends, and its unit, which is empty for shares
+// and factors.
 type bounded struct {
 	field           string
 	value, min, max float64
@@ -314,13 +315,14 @@
 	return nil
 }
 
-// LeaseTime is how long a worker keeps its tasks without an answer.
+// LeaseTime returns the duration of a worker's lease: how long it keeps its tasks running without a response
+// from a controller.
 func (s *Settings) LeaseTime() units.Microseconds { return units.Seconds(s.Deployment.Workers.LeaseS) }
 
-// LimitOpenFiles lowers the sockets that the controller may use to the files that its process may have
-// open, and returns a *FieldError that says so. Beyond that limit the operating system refuses every
-// socket, those of the state service too, where a controller that keeps to fewer sends machines
-// and users on to others.
+// LimitOpenFiles lowers the file descriptor quota to the number of files that the process may have open, and
+// returns a *FieldError if it had to. Beyond the process's limit the operating system would refuse
+// every socket, also those to the state service. A controller with a lower quota instead redirects
+// machines and users to other controllers in time.
 func (s *Settings) LimitOpenFiles(files uint64) error {
 	quota := &s.Deployment.Quota
 	if uint64(quota.FDLimit) <= files {
@@ -331,13 +333,13 @@
 	return err
 }
 
-// heartbeatsPerCore is how many heartbeats a second a whole core could answer, with all
-// that goes with them; docs/operations.md has what was measured.
+// heartbeatsPerCore is the number of heartbeats a second that one full CPU core can process, including the
+// work that they cause; docs/operations.md has the measurements.
 const heartbeatsPerCore = 3500
 
-// MachinesPerShard is the number of machines that one shard should carry. A busy
-// machine sends about two heartbeats in an interval: when that is over, and when a
-// task has ended or begun. Each machine keeps a connection, and users need some.
+// MachinesPerShard returns the number of machines that one shard should have. A busy machine sends about
+// two heartbeats in an interval: one at its end, and one when a task has started or ended. Each machine
+// keeps a connection open, so the number stays below the file descriptor quota: users need some too.
 func (s *Settings) MachinesPerShard() int {
 	if machines := s.Tuning.MachinesPerShard; machines > 0 {
 		return int(machines)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestLaterLimits gives limits of later field by field; what is missing stays as it is.
-func TestLaterLimits(t *testing.T) {
+// TestNextLimits gives some of the next limits. Fields that are missing, or null, must stay the same.
+func TestNextLimits(t *testing.T) {
 	for next, want := range map[string]Limits{
 		``:                       {200, 80, 8, 12},
 		`,"next":null`:           {200, 80, 8, 12},
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestBadFieldsAreNamed spoils one field at a time: the error is of one line and names it.
-func TestBadFieldsAreNamed(t *testing.T) {
+// TestErrorsNameField makes one field invalid at a time. The error must be a single line that names the field.
+func TestErrorsNameField(t *testing.T) {
 	for field, value := range map[string]any{
 		"node_name": "", "listen": "here", "internal_addr": nil, "services.state": "x:1", "deployment.size": 3,
 		"deployment.state.rps": 0, "deployment.workers.lease_s": -1, "deployment.quota.fd_limit": 1, "deployment.cloud.rps": "many",
@@ -76,13 +76,13 @@
 		}
 	}
 	if _, err := Parse([]byte("{")); err == nil {
-		t.Error("half a file is taken")
+		t.Error("an incomplete file is accepted")
 	}
 }
 
-// TestSettingsAtTheirLimits has settings at a limit, which are taken, and one beyond, which are
-// refused with the field, the limit and its unit.
-func TestSettingsAtTheirLimits(t *testing.T) {
+// TestRangeLimits checks that settings at a limit are accepted, and that those beyond it are refused with the
+// field, the limit and its unit.
+func TestRangeLimits(t *testing.T) {
 	with := func(teams, peers, machines int) []byte {
 		var list, others []string
 		for i := range teams {
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestSocketsOfTheProcess keeps the sockets of the settings to the files that the process may
-// have open, and says so. As many as are set, or more, change nothing.
-func TestSocketsOfTheProcess(t *testing.T) {
+// TestLimitOpenFiles checks that the file descriptor quota is lowered, with an error, to the number of files that
+// the process may have open. The same number or more must change nothing.
+func TestLimitOpenFiles(t *testing.T) {
 	for files, want := range map[uint64]int{1 << 63: 1800, 1801: 1800, 1800: 1800, 1799: 1799, 1024: 1024} {
 		s, err := Parse([]byte(validSettings))
 		if err != nil {
@@ -123,7 +123,7 @@
 		}
 		err = s.LimitOpenFiles(files)
 		if s.Deployment.Quota.FDLimit != want || (err != nil) != (want < 1800) {
-			t.Errorf("%d files: %d sockets, %v", files, s.Deployment.Quota.FDLimit, err)
+			t.Errorf("%d files: quota %d, %v", files, s.Deployment.Quota.FDLimit, err)
 		}
 		if text := fmt.Sprintf("deployment.quota.fd_limit: want at most %d files, as this process may have open (ulimit -n), got 1800", files); err != nil && err.Error() != text {
 			t.Errorf("%v", err)
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -9,17 +9,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// CoreConfig returns what the settings tell a controller's core.
+// CoreConfig converts the settings into the configuration of a controller's core.
 func (s *Settings) CoreConfig(log *slog.Logger) core.Config {
 	deployment, t := s.Deployment, s.Tuning
-	now, later := deployment.State.Limits, deployment.State.NextLimits()
+	current, next := deployment.State.Limits, deployment.State.NextLimits()
 	settings := core.Config{
 		Node: s.Node, Size: deployment.Size, Zones: deployment.Zones, HomeZone: s.Zone, PeerZones: map[string]string{},
 		Lease: s.LeaseTime(), HeartbeatInterval: units.Seconds(deployment.Workers.HeartbeatS),
 		CancelWithin: units.Seconds(deployment.Workers.CancelS),
 		LeaderTTL:    units.Seconds(t.LeaderLeaseS), ListLag: units.Seconds(deployment.Cloud.ListLagS),
-		TxnOps: min(now.TxnOps, later.TxnOps), ValueKB: now.ValueKB, ValueMax: int(min(now.ValueKB, later.ValueKB) * 1024),
-		StateRate: now.RPS, WriteRate: now.WriteRPS, NextStateRate: later.RPS, NextWriteRate: later.WriteRPS, CloudRate: deployment.Cloud.RPS,
+		TxnOps: min(current.TxnOps, next.TxnOps), ValueKB: current.ValueKB, ValueMax: int(min(current.ValueKB, next.ValueKB) * 1024),
+		StateRate: current.RPS, WriteRate: current.WriteRPS, NextStateRate: next.RPS, NextWriteRate: next.WriteRPS, CloudRate: deployment.Cloud.RPS,
 		Pack:          binpack.Params{Fairness: t.Fairness, EpsilonScale: t.EpsilonScale, ImagePenalty: t.ImagePenalty},
 		Scale:         autoscaler.Params{Headroom: t.HeadroomFraction, AverageOver: units.Seconds(t.DemandWindowS), WorkPerSlot: units.Seconds(t.WorkPerSlotS), ScaleInAfter: units.Seconds(t.IdleReturnS)},
 		ShardMachines: s.MachinesPerShard(), SequentialFraction: t.SequentialFraction,
@@ -31,10 +31,10 @@
 		settings.PeerZones[p.Node] = p.Zone
 	}
 	for _, team := range deployment.Teams {
-		settings.Teams = append(settings.Teams, teamOf(team))
+		settings.Teams = append(settings.Teams, coreTeam(team))
 	}
 	for _, o := range deployment.Objectives {
-		settings.Objectives = append(settings.Objectives, objectiveOf(o))
+		settings.Objectives = append(settings.Objectives, coreObjective(o))
 	}
 	return settings
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -13,8 +13,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// What operators read and send to change teams and objectives while the service runs, in the
-// form of the settings file's sections of the same names.
+// This file defines the documents by which operators read and change teams and objectives while the service
+// runs. Teams and objectives have the form of the settings file's sections of the same names.
 
 // Paths on a controller's internal address.
 const (
@@ -24,19 +24,19 @@
 	ConfigStatusPath  = "/config/status"
 )
 
-// MaxDocumentBytes bounds the bytes of a document.
+// MaxDocumentBytes is the maximum size of a document.
 const MaxDocumentBytes = 1 << 20
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
-	By         string      `json:"by,omitempty"` // who gives it
-	Version    *uint64     `json:"version"`      // that it is, or that it was made for
+	By         string      `json:"by,omitempty"` // the author of a change
+	Version    *uint64     `json:"version"`      // read: its version; written: the version that it was made for
 	Teams      []Team      `json:"teams"`
 	Objectives []Objective `json:"objectives"`
-	Removed    []string    `json:"removed,omitempty"` // teams that take no new jobs; not read
+	Removed    []string    `json:"removed,omitempty"` // teams that accept no new jobs; ignored in requests
 }
 
-// TeamPatch changes some amounts of a team; what is missing stays as it is.
+// TeamPatch changes some amounts of a team. Amounts that are missing stay unchanged.
 type TeamPatch struct {
 	Name    string   `json:"name"`
 	CPUs    *float64 `json:"cpus,omitempty"`
@@ -49,51 +49,51 @@
 // Patch changes some teams.
 type Patch struct {
 	By      string      `json:"by,omitempty"`
-	Version *uint64     `json:"version,omitempty"` // that it was made for; none: whatever there is
+	Version *uint64     `json:"version,omitempty"` // the version that it was made for; nil: any
 	Teams   []TeamPatch `json:"teams"`
 }
 
-// Stored answers a change that is stored.
+// Stored is the response to a change that was stored.
 type Stored struct {
 	Version uint64 `json:"version"`
 }
 
-// Refusal answers one that is not.
+// Refusal is the response to a change that was not stored, or possibly not.
 type Refusal struct {
 	Error   string  `json:"error"`
-	Field   string  `json:"field,omitempty"`   // that is wrong
-	Version *uint64 `json:"version,omitempty"` // that it was made for
-	Current *uint64 `json:"current,omitempty"` // that it missed
-	Unknown bool    `json:"unknown,omitempty"` // it may have been stored, or may yet be: look again
+	Field   string  `json:"field,omitempty"`   // the invalid one
+	Version *uint64 `json:"version,omitempty"` // on a conflict: the version that it was made for
+	Current *uint64 `json:"current,omitempty"` // on a conflict: the current version
+	Unknown bool    `json:"unknown,omitempty"` // in doubt: it may have been stored, or may still be; read the configuration again
 }
 
-// HistoryEntry tells of a version.
+// HistoryEntry describes a version in the history.
 type HistoryEntry struct {
 	Version uint64    `json:"version"`
 	At      time.Time `json:"at"`
 	By      string    `json:"by"`
-	Summary    string    `json:"what"`
+	Summary string    `json:"what"`
 }
 
-// ControllerStatus tells by which version a controller goes.
+// ControllerStatus says which version a controller has in force.
 type ControllerStatus struct {
-	Node    string `json:"controller"`
-	Version uint64 `json:"version"`
-	KnownVersion   uint64 `json:"known"` // latest version that it knows of; it starts nothing while that is later
-	Unresponsive  bool   `json:"silent,omitempty"`
-	Confirmed    bool   `json:"done"` // starts nothing by a version before the one asked for
+	Node         string `json:"controller"`
+	Version      uint64 `json:"version"`
+	KnownVersion uint64 `json:"known"` // latest version that it knows of; while it is later than Version no tasks are started
+	Unresponsive bool   `json:"silent,omitempty"`
+	Confirmed    bool   `json:"done"` // no longer starts tasks under a version before the requested one
 }
 
-// Status tells how far a version has come.
+// Status is the progress of a version's rollout to the controllers.
 type Status struct {
 	Version     uint64             `json:"version"`
 	Current     uint64             `json:"current"`
 	Confirmed   bool               `json:"confirmed"`
-	Waiting     int                `json:"waiting"` // changes that are to be stored
+	Waiting     int                `json:"waiting"` // changes that wait to be stored
 	Controllers []ControllerStatus `json:"controllers"`
 }
 
-// Unconfirmed returns the controllers for which a version is not confirmed.
+// Unconfirmed returns the names of the controllers that have not confirmed the version.
 func (s Status) Unconfirmed() []string {
 	var out []string
 	for _, c := range s.Controllers {
@@ -104,7 +104,7 @@
 	return out
 }
 
-// amount turns an operator's number into thousandths.
+// amount converts a number of CPUs or GPUs into thousandths, and checks its range.
 func amount(field string, v float64) (int64, error) {
 	if !(v >= 0 && v < 1e9) {
 		return 0, &configuration.Invalid{Field: field, Reason: fmt.Sprintf("want 0 to 1e9, got %g", v)}
@@ -112,7 +112,7 @@
 	return units.MilliDown(v), nil
 }
 
-// Request returns the change that a patch asks for, or an error that names the wrong field.
+// Request returns the change that a patch asks for, or a *configuration.Invalid that names the invalid field.
 func (p Patch) Request() (configuration.Request, error) {
 	request := configuration.Request{By: p.By, Base: p.Version}
 	for _, t := range p.Teams {
@@ -136,7 +136,8 @@
 	return request, nil
 }
 
-// Request returns the change that a whole document asks for.
+// Request returns the replacement that a document asks for, or a *configuration.Invalid that names the invalid
+// field.
 func (d Document) Request() (configuration.Request, error) {
 	request := configuration.Request{By: d.By, Base: d.Version, Replacement: &configuration.Content{}}
 	for _, t := range d.Teams {
@@ -145,28 +146,28 @@
 				return request, err
 			}
 		}
-		request.Replacement.Teams = append(request.Replacement.Teams, teamOf(t))
+		request.Replacement.Teams = append(request.Replacement.Teams, coreTeam(t))
 	}
 	for i, o := range d.Objectives {
 		if !(o.WithinS >= 0 && o.WithinS <= 1e9) {
 			return request, &configuration.Invalid{Field: fmt.Sprintf("objectives[%d].within_s", i), Reason: fmt.Sprintf("want 0 to 1e9, got %g", o.WithinS)}
 		}
-		request.Replacement.Objectives = append(request.Replacement.Objectives, objectiveOf(o))
+		request.Replacement.Objectives = append(request.Replacement.Objectives, coreObjective(o))
 	}
 	return request, nil
 }
 
-func teamOf(t Team) core.Team {
+func coreTeam(t Team) core.Team {
 	return core.Team{Name: t.Name,
 		Guarantee: binpack.Vec{units.MilliDown(t.CPUs), units.MilliDown(t.GPUs)},
 		Limit:     binpack.Vec{units.MilliDown(t.CPUsMax), units.MilliDown(t.GPUsMax)}}
 }
 
-func objectiveOf(o Objective) core.Objective {
+func coreObjective(o Objective) core.Objective {
 	return core.Objective{Kind: demand.ObjectiveKind(o.Kind), Class: o.Class, Within: units.Seconds(o.WithinS), Times: o.Times, Share: o.Share}
 }
 
-// NewDocument returns a version as a document.
+// NewDocument returns the document for a version and its content.
 func NewDocument(version uint64, content configuration.Content) Document {
 	document := Document{Version: &version, Teams: []Team{}, Objectives: []Objective{}}
 	for _, t := range content.Teams {
@@ -185,7 +186,7 @@
 	return document
 }
 
-// NewStatus returns a status as it is told.
+// NewStatus returns the JSON form of a status.
 func NewStatus(s core.ConfigStatus) Status {
 	out := Status{Version: s.Version, Current: s.Current, Confirmed: s.Confirmed, Waiting: s.Waiting}
 	for _, c := range s.Controllers {
@@ -194,7 +195,7 @@
 	return out
 }
 
-// NewHistory returns a history as it is told.
+// NewHistory returns the JSON form of a history.
 func NewHistory(list core.ConfigHistory) []HistoryEntry {
 	out := []HistoryEntry{}
 	for _, e := range list {
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,11 +1,11 @@
-// Package connlimit limits the connections of a process, by who is at the other end. Machines
-// and users connect to one address, and a controller that has no socket left for its machines
-// loses all that runs on them: users may hold a part of the sockets only, and when all are
-// taken, idle connections are closed for new ones.
+// Package connlimit limits the number of open connections of a process by kind of client. Machines and users
+// connect to the same address. A controller without sockets for its machines would lose all tasks that run
+// on them. Users may therefore hold only a part of the sockets, and when all are in use, idle connections
+// are closed for new ones.
 //
-// Nobody is kept waiting for a socket. A connection that finds none is closed at once, and
-// a user beyond the users' part is told when to come back: both then turn to another
-// controller, where a connection that is not accepted would be waited for.
+// No client waits for a socket. If there is none, a new connection is closed at once, and a user beyond the
+// users' part gets a 503 with Retry-After. Both then turn to another controller. If the connection were
+// left unaccepted instead, the client would wait for it.
 package connlimit
 
 import (
@@ -19,60 +19,61 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Kind is who is at the other end of a connection, as its requests tell.
+// Kind is the kind of client at the other end of a connection, derived from its requests.
 type Kind int
 
 // Kinds.
 const (
-	Unidentified Kind = iota // has asked for nothing yet
-	Machine                  // a worker: never closed to make room
+	Unidentified Kind = iota // has not sent a request yet
+	Machine                  // a worker; its connection is never closed for a new one
 	User
-	Probe // health checks and figures
-	kinds
+	Probe // health checks and metrics
+	numKinds
 )
 
-var kindLabels = [kinds]string{"fresh", "machine", "user", "probe"}
+var kindLabels = [numKinds]string{"fresh", "machine", "user", "probe"}
 
-// userFraction divides the sockets: users may hold one part of so many.
+// userFraction is the divisor of the users' part: users may hold limit/userFraction sockets.
 const userFraction = 4
 
-// Listener is a net.Listener that limits the connections that it has accepted. It is also a
-// prometheus.Collector of their numbers.
+// Listener is a net.Listener that limits the number of its open connections. It is also a prometheus.Collector
+// of their numbers.
 type Listener struct {
 	net.Listener
 	limit    int
-	commands chan func(*connections) // to its owner
+	commands chan func(*connections) // run by the goroutine that owns the connections
 	done     chan struct{}
 	once     sync.Once
 }
 
-// connections is what a listener knows of those it has accepted; one goroutine owns it.
+// connections holds the state of a listener's accepted connections. One goroutine owns it.
 type connections struct {
-	open    [kinds]int
-	idle    [kinds]*list.List // the longest idle first
-	refused [kinds]uint64     // closed or refused, as sockets ran out
+	open    [numKinds]int
+	idle    [numKinds]*list.List // longest idle first
+	refused [numKinds]uint64     // closed or refused for lack of sockets
 }
 
-// trackedConn is an accepted connection. The owner of connections owns its fields too, but for
-// machine, which is set once: nothing needs to be known of what a machine's connection does
-// next, and heartbeats are most of what a controller answers.
+// trackedConn is an accepted connection. Its fields belong to the goroutine that owns connections, except
+// machine, which is set once. Connections of machines need no further tracking, and the atomic flag saves
+// the round trip to the owner for heartbeats, which are most of a controller's requests.
 type trackedConn struct {
 	net.Conn
 	listener *Listener
 	machine  atomic.Bool
 	kind     Kind
-	idleAt   *list.Element // in its kind's idle list; nil: a request is under way
+	idleAt   *list.Element // in its kind's idle list; nil while a request is being served
 	removed  bool
 }
 
-// New returns a listener that accepts from inner, with at most limit connections open.
+// New returns a listener that accepts connections from inner, of which at most limit are open at a time. Close
+// ends its goroutine.
 func New(inner net.Listener, limit int) *Listener {
 	limited := &Listener{Listener: inner, limit: max(limit, 1), commands: make(chan func(*connections)), done: make(chan struct{})}
 	conns := &connections{}
 	for k := range conns.idle {
 		conns.idle[k] = list.New()
 	}
-	go func() { // the owner of conns, until Close
+	go func() { // owns conns until Close
 		for {
 			select {
 			case command := <-limited.commands:
@@ -85,8 +86,7 @@
 	return limited
 }
 
-// do has the owner of the connections run a command and waits for it; once the listener is
-// closed nothing happens.
+// do runs a command in the goroutine that owns the connections and waits for it. After Close it does nothing.
 func (l *Listener) do(command func(*connections)) {
 	done := make(chan struct{})
 	select {
@@ -96,13 +96,14 @@
 	}
 }
 
-// Close stops listening. Connections stay open.
+// Close stops listening. Accepted connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
 
-// Accept returns the next connection for which there is a socket.
+// Accept returns the next connection. At the limit it closes an idle connection that is not a machine's, or the
+// new connection if there is none.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
@@ -123,47 +124,47 @@
 		if admitted {
 			return tracked, nil
 		}
-		_ = accepted.Close() // whoever it is finds another controller
+		_ = accepted.Close() // the client turns to another controller
 	}
 }
 
-func (s *connections) total() int {
+func (c *connections) total() int {
 	sum := 0
-	for _, open := range s.open {
+	for _, open := range c.open {
 		sum += open
 	}
 	return sum
 }
 
-// closeIdle closes the connection that has been idle for longest, of the first of some
-// kinds that has any, and reports whether there was one.
-func (s *connections) closeIdle(of ...Kind) bool {
-	for _, k := range of {
-		if e := s.idle[k].Front(); e != nil {
-			c := e.Value.(*trackedConn)
-			s.refused[k]++
-			s.remove(c)
-			_ = c.Conn.Close() // its server notices, and closes it once more
+// closeIdle closes the connection that has been idle for longest, of the first of the given kinds that has
+// an idle one. It reports whether there was one.
+func (c *connections) closeIdle(kinds ...Kind) bool {
+	for _, k := range kinds {
+		if e := c.idle[k].Front(); e != nil {
+			conn := e.Value.(*trackedConn)
+			c.refused[k]++
+			c.remove(conn)
+			_ = conn.Conn.Close() // the server notices and calls trackedConn.Close, which has no further effect
 			return true
 		}
 	}
 	return false
 }
 
-func (s *connections) remove(c *trackedConn) {
-	if c.removed {
+func (c *connections) remove(conn *trackedConn) {
+	if conn.removed {
 		return
 	}
-	c.removed = true
-	s.markBusy(c)
-	s.open[c.kind]--
+	conn.removed = true
+	c.markBusy(conn)
+	c.open[conn.kind]--
 }
 
-// markBusy takes a connection off the idle ones, if it is there.
-func (s *connections) markBusy(c *trackedConn) {
-	if c.idleAt != nil {
-		s.idle[c.kind].Remove(c.idleAt)
-		c.idleAt = nil
+// markBusy removes a connection from its idle list, if it is in it.
+func (c *connections) markBusy(conn *trackedConn) {
+	if conn.idleAt != nil {
+		c.idle[conn.kind].Remove(conn.idleAt)
+		conn.idleAt = nil
 	}
 }
 
@@ -175,8 +176,9 @@
 
 type connKey struct{}
 
-// Track learns from a server, which must serve this listener, which connections are idle, and
-// answers users beyond their part of the sockets with 503. kind says who sends a request.
+// Track installs hooks in a server, which must serve this listener, to learn which connections are idle. It
+// also wraps the server's handler, so that users beyond their part of the sockets get a 503. kind returns
+// the kind of client that sent a request. Call Track before the server starts.
 func (l *Listener) Track(server *http.Server, kind func(*http.Request) Kind) {
 	next := server.Handler
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
@@ -209,8 +211,8 @@
 	})
 }
 
-// identify notes who is at the other end of a connection, and reports whether there is a
-// socket for them.
+// identify records the kind of client at the other end of a connection. It returns false for a user beyond the
+// users' part, unless an idle user's connection could be closed instead.
 func (l *Listener) identify(conn *trackedConn, kind Kind) bool {
 	if conn.machine.Load() {
 		return true
@@ -235,7 +237,7 @@
 
 var (
 	descOpen    = prometheus.NewDesc("shalestage_connections", "Connections to the controller.", []string{"kind"}, nil)
-	descRefused = prometheus.NewDesc("shalestage_connections_shed_total", "Connections closed or refused as sockets ran out.", []string{"kind"}, nil)
+	descRefused = prometheus.NewDesc("shalestage_connections_shed_total", "Connections closed or refused for lack of sockets.", []string{"kind"}, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/internal/core/fleet/heartbeat.go
+++ b/internal/core/fleet/heartbeat.go
@@ -72,7 +72,7 @@
 	Grace   units.Microseconds // time that a Stop leaves the task to exit; 0 stops it at once
 }
 
-// Limits on the commands of one heartbeat response, which must not exceed 64 KiB (TestLongestAnswer in
+// Limits on the commands of one heartbeat response, which must not exceed 64 KiB (TestLargestHeartbeatResponse in
 // internal/api). A machine can hold hundreds of small tasks; commands beyond a limit are sent in the
 // response to its next heartbeat.
 const (
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,4 +1,4 @@
-// Package httpjson sends JSON over HTTP to the outside services.
+// Package httpjson sends JSON requests over HTTP to the external services.
 package httpjson
 
 import (
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the maximum number of bytes that are read of a response.
+const maxResponseBytes = 64 << 20
 
-// ErrInvalidResponse is wrapped by the error of an answer that is not the JSON that was expected.
-var ErrInvalidResponse = errors.New("unreadable answer")
+// ErrInvalidResponse is wrapped by the error for a response that is not the expected JSON.
+var ErrInvalidResponse = errors.New("invalid response")
 
-// NewClient returns a client for a service on the same network: maxConns connections at
-// most, of which none is waited for long.
+// NewClient returns a client for a service on the same network. It opens at most maxConns connections, and
+// gives up after a second if one cannot be established.
 func NewClient(maxConns int) *http.Client {
 	return &http.Client{Transport: newTransport(maxConns)}
 }
 
-// NewOneShotClient returns a client that closes each connection after its answer: for many
-// services of which each is asked once.
+// NewOneShotClient returns a client that closes each connection after the response. It is meant for requests to
+// many services, each of which gets a single one.
 func NewOneShotClient() *http.Client {
 	transport := newTransport(1)
 	transport.DisableKeepAlives = true
@@ -44,31 +44,31 @@
 	}
 }
 
-// Do sends a request with a JSON body, or without one where body is nil, and decodes the
-// answer into response unless that is nil. An answer of any status is none of its errors; the
-// status is 0 where there was no answer. An answer that is not JSON is ErrUnreadable, unless
-// its status is 500 or more: such a one may come from something on the way.
+// Do sends a request with a JSON body, or without one if body is nil, and decodes the body of the reply into
+// response unless that is nil. No HTTP status is an error by itself; the status is 0 if there was no reply.
+// A reply that is not the expected JSON is an ErrInvalidResponse. If its status is 500 or higher and it is
+// not JSON at all, it may come from a proxy on the way: then only the status is returned.
 func Do(ctx context.Context, client *http.Client, method, url string, body, response any) (status int, err error) {
 	request, err := newRequest(ctx, method, url, body)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := client.Do(request)
+	received, err := client.Do(request)
 	if err != nil {
 		return 0, err // a *url.Error, which names the method and the URL
 	}
-	defer func() { _ = answer.Body.Close() }() // read to its end, or of no more use
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer func() { _ = received.Body.Close() }() // already read to its end, or not needed
+	text, err := io.ReadAll(io.LimitReader(received.Body, maxResponseBytes))
 	if err != nil {
-		return answer.StatusCode, fmt.Errorf("reading the answer to %s %s: %w", method, url, err)
+		return received.StatusCode, fmt.Errorf("reading the response to %s %s: %w", method, url, err)
 	}
-	if response == nil || len(text) == 0 || answer.StatusCode >= http.StatusInternalServerError && !json.Valid(text) {
-		return answer.StatusCode, nil
+	if response == nil || len(text) == 0 || received.StatusCode >= http.StatusInternalServerError && !json.Valid(text) {
+		return received.StatusCode, nil
 	}
 	if err := json.Unmarshal(text, response); err != nil {
-		return answer.StatusCode, fmt.Errorf("%w: %w", ErrInvalidResponse, err)
+		return received.StatusCode, fmt.Errorf("%w: %w", ErrInvalidResponse, err)
 	}
-	return answer.StatusCode, nil
+	return received.StatusCode, nil
 }
 
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDo tells an answer that is not JSON from one that another program on the way has given,
-// and from none.
+// TestDo checks that a response that is not JSON is an error, except with a status of 500 or higher, when it may
+// come from a proxy, and that no response is an error with status 0.
 func TestDo(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -17,11 +17,11 @@
 		want   string
 		err    error
 	}{
-		{"an answer", http.StatusOK, `{"Text":"yes"}`, "yes", nil},
-		{"a refusal", http.StatusConflict, `{"Text":"no"}`, "no", nil},
-		{"an empty answer", http.StatusOK, ``, "", nil},
+		{"success", http.StatusOK, `{"Text":"yes"}`, "yes", nil},
+		{"conflict", http.StatusConflict, `{"Text":"no"}`, "no", nil},
+		{"empty body", http.StatusOK, ``, "", nil},
 		{"not JSON", http.StatusOK, `nothing`, "", ErrInvalidResponse},
-		{"not JSON, from something on the way", http.StatusBadGateway, `<html>`, "", nil},
+		{"not JSON, from a proxy", http.StatusBadGateway, `<html>`, "", nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +29,7 @@
 					t.Errorf("Content-Type %q", r.Header.Get("Content-Type"))
 				}
 				w.WriteHeader(test.status)
-				_, _ = w.Write([]byte(test.body)) // the client checks what it gets
+				_, _ = w.Write([]byte(test.body)) // the client notices if this fails
 			}))
 			defer server.Close()
 			var response struct{ Text string }
@@ -42,6 +42,6 @@
 	closed := httptest.NewServer(http.NotFoundHandler())
 	closed.Close()
 	if status, err := Do(t.Context(), NewOneShotClient(), http.MethodGet, closed.URL, nil, nil); status != 0 || err == nil {
-		t.Errorf("no answer: %d, %v", status, err)
+		t.Errorf("no response: %d, %v", status, err)
 	}
 }
