--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -128,23 +128,23 @@
 // writeReply encodes the controller's reply as an HTTP response.
 func writeReply(w http.ResponseWriter, r core.Reply) {
 	var body any
-	switch answer := r.Body.(type) {
+	switch reply := r.Body.(type) {
 	case core.JobAnswer:
-		status := wire.JobStatus{ID: answer.ID, Status: wire.Status(answer.Status)}
-		if answer.Counts {
-			status.Done, status.Running = &answer.Done, &answer.Running
+		status := wire.JobStatus{ID: reply.ID, Status: wire.Status(reply.Status)}
+		if reply.Counts {
+			status.Done, status.Running = &reply.Done, &reply.Running
 		}
 		body = status
 	case core.HeartbeatResponse:
-		orders := wire.Orders{FencingToken: answer.FencingToken, Commands: []wire.Command{}}
-		for _, c := range answer.Commands {
+		orders := wire.Orders{FencingToken: reply.FencingToken, Commands: []wire.Command{}}
+		for _, c := range reply.Commands {
 			orders.Commands = append(orders.Commands, wire.EncodeCommand(c))
 		}
 		body = orders
 	case core.Redirect:
-		body = wire.Redirect{Node: answer.Node}
+		body = wire.Redirect{Node: reply.Node}
 	case core.Problem:
-		body = wire.Problem{Error: answer.Text}
+		body = wire.Problem{Error: reply.Text}
 	default:
 		body = struct{}{}
 	}
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -34,7 +34,7 @@
 	}}
 }
 
-// Full reports whether no more work should be accepted. The answer has hysteresis between the two fractions.
+// Full reports whether no more work should be accepted, with hysteresis between the two fractions.
 func (m *Monitor) Full() bool {
 	threshold := highWater
 	if m.full {
