--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -173,7 +173,7 @@
 	effects []Effect
 	teams   map[string]*Team
 	config  *configuration.Manager // teams and objectives in force
-	cache   *watchcache.Cache       // watch cache of the state service's keys
+	cache   *watchcache.Cache      // watch cache of the state service's keys
 	queues  [queueCount]*store.WriteQueue
 
 	jobs          *registry.Registry
