--- a/internal/api/internal_test.go
+++ b/internal/api/internal_test.go
@@ -51,7 +51,7 @@
 		method, path, body string
 		code               int
 		want               string
-		requests           int
+		wantRequests       int
 	}{
 		{"GET", "/config", "", 200, `{"version":7,"teams":[{"name":"red","cpus":1.5,"cpus_max":2.5,"gpus":0,"gpus_max":1}],"objectives":[{"kind":"wait","class":"x","within_s":1.5,"share":0.9,"times":0}],"removed":["old"]}`, 0},
 		{"GET", "/config/history", "", 200, `[{"version":7,"at":"1970-01-01T00:00:01Z","by":"ann","what":"red: new"}]`, 0},
@@ -74,7 +74,7 @@
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(test.method, test.path, strings.NewReader(test.body)))
-			if w.Code != test.code || !strings.Contains(w.Body.String(), test.want) || len(node.requests) != test.requests {
+			if w.Code != test.code || !strings.Contains(w.Body.String(), test.want) || len(node.requests) != test.wantRequests {
 				t.Errorf("%s %s %.60s: %d %s, %d requests", test.method, test.path, test.body, w.Code, w.Body, len(node.requests))
 			}
 			if strings.Contains(test.body, "late") && w.Header().Get("Retry-After") != "1" {
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -101,13 +101,13 @@
 		v := member.Version()
 		requested.base = &v
 	}
-	change := Request{By: member.name, Base: requested.base, Teams: []TeamChange{limit(requested.team, requested.limit)}}
+	req := Request{By: member.name, Base: requested.base, Teams: []TeamChange{limit(requested.team, requested.limit)}}
 	if requested.base != nil && rapid.Bool().Draw(t, "whole") {
 		whole, _ := member.Content().withTeamChange(limit(requested.team, requested.limit), member.now)
 		whole.Objectives = whole.Objectives[:rapid.IntRange(0, len(whole.Objectives)).Draw(t, "objectives")]
-		change = Request{By: member.name, Base: requested.base, Replacement: &whole}
+		req = Request{By: member.name, Base: requested.base, Replacement: &whole}
 	}
-	requested.number = member.change(change)
+	requested.number = member.change(req)
 	f.requests = append(f.requests, requested)
 }
 
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -190,11 +190,11 @@
 // SetShards sets the list of all shards, and ends the reduction of a team's limit once all of them are within
 // their allocations. They stay within them, as no shard starts tasks beyond its allocation.
 func (m *Manager) SetShards(all []int) {
-	reductions := &m.reductions
-	reductions.allShards = all
-	for team, version := range reductions.reducedIn {
-		if !slices.ContainsFunc(all, func(k int) bool { return !reductions.withinAllocation(k, team, version) }) {
-			delete(reductions.reducedIn, team)
+	r := &m.reductions
+	r.allShards = all
+	for team, version := range r.reducedIn {
+		if !slices.ContainsFunc(all, func(k int) bool { return !r.withinAllocation(k, team, version) }) {
+			delete(r.reducedIn, team)
 		}
 	}
 }
