--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -36,7 +36,7 @@
 
 // typeKey returns the key under which a machine type is stored.
 func (c *Core) typeKey(name string) string {
-	if c.archive.Index().On() {
+	if c.archive.Index().Enabled() {
 		return keys.TypePrefixWithArchive + name
 	}
 	return keys.TypePrefix + name
@@ -45,7 +45,7 @@
 // incompatible reports whether another controller runs a release that cannot find archived jobs, while there
 // are some, or that ignores the stored configuration, while there is one.
 func (c *Core) incompatible(node string) bool {
-	return node != c.cfg.Node && (c.archive.Index().On() && c.peers.Release(node) < peering.ReleaseArchive || c.config.HasStoredVersion() && c.peers.Release(node) < peering.ReleaseConfig)
+	return node != c.cfg.Node && (c.archive.Index().Enabled() && c.peers.Release(node) < peering.ReleaseArchive || c.config.HasStoredVersion() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
 // OnKey handles the answer to a ReadKey. value is nil if the bucket is not stored. rev
@@ -53,7 +53,7 @@
 func (c *Core) OnKey(now units.Microseconds, read ReadKey, outcome store.Outcome, value []byte, stamp, rev uint64) {
 	c.advance(now)
 	outcome = c.noteOutcome(outcome)
-	if rev > 0 && c.cache.RolledBack(rev, read.Known) {
+	if rev > 0 && c.cache.DetectRollback(rev, read.KnownRevision) {
 		outcome = store.Unknown
 	}
 	c.archive.OnRead(now, read, outcome, value, stamp)
@@ -82,7 +82,7 @@
 
 // CacheFresh implements archive.Host.
 func (c archiveHost) CacheFresh() bool {
-	return c.CacheComplete() && c.stateAge() <= watchcache.Heartbeat+units.Second/2
+	return c.CacheComplete() && c.stateAge() <= watchcache.PollInterval+units.Second/2
 }
 
 // Revision implements archive.Host.
@@ -106,9 +106,9 @@
 // ArchivingStarted implements archive.Host.
 func (c archiveHost) ArchivingStarted() error { return c.election.ArchivingStarted() }
 
-// OlderReleasesGone implements archive.Host.
-func (c archiveHost) OlderReleasesGone() bool {
-	return c.peers.AllRunFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime)
+// OlderReleasesRetired implements archive.Host.
+func (c archiveHost) OlderReleasesRetired() bool {
+	return c.peers.AllUpgradedFor(c.now, peering.ReleaseArchive, c.cfg.ArchiveSettleTime)
 }
 
 // Types implements archive.Host.
@@ -125,7 +125,7 @@
 
 // QueuesIdle implements archive.Host.
 func (c archiveHost) QueuesIdle(calm units.Microseconds) bool {
-	return !c.cache.Refused(c.now, calm) && c.queues[ControlQueue].Len() == 0 && c.queues[UserQueue].Len() == 0
+	return !c.cache.RateLimitedWithin(c.now, calm) && c.queues[ControlQueue].Len() == 0 && c.queues[UserQueue].Len() == 0
 }
 
 // Rewrite implements archive.Host.
--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -25,7 +25,7 @@
 	// collectDelay is how long there must have been unused chunks before they are removed.
 	collectDelay = 30 * units.Second
 	// maxChunkBytesPerTxn limits the bytes of chunks in one transaction, and leaves space for the head.
-	maxChunkBytesPerTxn = store.TxnBytes / 2
+	maxChunkBytesPerTxn = store.MaxTxnBytes / 2
 	maxIDBytes          = 64
 	maxSummaryBytes     = 160 // of an author or summary in the history
 )
--- a/internal/core/jobs/registry/apply.go
+++ b/internal/core/jobs/registry/apply.go
@@ -28,7 +28,7 @@
 			return err
 		}
 	}
-	r.chunks.RecordLearnt(id)
+	r.chunks.RecordApplied(id)
 	if job == nil {
 		job = r.add(id, record, event.Stamp)
 	}
@@ -99,7 +99,7 @@
 // dependents may start, or are cancelled too.
 func (r *Registry) finalized(job *jobs.Job) {
 	r.deactivate(job)
-	if r.chunks.Any(job.ID) {
+	if r.chunks.HasChunks(job.ID) {
 		r.pendingCleanup[job.ID] = true
 	}
 	ready, cancelled := r.dependencies.JobFinalized(job, r.host.WallClock())
@@ -168,9 +168,9 @@
 		r.chunkDeleted(event.Key)
 		return nil
 	}
-	id := chunks.Owner(event.Key)
+	id := chunks.JobID(event.Key)
 	job := r.all[id]
-	record, waits, err := r.chunks.Learn(r.host.Now(), event, job != nil)
+	record, waits, err := r.chunks.Apply(r.host.Now(), event, job != nil)
 	switch {
 	case err != nil:
 		return err
@@ -184,10 +184,10 @@
 
 // chunkDeleted applies the removal of a chunk.
 func (r *Registry) chunkDeleted(key string) {
-	if !r.chunks.Deleted(key) {
+	if !r.chunks.Delete(key) {
 		return
 	}
-	id := chunks.Owner(key)
+	id := chunks.JobID(key)
 	if job := r.all[id]; job != nil && job.CancelledBy == "" {
 		delete(r.pendingCleanup, id)
 	}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -94,7 +94,7 @@
 // takeOver adds the stored machines and jobs to a shard and restores the last owner's
 // snapshot or replicated state. From then on heartbeats are answered.
 func (c *Core) takeOver(shard *ownedShard) {
-	snapshot := c.transfers.Take(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
+	snapshot := c.transfers.TakeSnapshot(shard.number, c.shardRecords.Assignment(shard.number).Assignment)
 	for _, key := range sortedKeys(c.machineGroups) {
 		if group := c.machineGroups[key]; group.Shard == shard.number {
 			c.inheritGroup(shard, key, group, snapshot)
