--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -62,6 +62,7 @@
 
 func (e *Unavailable) Error() string { return e.Reason }
 
+// pendingChange is a queued request, with the number under which its result is reported.
 type pendingChange struct {
 	number  uint64
 	request Request
@@ -109,6 +110,7 @@
 	m.startBatch()
 }
 
+// checkRequest returns an *Invalid for a request that is refused whatever the current version is.
 func (m *Manager) checkRequest(r Request) error {
 	if len(r.By) > MaxNameBytes {
 		return invalid("by", "want at most %d bytes", MaxNameBytes)
@@ -153,6 +155,7 @@
 	m.readAndBuild(q.current)
 }
 
+// newID returns an id for a batch, unique by controller, time of day and count. Too long ones are hashed.
 func (m *Manager) newID() string {
 	id := fmt.Sprintf("%s.%x.%d", m.cfg.Node, int64(m.wall), m.queue.started)
 	if len(id) > maxIDBytes {
@@ -229,6 +232,7 @@
 	m.storeChunks(batch)
 }
 
+// rejectBatch refuses all changes of a batch with an error.
 func (m *Manager) rejectBatch(batch *batch, err error) {
 	m.queue.current = nil
 	for _, ch := range batch.changes {
@@ -360,6 +364,7 @@
 	m.queueWrite(batch, w)
 }
 
+// queueWrite queues a write of a batch. If the queue is full, the batch fails.
 func (m *Manager) queueWrite(x *batch, w *store.Write) {
 	if !m.host.Store(w) {
 		m.failBatch(x, "too many changes wait for the state service")
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -264,7 +264,7 @@
 			t.Errorf("%s: %+v", field, a)
 		}
 	}
-	var many Content
+	var many Content // may be too large: it must be either refused as invalid or stored
 	for i := range 1000 {
 		many.Teams = append(many.Teams, Team{Name: fmt.Sprintf("a-rather-long-name-of-a-team-which-takes-much-room-%d", i), Limit: binpack.Vec{1e9, 1e9}})
 	}
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -9,6 +9,7 @@
 // maxAdoptions is the number of versions whose time of adoption is kept.
 const maxAdoptions = 64
 
+// adoption is the time at which this controller first had a version in force.
 type adoption struct {
 	version uint64
 	at      units.Microseconds
@@ -35,6 +36,7 @@
 	return c
 }
 
+// recordAdoption records that a version has come into force here.
 func (c *confirmation) recordAdoption(now units.Microseconds, version uint64) {
 	c.adoptions = append(c.adoptions, adoption{version, now})
 	if len(c.adoptions) > maxAdoptions {
@@ -136,6 +138,7 @@
 	return limitReductions{reducedIn: map[string]uint64{}, shards: map[int]shardUsage{}}
 }
 
+// record records that a version may have reduced the limits of teams.
 func (r *limitReductions) record(version uint64, teams []string) {
 	for _, t := range teams {
 		r.reducedIn[t] = version
