--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -45,7 +45,7 @@
 // incompatible reports whether another controller runs a release that cannot find archived jobs, while there
 // are some, or that ignores the stored configuration, while there is one.
 func (c *Core) incompatible(node string) bool {
-	return node != c.cfg.Node && (c.archive.Index().Enabled() && c.peers.Release(node) < peering.ReleaseArchive || c.config.Changed() && c.peers.Release(node) < peering.ReleaseConfig)
+	return node != c.cfg.Node && (c.archive.Index().Enabled() && c.peers.Release(node) < peering.ReleaseArchive || c.config.HasStoredVersion() && c.peers.Release(node) < peering.ReleaseConfig)
 }
 
 // OnKey handles the answer to a ReadKey. value is nil if the bucket is not stored. rev
--- a/internal/core/configure_test.go
+++ b/internal/core/configure_test.go
@@ -116,7 +116,7 @@
 	if core.incompatible("b") {
 		t.Error("counts as incompatible although no version is stored")
 	}
-	core.config.PeerKnows(1)
+	core.config.ObserveVersion(1)
 	if !core.incompatible("b") {
 		t.Error("may own a shard although it ignores the stored version")
 	}
@@ -149,7 +149,7 @@
 // TestTeamsOverAllocationAtTheLimit checks the limit of MaxOverQuotaBytes with teams that have names of the
 // maximum length. As many as fit are all named. With one more, none is named and the quota use is unknown.
 func TestTeamsOverAllocationAtTheLimit(t *testing.T) {
-	const maxTeams = MaxOverQuotaBytes / (configuration.MaxName + 4) // 4 bytes of framing per name
+	const maxTeams = MaxOverQuotaBytes / (configuration.MaxNameBytes + 4) // 4 bytes of framing per name
 	if maxTeams < 340 {
 		t.Errorf("only %d teams fit", maxTeams)
 	}
@@ -158,7 +158,7 @@
 		shard := core.owned[0]
 		var content configuration.Content
 		for i := range teams {
-			name := fmt.Sprintf("%0*d", configuration.MaxName, i)
+			name := fmt.Sprintf("%0*d", configuration.MaxNameBytes, i)
 			content.Teams = append(content.Teams, Team{Name: name, Limit: binpack.Vec{1000}})
 			shard.quota.Charge(name, binpack.Vec{2000})
 		}
