--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -237,7 +237,7 @@
 
 var (
 	descOpen    = prometheus.NewDesc("shalestage_connections", "Connections to the controller.", []string{"kind"}, nil)
-	descRefused = prometheus.NewDesc("shalestage_connections_shed_total", "Connections closed or refused for lack of sockets.", []string{"kind"}, nil)
+	descRefused = prometheus.NewDesc("shalestage_connections_shed_total", "Connections closed or refused as sockets ran out.", []string{"kind"}, nil)
 )
 
 // Describe implements prometheus.Collector.
