--- a/cmd/shalestage/rehearse.go
+++ b/cmd/shalestage/rehearse.go
@@ -116,7 +116,7 @@
 			return opt, finish, err
 		}
 		files = append(files, f)
-		opt.Census, opt.CensusEvery = rehearse.WriteCensus(f), units.Seconds(o.Every)
+		opt.OnCensus, opt.CensusInterval = rehearse.WriteCensus(f), units.Seconds(o.Every)
 	}
 	if o.Traffic != "" {
 		f, err := os.Create(o.Traffic)
--- a/internal/emulator/account/account_test.go
+++ b/internal/emulator/account/account_test.go
@@ -32,10 +32,10 @@
 		t.Fatal(err)
 	}
 	a := account.New()
-	r := sim.New(s, sim.Options{Seed: 3, Account: a}).Play()
+	r := sim.New(s, sim.Options{Seed: 3, Account: a}).RunScenario()
 	sum := account.Sum(a.Rows())
-	if sum.Machines != r.Rented || math.Abs(sum.Total()-r.Money) > 0.02*r.Money {
-		t.Errorf("%d machines for %.4f, the bill says %d for %.4f", sum.Machines, sum.Total(), r.Rented, r.Money)
+	if sum.Machines != r.MachinesCreated || math.Abs(sum.Total()-r.Cost) > 0.02*r.Cost {
+		t.Errorf("%d machines for %.4f, the bill says %d for %.4f", sum.Machines, sum.Total(), r.MachinesCreated, r.Cost)
 	}
 	for u, v := range sum.Spent {
 		if v < -1e-9 {
--- a/internal/emulator/sim/broken_test.go
+++ b/internal/emulator/sim/broken_test.go
@@ -18,8 +18,8 @@
 )
 
 // says returns a program that answers calls of a kind without doing anything.
-func says(k user.Kind, code int, s jobs.Status) Broken {
-	return Broken{Answer: func(e user.Call) *core.Reply {
+func says(k user.Kind, code int, s jobs.Status) Mutation {
+	return Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind != k {
 			return nil
 		}
@@ -39,14 +39,14 @@
 func TestBrokenProgramsAreCaught(t *testing.T) {
 	crash := scenario.Fault{Kind: scenario.ControllerFreeze, Node: "holder", AtS: 25, ForS: 4}
 	cases := map[string]struct {
-		b     Broken
+		b     Mutation
 		fault scenario.Fault
 	}{
-		check.RanTwice: {b: Broken{Report: func(r *fleet.Heartbeat) {
+		check.RanTwice: {b: Mutation{Heartbeat: func(r *fleet.Heartbeat) {
 			r.Tasks = slices.DeleteFunc(r.Tasks, func(x fleet.Task) bool { return x.State != fleet.Exited })
 		}}},
-		check.Quota:        {b: Broken{Settings: func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }}},
-		check.WrongPlace:   {b: Broken{Spec: func(s *jobs.Spec) { s.Zone, s.Spread = "", false }}},
+		check.Quota:        {b: Mutation{Settings: func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }}},
+		check.WrongPlace:   {b: Mutation{JobSpec: func(s *jobs.Spec) { s.Zone, s.Spread = "", false }}},
 		check.RanCancelled: {b: says(user.Cancel, http.StatusOK, jobs.Cancelled)},
 		check.Forgotten:    {b: says(user.Poll, http.StatusNotFound, "")},
 		check.Invented:     {b: says(user.Poll, http.StatusOK, jobs.Pending)},
@@ -54,8 +54,8 @@
 		check.WentBack:     {b: says(user.Poll, http.StatusOK, jobs.Cancelled)},
 		check.NothingRan:   {b: says(user.Submit, http.StatusCreated, jobs.Pending)},
 		check.Lost:         {b: says(user.Submit, http.StatusCreated, jobs.Pending)},
-		check.TooEarly:     {b: Broken{Spec: func(s *jobs.Spec) { s.Awaits = nil }}},
-		check.Orphaned: {b: Broken{Answer: func(e user.Call) *core.Reply {
+		check.TooEarly:     {b: Mutation{JobSpec: func(s *jobs.Spec) { s.Awaits = nil }}},
+		check.Orphaned: {b: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Poll && e.ID == "wk-000005" {
 				return &core.Reply{Code: http.StatusOK, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 			}
@@ -64,16 +64,16 @@
 		// A clock that is several times slow: the holder believes in its authority
 		// long after others have ended it.
 		check.TwoHolders: {fault: scenario.Fault{Kind: scenario.Cut, Between: []string{"node-0", scenario.PartyState}, AtS: 25, ForS: 60, Mode: "drop"},
-			b: Broken{Clock: func(node int) float64 { return []float64{0.3, 1, 1}[node] }}},
+			b: Mutation{ClockRate: func(node int) float64 { return []float64{0.3, 1, 1}[node] }}},
 		// A state service that takes less than anybody was told.
 		check.TooLarge: {fault: scenario.Fault{Kind: scenario.StateLimits, ValueKB: 0.1}},
-		check.Impossible: {fault: scenario.Fault{Kind: scenario.OddRequests, AtS: 5, ForS: 60}, b: Broken{Answer: func(e user.Call) *core.Reply {
+		check.Impossible: {fault: scenario.Fault{Kind: scenario.OddRequests, AtS: 5, ForS: 60}, b: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Submit && (e.Spec == nil || strings.HasPrefix(e.ID, "wk-8")) {
 				return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 			}
 			return nil
 		}}},
-		check.LeftWaiting: {b: Broken{Orders: withoutStarts("wk-000002")}},
+		check.LeftWaiting: {b: Mutation{Commands: withoutStarts("wk-000002")}},
 		check.Outdated:    {fault: scenario.Fault{Kind: scenario.ConfigSet, Team: "red", Remove: true, AtS: 25}, b: says(user.Submit, http.StatusCreated, jobs.Pending)},
 	}
 	for _, rule := range check.Rules {
@@ -90,7 +90,7 @@
 			if c.fault.Kind == "" {
 				sc.Faults = []scenario.Fault{crash}
 			}
-			w := New(sc, Options{Seed: seed, Break: c.b})
+			w := New(sc, Options{Seed: seed, Mutation: c.b})
 			spec := func(team string, tasks int) *jobs.Spec {
 				return &jobs.Spec{Class: "x", Team: team, Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
 					Image: "i", Estimate: 10 * second}
@@ -133,7 +133,7 @@
 	}{{1, true}, {240, false}} {
 		sc := deployment(3, 0)
 		sc.Faults = []scenario.Fault{{Kind: scenario.StateOutage, AtS: 20, ForS: c.outage}}
-		w := New(sc, Options{Seed: 1, Break: Broken{Answer: func(e user.Call) *core.Reply {
+		w := New(sc, Options{Seed: 1, Mutation: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Poll {
 				return &core.Reply{Code: http.StatusServiceUnavailable}
 			}
@@ -159,7 +159,7 @@
 			w.submit(units.Microseconds(i)*5*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
 				Image: "i", Estimate: 10 * second, Checkpoint: second}, 10*second, 0)
 		}
-		return w.Play().Digest
+		return w.RunScenario().Digest
 	}
 	seen := map[string]bool{}
 	for seed := range uint64(8) {
--- a/internal/emulator/sim/calls.go
+++ b/internal/emulator/sim/calls.go
@@ -22,7 +22,7 @@
 
 // takeCrowd carries out what users do.
 func (w *World) takeCrowd() {
-	for _, e := range w.Crowd.Drain() {
+	for _, e := range w.Users.Drain() {
 		if call, ok := e.(user.Call); ok {
 			w.call(call, nil)
 		} else {
@@ -44,7 +44,7 @@
 // call brings a user's call to a controller that the balancer chooses.
 func (w *World) call(e user.Call, tried []int) {
 	failed := func() {
-		w.Crowd.Failed(w.now, e.Number)
+		w.Users.Failed(w.now, e.Number)
 		w.takeCrowd()
 	}
 	if e.Node != "" {
@@ -96,7 +96,7 @@
 		}
 		w.gotCall(n, e)
 		n.ask(func(req core.RequestID) {
-			if f := w.opt.Break.Answer; f != nil {
+			if f := w.opt.Mutation.UserReply; f != nil {
 				if r := f(e); r != nil {
 					r.Request = req
 					n.effect(*r)
@@ -109,7 +109,7 @@
 				if spec == nil {
 					bad = "cores: missing"
 				}
-				if f := w.opt.Break.Spec; f != nil && spec != nil {
+				if f := w.opt.Mutation.JobSpec; f != nil && spec != nil {
 					wrong := *spec
 					f(&wrong)
 					spec = &wrong
@@ -126,7 +126,7 @@
 				a.Status = b.Status
 			}
 			answer(func() {
-				w.Crowd.Answer(w.now, e.Number, a)
+				w.Users.Answer(w.now, e.Number, a)
 				w.takeCrowd()
 			})
 		})
--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -42,11 +42,11 @@
 
 // count takes a census again and again.
 func (w *World) count() {
-	if w.opt.Census == nil || w.opt.CensusEvery <= 0 {
+	if w.opt.OnCensus == nil || w.opt.CensusInterval <= 0 {
 		return
 	}
-	w.after(w.opt.CensusEvery, func() {
-		w.opt.Census(w.census())
+	w.after(w.opt.CensusInterval, func() {
+		w.opt.OnCensus(w.census())
 		w.count()
 	})
 }
--- a/internal/emulator/sim/cloudclient.go
+++ b/internal/emulator/sim/cloudclient.go
@@ -62,7 +62,7 @@
 					code := apply()
 					w.Site.Advance(w.now)
 					w.takeSite()
-					w.after(units.Seconds(w.S.Cloud.LatencyMS/1000), func() {
+					w.after(units.Seconds(w.Scenario.Cloud.LatencyMS/1000), func() {
 						answer(func() {
 							if code == http.StatusOK {
 								done(store.OK)
@@ -157,6 +157,6 @@
 // setCloudBudget takes the part of the provider's rate that this controller may use.
 func (n *Node) setCloudBudget(e core.CloudBudget) {
 	w := n.w
-	n.cloud.SetLimitAt(stamp(w.now), rate.Limit(w.S.Cloud.RPS*cloudMargin*e.Fraction))
-	n.cloud.SetBurstAt(stamp(w.now), max(1, int(w.S.Cloud.RPS*e.Fraction)))
+	n.cloud.SetLimitAt(stamp(w.now), rate.Limit(w.Scenario.Cloud.RPS*cloudMargin*e.Fraction))
+	n.cloud.SetBurstAt(stamp(w.now), max(1, int(w.Scenario.Cloud.RPS*e.Fraction)))
 }
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -106,7 +106,7 @@
 	if w.now-c.endedAt[n.Name] <= atOnce {
 		w.happened(scenario.ReturnedAtOnce)
 	}
-	if c.allDown != 0 && w.now-c.allDown > units.Seconds(w.S.Workers.LeaseS) {
+	if c.allDown != 0 && w.now-c.allDown > units.Seconds(w.Scenario.Workers.LeaseS) {
 		w.happened(scenario.AllAway)
 	}
 	c.allDown = 0
@@ -172,13 +172,13 @@
 		}
 	case scenario.StateOutage:
 		for _, r := range c.refused {
-			if w.now <= r.until && c.cancels > r.cancels && f.ForS > w.S.Workers.CancelS {
+			if w.now <= r.until && c.cancels > r.cancels && f.ForS > w.Scenario.Workers.CancelS {
 				w.happened(scenario.OutageAfterRefusal)
 				return
 			}
 		}
 	case scenario.ZoneLost, scenario.ZoneApart:
-		if f.ForS > w.S.Workers.LeaseS && w.zoneWorks(f.Zone) {
+		if f.ForS > w.Scenario.Workers.LeaseS && w.zoneWorks(f.Zone) {
 			w.happened(scenario.ZoneCutOff)
 		}
 	}
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -32,9 +32,9 @@
 func (w *World) use() int { return w.Site.Running() }
 
 func (w *World) set(team string, cpus float64) *ConfigChange {
-	w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: team, CPUsMax: cpus})
+	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: team, CPUsMax: cpus})
 	w.Run(w.now + second/100)
-	return w.Changes[len(w.Changes)-1]
+	return w.ConfigChanges[len(w.ConfigChanges)-1]
 }
 
 // kept fails the test if a rule is broken.
@@ -54,7 +54,7 @@
 		before, done := w.use(), w.starts
 		x := w.set("blue", 10)
 		w.Run(w.now + 3*second)
-		if x.Confirmed == 0 || x.Confirmed-x.Asked > second || before < 20 {
+		if x.ConfirmedAt == 0 || x.ConfirmedAt-x.RequestedAt > second || before < 20 {
 			t.Fatalf("seed %d: %d tasks ran; %+v", seed, before, x)
 		}
 		if w.use() <= 10 || w.starts > done+15 {
@@ -82,18 +82,18 @@
 	for seed := range uint64(3) {
 		w := loaded(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
-		n := w.Holder(0)
+		n := w.ShardOwner(0)
 		w.State.Refuse(n.Name, w.now+15*second)
 		w.Run(w.now + 2*second)
 		other := w.Nodes[(n.index+1)%3].Name
-		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 10, Node: other})
+		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 10, Node: other})
 		w.Run(w.now + 6*second)
-		x := w.Changes[0]
-		if x.Stored == 0 || x.Confirmed != 0 {
+		x := w.ConfigChanges[0]
+		if x.StoredAt == 0 || x.ConfirmedAt != 0 {
 			t.Fatalf("seed %d: %+v", seed, x)
 		}
 		w.Run(w.now + 12*second)
-		if x.Confirmed == 0 {
+		if x.ConfirmedAt == 0 {
 			t.Errorf("seed %d: not confirmed once the holder can read: %+v", seed, x)
 		}
 		w.Run(300 * second)
@@ -109,18 +109,18 @@
 	for seed := range uint64(3) {
 		w := loaded(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
-		n := w.Holder(0).Name
+		n := w.ShardOwner(0).Name
 		for _, party := range []string{scenario.PartyPeers, scenario.PartyState} {
-			w.Fault(scenario.Fault{Kind: scenario.Cut, Between: []string{n, party}, ForS: 60, Mode: "drop"})
+			w.InjectFault(scenario.Fault{Kind: scenario.Cut, Between: []string{n, party}, ForS: 60, Mode: "drop"})
 		}
-		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 10, Node: w.Nodes[(w.node(n).index+1)%3].Name})
+		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 10, Node: w.Nodes[(w.node(n).index+1)%3].Name})
 		w.Run(w.now + 20*second)
-		x := w.Changes[0]
-		if x.Stored == 0 || x.Confirmed != 0 {
+		x := w.ConfigChanges[0]
+		if x.StoredAt == 0 || x.ConfirmedAt != 0 {
 			t.Fatalf("seed %d: %+v", seed, x)
 		}
 		w.Run(w.now + 20*second)
-		if x.Confirmed == 0 || w.node(n).life == 0 {
+		if x.ConfirmedAt == 0 || w.node(n).life == 0 {
 			t.Errorf("seed %d: %+v", seed, x)
 		}
 		w.Run(300 * second)
@@ -133,9 +133,9 @@
 func TestRemovedTeamGoesOn(t *testing.T) {
 	w := loaded(1, 3, 0, Options{})
 	w.Run(20 * second)
-	w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
+	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
 	w.Run(22 * second)
-	known := len(w.Crowd.Jobs())
+	known := len(w.Users.Jobs())
 	late := w.submit(23*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(30 * second)
 	for _, n := range w.Nodes {
@@ -144,10 +144,10 @@
 	w.Run(300 * second)
 	w.Check.Finish(w.now, true)
 	w.kept(t, "removed")
-	if x := w.Changes[0]; x.Confirmed == 0 || !late.GaveUp {
+	if x := w.ConfigChanges[0]; x.ConfirmedAt == 0 || !late.GaveUp {
 		t.Errorf("%+v; the later job was not refused: %+v", x, late)
 	}
-	for _, j := range w.Crowd.Jobs()[:known] {
+	for _, j := range w.Users.Jobs()[:known] {
 		if j.Final != jobs.Done {
 			t.Errorf("%s is %q", j.ID, j.Final)
 		}
@@ -178,11 +178,11 @@
 	}
 	caught := 0
 	for seed := range uint64(6) {
-		w := loaded(seed+1, 3, 0, Options{Break: Broken{Told: deaf}})
+		w := loaded(seed+1, 3, 0, Options{Mutation: Mutation{PeerMessage: deaf}})
 		w.Run(units.Microseconds(40+seed) * second / 2) // tasks end, and others start
-		n := w.Holder(0)
+		n := w.ShardOwner(0)
 		w.State.Refuse(n.Name, w.now+60*second)
-		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
+		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
 		w.Run(120 * second)
 		if slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Quota }) {
 			caught++
@@ -191,14 +191,14 @@
 	if caught == 0 {
 		t.Error("tasks started above a limit that was confirmed, and nobody noticed")
 	}
-	w := loaded(1, 3, 0, Options{Break: Broken{Answer: func(e user.Call) *core.Reply {
+	w := loaded(1, 3, 0, Options{Mutation: Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind == user.Submit && e.Spec.Class == "late" {
 			return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 		}
 		return nil
 	}}})
 	w.Run(20 * second)
-	w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
+	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
 	w.submit(30*second, &jobs.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(40 * second)
 	if !slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Outdated }) {
@@ -241,25 +241,25 @@
 		w := New(manyTeams(c.value, c.ops), Options{Seed: 1})
 		w.Run(10 * second)
 		before := w.State.Rev()
-		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "team-7", CPUsMax: 20, Count: c.count, EveryS: c.every})
+		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "team-7", CPUsMax: 20, Count: c.count, EveryS: c.every})
 		w.Run(w.now + units.Seconds(float64(c.count)*c.every) + 10*second)
 		var took []units.Microseconds
 		refused, last := 0, uint64(0)
-		for _, x := range w.Changes {
-			refused += x.Refused
-			if x.Confirmed != 0 {
-				took = append(took, x.Confirmed-x.Asked)
+		for _, x := range w.ConfigChanges {
+			refused += x.FailedTries
+			if x.ConfirmedAt != 0 {
+				took = append(took, x.ConfirmedAt-x.RequestedAt)
 				last = max(last, x.Version)
 			}
 		}
 		slices.Sort(took)
 		at := func(p float64) float64 { return took[min(len(took)-1, int(p*float64(len(took))))].Seconds() }
 		if len(took) == 0 {
-			t.Fatalf("%s: none of %d confirmed", c.name, len(w.Changes))
+			t.Fatalf("%s: none of %d confirmed", c.name, len(w.ConfigChanges))
 		}
 		t.Logf("%s, values of %g KiB: %d of %d confirmed, %d refused, %d versions in %d transactions; s until confirmed: p50 %.2f, p99 %.2f, max %.2f",
-			c.name, c.value, len(took), len(w.Changes), refused, last, w.State.Rev()-before, at(0.5), at(0.99), at(1))
-		if len(took)+refused < c.count || at(1) > 10 || w.Changes[c.count-1].Confirmed == 0 {
+			c.name, c.value, len(took), len(w.ConfigChanges), refused, last, w.State.Rev()-before, at(0.5), at(0.99), at(1))
+		if len(took)+refused < c.count || at(1) > 10 || w.ConfigChanges[c.count-1].ConfirmedAt == 0 {
 			t.Errorf("%s: %d confirmed, %d refused, max %.2f s", c.name, len(took), refused, at(1))
 		}
 		if last > uint64(float64(c.count)*c.every*4*3)+uint64(c.count)/4 {
--- a/internal/emulator/sim/effects.go
+++ b/internal/emulator/sim/effects.go
@@ -31,8 +31,8 @@
 // reply brings an answer to whoever asked, if it still waits.
 func (n *Node) reply(e core.Reply) {
 	w := n.w
-	if o, ok := e.Body.(core.HeartbeatResponse); ok && w.opt.Break.Orders != nil {
-		w.opt.Break.Orders(n.Name, &o)
+	if o, ok := e.Body.(core.HeartbeatResponse); ok && w.opt.Mutation.Commands != nil {
+		w.opt.Mutation.Commands(n.Name, &o)
 		e.Body = o
 	}
 	w.ordered(e)
@@ -45,10 +45,10 @@
 // sendPeer sends a message to another controller.
 func (n *Node) sendPeer(e core.SendPeer) {
 	w := n.w
-	if p := w.opt.Break.Peer; p != nil && !p(e.Message) {
+	if p := w.opt.Mutation.DeliverPeer; p != nil && !p(e.Message) {
 		return
 	}
-	if t := w.opt.Break.Told; t != nil {
+	if t := w.opt.Mutation.PeerMessage; t != nil {
 		e.Message = t(e.Message)
 	}
 	n.sent(func() {
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -13,8 +13,8 @@
 // happened counts an event, and tells whoever draws faults by their events of it.
 func (w *World) happened(event string) {
 	w.eventCounts[event]++
-	if w.opt.Event != nil {
-		w.opt.Event(w.now, event)
+	if w.opt.OnEvent != nil {
+		w.opt.OnEvent(w.now, event)
 	}
 }
 
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -13,7 +13,7 @@
 	case "all":
 		return w.Nodes
 	case "holder":
-		if n := w.Holder(0); n != nil {
+		if n := w.ShardOwner(0); n != nil {
 			return []*Node{n}
 		}
 		return nil
@@ -31,7 +31,7 @@
 }
 
 // Fault injects a fault now.
-func (w *World) Fault(f scenario.Fault) {
+func (w *World) InjectFault(f scenario.Fault) {
 	w.Check.Note(w.now, "fault: %s", f)
 	w.faultComes(f)
 	switch f.Kind {
@@ -98,7 +98,7 @@
 	case scenario.StateSlow:
 		w.slow.until, w.slow.delay = until, units.Microseconds(f.DelayMS*1000)
 	case scenario.StateLimits:
-		w.State.SetLimits(w.S.State.Fallen(f).KV())
+		w.State.SetLimits(w.Scenario.State.Fallen(f).KV())
 	case scenario.StateLate:
 		w.late, w.lateShare = until, cmp.Or(f.Share, 1)
 	case scenario.StateUnanswered:
@@ -117,8 +117,8 @@
 	until := w.now + last
 	switch f.Kind {
 	case scenario.PollStorm:
-		w.Crowd.Storm(f.Times)
-		w.after(last, func() { w.Crowd.Storm(1) })
+		w.Users.Storm(f.Times)
+		w.after(last, func() { w.Users.Storm(1) })
 	case scenario.CancelNow:
 		w.cancelNow(f)
 	case scenario.CancelAtEnd:
@@ -126,7 +126,7 @@
 	case scenario.OddRequests:
 		w.oddRequests(until)
 	case scenario.CloseLooks:
-		w.Crowd.LookClosely(until)
+		w.Users.LookClosely(until)
 	case scenario.ConfigSet:
 		w.configSet(f)
 	default:
@@ -137,13 +137,13 @@
 
 // siteFault injects a fault of machines or of the cloud provider.
 func (w *World) siteFault(f scenario.Fault) {
-	if err := w.S.SiteFault(w.now, w.Site, f); err != nil {
+	if err := w.Scenario.SiteFault(w.now, w.Site, f); err != nil {
 		panic(err) // the scenario was checked
 	}
 	w.takeSite()
 	if f.Kind == scenario.SpotRate {
 		w.after(units.Seconds(f.ForS), func() {
-			w.Site.Cloud.SetReclaimRate(w.now, w.S.Cloud.SpotPerHour)
+			w.Site.Cloud.SetReclaimRate(w.now, w.Scenario.Cloud.SpotPerHour)
 			w.takeSite()
 		})
 	}
@@ -170,7 +170,7 @@
 	case scenario.PartyState, scenario.PartyCloud, scenario.PartyUsers:
 		return []string{name}
 	case scenario.PartyWorkers:
-		for _, z := range w.S.Controllers.Zones {
+		for _, z := range w.Scenario.Controllers.Zones {
 			out = append(out, scenario.ZoneParty(z))
 		}
 	case scenario.PartyPeers:
@@ -193,7 +193,7 @@
 func (w *World) apart(f scenario.Fault) {
 	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
 	w.zoneCut[f.Zone] = t.until
-	for _, p := range w.S.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
+	for _, p := range w.Scenario.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
 		if f.Direction != "back" {
 			w.net.cut(p[0], p[1], t)
 		}
--- a/internal/emulator/sim/follow_test.go
+++ b/internal/emulator/sim/follow_test.go
@@ -14,7 +14,7 @@
 func TestFollowerGoesOn(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := churning(seed)
-		w.opt.Break.Peer = func(m any) bool {
+		w.opt.Mutation.DeliverPeer = func(m any) bool {
 			switch m.(type) {
 			case core.ReplicationMessage, core.ReplicationAck:
 				return w.rng.IntN(3) > 0
@@ -24,13 +24,13 @@
 		w.Run(60 * second)
 		known := 0
 		for range 6 {
-			old := w.Holder(0)
+			old := w.ShardOwner(0)
 			next := old.core.Standby(0)
-			w.Fault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
-			for until := w.now + 8*second; w.now < until && (w.Holder(0) == nil || w.Holder(0) == old); {
+			w.InjectFault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
+			for until := w.now + 8*second; w.now < until && (w.ShardOwner(0) == nil || w.ShardOwner(0) == old); {
 				w.Run(w.now + 20*millis)
 			}
-			n := w.Holder(0)
+			n := w.ShardOwner(0)
 			if n == nil || n == old && next != "" {
 				t.Fatalf("seed %d: held by %v, and %q followed", seed, n, next)
 			}
--- a/internal/emulator/sim/handover_test.go
+++ b/internal/emulator/sim/handover_test.go
@@ -27,15 +27,15 @@
 	t.Helper()
 	w := churning(seed)
 	w.Run(80 * second)
-	old := w.Holder(0)
-	w.Fault(scenario.Fault{Kind: kind, Node: "holder"})
+	old := w.ShardOwner(0)
+	w.InjectFault(scenario.Fault{Kind: kind, Node: "holder"})
 	last, starts := w.now, w.starts
 	for at := w.now; at < 90*second; at += second / 100 {
 		w.Run(at)
 		if w.starts > starts {
 			longest, last, starts = max(longest, w.now-last), w.now, w.starts
 		}
-		if n := w.Holder(0); nobody == 0 && n != nil && n != old {
+		if n := w.ShardOwner(0); nobody == 0 && n != nil && n != old {
 			nobody = w.now - 80*second
 		}
 	}
@@ -80,7 +80,7 @@
 			case 1:
 				kind = scenario.StateLate
 			}
-			w.after(at, func() { w.Fault(scenario.Fault{Kind: kind, Node: "holder", ForS: 0.5}) })
+			w.after(at, func() { w.InjectFault(scenario.Fault{Kind: kind, Node: "holder", ForS: 0.5}) })
 		}
 		w.Run(420 * second)
 		w.Check.Finish(w.now, true)
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -25,10 +25,10 @@
 
 // measure looks at the machines again and again.
 func (w *World) measure() {
-	if w.opt.Meter == nil || w.opt.MeterEvery <= 0 {
+	if w.opt.Meter == nil || w.opt.MeterInterval <= 0 {
 		return
 	}
-	w.after(w.opt.MeterEvery, func() {
+	w.after(w.opt.MeterInterval, func() {
 		w.opt.Meter.Look(w.look())
 		w.measure()
 	})
@@ -74,7 +74,7 @@
 }
 
 // Cheapest is the lowest price of a CPU for an hour that the cloud's list ever names.
-func (w *World) Cheapest() float64 {
+func (w *World) LowestCPUPrice() float64 {
 	least := 0.0
 	for _, t := range w.Site.Cloud.Config().Types {
 		for _, p := range []float64{t.Price, t.SpotPrice} {
--- a/internal/emulator/sim/meet_test.go
+++ b/internal/emulator/sim/meet_test.go
@@ -46,7 +46,7 @@
 	if w.Site.Running() == 0 {
 		t.Fatal("nothing runs")
 	}
-	w.Fault(scenario.Fault{Kind: scenario.MachineMute, Share: 1, ForS: 30})
+	w.InjectFault(scenario.Fault{Kind: scenario.MachineMute, Share: 1, ForS: 30})
 	reached := 0
 	for _, m := range w.Site.Cloud.Alive() {
 		if _, _, taken, found := w.Site.Direct(w.now, m.Name, 1<<60, w.Site.Worker(m.Name).Incarnation(), nil); found && taken {
@@ -62,7 +62,7 @@
 // TestQuickBoots rents machines: they are up within two seconds.
 func TestQuickBoots(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
-	w.Fault(scenario.Fault{Kind: scenario.QuickBoots, ForS: 60})
+	w.InjectFault(scenario.Fault{Kind: scenario.QuickBoots, ForS: 60})
 	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
 	w.Run(60 * second)
 	for _, m := range w.Site.Cloud.Billed() {
@@ -78,7 +78,7 @@
 // TestLateBy draws how late a share of the transactions is.
 func TestLateBy(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
-	w.Fault(scenario.Fault{Kind: scenario.StateLate, ForS: 10, Share: 0.4})
+	w.InjectFault(scenario.Fault{Kind: scenario.StateLate, ForS: 10, Share: 0.4})
 	for range 1000 {
 		if d := w.lateBy(); d < 2*second || d > 12*second {
 			t.Fatalf("%v late", d)
@@ -90,19 +90,19 @@
 // it has its grant, and none of them before.
 func TestKeptReports(t *testing.T) {
 	count := 0
-	w := New(deployment(3, 0), Options{Seed: 1, Event: func(_ units.Microseconds, event string) {
+	w := New(deployment(3, 0), Options{Seed: 1, OnEvent: func(_ units.Microseconds, event string) {
 		if event == scenario.ReportToNext {
 			count++
 		}
 	}})
 	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 100*second, 0)
 	w.Run(40 * second)
-	w.Fault(scenario.Fault{Kind: scenario.LateReports, Share: 1, ForS: 20, ForNext: true})
+	w.InjectFault(scenario.Fault{Kind: scenario.LateReports, Share: 1, ForS: 20, ForNext: true})
 	w.Run(w.now + 10*second)
 	if count > 0 || len(w.meetings.kept) == 0 {
 		t.Fatalf("%d came before, %d are kept", count, len(w.meetings.kept))
 	}
-	w.Fault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
+	w.InjectFault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
 	w.Run(w.now + 30*second)
 	if count == 0 || len(w.Check.Violations()) > 0 {
 		t.Errorf("%d reports came to the next; %v", count, w.Check.Violations())
@@ -121,12 +121,12 @@
 // TestMeetingsWithoutTheirGuards takes out what guards a meeting: the rehearsal must notice.
 func TestMeetingsWithoutTheirGuards(t *testing.T) {
 	reportAs := func(change func(w *World, r *fleet.Heartbeat)) func(*World) {
-		return func(w *World) { w.opt.Break.Report = func(r *fleet.Heartbeat) { change(w, r) } }
+		return func(w *World) { w.opt.Mutation.Heartbeat = func(r *fleet.Heartbeat) { change(w, r) } }
 	}
 	number := uint64(0)
 	for _, c := range []unguarded{
 		{"meet-lost-answers", "no answer counts as unknown", func(w *World) {
-			w.opt.Break.Outcome = func(_ store.Txn, o store.Outcome) store.Outcome {
+			w.opt.Mutation.Outcome = func(_ store.Txn, o store.Outcome) store.Outcome {
 				if o == store.Unknown {
 					return store.OK
 				}
@@ -134,10 +134,10 @@
 			}
 		}, check.Forgotten, 6},
 		{"meet-lost-answers", "a read that began after the question", func(w *World) {
-			w.opt.Break.Read = func() bool { return false }
+			w.opt.Mutation.ServeFreshRead = func() bool { return false }
 		}, check.Forgotten, 6},
 		{"meet-quick-machines", "machines are stored as up before anything starts there", func(w *World) {
-			w.opt.Break.Commit = func(t *kv.Txn) {
+			w.opt.Mutation.Commit = func(t *kv.Txn) {
 				t.Changes = slices.DeleteFunc(t.Changes, func(c kv.Change) bool {
 					return strings.HasPrefix(c.Key, "shalestage/machine/") && strings.Contains(string(c.Value), `"up"`)
 				})
@@ -151,13 +151,13 @@
 			r.Incarnation, r.Seq, r.FencingToken = 1, number, w.meetings.latest
 		}), check.RanTwice, 3},
 		{"meet-mute-machines", "tasks may run until their lease must have run out", func(w *World) {
-			w.opt.Break.Settings = func(s *config.Settings) { s.Deployment.Workers.LeaseS *= 0.3 }
+			w.opt.Mutation.Settings = func(s *config.Settings) { s.Deployment.Workers.LeaseS *= 0.3 }
 		}, check.RanTwice, 3},
 		{"meet-ten-leaders", "authority ends by the steady clock", func(w *World) {
-			w.opt.Break.Clock = func(int) float64 { return 0.5 }
+			w.opt.Mutation.ClockRate = func(int) float64 { return 0.5 }
 		}, check.TwoHolders, 12},
 		{"meet-overload", "a team's limit", func(w *World) {
-			w.opt.Break.Settings = func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }
+			w.opt.Mutation.Settings = func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }
 		}, check.Quota, 12},
 	} {
 		t.Run(c.file+"/"+c.without, func(t *testing.T) {
@@ -181,7 +181,7 @@
 func played(s *scenario.Scenario, seed uint64, breaks func(*World), rule string) bool {
 	first := &World{}
 	breaks(first) // settings and clocks matter from the beginning
-	w := New(s, Options{Seed: seed, Break: first.opt.Break})
+	w := New(s, Options{Seed: seed, Mutation: first.opt.Mutation})
 	breaks(w)
 	for at := 10 * second; at <= units.Seconds(s.DurationS); at += 10 * second {
 		w.Run(at)
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -59,34 +59,34 @@
 	n.asked = map[core.RequestID]func(core.Reply){}
 	n.frozen, n.slow, n.busy = 0, 0, 0
 	peers := map[string]string{}
-	for _, o := range w.S.Nodes() {
+	for _, o := range w.Scenario.Nodes() {
 		peers[o] = "127.0.0.1:1" // never dialled
 	}
-	set := w.S.Settings(n.index, scenario.Addrs{Listen: "127.0.0.1:1", Internal: "127.0.0.1:1", State: "127.0.0.1:1", Cloud: "127.0.0.1:1", Peers: peers})
-	if f := w.opt.Break.Settings; f != nil {
+	set := w.Scenario.Settings(n.index, scenario.Addrs{Listen: "127.0.0.1:1", Internal: "127.0.0.1:1", State: "127.0.0.1:1", Cloud: "127.0.0.1:1", Peers: peers})
+	if f := w.opt.Mutation.Settings; f != nil {
 		f(set)
 	}
-	if f := w.opt.Break.Clock; f != nil {
+	if f := w.opt.Mutation.ClockRate; f != nil {
 		n.rate = f(n.index)
 	}
 	cfg := set.Core(nil)
 	if w.opt.Log != nil {
 		cfg = set.Core(w.opt.Log(n.Name, func() units.Microseconds { return w.now }))
 	}
-	if f := w.opt.Break.Core; f != nil {
+	if f := w.opt.Mutation.CoreConfig; f != nil {
 		f(&cfg)
 	}
 	n.core = core.New(cfg)
-	share := w.S.State.RPS / float64(len(w.Nodes))
+	share := w.Scenario.State.RPS / float64(len(w.Nodes))
 	n.state = rate.NewLimiter(rate.Limit(share), max(4, int(share)))
-	n.cloud = rate.NewLimiter(rate.Limit(w.S.Cloud.RPS*cloudMargin), max(1, int(w.S.Cloud.RPS)))
+	n.cloud = rate.NewLimiter(rate.Limit(w.Scenario.Cloud.RPS*cloudMargin), max(1, int(w.Scenario.Cloud.RPS)))
 	life := n.life
 	w.after(units.Microseconds(w.rng.Int64N(int64(core.TickInterval))), func() { n.tick(life) })
 }
 
 // jump lets the time of day jump within its bound.
 func (n *Node) jump() {
-	n.off = units.Microseconds(n.w.S.Controllers.ClockErrorMS * 1000 * (2*n.w.rng.Float64() - 1))
+	n.off = units.Microseconds(n.w.Scenario.Controllers.ClockErrorMS * 1000 * (2*n.w.rng.Float64() - 1))
 }
 
 // local is the steady clock.
@@ -108,7 +108,7 @@
 	n.w.nodeEnds(n)
 	n.life = 0
 	if down == 0 {
-		down = units.Seconds(n.w.S.Controllers.RestartS * (0.7 + 0.6*n.w.rng.Float64()))
+		down = units.Seconds(n.w.Scenario.Controllers.RestartS * (0.7 + 0.6*n.w.rng.Float64()))
 	}
 	n.w.after(down, n.start)
 }
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -24,11 +24,11 @@
 
 // ConfigChange is what became of an operator's change of the configuration.
 type ConfigChange struct {
-	Asked     units.Microseconds
-	Stored    units.Microseconds // when its operator was told; 0: never
-	Confirmed units.Microseconds // when the operator was told; 0: never
-	Version   uint64
-	Refused   int // tries that were refused or not answered
+	RequestedAt units.Microseconds
+	StoredAt    units.Microseconds // when its operator was told; 0: never
+	ConfirmedAt units.Microseconds // when the operator was told; 0: never
+	Version     uint64
+	FailedTries int // tries that were refused or not answered
 }
 
 // configSet does an operator's changes of a team. The last one is tried until it is stored;
@@ -47,8 +47,8 @@
 			change.LimitCPU, change.GuaranteeCPU = &cpus, &none
 		}
 		w.after(units.Seconds(f.EveryS)*units.Microseconds(i), func() {
-			x := &ConfigChange{Asked: w.now}
-			w.Changes = append(w.Changes, x)
+			x := &ConfigChange{RequestedAt: w.now}
+			w.ConfigChanges = append(w.ConfigChanges, x)
 			w.configure(f.Node, configuration.Request{By: "operator", Teams: []configuration.TeamChange{change}}, x, last)
 		})
 	}
@@ -62,7 +62,7 @@
 			return
 		}
 		answered = true
-		x.Refused++
+		x.FailedTries++
 		if again {
 			w.after(operatorRetry, func() { w.configure("any", r, x, true) })
 		}
@@ -75,12 +75,12 @@
 			case answered:
 			case ok && reply.Code == http.StatusOK:
 				answered = true
-				x.Stored, x.Version = w.now, s.Version
+				x.StoredAt, x.Version = w.now, s.Version
 				w.Check.Note(w.now, "the operator is told that the change is in version %d", s.Version)
 				w.confirm(x)
 			case reply.Code == http.StatusUnprocessableEntity:
 				answered = true // as to remove a team that is removed
-				x.Refused++
+				x.FailedTries++
 			default:
 				retry()
 			}
@@ -90,13 +90,13 @@
 
 // confirm asks one controller after another whether a change is confirmed.
 func (w *World) confirm(x *ConfigChange) {
-	if x.Confirmed != 0 {
+	if x.ConfirmedAt != 0 {
 		return
 	}
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 	n.ask(func(req core.RequestID) { n.core.ConfigStatus(n.local(), req, x.Version) }, 0, func(reply core.Reply) {
-		if s, ok := reply.Body.(core.ConfigStatus); ok && s.Confirmed && x.Confirmed == 0 {
-			x.Confirmed = w.now
+		if s, ok := reply.Body.(core.ConfigStatus); ok && s.Confirmed && x.ConfirmedAt == 0 {
+			x.ConfirmedAt = w.now
 			w.Check.ConfigConfirmed(w.now, x.Version)
 		}
 	})
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -35,7 +35,7 @@
 		}
 		for at := 80.0; at < 130; at += 1 + w.rng.Float64() {
 			w.after(units.Seconds(at+w.rng.Float64()), func() { w.Nodes[w.rng.IntN(3)].Crash() })
-			w.after(units.Seconds(at), func() { w.Fault(scenario.Fault{Kind: scenario.StateLate, ForS: 0.3}) })
+			w.after(units.Seconds(at), func() { w.InjectFault(scenario.Fault{Kind: scenario.StateLate, ForS: 0.3}) })
 		}
 		for at := 80 * second; at < 300*second; at += second {
 			w.Run(at)
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -70,12 +70,12 @@
 	}
 	// What keeps the others out is no claim: after an end of all controllers, when the
 	// lead is nobody's, one of them takes it.
-	w.S.Controllers.RestartS = 10 // longer than a lease
+	w.Scenario.Controllers.RestartS = 10 // longer than a lease
 	for _, n := range w.Nodes {
 		n.Crash()
 	}
 	w.Run(230 * second)
-	if w.Holder(0) == nil {
+	if w.ShardOwner(0) == nil {
 		t.Error("nobody leads after all controllers have ended")
 	}
 	if packed == 0 || kinds != 2 {
@@ -249,7 +249,7 @@
 		for _, n := range w.Nodes {
 			n.Crash()
 		}
-		w.State = kv.New(w.S.State.KV(), rand.New(rand.NewPCG(seed, 3)))
+		w.State = kv.New(w.Scenario.State.KV(), rand.New(rand.NewPCG(seed, 3)))
 		done, err := backup.Restore(t.Context(), service{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, Ops: 4})
 		if err != nil {
 			t.Fatal(err)
@@ -266,7 +266,7 @@
 				t.Errorf("seed %d: %s is %q, %d tasks done", seed, j.ID, j.Final, j.Job.DoneTasks())
 			}
 		}
-		if k := w.Holder(0); k == nil || done.Term < 1000 {
+		if k := w.ShardOwner(0); k == nil || done.Term < 1000 {
 			t.Errorf("seed %d: held by %v, terms above %d", seed, k, done.Term)
 		}
 		// Of the later jobs nothing goes on: what ran has been stopped.
--- a/internal/emulator/sim/randomfaults.go
+++ b/internal/emulator/sim/randomfaults.go
@@ -30,7 +30,7 @@
 
 // Drawn draws faults of every kind that the protocol allows. With pairs, two kinds
 // come together a few times; one seed after another goes through all pairs.
-func Drawn(s *scenario.Scenario, seed uint64, rng *rand.Rand) []scenario.Fault {
+func DrawFaults(s *scenario.Scenario, seed uint64, rng *rand.Rand) []scenario.Fault {
 	var out []scenario.Fault
 	gap := s.Draw.GapS
 	if gap == 0 {
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -57,8 +57,8 @@
 	if spec.ImageMB == 0 {
 		spec.ImageMB = 1000
 	}
-	j := &user.Job{Job: &work.Job{ID: fmt.Sprintf("wk-%06d", len(w.Crowd.Jobs())), Spec: spec, Run: length}, At: at, CancelAfter: cancelAfter, Awaits: needs}
-	w.Add(j)
+	j := &user.Job{Job: &work.Job{ID: fmt.Sprintf("wk-%06d", len(w.Users.Jobs())), Spec: spec, Run: length}, At: at, CancelAfter: cancelAfter, Awaits: needs}
+	w.AddJob(j)
 	return j
 }
 
@@ -174,11 +174,11 @@
 }
 
 // busy returns a world in which long tasks run on many machines.
-func busy(seed uint64, nodes int) *World { return busyWith(seed, nodes, Broken{}) }
+func busy(seed uint64, nodes int) *World { return busyWith(seed, nodes, Mutation{}) }
 
 // busyWith does so with broken programs.
-func busyWith(seed uint64, nodes int, b Broken) *World {
-	w := New(deployment(nodes, 0), Options{Seed: seed + 1, Break: b})
+func busyWith(seed uint64, nodes int, b Mutation) *World {
+	w := New(deployment(nodes, 0), Options{Seed: seed + 1, Mutation: b})
 	for range 4 {
 		w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 60 * second}, 100*second, 0)
@@ -191,7 +191,7 @@
 // run, and the holder.
 func busyUnder(t *testing.T, seed uint64) (*World, int, *Node) {
 	w := busy(seed, 3)
-	n, holder := w.Site.Running(), w.Holder(0)
+	n, holder := w.Site.Running(), w.ShardOwner(0)
 	if n == 0 || holder == nil {
 		t.Fatalf("seed %d: %d tasks run, held by %v", seed, n, holder)
 	}
@@ -206,7 +206,7 @@
 	if before == 0 {
 		t.Fatal("nothing runs")
 	}
-	w.Fault(scenario.Fault{Kind: scenario.StateOutage, ForS: (lease + 6*second).Seconds()})
+	w.InjectFault(scenario.Fault{Kind: scenario.StateOutage, ForS: (lease + 6*second).Seconds()})
 	w.Run(w.now + lease + 8*second)
 	if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
 		t.Fatalf("%d of %d tasks still run; %v", after, before, w.Check.Violations())
@@ -250,9 +250,9 @@
 func TestHolderLosesWorkers(t *testing.T) {
 	for seed := range uint64(10) {
 		w, before, old := busyUnder(t, seed)
-		w.Fault(scenario.Fault{Kind: scenario.Cut, Between: []string{old.Name, scenario.PartyWorkers}, ForS: 90})
+		w.InjectFault(scenario.Fault{Kind: scenario.Cut, Between: []string{old.Name, scenario.PartyWorkers}, ForS: 90})
 		w.Run(w.now + 2*report + 3*second)
-		if n := w.Holder(0); n == nil || n == old {
+		if n := w.ShardOwner(0); n == nil || n == old {
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
 		w.Run(w.now + 30*second)
@@ -270,11 +270,11 @@
 		w, before, old := busyUnder(t, seed)
 		old.frozen = w.now + lease + 20*second
 		w.Run(w.now + 8*second)
-		if n := w.Holder(0); n == nil || n == old {
+		if n := w.ShardOwner(0); n == nil || n == old {
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
 		w.Run(old.frozen + 5*second)
-		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 || w.Holder(0) == old {
+		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 || w.ShardOwner(0) == old {
 			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
 	}
@@ -286,20 +286,20 @@
 func TestNewHolderAsks(t *testing.T) {
 	for seed := range uint64(10) {
 		w, _, old := busyUnder(t, seed)
-		w.opt.Break.Peer = func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
+		w.opt.Mutation.DeliverPeer = func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
 		old.core.StopReplication(old.local())
 		w.Run(w.now + 3*second)
 		before := w.Site.Running()
 		old.frozen = w.now + 60*second
-		for until := w.now + 10*second; w.now < until && (w.Holder(0) == nil || w.Holder(0) == old); {
+		for until := w.now + 10*second; w.now < until && (w.ShardOwner(0) == nil || w.ShardOwner(0) == old); {
 			w.Run(w.now + 50*millis)
 		}
-		n := w.Holder(0)
+		n := w.ShardOwner(0)
 		if n == nil || n == old || n.core.Unreconciled(0) == 0 {
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
 		w.Run(w.now + 2*second)
-		if left := n.core.Unreconciled(0); left > 0 || w.Holder(0) != n {
+		if left := n.core.Unreconciled(0); left > 0 || w.ShardOwner(0) != n {
 			t.Fatalf("seed %d: %d machines are not accounted for", seed, left)
 		}
 		w.Run(w.now + 20*second)
@@ -326,7 +326,7 @@
 	if wave == 0 {
 		t.Fatal("the broken job was never tried")
 	}
-	w.Holder(0).Crash()
+	w.ShardOwner(0).Crash()
 	w.Run(120 * second)
 	if again := failed() - wave; again > 12 {
 		t.Fatalf("%d tasks of a job known to fail were tried again, %d before", again, wave)
@@ -397,7 +397,7 @@
 // machine counts only once it has seen the new leader's token.
 func TestLateReportProvesNothing(t *testing.T) {
 	for seed := range uint64(10) {
-		if broken := lateReports(t, seed, Broken{}); len(broken) > 0 {
+		if broken := lateReports(t, seed, Mutation{}); len(broken) > 0 {
 			t.Fatalf("seed %d: %v", seed, broken)
 		}
 	}
@@ -408,10 +408,10 @@
 func TestLateReportTakenForTrue(t *testing.T) {
 	unfollowed := func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
 	for seed := range uint64(10) {
-		if broken := lateReports(t, seed, Broken{Peer: unfollowed}); len(broken) > 0 {
+		if broken := lateReports(t, seed, Mutation{DeliverPeer: unfollowed}); len(broken) > 0 {
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
 		}
-		b := Broken{Peer: unfollowed, Core: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
+		b := Mutation{DeliverPeer: unfollowed, CoreConfig: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
 		if slices.ContainsFunc(lateReports(t, seed, b), func(b check.Violation) bool { return b.Rule == check.RanTwice }) {
 			return
 		}
@@ -421,7 +421,7 @@
 
 // lateReports has a holder end, gives the next one reports from before any task was started,
 // and returns the rules that are broken.
-func lateReports(t *testing.T, seed uint64, b Broken) []check.Violation {
+func lateReports(t *testing.T, seed uint64, b Mutation) []check.Violation {
 	t.Helper()
 	w := busyWith(seed, 3, b)
 	if w.Site.Running() == 0 {
@@ -490,7 +490,7 @@
 	w := spread(5)
 	who := map[string]bool{}
 	for k := range w.Nodes {
-		if n := w.Holder(k); n != nil && n.core.Placed(k) > 0 {
+		if n := w.ShardOwner(k); n != nil && n.core.Placed(k) > 0 {
 			who[n.Name] = true
 		}
 	}
@@ -515,7 +515,7 @@
 			continue
 		}
 		for b := range w.Nodes {
-			if w.Holder(b) == n && n.core.Placed(b) > 0 {
+			if w.ShardOwner(b) == n && n.core.Placed(b) > 0 {
 				other, k = n, b
 			}
 		}
@@ -530,8 +530,8 @@
 			t.Fatal("another leads before the lease has ended")
 		}
 	}
-	if w.Holder(k) != other || w.starts == starts || len(w.Check.Violations()) > 0 {
-		t.Fatalf("held by %v, %d starts; %v", w.Holder(k), w.starts-starts, w.Check.Violations())
+	if w.ShardOwner(k) != other || w.starts == starts || len(w.Check.Violations()) > 0 {
+		t.Fatalf("held by %v, %d starts; %v", w.ShardOwner(k), w.starts-starts, w.Check.Violations())
 	}
 }
 
@@ -551,11 +551,11 @@
 	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 4, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i",
 		Estimate: second}, second, 0)
 	w.Run(cancelIn - lease - 3*second)
-	if n := w.Holder(0); n != nil {
+	if n := w.ShardOwner(0); n != nil {
 		t.Fatalf("%s holds the block while its holder may still place", n.Name)
 	}
 	w.Run(cancelIn - 2*second)
-	if w.Holder(0) == nil {
+	if w.ShardOwner(0) == nil {
 		t.Fatal("nobody holds the block")
 	}
 	if w.starts > 0 {
@@ -573,7 +573,7 @@
 	w := spread(8)
 	var before []*Node
 	for k := range w.Nodes {
-		before = append(before, w.Holder(k))
+		before = append(before, w.ShardOwner(k))
 	}
 	if before[0] == nil || before[1] == nil {
 		t.Fatal("blocks without a holder")
@@ -598,7 +598,7 @@
 	}
 	w.Run(w.now + 20*second)
 	for k, n := range before {
-		if w.Holder(k) != n {
+		if w.ShardOwner(k) != n {
 			t.Errorf("block %d has changed hands", k)
 		}
 	}
@@ -613,14 +613,14 @@
 func TestSeatEndsBeforeOutage(t *testing.T) {
 	for seed := range uint64(6) {
 		w, before, old := busyUnder(t, seed)
-		w.Fault(scenario.Fault{Kind: scenario.StateRefuse, Node: old.Name, ForS: 60})
+		w.InjectFault(scenario.Fault{Kind: scenario.StateRefuse, Node: old.Name, ForS: 60})
 		for stands := true; stands; w.Run(w.now + 20*millis) {
 			_, _, code := w.State.Get(w.now, "", "shalestage/seat/"+old.Name)
 			stands = code == http.StatusOK
 		}
 		w.Run(w.now + units.Microseconds(seed)*second/8)
-		w.Fault(scenario.Fault{Kind: scenario.StateOutage, ForS: 60})
-		if n := w.Holder(0); n != old && n != nil {
+		w.InjectFault(scenario.Fault{Kind: scenario.StateOutage, ForS: 60})
+		if n := w.ShardOwner(0); n != old && n != nil {
 			t.Fatalf("seed %d: %s holds the block already", seed, n.Name)
 		}
 		w.Run(w.now + 50*second)
@@ -628,7 +628,7 @@
 			t.Errorf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
 		w.Run(w.now + 30*second)
-		if n := w.Holder(0); n == nil || len(w.Check.Violations()) > 0 {
+		if n := w.ShardOwner(0); n == nil || len(w.Check.Violations()) > 0 {
 			t.Errorf("seed %d: after the outage %v holds the block; %v", seed, n, w.Check.Violations())
 		}
 	}
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -94,7 +94,7 @@
 
 // limited takes the rates that the service will have, as a client does on a 429.
 func (n *Node) limited() {
-	next := n.w.S.State.Next.RPS
+	next := n.w.Scenario.State.Next.RPS
 	if next > 0 {
 		n.state.SetLimitAt(stamp(n.w.now), min(n.state.Limit(), rate.Limit(next/float64(len(n.w.Nodes)))))
 	}
@@ -102,7 +102,7 @@
 
 // stateTime is how long the state service takes.
 func (w *World) stateTime() units.Microseconds {
-	t := units.Seconds(w.S.State.LatencyMS / 1000 * (0.6 + 0.8*w.rng.Float64()))
+	t := units.Seconds(w.Scenario.State.LatencyMS / 1000 * (0.6 + 0.8*w.rng.Float64()))
 	if w.chance(0.002) {
 		t += w.span(0.1, 0.4) // now and then
 	}
@@ -188,7 +188,7 @@
 			n.core.OnChanges(n.local(), e, o, c.Rev, events, c.Code == http.StatusGone)
 		})
 	}
-	if f := w.opt.Break.Read; f != nil && e.Fresh && !f() {
+	if f := w.opt.Mutation.ServeFreshRead; f != nil && e.Fresh && !f() {
 		w.after(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: e.After}) })
 		return
 	}
@@ -200,7 +200,7 @@
 	if e.Wait > 0 {
 		wait = callWait + e.Wait
 	}
-	if e.Fresh && w.opt.Break.Stale {
+	if e.Fresh && w.opt.Mutation.StaleReads {
 		w.after(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: e.After}) })
 		return
 	}
@@ -229,7 +229,7 @@
 func (n *Node) commit(life int, e core.Commit) {
 	w := n.w
 	t := direct.Txn(e.Txn)
-	if f := w.opt.Break.Commit; f != nil {
+	if f := w.opt.Mutation.Commit; f != nil {
 		f(&t)
 	}
 	n.txns++
@@ -252,7 +252,7 @@
 		if o == store.Failed && code == http.StatusBadRequest && !res.NoLease {
 			o = store.TooLarge
 		}
-		if f := w.opt.Break.Outcome; f != nil {
+		if f := w.opt.Mutation.Outcome; f != nil {
 			o = f(*e.Txn, o)
 		}
 		n.back(life, func() { n.core.OnCommit(n.local(), e.Queue, e.Txn, o, res.Rev, res.Failed) })
--- a/internal/emulator/sim/traffic_test.go
+++ b/internal/emulator/sim/traffic_test.go
@@ -15,9 +15,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := New(s, Options{}).Play()
+	want := New(s, Options{}).RunScenario()
 	tally := traffic.New(0)
-	got := New(s, Options{Traffic: tally}).Play()
+	got := New(s, Options{Traffic: tally}).RunScenario()
 	if got.Digest != want.Digest {
 		t.Errorf("digest %s when counted, else %s", got.Digest, want.Digest)
 	}
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		for _, t := range k.RemainingTimes(w.now) {
-			j := w.Crowd.Job(t.Task.Job)
+			j := w.Users.Job(t.Task.Job)
 			if j == nil || !j.Accepted || j.Final != "" {
 				continue
 			}
@@ -84,7 +84,7 @@
 		}
 	}
 	w.takeSite()
-	w.Crowd.CancelSoon(w.now, submitted)
+	w.Users.CancelSoon(w.now, submitted)
 }
 
 // boolOrder puts what is not so first.
@@ -100,11 +100,11 @@
 	if w.now >= until {
 		return
 	}
-	if w.Crowd.OddRequest(w.now) {
+	if w.Users.OddRequest(w.now) {
 		w.happened(scenario.OddRequest)
 	}
 	w.takeCrowd()
-	w.after(w.Crowd.OddPause(), func() { w.oddRequests(until) })
+	w.after(w.Users.OddPause(), func() { w.oddRequests(until) })
 }
 
 // began notes that a task is on a machine.
@@ -118,17 +118,17 @@
 
 // ended notes that a task of a job has completed: with the last one the job has ended.
 func (w *World) ended(id string) {
-	if w.now >= w.users.endUntil && !w.Crowd.LooksClosely(w.now) {
+	if w.now >= w.users.endUntil && !w.Users.LooksClosely(w.now) {
 		return
 	}
-	j := w.Crowd.Job(id)
+	j := w.Users.Job(id)
 	if j == nil || !j.Done() {
 		return
 	}
-	w.Crowd.Ended(w.now, j)
+	w.Users.Ended(w.now, j)
 	if w.now < w.users.endUntil && w.chance(w.users.endShare) {
 		w.happened(scenario.CancelledAtEnd)
-		w.Crowd.CancelAtEnd(w.now, j)
+		w.Users.CancelAtEnd(w.now, j)
 	}
 }
 
@@ -143,7 +143,7 @@
 	if w.Check.AtLimit(id) {
 		w.happened(scenario.CancelAtLimit)
 	}
-	if w.now-w.users.granted < handover || w.Holder(0) == nil {
+	if w.now-w.users.granted < handover || w.ShardOwner(0) == nil {
 		w.happened(scenario.CancelInHandover)
 	}
 	if w.refusedAlone() {
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -16,11 +16,11 @@
 )
 
 // crowded plays a small deployment with short and long jobs and one fault.
-func crowded(seed uint64, f scenario.Fault, b Broken) *World {
+func crowded(seed uint64, f scenario.Fault, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.Users.LateRetries = 0.3
 	sc.Faults = []scenario.Fault{f}
-	w := New(sc, Options{Seed: seed, Break: b})
+	w := New(sc, Options{Seed: seed, Mutation: b})
 	for i := range 24 {
 		length := 4 * second
 		if i%3 == 0 {
@@ -34,7 +34,7 @@
 }
 
 // broke reports whether a rule was broken in one of some seeds.
-func broke(rule string, seeds uint64, f scenario.Fault, b Broken) bool {
+func broke(rule string, seeds uint64, f scenario.Fault, b Mutation) bool {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		if slices.ContainsFunc(crowded(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
 			return true
@@ -44,9 +44,9 @@
 }
 
 // answers returns a program that answers one kind of calls wrongly after so many.
-func answers(k user.Kind, after, code int, s jobs.Status) Broken {
+func answers(k user.Kind, after, code int, s jobs.Status) Mutation {
 	n := 0
-	return Broken{Answer: func(e user.Call) *core.Reply {
+	return Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind != k {
 			return nil
 		}
@@ -70,7 +70,7 @@
 		{scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, scenario.CloseLook, 200},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			w := crowded(seed, c.f, Broken{})
+			w := crowded(seed, c.f, Mutation{})
 			for _, b := range w.Check.Violations() {
 				t.Errorf("%s, seed %d: %s", c.f.Kind, seed, b)
 			}
@@ -87,7 +87,7 @@
 	looks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
 	for name, c := range map[string]struct {
 		rule string
-		b    Broken
+		b    Mutation
 	}{
 		"submission repeated, new":     {check.WentBack, answers(user.Submit, 0, http.StatusCreated, jobs.Pending)},
 		"submission repeated, older":   {check.WentBack, answers(user.Submit, 30, http.StatusOK, jobs.Pending)},
@@ -96,7 +96,7 @@
 		"cancellation, older":          {check.WentBack, answers(user.Cancel, 0, http.StatusOK, jobs.Running)},
 		"question, unknown":            {check.Forgotten, answers(user.Poll, 30, http.StatusNotFound, "")},
 		"question, older":              {check.WentBack, answers(user.Poll, 100, http.StatusOK, jobs.Pending)},
-		"reads that bring nothing new": {check.Forgotten, Broken{Stale: true}},
+		"reads that bring nothing new": {check.Forgotten, Mutation{StaleReads: true}},
 	} {
 		if !broke(c.rule, 3, looks, c.b) {
 			t.Errorf("%s: three plays break no %s", name, c.rule)
@@ -108,7 +108,7 @@
 // within their leases and are told no stop: the checker must notice.
 func TestCancelledOnHangingMachine(t *testing.T) {
 	hang := scenario.Fault{Kind: scenario.CancelNow, AtS: 40, Count: 8, HangS: 6}
-	noStops := Broken{Orders: func(_ string, o *core.HeartbeatResponse) {
+	noStops := Mutation{Commands: func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 	}}
 	if !broke(check.RanCancelled, 3, hang, noStops) {
--- a/internal/emulator/sim/waiting_test.go
+++ b/internal/emulator/sim/waiting_test.go
@@ -15,7 +15,7 @@
 // that ask for more than that all the time. Its first job is a large one, which comes once all
 // machines are full. At most looks a few machines are between the end of a task and the start of
 // the next, others at each look.
-func fullFleet(seed uint64, b Broken) *World {
+func fullFleet(seed uint64, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.State.Limits = scenario.Limits{RPS: 1000, WriteRPS: 500, ValueKB: 8, TxnOps: 32}
 	sc.State.Next = scenario.Limits{}
@@ -24,7 +24,7 @@
 	sc.Types = []scenario.MachineType{{Name: "pair", CPUs: 5, MemoryGB: 20, Price: 1, CacheGB: 40, FetchGBs: 2, BootS: 5}}
 	sc.Capacity = []scenario.Capacity{{Type: "pair", Zone: "a", Count: 200}, {Type: "pair", Zone: "b", Count: 200}}
 	sc.Teams = []scenario.Team{{Name: "red"}, {Name: "blue"}}
-	w := New(sc, Options{Seed: seed, Break: b})
+	w := New(sc, Options{Seed: seed, Mutation: b})
 	spec := func(team string, tasks int) *jobs.Spec {
 		return &jobs.Spec{Class: "x", Team: team, Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{2500, 0, 4000}, AnyType: true, Image: "i", Estimate: 18 * second}
 	}
@@ -40,12 +40,12 @@
 func TestPassingRoom(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		b     Broken
+		b     Mutation
 		until units.Microseconds
 		want  bool
 	}{
-		{"intact", Broken{}, 400 * second, false},
-		{"never started", Broken{Orders: withoutStarts("wk-000000")}, 330 * second, true},
+		{"intact", Mutation{}, 400 * second, false},
+		{"never started", Mutation{Commands: withoutStarts("wk-000000")}, 330 * second, true},
 	} {
 		w := fullFleet(1, c.b)
 		w.Run(c.until)
--- a/internal/emulator/sim/workers.go
+++ b/internal/emulator/sim/workers.go
@@ -62,7 +62,7 @@
 		if w.copies.forNext {
 			w.keepReport(e.Body)
 		} else {
-			w.after(w.span(2, 3*w.S.Workers.LeaseS), func() {
+			w.after(w.span(2, 3*w.Scenario.Workers.LeaseS), func() {
 				n.ask(arrives, 0, func(core.Reply) {})
 			})
 		}
@@ -109,7 +109,7 @@
 // report hands a worker's report to the core.
 func (n *Node) report(req core.RequestID, body *fleet.Heartbeat) {
 	n.w.reportArrives(n, body)
-	if f := n.w.opt.Break.Report; f != nil {
+	if f := n.w.opt.Mutation.Heartbeat; f != nil {
 		seen := *body
 		seen.Tasks = slices.Clone(seen.Tasks)
 		f(&seen)
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -18,11 +18,11 @@
 // lostZone plays rehearsals/zones.toml with some faults and returns the controllers' logs.
 func lostZone(t *testing.T, seed uint64, faults ...scenario.Fault) (*World, string) {
 	t.Helper()
-	return lostZoneWith(t, seed, Broken{}, faults...)
+	return lostZoneWith(t, seed, Mutation{}, faults...)
 }
 
 // lostZoneWith does so with broken programs.
-func lostZoneWith(t *testing.T, seed uint64, broken Broken, faults ...scenario.Fault) (*World, string) {
+func lostZoneWith(t *testing.T, seed uint64, broken Mutation, faults ...scenario.Fault) (*World, string) {
 	t.Helper()
 	s, err := scenario.Load("../../../rehearsals/zones.toml")
 	if err != nil {
@@ -31,7 +31,7 @@
 	s.DurationS, s.Expect = 240, scenario.Expect{}
 	s.Faults = faults
 	var logs bytes.Buffer
-	w := New(s, Options{Seed: seed, Break: broken, Log: func(node string, now func() units.Microseconds) *slog.Logger {
+	w := New(s, Options{Seed: seed, Mutation: broken, Log: func(node string, now func() units.Microseconds) *slog.Logger {
 		at := func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
 				return slog.Float64("t", now().Seconds())
@@ -40,7 +40,7 @@
 		}
 		return slog.New(slog.NewTextHandler(&logs, &slog.HandlerOptions{ReplaceAttr: at, Level: slog.LevelDebug})).With("controller", node)
 	}})
-	w.Play()
+	w.RunScenario()
 	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("seed %d: %v", seed, b)
 	}
@@ -90,18 +90,18 @@
 	s.Capacity = []scenario.Capacity{{Type: "mid", Zone: "b", Count: 40, Spot: 60}}
 	w := New(s, Options{Seed: 1})
 	w.Run(60 * second)
-	for w.Holder(0) == nil || w.Holder(0).zone == "b" {
+	for w.ShardOwner(0) == nil || w.ShardOwner(0).zone == "b" {
 		if w.now > 150*second {
 			t.Fatal("no controller elsewhere holds the block")
 		}
-		if n := w.Holder(0); n != nil {
+		if n := w.ShardOwner(0); n != nil {
 			n.Crash()
 		}
 		w.Run(w.now + 10*second)
 	}
-	w.Fault(scenario.Fault{Kind: scenario.ZoneApart, Zone: "b", ForS: 60})
+	w.InjectFault(scenario.Fault{Kind: scenario.ZoneApart, Zone: "b", ForS: 60})
 	w.Run(w.now + 20*second)
-	if n := w.Holder(0); n == nil || n.zone != "b" {
+	if n := w.ShardOwner(0); n == nil || n.zone != "b" {
 		t.Errorf("held by %v", n)
 	}
 	w.Run(w.now + 60*second)
@@ -131,7 +131,7 @@
 // then tasks are called back. No rule breaks all the same, as a task that is known to be
 // somewhere else is stopped where it shows as well.
 func TestHeldBackReportsTakenForTrue(t *testing.T) {
-	b := Broken{Core: func(c *core.Config) { c.SkippedGuard = guard.ExpiredAttempts }}
+	b := Mutation{CoreConfig: func(c *core.Config) { c.SkippedGuard = guard.ExpiredAttempts }}
 	for seed := uint64(1); seed <= 2; seed++ {
 		_, logs := lostZoneWith(t, seed, b, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
 		if strings.Contains(logs, "task is on two machines") {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -106,11 +106,11 @@
 func (f *File) play(r Run, s *scenario.Scenario) Run {
 	began := time.Now()
 	m := meter.New()
-	w := sim.New(s, sim.Options{Seed: r.Seed, Meter: m, MeterEvery: units.Seconds(f.EveryS)})
-	res := w.Play()
+	w := sim.New(s, sim.Options{Seed: r.Seed, Meter: m, MeterInterval: units.Seconds(f.EveryS)})
+	res := w.RunScenario()
 	end := units.Seconds(s.DurationS)
-	r.Figures = m.Figures(end, res.Money, w.Cheapest())
-	for _, b := range res.Broken {
+	r.Figures = m.Figures(end, res.Cost, w.LowestCPUPrice())
+	for _, b := range res.Violations {
 		r.Broken = append(r.Broken, b.String())
 	}
 	waits, dones := m.Times(end)
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -14,13 +14,13 @@
 
 // gap plays rehearsals/gap.toml with so many controllers; several share the work where
 // blockMachines is not 0.
-func gap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Broken) Verdict {
+func gap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Mutation) Verdict {
 	s, err := scenario.Load("../../rehearsals/gap.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Controllers.Count, s.Controllers.BlockMachines = count, blockMachines
-	return Play("gap.toml", s, sim.Options{Seed: seed, Break: b})
+	return Play("gap.toml", s, sim.Options{Seed: seed, Mutation: b})
 }
 
 // TestGap has one controller refused alone, others confirm cancellations, and then the state
@@ -32,7 +32,7 @@
 		blocks float64
 	}{{1, 0}, {3, 4}, {5, 0}, {5, 4}} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			if v := gap(t, seed, c.count, c.blocks, sim.Broken{}); !v.Kept {
+			if v := gap(t, seed, c.count, c.blocks, sim.Mutation{}); !v.Kept {
 				t.Errorf("%d controllers, seed %d: %v %v", c.count, seed, v.Broken, v.Missed)
 			}
 		}
@@ -52,10 +52,10 @@
 	}
 	caught := false
 	for seed := uint64(1); seed <= 6; seed++ {
-		if v := gap(t, seed, 3, 0, sim.Broken{Told: silent}); !v.Kept {
+		if v := gap(t, seed, 3, 0, sim.Mutation{PeerMessage: silent}); !v.Kept {
 			t.Errorf("seed %d: %v %v", seed, v.Broken, v.Missed)
 		}
-		v := gap(t, seed, 3, 0, sim.Broken{Told: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
+		v := gap(t, seed, 3, 0, sim.Mutation{PeerMessage: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
 		caught = caught || slices.ContainsFunc(v.Broken, func(b Broken) bool { return b.Rule == check.RanCancelled })
 	}
 	if !caught {
--- a/internal/rehearse/meet.go
+++ b/internal/rehearse/meet.go
@@ -44,7 +44,7 @@
 	for range s.Draw.Meet - 1 {
 		from, to := last.AtS, last.AtS+last.ForS+linger
 		moments := map[string][]float64{}
-		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Break: opt.Break, Event: func(at units.Microseconds, event string) {
+		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Mutation: opt.Mutation, OnEvent: func(at units.Microseconds, event string) {
 			t := at.Seconds()
 			if t < from || t > to || len(moments[event]) >= keptMoments || len(s.Draw.Events) > 0 && !slices.Contains(s.Draw.Events, event) {
 				return
--- a/internal/rehearse/meet_test.go
+++ b/internal/rehearse/meet_test.go
@@ -31,7 +31,7 @@
 			before.Faults = fixed.Faults[:i+1]
 			at := fixed.Faults[i+1].AtS
 			var moments []float64
-			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, Event: func(at units.Microseconds, event string) {
+			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, OnEvent: func(at units.Microseconds, event string) {
 				if event == m.Event {
 					moments = append(moments, at.Seconds())
 				}
@@ -69,7 +69,7 @@
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
 		n := uint64(0)
-		v := Play("meet-old-reports.toml", s, sim.Options{Seed: seed, Break: sim.Broken{Report: func(r *fleet.Heartbeat) {
+		v := Play("meet-old-reports.toml", s, sim.Options{Seed: seed, Mutation: sim.Mutation{Heartbeat: func(r *fleet.Heartbeat) {
 			n++
 			r.Incarnation, r.Seq = 1, n
 		}}})
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -19,20 +19,20 @@
 // plantedMistake is a service that lacks one check.
 type plantedMistake struct {
 	name    string
-	mistake sim.Broken
+	mistake sim.Mutation
 	file    string // rehearsal that finds it
 	rule    string // that is broken then
 	within  uint64 // plays
 }
 
 // without leaves one check of the core out.
-func without(g guard.Guard) sim.Broken {
-	return sim.Broken{Core: func(c *core.Config) { c.SkippedGuard = g }}
+func without(g guard.Guard) sim.Mutation {
+	return sim.Mutation{CoreConfig: func(c *core.Config) { c.SkippedGuard = g }}
 }
 
 // unguarded takes the guards off transactions that match.
-func unguarded(match func(t *kv.Txn, g kv.Guard) bool) sim.Broken {
-	return sim.Broken{Commit: func(t *kv.Txn) {
+func unguarded(match func(t *kv.Txn, g kv.Guard) bool) sim.Mutation {
+	return sim.Mutation{Commit: func(t *kv.Txn) {
 		all := *t
 		t.Guards = slices.DeleteFunc(slices.Clone(t.Guards), func(g kv.Guard) bool { return match(&all, g) })
 	}}
@@ -49,14 +49,14 @@
 }
 
 // unguardedKey takes off the guard of the version of each changed key in a folder.
-func unguardedKey(folder string) sim.Broken {
+func unguardedKey(folder string) sim.Mutation {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		return strings.HasPrefix(g.Key, "shalestage/"+folder) && change(t, g.Key) != nil
 	})
 }
 
 // unguardedJob takes off the guard of the version where a job gets a status.
-func unguardedJob(s jobs.Status) sim.Broken {
+func unguardedJob(s jobs.Status) sim.Mutation {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
 		if c == nil || !strings.HasPrefix(g.Key, "shalestage/job/") || c.Value == nil {
@@ -68,7 +68,7 @@
 }
 
 // unguardedRelease takes off the guard of a block's version where it is given up.
-func unguardedRelease() sim.Broken {
+func unguardedRelease() sim.Mutation {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
 		return c != nil && strings.HasPrefix(g.Key, "shalestage/block/") && strings.Contains(string(c.Value), `"left"`)
@@ -80,7 +80,7 @@
 var planted = []plantedMistake{
 	// What machines report.
 	{"older reports are taken for new", without(guard.HeartbeatOrder), "meet-all-away.toml", check.RanTwice, 5},
-	{"a silent machine's tasks are gone after a third of its lease", sim.Broken{Core: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
+	{"a silent machine's tasks are gone after a third of its lease", sim.Mutation{CoreConfig: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
 	{"machines of earlier holders count as known", without(guard.UnreconciledMachines), "meet-returns.toml", check.RanTwice, 5},
 	// What a holder does.
 	{"tasks of a job start in any zone", without(guard.ZoneConstraints), "meet-one-zone.toml", check.WrongPlace, 5},
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			for seed := uint64(1); seed <= p.within; seed++ {
-				if breaks(s, sim.Options{Seed: seed, Break: p.mistake}, p.rule) {
+				if breaks(s, sim.Options{Seed: seed, Mutation: p.mistake}, p.rule) {
 					t.Logf("%s with seed %d", p.rule, seed)
 					return
 				}
@@ -134,6 +134,6 @@
 			return true
 		}
 	}
-	w.Play()
+	w.RunScenario()
 	return broken()
 }
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -72,13 +72,13 @@
 		defer runtime.UnlockOSThread()
 	}
 	w := sim.New(s, opt)
-	r := w.Play()
+	r := w.RunScenario()
 	seed := opt.Seed
 	if seed == 0 {
 		seed = s.Seed
 	}
-	v := Verdict{File: file, Name: s.Name, Seed: seed, Kept: len(r.Broken) == 0 && len(r.Missed) == 0, Broken: Breaks(r.Broken), Missed: r.Missed,
-		Digest: r.Digest, Jobs: r.Jobs, Over: r.Over, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Money: r.Money,
+	v := Verdict{File: file, Name: s.Name, Seed: seed, Kept: len(r.Violations) == 0 && len(r.MissedExpectations) == 0, Broken: Breaks(r.Violations), Missed: r.MissedExpectations,
+		Digest: r.Digest, Jobs: r.Jobs, Over: r.FinishedJobs, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Money: r.Cost,
 		Took: time.Since(began).Seconds(), Faults: r.Faults, Met: met}
 	if opt.Account != nil {
 		v.Account = opt.Account.Rows()
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -68,30 +68,30 @@
 	file, guard string
 	seeds       uint64
 	rules       []string // of which one is broken; none: another guard stands behind it
-	program     func() sim.Broken
+	program     func() sim.Mutation
 }
 
 var withoutGuardCases = []withoutGuard{
 	{"meet-close-looks", "a question waits for a read that began after it", 2, []string{check.Forgotten},
-		func() sim.Broken { return sim.Broken{Stale: true} }},
+		func() sim.Mutation { return sim.Mutation{StaleReads: true} }},
 	{"meet-close-looks", "a job's record is written over the version that is known", 2, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
+		func() sim.Mutation { return sim.Mutation{Commit: withoutGuards} }},
 	{"meet-limit-cancels", "what may run counts until the lease must have run out", 2, []string{check.Quota},
-		func() sim.Broken { return sim.Broken{Settings: shortLease} }},
+		func() sim.Mutation { return sim.Mutation{Settings: shortLease} }},
 	{"meet-handover-cancels", "a holder stops what an earlier one has started", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Orders: onlyOwnStops()} }},
+		func() sim.Mutation { return sim.Mutation{Commands: onlyOwnStops()} }},
 	{"meet-quick-jobs", "tasks of cancelled jobs are stopped", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Orders: withoutStops} }},
+		func() sim.Mutation { return sim.Mutation{Commands: withoutStops} }},
 	{"meet-quick-jobs", "a job's record is written over the version that is known", 6, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
+		func() sim.Mutation { return sim.Mutation{Commit: withoutGuards} }},
 	{"meet-last-end", "a job's record is written over the version that is known", 2, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
+		func() sim.Mutation { return sim.Mutation{Commit: withoutGuards} }},
 	{"meet-last-end", "a question waits for a read that began after it", 2, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Stale: true} }},
+		func() sim.Mutation { return sim.Mutation{StaleReads: true} }},
 	{"meet-refused-cancels", "others tell of cancellations, and the bound on not knowing them", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Told: untold, Settings: longCancel} }},
-	{"meet-refused-cancels", "others tell of cancellations", 2, nil, func() sim.Broken { return sim.Broken{Told: untold} }},
-	{"meet-refused-cancels", "the bound on not knowing cancellations", 2, nil, func() sim.Broken { return sim.Broken{Settings: longCancel} }},
+		func() sim.Mutation { return sim.Mutation{PeerMessage: untold, Settings: longCancel} }},
+	{"meet-refused-cancels", "others tell of cancellations", 2, nil, func() sim.Mutation { return sim.Mutation{PeerMessage: untold} }},
+	{"meet-refused-cancels", "the bound on not knowing cancellations", 2, nil, func() sim.Mutation { return sim.Mutation{Settings: longCancel} }},
 }
 
 // TestMeetingsWithoutGuards takes out what guards each meeting of the users' troubles: one of
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for seed := uint64(1); seed <= c.seeds; seed++ {
-		v := Play(c.file, s, sim.Options{Seed: seed, Break: c.program()})
+		v := Play(c.file, s, sim.Options{Seed: seed, Mutation: c.program()})
 		if slices.ContainsFunc(v.Broken, func(b Broken) bool { return slices.Contains(c.rules, b.Rule) }) {
 			return
 		}
