--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -14,10 +14,10 @@
 )
 
 // waits are the times that users waited, by what for.
-type waits struct{ accepted, cancelled, ended []units.Microseconds }
+type waitTimes struct{ accepted, cancelled, finished []units.Microseconds }
 
 // storedDone returns the jobs whose records say that they are done.
-func (w *World) storedDone() map[string]bool {
+func (w *World) jobsStoredDone() map[string]bool {
 	done := map[string]bool{}
 	w.State.Each(func(it kv.Item) {
 		var r struct{ Status jobs.Status }
@@ -32,16 +32,16 @@
 // waitsFor plays until a time and looks every 10 ms at what became of the jobs. A cancelled
 // job's user asks some time after the job was accepted; an end counts from the last task's
 // completion to its record.
-func (w *World) waitsFor(until units.Microseconds, submitted []*user.Job) waits {
+func (w *World) measureWaits(until units.Microseconds, submitted []*user.Job) waitTimes {
 	const step = 10 * millis
-	var out waits
+	var out waitTimes
 	accepted, over, complete := map[string]units.Microseconds{}, map[string]bool{}, map[string]units.Microseconds{}
 	var done map[string]bool
 	var rev uint64
 	for t := step; t <= until; t += step {
 		w.Run(t)
 		if now := w.State.Rev(); now != rev {
-			rev, done = now, w.storedDone()
+			rev, done = now, w.jobsStoredDone()
 		}
 		for _, j := range submitted {
 			if accepted[j.ID] == 0 && j.Accepted {
@@ -58,7 +58,7 @@
 				out.cancelled = append(out.cancelled, j.Over-accepted[j.ID]-j.CancelAfter)
 			case j.CancelAfter == 0 && done[j.ID]:
 				over[j.ID] = true
-				out.ended = append(out.ended, t-complete[j.ID])
+				out.finished = append(out.finished, t-complete[j.ID])
 			}
 		}
 	}
@@ -67,8 +67,8 @@
 
 // lostAnswers plays jobs that come four a second, a third of them cancelled within
 // seconds, while a share of the transactions is carried out and gets no answer.
-func lostAnswers(t *testing.T, share float64) waits {
-	var all waits
+func runWithLostResponses(t *testing.T, share float64) waitTimes {
+	var all waitTimes
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := deployment(3, 0)
 		if share > 0 {
@@ -81,17 +81,17 @@
 			if i%3 == 0 {
 				cancel = 2*second + units.Microseconds(i)*17*millis
 			}
-			submitted = append(submitted, w.submit(30*second+units.Microseconds(i)*second/4, &jobs.Spec{Class: "x", Team: "green", Tasks: 1, Demand: binpack.Vec{500, 0, 500},
+			submitted = append(submitted, w.submitJob(30*second+units.Microseconds(i)*second/4, &jobs.Spec{Class: "x", Team: "green", Tasks: 1, Demand: binpack.Vec{500, 0, 500},
 				AnyType: true, Spot: true, Image: "i", Estimate: 2 * second}, 2*second+cancel*2, cancel))
 		}
-		x := w.waitsFor(110*second, submitted)
+		x := w.measureWaits(110*second, submitted)
 		for _, b := range w.Check.Violations() {
 			t.Errorf("seed %d: %v", seed, b)
 		}
-		all.accepted, all.cancelled, all.ended = append(all.accepted, x.accepted...), append(all.cancelled, x.cancelled...), append(all.ended, x.ended...)
+		all.accepted, all.cancelled, all.finished = append(all.accepted, x.accepted...), append(all.cancelled, x.cancelled...), append(all.finished, x.finished...)
 	}
-	if len(all.accepted) < 400 || len(all.cancelled) < 100 || len(all.ended) < 200 {
-		t.Fatalf("%d accepted, %d cancelled, %d ended", len(all.accepted), len(all.cancelled), len(all.ended))
+	if len(all.accepted) < 400 || len(all.cancelled) < 100 || len(all.finished) < 200 {
+		t.Fatalf("%d accepted, %d cancelled, %d ended", len(all.accepted), len(all.cancelled), len(all.finished))
 	}
 	return all
 }
@@ -100,22 +100,22 @@
 // than one in twenty submissions, and cancellations, may need longer than 200 ms, and the
 // ends as much longer than without the loss: the report of an end takes its time anyway.
 // These needed the request's timeout of 1 s, and so did what waited behind them.
-func TestAnswersLost(t *testing.T) {
+func TestLostTransactionResponses(t *testing.T) {
 	const late = 200 * millis
-	usual, lost := lostAnswers(t, 0), lostAnswers(t, 0.3)
+	usual, lost := runWithLostResponses(t, 0), runWithLostResponses(t, 0.3)
 	p95 := func(times []units.Microseconds) units.Microseconds {
 		slices.Sort(times)
 		return times[len(times)*95/100]
 	}
 	t.Logf("95%% with and without the loss: accepted %d and %d us, cancelled %d and %d us, ended %d and %d us",
-		p95(lost.accepted), p95(usual.accepted), p95(lost.cancelled), p95(usual.cancelled), p95(lost.ended), p95(usual.ended))
+		p95(lost.accepted), p95(usual.accepted), p95(lost.cancelled), p95(usual.cancelled), p95(lost.finished), p95(usual.finished))
 	if got := p95(lost.accepted); got > late {
 		t.Errorf("submissions: %d us", got)
 	}
 	if got := p95(lost.cancelled); got > late {
 		t.Errorf("cancellations: %d us", got)
 	}
-	if got := p95(lost.ended) - p95(usual.ended); got > late {
+	if got := p95(lost.finished) - p95(usual.finished); got > late {
 		t.Errorf("ends: %d us more", got)
 	}
 }
--- a/internal/emulator/sim/broken_test.go
+++ b/internal/emulator/sim/broken_test.go
@@ -18,7 +18,7 @@
 )
 
 // says returns a program that answers calls of a kind without doing anything.
-func says(k user.Kind, code int, s jobs.Status) Mutation {
+func answering(k user.Kind, code int, s jobs.Status) Mutation {
 	return Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind != k {
 			return nil
@@ -36,7 +36,7 @@
 
 // TestBrokenProgramsAreCaught breaks a controller or a neighbour for every rule, and
 // expects the checker to report it. A checker that cannot fail is worth nothing.
-func TestBrokenProgramsAreCaught(t *testing.T) {
+func TestCheckerDetectsEveryRuleViolation(t *testing.T) {
 	crash := scenario.Fault{Kind: scenario.ControllerFreeze, Node: "holder", AtS: 25, ForS: 4}
 	cases := map[string]struct {
 		b     Mutation
@@ -47,13 +47,13 @@
 		}}},
 		check.Quota:        {b: Mutation{Settings: func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }}},
 		check.WrongPlace:   {b: Mutation{JobSpec: func(s *jobs.Spec) { s.Zone, s.Spread = "", false }}},
-		check.RanCancelled: {b: says(user.Cancel, http.StatusOK, jobs.Cancelled)},
-		check.Forgotten:    {b: says(user.Poll, http.StatusNotFound, "")},
-		check.Invented:     {b: says(user.Poll, http.StatusOK, jobs.Pending)},
-		check.NotDone:      {b: says(user.Poll, http.StatusOK, jobs.Done)},
-		check.WentBack:     {b: says(user.Poll, http.StatusOK, jobs.Cancelled)},
-		check.NothingRan:   {b: says(user.Submit, http.StatusCreated, jobs.Pending)},
-		check.Lost:         {b: says(user.Submit, http.StatusCreated, jobs.Pending)},
+		check.RanCancelled: {b: answering(user.Cancel, http.StatusOK, jobs.Cancelled)},
+		check.Forgotten:    {b: answering(user.Poll, http.StatusNotFound, "")},
+		check.Invented:     {b: answering(user.Poll, http.StatusOK, jobs.Pending)},
+		check.NotDone:      {b: answering(user.Poll, http.StatusOK, jobs.Done)},
+		check.WentBack:     {b: answering(user.Poll, http.StatusOK, jobs.Cancelled)},
+		check.NothingRan:   {b: answering(user.Submit, http.StatusCreated, jobs.Pending)},
+		check.Lost:         {b: answering(user.Submit, http.StatusCreated, jobs.Pending)},
 		check.TooEarly:     {b: Mutation{JobSpec: func(s *jobs.Spec) { s.Awaits = nil }}},
 		check.Orphaned: {b: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Poll && e.ID == "wk-000005" {
@@ -74,7 +74,7 @@
 			return nil
 		}}},
 		check.LeftWaiting: {b: Mutation{Commands: withoutStarts("wk-000002")}},
-		check.Outdated:    {fault: scenario.Fault{Kind: scenario.ConfigSet, Team: "red", Remove: true, AtS: 25}, b: says(user.Submit, http.StatusCreated, jobs.Pending)},
+		check.Outdated:    {fault: scenario.Fault{Kind: scenario.ConfigSet, Team: "red", Remove: true, AtS: 25}, b: answering(user.Submit, http.StatusCreated, jobs.Pending)},
 	}
 	for _, rule := range check.Rules {
 		c, ok := cases[rule]
@@ -96,17 +96,17 @@
 					Image: "i", Estimate: 10 * second}
 			}
 			for range 3 {
-				w.submit(second, spec("red", 8), 20*second, 0)
+				w.submitJob(second, spec("red", 8), 20*second, 0)
 			}
 			zoned := spec("blue", 8)
 			zoned.Zone = "b"
-			first := w.submit(second, zoned, 100*second, 20*second)
+			first := w.submitJob(second, zoned, 100*second, 20*second)
 			spread := spec("green", 4)
 			spread.Spread = true
-			second4 := w.submit(second, spread, 30*second, 0)
+			second4 := w.submitJob(second, spread, 30*second, 0)
 			last := spec("blue", 2)
-			w.submit(second, last, units.Second, 0, first, second4)
-			w.submit(60*second, spec("red", 1), units.Second, 0)
+			w.submitJob(second, last, units.Second, 0, first, second4)
+			w.submitJob(60*second, spec("red", 1), units.Second, 0)
 			w.Run(200 * second)
 			w.Check.Finish(w.now, true)
 			for _, b := range w.Check.Violations() {
@@ -126,7 +126,7 @@
 
 // TestForgottenHoweverOthersFare has polls answered by nobody: while troubles go on, that may
 // be an outage's; once all are over it is not, though every job fares alike.
-func TestForgottenHoweverOthersFare(t *testing.T) {
+func TestUnansweredPollsAfterFaultsAreViolations(t *testing.T) {
 	for _, c := range []struct {
 		outage float64
 		want   bool
@@ -139,7 +139,7 @@
 			}
 			return nil
 		}}})
-		w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 10*second, 0)
+		w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 10*second, 0)
 		w.Run(230 * second)
 		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Forgotten }); got != c.want {
 			t.Errorf("outage of %g s: forgotten %v, want %v", c.outage, got, c.want)
@@ -149,14 +149,14 @@
 
 // TestOneSeedOneHistory plays a scenario with faults of every kind twice: the
 // histories are equal to the byte, and differ from another seed's.
-func TestOneSeedOneHistory(t *testing.T) {
+func TestSameSeedSameHistory(t *testing.T) {
 	digest := func(seed uint64) string {
 		sc := deployment(3, 2)
 		sc.Cloud.SpotPerHour = 20
 		sc.Draw = scenario.Draw{FromS: 3, ToS: 100, GapS: 4}
 		w := New(sc, Options{Seed: seed})
 		for i := range 10 {
-			w.submit(units.Microseconds(i)*5*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
+			w.submitJob(units.Microseconds(i)*5*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
 				Image: "i", Estimate: 10 * second, Checkpoint: second}, 10*second, 0)
 		}
 		return w.RunScenario().Digest
--- a/internal/emulator/sim/calls.go
+++ b/internal/emulator/sim/calls.go
@@ -11,123 +11,123 @@
 )
 
 // takeState hands watches their answers.
-func (w *World) takeState() {
+func (w *World) deliverWatchResponses() {
 	for _, c := range w.State.Drain() {
-		if f := w.answers[c.ID]; f != nil {
-			delete(w.answers, c.ID)
+		if f := w.watchResponses[c.ID]; f != nil {
+			delete(w.watchResponses, c.ID)
 			f(c)
 		}
 	}
 }
 
 // takeCrowd carries out what users do.
-func (w *World) takeCrowd() {
-	for _, e := range w.Users.Drain() {
-		if call, ok := e.(user.Call); ok {
-			w.call(call, nil)
+func (w *World) handleUserEvents() {
+	for _, event := range w.Users.Drain() {
+		if call, ok := event.(user.Call); ok {
+			w.sendCall(call, nil)
 		} else {
-			user.Tell(w.Check, w.now, e)
-			if t, ok := e.(user.Told); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
-				w.cancelToldPastCut()
+			user.Tell(w.Check, w.now, event)
+			if t, ok := event.(user.Told); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
+				w.recordCancelPastCut()
 				if t.Status == jobs.Cancelled {
-					w.cancelTold(t.ID)
+					w.recordReportedCancel(t.ID)
 				}
 			}
-			if _, ok := e.(user.Looked); ok {
-				w.happened(scenario.CloseLook)
+			if _, ok := event.(user.Looked); ok {
+				w.recordEvent(scenario.CloseLook)
 			}
-			w.meter(e)
+			w.reportToMeter(event)
 		}
 	}
 }
 
 // call brings a user's call to a controller that the balancer chooses.
-func (w *World) call(e user.Call, tried []int) {
+func (w *World) sendCall(call user.Call, tried []int) {
 	failed := func() {
-		w.Users.Failed(w.now, e.Number)
-		w.takeCrowd()
+		w.Users.Failed(w.now, call.Number)
+		w.handleUserEvents()
 	}
-	if e.Node != "" {
-		w.callNode(e, failed)
+	if call.Node != "" {
+		w.callNode(call, failed)
 		return
 	}
-	i := w.front.Choose(w.now, tried)
+	i := w.balancer.Choose(w.now, tried)
 	if i < 0 {
-		w.after(millis, failed)
+		w.schedule(millis, failed)
 		return
 	}
 	n := w.Nodes[i]
-	connects := w.net.open("users", n.Name)
-	if n.life == 0 {
+	connects := w.net.connect("users", n.Name)
+	if n.incarnation == 0 {
 		connects = refused
 	}
-	if connects != carried {
+	if connects != delivered {
 		wait := millis
 		if connects == dropped {
 			wait = balance.AcceptWithin
 		}
-		w.after(wait, func() {
-			w.front.Failed(w.now, i)
-			w.call(e, append(tried, i))
+		w.schedule(wait, func() {
+			w.balancer.Failed(w.now, i)
+			w.sendCall(call, append(tried, i))
 		})
 		return
 	}
-	w.front.Opened(i)
-	w.serveCall(e, n, failed, func() { w.front.Closed(i) })
+	w.balancer.Opened(i)
+	w.serveCall(call, n, failed, func() { w.balancer.Closed(i) })
 }
 
 // callNode brings a user's call to one controller, past the balancer.
-func (w *World) callNode(e user.Call, failed func()) {
-	n := w.node(e.Node)
-	connects := w.net.open("users", n.Name)
-	if n.life == 0 || connects != carried {
-		w.after(millis, failed)
+func (w *World) callNode(call user.Call, failed func()) {
+	n := w.node(call.Node)
+	connects := w.net.connect("users", n.Name)
+	if n.incarnation == 0 || connects != delivered {
+		w.schedule(millis, failed)
 		return
 	}
-	w.serveCall(e, n, failed, func() {})
+	w.serveCall(call, n, failed, func() {})
 }
 
 // serveCall lets a controller answer a user's call; closed is told when the connection ends.
-func (w *World) serveCall(e user.Call, n *Node, failed, closed func()) {
-	w.net.request("users", n.Name, e.Wait+second, func(answer func(func())) {
+func (w *World) serveCall(call user.Call, n *Node, failed, closed func()) {
+	w.net.request("users", n.Name, call.Wait+second, func(answer func(func())) {
 		within := 4 * second
-		if e.Kind == user.Poll {
+		if call.Kind == user.Poll {
 			within = 1900 * millis
 		}
-		w.gotCall(n, e)
-		n.ask(func(req core.RequestID) {
-			if f := w.opt.Mutation.UserReply; f != nil {
-				if r := f(e); r != nil {
-					r.Request = req
-					n.effect(*r)
+		w.countCall(n, call)
+		n.request(func(req core.RequestID) {
+			if f := w.options.Mutation.UserReply; f != nil {
+				if reply := f(call); reply != nil {
+					reply.Request = req
+					n.execute(*reply)
 					return
 				}
 			}
-			switch e.Kind {
+			switch call.Kind {
 			case user.Submit:
-				spec, bad := e.Spec, ""
+				spec, bad := call.Spec, ""
 				if spec == nil {
 					bad = "cores: missing"
 				}
-				if f := w.opt.Mutation.JobSpec; f != nil && spec != nil {
+				if f := w.options.Mutation.JobSpec; f != nil && spec != nil {
 					wrong := *spec
 					f(&wrong)
 					spec = &wrong
 				}
-				n.core.Submit(n.local(), req, e.ID, spec, bad)
+				n.core.Submit(n.steadyClock(), req, call.ID, spec, bad)
 			case user.Poll:
-				n.core.Query(n.local(), req, e.ID)
+				n.core.Query(n.steadyClock(), req, call.ID)
 			case user.Cancel:
-				n.core.Cancel(n.local(), req, e.ID)
+				n.core.Cancel(n.steadyClock(), req, call.ID)
 			}
-		}, within, func(r core.Reply) {
-			a := user.Answer{Code: r.Code, RetryAfter: r.RetryAfter}
-			if b, ok := r.Body.(core.JobAnswer); ok {
+		}, within, func(reply core.Reply) {
+			a := user.Answer{Code: reply.Code, RetryAfter: reply.RetryAfter}
+			if b, ok := reply.Body.(core.JobAnswer); ok {
 				a.Status = b.Status
 			}
 			answer(func() {
-				w.Users.Answer(w.now, e.Number, a)
-				w.takeCrowd()
+				w.Users.Answer(w.now, call.Number, a)
+				w.handleUserEvents()
 			})
 		})
 	}, func(f func()) {
@@ -141,22 +141,22 @@
 }
 
 // takeFront carries out what the balancer does.
-func (w *World) takeFront() {
-	for _, e := range w.front.Drain() {
-		if p, ok := e.(balance.Probe); ok {
-			n := w.Nodes[p.Node]
+func (w *World) handleBalancerEvents() {
+	for _, event := range w.balancer.Drain() {
+		if probe, ok := event.(balance.Probe); ok {
+			n := w.Nodes[probe.Node]
 			w.net.request("users", n.Name, balance.ProbeWithin, func(answer func(func())) {
-				if n.life == 0 {
-					answer(func() { w.front.Probed(w.now, p.Node, false) })
+				if n.incarnation == 0 {
+					answer(func() { w.balancer.Probed(w.now, probe.Node, false) })
 					return
 				}
-				n.awake(func() {
-					ok := n.core.Ready(n.local())
-					answer(func() { w.front.Probed(w.now, p.Node, ok) })
+				n.whenRunning(func() {
+					ok := n.core.Ready(n.steadyClock())
+					answer(func() { w.balancer.Probed(w.now, probe.Node, ok) })
 				})
 			}, func(f func()) {
 				if f == nil {
-					w.front.Probed(w.now, p.Node, false)
+					w.balancer.Probed(w.now, probe.Node, false)
 				} else {
 					f()
 				}
--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -19,34 +19,34 @@
 
 // census counts.
 func (w *World) census() Census {
-	c := Census{At: w.now, Keys: map[string]int{}}
-	w.State.Each(func(it kv.Item) { c.Keys[store.Folder(it.Key)]++ })
+	census := Census{At: w.now, Keys: map[string]int{}}
+	w.State.Each(func(it kv.Item) { census.Keys[store.Folder(it.Key)]++ })
 	for _, n := range w.Nodes {
-		if n.life == 0 {
+		if n.incarnation == 0 {
 			continue
 		}
-		n.next++
-		n.asked[n.next] = func(r core.Reply) {
+		n.lastRequest++
+		n.pending[n.lastRequest] = func(r core.Reply) {
 			if s, ok := r.Body.(core.Stats); ok {
-				c.Nodes = append(c.Nodes, s)
+				census.Nodes = append(census.Nodes, s)
 			}
 		}
-		n.core.Stats(n.next)
-		n.carryOut()
+		n.core.Stats(n.lastRequest)
+		n.executeEffects()
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	c.HeapMB = float64(m.HeapInuse) / (1 << 20)
-	return c
+	census.HeapMB = float64(m.HeapInuse) / (1 << 20)
+	return census
 }
 
 // count takes a census again and again.
-func (w *World) count() {
-	if w.opt.OnCensus == nil || w.opt.CensusInterval <= 0 {
+func (w *World) scheduleCensus() {
+	if w.options.OnCensus == nil || w.options.CensusInterval <= 0 {
 		return
 	}
-	w.after(w.opt.CensusInterval, func() {
-		w.opt.OnCensus(w.census())
-		w.count()
+	w.schedule(w.options.CensusInterval, func() {
+		w.options.OnCensus(w.census())
+		w.scheduleCensus()
 	})
 }
--- a/internal/emulator/sim/cloudclient.go
+++ b/internal/emulator/sim/cloudclient.go
@@ -15,21 +15,21 @@
 )
 
 // cloudEffect executes an effect that is a request to the cloud provider, and reports whether it is one.
-func (n *Node) cloudEffect(life int, e core.Effect) bool {
-	w := n.w
-	switch e := e.(type) {
+func (n *Node) cloudEffect(incarnation int, effect core.Effect) bool {
+	w := n.world
+	switch effect := effect.(type) {
 	case core.FetchTypes:
-		n.fetchTypes(life)
+		n.fetchTypes(incarnation)
 	case core.ScaleOut:
-		n.scaleOut(life, e)
+		n.scaleOut(incarnation, effect)
 	case core.ScaleIn:
-		n.cloudCall(true, func() int { return w.Site.Cloud.ScaleIn(w.now, e.Names) }, func(o store.Outcome) {
-			n.back(life, func() { n.core.OnScaleIn(n.local(), e, o) })
+		n.cloudCall(true, func() int { return w.Site.Cloud.ScaleIn(w.now, effect.Names) }, func(o store.Outcome) {
+			n.deliver(incarnation, func() { n.core.OnScaleIn(n.steadyClock(), effect, o) })
 		})
 	case core.ListMachines:
-		n.hosts(life, e, "", nil)
+		n.listMachines(incarnation, effect, "", nil)
 	case core.CloudBudget:
-		n.setCloudBudget(e)
+		n.setCloudRate(effect)
 	default:
 		return false
 	}
@@ -39,30 +39,30 @@
 // cloudCall does one request of the cloud once the budget allows it, and for what
 // is decided only while the controller may decide.
 func (n *Node) cloudCall(guarded bool, apply func() int, done func(store.Outcome)) {
-	w, life := n.w, n.life
-	r := n.cloud.ReserveN(stamp(w.now), 1)
-	wait := units.Microseconds(r.DelayFrom(stamp(w.now)).Microseconds())
-	if wait > cloudWait {
-		r.CancelAt(stamp(w.now))
-		w.after(0, func() { done(store.Refused) })
+	w, incarnation := n.world, n.incarnation
+	r := n.cloudLimiter.ReserveN(limiterTime(w.now), 1)
+	wait := units.Microseconds(r.DelayFrom(limiterTime(w.now)).Microseconds())
+	if wait > cloudTimeout {
+		r.CancelAt(limiterTime(w.now))
+		w.schedule(0, func() { done(store.Refused) })
 		return
 	}
-	w.after(wait, func() {
-		if n.life != life {
+	w.schedule(wait, func() {
+		if n.incarnation != incarnation {
 			return
 		}
-		n.sent(func() {
-			if guarded && n.local() >= n.core.ValidUntil() {
+		n.transmit(func() {
+			if guarded && n.steadyClock() >= n.core.ValidUntil() {
 				done(store.Refused)
 				return
 			}
 			late := guarded && w.noise && w.chance(0.01)
-			w.net.request(n.Name, scenario.PartyCloud, cloudWait, func(answer func(func())) {
+			w.net.request(n.Name, scenario.PartyCloud, cloudTimeout, func(answer func(func())) {
 				run := func() {
 					code := apply()
 					w.Site.Advance(w.now)
-					w.takeSite()
-					w.after(units.Seconds(w.Scenario.Cloud.LatencyMS/1000), func() {
+					w.handleSiteEvents()
+					w.schedule(units.Seconds(w.Scenario.Cloud.LatencyMS/1000), func() {
 						answer(func() {
 							if code == http.StatusOK {
 								done(store.OK)
@@ -73,7 +73,7 @@
 					})
 				}
 				if late {
-					w.after(w.span(1, 60), run)
+					w.schedule(w.randomDuration(1, 60), run)
 				} else {
 					run()
 				}
@@ -89,8 +89,8 @@
 }
 
 // fetchTypes reads the price list of the cloud provider.
-func (n *Node) fetchTypes(life int) {
-	w := n.w
+func (n *Node) fetchTypes(incarnation int) {
+	w := n.world
 	var types []fleet.Type
 	n.cloudCall(false, func() int {
 		list, code := w.Site.Cloud.MachineTypes(w.now)
@@ -99,18 +99,18 @@
 				Boot: t.Boot, Zones: t.Zones, Price: t.Price, SpotPrice: t.SpotPrice})
 		}
 		return code
-	}, func(o store.Outcome) { n.back(life, func() { n.core.OnTypes(n.local(), o, types) }) })
+	}, func(o store.Outcome) { n.deliver(incarnation, func() { n.core.OnTypes(n.steadyClock(), o, types) }) })
 }
 
 // scaleOut creates machines.
-func (n *Node) scaleOut(life int, e core.ScaleOut) {
-	w := n.w
+func (n *Node) scaleOut(incarnation int, effect core.ScaleOut) {
+	w := n.world
 	var names []string
 	none := false
 	n.cloudCall(true, func() int {
-		p := e.Increase.Pool
+		p := effect.Increase.Pool
 		var code int
-		names, none, code = w.Site.Cloud.ScaleOut(w.now, e.Request, cloudprovider.Pool{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, e.Increase.Count)
+		names, none, code = w.Site.Cloud.ScaleOut(w.now, effect.Request, cloudprovider.Pool{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, effect.Increase.Count)
 		for _, name := range names {
 			if m := w.Site.Cloud.Machine(name); m != nil {
 				m.Addr = name
@@ -119,16 +119,16 @@
 		return code
 	}, func(o store.Outcome) {
 		if o == store.Refused && none {
-			w.happened(scenario.NoRoom)
+			w.recordEvent(scenario.NoRoom)
 			o = store.Failed
 		}
-		n.back(life, func() { n.core.OnScaleOut(n.local(), e, o, names) })
+		n.deliver(incarnation, func() { n.core.OnScaleOut(n.steadyClock(), effect, o, names) })
 	})
 }
 
 // hosts reads the machine list, page by page.
-func (n *Node) hosts(life int, e core.ListMachines, after string, got []core.ListedMachine) {
-	w := n.w
+func (n *Node) listMachines(incarnation int, effect core.ListMachines, after string, got []core.ListedMachine) {
+	w := n.world
 	var list []cloudprovider.Listed
 	var more bool
 	n.cloudCall(false, func() int {
@@ -137,7 +137,7 @@
 		return code
 	}, func(o store.Outcome) {
 		if o != store.OK {
-			n.back(life, func() { n.core.OnListMachines(n.local(), e, o, nil) })
+			n.deliver(incarnation, func() { n.core.OnListMachines(n.steadyClock(), effect, o, nil) })
 			return
 		}
 		for _, l := range list {
@@ -145,18 +145,18 @@
 				Record: fleet.Record{Type: l.Type, Zone: l.Zone, Spot: l.Spot}})
 		}
 		if more && len(list) > 0 {
-			if n.life == life {
-				n.hosts(life, e, list[len(list)-1].Name, got)
+			if n.incarnation == incarnation {
+				n.listMachines(incarnation, effect, list[len(list)-1].Name, got)
 			}
 			return
 		}
-		n.back(life, func() { n.core.OnListMachines(n.local(), e, store.OK, got) })
+		n.deliver(incarnation, func() { n.core.OnListMachines(n.steadyClock(), effect, store.OK, got) })
 	})
 }
 
 // setCloudBudget takes the part of the provider's rate that this controller may use.
-func (n *Node) setCloudBudget(e core.CloudBudget) {
-	w := n.w
-	n.cloud.SetLimitAt(stamp(w.now), rate.Limit(w.Scenario.Cloud.RPS*cloudMargin*e.Fraction))
-	n.cloud.SetBurstAt(stamp(w.now), max(1, int(w.Scenario.Cloud.RPS*e.Fraction)))
+func (n *Node) setCloudRate(e core.CloudBudget) {
+	w := n.world
+	n.cloudLimiter.SetLimitAt(limiterTime(w.now), rate.Limit(w.Scenario.Cloud.RPS*cloudRateFraction*e.Fraction))
+	n.cloudLimiter.SetBurstAt(limiterTime(w.now), max(1, int(w.Scenario.Cloud.RPS*e.Fraction)))
 }
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -15,82 +15,82 @@
 
 // combinations notes which faults come about together, for scenario.CountedEvents. It draws
 // nothing and changes nothing of a play.
-type combinations struct {
-	allDown  units.Microseconds            // since when no controller has run; 0: one runs
-	endedAt  map[string]units.Microseconds // when each controller last ended
-	holders  map[int]blockHolders          // who was granted each block
-	granted  map[string]bool               // controllers that were ever granted a block
-	changes  int                           // of the holder of any block
-	fewTasks map[string]fewTasks           // jobs of two or three tasks of which some have ended
-	refused  map[string]refusal            // controllers that the state service refuses alone
-	cancels  int                           // cancellations told
-	stored   map[string]int                // transactions of each controller that were stored
-	newest   map[string]messageNumber      // last report of each machine that has arrived anywhere
-	heardAt  map[string]units.Microseconds // when a report last arrived at each controller
+type faultCombinations struct {
+	allDownSince    units.Microseconds            // since when no controller has run; 0: one runs
+	exitedAt        map[string]units.Microseconds // when each controller last ended
+	owners          map[int]shardOwners           // who was granted each block
+	everOwners      map[string]bool               // controllers that were ever granted a block
+	ownerChanges    int                           // of the holder of any block
+	smallJobs       map[string]smallJob           // jobs of two or three tasks of which some have ended
+	refusals        map[string]refusal            // controllers that the state service refuses alone
+	reportedCancels int                           // cancellations told
+	storedTxns      map[string]int                // transactions of each controller that were stored
+	newestHeartbeat map[string]heartbeatNumber    // last report of each machine that has arrived anywhere
+	lastHeartbeatAt map[string]units.Microseconds // when a report last arrived at each controller
 }
 
 // blockHolders are the controllers that were granted a block, and the last of them.
-type blockHolders struct {
+type shardOwners struct {
 	seen map[string]bool
 	last string
 }
 
 // fewTasks is a job of two or three tasks: which of them have ended, and the count of
 // changes of holders at the first end.
-type fewTasks struct {
-	ended   uint8
-	changes int
+type smallJob struct {
+	completedMask uint8
+	ownerChanges  int
 }
 
 // refusal is a controller that holds or leads and is refused.
 type refusal struct {
-	until   units.Microseconds
-	cancels int // told before
+	until           units.Microseconds
+	reportedCancels int // told before
 }
 
 // messageNumber orders a machine's messages.
-type messageNumber struct{ session, seq uint64 }
+type heartbeatNumber struct{ incarnation, seq uint64 }
 
 const (
 	// heldFor is how long an answer or a command is under way at least that was held up.
-	heldFor = second
+	heldThreshold = second
 	// atOnce is how soon a controller is back at most that returns at once.
-	atOnce = second
+	quickReturnWindow = second
 	// reachedLately is how long ago a report reached a controller at most that workers reach.
-	reachedLately = 4 * second
+	recentHeartbeatWindow = 4 * second
 )
 
-func newCombinations() combinations {
-	return combinations{endedAt: map[string]units.Microseconds{}, holders: map[int]blockHolders{}, granted: map[string]bool{},
-		fewTasks: map[string]fewTasks{}, refused: map[string]refusal{}, stored: map[string]int{},
-		newest: map[string]messageNumber{}, heardAt: map[string]units.Microseconds{}}
+func newFaultCombinations() faultCombinations {
+	return faultCombinations{exitedAt: map[string]units.Microseconds{}, owners: map[int]shardOwners{}, everOwners: map[string]bool{},
+		smallJobs: map[string]smallJob{}, refusals: map[string]refusal{}, storedTxns: map[string]int{},
+		newestHeartbeat: map[string]heartbeatNumber{}, lastHeartbeatAt: map[string]units.Microseconds{}}
 }
 
 // nodeEnds notes that a controller's process is about to end.
-func (w *World) nodeEnds(n *Node) {
-	c := &w.combined
-	c.endedAt[n.Name] = w.now
-	if n.core.Owns(n.local(), 0) && w.anyOutOfReach(n) {
-		w.happened(scenario.HolderEndedUnheard)
+func (w *World) recordNodeExit(n *Node) {
+	combinations := &w.combinations
+	combinations.exitedAt[n.Name] = w.now
+	if n.core.Owns(n.steadyClock(), 0) && w.anyWorkerUnreachable(n) {
+		w.recordEvent(scenario.HolderEndedUnheard)
 	}
-	for _, o := range w.Nodes {
-		if o != n && o.life != 0 {
+	for _, other := range w.Nodes {
+		if other != n && other.incarnation != 0 {
 			return
 		}
 	}
-	c.allDown = w.now
-	w.happened(scenario.AllEnded)
+	combinations.allDownSince = w.now
+	w.recordEvent(scenario.AllEnded)
 }
 
 // anyOutOfReach reports whether tasks run on a machine that hangs, hears nothing, or is cut
 // off from a controller.
-func (w *World) anyOutOfReach(n *Node) bool {
+func (w *World) anyWorkerUnreachable(n *Node) bool {
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil || k.Running() == 0 {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil || worker.Running() == 0 {
 			continue
 		}
-		if k.Hung(w.now) || k.InboundCut(w.now) || w.net.open(scenario.ZoneParty(m.Zone), n.Name) != carried {
+		if worker.Hung(w.now) || worker.InboundCut(w.now) || w.net.connect(scenario.ZoneParty(m.Zone), n.Name) != delivered {
 			return true
 		}
 	}
@@ -98,111 +98,111 @@
 }
 
 // nodeStarts notes that a controller's process begins again.
-func (w *World) nodeStarts(n *Node) {
-	c := &w.combined
-	if n.lives == 0 {
+func (w *World) recordNodeStart(n *Node) {
+	combinations := &w.combinations
+	if n.lastIncarnation == 0 {
 		return
 	}
-	if w.now-c.endedAt[n.Name] <= atOnce {
-		w.happened(scenario.ReturnedAtOnce)
+	if w.now-combinations.exitedAt[n.Name] <= quickReturnWindow {
+		w.recordEvent(scenario.ReturnedAtOnce)
 	}
-	if c.allDown != 0 && w.now-c.allDown > units.Seconds(w.Scenario.Workers.LeaseS) {
-		w.happened(scenario.AllAway)
+	if combinations.allDownSince != 0 && w.now-combinations.allDownSince > units.Seconds(w.Scenario.Workers.LeaseS) {
+		w.recordEvent(scenario.AllAway)
 	}
-	c.allDown = 0
+	combinations.allDownSince = 0
 }
 
 // blockStored notes who holds a block from now on.
-func (w *World) blockStored(ch kv.Change) {
-	c := &w.combined
-	number, err := strconv.Atoi(strings.TrimPrefix(ch.Key, "shalestage/block/"))
-	if err != nil || ch.Value == nil {
+func (w *World) recordAssignment(change kv.Change) {
+	combinations := &w.combinations
+	number, err := strconv.Atoi(strings.TrimPrefix(change.Key, "shalestage/block/"))
+	if err != nil || change.Value == nil {
 		return
 	}
-	b, err := authority.DecodeAssignment(ch.Value)
-	if err != nil || b.Node == "" {
+	assignment, err := authority.DecodeAssignment(change.Value)
+	if err != nil || assignment.Node == "" {
 		return
 	}
-	c.granted[b.Node] = true
-	c.changes++
-	before := c.holders[number]
-	if before.seen == nil {
-		before.seen = map[string]bool{}
+	combinations.everOwners[assignment.Node] = true
+	combinations.ownerChanges++
+	owners := combinations.owners[number]
+	if owners.seen == nil {
+		owners.seen = map[string]bool{}
 	}
-	if before.seen[b.Node] && before.last != b.Node {
-		w.happened(scenario.HandedBack)
+	if owners.seen[assignment.Node] && owners.last != assignment.Node {
+		w.recordEvent(scenario.HandedBack)
 	}
-	before.seen[b.Node], before.last = true, b.Node
-	c.holders[number] = before
+	owners.seen[assignment.Node], owners.last = true, assignment.Node
+	combinations.owners[number] = owners
 }
 
 // taskEnded notes that a task is no longer on its machine.
-func (w *World) taskEnded(e site.Ended) {
-	c := &w.combined
-	j := w.Site.Book[e.Task.Job]
-	if j == nil {
+func (w *World) recordTaskEnd(end site.Ended) {
+	combinations := &w.combinations
+	job := w.Site.Book[end.Task.Job]
+	if job == nil {
 		return
 	}
-	bound := j.Spec.OneZone || j.Spec.Zone != "" || j.Spec.Spread
-	if !e.Completed && bound && (e.Machine.DiedAt != 0 || e.Machine.DeletedAt != 0) {
-		w.happened(scenario.BoundTaskLost)
+	bound := job.Spec.OneZone || job.Spec.Zone != "" || job.Spec.Spread
+	if !end.Completed && bound && (end.Machine.DiedAt != 0 || end.Machine.DeletedAt != 0) {
+		w.recordEvent(scenario.BoundTaskLost)
 	}
-	if n := j.Spec.Tasks; !e.Completed || j.Spec.Service || n < 2 || n > 3 {
+	if n := job.Spec.Tasks; !end.Completed || job.Spec.Service || n < 2 || n > 3 {
 		return
 	}
-	f, known := c.fewTasks[e.Task.Job]
+	small, known := combinations.smallJobs[end.Task.Job]
 	if !known {
-		f.changes = c.changes
+		small.ownerChanges = combinations.ownerChanges
 	}
-	bit := uint8(1) << e.Task.Task
-	if known && f.ended&bit == 0 && c.changes > f.changes {
-		w.happened(scenario.EndAfterChange)
+	bit := uint8(1) << end.Task.Task
+	if known && small.completedMask&bit == 0 && combinations.ownerChanges > small.ownerChanges {
+		w.recordEvent(scenario.EndAfterChange)
 	}
-	f.ended |= bit
-	c.fewTasks[e.Task.Job] = f
+	small.completedMask |= bit
+	combinations.smallJobs[end.Task.Job] = small
 }
 
 // faultComes notes a fault that is about to come.
-func (w *World) faultComes(f scenario.Fault) {
-	c := &w.combined
-	switch f.Kind {
+func (w *World) recordFault(fault scenario.Fault) {
+	combinations := &w.combinations
+	switch fault.Kind {
 	case scenario.StateRefuse:
-		for _, n := range w.nodesRefused(f) {
-			c.refused[n.Name] = refusal{w.now + units.Seconds(f.ForS), c.cancels}
+		for _, n := range w.refusedOwnersAndLeaders(fault) {
+			combinations.refusals[n.Name] = refusal{w.now + units.Seconds(fault.ForS), combinations.reportedCancels}
 		}
 	case scenario.StateOutage:
-		for _, r := range c.refused {
-			if w.now <= r.until && c.cancels > r.cancels && f.ForS > w.Scenario.Workers.CancelS {
-				w.happened(scenario.OutageAfterRefusal)
+		for _, r := range combinations.refusals {
+			if w.now <= r.until && combinations.reportedCancels > r.reportedCancels && fault.ForS > w.Scenario.Workers.CancelS {
+				w.recordEvent(scenario.OutageAfterRefusal)
 				return
 			}
 		}
 	case scenario.ZoneLost, scenario.ZoneApart:
-		if f.ForS > w.Scenario.Workers.LeaseS && w.zoneWorks(f.Zone) {
-			w.happened(scenario.ZoneCutOff)
+		if fault.ForS > w.Scenario.Workers.LeaseS && w.zoneIsActive(fault.Zone) {
+			w.recordEvent(scenario.ZoneCutOff)
 		}
 	}
 }
 
 // nodesRefused are the controllers that hold or lead, of those that a refusal means by name.
-func (w *World) nodesRefused(f scenario.Fault) []*Node {
-	if f.Node == "holder" || f.Node == "leader" {
-		return w.nodesOf(f.Node)
+func (w *World) refusedOwnersAndLeaders(fault scenario.Fault) []*Node {
+	if fault.Node == "holder" || fault.Node == "leader" {
+		return w.nodesOf(fault.Node)
 	}
 	return nil
 }
 
 // zoneWorks reports whether a zone has a controller that runs and a machine with tasks.
-func (w *World) zoneWorks(zone string) bool {
+func (w *World) zoneIsActive(zone string) bool {
 	runs := false
 	for _, n := range w.Nodes {
-		runs = runs || n.zone == zone && n.life != 0
+		runs = runs || n.zone == zone && n.incarnation != 0
 	}
 	if !runs {
 		return false
 	}
 	for _, m := range w.Site.Cloud.Alive() {
-		if k := w.Site.Worker(m.Name); m.Zone == zone && k != nil && k.Running() > 0 {
+		if worker := w.Site.Worker(m.Name); m.Zone == zone && worker != nil && worker.Running() > 0 {
 			return true
 		}
 	}
@@ -211,12 +211,12 @@
 
 // cancelToldPastCut counts a cancellation that was told, also where a holder can neither know of it
 // nor be told.
-func (w *World) cancelToldPastCut() {
-	w.combined.cancels++
-	w.happened(scenario.CancelTold)
+func (w *World) recordCancelPastCut() {
+	w.combinations.reportedCancels++
+	w.recordEvent(scenario.CancelTold)
 	for _, n := range w.Nodes {
-		if w.isolatedHolder(n) {
-			w.happened(scenario.CancelPastCut)
+		if w.isolatedOwner(n) {
+			w.recordEvent(scenario.CancelPastCut)
 			return
 		}
 	}
@@ -224,14 +224,14 @@
 
 // isolatedHolder reports whether a controller that was granted a block reaches neither the
 // state service nor another controller, while workers and users reach it.
-func (w *World) isolatedHolder(n *Node) bool {
-	c := &w.combined
-	if n.life == 0 || !c.granted[n.Name] || w.net.open(n.Name, scenario.PartyState) == carried ||
-		w.net.open("users", n.Name) != carried || w.now-c.heardAt[n.Name] > reachedLately {
+func (w *World) isolatedOwner(n *Node) bool {
+	combinations := &w.combinations
+	if n.incarnation == 0 || !combinations.everOwners[n.Name] || w.net.connect(n.Name, scenario.PartyState) == delivered ||
+		w.net.connect("users", n.Name) != delivered || w.now-combinations.lastHeartbeatAt[n.Name] > recentHeartbeatWindow {
 		return false
 	}
-	for _, o := range w.Nodes {
-		if o != n && w.net.open(n.Name, o.Name) == carried {
+	for _, other := range w.Nodes {
+		if other != n && w.net.connect(n.Name, other.Name) == delivered {
 			return false
 		}
 	}
@@ -239,38 +239,38 @@
 }
 
 // reportArrives notes a report that arrives at a controller.
-func (w *World) reportArrives(n *Node, r *fleet.Heartbeat) {
-	c := &w.combined
-	c.heardAt[n.Name] = w.now
-	last, now := c.newest[r.Machine], messageNumber{r.Incarnation, r.Seq}
-	if now.session < last.session {
-		w.happened(scenario.OldSessionReport)
+func (w *World) recordHeartbeat(n *Node, heartbeat *fleet.Heartbeat) {
+	combinations := &w.combinations
+	combinations.lastHeartbeatAt[n.Name] = w.now
+	last, now := combinations.newestHeartbeat[heartbeat.Machine], heartbeatNumber{heartbeat.Incarnation, heartbeat.Seq}
+	if now.incarnation < last.incarnation {
+		w.recordEvent(scenario.OldSessionReport)
 	}
-	if now.session < last.session || now.session == last.session && now.seq < last.seq {
-		w.happened(scenario.OldReport)
+	if now.incarnation < last.incarnation || now.incarnation == last.incarnation && now.seq < last.seq {
+		w.recordEvent(scenario.OldReport)
 		return
 	}
-	c.newest[r.Machine] = now
+	combinations.newestHeartbeat[heartbeat.Machine] = now
 }
 
 // answerArrives notes an answer with commands that reaches its machine, by when it was sent.
-func (w *World) answerArrives(sent units.Microseconds, r core.Reply) {
-	if o, ok := r.Body.(core.HeartbeatResponse); ok && len(o.Commands) > 0 && w.now-sent >= heldFor {
-		w.happened(scenario.HeldAnswer)
+func (w *World) recordHeldResponse(sent units.Microseconds, reply core.Reply) {
+	if response, ok := reply.Body.(core.HeartbeatResponse); ok && len(response.Commands) > 0 && w.now-sent >= heldThreshold {
+		w.recordEvent(scenario.HeldAnswer)
 	}
 }
 
 // requestArrives notes a direct request that reaches its machine, by when it was sent.
-func (w *World) requestArrives(sent units.Microseconds) {
-	if w.now-sent >= heldFor {
-		w.happened(scenario.HeldRequest)
+func (w *World) recordHeldRequest(sent units.Microseconds) {
+	if w.now-sent >= heldThreshold {
+		w.recordEvent(scenario.HeldRequest)
 	}
 }
 
 // lateWrite notes a transaction that is carried out late, by how many of its controller had
 // been stored when it was sent.
-func (w *World) lateWrite(n *Node, before int) {
-	if w.combined.stored[n.Name] > before {
-		w.happened(scenario.LateWrite)
+func (w *World) recordLateWrite(n *Node, before int) {
+	if w.combinations.storedTxns[n.Name] > before {
+		w.recordEvent(scenario.LateWrite)
 	}
 }
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -18,27 +18,27 @@
 )
 
 // loaded returns a world in which a team has more tasks than fit its limit of 40 CPUs.
-func loaded(seed uint64, nodes, blockMachines int, opt Options) *World {
+func limitedTeamWorld(seed uint64, nodes, blockMachines int, opt Options) *World {
 	opt.Seed = seed
 	w := New(deployment(nodes, blockMachines), opt)
 	for i := range 4 {
-		w.submit(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 30, Demand: binpack.Vec{1000, 0, 2000},
+		w.submitJob(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 30, Demand: binpack.Vec{1000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 10 * second}, 12*second, 0)
 	}
 	return w
 }
 
 // use is what blue's tasks use on machines.
-func (w *World) use() int { return w.Site.Running() }
+func (w *World) runningTasks() int { return w.Site.Running() }
 
-func (w *World) set(team string, cpus float64) *ConfigChange {
+func (w *World) setLimit(team string, cpus float64) *ConfigChange {
 	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: team, CPUsMax: cpus})
 	w.Run(w.now + second/100)
 	return w.ConfigChanges[len(w.ConfigChanges)-1]
 }
 
 // kept fails the test if a rule is broken.
-func (w *World) kept(t *testing.T, what string) {
+func (w *World) checkNoViolations(t *testing.T, what string) {
 	t.Helper()
 	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("%s: %v", what, b)
@@ -47,40 +47,40 @@
 
 // TestLimitThatFalls lowers a limit below what runs, and raises it again: nothing new starts
 // above it once that is confirmed, what runs goes on, and a limit that rose is used at once.
-func TestLimitThatFalls(t *testing.T) {
+func TestLoweredTeamLimit(t *testing.T) {
 	for seed := range uint64(4) {
-		w := loaded(seed+1, 3, 0, Options{})
+		w := limitedTeamWorld(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
-		before, done := w.use(), w.starts
-		x := w.set("blue", 10)
+		before, done := w.runningTasks(), w.starts
+		x := w.setLimit("blue", 10)
 		w.Run(w.now + 3*second)
 		if x.ConfirmedAt == 0 || x.ConfirmedAt-x.RequestedAt > second || before < 20 {
 			t.Fatalf("seed %d: %d tasks ran; %+v", seed, before, x)
 		}
-		if w.use() <= 10 || w.starts > done+15 {
-			t.Errorf("seed %d: %d of %d tasks go on, %d have begun since", seed, w.use(), before, w.starts-done)
+		if w.runningTasks() <= 10 || w.starts > done+15 {
+			t.Errorf("seed %d: %d of %d tasks go on, %d have begun since", seed, w.runningTasks(), before, w.starts-done)
 		}
 		w.Run(w.now + 20*second)
-		if n := w.use(); n > 10 || n < 5 {
+		if n := w.runningTasks(); n > 10 || n < 5 {
 			t.Errorf("seed %d: %d tasks run under a limit of 10", seed, n)
 		}
-		w.set("blue", 30)
+		w.setLimit("blue", 30)
 		w.Run(w.now + 12*second)
-		if n := w.use(); n <= 10 {
+		if n := w.runningTasks(); n <= 10 {
 			t.Errorf("seed %d: %d tasks run once the limit is 30", seed, n)
 		}
 		w.Run(300 * second)
 		w.Check.Finish(w.now, true)
-		w.kept(t, fmt.Sprint("seed ", seed))
+		w.checkNoViolations(t, fmt.Sprint("seed ", seed))
 	}
 }
 
 // TestHolderThatCannotRead lowers a limit while the holder is cut off from the state service,
 // which serves the others: the holder hears of it from them, starts nothing until it can read,
 // and the change is not confirmed before.
-func TestHolderThatCannotRead(t *testing.T) {
+func TestConfigChangeWithOwnerRefusedByStateService(t *testing.T) {
 	for seed := range uint64(3) {
-		w := loaded(seed+1, 3, 0, Options{})
+		w := limitedTeamWorld(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
 		n := w.ShardOwner(0)
 		w.State.Refuse(n.Name, w.now+15*second)
@@ -98,16 +98,16 @@
 		}
 		w.Run(300 * second)
 		w.Check.Finish(w.now, true)
-		w.kept(t, fmt.Sprint("seed ", seed))
+		w.checkNoViolations(t, fmt.Sprint("seed ", seed))
 	}
 }
 
 // TestSilentHolder lowers a limit while the holder reaches neither the others nor the state
 // service, and still its machines: the change is confirmed once the holder's authority has
 // surely ended, and no controller starts anything above it.
-func TestSilentHolder(t *testing.T) {
+func TestConfigChangeWithIsolatedOwner(t *testing.T) {
 	for seed := range uint64(3) {
-		w := loaded(seed+1, 3, 0, Options{})
+		w := limitedTeamWorld(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
 		n := w.ShardOwner(0).Name
 		for _, party := range []string{scenario.PartyPeers, scenario.PartyState} {
@@ -120,30 +120,30 @@
 			t.Fatalf("seed %d: %+v", seed, x)
 		}
 		w.Run(w.now + 20*second)
-		if x.ConfirmedAt == 0 || w.node(n).life == 0 {
+		if x.ConfirmedAt == 0 || w.node(n).incarnation == 0 {
 			t.Errorf("seed %d: %+v", seed, x)
 		}
 		w.Run(300 * second)
 		w.Check.Finish(w.now, true)
-		w.kept(t, fmt.Sprint("seed ", seed))
+		w.checkNoViolations(t, fmt.Sprint("seed ", seed))
 	}
 }
 
 // TestRemovedTeamGoesOn removes a team: its known jobs end, and it is given no new ones.
-func TestRemovedTeamGoesOn(t *testing.T) {
-	w := loaded(1, 3, 0, Options{})
+func TestRemovedTeamFinishesKnownJobs(t *testing.T) {
+	w := limitedTeamWorld(1, 3, 0, Options{})
 	w.Run(20 * second)
 	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
 	w.Run(22 * second)
 	known := len(w.Users.Jobs())
-	late := w.submit(23*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	late := w.submitJob(23*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(30 * second)
 	for _, n := range w.Nodes {
 		n.Crash() // all that a new process knows is stored
 	}
 	w.Run(300 * second)
 	w.Check.Finish(w.now, true)
-	w.kept(t, "removed")
+	w.checkNoViolations(t, "removed")
 	if x := w.ConfigChanges[0]; x.ConfirmedAt == 0 || !late.GaveUp {
 		t.Errorf("%+v; the later job was not refused: %+v", x, late)
 	}
@@ -155,7 +155,7 @@
 }
 
 // TestWrongConfigurationsAreCaught breaks the controllers, and expects the checker to notice.
-func TestWrongConfigurationsAreCaught(t *testing.T) {
+func TestCheckerDetectsStaleConfiguration(t *testing.T) {
 	// A controller says that it goes by a version which it does not go by yet.
 	lies := func(m any) any {
 		if s, ok := m.(core.PeerStatus); ok {
@@ -178,7 +178,7 @@
 	}
 	caught := 0
 	for seed := range uint64(6) {
-		w := loaded(seed+1, 3, 0, Options{Mutation: Mutation{PeerMessage: deaf}})
+		w := limitedTeamWorld(seed+1, 3, 0, Options{Mutation: Mutation{PeerMessage: deaf}})
 		w.Run(units.Microseconds(40+seed) * second / 2) // tasks end, and others start
 		n := w.ShardOwner(0)
 		w.State.Refuse(n.Name, w.now+60*second)
@@ -191,7 +191,7 @@
 	if caught == 0 {
 		t.Error("tasks started above a limit that was confirmed, and nobody noticed")
 	}
-	w := loaded(1, 3, 0, Options{Mutation: Mutation{UserReply: func(e user.Call) *core.Reply {
+	w := limitedTeamWorld(1, 3, 0, Options{Mutation: Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind == user.Submit && e.Spec.Class == "late" {
 			return &core.Reply{Code: http.StatusCreated, Body: core.JobAnswer{ID: e.ID, Status: jobs.Pending}}
 		}
@@ -199,7 +199,7 @@
 	}}})
 	w.Run(20 * second)
 	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", Remove: true})
-	w.submit(30*second, &jobs.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	w.submitJob(30*second, &jobs.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(40 * second)
 	if !slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Outdated }) {
 		t.Errorf("a job of a removed team is accepted, and nobody noticed: %v", w.Check.Violations())
@@ -207,8 +207,8 @@
 }
 
 // TestNothingIsStoredWithoutAChange plays a calm time: no key of the configuration is written.
-func TestNothingIsStoredWithoutAChange(t *testing.T) {
-	w := loaded(1, 3, 0, Options{})
+func TestNoConfigStoredWithoutChange(t *testing.T) {
+	w := limitedTeamWorld(1, 3, 0, Options{})
 	w.Run(60 * second)
 	w.State.Each(func(it kv.Item) {
 		if len(it.Key) > 18 && it.Key[:18] == "shalestage/config/" {
@@ -230,7 +230,7 @@
 // TestChangesAtRate has operators change a limit among 340 teams 50 times a second for 10 s,
 // and as often as in a day of 10,000: how long until a change is stored and confirmed. The
 // queue and what is written stay bounded.
-func TestChangesAtRate(t *testing.T) {
+func TestConfigChangeRate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value float64
@@ -265,6 +265,6 @@
 		if last > uint64(float64(c.count)*c.every*4*3)+uint64(c.count)/4 {
 			t.Errorf("%s: %d versions", c.name, last)
 		}
-		w.kept(t, c.name)
+		w.checkNoViolations(t, c.name)
 	}
 }
--- a/internal/emulator/sim/effects.go
+++ b/internal/emulator/sim/effects.go
@@ -10,55 +10,55 @@
 )
 
 // effect executes an effect of the core.
-func (n *Node) effect(e core.Effect) {
-	life := n.life // before sending, which may let faults begin that end the process
-	n.w.sending(e)
-	n.countEffect(e)
-	switch e := e.(type) {
+func (n *Node) execute(effect core.Effect) {
+	incarnation := n.incarnation // before sending, which may let faults begin that end the process
+	n.world.recordEffect(effect)
+	n.countEffect(effect)
+	switch effect := effect.(type) {
 	case core.Reply:
-		n.reply(e)
+		n.reply(effect)
 	case core.SendPeer:
-		n.sendPeer(e)
+		n.sendPeer(effect)
 	case core.Probe:
-		n.contact(life, e)
+		n.probe(incarnation, effect)
 	default:
-		if !n.stateEffect(life, e) && !n.cloudEffect(life, e) {
-			panic(fmt.Sprintf("effect %T", e))
+		if !n.stateEffect(incarnation, effect) && !n.cloudEffect(incarnation, effect) {
+			panic(fmt.Sprintf("effect %T", effect))
 		}
 	}
 }
 
 // reply brings an answer to whoever asked, if it still waits.
-func (n *Node) reply(e core.Reply) {
-	w := n.w
-	if o, ok := e.Body.(core.HeartbeatResponse); ok && w.opt.Mutation.Commands != nil {
-		w.opt.Mutation.Commands(n.Name, &o)
-		e.Body = o
+func (n *Node) reply(reply core.Reply) {
+	w := n.world
+	if o, ok := reply.Body.(core.HeartbeatResponse); ok && w.options.Mutation.Commands != nil {
+		w.options.Mutation.Commands(n.Name, &o)
+		reply.Body = o
 	}
-	w.ordered(e)
-	if f := n.asked[e.Request]; f != nil {
-		delete(n.asked, e.Request)
-		n.sent(func() { f(e) })
+	w.reportOrderedStarts(reply)
+	if f := n.pending[reply.Request]; f != nil {
+		delete(n.pending, reply.Request)
+		n.transmit(func() { f(reply) })
 	}
 }
 
 // sendPeer sends a message to another controller.
-func (n *Node) sendPeer(e core.SendPeer) {
-	w := n.w
-	if p := w.opt.Mutation.DeliverPeer; p != nil && !p(e.Message) {
+func (n *Node) sendPeer(send core.SendPeer) {
+	w := n.world
+	if allow := w.options.Mutation.DeliverPeer; allow != nil && !allow(send.Message) {
 		return
 	}
-	if t := w.opt.Mutation.PeerMessage; t != nil {
-		e.Message = t(e.Message)
+	if replace := w.options.Mutation.PeerMessage; replace != nil {
+		send.Message = replace(send.Message)
 	}
-	n.sent(func() {
-		o := w.node(e.Node)
-		w.net.send(n.Name, o.Name, func() {
-			if o.life != 0 {
-				o.awake(func() {
-					w.opt.Traffic.Start(w.now, o.Name, "do peer")
-					o.core.OnPeer(o.local(), n.Name, e.Message)
-					o.carryOut()
+	n.transmit(func() {
+		peer := w.node(send.Node)
+		w.net.send(n.Name, peer.Name, func() {
+			if peer.incarnation != 0 {
+				peer.whenRunning(func() {
+					w.options.Traffic.Start(w.now, peer.Name, "do peer")
+					peer.core.OnPeer(peer.steadyClock(), n.Name, send.Message)
+					peer.executeEffects()
 				})
 			}
 		})
@@ -66,30 +66,30 @@
 }
 
 // contact shows a token to a worker.
-func (n *Node) contact(life int, e core.Probe) {
-	w := n.w
+func (n *Node) probe(incarnation int, probe core.Probe) {
+	w := n.world
 	zone := ""
-	if m := w.Site.Cloud.Machine(e.Machine); m != nil {
+	if m := w.Site.Cloud.Machine(probe.Machine); m != nil {
 		zone = scenario.ZoneParty(m.Zone)
 	}
 	done := func(o store.Outcome, r *fleet.Heartbeat) {
-		n.back(life, func() { n.core.OnProbe(n.local(), e, o, r) })
+		n.deliver(incarnation, func() { n.core.OnProbe(n.steadyClock(), probe, o, r) })
 	}
-	n.sent(func() {
-		if n.local() >= n.core.ValidUntil() {
+	n.transmit(func() {
+		if n.steadyClock() >= n.core.ValidUntil() {
 			done(store.Refused, nil)
 			return
 		}
 		sent := w.now
 		w.net.request(n.Name, zone, second, func(answer func(func())) {
-			w.requestArrives(sent)
-			r, _, taken, found := w.Site.Direct(w.now, e.Machine, e.FencingToken, e.Incarnation, nil)
-			w.takeSite()
+			w.recordHeldRequest(sent)
+			r, _, taken, found := w.Site.Direct(w.now, probe.Machine, probe.FencingToken, probe.Incarnation, nil)
+			w.handleSiteEvents()
 			if !found || w.noise && w.chance(0.02) {
 				return
 			}
-			if k := w.Site.Worker(e.Machine); k != nil && k.OutboundCut(w.now) {
-				w.happened(scenario.MuteReached)
+			if k := w.Site.Worker(probe.Machine); k != nil && k.OutboundCut(w.now) {
+				w.recordEvent(scenario.MuteReached)
 			}
 			o := store.Failed
 			if taken {
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -11,52 +11,52 @@
 )
 
 // happened counts an event, and tells whoever draws faults by their events of it.
-func (w *World) happened(event string) {
+func (w *World) recordEvent(event string) {
 	w.eventCounts[event]++
-	if w.opt.OnEvent != nil {
-		w.opt.OnEvent(w.now, event)
+	if w.options.OnEvent != nil {
+		w.options.OnEvent(w.now, event)
 	}
 }
 
 // sending notes what a controller is about to send.
-func (w *World) sending(e core.Effect) {
-	switch e := e.(type) {
+func (w *World) recordEffect(effect core.Effect) {
+	switch effect := effect.(type) {
 	case core.Reply:
-		if o, ok := e.Body.(core.HeartbeatResponse); ok {
+		if o, ok := effect.Body.(core.HeartbeatResponse); ok {
 			for _, c := range o.Commands {
 				if c.Op == fleet.Start {
-					w.happened(scenario.StartSent)
+					w.recordEvent(scenario.StartSent)
 					return
 				}
 			}
 		}
 	case core.SendPeer:
-		if _, ok := e.Message.(core.SnapshotMessage); ok {
-			w.happened(scenario.PictureSent)
+		if _, ok := effect.Message.(core.SnapshotMessage); ok {
+			w.recordEvent(scenario.PictureSent)
 		}
 	case core.List:
-		w.happened(scenario.ListingSent)
+		w.recordEvent(scenario.ListingSent)
 	case core.Probe:
-		w.happened(scenario.TokenShown)
+		w.recordEvent(scenario.TokenShown)
 	}
 }
 
 // stored notes what a transaction has stored.
-func (w *World) stored(t kv.Txn) {
-	for _, c := range t.Changes {
+func (w *World) recordCommit(txn kv.Txn) {
+	for _, c := range txn.Changes {
 		switch {
 		case strings.HasPrefix(c.Key, "shalestage/block/"):
-			w.happened(scenario.GrantStored)
-			w.users.granted = w.now
-			w.granted(c.Value)
-			w.blockStored(c)
+			w.recordEvent(scenario.GrantStored)
+			w.userFaults.lastAssignmentAt = w.now
+			w.recordAssignmentToken(c.Value)
+			w.recordAssignment(c)
 		case c.Key == "shalestage/term":
-			w.happened(scenario.LeaderChanged)
-			w.deliverKept()
+			w.recordEvent(scenario.LeaderChanged)
+			w.deliverKeptHeartbeats()
 		case strings.HasPrefix(c.Key, "shalestage/progress/") && c.Value != nil:
-			w.happened(scenario.EndStored)
+			w.recordEvent(scenario.EndStored)
 		case strings.HasPrefix(c.Key, "shalestage/follow/"):
-			w.happened(scenario.FollowerStored)
+			w.recordEvent(scenario.FollowerStored)
 		}
 	}
 }
@@ -66,5 +66,5 @@
 
 // DrawFault draws a fault of any kind that comes at a time.
 func DrawFault(rng *rand.Rand, atS float64) scenario.Fault {
-	return draw(rng.IntN(len(shapes)), atS, rng)
+	return drawShape(rng.IntN(len(faultShapes)), atS, rng)
 }
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -19,7 +19,7 @@
 		return nil
 	case "leader":
 		for _, n := range w.Nodes {
-			if n.life != 0 && n.core.Leads() {
+			if n.incarnation != 0 && n.core.Leads() {
 				return []*Node{n}
 			}
 		}
@@ -31,52 +31,52 @@
 }
 
 // Fault injects a fault now.
-func (w *World) InjectFault(f scenario.Fault) {
-	w.Check.Note(w.now, "fault: %s", f)
-	w.faultComes(f)
-	switch f.Kind {
+func (w *World) InjectFault(fault scenario.Fault) {
+	w.Check.Note(w.now, "fault: %s", fault)
+	w.recordFault(fault)
+	switch fault.Kind {
 	case scenario.Cut:
-		w.cut(f)
+		w.cut(fault)
 	case scenario.ZoneApart, scenario.ZoneLost:
-		w.apart(f)
+		w.cutZone(fault)
 	case scenario.LateReports:
-		w.copies.until, w.copies.share, w.copies.forNext = w.now+units.Seconds(f.ForS), f.Share, f.ForNext
+		w.heartbeatCopies.until, w.heartbeatCopies.share, w.heartbeatCopies.forNext = w.now+units.Seconds(fault.ForS), fault.Share, fault.ForNext
 	case scenario.Surge: // in the jobs' times already
 	default:
-		if !w.controllerFault(f) && !w.stateFault(f) && !w.userFault(f) {
-			w.siteFault(f)
+		if !w.controllerFault(fault) && !w.stateFault(fault) && !w.userFault(fault) {
+			w.siteFault(fault)
 		}
 	}
 }
 
 // controllerFault injects a fault of controllers' processes, and reports whether it is one.
-func (w *World) controllerFault(f scenario.Fault) bool {
-	last := units.Seconds(f.ForS)
+func (w *World) controllerFault(fault scenario.Fault) bool {
+	last := units.Seconds(fault.ForS)
 	until := w.now + last
-	switch f.Kind {
+	switch fault.Kind {
 	case scenario.ControllerCrash:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			n.crash(last)
 		}
 	case scenario.ControllerRetire:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			n.Retire()
 		}
 	case scenario.ControllerRoll:
 		for i, n := range w.Nodes {
-			w.after(units.Microseconds(i)*units.Seconds(f.EveryS), n.Crash)
+			w.schedule(units.Microseconds(i)*units.Seconds(fault.EveryS), n.Crash)
 		}
 	case scenario.ControllerFreeze:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			n.Freeze(until)
 		}
 	case scenario.ControllerSlow:
-		for _, n := range w.nodesOf(f.Node) {
-			n.slow, n.cost = until, units.Microseconds(f.Times*float64(millis))
+		for _, n := range w.nodesOf(fault.Node) {
+			n.slowUntil, n.messageCost = until, units.Microseconds(fault.Times*float64(millis))
 		}
 	case scenario.ClockJump:
-		for _, n := range w.nodesOf(f.Node) {
-			n.jump()
+		for _, n := range w.nodesOf(fault.Node) {
+			n.drawWallOffset()
 		}
 	default:
 		return false
@@ -85,26 +85,26 @@
 }
 
 // stateFault injects a fault of the state service, and reports whether it is one.
-func (w *World) stateFault(f scenario.Fault) bool {
-	until := w.now + units.Seconds(f.ForS)
-	switch f.Kind {
+func (w *World) stateFault(fault scenario.Fault) bool {
+	until := w.now + units.Seconds(fault.ForS)
+	switch fault.Kind {
 	case scenario.StateOutage:
 		w.State.Down(w.now, until)
-		w.takeState()
+		w.deliverWatchResponses()
 	case scenario.StateRefuse:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			w.State.Refuse(n.Name, until)
 		}
 	case scenario.StateSlow:
-		w.slow.until, w.slow.delay = until, units.Microseconds(f.DelayMS*1000)
+		w.stateSlowness.until, w.stateSlowness.delay = until, units.Microseconds(fault.DelayMS*1000)
 	case scenario.StateLimits:
-		w.State.SetLimits(w.Scenario.State.Fallen(f).KV())
+		w.State.SetLimits(w.Scenario.State.Fallen(fault).KV())
 	case scenario.StateLate:
-		w.late, w.lateShare = until, cmp.Or(f.Share, 1)
+		w.lateUntil, w.lateShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateUnanswered:
-		w.unanswered, w.unansweredShare = until, cmp.Or(f.Share, 1)
+		w.unansweredUntil, w.unansweredShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateLose:
-		w.State.Lose(w.now, f.LosePrefix(), max(f.Count, 1))
+		w.State.Lose(w.now, fault.LosePrefix(), max(fault.Count, 1))
 	default:
 		return false
 	}
@@ -112,23 +112,23 @@
 }
 
 // userFault lets users or the operator do something, and reports whether the fault says so.
-func (w *World) userFault(f scenario.Fault) bool {
-	last := units.Seconds(f.ForS)
+func (w *World) userFault(fault scenario.Fault) bool {
+	last := units.Seconds(fault.ForS)
 	until := w.now + last
-	switch f.Kind {
+	switch fault.Kind {
 	case scenario.PollStorm:
-		w.Users.Storm(f.Times)
-		w.after(last, func() { w.Users.Storm(1) })
+		w.Users.Storm(fault.Times)
+		w.schedule(last, func() { w.Users.Storm(1) })
 	case scenario.CancelNow:
-		w.cancelNow(f)
+		w.cancelNow(fault)
 	case scenario.CancelAtEnd:
-		w.users.endUntil, w.users.endShare = until, f.Share
+		w.userFaults.cancelAtEndUntil, w.userFaults.cancelAtEndShare = until, fault.Share
 	case scenario.OddRequests:
 		w.oddRequests(until)
 	case scenario.CloseLooks:
 		w.Users.LookClosely(until)
 	case scenario.ConfigSet:
-		w.configSet(f)
+		w.changeTeam(fault)
 	default:
 		return false
 	}
@@ -136,35 +136,35 @@
 }
 
 // siteFault injects a fault of machines or of the cloud provider.
-func (w *World) siteFault(f scenario.Fault) {
-	if err := w.Scenario.SiteFault(w.now, w.Site, f); err != nil {
+func (w *World) siteFault(fault scenario.Fault) {
+	if err := w.Scenario.SiteFault(w.now, w.Site, fault); err != nil {
 		panic(err) // the scenario was checked
 	}
-	w.takeSite()
-	if f.Kind == scenario.SpotRate {
-		w.after(units.Seconds(f.ForS), func() {
+	w.handleSiteEvents()
+	if fault.Kind == scenario.SpotRate {
+		w.schedule(units.Seconds(fault.ForS), func() {
 			w.Site.Cloud.SetReclaimRate(w.now, w.Scenario.Cloud.SpotPerHour)
-			w.takeSite()
+			w.handleSiteEvents()
 		})
 	}
 }
 
-func (w *World) cut(f scenario.Fault) {
-	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
-	for _, a := range w.nodesOf(f.Between[0]) {
-		for _, b := range w.parties(a, f.Between[1]) {
-			if f.Direction != "back" {
-				w.net.cut(a.Name, b, t)
+func (w *World) cut(fault scenario.Fault) {
+	impairment := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
+	for _, node := range w.nodesOf(fault.Between[0]) {
+		for _, party := range w.parties(node, fault.Between[1]) {
+			if fault.Direction != "back" {
+				w.net.cut(node.Name, party, impairment)
 			}
-			if f.Direction != "there" {
-				w.net.cut(b, a.Name, t)
+			if fault.Direction != "there" {
+				w.net.cut(party, node.Name, impairment)
 			}
 		}
 	}
 }
 
 // parties returns whom a cut is to, as seen from a controller.
-func (w *World) parties(a *Node, name string) []string {
+func (w *World) parties(node *Node, name string) []string {
 	var out []string
 	switch name {
 	case scenario.PartyState, scenario.PartyCloud, scenario.PartyUsers:
@@ -175,13 +175,13 @@
 		}
 	case scenario.PartyPeers:
 		for _, n := range w.Nodes {
-			if n != a {
+			if n != node {
 				out = append(out, n.Name)
 			}
 		}
 	default:
 		for _, n := range w.nodesOf(name) {
-			if n != a {
+			if n != node {
 				out = append(out, n.Name)
 			}
 		}
@@ -190,15 +190,15 @@
 }
 
 // apart cuts a zone off; there is the way out of it.
-func (w *World) apart(f scenario.Fault) {
-	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
-	w.zoneCut[f.Zone] = t.until
-	for _, p := range w.Scenario.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
-		if f.Direction != "back" {
-			w.net.cut(p[0], p[1], t)
-		}
-		if f.Direction != "there" {
-			w.net.cut(p[1], p[0], t)
+func (w *World) cutZone(fault scenario.Fault) {
+	impairment := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
+	w.zoneCutUntil[fault.Zone] = impairment.until
+	for _, p := range w.Scenario.ApartFrom(fault.Zone, fault.Kind == scenario.ZoneLost) {
+		if fault.Direction != "back" {
+			w.net.cut(p[0], p[1], impairment)
+		}
+		if fault.Direction != "there" {
+			w.net.cut(p[1], p[0], impairment)
 		}
 	}
 }
--- a/internal/emulator/sim/follow_test.go
+++ b/internal/emulator/sim/follow_test.go
@@ -11,10 +11,10 @@
 // TestFollowerGoesOn ends holders without a word while tasks start many times a second and
 // a third of all messages about starts are lost: whoever followed holds the block next,
 // nothing is unaccounted for, nothing runs twice, and all that ran goes on.
-func TestFollowerGoesOn(t *testing.T) {
+func TestStandbyTakesOverAfterCrash(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := churning(seed)
-		w.opt.Mutation.DeliverPeer = func(m any) bool {
+		w := shortTaskWorld(seed)
+		w.options.Mutation.DeliverPeer = func(m any) bool {
 			switch m.(type) {
 			case core.ReplicationMessage, core.ReplicationAck:
 				return w.rng.IntN(3) > 0
--- a/internal/emulator/sim/handover_test.go
+++ b/internal/emulator/sim/handover_test.go
@@ -9,13 +9,13 @@
 )
 
 // churning returns a world in which short tasks of a few wide jobs end and start all the time.
-func churning(seed uint64) *World {
+func shortTaskWorld(seed uint64) *World {
 	s := deployment(3, 0)
 	s.Capacity = []scenario.Capacity{{Type: "big", Zone: "a", Count: 12}, {Type: "big", Zone: "b", Count: 12}}
 	s.Teams = []scenario.Team{{Name: "green"}}
 	w := New(s, Options{Seed: seed})
 	for range 4 {
-		j := w.submit(0, &jobs.Spec{Team: "green", Tasks: 6000, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 3 * second}, 3*second, 0)
+		j := w.submitJob(0, &jobs.Spec{Team: "green", Tasks: 6000, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 3 * second}, 3*second, 0)
 		j.Vary = 0.5
 	}
 	return w
@@ -23,9 +23,9 @@
 
 // standstill plays a fault at the holder, and returns the longest time without a start in
 // the ten seconds from then on, and for how long nobody could have started anything.
-func standstill(t *testing.T, seed uint64, kind string) (longest, nobody units.Microseconds) {
+func measureFailover(t *testing.T, seed uint64, kind string) (longest, nobody units.Microseconds) {
 	t.Helper()
-	w := churning(seed)
+	w := shortTaskWorld(seed)
 	w.Run(80 * second)
 	old := w.ShardOwner(0)
 	w.InjectFault(scenario.Fault{Kind: kind, Node: "holder"})
@@ -51,10 +51,10 @@
 // one holds the block almost at once, and goes on with work that was accepted before as soon
 // as workers have turned to it, which takes them up to half a second by the protocol. Ended
 // without a word, a holder is missed for seconds.
-func TestHandOver(t *testing.T) {
+func TestGracefulHandover(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
-		retired, nobody := standstill(t, seed, scenario.ControllerRetire)
-		crashed, missed := standstill(t, seed, scenario.ControllerCrash)
+		retired, nobody := measureFailover(t, seed, scenario.ControllerRetire)
+		crashed, missed := measureFailover(t, seed, scenario.ControllerCrash)
 		t.Logf("seed %d: held by nobody for %.2f s, nothing started for %.2f s; %.2f s and %.2f s after a crash", seed, nobody.Seconds(), retired.Seconds(), missed.Seconds(), crashed.Seconds())
 		if retired > second || nobody > 3*second/10 || crashed < 2*second {
 			t.Errorf("seed %d: that is too long, or a crash is none", seed)
@@ -64,15 +64,15 @@
 
 // TestHandOverUnderTrouble retires controllers again and again while messages are late or
 // lost, transactions come late and others end: no rule is broken, and all work ends.
-func TestHandOverUnderTrouble(t *testing.T) {
+func TestHandoverUnderFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		s := deployment(3, int(seed%3)*4)
 		s.Cloud.SpotPerHour = 3
 		w := New(s, Options{Seed: seed, Noise: true})
 		for i := range 40 {
-			w.submit(units.Microseconds(i)*2*second, &jobs.Spec{Team: "green", Tasks: 8, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i", Estimate: 4 * second}, 4*second, 0)
+			w.submitJob(units.Microseconds(i)*2*second, &jobs.Spec{Team: "green", Tasks: 8, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i", Estimate: 4 * second}, 4*second, 0)
 		}
-		for at := 5 * second; at < 110*second; at += w.span(1, 6) {
+		for at := 5 * second; at < 110*second; at += w.randomDuration(1, 6) {
 			kind := scenario.ControllerRetire
 			switch w.rng.IntN(6) {
 			case 0:
@@ -80,7 +80,7 @@
 			case 1:
 				kind = scenario.StateLate
 			}
-			w.after(at, func() { w.InjectFault(scenario.Fault{Kind: kind, Node: "holder", ForS: 0.5}) })
+			w.schedule(at, func() { w.InjectFault(scenario.Fault{Kind: kind, Node: "holder", ForS: 0.5}) })
 		}
 		w.Run(420 * second)
 		w.Check.Finish(w.now, true)
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -8,8 +8,8 @@
 )
 
 // meter hands what a user did or was told to the meter.
-func (w *World) meter(e any) {
-	m := w.opt.Meter
+func (w *World) reportToMeter(e any) {
+	m := w.options.Meter
 	if m == nil {
 		return
 	}
@@ -24,46 +24,46 @@
 }
 
 // measure looks at the machines again and again.
-func (w *World) measure() {
-	if w.opt.Meter == nil || w.opt.MeterInterval <= 0 {
+func (w *World) scheduleMeter() {
+	if w.options.Meter == nil || w.options.MeterInterval <= 0 {
 		return
 	}
-	w.after(w.opt.MeterInterval, func() {
-		w.opt.Meter.Look(w.look())
-		w.measure()
+	w.schedule(w.options.MeterInterval, func() {
+		w.options.Meter.Look(w.sampleCPUs())
+		w.scheduleMeter()
 	})
 }
 
 // keepAccount looks at what is paid for, again and again.
-func (w *World) keepAccount() {
-	if w.opt.Account == nil {
+func (w *World) scheduleAccount() {
+	if w.options.Account == nil {
 		return
 	}
-	w.after(account.Every, func() {
+	w.schedule(account.Every, func() {
 		var list []account.Machine
 		for _, m := range w.Site.Cloud.Billed() {
-			x := account.Machine{Machine: m, Cut: w.now < w.zoneCut[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
-			if k := w.Site.Worker(m.Name); k != nil {
-				running, fetching := k.Usage()
+			x := account.Machine{Machine: m, Cut: w.now < w.zoneCutUntil[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
+			if worker := w.Site.Worker(m.Name); worker != nil {
+				running, fetching := worker.Usage()
 				x.Up, x.Running, x.Fetching = true, cpus(running), cpus(fetching)
 			}
 			list = append(list, x)
 		}
-		w.opt.Account.Look(w.now, list)
-		w.keepAccount()
+		w.options.Account.Look(w.now, list)
+		w.scheduleAccount()
 	})
 }
 
 func cpus(v binpack.Vec) float64 { return float64(v[binpack.CPU]) / 1000 }
 
 // look counts the CPUs that are rented, and what they do.
-func (w *World) look() meter.Sample {
+func (w *World) sampleCPUs() meter.Sample {
 	s := meter.Sample{AtS: w.now.Seconds()}
 	for _, m := range w.Site.Cloud.Billed() {
 		c := w.Site.CPUs(m)
 		s.Rented += c
-		if k := w.Site.Worker(m.Name); k != nil {
-			running, fetching := k.Usage()
+		if worker := w.Site.Worker(m.Name); worker != nil {
+			running, fetching := worker.Usage()
 			s.Running += cpus(running)
 			s.Fetching += cpus(fetching)
 		} else {
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -17,9 +17,9 @@
 const (
 	// operatorWait is how long an operator waits for an answer, operatorRetry until the next
 	// try, and operatorLook between two looks whether a change is confirmed.
-	operatorWait  = 5 * second
-	operatorRetry = second
-	operatorLook  = second / 20
+	operatorTimeout     = 5 * second
+	operatorRetryDelay  = second
+	confirmPollInterval = second / 20
 )
 
 // ConfigChange is what became of an operator's change of the configuration.
@@ -33,54 +33,54 @@
 
 // configSet does an operator's changes of a team. The last one is tried until it is stored;
 // one before that is refused is left.
-func (w *World) configSet(f scenario.Fault) {
-	count := max(f.Count, 1)
+func (w *World) changeTeam(fault scenario.Fault) {
+	count := max(fault.Count, 1)
 	for i := range count {
 		last := i == count-1
-		change := configuration.TeamChange{Name: f.Team, Remove: f.Remove && last}
-		cpus := units.MilliDown(f.CPUsMax)
+		teamChange := configuration.TeamChange{Name: fault.Team, Remove: fault.Remove && last}
+		cpus := units.MilliDown(fault.CPUsMax)
 		if !last {
 			cpus = max(1000, int64(float64(cpus)*(0.5+w.rng.Float64())))
 		}
 		none := int64(0)
-		if !change.Remove {
-			change.LimitCPU, change.GuaranteeCPU = &cpus, &none
+		if !teamChange.Remove {
+			teamChange.LimitCPU, teamChange.GuaranteeCPU = &cpus, &none
 		}
-		w.after(units.Seconds(f.EveryS)*units.Microseconds(i), func() {
-			x := &ConfigChange{RequestedAt: w.now}
-			w.ConfigChanges = append(w.ConfigChanges, x)
-			w.configure(f.Node, configuration.Request{By: "operator", Teams: []configuration.TeamChange{change}}, x, last)
+		w.schedule(units.Seconds(fault.EveryS)*units.Microseconds(i), func() {
+			change := &ConfigChange{RequestedAt: w.now}
+			w.ConfigChanges = append(w.ConfigChanges, change)
+			w.requestConfigChange(fault.Node, configuration.Request{By: "operator", Teams: []configuration.TeamChange{teamChange}}, change, last)
 		})
 	}
 }
 
 // configure asks a controller for a change, and others again while it fails.
-func (w *World) configure(node string, r configuration.Request, x *ConfigChange, again bool) {
+func (w *World) requestConfigChange(node string, request configuration.Request, change *ConfigChange, again bool) {
 	answered := false
 	retry := func() {
 		if answered {
 			return
 		}
 		answered = true
-		x.FailedTries++
+		change.FailedTries++
 		if again {
-			w.after(operatorRetry, func() { w.configure("any", r, x, true) })
+			w.schedule(operatorRetryDelay, func() { w.requestConfigChange("any", request, change, true) })
 		}
 	}
-	w.after(operatorWait, retry) // also where the process ends meanwhile
+	w.schedule(operatorTimeout, retry) // also where the process ends meanwhile
 	for _, n := range w.nodesOf(node) {
-		n.ask(func(req core.RequestID) { n.core.Configure(n.local(), req, r) }, 0, func(reply core.Reply) {
-			s, ok := reply.Body.(core.ConfigStored)
+		n.request(func(req core.RequestID) { n.core.Configure(n.steadyClock(), req, request) }, 0, func(reply core.Reply) {
+			stored, ok := reply.Body.(core.ConfigStored)
 			switch {
 			case answered:
 			case ok && reply.Code == http.StatusOK:
 				answered = true
-				x.StoredAt, x.Version = w.now, s.Version
-				w.Check.Note(w.now, "the operator is told that the change is in version %d", s.Version)
-				w.confirm(x)
+				change.StoredAt, change.Version = w.now, stored.Version
+				w.Check.Note(w.now, "the operator is told that the change is in version %d", stored.Version)
+				w.pollConfirmation(change)
 			case reply.Code == http.StatusUnprocessableEntity:
 				answered = true // as to remove a team that is removed
-				x.FailedTries++
+				change.FailedTries++
 			default:
 				retry()
 			}
@@ -89,24 +89,24 @@
 }
 
 // confirm asks one controller after another whether a change is confirmed.
-func (w *World) confirm(x *ConfigChange) {
-	if x.ConfirmedAt != 0 {
+func (w *World) pollConfirmation(change *ConfigChange) {
+	if change.ConfirmedAt != 0 {
 		return
 	}
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
-	n.ask(func(req core.RequestID) { n.core.ConfigStatus(n.local(), req, x.Version) }, 0, func(reply core.Reply) {
-		if s, ok := reply.Body.(core.ConfigStatus); ok && s.Confirmed && x.ConfirmedAt == 0 {
-			x.ConfirmedAt = w.now
-			w.Check.ConfigConfirmed(w.now, x.Version)
+	n.request(func(req core.RequestID) { n.core.ConfigStatus(n.steadyClock(), req, change.Version) }, 0, func(reply core.Reply) {
+		if status, ok := reply.Body.(core.ConfigStatus); ok && status.Confirmed && change.ConfirmedAt == 0 {
+			change.ConfirmedAt = w.now
+			w.Check.ConfigConfirmed(w.now, change.Version)
 		}
 	})
-	w.after(operatorLook, func() { w.confirm(x) })
+	w.schedule(confirmPollInterval, func() { w.pollConfirmation(change) })
 }
 
 // configured tells the checker of a version that a transaction has stored.
-func (w *World) configured(t kv.Txn) {
+func (w *World) reportStoredConfig(txn kv.Txn) {
 	stored := false
-	for _, c := range t.Changes {
+	for _, c := range txn.Changes {
 		stored = stored || c.Key == configuration.HeadKey && c.Value != nil
 	}
 	if !stored {
@@ -123,23 +123,23 @@
 		w.Check.RecordViolation(w.now, check.Lost, "a version of the configuration is stored without all of its records")
 		return
 	}
-	var l check.Limits
-	for _, t := range content.Teams {
-		l.Teams = append(l.Teams, check.Team{Name: t.Name, Limit: t.Limit})
-		if t.Removed != 0 {
-			l.Removed = append(l.Removed, t.Name)
+	var limits check.Limits
+	for _, txn := range content.Teams {
+		limits.Teams = append(limits.Teams, check.Team{Name: txn.Name, Limit: txn.Limit})
+		if txn.Removed != 0 {
+			limits.Removed = append(limits.Removed, txn.Name)
 		}
 	}
-	w.Check.ConfigStored(w.now, version, l)
+	w.Check.ConfigStored(w.now, version, limits)
 }
 
 // ordered tells the checker which tasks a controller has decided to start.
-func (w *World) ordered(r core.Reply) {
-	o, ok := r.Body.(core.HeartbeatResponse)
+func (w *World) reportOrderedStarts(reply core.Reply) {
+	response, ok := reply.Body.(core.HeartbeatResponse)
 	if !ok {
 		return
 	}
-	for _, c := range o.Commands {
+	for _, c := range response.Commands {
 		if c.Op == fleet.Start {
 			w.Check.StartOrdered(w.now, c.ID)
 		}
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -18,28 +18,28 @@
 // end one by one and all at once, and transactions come late or unanswered: users give
 // some up half-way. Their parts are cleared while records may still come, and no record
 // is ever there without its parts.
-func TestGivenUpParts(t *testing.T) {
+func TestChunksOfAbandonedSubmissions(t *testing.T) {
 	seen := 0
 	for seed := range uint64(2) {
-		s := packing()
+		s := earlyArchiving()
 		s.Controllers.KeepDone, s.Controllers.PackSettleS, s.Controllers.RestartS = 8192, 0.5, 20
 		s.Users.LateRetries = 0.3
 		w := New(s, Options{Seed: seed + 1})
 		var first []*user.Job
 		spec := &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{500, 0, 500}, AnyType: true, Image: "i", Estimate: second}
 		for i := range 700 {
-			first = append(first, w.submit(units.Microseconds(i)*second/20, spec, second, 0))
+			first = append(first, w.submitJob(units.Microseconds(i)*second/20, spec, second, 0))
 		}
 		for i := range 40 {
-			w.submit(80*second+units.Microseconds(i)*second, spec, second, 0, first...)
+			w.submitJob(80*second+units.Microseconds(i)*second, spec, second, 0, first...)
 		}
 		for at := 80.0; at < 130; at += 1 + w.rng.Float64() {
-			w.after(units.Seconds(at+w.rng.Float64()), func() { w.Nodes[w.rng.IntN(3)].Crash() })
-			w.after(units.Seconds(at), func() { w.InjectFault(scenario.Fault{Kind: scenario.StateLate, ForS: 0.3}) })
+			w.schedule(units.Seconds(at+w.rng.Float64()), func() { w.Nodes[w.rng.IntN(3)].Crash() })
+			w.schedule(units.Seconds(at), func() { w.InjectFault(scenario.Fault{Kind: scenario.StateLate, ForS: 0.3}) })
 		}
 		for at := 80 * second; at < 300*second; at += second {
 			w.Run(at)
-			for _, f := range inspect(w) {
+			for _, f := range storedFindings(w) {
 				switch f.Kind {
 				case "headless":
 					seen++
@@ -49,7 +49,7 @@
 			}
 		}
 		w.Run(500 * second)
-		for _, f := range inspect(w) {
+		for _, f := range storedFindings(w) {
 			if f.Kind == "headless" {
 				t.Errorf("seed %d: %s is left: %s", seed+1, f.Key, f.Text)
 			}
@@ -65,7 +65,7 @@
 }
 
 // inspect looks at what is stored.
-func inspect(w *World) []introspect.Finding {
+func storedFindings(w *World) []introspect.Finding {
 	in := introspect.NewInspector()
 	w.State.Each(func(it kv.Item) {
 		if strings.HasPrefix(it.Key, core.Root) {
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -27,7 +27,7 @@
 )
 
 // packing returns a deployment that packs early.
-func packing() *scenario.Scenario {
+func earlyArchiving() *scenario.Scenario {
 	s := deployment(3, 0)
 	s.Controllers.KeepDone, s.Controllers.PackSettleS = 4, 5
 	return s
@@ -37,10 +37,10 @@
 // before this one do: another leads for good, so that they never claim the lead, and
 // so hold nothing, ask for no price list and, knowing no machine types, are never
 // ready and accept nothing. One that is there all the same gets no block.
-func TestOlderReleasesAreKeptOut(t *testing.T) {
-	w := New(packing(), Options{Seed: 1})
+func TestOlderReleasesAreExcluded(t *testing.T) {
+	w := New(earlyArchiving(), Options{Seed: 1})
 	for i := range 12 {
-		w.submit(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+		w.submitJob(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	}
 	w.Run(200 * second)
 	l := w.State.List(w.now, "x", "", "", 0)
@@ -85,15 +85,15 @@
 
 // TestNothingIsPackedBesideOlder has one controller say that it runs an older release:
 // nothing is packed, however many jobs are over.
-func TestNothingIsPackedBesideOlder(t *testing.T) {
-	w := New(packing(), Options{Seed: 1})
+func TestNoArchivingBesideOlderRelease(t *testing.T) {
+	w := New(earlyArchiving(), Options{Seed: 1})
 	for i := range 30 {
-		w.submit(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+		w.submitJob(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	}
 	for at := second / 10; at < 200*second; at += second / 10 {
 		w.Run(at)
 		for _, n := range w.Nodes[:2] { // as if the third's process ran 0.3
-			n.core.OnPeer(n.local(), "node-2", core.PeerStatus{Release: 3})
+			n.core.OnPeer(n.steadyClock(), "node-2", core.PeerStatus{Release: 3})
 		}
 	}
 	if l := w.State.List(w.now, "x", "shalestage-past/", "", 0); len(l.Items) > 0 {
@@ -107,20 +107,20 @@
 // TestOldAnswersUnderAStorm has users ask for far more old jobs than may be read:
 // each gets the right answer or is sent away at once, nobody loses authority, and new
 // jobs are accepted and started meanwhile.
-func TestOldAnswersUnderAStorm(t *testing.T) {
-	s := packing()
+func TestArchivedJobQueriesUnderOverload(t *testing.T) {
+	s := earlyArchiving()
 	w := New(s, Options{Seed: 1})
-	preload(w, 20_000)
+	storeArchivedJobs(w, 20_000)
 	w.Run(30 * second)
 	asked, ok, shed := 0, 0, 0
 	var took []units.Microseconds
 	for i := range 3000 {
-		w.after(units.Microseconds(i)*second/100, func() {
+		w.schedule(units.Microseconds(i)*second/100, func() {
 			n := w.Nodes[i%3]
 			id := fmt.Sprintf("wk-%06d", 1_000_000+i*6)
 			asked++
 			sent := w.now
-			n.ask(func(req core.RequestID) { n.core.Query(n.local(), req, id) }, 2*second, func(r core.Reply) {
+			n.request(func(req core.RequestID) { n.core.Query(n.steadyClock(), req, id) }, 2*second, func(r core.Reply) {
 				a, told := r.Body.(core.JobAnswer)
 				switch {
 				case told && a.Status == jobs.Done && a.Done == 2:
@@ -136,7 +136,7 @@
 	}
 	var fresh []*user.Job
 	for i := range 10 {
-		fresh = append(fresh, w.submit(w.now+units.Microseconds(i)*3*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true,
+		fresh = append(fresh, w.submitJob(w.now+units.Microseconds(i)*3*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true,
 			Image: "i", Estimate: second}, second, 0))
 	}
 	w.Run(100 * second)
@@ -157,7 +157,7 @@
 }
 
 // preload stores packed jobs wk-1000000, wk-1000001 and so on, with two tasks each.
-func preload(w *World, submitted int) {
+func storeArchivedJobs(w *World, submitted int) {
 	var items []kv.Item
 	rev := uint64(0)
 	for _, e := range packed.Buckets(submitted, func(i uint64) (uint64, archive.Answer) {
@@ -174,17 +174,17 @@
 	w.State.Restore(0, rev, 1, items, nil)
 }
 
-var history = flag.Int("history", 0, "packed jobs with which to measure a start; 0: not measured")
+var historySize = flag.Int("history", 0, "packed jobs with which to measure a start; 0: not measured")
 
 // TestStart measures how a start depends on history:
 // go test ./internal/emulator/sim -run TestStart -history 1000 -v, and with 10000000.
-func TestStart(t *testing.T) {
-	if *history == 0 {
+func TestStartupWithHistory(t *testing.T) {
+	if *historySize == 0 {
 		t.Skip("a measurement: -history N")
 	}
-	w := New(packing(), Options{Seed: 1})
-	preload(w, *history)
-	j := w.submit(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	w := New(earlyArchiving(), Options{Seed: 1})
+	storeArchivedJobs(w, *historySize)
+	j := w.submitJob(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	began := time.Now()
 	seated, whole := units.Microseconds(0), units.Microseconds(0)
 	for at := second / 20; at < 600*second && (whole == 0 || j.Final == ""); at += second / 20 {
@@ -194,29 +194,29 @@
 			if n.Member && seated == 0 {
 				seated = at
 			}
-			all = all && n.ArchivedIDs >= *history*9/10 // some are taken for others
+			all = all && n.ArchivedIDs >= *historySize*9/10 // some are taken for others
 		}
 		if all && whole == 0 {
 			whole = at
 		}
 	}
 	t.Logf("%d packed jobs: seated after %.2f s, a job done after %.2f s, filter whole after %.1f s (simulated); %.1f s of real time",
-		*history, seated.Seconds(), (j.Over - j.At).Seconds(), whole.Seconds(), time.Since(began).Seconds())
+		*historySize, seated.Seconds(), (j.Over - j.At).Seconds(), whole.Seconds(), time.Since(began).Seconds())
 }
 
 // service is the state service as backup's commands see it, without a network.
-type service struct{ w *World }
+type stateService struct{ w *World }
 
-func (d service) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
+func (d stateService) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
 	l := d.w.State.List(d.w.now, "backup", prefix, after, page)
 	return outcomeOf(l.Code), l.Rev, direct.Items(l.Items), l.More
 }
 
-func (d service) Watch(_ context.Context, _ string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
+func (d stateService) Watch(_ context.Context, _ string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
 	return store.OK, after, nil, false // nothing happens meanwhile
 }
 
-func (d service) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
+func (d stateService) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
 	r := d.w.State.Commit(d.w.now, "backup", direct.Txn(t))
 	return outcomeOf(r.Code), r.Rev, r.Failed
 }
@@ -227,22 +227,22 @@
 // twice at a time or beyond a limit, and what was accepted after is stopped.
 func TestRestoredBackup(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := New(packing(), Options{Seed: seed})
+		w := New(earlyArchiving(), Options{Seed: seed})
 		job := func(team string) *jobs.Spec {
 			return &jobs.Spec{Team: team, Tasks: 4, Demand: [3]int64{2000, 0, 1000}, AnyType: true, Image: "i", Estimate: 15 * second}
 		}
 		var before, after []*user.Job
 		for i := range 20 {
-			before = append(before, w.submit(units.Microseconds(i)*8*second, job("red"), 15*second, 0))
+			before = append(before, w.submitJob(units.Microseconds(i)*8*second, job("red"), 15*second, 0))
 		}
 		w.Run(165 * second)
 		var file bytes.Buffer
 		opt := backup.Options{Rate: 1e9, Sleep: func(time.Duration) {}, Now: func() time.Time { return time.UnixMicro(int64(w.now)) }}
-		if _, err := backup.Save(t.Context(), service{w}, &file, nil, opt); err != nil {
+		if _, err := backup.Save(t.Context(), stateService{w}, &file, nil, opt); err != nil {
 			t.Fatal(err)
 		}
 		for i := range 6 {
-			after = append(after, w.submit(w.now+units.Microseconds(i)*3*second, job("blue"), 60*second, 0))
+			after = append(after, w.submitJob(w.now+units.Microseconds(i)*3*second, job("blue"), 60*second, 0))
 		}
 		w.Nodes[0].Crash() // so that terms rise after the backup
 		w.Run(185 * second)
@@ -250,7 +250,7 @@
 			n.Crash()
 		}
 		w.State = kv.New(w.Scenario.State.KV(), rand.New(rand.NewPCG(seed, 3)))
-		done, err := backup.Restore(t.Context(), service{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, Ops: 4})
+		done, err := backup.Restore(t.Context(), stateService{w}, bytes.NewReader(file.Bytes()), backup.RestoreOptions{Options: opt, Ops: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,8 +282,8 @@
 // rate, that the state service forgets the changes since it began, while its limits
 // fall. Changes are followed from the first page on: it is loaded all the same, and
 // knows what was removed meanwhile.
-func TestListingOutlivesChanges(t *testing.T) {
-	s := packing()
+func TestListingLongerThanWatchHistory(t *testing.T) {
+	s := earlyArchiving()
 	s.Controllers.Count, s.Controllers.KeepDone = 1, 0
 	s.State.RPS, s.State.WriteRPS, s.State.Next = 30, 1e6, scenario.Limits{RPS: 20, ValueKB: 2, TxnOps: 4}
 	w := New(s, Options{Seed: 1})
@@ -294,7 +294,7 @@
 	w.State.Restore(0, 30_000, 1, items, nil)
 	changes := 0
 	for i := range 30_000 { // 1,500 a second
-		w.after(units.Microseconds(i)*second/1500, func() {
+		w.schedule(units.Microseconds(i)*second/1500, func() {
 			c := kv.Change{Key: "shalestage/type/x", Value: json.RawMessage(`{}`)}
 			if i%3 == 0 { // also removes what was listed, or is going to be
 				c = kv.Change{Key: fmt.Sprintf("shalestage/job/wk-%06d", i)}
@@ -306,7 +306,9 @@
 	}
 	// The others' changes are no part of what the controller was told of the limits.
 	l := s.State.KV()
-	limit := func(at units.Microseconds, rate float64) { w.after(at, func() { l.Rate = rate; w.State.SetLimits(l) }) }
+	limit := func(at units.Microseconds, rate float64) {
+		w.schedule(at, func() { l.Rate = rate; w.State.SetLimits(l) })
+	}
 	limit(0, 1e6)
 	limit(4*second, 1)
 	limit(7*second, 1e6)
--- a/internal/emulator/sim/randomfaults.go
+++ b/internal/emulator/sim/randomfaults.go
@@ -8,19 +8,19 @@
 )
 
 // settled draws when a fault comes and how long it lasts, where that is left open.
-func settled(f scenario.Fault, rng *rand.Rand) scenario.Fault {
+func resolveTimes(f scenario.Fault, rng *rand.Rand) scenario.Fault {
 	if f.AtToS > f.AtS {
-		f.AtS = span(rng, f.AtS, f.AtToS)
+		f.AtS = randomSpan(rng, f.AtS, f.AtToS)
 	}
 	if f.ForToS > f.ForS {
-		f.ForS = span(rng, f.ForS, f.ForToS)
+		f.ForS = randomSpan(rng, f.ForS, f.ForToS)
 	}
 	f.AtToS, f.ForToS = 0, 0
 	return f
 }
 
 // calm is when all troubles are over. What is done late by them has had its time, too.
-func calm(faults []scenario.Fault) units.Microseconds {
+func faultsOverTime(faults []scenario.Fault) units.Microseconds {
 	last := 0.0
 	for _, f := range faults {
 		last = max(last, f.AtS+f.ForS)
@@ -36,10 +36,10 @@
 	if gap == 0 {
 		gap = 10
 	}
-	kinds := len(shapes)
-	for at := s.Draw.FromS + span(rng, 0, gap); at < s.Draw.ToS; at += span(rng, 0.2*gap, 1.8*gap) {
+	kinds := len(faultShapes)
+	for at := s.Draw.FromS + randomSpan(rng, 0, gap); at < s.Draw.ToS; at += randomSpan(rng, 0.2*gap, 1.8*gap) {
 		if !s.Draw.Pairs {
-			out = append(out, draw(rng.IntN(kinds), at, rng))
+			out = append(out, drawShape(rng.IntN(kinds), at, rng))
 			continue
 		}
 		n := int(seed % uint64(kinds*(kinds+1)/2))
@@ -47,51 +47,57 @@
 		for ; n >= kinds-a; a++ {
 			n -= kinds - a
 		}
-		out = append(out, draw(a, at, rng), draw(a+n, at+span(rng, 0, 3), rng))
+		out = append(out, drawShape(a, at, rng), drawShape(a+n, at+randomSpan(rng, 0, 3), rng))
 	}
 	return out
 }
 
-func span(rng *rand.Rand, a, b float64) float64 {
+func randomSpan(rng *rand.Rand, a, b float64) float64 {
 	return float64(int((a+(b-a)*rng.Float64())*1000)) / 1000
 }
 
-func pick(rng *rand.Rand, of ...string) string { return of[rng.IntN(len(of))] }
+func pickOne(rng *rand.Rand, of ...string) string { return of[rng.IntN(len(of))] }
 
 // shapes are the kinds of faults that are drawn, each with what is drawn for it.
-var shapes = []func(f *scenario.Fault, rng *rand.Rand){
+var faultShapes = []func(f *scenario.Fault, rng *rand.Rand){
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, someNode(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, drawTarget(rng)
 	},
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, "all" },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerRetire, 0, someNode(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerRetire, 0, drawTarget(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.EveryS = scenario.ControllerRoll, 0, span(rng, 1, 6)
+		f.Kind, f.ForS, f.EveryS = scenario.ControllerRoll, 0, randomSpan(rng, 1, 6)
 	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.ControllerFreeze, someNode(rng) },
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.ControllerFreeze, drawTarget(rng) },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerFreeze, span(rng, 0.1, 2.5), someNode(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerFreeze, randomSpan(rng, 0.1, 2.5), drawTarget(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Times, f.Node = scenario.ControllerSlow, span(rng, 2, 6), someNode(rng)
+		f.Kind, f.Times, f.Node = scenario.ControllerSlow, randomSpan(rng, 2, 6), drawTarget(rng)
 	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateOutage, span(rng, 1, 45) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.StateRefuse, someNode(rng) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.DelayMS = scenario.StateSlow, span(rng, 50, 600) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateLate, span(rng, 0.5, 5) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateUnanswered, span(rng, 0.5, 5) },
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateOutage, randomSpan(rng, 1, 45) },
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.StateRefuse, drawTarget(rng) },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share = scenario.StateLate, span(rng, 0.05, 0.5)
+		f.Kind, f.DelayMS = scenario.StateSlow, randomSpan(rng, 50, 600)
 	},
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateLate, randomSpan(rng, 0.5, 5) },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, span(rng, 0.02, 0.1), someNode(rng)
+		f.Kind, f.ForS = scenario.StateUnanswered, randomSpan(rng, 0.5, 5)
+	},
+	func(f *scenario.Fault, rng *rand.Rand) {
+		f.Kind, f.Share = scenario.StateLate, randomSpan(rng, 0.05, 0.5)
+	},
+	func(f *scenario.Fault, rng *rand.Rand) {
+		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, randomSpan(rng, 0.02, 0.1), drawTarget(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
 		f.Kind, f.Count = scenario.MachineDeaf, 1+rng.IntN(4)
 	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Share = scenario.LateReports, span(rng, 0.1, 0.6) },
+	func(f *scenario.Fault, rng *rand.Rand) {
+		f.Kind, f.Share = scenario.LateReports, randomSpan(rng, 0.1, 0.6)
+	},
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.CloudDown },
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.NoCapacity },
 	func(f *scenario.Fault, rng *rand.Rand) {
@@ -100,47 +106,49 @@
 	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Count = scenario.MachineHang, 1+rng.IntN(3) },
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Count = scenario.MachineSick, 0, 1 },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Count, f.Times = scenario.MachineSlow, 0, 1+rng.IntN(2), span(rng, 2, 8)
+		f.Kind, f.ForS, f.Count, f.Times = scenario.MachineSlow, 0, 1+rng.IntN(2), randomSpan(rng, 2, 8)
+	},
+	func(f *scenario.Fault, rng *rand.Rand) {
+		f.Kind, f.ForS, f.Share = scenario.SpotWave, 0, randomSpan(rng, 0.3, 1)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Share = scenario.SpotWave, 0, span(rng, 0.3, 1)
+		f.Kind, f.PerHour = scenario.SpotRate, randomSpan(rng, 20, 200)
 	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.PerHour = scenario.SpotRate, span(rng, 20, 200) },
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Node = scenario.ClockJump, 0, "any" },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Times = scenario.PollStorm, span(rng, 5, 30) },
-	cutTo(scenario.PartyState), cutTo(scenario.PartyCloud), cutTo(scenario.PartyWorkers), cutTo(scenario.PartyPeers), cutTo(scenario.PartyUsers),
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Times = scenario.PollStorm, randomSpan(rng, 5, 30) },
+	cutBetweenNodeAnd(scenario.PartyState), cutBetweenNodeAnd(scenario.PartyCloud), cutBetweenNodeAnd(scenario.PartyWorkers), cutBetweenNodeAnd(scenario.PartyPeers), cutBetweenNodeAnd(scenario.PartyUsers),
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Count, f.HangS = scenario.CancelNow, 0, 1+rng.IntN(6), float64(rng.IntN(2))*span(rng, 1, 25)
+		f.Kind, f.ForS, f.Count, f.HangS = scenario.CancelNow, 0, 1+rng.IntN(6), float64(rng.IntN(2))*randomSpan(rng, 1, 25)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share = scenario.CancelAtEnd, span(rng, 0.2, 1)
+		f.Kind, f.Share = scenario.CancelAtEnd, randomSpan(rng, 0.2, 1)
 	},
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.OddRequests },
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.CloseLooks },
 	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Count = scenario.MachineMute, 1+rng.IntN(4) },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share = scenario.StateUnanswered, span(rng, 0.05, 0.5)
+		f.Kind, f.Share = scenario.StateUnanswered, randomSpan(rng, 0.05, 0.5)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Share, f.ForNext = scenario.LateReports, span(rng, 0.1, 0.6), true
+		f.Kind, f.Share, f.ForNext = scenario.LateReports, randomSpan(rng, 0.1, 0.6), true
 	},
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.QuickBoots },
 }
 
-func someNode(rng *rand.Rand) string { return pick(rng, "any", "any", "holder", "leader") }
+func drawTarget(rng *rand.Rand) string { return pickOne(rng, "any", "any", "holder", "leader") }
 
-func cutTo(party string) func(f *scenario.Fault, rng *rand.Rand) {
+func cutBetweenNodeAnd(party string) func(f *scenario.Fault, rng *rand.Rand) {
 	return func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Between = scenario.Cut, []string{someNode(rng), party}
-		if f.Mode, f.DelayMS = pick(rng, "hold", "drop", "reset", "delay", "trickle"), span(rng, 1, 8); f.Mode == "delay" {
+		f.Kind, f.Between = scenario.Cut, []string{drawTarget(rng), party}
+		if f.Mode, f.DelayMS = pickOne(rng, "hold", "drop", "reset", "delay", "trickle"), randomSpan(rng, 1, 8); f.Mode == "delay" {
 			f.DelayMS *= 100
 		}
-		f.Direction = pick(rng, "both", "both", "there", "back")
+		f.Direction = pickOne(rng, "both", "both", "there", "back")
 	}
 }
 
-func draw(shape int, at float64, rng *rand.Rand) scenario.Fault {
-	f := scenario.Fault{AtS: at, ForS: span(rng, 1, 25)}
-	shapes[shape](&f, rng)
+func drawShape(shape int, at float64, rng *rand.Rand) scenario.Fault {
+	f := scenario.Fault{AtS: at, ForS: randomSpan(rng, 1, 25)}
+	faultShapes[shape](&f, rng)
 	return f
 }
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	lease    = 12 * second
-	cancelIn = 40 * second
-	report   = 3 * second
+	lease             = 12 * second
+	cancelDeadline    = 40 * second
+	heartbeatInterval = 3 * second
 )
 
 // deployment returns a small deployment: two zones, two machine types, a bounded
@@ -48,12 +48,12 @@
 }
 
 // world returns a world without troubles or jobs.
-func world(seed uint64, nodes, blockMachines int) *World {
+func newWorld(seed uint64, nodes, blockMachines int) *World {
 	return New(deployment(nodes, blockMachines), Options{Seed: seed})
 }
 
 // submit plans a job.
-func (w *World) submit(at units.Microseconds, spec *jobs.Spec, length, cancelAfter units.Microseconds, needs ...*user.Job) *user.Job {
+func (w *World) submitJob(at units.Microseconds, spec *jobs.Spec, length, cancelAfter units.Microseconds, needs ...*user.Job) *user.Job {
 	if spec.ImageMB == 0 {
 		spec.ImageMB = 1000
 	}
@@ -63,7 +63,7 @@
 }
 
 // upTo returns the machines that are up.
-func (w *World) upNow() []*cloudprovider.Machine { return w.Site.Cloud.Alive() }
+func (w *World) aliveMachines() []*cloudprovider.Machine { return w.Site.Cloud.Alive() }
 
 // drawJob draws a job of any kind that the worlds' machines can run.
 func drawJob(t *rapid.T) *jobs.Spec {
@@ -97,7 +97,7 @@
 
 // play plays drawn jobs on a drawn deployment, with faults of every kind drawn
 // until the given time.
-func play(t *rapid.T, trouble float64) *World {
+func runDrawnScenario(t *rapid.T, trouble float64) *World {
 	sc := deployment(rapid.SampledFrom([]int{1, 2, 3, 3, 5}).Draw(t, "nodes"), rapid.SampledFrom([]int{0, 1, 4}).Draw(t, "block_machines"))
 	sc.Cloud.SickShare, sc.Cloud.SpotPerHour = 0.04, 3
 	sc.Users.LateRetries, sc.Users.Strangers = 0.3, 0.05
@@ -122,7 +122,7 @@
 		if len(submitted) > 0 && rapid.Bool().Draw(t, "awaits") {
 			needs = rapid.SliceOfNDistinct(rapid.SampledFrom(submitted), 1, min(len(submitted), 3), rapid.ID).Draw(t, "needs")
 		}
-		j := w.submit(at, drawJob(t), length, cancel, needs...)
+		j := w.submitJob(at, drawJob(t), length, cancel, needs...)
 		j.Broken = broken
 		submitted = append(submitted, j)
 	}
@@ -134,10 +134,10 @@
 // TestRulesUnderTrouble plays drawn histories, with every trouble the protocol
 // names, and checks that no rule is broken and that all work ends in time once
 // the troubles are over.
-func TestRulesUnderTrouble(t *testing.T) {
+func TestRulesUnderFaults(t *testing.T) {
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(t, 120)
+		w := runDrawnScenario(t, 120)
 		if b := w.Check.Violations(); len(b) > 0 {
 			t.Fatalf("rules broken: %v", b)
 		}
@@ -154,16 +154,16 @@
 // TestStartTogether starts controllers at the same moment, again and again. A
 // claim learnt between asking for a lease and using it once let the second
 // replace the first's claim, and both led.
-func TestStartTogether(t *testing.T) {
+func TestSimultaneousControllerStart(t *testing.T) {
 	for seed := range uint64(200) {
-		w := world(seed+1, 3, 0)
+		w := newWorld(seed+1, 3, 0)
 		w.Run(3 * second)
 		if len(w.Check.Violations()) > 0 {
 			t.Fatalf("seed %d: %v", seed, w.Check.Violations())
 		}
 		led := 0
 		for _, n := range w.Nodes {
-			if n.core.Owns(n.local(), 0) {
+			if n.core.Owns(n.steadyClock(), 0) {
 				led++
 			}
 		}
@@ -174,13 +174,15 @@
 }
 
 // busy returns a world in which long tasks run on many machines.
-func busy(seed uint64, nodes int) *World { return busyWith(seed, nodes, Mutation{}) }
+func longTaskWorld(seed uint64, nodes int) *World {
+	return mutatedLongTaskWorld(seed, nodes, Mutation{})
+}
 
 // busyWith does so with broken programs.
-func busyWith(seed uint64, nodes int, b Mutation) *World {
+func mutatedLongTaskWorld(seed uint64, nodes int, b Mutation) *World {
 	w := New(deployment(nodes, 0), Options{Seed: seed + 1, Mutation: b})
 	for range 4 {
-		w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 2000},
+		w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 60 * second}, 100*second, 0)
 	}
 	w.Run(40 * second)
@@ -189,8 +191,8 @@
 
 // busyUnder returns a busy world of three controllers, the number of tasks that
 // run, and the holder.
-func busyUnder(t *testing.T, seed uint64) (*World, int, *Node) {
-	w := busy(seed, 3)
+func longTaskWorldWithOwner(t *testing.T, seed uint64) (*World, int, *Node) {
+	w := longTaskWorld(seed, 3)
 	n, holder := w.Site.Running(), w.ShardOwner(0)
 	if n == 0 || holder == nil {
 		t.Fatalf("seed %d: %d tasks run, held by %v", seed, n, holder)
@@ -201,7 +203,7 @@
 // TestOutageLongerThanLease shows that work outlives an outage of the state
 // service that is longer than a worker's lease and the leader's together.
 func TestOutageLongerThanLease(t *testing.T) {
-	w := busy(1, 3)
+	w := longTaskWorld(1, 3)
 	before := w.Site.Running()
 	if before == 0 {
 		t.Fatal("nothing runs")
@@ -211,7 +213,7 @@
 	if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
 		t.Fatalf("%d of %d tasks still run; %v", after, before, w.Check.Violations())
 	}
-	for _, m := range w.upNow() {
+	for _, m := range w.aliveMachines() {
 		if w.Site.Worker(m.Name).Incarnation() != 1 {
 			t.Fatalf("the lease of %s ran out", m.Name)
 		}
@@ -220,11 +222,11 @@
 
 // TestRefusedAlone cuts the leader off from the state service alone: its peers,
 // which are served, stop promising, and one of them leads soon.
-func TestRefusedAlone(t *testing.T) {
-	w := busy(2, 3)
+func TestLeaderRefusedByStateService(t *testing.T) {
+	w := longTaskWorld(2, 3)
 	var old *Node
 	for _, n := range w.Nodes {
-		if n.core.Owns(n.local(), 0) {
+		if n.core.Owns(n.steadyClock(), 0) {
 			old = n
 		}
 	}
@@ -235,7 +237,7 @@
 	w.Run(w.now + 10*second)
 	led := 0
 	for _, n := range w.Nodes {
-		if n.core.Owns(n.local(), 0) && n != old {
+		if n.core.Owns(n.steadyClock(), 0) && n != old {
 			led++
 		}
 	}
@@ -247,11 +249,11 @@
 // TestHolderLosesWorkers cuts the holder off from the workers alone. It gives its
 // block up, and the leader used to grant it back at once, as the release came
 // before the holder's word that it is deaf: all leases ran out.
-func TestHolderLosesWorkers(t *testing.T) {
+func TestOwnerCutOffFromWorkers(t *testing.T) {
 	for seed := range uint64(10) {
-		w, before, old := busyUnder(t, seed)
+		w, before, old := longTaskWorldWithOwner(t, seed)
 		w.InjectFault(scenario.Fault{Kind: scenario.Cut, Between: []string{old.Name, scenario.PartyWorkers}, ForS: 90})
-		w.Run(w.now + 2*report + 3*second)
+		w.Run(w.now + 2*heartbeatInterval + 3*second)
 		if n := w.ShardOwner(0); n == nil || n == old {
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
@@ -265,15 +267,15 @@
 // TestHolderStandsStill has the holder stand still for longer than every lease,
 // and a peer before it. Another takes over within seconds and no task is lost;
 // what the first had decided and queued does no harm when it wakes.
-func TestHolderStandsStill(t *testing.T) {
+func TestFrozenOwner(t *testing.T) {
 	for seed := range uint64(10) {
-		w, before, old := busyUnder(t, seed)
-		old.frozen = w.now + lease + 20*second
+		w, before, old := longTaskWorldWithOwner(t, seed)
+		old.frozenUntil = w.now + lease + 20*second
 		w.Run(w.now + 8*second)
 		if n := w.ShardOwner(0); n == nil || n == old {
 			t.Fatalf("seed %d: held by %v", seed, n)
 		}
-		w.Run(old.frozen + 5*second)
+		w.Run(old.frozenUntil + 5*second)
 		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 || w.ShardOwner(0) == old {
 			t.Fatalf("seed %d: %d of %d tasks still run; %v", seed, after, before, w.Check.Violations())
 		}
@@ -283,14 +285,14 @@
 // TestNewHolderAsks has the holder stand still: workers wait 4 s for its answer
 // and a second more. The next holder, which did not follow it, asks them, so that work
 // accepted earlier need not wait for the last of them to find it.
-func TestNewHolderAsks(t *testing.T) {
+func TestNewOwnerProbesWorkers(t *testing.T) {
 	for seed := range uint64(10) {
-		w, _, old := busyUnder(t, seed)
-		w.opt.Mutation.DeliverPeer = func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
-		old.core.StopReplication(old.local())
+		w, _, old := longTaskWorldWithOwner(t, seed)
+		w.options.Mutation.DeliverPeer = func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
+		old.core.StopReplication(old.steadyClock())
 		w.Run(w.now + 3*second)
 		before := w.Site.Running()
-		old.frozen = w.now + 60*second
+		old.frozenUntil = w.now + 60*second
 		for until := w.now + 10*second; w.now < until && (w.ShardOwner(0) == nil || w.ShardOwner(0) == old); {
 			w.Run(w.now + 50*millis)
 		}
@@ -312,14 +314,14 @@
 // TestBrokenJob runs a wide job that fails everywhere beside good ones, through
 // the end of its holder. Few of its tasks are tried, none of the machines is
 // given up for it, and the next holder does not try all of them again.
-func TestBrokenJob(t *testing.T) {
-	w := world(11, 3, 0)
+func TestJobThatAlwaysFails(t *testing.T) {
+	w := newWorld(11, 3, 0)
 	spec := func(tasks int, cpu int64) *jobs.Spec {
 		return &jobs.Spec{Class: "x", Team: "green", Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{cpu, 0, 2000}, AnyType: true, Spot: true,
 			Image: "i", Estimate: 20 * second}
 	}
-	w.submit(second, spec(20, 4000), 40*second, 0)
-	w.submit(20*second, spec(200, 1000), 2*second, 200*second).Broken = true
+	w.submitJob(second, spec(20, 4000), 40*second, 0)
+	w.submitJob(20*second, spec(200, 1000), 2*second, 200*second).Broken = true
 	failed := func() int { return w.starts - 20 }
 	w.Run(60 * second)
 	wave := failed()
@@ -344,16 +346,16 @@
 
 // TestIdleTimeMakesRoom fills all machines with long idle-time tasks. Other work
 // starts within seconds all the same, and the idle-time work is done in the end.
-func TestIdleTimeMakesRoom(t *testing.T) {
-	w := world(12, 1, 0)
-	w.submit(second, &jobs.Spec{Class: "idle", Team: "green", Tasks: 70, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
+func TestIdleTimeTasksYield(t *testing.T) {
+	w := newWorld(12, 1, 0)
+	w.submitJob(second, &jobs.Spec{Class: "idle", Team: "green", Tasks: 70, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
 		Image: "i", Estimate: 60 * second, Checkpoint: 5 * second, Save: second}, 60*second, 0)
 	w.Run(50 * second)
 	if w.Site.Running() == 0 {
 		t.Fatal("nothing runs")
 	}
 	starts := w.starts
-	w.submit(w.now, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 8, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
+	w.submitJob(w.now, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 8, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
 		Image: "i", Estimate: 10 * second}, 30*second, 0)
 	w.Run(w.now + 15*second)
 	if got := w.starts - starts; got < 8 {
@@ -367,18 +369,18 @@
 
 // TestDeadMachineWithLeader ends the leader and a machine together: the next
 // leader must not hold all work for the dead machine's lease.
-func TestDeadMachineWithLeader(t *testing.T) {
-	w := busy(3, 3)
+func TestMachineDiesWithLeader(t *testing.T) {
+	w := longTaskWorld(3, 3)
 	total := w.Site.Running()
 	for _, n := range w.Nodes {
-		if n.core.Owns(n.local(), 0) {
+		if n.core.Owns(n.steadyClock(), 0) {
 			n.Crash()
 		}
 	}
-	for _, m := range w.upNow() {
+	for _, m := range w.aliveMachines() {
 		if w.Site.Worker(m.Name).Running() > 0 {
 			w.Site.Kill(w.now, m)
-			w.takeSite()
+			w.handleSiteEvents()
 			break
 		}
 	}
@@ -395,9 +397,9 @@
 // TestLateReportProvesNothing gives a new leader reports from before the tasks
 // were started, held up in the network. They show empty machines, yet a
 // machine counts only once it has seen the new leader's token.
-func TestLateReportProvesNothing(t *testing.T) {
+func TestLateHeartbeatToNewOwner(t *testing.T) {
 	for seed := range uint64(10) {
-		if broken := lateReports(t, seed, Mutation{}); len(broken) > 0 {
+		if broken := deliverLateHeartbeats(t, seed, Mutation{}); len(broken) > 0 {
 			t.Fatalf("seed %d: %v", seed, broken)
 		}
 	}
@@ -405,14 +407,14 @@
 
 // TestLateReportTakenForTrue leaves that check out, where nobody follows the holder: what a
 // follower knows of a machine's last report tells a late one as well.
-func TestLateReportTakenForTrue(t *testing.T) {
+func TestLateHeartbeatWithoutTokenGuard(t *testing.T) {
 	unfollowed := func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
 	for seed := range uint64(10) {
-		if broken := lateReports(t, seed, Mutation{DeliverPeer: unfollowed}); len(broken) > 0 {
+		if broken := deliverLateHeartbeats(t, seed, Mutation{DeliverPeer: unfollowed}); len(broken) > 0 {
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
 		}
 		b := Mutation{DeliverPeer: unfollowed, CoreConfig: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
-		if slices.ContainsFunc(lateReports(t, seed, b), func(b check.Violation) bool { return b.Rule == check.RanTwice }) {
+		if slices.ContainsFunc(deliverLateHeartbeats(t, seed, b), func(b check.Violation) bool { return b.Rule == check.RanTwice }) {
 			return
 		}
 	}
@@ -421,14 +423,14 @@
 
 // lateReports has a holder end, gives the next one reports from before any task was started,
 // and returns the rules that are broken.
-func lateReports(t *testing.T, seed uint64, b Mutation) []check.Violation {
+func deliverLateHeartbeats(t *testing.T, seed uint64, b Mutation) []check.Violation {
 	t.Helper()
-	w := busyWith(seed, 3, b)
+	w := mutatedLongTaskWorld(seed, 3, b)
 	if w.Site.Running() == 0 {
 		t.Fatal("nothing runs")
 	}
 	for _, n := range w.Nodes {
-		if n.core.Owns(n.local(), 0) {
+		if n.core.Owns(n.steadyClock(), 0) {
 			n.Crash()
 		}
 	}
@@ -437,13 +439,13 @@
 	for !delivered && w.now < until {
 		w.Run(w.now + 5*millis)
 		for _, n := range w.Nodes {
-			if n.life == 0 || !n.core.Owns(n.local(), 0) {
+			if n.incarnation == 0 || !n.core.Owns(n.steadyClock(), 0) {
 				continue
 			}
 			delivered = true
-			for _, m := range w.upNow() {
+			for _, m := range w.aliveMachines() {
 				r := &fleet.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Seq: 1, ReclaimIn: units.MaxTime}
-				n.ask(func(req core.RequestID) { n.core.Heartbeat(n.local(), req, r) }, 0, func(core.Reply) {})
+				n.request(func(req core.RequestID) { n.core.Heartbeat(n.steadyClock(), req, r) }, 0, func(core.Reply) {})
 			}
 		}
 	}
@@ -456,13 +458,13 @@
 
 // TestManyTasks runs a job whose finished tasks take several records, through
 // the end of its leader.
-func TestManyTasks(t *testing.T) {
-	w := world(4, 2, 0)
-	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 5000, Demand: binpack.Vec{100, 0, 100},
+func TestProgressInSeveralRecords(t *testing.T) {
+	w := newWorld(4, 2, 0)
+	w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 5000, Demand: binpack.Vec{100, 0, 100},
 		AnyType: true, Spot: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(30 * second)
 	for _, n := range w.Nodes {
-		if n.core.Owns(n.local(), 0) {
+		if n.core.Owns(n.steadyClock(), 0) {
 			n.Crash()
 		}
 	}
@@ -474,10 +476,10 @@
 
 // spread returns a world with more machines than one block carries, in which
 // short tasks come and go in several blocks.
-func spread(seed uint64) *World {
-	w := world(seed, 3, 2)
+func multiShardWorld(seed uint64) *World {
+	w := newWorld(seed, 3, 2)
 	for i := range 40 {
-		w.submit(units.Microseconds(i)*2*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 12, Demand: binpack.Vec{2000, 0, 2000},
+		w.submitJob(units.Microseconds(i)*2*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 12, Demand: binpack.Vec{2000, 0, 2000},
 			AnyType: true, Spot: true, Image: "i", Estimate: 2 * second}, 2*second, 0)
 	}
 	w.Run(40 * second)
@@ -486,8 +488,8 @@
 
 // TestBlocksShareWork shows that several controllers place tasks where there is
 // more than one block carries, within the limits (checked at every start).
-func TestBlocksShareWork(t *testing.T) {
-	w := spread(5)
+func TestShardsShareWork(t *testing.T) {
+	w := multiShardWorld(5)
 	who := map[string]bool{}
 	for k := range w.Nodes {
 		if n := w.ShardOwner(k); n != nil && n.core.Placed(k) > 0 {
@@ -505,8 +507,8 @@
 
 // TestHoldersOutliveLeader ends the leader and keeps another controller from
 // following: the holders of other blocks go on starting tasks.
-func TestHoldersOutliveLeader(t *testing.T) {
-	w := spread(6)
+func TestOwnersContinueWithoutLeader(t *testing.T) {
+	w := multiShardWorld(6)
 	var other *Node
 	k := -1
 	for _, n := range w.Nodes {
@@ -526,7 +528,7 @@
 	starts := w.starts
 	w.Run(w.now + 1500*millis) // the leader's record still stands
 	for _, n := range w.Nodes {
-		if n.life != 0 && n.core.Leads() {
+		if n.incarnation != 0 && n.core.Leads() {
 			t.Fatal("another leads before the lease has ended")
 		}
 	}
@@ -539,8 +541,8 @@
 // took no seat and may go on by promises that this release cannot ask about. It
 // is granted only when those must have run out, and machines stored one by one
 // are accounted for first.
-func TestOlderReleaseBlock(t *testing.T) {
-	w := world(7, 3, 0)
+func TestShardOfOlderRelease(t *testing.T) {
+	w := newWorld(7, 3, 0)
 	for k, v := range map[string]string{
 		"shalestage/block/0":        `{"term":3,"number":0,"controller":"node-9","machines":["*"],"jobs":["*"],"limit_share":1}`,
 		"shalestage/term":           `{"term":3,"node":"node-9"}`,
@@ -548,13 +550,13 @@
 	} {
 		w.State.Commit(0, "", kv.Txn{Changes: []kv.Change{{Key: k, Value: json.RawMessage(v)}}})
 	}
-	w.submit(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 4, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i",
+	w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 4, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Spot: true, Image: "i",
 		Estimate: second}, second, 0)
-	w.Run(cancelIn - lease - 3*second)
+	w.Run(cancelDeadline - lease - 3*second)
 	if n := w.ShardOwner(0); n != nil {
 		t.Fatalf("%s holds the block while its holder may still place", n.Name)
 	}
-	w.Run(cancelIn - 2*second)
+	w.Run(cancelDeadline - 2*second)
 	if w.ShardOwner(0) == nil {
 		t.Fatal("nobody holds the block")
 	}
@@ -569,8 +571,8 @@
 
 // TestBadPeerMessages gives controllers messages about leases that are malformed,
 // old, repeated or about nothing that there is: they change nothing.
-func TestBadPeerMessages(t *testing.T) {
-	w := spread(8)
+func TestInvalidPeerMessages(t *testing.T) {
+	w := multiShardWorld(8)
 	var before []*Node
 	for k := range w.Nodes {
 		before = append(before, w.ShardOwner(k))
@@ -590,9 +592,9 @@
 				core.ReleaseRequest{Block: -5, Grant: 0},
 				core.ForwardedRequest{Kind: 99, Job: "wk-000001"},
 			} {
-				n.core.OnPeer(n.local(), from, m)
-				n.core.OnPeer(n.local(), from, m)
-				n.carryOut()
+				n.core.OnPeer(n.steadyClock(), from, m)
+				n.core.OnPeer(n.steadyClock(), from, m)
+				n.executeEffects()
 			}
 		}
 	}
@@ -610,9 +612,9 @@
 // TestSeatEndsBeforeOutage has the state service refuse the holder alone for a little longer
 // than its lease, and then everybody. Nobody had been granted its block yet, nobody could be
 // until the outage was over, and all leases ran out.
-func TestSeatEndsBeforeOutage(t *testing.T) {
+func TestOwnerMembershipEndsBeforeOutage(t *testing.T) {
 	for seed := range uint64(6) {
-		w, before, old := busyUnder(t, seed)
+		w, before, old := longTaskWorldWithOwner(t, seed)
 		w.InjectFault(scenario.Fault{Kind: scenario.StateRefuse, Node: old.Name, ForS: 60})
 		for stands := true; stands; w.Run(w.now + 20*millis) {
 			_, _, code := w.State.Get(w.now, "", "shalestage/seat/"+old.Name)
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -16,30 +16,30 @@
 )
 
 // stateEffect executes an effect that is a request to the state service, and reports whether it is one.
-func (n *Node) stateEffect(life int, e core.Effect) bool {
-	w := n.w
-	switch e := e.(type) {
+func (n *Node) stateEffect(incarnation int, effect core.Effect) bool {
+	w := n.world
+	switch effect := effect.(type) {
 	case core.List:
-		n.list(core.Root, e.After, core.ListPageSize, func(o store.Outcome, rev uint64, items []store.Event, more bool) {
-			n.core.OnList(n.local(), e, o, rev, items, more)
+		n.list(core.Root, effect.After, core.ListPageSize, func(o store.Outcome, rev uint64, items []store.Event, more bool) {
+			n.core.OnList(n.steadyClock(), effect, o, rev, items, more)
 		})
 	case core.ScanKeys:
-		n.list(archive.Prefix, e.After, e.Page, func(o store.Outcome, _ uint64, items []store.Event, more bool) {
-			n.core.OnScan(n.local(), e, o, items, more)
+		n.list(archive.Prefix, effect.After, effect.Page, func(o store.Outcome, _ uint64, items []store.Event, more bool) {
+			n.core.OnScan(n.steadyClock(), effect, o, items, more)
 		})
 	case core.ReadKey:
-		n.read(e)
+		n.read(effect)
 	case core.Watch:
-		n.watch(life, e)
+		n.watch(incarnation, effect)
 	case core.Commit:
-		n.commit(life, e)
+		n.commit(incarnation, effect)
 	case core.Abandon: // its answer may still come
 	case core.OpenLease:
-		n.openLease(life, e)
+		n.openLease(incarnation, effect)
 	case core.RenewLease:
-		n.renewLease(life, e)
+		n.renewLease(incarnation, effect)
 	case core.CloseLease:
-		n.call(callWait, false, func() int { return w.State.End(w.now, n.Name, e.ID) }, func(store.Outcome, int) {})
+		n.callState(callTimeout, false, func() int { return w.State.End(w.now, n.Name, effect.ID) }, func(store.Outcome, int) {})
 	default:
 		return false
 	}
@@ -61,23 +61,23 @@
 
 // call does one request of the state service, on which any of the protocol's
 // misfortunes may fall. done gets what the client would make of it, and the status.
-func (n *Node) call(wait units.Microseconds, free bool, apply func() int, done func(store.Outcome, int)) {
-	w := n.w
-	if !free && !n.state.AllowN(stamp(w.now), 1) {
-		w.after(0, func() { done(store.Refused, 0) })
+func (n *Node) callState(wait units.Microseconds, free bool, apply func() int, done func(store.Outcome, int)) {
+	w := n.world
+	if !free && !n.stateLimiter.AllowN(limiterTime(w.now), 1) {
+		w.schedule(0, func() { done(store.Refused, 0) })
 		return
 	}
-	n.sent(func() {
+	n.transmit(func() {
 		w.net.request(n.Name, scenario.PartyState, wait, func(answer func(func())) {
 			code := apply()
-			w.takeState()
+			w.deliverWatchResponses()
 			if w.noise && w.chance(0.002) { // carried out, and the answer lost
 				return
 			}
-			w.after(w.stateTime(), func() {
+			w.schedule(w.stateTime(), func() {
 				answer(func() {
 					if code == http.StatusTooManyRequests {
-						n.limited()
+						n.applyLowerRate()
 					}
 					done(outcomeOf(code), code)
 				})
@@ -93,10 +93,10 @@
 }
 
 // limited takes the rates that the service will have, as a client does on a 429.
-func (n *Node) limited() {
-	next := n.w.Scenario.State.Next.RPS
+func (n *Node) applyLowerRate() {
+	next := n.world.Scenario.State.Next.RPS
 	if next > 0 {
-		n.state.SetLimitAt(stamp(n.w.now), min(n.state.Limit(), rate.Limit(next/float64(len(n.w.Nodes)))))
+		n.stateLimiter.SetLimitAt(limiterTime(n.world.now), min(n.stateLimiter.Limit(), rate.Limit(next/float64(len(n.world.Nodes)))))
 	}
 }
 
@@ -104,183 +104,185 @@
 func (w *World) stateTime() units.Microseconds {
 	t := units.Seconds(w.Scenario.State.LatencyMS / 1000 * (0.6 + 0.8*w.rng.Float64()))
 	if w.chance(0.002) {
-		t += w.span(0.1, 0.4) // now and then
+		t += w.randomDuration(0.1, 0.4) // now and then
 	}
-	if w.now < w.slow.until {
-		t += units.Microseconds(float64(w.slow.delay) * (0.6 + 0.8*w.rng.Float64()))
+	if w.now < w.stateSlowness.until {
+		t += units.Microseconds(float64(w.stateSlowness.delay) * (0.6 + 0.8*w.rng.Float64()))
 	}
 	return t
 }
 
 // openLease opens a lease at the state service.
-func (n *Node) openLease(life int, e core.OpenLease) {
-	w := n.w
+func (n *Node) openLease(incarnation int, e core.OpenLease) {
+	w := n.world
 	var id uint64
-	n.call(callWait, false, func() int {
+	n.callState(callTimeout, false, func() int {
 		var code int
 		id, code = w.State.Open(w.now, n.Name, e.TTL)
 		return code
-	}, func(o store.Outcome, _ int) { n.back(life, func() { n.core.OnLease(n.local(), o, id) }) })
+	}, func(o store.Outcome, _ int) {
+		n.deliver(incarnation, func() { n.core.OnLease(n.steadyClock(), o, id) })
+	})
 }
 
 // renewLease renews a lease at the state service, beside the budget of requests.
-func (n *Node) renewLease(life int, e core.RenewLease) {
-	w := n.w
-	n.call(callWait, true, func() int { return w.State.Renew(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
+func (n *Node) renewLease(incarnation int, e core.RenewLease) {
+	w := n.world
+	n.callState(callTimeout, true, func() int { return w.State.Renew(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
 		if o != store.OK {
-			w.happened(scenario.RenewalFailed)
+			w.recordEvent(scenario.RenewalFailed)
 		}
-		n.back(life, func() { n.core.OnRenew(n.local(), e.ID, o) })
+		n.deliver(incarnation, func() { n.core.OnRenew(n.steadyClock(), e.ID, o) })
 	})
 }
 
 // list reads a page of keys.
 func (n *Node) list(prefix, after string, page int, done func(o store.Outcome, rev uint64, items []store.Event, more bool)) {
-	w, life := n.w, n.life
-	var l kv.Listing
-	n.call(listWait, false, func() int {
-		l = w.State.List(w.now, n.Name, prefix, after, page)
-		return l.Code
+	w, incarnation := n.world, n.incarnation
+	var listing kv.Listing
+	n.callState(listTimeout, false, func() int {
+		listing = w.State.List(w.now, n.Name, prefix, after, page)
+		return listing.Code
 	}, func(o store.Outcome, _ int) {
-		n.back(life, func() {
+		n.deliver(incarnation, func() {
 			if o != store.OK {
 				done(o, 0, nil, false)
 				return
 			}
-			n.countItems(l.Items)
-			items := direct.Items(l.Items)
-			n.hasRead(items)
-			done(store.OK, l.Rev, items, l.More)
+			n.countItems(listing.Items)
+			items := direct.Items(listing.Items)
+			n.recordReads(items)
+			done(store.OK, listing.Rev, items, listing.More)
 		})
 	})
 }
 
 // read reads one key.
-func (n *Node) read(e core.ReadKey) {
-	w, life := n.w, n.life
-	var it kv.Item
+func (n *Node) read(effect core.ReadKey) {
+	w, incarnation := n.world, n.incarnation
+	var item kv.Item
 	var rev uint64
-	n.call(callWait, false, func() int {
+	n.callState(callTimeout, false, func() int {
 		var code int
-		it, rev, code = w.State.Get(w.now, n.Name, e.Key)
+		item, rev, code = w.State.Get(w.now, n.Name, effect.Key)
 		return code
 	}, func(o store.Outcome, code int) {
-		n.back(life, func() {
+		n.deliver(incarnation, func() {
 			switch {
 			case code == http.StatusNotFound:
-				n.core.OnKey(n.local(), e, store.OK, nil, 0, rev)
+				n.core.OnKey(n.steadyClock(), effect, store.OK, nil, 0, rev)
 			case o == store.OK:
-				n.core.OnKey(n.local(), e, o, it.Value, it.Stamp, 0)
+				n.core.OnKey(n.steadyClock(), effect, o, item.Value, item.Stamp, 0)
 			default:
-				n.core.OnKey(n.local(), e, o, nil, 0, 0)
+				n.core.OnKey(n.steadyClock(), effect, o, nil, 0, 0)
 			}
 		})
 	})
 }
 
-func (n *Node) watch(life int, e core.Watch) {
-	w := n.w
+func (n *Node) watch(incarnation int, effect core.Watch) {
+	w := n.world
 	finish := func(o store.Outcome, c kv.Changes) {
 		n.countChanges(c.Events)
-		n.back(life, func() {
+		n.deliver(incarnation, func() {
 			events := direct.Events(c.Events)
-			n.hasRead(events)
-			n.core.OnChanges(n.local(), e, o, c.Rev, events, c.Code == http.StatusGone)
+			n.recordReads(events)
+			n.core.OnChanges(n.steadyClock(), effect, o, c.Rev, events, c.Code == http.StatusGone)
 		})
 	}
-	if f := w.opt.Mutation.ServeFreshRead; f != nil && e.Fresh && !f() {
-		w.after(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: e.After}) })
+	if f := w.options.Mutation.ServeFreshRead; f != nil && effect.Fresh && !f() {
+		w.schedule(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: effect.After}) })
 		return
 	}
-	if !n.state.AllowN(stamp(w.now), 1) {
-		w.after(0, func() { finish(store.Refused, kv.Changes{}) })
+	if !n.stateLimiter.AllowN(limiterTime(w.now), 1) {
+		w.schedule(0, func() { finish(store.Refused, kv.Changes{}) })
 		return
 	}
-	wait := readWait
-	if e.Wait > 0 {
-		wait = callWait + e.Wait
+	wait := readTimeout
+	if effect.Wait > 0 {
+		wait = callTimeout + effect.Wait
 	}
-	if e.Fresh && w.opt.Mutation.StaleReads {
-		w.after(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: e.After}) })
+	if effect.Fresh && w.options.Mutation.StaleReads {
+		w.schedule(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: effect.After}) })
 		return
 	}
 	var id uint64
-	n.sent(func() {
+	n.transmit(func() {
 		w.net.request(n.Name, scenario.PartyState, wait, func(answer func(func())) {
-			w.watch++
-			id = w.watch
-			w.answers[id] = func(c kv.Changes) {
-				w.after(w.stateTime(), func() { answer(func() { finish(outcomeOf(c.Code), c) }) })
+			w.lastWatchID++
+			id = w.lastWatchID
+			w.watchResponses[id] = func(c kv.Changes) {
+				w.schedule(w.stateTime(), func() { answer(func() { finish(outcomeOf(c.Code), c) }) })
 			}
-			w.State.Watch(w.now, id, n.Name, core.Root, e.After, e.Wait)
-			w.takeState()
+			w.State.Watch(w.now, id, n.Name, core.Root, effect.After, effect.Wait)
+			w.deliverWatchResponses()
 		}, func(f func()) {
 			if f != nil {
 				f()
 				return
 			}
 			w.State.Close(id)
-			delete(w.answers, id)
+			delete(w.watchResponses, id)
 			finish(store.Unknown, kv.Changes{})
 		})
 	})
 }
 
-func (n *Node) commit(life int, e core.Commit) {
-	w := n.w
-	t := direct.Txn(e.Txn)
-	if f := w.opt.Mutation.Commit; f != nil {
-		f(&t)
+func (n *Node) commit(incarnation int, effect core.Commit) {
+	w := n.world
+	txn := direct.Txn(effect.Txn)
+	if f := w.options.Mutation.Commit; f != nil {
+		f(&txn)
 	}
-	n.txns++
-	number := n.txns
-	var res kv.Result
+	n.sentTxns++
+	number := n.sentTxns
+	var result kv.Result
 	run := func() int {
-		res = w.State.Commit(w.now, n.Name, t)
-		n.judged(number, res.Code)
-		if res.Code == http.StatusBadRequest && !res.NoLease {
-			w.Check.RecordViolation(w.now, check.TooLarge, "%d changes, %d guards, first %s", len(t.Changes), len(t.Guards), t.Changes[0].Key)
+		result = w.State.Commit(w.now, n.Name, txn)
+		n.recordJudgedTxn(number, result.Code)
+		if result.Code == http.StatusBadRequest && !result.NoLease {
+			w.Check.RecordViolation(w.now, check.TooLarge, "%d changes, %d guards, first %s", len(txn.Changes), len(txn.Guards), txn.Changes[0].Key)
 		}
-		if res.Code == http.StatusOK {
-			w.combined.stored[n.Name]++
-			w.stored(t)
-			w.configured(t)
+		if result.Code == http.StatusOK {
+			w.combinations.storedTxns[n.Name]++
+			w.recordCommit(txn)
+			w.reportStoredConfig(txn)
 		}
-		return res.Code
+		return result.Code
 	}
 	done := func(o store.Outcome, code int) {
-		if o == store.Failed && code == http.StatusBadRequest && !res.NoLease {
+		if o == store.Failed && code == http.StatusBadRequest && !result.NoLease {
 			o = store.TooLarge
 		}
-		if f := w.opt.Mutation.Outcome; f != nil {
-			o = f(*e.Txn, o)
+		if f := w.options.Mutation.Outcome; f != nil {
+			o = f(*effect.Txn, o)
 		}
-		n.back(life, func() { n.core.OnCommit(n.local(), e.Queue, e.Txn, o, res.Rev, res.Failed) })
+		n.deliver(incarnation, func() { n.core.OnCommit(n.steadyClock(), effect.Queue, effect.Txn, o, result.Rev, result.Failed) })
 	}
 	switch {
-	case w.now < w.late && w.chance(w.lateShare) || w.noise && w.chance(0.002): // carried out late
-		before := w.combined.stored[n.Name]
-		w.after(w.lateBy(), func() {
-			w.lateWrite(n, before)
-			r := w.State.Commit(w.now, n.Name, t) // nobody waits for the answer
-			if r.Code == http.StatusOK {
-				w.configured(t)
+	case w.now < w.lateUntil && w.chance(w.lateShare) || w.noise && w.chance(0.002): // carried out late
+		before := w.combinations.storedTxns[n.Name]
+		w.schedule(w.lateDelay(), func() {
+			w.recordLateWrite(n, before)
+			late := w.State.Commit(w.now, n.Name, txn) // nobody waits for the answer
+			if late.Code == http.StatusOK {
+				w.reportStoredConfig(txn)
 			}
-			n.late(number, r)
-			w.takeState()
+			n.recordLateTxn(number, late)
+			w.deliverWatchResponses()
 		})
-		w.after(callWait, func() { done(store.Unknown, 0) })
-	case w.now < w.unanswered && (w.unansweredShare == 1 || w.chance(w.unansweredShare)): // carried out, and the answer lost
-		n.sent(func() {
+		w.schedule(callTimeout, func() { done(store.Unknown, 0) })
+	case w.now < w.unansweredUntil && (w.unansweredShare == 1 || w.chance(w.unansweredShare)): // carried out, and the answer lost
+		n.transmit(func() {
 			w.net.send(n.Name, scenario.PartyState, func() {
 				if run() == http.StatusOK {
-					n.unanswered(t)
+					n.recordUnansweredTxn(txn)
 				}
-				w.takeState()
+				w.deliverWatchResponses()
 			})
 		})
-		w.after(callWait, func() { done(store.Unknown, 0) })
+		w.schedule(callTimeout, func() { done(store.Unknown, 0) })
 	default:
-		n.call(callWait, false, run, done)
+		n.callState(callTimeout, false, run, done)
 	}
 }
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -13,92 +13,92 @@
 )
 
 // gotReport counts a worker's report.
-func (w *World) gotReport(n *Node, r *fleet.Heartbeat) {
-	if t := w.opt.Traffic; t.At(w.now) {
-		t.JSON(n.Name, "in report", wire.EncodeHeartbeat(r, nil))
+func (w *World) countHeartbeat(n *Node, heartbeat *fleet.Heartbeat) {
+	if tally := w.options.Traffic; tally.At(w.now) {
+		tally.JSON(n.Name, "in report", wire.EncodeHeartbeat(heartbeat, nil))
 	}
 }
 
 // gotCall counts a user's call; those but submissions have no body.
-func (w *World) gotCall(n *Node, e user.Call) {
-	t := w.opt.Traffic
-	if !t.At(w.now) {
+func (w *World) countCall(n *Node, call user.Call) {
+	tally := w.options.Traffic
+	if !tally.At(w.now) {
 		return
 	}
-	if e.Kind != user.Submit {
-		t.Message(n.Name, "in poll or cancel", 0)
+	if call.Kind != user.Submit {
+		tally.Message(n.Name, "in poll or cancel", 0)
 		return
 	}
-	b, err := wire.EncodeSubmission(e.ID, e.Spec)
+	b, err := wire.EncodeSubmission(call.ID, call.Spec)
 	if err != nil {
 		panic(err) // the types are the program's own
 	}
-	t.Message(n.Name, "in submission", len(b))
+	tally.Message(n.Name, "in submission", len(b))
 }
 
 // countEffect counts what a controller sends.
-func (n *Node) countEffect(e core.Effect) {
-	t := n.w.opt.Traffic
-	if !t.At(n.w.now) {
+func (n *Node) countEffect(effect core.Effect) {
+	tally := n.world.options.Traffic
+	if !tally.At(n.world.now) {
 		return
 	}
-	switch e := e.(type) {
+	switch effect := effect.(type) {
 	case core.Reply:
-		n.countReply(e)
+		n.countReply(effect)
 	case core.SendPeer:
-		b, err := peer.Encode(n.Name, e.Message)
+		b, err := peer.Encode(n.Name, effect.Message)
 		if err != nil {
-			t.Message(n.Name, "out peer, too long", 0)
+			tally.Message(n.Name, "out peer, too long", 0)
 			return
 		}
-		t.Message(n.Name, "out peer", len(b))
-		t.Message(e.Node, "in peer", len(b))
+		tally.Message(n.Name, "out peer", len(b))
+		tally.Message(effect.Node, "in peer", len(b))
 	case core.Commit:
-		t.Message(n.Name, "out transaction", transactionBytes(e.Txn))
-		for range e.Txn.Changes {
-			t.Message(n.Name, "out change", 0)
+		tally.Message(n.Name, "out transaction", transactionBytes(effect.Txn))
+		for range effect.Txn.Changes {
+			tally.Message(n.Name, "out change", 0)
 		}
 	case core.Watch:
-		t.Message(n.Name, "out watch", 0)
+		tally.Message(n.Name, "out watch", 0)
 	case core.List, core.ScanKeys:
-		t.Message(n.Name, "out listing", 0)
+		tally.Message(n.Name, "out listing", 0)
 	case core.ReadKey:
-		t.Message(n.Name, "out read", 0)
+		tally.Message(n.Name, "out read", 0)
 	case core.OpenLease, core.RenewLease, core.CloseLease:
-		t.Message(n.Name, "out lease", 0)
+		tally.Message(n.Name, "out lease", 0)
 	case core.FetchTypes, core.ScaleOut, core.ScaleIn, core.ListMachines:
-		t.Message(n.Name, "out cloud", 0)
+		tally.Message(n.Name, "out cloud", 0)
 	case core.Probe:
-		t.Message(n.Name, "out contact", 0)
+		tally.Message(n.Name, "out contact", 0)
 	}
 }
 
 // countReply counts an answer to a worker or a user.
 func (n *Node) countReply(r core.Reply) {
-	t := n.w.opt.Traffic
-	o, toWorker := r.Body.(core.HeartbeatResponse)
+	tally := n.world.options.Traffic
+	response, toWorker := r.Body.(core.HeartbeatResponse)
 	if !toWorker {
-		t.Message(n.Name, "out answer", 0)
+		tally.Message(n.Name, "out answer", 0)
 		return
 	}
 	commands := []wire.Command{}
-	for _, c := range o.Commands {
+	for _, c := range response.Commands {
 		commands = append(commands, wire.EncodeCommand(c))
 		if c.Op == fleet.Start {
-			t.Message(n.Name, "out start", 0)
+			tally.Message(n.Name, "out start", 0)
 		}
 	}
-	t.JSON(n.Name, "out orders", commands)
+	tally.JSON(n.Name, "out orders", commands)
 }
 
 // transactionBytes is about how long a transaction is: keys, values and what goes around them.
-func transactionBytes(x *store.Txn) int {
+func transactionBytes(txn *store.Txn) int {
 	const around = 30 // names of the fields, a version
 	n := 0
-	for _, g := range x.Guards {
+	for _, g := range txn.Guards {
 		n += len(g.Key) + around
 	}
-	for _, c := range x.Changes {
+	for _, c := range txn.Changes {
 		n += len(c.Key) + len(c.Value) + around
 	}
 	return n
@@ -106,25 +106,25 @@
 
 // countItems counts a page of a listing.
 func (n *Node) countItems(items []kv.Item) {
-	if t := n.w.opt.Traffic; t.At(n.w.now) {
+	if tally := n.world.options.Traffic; tally.At(n.world.now) {
 		bytes := 0
 		for _, it := range items {
 			bytes += len(it.Key) + len(it.Value)
 		}
-		t.Message(n.Name, "in listing", bytes)
+		tally.Message(n.Name, "in listing", bytes)
 	}
 }
 
 // countChanges counts an answer to a watch, and its changes by folder.
 func (n *Node) countChanges(events []kv.Event) {
-	t := n.w.opt.Traffic
-	if !t.At(n.w.now) || len(events) == 0 {
+	tally := n.world.options.Traffic
+	if !tally.At(n.world.now) || len(events) == 0 {
 		return
 	}
 	bytes := 0
 	for _, e := range events {
 		bytes += len(e.Key) + len(e.Value)
-		t.Message(n.Name, "in change of "+strings.TrimPrefix(store.Folder(e.Key), core.Root), len(e.Key)+len(e.Value))
+		tally.Message(n.Name, "in change of "+strings.TrimPrefix(store.Folder(e.Key), core.Root), len(e.Key)+len(e.Value))
 	}
-	t.Message(n.Name, "in watch", bytes)
+	tally.Message(n.Name, "in watch", bytes)
 }
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -15,25 +15,25 @@
 
 const (
 	// longToGo is how much longer a job runs that is cancelled by CancelNow, where there are any.
-	longToGo = 20 * second
+	longRemaining = 20 * second
 	// mostHanging bounds how many machines of cancelled jobs stand still.
-	mostHanging = 8
+	maxHangingMachines = 8
 	// handover is how long after a grant a cancellation counts as told while work changes hands.
-	handover = 3 * second
+	handoverWindow = 3 * second
 )
 
 // userTroubles are what users do beyond their usual ways.
-type userTroubles struct {
-	endUntil units.Microseconds // until when jobs are cancelled as they end
-	endShare float64            // of those that do
-	granted  units.Microseconds // when a block was last granted or released
+type userFaultState struct {
+	cancelAtEndUntil units.Microseconds // until when jobs are cancelled as they end
+	cancelAtEndShare float64            // of those that do
+	lastAssignmentAt units.Microseconds // when a block was last granted or released
 }
 
 // runningJob is a job that runs, and how much longer its longest task on a machine takes.
 type runningJob struct {
-	job      *user.Job
-	left     units.Microseconds
-	machines []*cloudprovider.Machine
+	job       *user.Job
+	remaining units.Microseconds
+	machines  []*cloudprovider.Machine
 }
 
 // runningJobs lists the jobs that run and whose users have not cancelled them.
@@ -41,23 +41,23 @@
 	byID := map[string]*runningJob{}
 	var out []*runningJob
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil {
 			continue
 		}
-		for _, t := range k.RemainingTimes(w.now) {
-			j := w.Users.Job(t.Task.Job)
-			if j == nil || !j.Accepted || j.Final != "" {
+		for _, task := range worker.RemainingTimes(w.now) {
+			job := w.Users.Job(task.Task.Job)
+			if job == nil || !job.Accepted || job.Final != "" {
 				continue
 			}
-			r := byID[j.ID]
-			if r == nil {
-				r = &runningJob{job: j}
-				byID[j.ID] = r
-				out = append(out, r)
+			running := byID[job.ID]
+			if running == nil {
+				running = &runningJob{job: job}
+				byID[job.ID] = running
+				out = append(out, running)
 			}
-			r.left = max(r.left, t.Time)
-			r.machines = append(r.machines, m)
+			running.remaining = max(running.remaining, task.Time)
+			running.machines = append(running.machines, m)
 		}
 	}
 	return out
@@ -65,25 +65,25 @@
 
 // cancelNow lets users cancel running jobs at nearly the same time, and some of their
 // machines stand still.
-func (w *World) cancelNow(f scenario.Fault) {
+func (w *World) cancelNow(fault scenario.Fault) {
 	all := w.runningJobs()
 	w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	slices.SortStableFunc(all, func(a, b *runningJob) int {
-		return boolOrder(a.left < longToGo) - boolOrder(b.left < longToGo)
+		return boolOrder(a.remaining < longRemaining) - boolOrder(b.remaining < longRemaining)
 	})
-	all = all[:min(len(all), max(f.Count, 1))]
+	all = all[:min(len(all), max(fault.Count, 1))]
 	var submitted []*user.Job
 	hanging := map[string]bool{}
 	for _, r := range all {
 		submitted = append(submitted, r.job)
 		for _, m := range r.machines {
-			if f.HangS > 0 && len(hanging) < mostHanging && !hanging[m.Name] {
+			if fault.HangS > 0 && len(hanging) < maxHangingMachines && !hanging[m.Name] {
 				hanging[m.Name] = true
-				w.Site.Hang(w.now, m, w.now+units.Seconds(f.HangS))
+				w.Site.Hang(w.now, m, w.now+units.Seconds(fault.HangS))
 			}
 		}
 	}
-	w.takeSite()
+	w.handleSiteEvents()
 	w.Users.CancelSoon(w.now, submitted)
 }
 
@@ -101,58 +101,58 @@
 		return
 	}
 	if w.Users.OddRequest(w.now) {
-		w.happened(scenario.OddRequest)
+		w.recordEvent(scenario.OddRequest)
 	}
-	w.takeCrowd()
-	w.after(w.Users.OddPause(), func() { w.oddRequests(until) })
+	w.handleUserEvents()
+	w.schedule(w.Users.OddPause(), func() { w.oddRequests(until) })
 }
 
 // began notes that a task is on a machine.
-func (w *World) began(m check.Machine, id jobs.TaskID) {
+func (w *World) recordTaskStart(m check.Machine, id jobs.TaskID) {
 	before := w.Check.StartsCancelled()
 	w.Check.TaskStarted(w.now, m, id)
 	if w.Check.StartsCancelled() > before {
-		w.happened(scenario.StartCancelled)
+		w.recordEvent(scenario.StartCancelled)
 	}
 }
 
 // ended notes that a task of a job has completed: with the last one the job has ended.
-func (w *World) ended(id string) {
-	if w.now >= w.users.endUntil && !w.Users.LooksClosely(w.now) {
+func (w *World) recordTaskCompletion(id string) {
+	if w.now >= w.userFaults.cancelAtEndUntil && !w.Users.LooksClosely(w.now) {
 		return
 	}
-	j := w.Users.Job(id)
-	if j == nil || !j.Done() {
+	job := w.Users.Job(id)
+	if job == nil || !job.Done() {
 		return
 	}
-	w.Users.Ended(w.now, j)
-	if w.now < w.users.endUntil && w.chance(w.users.endShare) {
-		w.happened(scenario.CancelledAtEnd)
-		w.Users.CancelAtEnd(w.now, j)
+	w.Users.Ended(w.now, job)
+	if w.now < w.userFaults.cancelAtEndUntil && w.chance(w.userFaults.cancelAtEndShare) {
+		w.recordEvent(scenario.CancelledAtEnd)
+		w.Users.CancelAtEnd(w.now, job)
 	}
 }
 
 // cancelTold notes what goes on while a user is told that a job is cancelled.
-func (w *World) cancelTold(id string) {
+func (w *World) recordReportedCancel(id string) {
 	if w.Check.Running(id) > 0 {
-		w.happened(scenario.CancelRunning)
-		if w.unreached(id) {
-			w.happened(scenario.CancelUnreached)
+		w.recordEvent(scenario.CancelRunning)
+		if w.jobUnreachable(id) {
+			w.recordEvent(scenario.CancelUnreached)
 		}
 	}
 	if w.Check.AtLimit(id) {
-		w.happened(scenario.CancelAtLimit)
+		w.recordEvent(scenario.CancelAtLimit)
 	}
-	if w.now-w.users.granted < handover || w.ShardOwner(0) == nil {
-		w.happened(scenario.CancelInHandover)
+	if w.now-w.userFaults.lastAssignmentAt < handoverWindow || w.ShardOwner(0) == nil {
+		w.recordEvent(scenario.CancelInHandover)
 	}
-	if w.refusedAlone() {
-		w.happened(scenario.CancelAlone)
+	if w.someNodesRefused() {
+		w.recordEvent(scenario.CancelAlone)
 	}
 }
 
 // refusedAlone reports whether the state service serves some controllers and refuses others.
-func (w *World) refusedAlone() bool {
+func (w *World) someNodesRefused() bool {
 	refused := 0
 	for _, n := range w.Nodes {
 		if w.State.Refuses(w.now, n.Name) {
@@ -164,17 +164,17 @@
 
 // unreached reports whether a task of a job is on a machine that stands still, does not hear,
 // or reaches no controller.
-func (w *World) unreached(id string) bool {
+func (w *World) jobUnreachable(id string) bool {
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil || !slices.ContainsFunc(k.RemainingTimes(w.now), func(t machine.Remaining) bool { return t.Task.Job == id }) {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil || !slices.ContainsFunc(worker.RemainingTimes(w.now), func(t machine.Remaining) bool { return t.Task.Job == id }) {
 			continue
 		}
 		cut := true
 		for _, n := range w.Nodes {
-			cut = cut && w.net.open(scenario.ZoneParty(m.Zone), n.Name) != carried
+			cut = cut && w.net.connect(scenario.ZoneParty(m.Zone), n.Name) != delivered
 		}
-		if cut || k.Hung(w.now) || k.InboundCut(w.now) {
+		if cut || worker.Hung(w.now) || worker.InboundCut(w.now) {
 			return true
 		}
 	}
@@ -182,12 +182,12 @@
 }
 
 // lookForWaiting shows the checker the room on machines, again and again.
-func (w *World) lookForWaiting() {
-	w.after(check.WaitingCheckEvery, func() {
+func (w *World) scheduleWaitingCheck() {
+	w.schedule(check.WaitingCheckEvery, func() {
 		if w.Check.FaultsOver(w.now) {
-			w.Check.CheckWaiting(w.now, w.rooms())
+			w.Check.CheckWaiting(w.now, w.availableMachines())
 		}
-		w.lookForWaiting()
+		w.scheduleWaitingCheck()
 	})
 }
 
@@ -195,17 +195,17 @@
 var unusable = binpack.Vec{-1, -1, -1}
 
 // rooms lists the machines that are up, with the room that they have.
-func (w *World) rooms() (out []check.AvailableMachine) {
+func (w *World) availableMachines() (out []check.AvailableMachine) {
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil {
 			continue
 		}
-		r := check.AvailableMachine{Machine: machineOf(m)}
-		if r.Free, r.Tasks = k.FreeCapacity(); k.Hung(w.now) || k.InboundCut(w.now) || k.Unreliable() {
-			r.Free = unusable
+		available := check.AvailableMachine{Machine: machineOf(m)}
+		if available.Free, available.Tasks = worker.FreeCapacity(); worker.Hung(w.now) || worker.InboundCut(w.now) || worker.Unreliable() {
+			available.Free = unusable
 		}
-		out = append(out, r)
+		out = append(out, available)
 	}
 	return out
 }
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -16,7 +16,7 @@
 )
 
 // crowded plays a small deployment with short and long jobs and one fault.
-func crowded(seed uint64, f scenario.Fault, b Mutation) *World {
+func runUserFault(seed uint64, f scenario.Fault, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.Users.LateRetries = 0.3
 	sc.Faults = []scenario.Fault{f}
@@ -26,7 +26,7 @@
 		if i%3 == 0 {
 			length = 150 * second
 		}
-		w.submit(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 1 + i%3, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true,
+		w.submitJob(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 1 + i%3, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true,
 			Spot: true, Image: "i", Estimate: length}, length, 0)
 	}
 	w.Run(240 * second)
@@ -34,9 +34,9 @@
 }
 
 // broke reports whether a rule was broken in one of some seeds.
-func broke(rule string, seeds uint64, f scenario.Fault, b Mutation) bool {
+func violates(rule string, seeds uint64, f scenario.Fault, b Mutation) bool {
 	for seed := uint64(1); seed <= seeds; seed++ {
-		if slices.ContainsFunc(crowded(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
+		if slices.ContainsFunc(runUserFault(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
 			return true
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 // answers returns a program that answers one kind of calls wrongly after so many.
-func answers(k user.Kind, after, code int, s jobs.Status) Mutation {
+func answeringAfter(k user.Kind, after, code int, s jobs.Status) Mutation {
 	n := 0
 	return Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind != k {
@@ -58,7 +58,7 @@
 }
 
 // TestUserTroubles plays each of the users' troubles: it comes about, and breaks nothing.
-func TestUserTroubles(t *testing.T) {
+func TestUserFaults(t *testing.T) {
 	for _, c := range []struct {
 		f     scenario.Fault
 		event string
@@ -70,7 +70,7 @@
 		{scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, scenario.CloseLook, 200},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			w := crowded(seed, c.f, Mutation{})
+			w := runUserFault(seed, c.f, Mutation{})
 			for _, b := range w.Check.Violations() {
 				t.Errorf("%s, seed %d: %s", c.f.Kind, seed, b)
 			}
@@ -83,22 +83,22 @@
 
 // TestOlderAnswersAreNoticed answers each kind of calls with something older than what users
 // were told, in close looks: the checker must notice.
-func TestOlderAnswersAreNoticed(t *testing.T) {
+func TestCheckerDetectsStaleAnswers(t *testing.T) {
 	looks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
 	for name, c := range map[string]struct {
 		rule string
 		b    Mutation
 	}{
-		"submission repeated, new":     {check.WentBack, answers(user.Submit, 0, http.StatusCreated, jobs.Pending)},
-		"submission repeated, older":   {check.WentBack, answers(user.Submit, 30, http.StatusOK, jobs.Pending)},
-		"submission repeated, refused": {check.Forgotten, answers(user.Submit, 30, http.StatusUnprocessableEntity, "")},
-		"cancellation, unknown":        {check.Forgotten, answers(user.Cancel, 0, http.StatusNotFound, "")},
-		"cancellation, older":          {check.WentBack, answers(user.Cancel, 0, http.StatusOK, jobs.Running)},
-		"question, unknown":            {check.Forgotten, answers(user.Poll, 30, http.StatusNotFound, "")},
-		"question, older":              {check.WentBack, answers(user.Poll, 100, http.StatusOK, jobs.Pending)},
+		"submission repeated, new":     {check.WentBack, answeringAfter(user.Submit, 0, http.StatusCreated, jobs.Pending)},
+		"submission repeated, older":   {check.WentBack, answeringAfter(user.Submit, 30, http.StatusOK, jobs.Pending)},
+		"submission repeated, refused": {check.Forgotten, answeringAfter(user.Submit, 30, http.StatusUnprocessableEntity, "")},
+		"cancellation, unknown":        {check.Forgotten, answeringAfter(user.Cancel, 0, http.StatusNotFound, "")},
+		"cancellation, older":          {check.WentBack, answeringAfter(user.Cancel, 0, http.StatusOK, jobs.Running)},
+		"question, unknown":            {check.Forgotten, answeringAfter(user.Poll, 30, http.StatusNotFound, "")},
+		"question, older":              {check.WentBack, answeringAfter(user.Poll, 100, http.StatusOK, jobs.Pending)},
 		"reads that bring nothing new": {check.Forgotten, Mutation{StaleReads: true}},
 	} {
-		if !broke(c.rule, 3, looks, c.b) {
+		if !violates(c.rule, 3, looks, c.b) {
 			t.Errorf("%s: three plays break no %s", name, c.rule)
 		}
 	}
@@ -106,21 +106,21 @@
 
 // TestCancelledOnHangingMachine has tasks of cancelled jobs on machines that hang, go on
 // within their leases and are told no stop: the checker must notice.
-func TestCancelledOnHangingMachine(t *testing.T) {
+func TestCheckerDetectsCancelledTaskOnHungMachine(t *testing.T) {
 	hang := scenario.Fault{Kind: scenario.CancelNow, AtS: 40, Count: 8, HangS: 6}
 	noStops := Mutation{Commands: func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 	}}
-	if !broke(check.RanCancelled, 3, hang, noStops) {
+	if !violates(check.RanCancelled, 3, hang, noStops) {
 		t.Error("three plays with tasks that go on break nothing")
 	}
 }
 
 // TestStartsAfterCancelCounted has tasks start after their job's cancellation was told: they
 // are counted.
-func TestStartsAfterCancelCounted(t *testing.T) {
+func TestStartsAfterCancellationAreCounted(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := crowded(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, says(user.Cancel, http.StatusOK, jobs.Cancelled))
+		w := runUserFault(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, answering(user.Cancel, http.StatusOK, jobs.Cancelled))
 		if w.Check.StartsCancelled() > 0 && w.EventCount(scenario.StartCancelled) == w.Check.StartsCancelled() {
 			return
 		}
--- a/internal/emulator/sim/waiting_test.go
+++ b/internal/emulator/sim/waiting_test.go
@@ -15,7 +15,7 @@
 // that ask for more than that all the time. Its first job is a large one, which comes once all
 // machines are full. At most looks a few machines are between the end of a task and the start of
 // the next, others at each look.
-func fullFleet(seed uint64, b Mutation) *World {
+func fullFleetWorld(seed uint64, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.State.Limits = scenario.Limits{RPS: 1000, WriteRPS: 500, ValueKB: 8, TxnOps: 32}
 	sc.State.Next = scenario.Limits{}
@@ -28,16 +28,16 @@
 	spec := func(team string, tasks int) *jobs.Spec {
 		return &jobs.Spec{Class: "x", Team: team, Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{2500, 0, 4000}, AnyType: true, Image: "i", Estimate: 18 * second}
 	}
-	w.submit(60*second, spec("red", 600), 18*second, 0)
+	w.submitJob(60*second, spec("red", 600), 18*second, 0)
 	for at := second; at < 300*second; at += second / 2 {
-		w.submit(at, spec("blue", 30), 18*second, 0)
+		w.submitJob(at, spec("blue", 30), 18*second, 0)
 	}
 	return w
 }
 
 // TestPassingRoom plays a full fleet. The large job waits for two minutes, as smaller ones go
 // first, and is not left waiting by that; a service that never starts it is reported.
-func TestPassingRoom(t *testing.T) {
+func TestLargeJobInFullFleet(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		b     Mutation
@@ -47,7 +47,7 @@
 		{"intact", Mutation{}, 400 * second, false},
 		{"never started", Mutation{Commands: withoutStarts("wk-000000")}, 330 * second, true},
 	} {
-		w := fullFleet(1, c.b)
+		w := fullFleetWorld(1, c.b)
 		w.Run(c.until)
 		began := w.Check.FirstStart("wk-000000")
 		t.Logf("%s: began at %.1f, %d starts, %v", c.name, began.Seconds(), w.Check.Starts(), w.Check.Violations())
--- a/internal/emulator/sim/workers.go
+++ b/internal/emulator/sim/workers.go
@@ -17,84 +17,84 @@
 }
 
 // takeSite carries out what machines do.
-func (w *World) takeSite() {
-	for _, e := range w.Site.Drain() {
-		switch e := e.(type) {
+func (w *World) handleSiteEvents() {
+	for _, event := range w.Site.Drain() {
+		switch event := event.(type) {
 		case site.Send:
-			w.report(e)
+			w.sendHeartbeat(event)
 		case site.Began:
 			w.starts++
-			w.began(machineOf(e.Machine), e.Task)
-			if m := w.opt.Meter; m != nil {
-				m.Began(w.now, e.Machine.Name, e.Task)
+			w.recordTaskStart(machineOf(event.Machine), event.Task)
+			if m := w.options.Meter; m != nil {
+				m.Began(w.now, event.Machine.Name, event.Task)
 			}
-			if a := w.opt.Account; a != nil {
-				a.Began(e.Machine.Name, e.Task, cpus(w.Site.Book[e.Task.Job].Spec.Demand))
+			if a := w.options.Account; a != nil {
+				a.Began(event.Machine.Name, event.Task, cpus(w.Site.Book[event.Task.Job].Spec.Demand))
 			}
 		case site.Ended:
-			w.Check.TaskEnded(w.now, machineOf(e.Machine), e.Task, e.Completed)
-			if e.Completed {
-				w.happened(scenario.TaskDone)
-				w.ended(e.Task.Job)
+			w.Check.TaskEnded(w.now, machineOf(event.Machine), event.Task, event.Completed)
+			if event.Completed {
+				w.recordEvent(scenario.TaskDone)
+				w.recordTaskCompletion(event.Task.Job)
 			}
-			w.taskEnded(e)
-			if m := w.opt.Meter; m != nil {
-				m.Ended(w.now, e.Machine.Name, e.Task, e.Completed)
+			w.recordTaskEnd(event)
+			if m := w.options.Meter; m != nil {
+				m.Ended(w.now, event.Machine.Name, event.Task, event.Completed)
 			}
-			if a := w.opt.Account; a != nil {
-				a.Ended(e.Machine.Name, e.Task, e.Completed)
+			if a := w.options.Account; a != nil {
+				a.Ended(event.Machine.Name, event.Task, event.Completed)
 			}
 		}
 	}
 }
 
 // report brings a worker's report to a controller and its answer back.
-func (w *World) report(e site.Send) {
-	n := w.node(e.Node)
-	arrives := func(req core.RequestID) { n.report(req, e.Body) }
-	zone := scenario.ZoneParty(e.Body.Zone)
+func (w *World) sendHeartbeat(send site.Send) {
+	n := w.node(send.Node)
+	arrives := func(req core.RequestID) { n.handleHeartbeat(req, send.Body) }
+	zone := scenario.ZoneParty(send.Body.Zone)
 	failed := func() {
-		w.Site.Answer(w.now, e.Machine, e.Number, machine.Response{})
-		w.takeSite()
+		w.Site.Answer(w.now, send.Machine, send.Number, machine.Response{})
+		w.handleSiteEvents()
 	}
 	lost := w.noise && w.chance(0.003)
-	if w.now < w.copies.until && w.chance(w.copies.share) {
-		if w.copies.forNext {
-			w.keepReport(e.Body)
+	if w.now < w.heartbeatCopies.until && w.chance(w.heartbeatCopies.share) {
+		if w.heartbeatCopies.forNext {
+			w.keepHeartbeat(send.Body)
 		} else {
-			w.after(w.span(2, 3*w.Scenario.Workers.LeaseS), func() {
-				n.ask(arrives, 0, func(core.Reply) {})
+			w.schedule(w.randomDuration(2, 3*w.Scenario.Workers.LeaseS), func() {
+				n.request(arrives, 0, func(core.Reply) {})
 			})
 		}
 	}
 	w.net.request(zone, n.Name, machine.ResponseTimeout, func(answer func(func())) {
-		if n.life == 0 {
+		if n.incarnation == 0 {
 			answer(failed) // the connection is refused
 			return
 		}
 		if w.noise && w.chance(0.005) { // it comes late, when nobody waits
-			w.after(w.span(1, 90), func() { n.ask(arrives, 0, func(core.Reply) {}) })
+			w.schedule(w.randomDuration(1, 90), func() { n.request(arrives, 0, func(core.Reply) {}) })
 			return
 		}
-		w.gotReport(n, e.Body)
-		n.ask(arrives, 4*second, func(r core.Reply) {
+		w.countHeartbeat(n, send.Body)
+		n.request(arrives, 4*second, func(reply core.Reply) {
 			if lost {
 				return
 			}
-			a := machine.Response{Code: r.Code, NoFencingToken: true}
-			switch b := r.Body.(type) {
+			response := machine.Response{Code: reply.Code, NoFencingToken: true}
+			switch b := reply.Body.(type) {
 			case core.HeartbeatResponse:
-				a.FencingToken, a.NoFencingToken, a.Commands = b.FencingToken, false, b.Commands
-				w.acted(b.FencingToken)
+				response.FencingToken, response.NoFencingToken, response.Commands = b.FencingToken, false, b.Commands
+				w.recordOwnerResponse(b.FencingToken)
 			case core.Redirect:
-				a.RedirectTo = b.Node
+				response.RedirectTo = b.Node
 			}
 			sent := w.now
 			answer(func() {
-				w.answered(e.Machine, a.Commands)
-				w.answerArrives(sent, r)
-				w.Site.Answer(w.now, e.Machine, e.Number, a)
-				w.takeSite()
+				w.recordQuickStart(send.Machine, response.Commands)
+				w.recordHeldResponse(sent, reply)
+				w.Site.Answer(w.now, send.Machine, send.Number, response)
+				w.handleSiteEvents()
 			})
 		})
 	}, func(f func()) {
@@ -107,14 +107,14 @@
 }
 
 // report hands a worker's report to the core.
-func (n *Node) report(req core.RequestID, body *fleet.Heartbeat) {
-	n.w.reportArrives(n, body)
-	if f := n.w.opt.Mutation.Heartbeat; f != nil {
-		seen := *body
-		seen.Tasks = slices.Clone(seen.Tasks)
-		f(&seen)
-		body = &seen
+func (n *Node) handleHeartbeat(req core.RequestID, body *fleet.Heartbeat) {
+	n.world.recordHeartbeat(n, body)
+	if mutate := n.world.options.Mutation.Heartbeat; mutate != nil {
+		altered := *body
+		altered.Tasks = slices.Clone(altered.Tasks)
+		mutate(&altered)
+		body = &altered
 	}
-	n.w.opt.Traffic.As("do report")
-	n.core.Heartbeat(n.local(), req, body)
+	n.world.options.Traffic.As("do report")
+	n.core.Heartbeat(n.steadyClock(), req, body)
 }
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -78,39 +78,39 @@
 
 // World is a scenario that is being played.
 type World struct {
-	Scenario *scenario.Scenario
-	Check    *check.Checker
-	State    *kv.Service
-	Site     *site.Site
-	Users    *user.Crowd
-	Nodes    []*Node
-	Faults   []scenario.Fault // all that happen, drawn ones included
-	opt      Options
-	rng      *rand.Rand
-	now      units.Microseconds
-	plans    eventqueue.Queue[func()]
-	net      network
-	front    *balance.Balancer
-	noise    bool
-	answers  map[uint64]func(kv.Changes) // of open watches
-	watch    uint64
-	starts   int
-	slow     struct {
+	Scenario       *scenario.Scenario
+	Check          *check.Checker
+	State          *kv.Service
+	Site           *site.Site
+	Users          *user.Crowd
+	Nodes          []*Node
+	Faults         []scenario.Fault // all that happen, drawn ones included
+	options        Options
+	rng            *rand.Rand
+	now            units.Microseconds
+	events         eventqueue.Queue[func()]
+	net            network
+	balancer       *balance.Balancer
+	noise          bool
+	watchResponses map[uint64]func(kv.Changes) // of open watches
+	lastWatchID    uint64
+	starts         int
+	stateSlowness  struct {
 		until, delay units.Microseconds
 	}
-	late, unanswered units.Microseconds // until when transactions are
-	lateShare        float64            // of those that are late
-	unansweredShare  float64            // of those whose answer is lost
-	copies           struct {           // of reports that arrive again
+	lateUntil, unansweredUntil units.Microseconds // until when transactions are
+	lateShare                  float64            // of those that are late
+	unansweredShare            float64            // of those whose answer is lost
+	heartbeatCopies            struct {           // of reports that arrive again
 		until   units.Microseconds
 		share   float64
 		forNext bool // when a new leader begins
 	}
-	meetings    meetings
-	zoneCut     map[string]units.Microseconds // until when zones are cut off
-	eventCounts map[string]int                // how often each of scenario.CountedEvents has happened
-	users       userTroubles
-	combined    combinations
+	interactions faultInteractions
+	zoneCutUntil map[string]units.Microseconds // until when zones are cut off
+	eventCounts  map[string]int                // how often each of scenario.CountedEvents has happened
+	userFaults   userFaultState
+	combinations faultCombinations
 	// Changes are the operators' changes of the configuration so far.
 	ConfigChanges []*ConfigChange
 }
@@ -119,36 +119,36 @@
 func New(s *scenario.Scenario, opt Options) *World {
 	seed := cmp.Or(opt.Seed, s.Seed)
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
-	w := &World{zoneCut: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combined: newCombinations(), Scenario: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
-		Users: user.New(s.UserOptions(), stream(14)),
-		opt:   opt, rng: stream(16), noise: opt.Noise, answers: map[uint64]func(kv.Changes){}, meetings: meetings{unread: map[string]string{}}}
-	w.net = network{w: w, ways: map[way]trouble{}}
-	w.front = balance.New(s.Controllers.Count, 0, stream(13))
+	w := &World{zoneCutUntil: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combinations: newFaultCombinations(), Scenario: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
+		Users:   user.New(s.UserOptions(), stream(14)),
+		options: opt, rng: stream(16), noise: opt.Noise, watchResponses: map[uint64]func(kv.Changes){}, interactions: faultInteractions{unreadWrites: map[string]string{}}}
+	w.net = network{world: w, links: map[link]impairment{}}
+	w.balancer = balance.New(s.Controllers.Count, 0, stream(13))
 	for _, j := range s.Plan(0, stream(15)) {
 		w.AddJob(j)
 	}
 	for i := range s.Nodes() {
-		n := &Node{w: w, index: i, Name: scenario.NodeName(i), zone: s.Controllers.Zones[i%len(s.Controllers.Zones)]}
+		n := &Node{world: w, index: i, Name: scenario.NodeName(i), zone: s.Controllers.Zones[i%len(s.Controllers.Zones)]}
 		w.Nodes = append(w.Nodes, n)
 	}
 	for _, n := range w.Nodes {
 		n.start()
 	}
-	w.count()
-	w.measure()
-	w.keepAccount()
-	w.lookForWaiting()
+	w.scheduleCensus()
+	w.scheduleMeter()
+	w.scheduleAccount()
+	w.scheduleWaitingCheck()
 	draws := stream(17)
 	for _, f := range s.Faults {
-		w.Faults = append(w.Faults, settled(f, draws))
+		w.Faults = append(w.Faults, resolveTimes(f, draws))
 	}
 	if d := s.Draw; d.ToS > 0 {
 		w.Faults = append(w.Faults, DrawFaults(s, seed, draws)...)
 		w.noise = true
 	}
-	w.Check.SetFaultsOver(calm(w.Faults))
+	w.Check.SetFaultsOver(faultsOverTime(w.Faults))
 	for _, f := range w.Faults {
-		w.after(units.Seconds(f.AtS), func() { w.InjectFault(f) })
+		w.schedule(units.Seconds(f.AtS), func() { w.InjectFault(f) })
 	}
 	return w
 }
@@ -159,10 +159,10 @@
 	w.Users.Add(j)
 }
 
-func (w *World) after(d units.Microseconds, f func()) { w.plans.Add(w.now+max(d, 0), f) }
+func (w *World) schedule(d units.Microseconds, event func()) { w.events.Add(w.now+max(d, 0), event) }
 
 // span draws a time between a and b seconds.
-func (w *World) span(a, b float64) units.Microseconds {
+func (w *World) randomDuration(a, b float64) units.Microseconds {
 	return units.Seconds(a + (b-a)*w.rng.Float64())
 }
 
@@ -171,29 +171,29 @@
 // Run plays until a time.
 func (w *World) Run(until units.Microseconds) {
 	for {
-		next := min(w.plans.Next(), w.State.Next(), w.Site.Next(), w.Users.Next(), w.front.Next())
+		next := min(w.events.Next(), w.State.Next(), w.Site.Next(), w.Users.Next(), w.balancer.Next())
 		if next > until {
 			break
 		}
 		w.now = max(w.now, next)
 		if w.State.Next() <= w.now {
 			w.State.Advance(w.now)
-			w.takeState()
+			w.deliverWatchResponses()
 		}
 		if w.Site.Next() <= w.now {
 			w.Site.Advance(w.now)
-			w.takeSite()
+			w.handleSiteEvents()
 		}
 		if w.Users.Next() <= w.now {
 			w.Users.Advance(w.now)
-			w.takeCrowd()
+			w.handleUserEvents()
 		}
-		if w.front.Next() <= w.now {
-			w.front.Advance(w.now)
-			w.takeFront()
+		if w.balancer.Next() <= w.now {
+			w.balancer.Advance(w.now)
+			w.handleBalancerEvents()
 		}
 		for {
-			_, f, ok := w.plans.Due(w.now)
+			_, f, ok := w.events.Due(w.now)
 			if !ok {
 				break
 			}
@@ -216,7 +216,7 @@
 // Holder returns the controller that holds a block, if any does.
 func (w *World) ShardOwner(k int) *Node {
 	for _, n := range w.Nodes {
-		if n.life != 0 && n.core.Owns(n.local(), k) {
+		if n.incarnation != 0 && n.core.Owns(n.steadyClock(), k) {
 			return n
 		}
 	}
@@ -225,11 +225,11 @@
 
 // oneHolder checks that no two controllers think that they may answer the workers
 // of the same block.
-func (w *World) oneHolder() {
+func (w *World) checkSingleOwner() {
 	for k := range w.Nodes {
 		first := ""
 		for _, n := range w.Nodes {
-			if n.life == 0 || !n.core.Owns(n.local(), k) {
+			if n.incarnation == 0 || !n.core.Owns(n.steadyClock(), k) {
 				continue
 			}
 			if first != "" {
@@ -283,7 +283,7 @@
 func (w *World) Explain(id string) string {
 	var b strings.Builder
 	for _, n := range w.Nodes {
-		fmt.Fprintf(&b, "%s (alive %v): %s\n", n.Name, n.life != 0, n.core.Explain(id))
+		fmt.Fprintf(&b, "%s (alive %v): %s\n", n.Name, n.incarnation != 0, n.core.Explain(id))
 	}
 	if j := w.Site.Book[id]; j != nil {
 		fmt.Fprintf(&b, "truth: done %d of %d, spec %+v\n", j.DoneTasks(), j.Spec.Tasks, *j.Spec)
--- a/internal/emulator/sim/zone_test.go
+++ b/internal/emulator/sim/zone_test.go
@@ -16,13 +16,13 @@
 )
 
 // lostZone plays rehearsals/zones.toml with some faults and returns the controllers' logs.
-func lostZone(t *testing.T, seed uint64, faults ...scenario.Fault) (*World, string) {
+func runZones(t *testing.T, seed uint64, faults ...scenario.Fault) (*World, string) {
 	t.Helper()
-	return lostZoneWith(t, seed, Mutation{}, faults...)
+	return runMutatedZones(t, seed, Mutation{}, faults...)
 }
 
 // lostZoneWith does so with broken programs.
-func lostZoneWith(t *testing.T, seed uint64, broken Mutation, faults ...scenario.Fault) (*World, string) {
+func runMutatedZones(t *testing.T, seed uint64, broken Mutation, faults ...scenario.Fault) (*World, string) {
 	t.Helper()
 	s, err := scenario.Load("../../../rehearsals/zones.toml")
 	if err != nil {
@@ -49,7 +49,7 @@
 
 // TestZoneIsEmptied has an operator say that a zone that serves will be gone: nothing starts
 // there any more, and once its tasks have ended its machines are returned.
-func TestZoneIsEmptied(t *testing.T) {
+func TestDrainedZone(t *testing.T) {
 	s, err := scenario.Load("../../../rehearsals/zones.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	w.Run(80 * second)
 	before := there()
 	r := w.State.Commit(w.now, "operator", kv.Txn{Changes: []kv.Change{{Key: "shalestage/zone/b", Value: []byte(`{"word":"gone"}`)}}})
-	w.takeState()
+	w.deliverWatchResponses()
 	w.Run(170 * second)
 	services := 1 // of a service that is kept apart one replica stays: nothing is stopped for a word
 	if after := there(); r.Code != 200 || before < 10 || after > services {
@@ -81,7 +81,7 @@
 // TestApartFromItsMachines cuts the holder's zone off from that in which all machines stand,
 // while the state service serves both: it is the holder that is deaf, and not the zone that
 // is lost. A controller beside the machines has the block before long.
-func TestApartFromItsMachines(t *testing.T) {
+func TestOwnerCutOffFromMachineZone(t *testing.T) {
 	s, err := scenario.Load("../../../rehearsals/zones.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -113,10 +113,10 @@
 // TestReportsThatWereHeldBack has a zone come back just after the leases of its machines
 // have run out: what their last reports showed, which the cut has held back until then, has
 // been started elsewhere, and is not called back (docs/incidents/2026-12-01-held-back.md).
-func TestReportsThatWereHeldBack(t *testing.T) {
+func TestHeartbeatsDelayedPastLease(t *testing.T) {
 	late := 0
 	for seed := uint64(1); seed <= 4; seed++ {
-		_, logs := lostZone(t, seed, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
+		_, logs := runZones(t, seed, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
 		late += strings.Count(logs, "heartbeat shows attempts whose lease expired")
 		if n := strings.Count(logs, "task is on two machines"); n > 0 {
 			t.Errorf("seed %d: %d tasks were called back to where they are not", seed, n)
@@ -130,10 +130,10 @@
 // TestHeldBackReportsTakenForTrue leaves out that attempts of before a lease's end are void:
 // then tasks are called back. No rule breaks all the same, as a task that is known to be
 // somewhere else is stopped where it shows as well.
-func TestHeldBackReportsTakenForTrue(t *testing.T) {
+func TestDelayedHeartbeatsWithoutExpiryGuard(t *testing.T) {
 	b := Mutation{CoreConfig: func(c *core.Config) { c.SkippedGuard = guard.ExpiredAttempts }}
 	for seed := uint64(1); seed <= 2; seed++ {
-		_, logs := lostZoneWith(t, seed, b, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
+		_, logs := runMutatedZones(t, seed, b, scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "b", ForS: 20.5})
 		if strings.Contains(logs, "task is on two machines") {
 			return
 		}
@@ -141,18 +141,18 @@
 	t.Error("no task was called back to where it is not")
 }
 
-var provisioned = regexp.MustCompile(`t=([0-9.]+) level=INFO msg="machines provisioned" .* zone=(\w+) .* provisioned=(\d+)`)
+var provisionedLog = regexp.MustCompile(`t=([0-9.]+) level=INFO msg="machines provisioned" .* zone=(\w+) .* provisioned=(\d+)`)
 
 // TestNothingIntoALostZone counts what is provisioned while a zone is lost, with its controller
 // and without, in whatever way it is cut off: from when it is lost on nothing there.
-func TestNothingIntoALostZone(t *testing.T) {
+func TestNoProvisioningIntoLostZone(t *testing.T) {
 	for i, mode := range []string{"hold", "drop", "reset"} {
-		_, logs := lostZone(t, uint64(i+1), scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "a", ForS: 70, Mode: mode})
+		_, logs := runZones(t, uint64(i+1), scenario.Fault{Kind: scenario.ZoneLost, AtS: 100, Zone: "a", ForS: 70, Mode: mode})
 		if !strings.Contains(logs, "state=lost") || !strings.Contains(logs, "state=back") {
 			t.Errorf("%s: the zone was never lost, or never came back", mode)
 		}
 		into, elsewhere := 0, 0
-		for _, m := range provisioned.FindAllStringSubmatch(logs, -1) {
+		for _, m := range provisionedLog.FindAllStringSubmatch(logs, -1) {
 			at, _ := strconv.ParseFloat(m[1], 64)
 			got, _ := strconv.Atoi(m[3])
 			switch {
