--- a/internal/emulator/sim/calls.go
+++ b/internal/emulator/sim/calls.go
@@ -10,7 +10,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// takeState hands watches their answers.
+// deliverWatchResponses passes the state service's responses to the open watches.
 func (w *World) deliverWatchResponses() {
 	for _, c := range w.State.Drain() {
 		if f := w.watchResponses[c.ID]; f != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// takeCrowd carries out what users do.
+// handleUserEvents executes the requests of users and reports the other events of users to the checker.
 func (w *World) handleUserEvents() {
 	for _, event := range w.Users.Drain() {
 		if call, ok := event.(user.Call); ok {
@@ -41,7 +41,8 @@
 	}
 }
 
-// call brings a user's call to a controller that the balancer chooses.
+// sendCall sends a user's request to a controller that the load balancer chooses. If the connection fails, it tries
+// the other controllers; tried lists those that have failed.
 func (w *World) sendCall(call user.Call, tried []int) {
 	failed := func() {
 		w.Users.Failed(w.now, call.Number)
@@ -76,7 +77,7 @@
 	w.serveCall(call, n, failed, func() { w.balancer.Closed(i) })
 }
 
-// callNode brings a user's call to one controller, past the balancer.
+// callNode sends a user's request directly to one controller, bypassing the load balancer.
 func (w *World) callNode(call user.Call, failed func()) {
 	n := w.node(call.Node)
 	connects := w.net.connect("users", n.Name)
@@ -87,7 +88,8 @@
 	w.serveCall(call, n, failed, func() {})
 }
 
-// serveCall lets a controller answer a user's call; closed is told when the connection ends.
+// serveCall passes a user's request to a controller and its response to the user. closed is called when the
+// connection ends; failed is called after that if there was no response.
 func (w *World) serveCall(call user.Call, n *Node, failed, closed func()) {
 	w.net.request("users", n.Name, call.Wait+second, func(answer func(func())) {
 		within := 4 * second
@@ -140,7 +142,7 @@
 	})
 }
 
-// takeFront carries out what the balancer does.
+// handleBalancerEvents executes the load balancer's health probes.
 func (w *World) handleBalancerEvents() {
 	for _, event := range w.balancer.Drain() {
 		if probe, ok := event.(balance.Probe); ok {
--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -9,15 +9,15 @@
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
-// Census is what there is at a time: what a long play is looked at for.
+// Census counts the resources in use at one time. Long runs record it to show that nothing grows without bound.
 type Census struct {
 	At     units.Microseconds
-	Keys   map[string]int // in the state service, by folder
-	Nodes  []core.Stats   // of the controllers that run
-	HeapMB float64        // of the whole play, models included
+	Keys   map[string]int // number of stored keys by key group
+	Nodes  []core.Stats   // statistics of the running controllers
+	HeapMB float64        // heap in use by the whole process, emulator models included
 }
 
-// census counts.
+// census takes a census now.
 func (w *World) census() Census {
 	census := Census{At: w.now, Keys: map[string]int{}}
 	w.State.Each(func(it kv.Item) { census.Keys[store.Folder(it.Key)]++ })
@@ -40,7 +40,7 @@
 	return census
 }
 
-// count takes a census again and again.
+// scheduleCensus takes a census every CensusInterval.
 func (w *World) scheduleCensus() {
 	if w.options.OnCensus == nil || w.options.CensusInterval <= 0 {
 		return
--- a/internal/emulator/sim/cloudclient.go
+++ b/internal/emulator/sim/cloudclient.go
@@ -14,7 +14,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// cloudEffect executes an effect that is a request to the cloud provider, and reports whether it is one.
+// cloudEffect executes an effect that concerns the cloud provider. It reports whether the effect is of that kind.
 func (n *Node) cloudEffect(incarnation int, effect core.Effect) bool {
 	w := n.world
 	switch effect := effect.(type) {
@@ -36,8 +36,9 @@
 	return true
 }
 
-// cloudCall does one request of the cloud once the budget allows it, and for what
-// is decided only while the controller may decide.
+// cloudCall sends a request to the cloud provider as soon as the rate limit allows it. It fails with store.Refused if
+// that takes longer than the timeout. A guarded request is sent only while the controller's authority is valid.
+// apply executes the request and returns its status code.
 func (n *Node) cloudCall(guarded bool, apply func() int, done func(store.Outcome)) {
 	w, incarnation := n.world, n.incarnation
 	r := n.cloudLimiter.ReserveN(limiterTime(w.now), 1)
@@ -88,7 +89,7 @@
 	})
 }
 
-// fetchTypes reads the price list of the cloud provider.
+// fetchTypes reads the machine types and prices of the cloud provider.
 func (n *Node) fetchTypes(incarnation int) {
 	w := n.world
 	var types []fleet.Type
@@ -102,7 +103,7 @@
 	}, func(o store.Outcome) { n.deliver(incarnation, func() { n.core.OnTypes(n.steadyClock(), o, types) }) })
 }
 
-// scaleOut creates machines.
+// scaleOut creates worker machines.
 func (n *Node) scaleOut(incarnation int, effect core.ScaleOut) {
 	w := n.world
 	var names []string
@@ -126,7 +127,7 @@
 	})
 }
 
-// hosts reads the machine list, page by page.
+// listMachines reads the list of machines page by page. got holds the machines of earlier pages.
 func (n *Node) listMachines(incarnation int, effect core.ListMachines, after string, got []core.ListedMachine) {
 	w := n.world
 	var list []cloudprovider.Listed
@@ -154,7 +155,7 @@
 	})
 }
 
-// setCloudBudget takes the part of the provider's rate that this controller may use.
+// setCloudRate limits this controller to its share of the cloud provider's request rate.
 func (n *Node) setCloudRate(e core.CloudBudget) {
 	w := n.world
 	n.cloudLimiter.SetLimitAt(limiterTime(w.now), rate.Limit(w.Scenario.Cloud.RPS*cloudRateFraction*e.Fraction))
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -13,50 +13,51 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// combinations notes which faults come about together, for scenario.CountedEvents. It draws
-// nothing and changes nothing of a play.
+// faultCombinations tracks which faults coincide, for scenario.CountedEvents. It only observes: it draws no random
+// numbers and does not change the run.
 type faultCombinations struct {
-	allDownSince    units.Microseconds            // since when no controller has run; 0: one runs
-	exitedAt        map[string]units.Microseconds // when each controller last ended
-	owners          map[int]shardOwners           // who was granted each block
-	everOwners      map[string]bool               // controllers that were ever granted a block
-	ownerChanges    int                           // of the holder of any block
-	smallJobs       map[string]smallJob           // jobs of two or three tasks of which some have ended
-	refusals        map[string]refusal            // controllers that the state service refuses alone
-	reportedCancels int                           // cancellations told
-	storedTxns      map[string]int                // transactions of each controller that were stored
-	newestHeartbeat map[string]heartbeatNumber    // last report of each machine that has arrived anywhere
-	lastHeartbeatAt map[string]units.Microseconds // when a report last arrived at each controller
+	allDownSince    units.Microseconds            // since when no controller runs; 0 if one does
+	exitedAt        map[string]units.Microseconds // last exit of each controller
+	owners          map[int]shardOwners           // owners of each shard so far
+	everOwners      map[string]bool               // controllers that have ever been assigned a shard
+	ownerChanges    int                           // number of shard assignments to a controller so far
+	smallJobs       map[string]smallJob           // jobs of two or three tasks of which some have completed
+	refusals        map[string]refusal            // shard owners and leaders that the state service refuses
+	reportedCancels int                           // cancellations that users were told of so far
+	storedTxns      map[string]int                // number of committed transactions of each controller
+	newestHeartbeat map[string]heartbeatNumber    // newest heartbeat of each machine that has reached a controller
+	lastHeartbeatAt map[string]units.Microseconds // when a heartbeat last reached each controller
 }
 
-// blockHolders are the controllers that were granted a block, and the last of them.
+// shardOwners are the controllers that have been assigned a shard, and the last of them.
 type shardOwners struct {
 	seen map[string]bool
 	last string
 }
 
-// fewTasks is a job of two or three tasks: which of them have ended, and the count of
-// changes of holders at the first end.
+// smallJob is a job of two or three tasks: a bit mask of the completed ones, and faultCombinations.ownerChanges at the
+// first completion.
 type smallJob struct {
 	completedMask uint8
 	ownerChanges  int
 }
 
-// refusal is a controller that holds or leads and is refused.
+// refusal is a period in which the state service refuses a shard owner or leader.
 type refusal struct {
 	until           units.Microseconds
-	reportedCancels int // told before
+	reportedCancels int // before the refusal
 }
 
-// messageNumber orders a machine's messages.
+// heartbeatNumber orders the heartbeats of a machine.
 type heartbeatNumber struct{ incarnation, seq uint64 }
 
 const (
-	// heldFor is how long an answer or a command is under way at least that was held up.
+	// heldThreshold is the shortest delay with which a response or direct request counts as held up.
 	heldThreshold = second
-	// atOnce is how soon a controller is back at most that returns at once.
+	// quickReturnWindow is the longest downtime with which a controller counts as back at once.
 	quickReturnWindow = second
-	// reachedLately is how long ago a report reached a controller at most that workers reach.
+	// recentHeartbeatWindow is the longest time since the last heartbeat with which a controller counts as reachable
+	// by workers.
 	recentHeartbeatWindow = 4 * second
 )
 
@@ -66,7 +67,7 @@
 		newestHeartbeat: map[string]heartbeatNumber{}, lastHeartbeatAt: map[string]units.Microseconds{}}
 }
 
-// nodeEnds notes that a controller's process is about to end.
+// recordNodeExit records that a controller process is about to exit.
 func (w *World) recordNodeExit(n *Node) {
 	combinations := &w.combinations
 	combinations.exitedAt[n.Name] = w.now
@@ -82,8 +83,8 @@
 	w.recordEvent(scenario.AllEnded)
 }
 
-// anyOutOfReach reports whether tasks run on a machine that hangs, hears nothing, or is cut
-// off from a controller.
+// anyWorkerUnreachable reports whether a machine that runs tasks hangs, receives no messages, or is cut off from
+// controller n.
 func (w *World) anyWorkerUnreachable(n *Node) bool {
 	for _, m := range w.Site.Cloud.Alive() {
 		worker := w.Site.Worker(m.Name)
@@ -97,7 +98,7 @@
 	return false
 }
 
-// nodeStarts notes that a controller's process begins again.
+// recordNodeStart records that a controller process restarts.
 func (w *World) recordNodeStart(n *Node) {
 	combinations := &w.combinations
 	if n.lastIncarnation == 0 {
@@ -112,7 +113,7 @@
 	combinations.allDownSince = 0
 }
 
-// blockStored notes who holds a block from now on.
+// recordAssignment records the owner of a shard from a stored assignment.
 func (w *World) recordAssignment(change kv.Change) {
 	combinations := &w.combinations
 	number, err := strconv.Atoi(strings.TrimPrefix(change.Key, "shalestage/block/"))
@@ -136,7 +137,7 @@
 	combinations.owners[number] = owners
 }
 
-// taskEnded notes that a task is no longer on its machine.
+// recordTaskEnd records that a task is no longer on its machine.
 func (w *World) recordTaskEnd(end site.Ended) {
 	combinations := &w.combinations
 	job := w.Site.Book[end.Task.Job]
@@ -162,7 +163,7 @@
 	combinations.smallJobs[end.Task.Job] = small
 }
 
-// faultComes notes a fault that is about to come.
+// recordFault records a fault that is about to be injected.
 func (w *World) recordFault(fault scenario.Fault) {
 	combinations := &w.combinations
 	switch fault.Kind {
@@ -184,7 +185,7 @@
 	}
 }
 
-// nodesRefused are the controllers that hold or lead, of those that a refusal means by name.
+// refusedOwnersAndLeaders returns the controllers that a refusal selects as shard owner or leader.
 func (w *World) refusedOwnersAndLeaders(fault scenario.Fault) []*Node {
 	if fault.Node == "holder" || fault.Node == "leader" {
 		return w.nodesOf(fault.Node)
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// zoneWorks reports whether a zone has a controller that runs and a machine with tasks.
+// zoneIsActive reports whether a zone has a running controller and a machine that runs tasks.
 func (w *World) zoneIsActive(zone string) bool {
 	runs := false
 	for _, n := range w.Nodes {
@@ -209,8 +210,8 @@
 	return false
 }
 
-// cancelToldPastCut counts a cancellation that was told, also where a holder can neither know of it
-// nor be told.
+// recordCancelPastCut records that a user was told of a cancellation, and whether a shard owner is isolated at that time
+// and so can neither read nor receive it.
 func (w *World) recordCancelPastCut() {
 	w.combinations.reportedCancels++
 	w.recordEvent(scenario.CancelTold)
@@ -222,8 +223,8 @@
 	}
 }
 
-// isolatedHolder reports whether a controller that was granted a block reaches neither the
-// state service nor another controller, while workers and users reach it.
+// isolatedOwner reports whether a controller that has ever been assigned a shard reaches neither the state service nor
+// another controller, while workers and users still reach it.
 func (w *World) isolatedOwner(n *Node) bool {
 	combinations := &w.combinations
 	if n.incarnation == 0 || !combinations.everOwners[n.Name] || w.net.connect(n.Name, scenario.PartyState) == delivered ||
@@ -238,7 +239,7 @@
 	return true
 }
 
-// reportArrives notes a report that arrives at a controller.
+// recordHeartbeat records a heartbeat that reaches a controller.
 func (w *World) recordHeartbeat(n *Node, heartbeat *fleet.Heartbeat) {
 	combinations := &w.combinations
 	combinations.lastHeartbeatAt[n.Name] = w.now
@@ -253,22 +254,22 @@
 	combinations.newestHeartbeat[heartbeat.Machine] = now
 }
 
-// answerArrives notes an answer with commands that reaches its machine, by when it was sent.
+// recordHeldResponse records a response with commands that reaches its machine long after it was sent.
 func (w *World) recordHeldResponse(sent units.Microseconds, reply core.Reply) {
 	if response, ok := reply.Body.(core.HeartbeatResponse); ok && len(response.Commands) > 0 && w.now-sent >= heldThreshold {
 		w.recordEvent(scenario.HeldAnswer)
 	}
 }
 
-// requestArrives notes a direct request that reaches its machine, by when it was sent.
+// recordHeldRequest records a direct request that reaches its machine long after it was sent.
 func (w *World) recordHeldRequest(sent units.Microseconds) {
 	if w.now-sent >= heldThreshold {
 		w.recordEvent(scenario.HeldRequest)
 	}
 }
 
-// lateWrite notes a transaction that is carried out late, by how many of its controller had
-// been stored when it was sent.
+// recordLateWrite records a transaction that is applied late, after others of its controller. before is the number of
+// the controller's transactions that had been committed when it was sent.
 func (w *World) recordLateWrite(n *Node, before int) {
 	if w.combinations.storedTxns[n.Name] > before {
 		w.recordEvent(scenario.LateWrite)
--- a/internal/emulator/sim/effects.go
+++ b/internal/emulator/sim/effects.go
@@ -9,9 +9,9 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// effect executes an effect of the core.
+// execute executes an effect of the core.
 func (n *Node) execute(effect core.Effect) {
-	incarnation := n.incarnation // before sending, which may let faults begin that end the process
+	incarnation := n.incarnation // taken before recordEffect, which may inject a fault that ends the process
 	n.world.recordEffect(effect)
 	n.countEffect(effect)
 	switch effect := effect.(type) {
@@ -23,12 +23,12 @@
 		n.probe(incarnation, effect)
 	default:
 		if !n.stateEffect(incarnation, effect) && !n.cloudEffect(incarnation, effect) {
-			panic(fmt.Sprintf("effect %T", effect))
+			panic(fmt.Sprintf("unknown effect %T", effect))
 		}
 	}
 }
 
-// reply brings an answer to whoever asked, if it still waits.
+// reply passes a reply to the sender of its request, if that still waits.
 func (n *Node) reply(reply core.Reply) {
 	w := n.world
 	if o, ok := reply.Body.(core.HeartbeatResponse); ok && w.options.Mutation.Commands != nil {
@@ -65,7 +65,8 @@
 	})
 }
 
-// contact shows a token to a worker.
+// probe sends a fencing token to a worker, which responds with a heartbeat. It is sent only while the controller's
+// authority is valid.
 func (n *Node) probe(incarnation int, probe core.Probe) {
 	w := n.world
 	zone := ""
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -10,7 +10,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// happened counts an event, and tells whoever draws faults by their events of it.
+// recordEvent counts an event and calls OnEvent, which draws faults that coincide with events.
 func (w *World) recordEvent(event string) {
 	w.eventCounts[event]++
 	if w.options.OnEvent != nil {
@@ -18,7 +18,7 @@
 	}
 }
 
-// sending notes what a controller is about to send.
+// recordEffect records the events of an effect that a controller is about to execute.
 func (w *World) recordEffect(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Reply:
@@ -41,7 +41,7 @@
 	}
 }
 
-// stored notes what a transaction has stored.
+// recordCommit records the events of a transaction that has been committed.
 func (w *World) recordCommit(txn kv.Txn) {
 	for _, c := range txn.Changes {
 		switch {
@@ -61,10 +61,10 @@
 	}
 }
 
-// EventCount returns how often an event has happened so far.
+// EventCount returns how often an event has occurred so far.
 func (w *World) EventCount(event string) int { return w.eventCounts[event] }
 
-// DrawFault draws a fault of any kind that comes at a time.
+// DrawFault draws a fault of any kind at the given time in seconds.
 func DrawFault(rng *rand.Rand, atS float64) scenario.Fault {
 	return drawShape(rng.IntN(len(faultShapes)), atS, rng)
 }
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// nodesOf returns the controllers that a fault means.
+// nodesOf returns the controllers that the node field of a fault selects.
 func (w *World) nodesOf(node string) []*Node {
 	switch node {
 	case "all":
@@ -30,7 +30,7 @@
 	return []*Node{w.node(node)}
 }
 
-// Fault injects a fault now.
+// InjectFault injects a fault now.
 func (w *World) InjectFault(fault scenario.Fault) {
 	w.Check.Note(w.now, "fault: %s", fault)
 	w.recordFault(fault)
@@ -41,7 +41,7 @@
 		w.cutZone(fault)
 	case scenario.LateReports:
 		w.heartbeatCopies.until, w.heartbeatCopies.share, w.heartbeatCopies.forNext = w.now+units.Seconds(fault.ForS), fault.Share, fault.ForNext
-	case scenario.Surge: // in the jobs' times already
+	case scenario.Surge: // the submission times of jobs include it already
 	default:
 		if !w.controllerFault(fault) && !w.stateFault(fault) && !w.userFault(fault) {
 			w.siteFault(fault)
@@ -49,7 +49,7 @@
 	}
 }
 
-// controllerFault injects a fault of controllers' processes, and reports whether it is one.
+// controllerFault injects a fault of controller processes. It reports whether the fault is of that kind.
 func (w *World) controllerFault(fault scenario.Fault) bool {
 	last := units.Seconds(fault.ForS)
 	until := w.now + last
@@ -84,7 +84,7 @@
 	return true
 }
 
-// stateFault injects a fault of the state service, and reports whether it is one.
+// stateFault injects a fault of the state service. It reports whether the fault is of that kind.
 func (w *World) stateFault(fault scenario.Fault) bool {
 	until := w.now + units.Seconds(fault.ForS)
 	switch fault.Kind {
@@ -111,7 +111,7 @@
 	return true
 }
 
-// userFault lets users or the operator do something, and reports whether the fault says so.
+// userFault makes users or the operator send requests. It reports whether the fault is of that kind.
 func (w *World) userFault(fault scenario.Fault) bool {
 	last := units.Seconds(fault.ForS)
 	until := w.now + last
@@ -135,10 +135,10 @@
 	return true
 }
 
-// siteFault injects a fault of machines or of the cloud provider.
+// siteFault injects a fault of worker machines or of the cloud provider.
 func (w *World) siteFault(fault scenario.Fault) {
 	if err := w.Scenario.SiteFault(w.now, w.Site, fault); err != nil {
-		panic(err) // the scenario was checked
+		panic(err) // the scenario has been validated
 	}
 	w.handleSiteEvents()
 	if fault.Kind == scenario.SpotRate {
@@ -149,21 +149,22 @@
 	}
 }
 
+// cut impairs the links between controllers and the other party of the fault.
 func (w *World) cut(fault scenario.Fault) {
-	impairment := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
+	cut := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
 	for _, node := range w.nodesOf(fault.Between[0]) {
 		for _, party := range w.parties(node, fault.Between[1]) {
 			if fault.Direction != "back" {
-				w.net.cut(node.Name, party, impairment)
+				w.net.cut(node.Name, party, cut)
 			}
 			if fault.Direction != "there" {
-				w.net.cut(party, node.Name, impairment)
+				w.net.cut(party, node.Name, cut)
 			}
 		}
 	}
 }
 
-// parties returns whom a cut is to, as seen from a controller.
+// parties returns the names of the parties that a cut separates from a controller.
 func (w *World) parties(node *Node, name string) []string {
 	var out []string
 	switch name {
@@ -189,16 +190,16 @@
 	return out
 }
 
-// apart cuts a zone off; there is the way out of it.
+// cutZone cuts a zone off. The direction "there" leads out of the zone.
 func (w *World) cutZone(fault scenario.Fault) {
-	impairment := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
-	w.zoneCutUntil[fault.Zone] = impairment.until
+	cut := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
+	w.zoneCutUntil[fault.Zone] = cut.until
 	for _, p := range w.Scenario.ApartFrom(fault.Zone, fault.Kind == scenario.ZoneLost) {
 		if fault.Direction != "back" {
-			w.net.cut(p[0], p[1], impairment)
+			w.net.cut(p[0], p[1], cut)
 		}
 		if fault.Direction != "there" {
-			w.net.cut(p[1], p[0], impairment)
+			w.net.cut(p[1], p[0], cut)
 		}
 	}
 }
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// meter hands what a user did or was told to the meter.
+// reportToMeter passes an event of a user to the meter.
 func (w *World) reportToMeter(e any) {
 	m := w.options.Meter
 	if m == nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// measure looks at the machines again and again.
+// scheduleMeter samples the machines every MeterInterval.
 func (w *World) scheduleMeter() {
 	if w.options.Meter == nil || w.options.MeterInterval <= 0 {
 		return
@@ -34,7 +34,7 @@
 	})
 }
 
-// keepAccount looks at what is paid for, again and again.
+// scheduleAccount reports the billed machines to the account every account.Every.
 func (w *World) scheduleAccount() {
 	if w.options.Account == nil {
 		return
@@ -54,9 +54,10 @@
 	})
 }
 
+// cpus returns the CPUs of a resource vector.
 func cpus(v binpack.Vec) float64 { return float64(v[binpack.CPU]) / 1000 }
 
-// look counts the CPUs that are rented, and what they do.
+// sampleCPUs counts the CPUs of billed machines and how they are used.
 func (w *World) sampleCPUs() meter.Sample {
 	s := meter.Sample{AtS: w.now.Seconds()}
 	for _, m := range w.Site.Cloud.Billed() {
@@ -73,7 +74,7 @@
 	return s
 }
 
-// Cheapest is the lowest price of a CPU for an hour that the cloud's list ever names.
+// LowestCPUPrice returns the lowest price of one CPU for an hour among all machine types, on demand or spot.
 func (w *World) LowestCPUPrice() float64 {
 	least := 0.0
 	for _, t := range w.Site.Cloud.Config().Types {
--- a/internal/emulator/sim/meetings.go
+++ b/internal/emulator/sim/meetings.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	// maxKept bounds the copies of reports that wait for the next leader.
+	// maxKeptHeartbeats bounds the copies of heartbeats that are kept for the next leader or owner.
 	maxKeptHeartbeats = 500
-	// quickly is for how long after its boot a machine counts as just up.
+	// quickStartWindow is the time after its boot in which a machine counts as just booted.
 	quickStartWindow = 2 * second
 )
 
-// meetings is what is followed of a play in order to tell when two troubles meet.
+// faultInteractions tracks the run to detect when two faults interact.
 type faultInteractions struct {
-	unreadWrites   map[string]string // keys written by a transaction without an answer, by whom, until another controller reads them
+	// unreadWrites maps keys that were written by a transaction without a response to the writing controller, until
+	// another controller reads them.
+	unreadWrites   map[string]string
 	kept           []keptHeartbeat
-	grants         int    // stored so far
-	respondedToken uint64 // the highest that a holder has answered a report with
-	latestToken    uint64 // the token of the latest grant
+	grants         int    // number of shard assignments stored so far
+	respondedToken uint64 // highest fencing token in a response to a heartbeat
+	latestToken    uint64 // fencing token of the latest assignment
 }
 
-// keptReport is a copy of a report that waits for the next leader.
+// keptHeartbeat is a copy of a heartbeat that is kept for the next leader or owner.
 type keptHeartbeat struct {
 	body   *fleet.Heartbeat
-	grants int // that had been stored when it was sent
+	grants int // faultInteractions.grants when it was sent
 }
 
-// keepReport keeps a copy for the next leader.
+// keepHeartbeat keeps a copy of a heartbeat for the next leader or owner. The oldest copy is dropped at the limit.
 func (w *World) keepHeartbeat(body *fleet.Heartbeat) {
 	interactions := &w.interactions
 	if len(interactions.kept) == maxKeptHeartbeats {
@@ -45,7 +47,7 @@
 	interactions.kept = append(interactions.kept, keptHeartbeat{body, interactions.grants})
 }
 
-// deliverKept brings all kept copies to every controller within half a second.
+// deliverKeptHeartbeats delivers all kept copies to every running controller within half a second.
 func (w *World) deliverKeptHeartbeats() {
 	for _, kept := range w.interactions.kept {
 		for _, n := range w.Nodes {
@@ -62,8 +64,7 @@
 	}
 }
 
-// granted notes that a block's record was stored: a controller is about to hold it, or has
-// released it.
+// recordAssignmentToken records a stored shard assignment: a controller is about to own the shard, or has released it.
 func (w *World) recordAssignmentToken(value json.RawMessage) {
 	if assignment, err := authority.DecodeAssignment(value); err == nil && assignment.Node != "" {
 		w.interactions.grants++
@@ -72,8 +73,8 @@
 	}
 }
 
-// acted notes that a holder has answered a report. The first answer with a higher token is a
-// new holder's: what was kept for it comes now, for the last time.
+// recordOwnerResponse records the fencing token of a shard owner's response to a heartbeat. The first response with a
+// higher token comes from a new owner: the kept copies are delivered then for the last time.
 func (w *World) recordOwnerResponse(token uint64) {
 	if interactions := &w.interactions; token > interactions.respondedToken {
 		interactions.respondedToken = token
@@ -82,7 +83,8 @@
 	}
 }
 
-// answered notes that an answer reaches a machine.
+// recordQuickStart records commands that reach a machine: a start on a machine that has just booted, while
+// transactions are applied late.
 func (w *World) recordQuickStart(name string, commands []fleet.Command) {
 	m := w.Site.Cloud.Machine(name)
 	starts := slices.ContainsFunc(commands, func(c fleet.Command) bool { return c.Op == fleet.Start })
@@ -91,8 +93,8 @@
 	}
 }
 
-// lateBy draws how late a transaction is carried out that gets no answer: 2 to 12 s where
-// others of the same controller go through meanwhile, else up to a minute.
+// lateDelay draws the delay of a transaction that is applied late and gets no response. It is 2 to 12 s if other
+// transactions of the same controller are applied in time meanwhile, and 1 to 60 s if not.
 func (w *World) lateDelay() units.Microseconds {
 	if w.now < w.lateUntil && w.lateShare < 1 {
 		return w.randomDuration(2, 12)
@@ -100,15 +102,14 @@
 	return w.randomDuration(1, 60)
 }
 
-// judged notes that the state service has judged a transaction: it was carried out, or
-// refused by its guards.
+// recordJudgedTxn records that the state service has applied a transaction or rejected it by its guards.
 func (n *Node) recordJudgedTxn(number, code int) {
 	if code == http.StatusOK || code == http.StatusConflict {
 		n.newestJudgedTxn = max(n.newestJudgedTxn, number)
 	}
 }
 
-// late notes what became of a transaction that was late.
+// recordLateTxn records the result of a transaction that was applied late.
 func (n *Node) recordLateTxn(number int, result kv.Result) {
 	if number < n.newestJudgedTxn {
 		switch result.Code {
@@ -121,7 +122,7 @@
 	n.recordJudgedTxn(number, result.Code)
 }
 
-// unanswered notes that a transaction was carried out whose answer is lost.
+// recordUnansweredTxn records a transaction that was committed but whose response is lost.
 func (n *Node) recordUnansweredTxn(txn kv.Txn) {
 	for _, c := range txn.Changes {
 		if c.Value != nil {
@@ -130,7 +131,7 @@
 	}
 }
 
-// hasRead notes what a controller has read.
+// recordReads records that a controller has read the changes or keys in events.
 func (n *Node) recordReads(events []store.Event) {
 	unread := n.world.interactions.unreadWrites
 	if len(unread) == 0 {
--- a/internal/emulator/sim/net.go
+++ b/internal/emulator/sim/net.go
@@ -5,22 +5,22 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// way is the direction from one party to another.
+// link is the direction from one party to another.
 type link struct{ from, to string }
 
-// trouble is what happens to messages on a way.
+// impairment is a fault of a link.
 type impairment struct {
 	until units.Microseconds
 	mode  string             // "hold" (or ""), "drop", "reset", "delay" or "trickle"
-	delay units.Microseconds // of a message, or of each byte that trickles
+	delay units.Microseconds // of each message, or of each byte with "trickle"
 }
 
-// messageBytes is about how long a message is that trickles.
+// messageBytes is the approximate size of a message, for the delay with "trickle".
 const messageBytes = 400
 
-// lost reports whether nothing comes through for now.
-func (t impairment) blocks(now units.Microseconds) bool {
-	return now < t.until && t.mode != "delay" && t.mode != "trickle"
+// blocks reports whether no message passes the link now.
+func (i impairment) blocks(now units.Microseconds) bool {
+	return now < i.until && i.mode != "delay" && i.mode != "trickle"
 }
 
 // network carries messages between parties: controllers by name, "state",
@@ -30,41 +30,41 @@
 	links map[link]impairment
 }
 
-// cut puts a way into trouble until a time.
-func (n *network) cut(from, to string, t impairment) { n.links[link{from, to}] = t }
+// cut impairs a link.
+func (n *network) cut(from, to string, i impairment) { n.links[link{from, to}] = i }
 
-// outcome of a message that is sent.
+// outcome is the fate of a message that is sent.
 type outcome int
 
 const (
-	delivered outcome = iota // delivered, now or once the trouble is over
-	dropped                  // never delivered, and nobody says so
-	refused                  // never delivered, and the sender learns it
+	delivered outcome = iota // it arrives, perhaps only when the impairment is over
+	dropped                  // it is lost, and the sender is not told
+	refused                  // it is rejected, and the sender is told
 )
 
-// send delivers a message after some time. Held messages come in the order in
-// which they were sent, when the trouble is over, also to those who have given up.
+// send calls deliver after the delay of the link, unless the message is lost. Held messages arrive when the impairment
+// is over, in the order in which they were sent, even if the sender no longer waits for a response.
 func (n *network) send(from, to string, deliver func()) outcome {
 	w := n.world
-	impairment := n.links[link{from, to}]
-	if w.now < impairment.until {
-		switch impairment.mode {
+	current := n.links[link{from, to}]
+	if w.now < current.until {
+		switch current.mode {
 		case "drop":
 			return dropped
 		case "reset":
 			return refused
 		case "delay":
-			w.schedule(impairment.delay+w.randomDuration(0.0003, 0.002), deliver)
+			w.schedule(current.delay+w.randomDuration(0.0003, 0.002), deliver)
 			return delivered
 		case "trickle":
 			w.recordEvent(scenario.Trickled)
-			w.schedule(min(impairment.delay*messageBytes, impairment.until-w.now)+w.randomDuration(0.0003, 0.002), deliver)
+			w.schedule(min(current.delay*messageBytes, current.until-w.now)+w.randomDuration(0.0003, 0.002), deliver)
 			return delivered
 		}
-		w.schedule(impairment.until-w.now+units.Second/1000, deliver)
+		w.schedule(current.until-w.now+units.Second/1000, deliver)
 		return delivered
 	}
-	if w.noise && w.chance(0.0005) { // lost, and delivered by a later try
+	if w.noise && w.chance(0.0005) { // lost, and delivered by a retransmission
 		w.schedule(w.randomDuration(0.2, 0.6), deliver)
 		return delivered
 	}
@@ -72,11 +72,11 @@
 	return delivered
 }
 
-// open reports whether a new connection from one party to another comes about.
+// connect returns the outcome of opening a connection from one party to another. It needs both directions.
 func (n *network) connect(from, to string) outcome {
-	for _, d := range []link{{from, to}, {to, from}} {
-		if t := n.links[d]; t.blocks(n.world.now) {
-			if t.mode == "reset" {
+	for _, direction := range []link{{from, to}, {to, from}} {
+		if current := n.links[direction]; current.blocks(n.world.now) {
+			if current.mode == "reset" {
 				return refused
 			}
 			return dropped
@@ -85,9 +85,9 @@
 	return delivered
 }
 
-// request sends a question and brings its answer back. serve gets a function to
-// answer with; done is called exactly once: with what the answer does, or with nil
-// when none has come in time, or none can come.
+// request sends a request and delivers its response. serve handles the request and calls answer with a function that
+// delivers the response. done is called exactly once: with that function, or with nil if no response arrived within
+// wait or the connection was refused.
 func (n *network) request(from, to string, wait units.Microseconds, serve func(answer func(f func())), done func(f func())) {
 	w := n.world
 	settled := false
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -11,44 +11,44 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// How long the clients of a controller wait, and how they keep to their budgets,
-// as internal/state and internal/cloud do.
+// Timeouts and rate limits of a controller's clients, as in internal/state and internal/cloud.
 const (
 	callTimeout       = second
 	readTimeout       = 700 * millis
 	listTimeout       = 10 * second
 	cloudTimeout      = 5 * second
-	cloudRateFraction = 0.7
+	cloudRateFraction = 0.7 // part of the provider's request rate that controllers use
 )
 
-// Node is a controller's process: a core with clocks of its own.
+// Node is a controller process: a core with its own clocks.
 type Node struct {
 	Name string
 
 	world           *World
 	index           int
 	zone            string
-	incarnation     int // which start of the process this is; 0 while down
+	incarnation     int // number of this start of the process; 0 while it is down
 	lastIncarnation int
 	startedAt       units.Microseconds
-	clockRate       float64            // of its steady clock
-	wallOffset      units.Microseconds // of its time of day
+	clockRate       float64            // of the monotonic clock; 1 is exact
+	wallOffset      units.Microseconds // error of the wall clock
 	core            *core.Core
-	frozenUntil     units.Microseconds // stands still until then; its clocks run on
-	slowUntil       units.Microseconds // computes slowly until then
-	messageCost     units.Microseconds // of each message meanwhile
-	busyUntil       units.Microseconds
+	frozenUntil     units.Microseconds // the process is frozen until then, but its clocks run
+	slowUntil       units.Microseconds // each message takes messageCost of computing time until then
+	messageCost     units.Microseconds
+	busyUntil       units.Microseconds // end of the computing time of the messages so far
 	lastRequest     core.RequestID
 	pending         map[core.RequestID]func(core.Reply)
 	stateLimiter    *rate.Limiter
 	cloudLimiter    *rate.Limiter
-	sentTxns        int // transactions so far, in all lives
-	newestJudgedTxn int // the newest of them that the state service has judged
+	sentTxns        int // number of transactions sent so far, by all incarnations
+	newestJudgedTxn int // number of the newest transaction that the state service has applied or rejected
 }
 
-// stamp turns simulated time into what rate limits are counted by.
+// limiterTime converts simulated time for the rate limiters.
 func limiterTime(t units.Microseconds) time.Time { return time.UnixMicro(int64(t)) }
 
+// start starts the process with a new core and new clock errors.
 func (n *Node) start() {
 	w := n.world
 	w.recordNodeStart(n)
@@ -60,7 +60,7 @@
 	n.frozenUntil, n.slowUntil, n.busyUntil = 0, 0, 0
 	peers := map[string]string{}
 	for _, o := range w.Scenario.Nodes() {
-		peers[o] = "127.0.0.1:1" // never dialled
+		peers[o] = "127.0.0.1:1" // not dialled in the simulation
 	}
 	settings := w.Scenario.Settings(n.index, scenario.Addrs{Listen: "127.0.0.1:1", Internal: "127.0.0.1:1", State: "127.0.0.1:1", Cloud: "127.0.0.1:1", Peers: peers})
 	if mutate := w.options.Mutation.Settings; mutate != nil {
@@ -84,23 +84,23 @@
 	w.schedule(units.Microseconds(w.rng.Int64N(int64(core.TickInterval))), func() { n.tick(incarnation) })
 }
 
-// jump lets the time of day jump within its bound.
+// drawWallOffset draws a new error of the wall clock within its bound.
 func (n *Node) drawWallOffset() {
 	n.wallOffset = units.Microseconds(n.world.Scenario.Controllers.ClockErrorMS * 1000 * (2*n.world.rng.Float64() - 1))
 }
 
-// local is the steady clock.
+// steadyClock returns the time of the monotonic clock, which starts with the process and drifts.
 func (n *Node) steadyClock() units.Microseconds {
 	return units.Microseconds(float64(n.world.now-n.startedAt) * n.clockRate)
 }
 
-// wall is the time of day.
+// wallClock returns the time of day.
 func (n *Node) wallClock() units.Microseconds { return n.world.now + 1_000_000*second + n.wallOffset }
 
-// Crash ends the process; it comes back.
+// Crash ends the process, which restarts after about RestartS seconds.
 func (n *Node) Crash() { n.crash(0) }
 
-// crash ends the process; it comes back after a time, 0: as long as that usually takes.
+// crash ends the process, which restarts after down. If down is 0, it restarts after 0.7 to 1.3 times RestartS.
 func (n *Node) crash(down units.Microseconds) {
 	if n.incarnation == 0 {
 		return
@@ -113,7 +113,7 @@
 	n.world.schedule(down, n.start)
 }
 
-// Retire tells the process to end: it hands on what it holds before.
+// Retire shuts the process down gracefully: it releases its shards first.
 func (n *Node) Retire() {
 	incarnation := n.incarnation
 	if incarnation == 0 {
@@ -141,11 +141,11 @@
 	step()
 }
 
-// Freeze lets the process stand still until a time.
+// Freeze stops the process until the given time, as a stopped virtual machine does.
 func (n *Node) Freeze(until units.Microseconds) { n.frozenUntil = max(n.frozenUntil, until) }
 
-// awake does something in the process once it does not stand still, and, where it
-// computes slowly, once it has come to it.
+// whenRunning calls fn once the process is not frozen and, if it is slow, has computed all earlier messages. fn is
+// not called if the process ends before.
 func (n *Node) whenRunning(fn func()) {
 	w, incarnation := n.world, n.incarnation
 	at := max(n.frozenUntil, 0)
@@ -168,8 +168,8 @@
 	})
 }
 
-// sent does something that the process has asked for, unless it stands still and
-// had not come to that yet: then it happens when it wakes.
+// transmit calls fn, which sends a request of the process. If the process is frozen, with probability 0.5 the freeze
+// came before the sending: then fn is called after the freeze.
 func (n *Node) transmit(fn func()) {
 	if n.world.now < n.frozenUntil && n.world.chance(0.5) {
 		n.whenRunning(fn)
@@ -178,6 +178,7 @@
 	fn()
 }
 
+// tick runs the core's periodic work and schedules the next tick, unless the process has ended.
 func (n *Node) tick(incarnation int) {
 	if n.incarnation != incarnation {
 		return
@@ -193,8 +194,8 @@
 	n.world.schedule(max(core.TickInterval, n.busyUntil-n.world.now), func() { n.tick(incarnation) })
 }
 
-// ask brings a request into the core; done gets the answer, or a 503 when there is
-// none within a time (0: any), unless the process ends.
+// request passes a request to the core. done gets the reply, or a 503 if there is none within the given time; 0 means
+// no timeout. done is not called if the process ends.
 func (n *Node) request(fn func(id core.RequestID), within units.Microseconds, done func(core.Reply)) {
 	if n.incarnation == 0 {
 		return
@@ -218,6 +219,7 @@
 	})
 }
 
+// executeEffects executes the effects that the core has produced.
 func (n *Node) executeEffects() {
 	effects := n.core.Drain()
 	n.world.options.Traffic.Stop()
@@ -226,7 +228,7 @@
 	}
 }
 
-// back brings an outside service's answer to the process that asked.
+// deliver calls fn, which passes a service's response to the core, if the incarnation that sent the request still runs.
 func (n *Node) deliver(incarnation int, fn func()) {
 	if n.incarnation != incarnation {
 		return
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// operatorWait is how long an operator waits for an answer, operatorRetry until the next
-	// try, and operatorLook between two looks whether a change is confirmed.
+	// operatorTimeout is how long an operator waits for a response, operatorRetryDelay the delay before a retry, and
+	// confirmPollInterval the time between two queries whether a change is confirmed.
 	operatorTimeout     = 5 * second
 	operatorRetryDelay  = second
 	confirmPollInterval = second / 20
 )
 
-// ConfigChange is what became of an operator's change of the configuration.
+// ConfigChange is an operator's change of the configuration and its progress.
 type ConfigChange struct {
 	RequestedAt units.Microseconds
-	StoredAt    units.Microseconds // when its operator was told; 0: never
-	ConfirmedAt units.Microseconds // when the operator was told; 0: never
+	StoredAt    units.Microseconds // when the operator was told that it is stored; 0 if never
+	ConfirmedAt units.Microseconds // when the operator was told that all controllers use it; 0 if never
 	Version     uint64
-	FailedTries int // tries that were refused or not answered
+	FailedTries int // tries that were refused or got no response
 }
 
-// configSet does an operator's changes of a team. The last one is tried until it is stored;
-// one before that is refused is left.
+// changeTeam makes an operator's changes of a team. The last change is retried until it is stored; earlier ones are not
+// retried.
 func (w *World) changeTeam(fault scenario.Fault) {
 	count := max(fault.Count, 1)
 	for i := range count {
@@ -54,7 +54,8 @@
 	}
 }
 
-// configure asks a controller for a change, and others again while it fails.
+// requestConfigChange requests a change at the controllers that node selects. If it fails and again is set, it is
+// retried at random controllers.
 func (w *World) requestConfigChange(node string, request configuration.Request, change *ConfigChange, again bool) {
 	answered := false
 	retry := func() {
@@ -67,7 +68,7 @@
 			w.schedule(operatorRetryDelay, func() { w.requestConfigChange("any", request, change, true) })
 		}
 	}
-	w.schedule(operatorTimeout, retry) // also where the process ends meanwhile
+	w.schedule(operatorTimeout, retry) // also covers an exit of the process
 	for _, n := range w.nodesOf(node) {
 		n.request(func(req core.RequestID) { n.core.Configure(n.steadyClock(), req, request) }, 0, func(reply core.Reply) {
 			stored, ok := reply.Body.(core.ConfigStored)
@@ -79,7 +80,7 @@
 				w.Check.Note(w.now, "the operator is told that the change is in version %d", stored.Version)
 				w.pollConfirmation(change)
 			case reply.Code == http.StatusUnprocessableEntity:
-				answered = true // as to remove a team that is removed
+				answered = true // for example, the team has been removed already
 				change.FailedTries++
 			default:
 				retry()
@@ -88,7 +89,7 @@
 	}
 }
 
-// confirm asks one controller after another whether a change is confirmed.
+// pollConfirmation asks random controllers whether a change is confirmed, until one says so.
 func (w *World) pollConfirmation(change *ConfigChange) {
 	if change.ConfirmedAt != 0 {
 		return
@@ -103,7 +104,7 @@
 	w.schedule(confirmPollInterval, func() { w.pollConfirmation(change) })
 }
 
-// configured tells the checker of a version that a transaction has stored.
+// reportStoredConfig reports a version of the configuration that a transaction has stored to the checker.
 func (w *World) reportStoredConfig(txn kv.Txn) {
 	stored := false
 	for _, c := range txn.Changes {
@@ -124,16 +125,16 @@
 		return
 	}
 	var limits check.Limits
-	for _, txn := range content.Teams {
-		limits.Teams = append(limits.Teams, check.Team{Name: txn.Name, Limit: txn.Limit})
-		if txn.Removed != 0 {
-			limits.Removed = append(limits.Removed, txn.Name)
+	for _, team := range content.Teams {
+		limits.Teams = append(limits.Teams, check.Team{Name: team.Name, Limit: team.Limit})
+		if team.Removed != 0 {
+			limits.Removed = append(limits.Removed, team.Name)
 		}
 	}
 	w.Check.ConfigStored(w.now, version, limits)
 }
 
-// ordered tells the checker which tasks a controller has decided to start.
+// reportOrderedStarts reports the tasks that a controller has decided to start to the checker.
 func (w *World) reportOrderedStarts(reply core.Reply) {
 	response, ok := reply.Body.(core.HeartbeatResponse)
 	if !ok {
--- a/internal/emulator/sim/randomfaults.go
+++ b/internal/emulator/sim/randomfaults.go
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// settled draws when a fault comes and how long it lasts, where that is left open.
+// resolveTimes draws the start and duration of a fault where the scenario gives ranges.
 func resolveTimes(f scenario.Fault, rng *rand.Rand) scenario.Fault {
 	if f.AtToS > f.AtS {
 		f.AtS = randomSpan(rng, f.AtS, f.AtToS)
@@ -19,7 +19,7 @@
 	return f
 }
 
-// calm is when all troubles are over. What is done late by them has had its time, too.
+// faultsOverTime returns the time at which all faults and their delayed effects are over: a minute after the last end.
 func faultsOverTime(faults []scenario.Fault) units.Microseconds {
 	last := 0.0
 	for _, f := range faults {
@@ -28,8 +28,8 @@
 	return units.Seconds(last) + 60*units.Second
 }
 
-// Drawn draws faults of every kind that the protocol allows. With pairs, two kinds
-// come together a few times; one seed after another goes through all pairs.
+// DrawFaults draws faults of every kind that the protocol tolerates, at random times of the scenario's range. With
+// Draw.Pairs, a run combines the same two kinds several times, and successive seeds go through all pairs.
 func DrawFaults(s *scenario.Scenario, seed uint64, rng *rand.Rand) []scenario.Fault {
 	var out []scenario.Fault
 	gap := s.Draw.GapS
@@ -52,33 +52,34 @@
 	return out
 }
 
+// randomSpan returns a random number of seconds between a and b, in whole milliseconds.
 func randomSpan(rng *rand.Rand, a, b float64) float64 {
 	return float64(int((a+(b-a)*rng.Float64())*1000)) / 1000
 }
 
 func pickOne(rng *rand.Rand, of ...string) string { return of[rng.IntN(len(of))] }
 
-// shapes are the kinds of faults that are drawn, each with what is drawn for it.
+// faultShapes are the kinds of drawn faults. Each function sets the kind and draws its parameters.
 var faultShapes = []func(f *scenario.Fault, rng *rand.Rand){
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, drawTarget(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, drawNode(rng)
 	},
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Node = scenario.ControllerCrash, 0, "all" },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerRetire, 0, drawTarget(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerRetire, 0, drawNode(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
 		f.Kind, f.ForS, f.EveryS = scenario.ControllerRoll, 0, randomSpan(rng, 1, 6)
 	},
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.ControllerFreeze, drawTarget(rng) },
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.ControllerFreeze, drawNode(rng) },
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerFreeze, randomSpan(rng, 0.1, 2.5), drawTarget(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerFreeze, randomSpan(rng, 0.1, 2.5), drawNode(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Times, f.Node = scenario.ControllerSlow, randomSpan(rng, 2, 6), drawTarget(rng)
+		f.Kind, f.Times, f.Node = scenario.ControllerSlow, randomSpan(rng, 2, 6), drawNode(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.ForS = scenario.StateOutage, randomSpan(rng, 1, 45) },
-	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.StateRefuse, drawTarget(rng) },
+	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Node = scenario.StateRefuse, drawNode(rng) },
 	func(f *scenario.Fault, rng *rand.Rand) {
 		f.Kind, f.DelayMS = scenario.StateSlow, randomSpan(rng, 50, 600)
 	},
@@ -90,7 +91,7 @@
 		f.Kind, f.Share = scenario.StateLate, randomSpan(rng, 0.05, 0.5)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, randomSpan(rng, 0.02, 0.1), drawTarget(rng)
+		f.Kind, f.ForS, f.Node = scenario.ControllerCrash, randomSpan(rng, 0.02, 0.1), drawNode(rng)
 	},
 	func(f *scenario.Fault, rng *rand.Rand) {
 		f.Kind, f.Count = scenario.MachineDeaf, 1+rng.IntN(4)
@@ -116,7 +117,7 @@
 	},
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind, f.ForS, f.Node = scenario.ClockJump, 0, "any" },
 	func(f *scenario.Fault, rng *rand.Rand) { f.Kind, f.Times = scenario.PollStorm, randomSpan(rng, 5, 30) },
-	cutBetweenNodeAnd(scenario.PartyState), cutBetweenNodeAnd(scenario.PartyCloud), cutBetweenNodeAnd(scenario.PartyWorkers), cutBetweenNodeAnd(scenario.PartyPeers), cutBetweenNodeAnd(scenario.PartyUsers),
+	cutFromNode(scenario.PartyState), cutFromNode(scenario.PartyCloud), cutFromNode(scenario.PartyWorkers), cutFromNode(scenario.PartyPeers), cutFromNode(scenario.PartyUsers),
 	func(f *scenario.Fault, rng *rand.Rand) {
 		f.Kind, f.ForS, f.Count, f.HangS = scenario.CancelNow, 0, 1+rng.IntN(6), float64(rng.IntN(2))*randomSpan(rng, 1, 25)
 	},
@@ -135,11 +136,11 @@
 	func(f *scenario.Fault, _ *rand.Rand) { f.Kind = scenario.QuickBoots },
 }
 
-func drawTarget(rng *rand.Rand) string { return pickOne(rng, "any", "any", "holder", "leader") }
+func drawNode(rng *rand.Rand) string { return pickOne(rng, "any", "any", "holder", "leader") }
 
-func cutBetweenNodeAnd(party string) func(f *scenario.Fault, rng *rand.Rand) {
+func cutFromNode(party string) func(f *scenario.Fault, rng *rand.Rand) {
 	return func(f *scenario.Fault, rng *rand.Rand) {
-		f.Kind, f.Between = scenario.Cut, []string{drawTarget(rng), party}
+		f.Kind, f.Between = scenario.Cut, []string{drawNode(rng), party}
 		if f.Mode, f.DelayMS = pickOne(rng, "hold", "drop", "reset", "delay", "trickle"), randomSpan(rng, 1, 8); f.Mode == "delay" {
 			f.DelayMS *= 100
 		}
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -15,7 +15,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// stateEffect executes an effect that is a request to the state service, and reports whether it is one.
+// stateEffect executes an effect that is a request to the state service. It reports whether the effect is of that kind.
 func (n *Node) stateEffect(incarnation int, effect core.Effect) bool {
 	w := n.world
 	switch effect := effect.(type) {
@@ -33,7 +33,7 @@
 		n.watch(incarnation, effect)
 	case core.Commit:
 		n.commit(incarnation, effect)
-	case core.Abandon: // its answer may still come
+	case core.Abandon: // its response may still arrive
 	case core.OpenLease:
 		n.openLease(incarnation, effect)
 	case core.RenewLease:
@@ -46,7 +46,7 @@
 	return true
 }
 
-// outcomeOf tells what a client makes of a status of the state service.
+// outcomeOf converts a status code of the state service into the outcome that a client reports.
 func outcomeOf(code int) store.Outcome {
 	switch code {
 	case http.StatusOK:
@@ -59,8 +59,9 @@
 	return store.Failed
 }
 
-// call does one request of the state service, on which any of the protocol's
-// misfortunes may fall. done gets what the client would make of it, and the status.
+// callState sends a request to the state service. Any fault of the protocol may affect it: it may be refused, delayed or
+// lost, before or after it is applied. free requests are exempt from the rate limit. apply executes the request and
+// returns its status code. done gets the outcome that the client would report, and the status code or 0.
 func (n *Node) callState(wait units.Microseconds, free bool, apply func() int, done func(store.Outcome, int)) {
 	w := n.world
 	if !free && !n.stateLimiter.AllowN(limiterTime(w.now), 1) {
@@ -71,7 +72,7 @@
 		w.net.request(n.Name, scenario.PartyState, wait, func(answer func(func())) {
 			code := apply()
 			w.deliverWatchResponses()
-			if w.noise && w.chance(0.002) { // carried out, and the answer lost
+			if w.noise && w.chance(0.002) { // applied, but the response is lost
 				return
 			}
 			w.schedule(w.stateTime(), func() {
@@ -92,7 +93,8 @@
 	})
 }
 
-// limited takes the rates that the service will have, as a client does on a 429.
+// applyLowerRate reduces the client's rate to this controller's share of the service's next limit, as a real client
+// does on a 429.
 func (n *Node) applyLowerRate() {
 	next := n.world.Scenario.State.Next.RPS
 	if next > 0 {
@@ -100,11 +102,11 @@
 	}
 }
 
-// stateTime is how long the state service takes.
+// stateTime draws the response time of the state service.
 func (w *World) stateTime() units.Microseconds {
 	t := units.Seconds(w.Scenario.State.LatencyMS / 1000 * (0.6 + 0.8*w.rng.Float64()))
 	if w.chance(0.002) {
-		t += w.randomDuration(0.1, 0.4) // now and then
+		t += w.randomDuration(0.1, 0.4) // occasional slow response
 	}
 	if w.now < w.stateSlowness.until {
 		t += units.Microseconds(float64(w.stateSlowness.delay) * (0.6 + 0.8*w.rng.Float64()))
@@ -125,7 +127,7 @@
 	})
 }
 
-// renewLease renews a lease at the state service, beside the budget of requests.
+// renewLease renews a lease at the state service. Renewals are exempt from the rate limit.
 func (n *Node) renewLease(incarnation int, e core.RenewLease) {
 	w := n.world
 	n.callState(callTimeout, true, func() int { return w.State.Renew(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
@@ -180,6 +182,7 @@
 	})
 }
 
+// watch waits for changes of the state service's keys after a revision. A fresh read is a watch that does not wait.
 func (n *Node) watch(incarnation int, effect core.Watch) {
 	w := n.world
 	finish := func(o store.Outcome, c kv.Changes) {
@@ -228,6 +231,7 @@
 	})
 }
 
+// commit sends a transaction to the state service, which may apply it late or without a response.
 func (n *Node) commit(incarnation int, effect core.Commit) {
 	w := n.world
 	txn := direct.Txn(effect.Txn)
@@ -260,11 +264,11 @@
 		n.deliver(incarnation, func() { n.core.OnCommit(n.steadyClock(), effect.Queue, effect.Txn, o, result.Rev, result.Failed) })
 	}
 	switch {
-	case w.now < w.lateUntil && w.chance(w.lateShare) || w.noise && w.chance(0.002): // carried out late
+	case w.now < w.lateUntil && w.chance(w.lateShare) || w.noise && w.chance(0.002): // applied late
 		before := w.combinations.storedTxns[n.Name]
 		w.schedule(w.lateDelay(), func() {
 			w.recordLateWrite(n, before)
-			late := w.State.Commit(w.now, n.Name, txn) // nobody waits for the answer
+			late := w.State.Commit(w.now, n.Name, txn) // the controller no longer waits for the response
 			if late.Code == http.StatusOK {
 				w.reportStoredConfig(txn)
 			}
@@ -272,7 +276,7 @@
 			w.deliverWatchResponses()
 		})
 		w.schedule(callTimeout, func() { done(store.Unknown, 0) })
-	case w.now < w.unansweredUntil && (w.unansweredShare == 1 || w.chance(w.unansweredShare)): // carried out, and the answer lost
+	case w.now < w.unansweredUntil && (w.unansweredShare == 1 || w.chance(w.unansweredShare)): // applied, but the response is lost
 		n.transmit(func() {
 			w.net.send(n.Name, scenario.PartyState, func() {
 				if run() == http.StatusOK {
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -12,14 +12,14 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// gotReport counts a worker's report.
+// countHeartbeat counts a worker's heartbeat to a controller.
 func (w *World) countHeartbeat(n *Node, heartbeat *fleet.Heartbeat) {
 	if tally := w.options.Traffic; tally.At(w.now) {
 		tally.JSON(n.Name, "in report", wire.EncodeHeartbeat(heartbeat, nil))
 	}
 }
 
-// gotCall counts a user's call; those but submissions have no body.
+// countCall counts a user's request to a controller. Only submissions have a body.
 func (w *World) countCall(n *Node, call user.Call) {
 	tally := w.options.Traffic
 	if !tally.At(w.now) {
@@ -31,12 +31,12 @@
 	}
 	b, err := wire.EncodeSubmission(call.ID, call.Spec)
 	if err != nil {
-		panic(err) // the types are the program's own
+		panic(err) // cannot happen: the spec was built by this program
 	}
 	tally.Message(n.Name, "in submission", len(b))
 }
 
-// countEffect counts what a controller sends.
+// countEffect counts the message that an effect sends.
 func (n *Node) countEffect(effect core.Effect) {
 	tally := n.world.options.Traffic
 	if !tally.At(n.world.now) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// countReply counts an answer to a worker or a user.
+// countReply counts a reply to a worker or user.
 func (n *Node) countReply(r core.Reply) {
 	tally := n.world.options.Traffic
 	response, toWorker := r.Body.(core.HeartbeatResponse)
@@ -91,20 +91,20 @@
 	tally.JSON(n.Name, "out orders", commands)
 }
 
-// transactionBytes is about how long a transaction is: keys, values and what goes around them.
+// transactionBytes returns the approximate encoded size of a transaction: keys, values and overhead.
 func transactionBytes(txn *store.Txn) int {
-	const around = 30 // names of the fields, a version
+	const overhead = 30 // field names and a version
 	n := 0
 	for _, g := range txn.Guards {
-		n += len(g.Key) + around
+		n += len(g.Key) + overhead
 	}
 	for _, c := range txn.Changes {
-		n += len(c.Key) + len(c.Value) + around
+		n += len(c.Key) + len(c.Value) + overhead
 	}
 	return n
 }
 
-// countItems counts a page of a listing.
+// countItems counts a page of a listing that a controller receives.
 func (n *Node) countItems(items []kv.Item) {
 	if tally := n.world.options.Traffic; tally.At(n.world.now) {
 		bytes := 0
@@ -115,7 +115,7 @@
 	}
 }
 
-// countChanges counts an answer to a watch, and its changes by folder.
+// countChanges counts a response to a watch, and its changes by key group.
 func (n *Node) countChanges(events []kv.Event) {
 	tally := n.world.options.Traffic
 	if !tally.At(n.world.now) || len(events) == 0 {
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// longToGo is how much longer a job runs that is cancelled by CancelNow, where there are any.
+	// longRemaining is the remaining run time from which CancelNow prefers a job.
 	longRemaining = 20 * second
-	// mostHanging bounds how many machines of cancelled jobs stand still.
+	// maxHangingMachines bounds the machines of cancelled jobs that hang.
 	maxHangingMachines = 8
-	// handover is how long after a grant a cancellation counts as told while work changes hands.
+	// handoverWindow is the time after a shard assignment in which a cancellation counts as reported during a handover.
 	handoverWindow = 3 * second
 )
 
-// userTroubles are what users do beyond their usual ways.
+// userFaultState is the state of the faults that users cause.
 type userFaultState struct {
-	cancelAtEndUntil units.Microseconds // until when jobs are cancelled as they end
-	cancelAtEndShare float64            // of those that do
-	lastAssignmentAt units.Microseconds // when a block was last granted or released
+	cancelAtEndUntil units.Microseconds // jobs that finish until then may be cancelled at that moment
+	cancelAtEndShare float64            // share of these jobs that are cancelled
+	lastAssignmentAt units.Microseconds // when a shard was last assigned or released
 }
 
-// runningJob is a job that runs, and how much longer its longest task on a machine takes.
+// runningJob is a job with tasks on machines, and the remaining run time of the longest of these tasks.
 type runningJob struct {
 	job       *user.Job
 	remaining units.Microseconds
 	machines  []*cloudprovider.Machine
 }
 
-// runningJobs lists the jobs that run and whose users have not cancelled them.
+// runningJobs returns the running jobs that are not final as far as their users know.
 func (w *World) runningJobs() []*runningJob {
 	byID := map[string]*runningJob{}
 	var out []*runningJob
@@ -63,8 +63,7 @@
 	return out
 }
 
-// cancelNow lets users cancel running jobs at nearly the same time, and some of their
-// machines stand still.
+// cancelNow makes users cancel running jobs at nearly the same time, and makes some of the jobs' machines hang.
 func (w *World) cancelNow(fault scenario.Fault) {
 	all := w.runningJobs()
 	w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -87,7 +86,7 @@
 	w.Users.CancelSoon(w.now, submitted)
 }
 
-// boolOrder puts what is not so first.
+// boolOrder orders false before true.
 func boolOrder(b bool) int {
 	if b {
 		return 1
@@ -95,7 +94,7 @@
 	return 0
 }
 
-// oddRequests lets users send requests that make no sense, or none any more, until a time.
+// oddRequests makes users send invalid or outdated requests until the given time.
 func (w *World) oddRequests(until units.Microseconds) {
 	if w.now >= until {
 		return
@@ -107,7 +106,7 @@
 	w.schedule(w.Users.OddPause(), func() { w.oddRequests(until) })
 }
 
-// began notes that a task is on a machine.
+// recordTaskStart reports the start of a task to the checker.
 func (w *World) recordTaskStart(m check.Machine, id jobs.TaskID) {
 	before := w.Check.StartsCancelled()
 	w.Check.TaskStarted(w.now, m, id)
@@ -116,7 +115,8 @@
 	}
 }
 
-// ended notes that a task of a job has completed: with the last one the job has ended.
+// recordTaskCompletion records that a task of a job has completed. If all tasks have, the job may be cancelled at that
+// moment.
 func (w *World) recordTaskCompletion(id string) {
 	if w.now >= w.userFaults.cancelAtEndUntil && !w.Users.LooksClosely(w.now) {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// cancelTold notes what goes on while a user is told that a job is cancelled.
+// recordReportedCancel records the conditions under which a user is told that a job is cancelled.
 func (w *World) recordReportedCancel(id string) {
 	if w.Check.Running(id) > 0 {
 		w.recordEvent(scenario.CancelRunning)
@@ -151,7 +151,7 @@
 	}
 }
 
-// refusedAlone reports whether the state service serves some controllers and refuses others.
+// someNodesRefused reports whether the state service serves some controllers and refuses others.
 func (w *World) someNodesRefused() bool {
 	refused := 0
 	for _, n := range w.Nodes {
@@ -162,8 +162,8 @@
 	return refused > 0 && refused < len(w.Nodes)
 }
 
-// unreached reports whether a task of a job is on a machine that stands still, does not hear,
-// or reaches no controller.
+// jobUnreachable reports whether a task of a job is on a machine that hangs, receives no messages, or reaches no
+// controller.
 func (w *World) jobUnreachable(id string) bool {
 	for _, m := range w.Site.Cloud.Alive() {
 		worker := w.Site.Worker(m.Name)
@@ -181,7 +181,8 @@
 	return false
 }
 
-// lookForWaiting shows the checker the room on machines, again and again.
+// scheduleWaitingCheck reports the free capacity of machines to the checker every check.WaitingCheckEvery, once all
+// faults are over.
 func (w *World) scheduleWaitingCheck() {
 	w.schedule(check.WaitingCheckEvery, func() {
 		if w.Check.FaultsOver(w.now) {
@@ -191,10 +192,10 @@
 	})
 }
 
-// unusable is the room on a machine that cannot be used.
+// unusable is the free capacity of a machine that cannot be used.
 var unusable = binpack.Vec{-1, -1, -1}
 
-// rooms lists the machines that are up, with the room that they have.
+// availableMachines returns the machines that are up, with their free capacity.
 func (w *World) availableMachines() (out []check.AvailableMachine) {
 	for _, m := range w.Site.Cloud.Alive() {
 		worker := w.Site.Worker(m.Name)
--- a/internal/emulator/sim/workers.go
+++ b/internal/emulator/sim/workers.go
@@ -12,11 +12,12 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
+// machineOf converts a machine of the cloud provider for the checker.
 func machineOf(m *cloudprovider.Machine) check.Machine {
 	return check.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// takeSite carries out what machines do.
+// handleSiteEvents executes the heartbeats of workers and reports starts and ends of tasks.
 func (w *World) handleSiteEvents() {
 	for _, event := range w.Site.Drain() {
 		switch event := event.(type) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// report brings a worker's report to a controller and its answer back.
+// sendHeartbeat sends a worker's heartbeat to a controller and the response to the worker.
 func (w *World) sendHeartbeat(send site.Send) {
 	n := w.node(send.Node)
 	arrives := func(req core.RequestID) { n.handleHeartbeat(req, send.Body) }
@@ -72,7 +73,7 @@
 			answer(failed) // the connection is refused
 			return
 		}
-		if w.noise && w.chance(0.005) { // it comes late, when nobody waits
+		if w.noise && w.chance(0.005) { // it arrives late, when the worker no longer waits
 			w.schedule(w.randomDuration(1, 90), func() { n.request(arrives, 0, func(core.Reply) {}) })
 			return
 		}
@@ -106,7 +107,7 @@
 	})
 }
 
-// report hands a worker's report to the core.
+// handleHeartbeat passes a worker's heartbeat to the core.
 func (n *Node) handleHeartbeat(req core.RequestID, body *fleet.Heartbeat) {
 	n.world.recordHeartbeat(n, body)
 	if mutate := n.world.options.Mutation.Heartbeat; mutate != nil {
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -1,6 +1,7 @@
-// Package sim plays a scenario in simulated time: the models of the emulator and
-// the controllers' own cores, with every message between them drawn from one seed,
-// so that one seed gives one history. A checker holds the rules against it.
+// Package sim is a deterministic discrete-event simulation of a deployment. It runs the emulator's models of
+// workers, cloud, state service and users together with the controllers' real cores, and injects the faults of a
+// scenario. All random choices, such as the delay of each message, derive from one seed, so that a seed always
+// produces the same history. A checker tests the history against the invariants.
 package sim
 
 import (
@@ -33,50 +34,50 @@
 	millis = units.Second / 1000
 )
 
-// Options say how a scenario is played, beyond what its file says.
+// Options configure a run beyond what the scenario file says.
 type Options struct {
-	Seed uint64 // 0: the scenario's own
-	// Noise lets single messages be lost, late, or applied without an answer.
-	Noise    bool
+	Seed uint64 // 0 means the scenario's own seed
+	// Noise makes single messages get lost, arrive late, or be applied without a response.
+	Noise bool
+	// Mutation is the deliberate defect of the controllers, if any.
 	Mutation Mutation
-	// Log returns a controller's log; nil: none.
+	// Log returns a controller's logger. If it is nil, controllers do not log.
 	Log func(node string, now func() units.Microseconds) *slog.Logger
-	// Event, if set, is told of scenario.Events.
+	// OnEvent, if set, is called for each event of scenario.CountedEvents.
 	OnEvent func(at units.Microseconds, event string)
-	// Census, if set, is told what there is, again and again.
+	// OnCensus, if set, is called with a census every CensusInterval.
 	OnCensus       func(Census)
 	CensusInterval units.Microseconds
-	// Meter, if set, measures the play, and looks at it again and again.
+	// Meter, if set, measures the run. It samples the machines every MeterInterval.
 	Meter         *meter.Meter
 	MeterInterval units.Microseconds
-	// Account, if set, is told what the rented machines do.
+	// Account, if set, records what the billed machines do.
 	Account *account.Account
-	// Traffic, if set, counts what controllers are asked, ask and take of a processor.
+	// Traffic, if set, counts the messages that controllers receive and send, and their CPU time.
 	Traffic *traffic.Tally
 }
 
-// Broken programs, for showing that the checker notices them. Each field, if set,
-// breaks something.
+// Mutation is a deliberate defect of the controllers. Tests use it to show that the checker detects the defect.
+// Each field that is set breaks one thing.
 type Mutation struct {
-	Heartbeat   func(*fleet.Heartbeat)      // what a controller sees of a report
-	JobSpec     func(*jobs.Spec)            // what it reads of a submission
-	UserReply   func(user.Call) *core.Reply // what it answers a user without doing anything; nil: as it should
-	Settings    func(*config.Settings)      // what it is told
-	ClockRate   func(node int) float64      // rate of its steady clock
-	DeliverPeer func(m any) bool            // whether a message to another controller is carried
-	PeerMessage func(m any) any             // what another controller is told in place of a message
-	Commit      func(*kv.Txn)               // what it sends to the state service of a transaction
-	StaleReads  bool                        // its reads of the state service's keys bring nothing new, though they are answered
-	Commands    func(node string, o *core.HeartbeatResponse)
-	// Outcome is what a controller makes of a transaction's outcome.
+	Heartbeat   func(*fleet.Heartbeat)                       // changes a heartbeat before a controller gets it
+	JobSpec     func(*jobs.Spec)                             // changes the job spec of a submission
+	UserReply   func(user.Call) *core.Reply                  // replies to a user in place of the core; nil leaves it to the core
+	Settings    func(*config.Settings)                       // changes a controller's settings
+	ClockRate   func(node int) float64                       // returns the rate of a controller's monotonic clock
+	DeliverPeer func(m any) bool                             // reports whether a message to another controller is sent
+	PeerMessage func(m any) any                              // replaces a message to another controller
+	Commit      func(*kv.Txn)                                // changes a transaction before it is sent to the state service
+	StaleReads  bool                                         // fresh reads of the watch cache return no changes
+	Commands    func(node string, o *core.HeartbeatResponse) // changes a response to a heartbeat
+	// Outcome replaces the outcome of a transaction that the controller sees.
 	Outcome func(t store.Txn, o store.Outcome) store.Outcome
-	// Read reports whether the state service is really asked what has changed when a
-	// controller wants that at once; else it is told that nothing has.
+	// ServeFreshRead reports whether a fresh read goes to the state service. If not, it returns no changes.
 	ServeFreshRead func() bool
-	CoreConfig     func(*core.Config) // what its core is told, beyond the settings
+	CoreConfig     func(*core.Config) // changes the configuration of the core, after Settings
 }
 
-// World is a scenario that is being played.
+// World is the state of one simulation run.
 type World struct {
 	Scenario       *scenario.Scenario
 	Check          *check.Checker
@@ -84,7 +85,7 @@
 	Site           *site.Site
 	Users          *user.Crowd
 	Nodes          []*Node
-	Faults         []scenario.Fault // all that happen, drawn ones included
+	Faults         []scenario.Fault // all faults of the run, including drawn ones
 	options        Options
 	rng            *rand.Rand
 	now            units.Microseconds
@@ -92,30 +93,30 @@
 	net            network
 	balancer       *balance.Balancer
 	noise          bool
-	watchResponses map[uint64]func(kv.Changes) // of open watches
+	watchResponses map[uint64]func(kv.Changes) // callbacks of open watches by watch id
 	lastWatchID    uint64
 	starts         int
 	stateSlowness  struct {
 		until, delay units.Microseconds
 	}
-	lateUntil, unansweredUntil units.Microseconds // until when transactions are
-	lateShare                  float64            // of those that are late
-	unansweredShare            float64            // of those whose answer is lost
-	heartbeatCopies            struct {           // of reports that arrive again
+	lateUntil, unansweredUntil units.Microseconds // until when transactions are applied late, or get no response
+	lateShare                  float64            // of transactions that are applied late meanwhile
+	unansweredShare            float64            // of transactions that get no response meanwhile
+	heartbeatCopies            struct {           // heartbeats that are delivered twice
 		until   units.Microseconds
 		share   float64
-		forNext bool // when a new leader begins
+		forNext bool // the copy is delivered after the next change of leader or owner
 	}
 	interactions faultInteractions
-	zoneCutUntil map[string]units.Microseconds // until when zones are cut off
-	eventCounts  map[string]int                // how often each of scenario.CountedEvents has happened
+	zoneCutUntil map[string]units.Microseconds // until when each zone is cut off
+	eventCounts  map[string]int                // occurrences of each of scenario.CountedEvents
 	userFaults   userFaultState
 	combinations faultCombinations
-	// Changes are the operators' changes of the configuration so far.
+	// ConfigChanges are the operators' changes of the configuration so far.
 	ConfigChanges []*ConfigChange
 }
 
-// New returns a world in which nothing has happened yet.
+// New returns a world at time 0, with the jobs and faults of the scenario scheduled.
 func New(s *scenario.Scenario, opt Options) *World {
 	seed := cmp.Or(opt.Seed, s.Seed)
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
@@ -153,22 +154,24 @@
 	return w
 }
 
-// Add plans a job; its description is uploaded at once.
+// AddJob schedules the submission of a job. Its upload is available to workers at once.
 func (w *World) AddJob(j *user.Job) {
 	w.Site.Book[j.ID] = j.Job
 	w.Users.Add(j)
 }
 
+// schedule adds an event to the event queue, at d after the current time. A negative d counts as 0.
 func (w *World) schedule(d units.Microseconds, event func()) { w.events.Add(w.now+max(d, 0), event) }
 
-// span draws a time between a and b seconds.
+// randomDuration returns a random duration between a and b seconds.
 func (w *World) randomDuration(a, b float64) units.Microseconds {
 	return units.Seconds(a + (b-a)*w.rng.Float64())
 }
 
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
 
-// Run plays until a time.
+// Run advances the simulation to the time until.
 func (w *World) Run(until units.Microseconds) {
 	for {
 		next := min(w.events.Next(), w.State.Next(), w.Site.Next(), w.Users.Next(), w.balancer.Next())
@@ -213,7 +216,7 @@
 	return nil
 }
 
-// Holder returns the controller that holds a block, if any does.
+// ShardOwner returns the controller that owns shard k, or nil if none does.
 func (w *World) ShardOwner(k int) *Node {
 	for _, n := range w.Nodes {
 		if n.incarnation != 0 && n.core.Owns(n.steadyClock(), k) {
@@ -223,8 +226,7 @@
 	return nil
 }
 
-// oneHolder checks that no two controllers think that they may answer the workers
-// of the same block.
+// checkSingleOwner records a violation for each shard of which two controllers consider themselves the owner.
 func (w *World) checkSingleOwner() {
 	for k := range w.Nodes {
 		first := ""
@@ -240,23 +242,23 @@
 	}
 }
 
-// Result is how a play went.
+// Result is the outcome of a run.
 type Result struct {
 	Violations []check.Violation
 	Digest     string
 	Starts     int
-	// StartsCancelled counts the tasks that began after their job's cancellation was told.
+	// StartsCancelled counts tasks that started after a user was told that their job is cancelled.
 	StartsCancelled    int
 	Jobs               int
 	FinishedJobs       int
 	MachinesCreated    int
-	Cost               float64
-	MaxWait            units.Microseconds // from a submission to the answer that the job is over
-	MissedExpectations []string           // expectations that are no rules
+	Cost               float64            // of all machines
+	MaxWait            units.Microseconds // longest time from a submission to the response that the job is final
+	MissedExpectations []string           // expectations of the scenario that are no invariants
 	Faults             []scenario.Fault
 }
 
-// Play plays the whole scenario.
+// RunScenario runs the whole scenario and returns its result.
 func (w *World) RunScenario() Result {
 	w.Run(units.Seconds(w.Scenario.DurationS))
 	w.Check.Finish(w.now, w.Scenario.Expect.AllOver)
@@ -268,7 +270,7 @@
 	return r
 }
 
-// Unfinished returns the accepted jobs that are not over, as far as users know.
+// Unfinished returns the ids of accepted jobs that are not final as far as their users know.
 func (w *World) Unfinished() []string {
 	var out []string
 	for _, j := range w.Users.Jobs() {
@@ -279,7 +281,7 @@
 	return out
 }
 
-// Explain says what every controller knows of a job.
+// Explain describes the state of a job at every controller and in the workers' uploads, for test failures.
 func (w *World) Explain(id string) string {
 	var b strings.Builder
 	for _, n := range w.Nodes {
