--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -13,10 +13,11 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// waits are the times that users waited, by what for.
+// waitTimes are the times that users waited: for acceptance, for a cancellation, and from the last completed
+// task to the stored end of the job.
 type waitTimes struct{ accepted, cancelled, finished []units.Microseconds }
 
-// storedDone returns the jobs whose records say that they are done.
+// jobsStoredDone returns the ids of jobs whose stored record has the status done.
 func (w *World) jobsStoredDone() map[string]bool {
 	done := map[string]bool{}
 	w.State.Each(func(it kv.Item) {
@@ -29,9 +30,9 @@
 	return done
 }
 
-// waitsFor plays until a time and looks every 10 ms at what became of the jobs. A cancelled
-// job's user asks some time after the job was accepted; an end counts from the last task's
-// completion to its record.
+// measureWaits runs until the given time and checks the jobs every 10 ms. The wait for a cancellation starts
+// CancelAfter after the job was seen accepted. The wait for an end is from the completion of the last task to
+// the job's record.
 func (w *World) measureWaits(until units.Microseconds, submitted []*user.Job) waitTimes {
 	const step = 10 * millis
 	var out waitTimes
@@ -43,30 +44,30 @@
 		if now := w.State.Rev(); now != rev {
 			rev, done = now, w.jobsStoredDone()
 		}
-		for _, j := range submitted {
-			if accepted[j.ID] == 0 && j.Accepted {
-				accepted[j.ID] = t
-				out.accepted = append(out.accepted, t-j.At)
+		for _, job := range submitted {
+			if accepted[job.ID] == 0 && job.Accepted {
+				accepted[job.ID] = t
+				out.accepted = append(out.accepted, t-job.At)
 			}
-			if complete[j.ID] == 0 && j.DoneTasks() == j.Spec.Tasks {
-				complete[j.ID] = t
+			if complete[job.ID] == 0 && job.DoneTasks() == job.Spec.Tasks {
+				complete[job.ID] = t
 			}
 			switch {
-			case over[j.ID]:
-			case j.CancelAfter > 0 && j.Final == jobs.Cancelled:
-				over[j.ID] = true
-				out.cancelled = append(out.cancelled, j.Over-accepted[j.ID]-j.CancelAfter)
-			case j.CancelAfter == 0 && done[j.ID]:
-				over[j.ID] = true
-				out.finished = append(out.finished, t-complete[j.ID])
+			case over[job.ID]:
+			case job.CancelAfter > 0 && job.Final == jobs.Cancelled:
+				over[job.ID] = true
+				out.cancelled = append(out.cancelled, job.Over-accepted[job.ID]-job.CancelAfter)
+			case job.CancelAfter == 0 && done[job.ID]:
+				over[job.ID] = true
+				out.finished = append(out.finished, t-complete[job.ID])
 			}
 		}
 	}
 	return out
 }
 
-// lostAnswers plays jobs that come four a second, a third of them cancelled within
-// seconds, while a share of the transactions is carried out and gets no answer.
+// runWithLostResponses submits four jobs a second, and cancels a third of them within seconds, while a share
+// of the transactions is committed but gets no response.
 func runWithLostResponses(t *testing.T, share float64) waitTimes {
 	var all waitTimes
 	for seed := uint64(1); seed <= 2; seed++ {
@@ -91,31 +92,32 @@
 		all.accepted, all.cancelled, all.finished = append(all.accepted, x.accepted...), append(all.cancelled, x.cancelled...), append(all.finished, x.finished...)
 	}
 	if len(all.accepted) < 400 || len(all.cancelled) < 100 || len(all.finished) < 200 {
-		t.Fatalf("%d accepted, %d cancelled, %d ended", len(all.accepted), len(all.cancelled), len(all.finished))
+		t.Fatalf("too few samples: %d accepted, %d cancelled, %d ended", len(all.accepted), len(all.cancelled), len(all.finished))
 	}
 	return all
 }
 
-// TestAnswersLost has three in ten transactions carried out and their answers lost. No more
-// than one in twenty submissions, and cancellations, may need longer than 200 ms, and the
-// ends as much longer than without the loss: the report of an end takes its time anyway.
-// These needed the request's timeout of 1 s, and so did what waited behind them.
+// TestLostTransactionResponses guards against waiting for the request timeout of 1 s whenever the response to
+// a transaction is lost, which also delayed the transactions queued behind it. Three in ten transactions are
+// committed and their responses lost. The 95th percentile of submissions and cancellations must stay within
+// 200 ms, and that of job ends within 200 ms of the run without losses, because the heartbeat that reports an
+// end takes time anyway.
 func TestLostTransactionResponses(t *testing.T) {
 	const late = 200 * millis
-	usual, lost := runWithLostResponses(t, 0), runWithLostResponses(t, 0.3)
+	baseline, lost := runWithLostResponses(t, 0), runWithLostResponses(t, 0.3)
 	p95 := func(times []units.Microseconds) units.Microseconds {
 		slices.Sort(times)
 		return times[len(times)*95/100]
 	}
 	t.Logf("95%% with and without the loss: accepted %d and %d us, cancelled %d and %d us, ended %d and %d us",
-		p95(lost.accepted), p95(usual.accepted), p95(lost.cancelled), p95(usual.cancelled), p95(lost.finished), p95(usual.finished))
+		p95(lost.accepted), p95(baseline.accepted), p95(lost.cancelled), p95(baseline.cancelled), p95(lost.finished), p95(baseline.finished))
 	if got := p95(lost.accepted); got > late {
-		t.Errorf("submissions: %d us", got)
+		t.Errorf("95th percentile of submissions is %d us", got)
 	}
 	if got := p95(lost.cancelled); got > late {
-		t.Errorf("cancellations: %d us", got)
+		t.Errorf("95th percentile of cancellations is %d us", got)
 	}
-	if got := p95(lost.finished) - p95(usual.finished); got > late {
-		t.Errorf("ends: %d us more", got)
+	if got := p95(lost.finished) - p95(baseline.finished); got > late {
+		t.Errorf("95th percentile of job ends is %d us longer than without the loss", got)
 	}
 }
--- a/internal/emulator/sim/broken_test.go
+++ b/internal/emulator/sim/broken_test.go
@@ -17,7 +17,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// says returns a program that answers calls of a kind without doing anything.
+// answering returns a mutation that replies to requests of one kind without processing them.
 func answering(k user.Kind, code int, s jobs.Status) Mutation {
 	return Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind != k {
@@ -27,17 +27,18 @@
 	}}
 }
 
-// withoutStarts returns a program that never starts the tasks of a job.
+// withoutStarts returns a mutation of commands that never starts the tasks of a job.
 func withoutStarts(job string) func(node string, o *core.HeartbeatResponse) {
 	return func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Start && c.ID.Job == job })
 	}
 }
 
-// TestBrokenProgramsAreCaught breaks a controller or a neighbour for every rule, and
-// expects the checker to report it. A checker that cannot fail is worth nothing.
+// TestCheckerDetectsEveryRuleViolation guards against a checker that reports nothing. For every rule, it runs
+// mutated controllers or a faulty environment that violates the rule, and expects a report of the violation
+// with its history.
 func TestCheckerDetectsEveryRuleViolation(t *testing.T) {
-	crash := scenario.Fault{Kind: scenario.ControllerFreeze, Node: "holder", AtS: 25, ForS: 4}
+	freeze := scenario.Fault{Kind: scenario.ControllerFreeze, Node: "holder", AtS: 25, ForS: 4}
 	cases := map[string]struct {
 		b     Mutation
 		fault scenario.Fault
@@ -61,11 +62,11 @@
 			}
 			return nil
 		}}},
-		// A clock that is several times slow: the holder believes in its authority
-		// long after others have ended it.
+		// The owner's clock is several times too slow, so that it assumes its authority long after the others
+		// have ended it.
 		check.TwoHolders: {fault: scenario.Fault{Kind: scenario.Cut, Between: []string{"node-0", scenario.PartyState}, AtS: 25, ForS: 60, Mode: "drop"},
 			b: Mutation{ClockRate: func(node int) float64 { return []float64{0.3, 1, 1}[node] }}},
-		// A state service that takes less than anybody was told.
+		// The state service accepts smaller values than its configured limits.
 		check.TooLarge: {fault: scenario.Fault{Kind: scenario.StateLimits, ValueKB: 0.1}},
 		check.Impossible: {fault: scenario.Fault{Kind: scenario.OddRequests, AtS: 5, ForS: 60}, b: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Submit && (e.Spec == nil || strings.HasPrefix(e.ID, "wk-8")) {
@@ -77,20 +78,20 @@
 		check.Outdated:    {fault: scenario.Fault{Kind: scenario.ConfigSet, Team: "red", Remove: true, AtS: 25}, b: answering(user.Submit, http.StatusCreated, jobs.Pending)},
 	}
 	for _, rule := range check.Rules {
-		c, ok := cases[rule]
+		testCase, ok := cases[rule]
 		if !ok {
-			t.Errorf("%s: nothing shows that the checker would notice", rule)
+			t.Errorf("%s: no case violates this rule", rule)
 			continue
 		}
 		caught := false
 		for seed := uint64(1); seed <= 20 && !caught; seed++ {
 			sc := deployment(3, 0)
 			sc.Users.Strangers = 0.2
-			sc.Faults = []scenario.Fault{c.fault}
-			if c.fault.Kind == "" {
-				sc.Faults = []scenario.Fault{crash}
+			sc.Faults = []scenario.Fault{testCase.fault}
+			if testCase.fault.Kind == "" {
+				sc.Faults = []scenario.Fault{freeze}
 			}
-			w := New(sc, Options{Seed: seed, Mutation: c.b})
+			w := New(sc, Options{Seed: seed, Mutation: testCase.b})
 			spec := func(team string, tasks int) *jobs.Spec {
 				return &jobs.Spec{Class: "x", Team: team, Priority: jobs.Normal, Tasks: tasks, Demand: binpack.Vec{2000, 0, 1000}, AnyType: true, Spot: true,
 					Image: "i", Estimate: 10 * second}
@@ -100,12 +101,12 @@
 			}
 			zoned := spec("blue", 8)
 			zoned.Zone = "b"
-			first := w.submitJob(second, zoned, 100*second, 20*second)
+			zonedJob := w.submitJob(second, zoned, 100*second, 20*second)
 			spread := spec("green", 4)
 			spread.Spread = true
-			second4 := w.submitJob(second, spread, 30*second, 0)
-			last := spec("blue", 2)
-			w.submitJob(second, last, units.Second, 0, first, second4)
+			spreadJob := w.submitJob(second, spread, 30*second, 0)
+			dependentJob := spec("blue", 2)
+			w.submitJob(second, dependentJob, units.Second, 0, zonedJob, spreadJob)
 			w.submitJob(60*second, spec("red", 1), units.Second, 0)
 			w.Run(200 * second)
 			w.Check.Finish(w.now, true)
@@ -113,26 +114,27 @@
 				if b.Rule == rule {
 					caught = true
 					if len(b.History) == 0 {
-						t.Errorf("%s: the report tells no history", rule)
+						t.Errorf("%s: the violation has no history", rule)
 					}
 				}
 			}
 		}
 		if !caught {
-			t.Errorf("%s: a broken program was not noticed", rule)
+			t.Errorf("%s: the violation was not detected", rule)
 		}
 	}
 }
 
-// TestForgottenHoweverOthersFare has polls answered by nobody: while troubles go on, that may
-// be an outage's; once all are over it is not, though every job fares alike.
+// TestUnansweredPollsAfterFaultsAreViolations guards against a checker that excuses unanswered polls for
+// ever. All polls fail. That is allowed during a fault such as an outage, but not once all faults are over,
+// even if the polls of all jobs fail alike.
 func TestUnansweredPollsAfterFaultsAreViolations(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		outage float64
 		want   bool
 	}{{1, true}, {240, false}} {
 		sc := deployment(3, 0)
-		sc.Faults = []scenario.Fault{{Kind: scenario.StateOutage, AtS: 20, ForS: c.outage}}
+		sc.Faults = []scenario.Fault{{Kind: scenario.StateOutage, AtS: 20, ForS: testCase.outage}}
 		w := New(sc, Options{Seed: 1, Mutation: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Poll {
 				return &core.Reply{Code: http.StatusServiceUnavailable}
@@ -141,14 +143,14 @@
 		}}})
 		w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 2, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 10*second, 0)
 		w.Run(230 * second)
-		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Forgotten }); got != c.want {
-			t.Errorf("outage of %g s: forgotten %v, want %v", c.outage, got, c.want)
+		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Forgotten }); got != testCase.want {
+			t.Errorf("outage of %g s: violation of check.Forgotten reported %v, want %v", testCase.outage, got, testCase.want)
 		}
 	}
 }
 
-// TestOneSeedOneHistory plays a scenario with faults of every kind twice: the
-// histories are equal to the byte, and differ from another seed's.
+// TestSameSeedSameHistory guards against nondeterminism of the simulation. It runs a scenario with faults of
+// every kind twice for each seed: both digests must be equal, and those of different seeds must differ.
 func TestSameSeedSameHistory(t *testing.T) {
 	digest := func(seed uint64) string {
 		sc := deployment(3, 2)
@@ -165,7 +167,7 @@
 	for seed := range uint64(8) {
 		a, b := digest(seed+1), digest(seed+1)
 		if a != b {
-			t.Errorf("seed %d: %s and %s", seed+1, a, b)
+			t.Errorf("seed %d: digests %s and %s differ", seed+1, a, b)
 		}
 		seen[a] = true
 	}
--- a/internal/emulator/sim/calls.go
+++ b/internal/emulator/sim/calls.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// sendCall sends a user's request to a controller that the load balancer chooses. If the connection fails, it tries
-// the other controllers; tried lists those that have failed.
+// sendCall sends a user's request to a controller that the load balancer chooses. If the connection fails, it
+// tries the other controllers; tried lists those that have failed.
 func (w *World) sendCall(call user.Call, tried []int) {
 	failed := func() {
 		w.Users.Failed(w.now, call.Number)
--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -9,7 +9,8 @@
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
-// Census counts the resources in use at one time. Long runs record it to show that nothing grows without bound.
+// Census counts the resources in use at one time. Long runs record it to show that nothing grows without
+// bound.
 type Census struct {
 	At     units.Microseconds
 	Keys   map[string]int // number of stored keys by key group
--- a/internal/emulator/sim/cloudclient.go
+++ b/internal/emulator/sim/cloudclient.go
@@ -14,7 +14,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// cloudEffect executes an effect that concerns the cloud provider. It reports whether the effect is of that kind.
+// cloudEffect executes an effect that concerns the cloud provider. It reports whether the effect is of that
+// kind.
 func (n *Node) cloudEffect(incarnation int, effect core.Effect) bool {
 	w := n.world
 	switch effect := effect.(type) {
@@ -36,9 +37,9 @@
 	return true
 }
 
-// cloudCall sends a request to the cloud provider as soon as the rate limit allows it. It fails with store.Refused if
-// that takes longer than the timeout. A guarded request is sent only while the controller's authority is valid.
-// apply executes the request and returns its status code.
+// cloudCall sends a request to the cloud provider as soon as the rate limit allows it. It fails with
+// store.Refused if that takes longer than the timeout. A guarded request is sent only while the controller's
+// authority is valid. apply executes the request and returns its status code.
 func (n *Node) cloudCall(guarded bool, apply func() int, done func(store.Outcome)) {
 	w, incarnation := n.world, n.incarnation
 	r := n.cloudLimiter.ReserveN(limiterTime(w.now), 1)
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -13,8 +13,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// faultCombinations tracks which faults coincide, for scenario.CountedEvents. It only observes: it draws no random
-// numbers and does not change the run.
+// faultCombinations tracks which faults coincide, for scenario.CountedEvents. It only observes: it draws no
+// random numbers and does not change the run.
 type faultCombinations struct {
 	allDownSince    units.Microseconds            // since when no controller runs; 0 if one does
 	exitedAt        map[string]units.Microseconds // last exit of each controller
@@ -35,8 +35,8 @@
 	last string
 }
 
-// smallJob is a job of two or three tasks: a bit mask of the completed ones, and faultCombinations.ownerChanges at the
-// first completion.
+// smallJob is a job of two or three tasks: a bit mask of the completed ones, and
+// faultCombinations.ownerChanges at the first completion.
 type smallJob struct {
 	completedMask uint8
 	ownerChanges  int
@@ -56,8 +56,8 @@
 	heldThreshold = second
 	// quickReturnWindow is the longest downtime with which a controller counts as back at once.
 	quickReturnWindow = second
-	// recentHeartbeatWindow is the longest time since the last heartbeat with which a controller counts as reachable
-	// by workers.
+	// recentHeartbeatWindow is the longest time since the last heartbeat with which a controller counts as
+	// reachable by workers.
 	recentHeartbeatWindow = 4 * second
 )
 
@@ -83,8 +83,8 @@
 	w.recordEvent(scenario.AllEnded)
 }
 
-// anyWorkerUnreachable reports whether a machine that runs tasks hangs, receives no messages, or is cut off from
-// controller n.
+// anyWorkerUnreachable reports whether a machine that runs tasks hangs, receives no messages, or is cut off
+// from controller n.
 func (w *World) anyWorkerUnreachable(n *Node) bool {
 	for _, m := range w.Site.Cloud.Alive() {
 		worker := w.Site.Worker(m.Name)
@@ -210,8 +210,8 @@
 	return false
 }
 
-// recordCancelPastCut records that a user was told of a cancellation, and whether a shard owner is isolated at that time
-// and so can neither read nor receive it.
+// recordCancelPastCut records that a user was told of a cancellation, and whether a shard owner is isolated
+// at that time and so can neither read nor receive it.
 func (w *World) recordCancelPastCut() {
 	w.combinations.reportedCancels++
 	w.recordEvent(scenario.CancelTold)
@@ -223,8 +223,8 @@
 	}
 }
 
-// isolatedOwner reports whether a controller that has ever been assigned a shard reaches neither the state service nor
-// another controller, while workers and users still reach it.
+// isolatedOwner reports whether a controller that has ever been assigned a shard reaches neither the state
+// service nor another controller, while workers and users still reach it.
 func (w *World) isolatedOwner(n *Node) bool {
 	combinations := &w.combinations
 	if n.incarnation == 0 || !combinations.everOwners[n.Name] || w.net.connect(n.Name, scenario.PartyState) == delivered ||
@@ -268,8 +268,8 @@
 	}
 }
 
-// recordLateWrite records a transaction that is applied late, after others of its controller. before is the number of
-// the controller's transactions that had been committed when it was sent.
+// recordLateWrite records a transaction that is applied late, after others of its controller. before is the
+// number of the controller's transactions that had been committed when it was sent.
 func (w *World) recordLateWrite(n *Node, before int) {
 	if w.combinations.storedTxns[n.Name] > before {
 		w.recordEvent(scenario.LateWrite)
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -17,7 +17,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// loaded returns a world in which a team has more tasks than fit its limit of 40 CPUs.
+// limitedTeamWorld returns a world in which a team has more tasks than fit its limit of 40 CPUs.
 func limitedTeamWorld(seed uint64, nodes, blockMachines int, opt Options) *World {
 	opt.Seed = seed
 	w := New(deployment(nodes, blockMachines), opt)
@@ -28,16 +28,17 @@
 	return w
 }
 
-// use is what blue's tasks use on machines.
+// runningTasks returns the number of running tasks, all of team blue, which use one CPU each.
 func (w *World) runningTasks() int { return w.Site.Running() }
 
+// setLimit starts an operator's change of a team's limit.
 func (w *World) setLimit(team string, cpus float64) *ConfigChange {
 	w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: team, CPUsMax: cpus})
 	w.Run(w.now + second/100)
 	return w.ConfigChanges[len(w.ConfigChanges)-1]
 }
 
-// kept fails the test if a rule is broken.
+// checkNoViolations fails the test if a rule was violated.
 func (w *World) checkNoViolations(t *testing.T, what string) {
 	t.Helper()
 	if b := w.Check.Violations(); len(b) > 0 {
@@ -45,8 +46,9 @@
 	}
 }
 
-// TestLimitThatFalls lowers a limit below what runs, and raises it again: nothing new starts
-// above it once that is confirmed, what runs goes on, and a limit that rose is used at once.
+// TestLoweredTeamLimit guards against wrong enforcement of a changed team limit. The limit is lowered below
+// the current usage and raised again later. Running tasks must continue, no task may start above the limit
+// once the change is confirmed, and the raised limit must be used at once.
 func TestLoweredTeamLimit(t *testing.T) {
 	for seed := range uint64(4) {
 		w := limitedTeamWorld(seed+1, 3, 0, Options{})
@@ -55,10 +57,10 @@
 		x := w.setLimit("blue", 10)
 		w.Run(w.now + 3*second)
 		if x.ConfirmedAt == 0 || x.ConfirmedAt-x.RequestedAt > second || before < 20 {
-			t.Fatalf("seed %d: %d tasks ran; %+v", seed, before, x)
+			t.Fatalf("seed %d: %d tasks ran before the change, want at least 20, and a confirmation within 1 s: %+v", seed, before, x)
 		}
 		if w.runningTasks() <= 10 || w.starts > done+15 {
-			t.Errorf("seed %d: %d of %d tasks go on, %d have begun since", seed, w.runningTasks(), before, w.starts-done)
+			t.Errorf("seed %d: %d of %d tasks still run, %d have started since", seed, w.runningTasks(), before, w.starts-done)
 		}
 		w.Run(w.now + 20*second)
 		if n := w.runningTasks(); n > 10 || n < 5 {
@@ -67,7 +69,7 @@
 		w.setLimit("blue", 30)
 		w.Run(w.now + 12*second)
 		if n := w.runningTasks(); n <= 10 {
-			t.Errorf("seed %d: %d tasks run once the limit is 30", seed, n)
+			t.Errorf("seed %d: %d tasks run after the limit was raised to 30", seed, n)
 		}
 		w.Run(300 * second)
 		w.Check.Finish(w.now, true)
@@ -75,9 +77,9 @@
 	}
 }
 
-// TestHolderThatCannotRead lowers a limit while the holder is cut off from the state service,
-// which serves the others: the holder hears of it from them, starts nothing until it can read,
-// and the change is not confirmed before.
+// TestConfigChangeWithOwnerRefusedByStateService guards against starts above a lowered limit. The limit is
+// lowered while the state service refuses the shard owner alone. The owner learns of the change from its
+// peers, starts nothing until it can read the new version, and the change must not be confirmed before.
 func TestConfigChangeWithOwnerRefusedByStateService(t *testing.T) {
 	for seed := range uint64(3) {
 		w := limitedTeamWorld(seed+1, 3, 0, Options{})
@@ -94,7 +96,7 @@
 		}
 		w.Run(w.now + 12*second)
 		if x.ConfirmedAt == 0 {
-			t.Errorf("seed %d: not confirmed once the holder can read: %+v", seed, x)
+			t.Errorf("seed %d: not confirmed after the owner can read again: %+v", seed, x)
 		}
 		w.Run(300 * second)
 		w.Check.Finish(w.now, true)
@@ -102,9 +104,10 @@
 	}
 }
 
-// TestSilentHolder lowers a limit while the holder reaches neither the others nor the state
-// service, and still its machines: the change is confirmed once the holder's authority has
-// surely ended, and no controller starts anything above it.
+// TestConfigChangeWithIsolatedOwner guards against confirming a change too early, or never, while the shard
+// owner reaches neither its peers nor the state service, but still reaches its machines. The change must be
+// confirmed only when the owner's authority has certainly ended, and no controller may start tasks above the
+// new limit.
 func TestConfigChangeWithIsolatedOwner(t *testing.T) {
 	for seed := range uint64(3) {
 		w := limitedTeamWorld(seed+1, 3, 0, Options{})
@@ -129,7 +132,8 @@
 	}
 }
 
-// TestRemovedTeamGoesOn removes a team: its known jobs end, and it is given no new ones.
+// TestRemovedTeamFinishesKnownJobs guards against losing the jobs of a removed team. Its accepted jobs must
+// finish, also after a restart of all controllers, and new jobs must be refused.
 func TestRemovedTeamFinishesKnownJobs(t *testing.T) {
 	w := limitedTeamWorld(1, 3, 0, Options{})
 	w.Run(20 * second)
@@ -139,34 +143,35 @@
 	late := w.submitJob(23*second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(30 * second)
 	for _, n := range w.Nodes {
-		n.Crash() // all that a new process knows is stored
+		n.Crash() // the new processes know only what is stored
 	}
 	w.Run(300 * second)
 	w.Check.Finish(w.now, true)
-	w.checkNoViolations(t, "removed")
+	w.checkNoViolations(t, "removed team")
 	if x := w.ConfigChanges[0]; x.ConfirmedAt == 0 || !late.GaveUp {
-		t.Errorf("%+v; the later job was not refused: %+v", x, late)
+		t.Errorf("not confirmed, or the later job was not refused: %+v; %+v", x, late)
 	}
 	for _, j := range w.Users.Jobs()[:known] {
 		if j.Final != jobs.Done {
-			t.Errorf("%s is %q", j.ID, j.Final)
+			t.Errorf("%s has status %q, want done", j.ID, j.Final)
 		}
 	}
 }
 
-// TestWrongConfigurationsAreCaught breaks the controllers, and expects the checker to notice.
+// TestCheckerDetectsStaleConfiguration guards against a checker that misses starts above a confirmed limit,
+// or accepted jobs of a removed team. Mutated controllers do both.
 func TestCheckerDetectsStaleConfiguration(t *testing.T) {
-	// A controller says that it goes by a version which it does not go by yet.
-	lies := func(m any) any {
+	// Controllers report a configuration version that they do not use yet.
+	claimNewerVersion := func(m any) any {
 		if s, ok := m.(core.PeerStatus); ok {
 			s.Config = 99
 			return s
 		}
 		return m
 	}
-	// And one that does not hear of the others.
-	deaf := func(m any) any {
-		switch x := lies(m).(type) {
+	// In addition, they do not learn of newer versions from their peers.
+	hideNewerVersions := func(m any) any {
+		switch x := claimNewerVersion(m).(type) {
 		case core.PeerStatus:
 			x.ConfigKnown = 0
 			return x
@@ -178,8 +183,8 @@
 	}
 	caught := 0
 	for seed := range uint64(6) {
-		w := limitedTeamWorld(seed+1, 3, 0, Options{Mutation: Mutation{PeerMessage: deaf}})
-		w.Run(units.Microseconds(40+seed) * second / 2) // tasks end, and others start
+		w := limitedTeamWorld(seed+1, 3, 0, Options{Mutation: Mutation{PeerMessage: hideNewerVersions}})
+		w.Run(units.Microseconds(40+seed) * second / 2) // tasks are ending and others starting
 		n := w.ShardOwner(0)
 		w.State.Refuse(n.Name, w.now+60*second)
 		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
@@ -189,7 +194,7 @@
 		}
 	}
 	if caught == 0 {
-		t.Error("tasks started above a limit that was confirmed, and nobody noticed")
+		t.Error("starts above a confirmed limit were not detected")
 	}
 	w := limitedTeamWorld(1, 3, 0, Options{Mutation: Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind == user.Submit && e.Spec.Class == "late" {
@@ -202,22 +207,23 @@
 	w.submitJob(30*second, &jobs.Spec{Class: "late", Team: "blue", Tasks: 1, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	w.Run(40 * second)
 	if !slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Outdated }) {
-		t.Errorf("a job of a removed team is accepted, and nobody noticed: %v", w.Check.Violations())
+		t.Errorf("the accepted job of a removed team was not detected: %v", w.Check.Violations())
 	}
 }
 
-// TestNothingIsStoredWithoutAChange plays a calm time: no key of the configuration is written.
+// TestNoConfigStoredWithoutChange guards against writing configuration records without a change by an
+// operator.
 func TestNoConfigStoredWithoutChange(t *testing.T) {
 	w := limitedTeamWorld(1, 3, 0, Options{})
 	w.Run(60 * second)
 	w.State.Each(func(it kv.Item) {
 		if len(it.Key) > 18 && it.Key[:18] == "shalestage/config/" {
-			t.Errorf("%s is stored", it.Key)
+			t.Errorf("%s is stored without a change", it.Key)
 		}
 	})
 }
 
-// manyTeams is a deployment with 340 teams.
+// manyTeams returns a deployment with 340 teams.
 func manyTeams(valueKB float64, ops int) *scenario.Scenario {
 	s := deployment(3, 0)
 	s.State.ValueKB, s.State.TxnOps, s.State.Next = valueKB, ops, scenario.Limits{}
@@ -227,44 +233,44 @@
 	return s
 }
 
-// TestChangesAtRate has operators change a limit among 340 teams 50 times a second for 10 s,
-// and as often as in a day of 10,000: how long until a change is stored and confirmed. The
-// queue and what is written stay bounded.
+// TestConfigChangeRate guards against a growing queue of configuration changes. Operators change a limit
+// among 340 teams 50 times a second for 10 s, and at the rate of 10,000 changes a day. The time until a
+// change is stored and confirmed, and the number of written versions, must stay bounded.
 func TestConfigChangeRate(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		value float64
 		ops   int
 		count int
 		every float64
 	}{{"50 a second", 8, 12, 500, 0.02}, {"50 a second", 2, 4, 500, 0.02}, {"10,000 a day", 8, 12, 100, 8.64}} {
-		w := New(manyTeams(c.value, c.ops), Options{Seed: 1})
+		w := New(manyTeams(testCase.value, testCase.ops), Options{Seed: 1})
 		w.Run(10 * second)
 		before := w.State.Rev()
-		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "team-7", CPUsMax: 20, Count: c.count, EveryS: c.every})
-		w.Run(w.now + units.Seconds(float64(c.count)*c.every) + 10*second)
-		var took []units.Microseconds
+		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "team-7", CPUsMax: 20, Count: testCase.count, EveryS: testCase.every})
+		w.Run(w.now + units.Seconds(float64(testCase.count)*testCase.every) + 10*second)
+		var times []units.Microseconds
 		refused, last := 0, uint64(0)
-		for _, x := range w.ConfigChanges {
-			refused += x.FailedTries
-			if x.ConfirmedAt != 0 {
-				took = append(took, x.ConfirmedAt-x.RequestedAt)
-				last = max(last, x.Version)
+		for _, change := range w.ConfigChanges {
+			refused += change.FailedTries
+			if change.ConfirmedAt != 0 {
+				times = append(times, change.ConfirmedAt-change.RequestedAt)
+				last = max(last, change.Version)
 			}
 		}
-		slices.Sort(took)
-		at := func(p float64) float64 { return took[min(len(took)-1, int(p*float64(len(took))))].Seconds() }
-		if len(took) == 0 {
-			t.Fatalf("%s: none of %d confirmed", c.name, len(w.ConfigChanges))
+		slices.Sort(times)
+		at := func(p float64) float64 { return times[min(len(times)-1, int(p*float64(len(times))))].Seconds() }
+		if len(times) == 0 {
+			t.Fatalf("%s: none of %d changes confirmed", testCase.name, len(w.ConfigChanges))
 		}
 		t.Logf("%s, values of %g KiB: %d of %d confirmed, %d refused, %d versions in %d transactions; s until confirmed: p50 %.2f, p99 %.2f, max %.2f",
-			c.name, c.value, len(took), len(w.ConfigChanges), refused, last, w.State.Rev()-before, at(0.5), at(0.99), at(1))
-		if len(took)+refused < c.count || at(1) > 10 || w.ConfigChanges[c.count-1].ConfirmedAt == 0 {
-			t.Errorf("%s: %d confirmed, %d refused, max %.2f s", c.name, len(took), refused, at(1))
+			testCase.name, testCase.value, len(times), len(w.ConfigChanges), refused, last, w.State.Rev()-before, at(0.5), at(0.99), at(1))
+		if len(times)+refused < testCase.count || at(1) > 10 || w.ConfigChanges[testCase.count-1].ConfirmedAt == 0 {
+			t.Errorf("%s: %d confirmed, %d refused, max %.2f s", testCase.name, len(times), refused, at(1))
 		}
-		if last > uint64(float64(c.count)*c.every*4*3)+uint64(c.count)/4 {
-			t.Errorf("%s: %d versions", c.name, last)
+		if last > uint64(float64(testCase.count)*testCase.every*4*3)+uint64(testCase.count)/4 {
+			t.Errorf("%s: too many versions: %d", testCase.name, last)
 		}
-		w.checkNoViolations(t, c.name)
+		w.checkNoViolations(t, testCase.name)
 	}
 }
--- a/internal/emulator/sim/effects.go
+++ b/internal/emulator/sim/effects.go
@@ -65,8 +65,8 @@
 	})
 }
 
-// probe sends a fencing token to a worker, which responds with a heartbeat. It is sent only while the controller's
-// authority is valid.
+// probe sends a fencing token to a worker, which responds with a heartbeat. It is sent only while the
+// controller's authority is valid.
 func (n *Node) probe(incarnation int, probe core.Probe) {
 	w := n.world
 	zone := ""
--- a/internal/emulator/sim/follow_test.go
+++ b/internal/emulator/sim/follow_test.go
@@ -8,9 +8,9 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestFollowerGoesOn ends holders without a word while tasks start many times a second and
-// a third of all messages about starts are lost: whoever followed holds the block next,
-// nothing is unaccounted for, nothing runs twice, and all that ran goes on.
+// TestStandbyTakesOverAfterCrash guards against losing state in a failover to a standby. Shard owners crash
+// while many tasks start each second and a third of the replication messages are lost. The standby must
+// become the next owner with all machines reconciled, no task may run twice, and running tasks must continue.
 func TestStandbyTakesOverAfterCrash(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := shortTaskWorld(seed)
@@ -22,7 +22,7 @@
 			return true
 		}
 		w.Run(60 * second)
-		known := 0
+		takeovers := 0
 		for range 6 {
 			old := w.ShardOwner(0)
 			next := old.core.Standby(0)
@@ -32,12 +32,12 @@
 			}
 			n := w.ShardOwner(0)
 			if n == nil || n == old && next != "" {
-				t.Fatalf("seed %d: held by %v, and %q followed", seed, n, next)
+				t.Fatalf("seed %d: shard owned by %v, but the standby was %q", seed, n, next)
 			}
 			if next != "" && n.Name == next {
-				known++
+				takeovers++
 				if u := n.core.Unreconciled(0); u > 0 {
-					t.Errorf("seed %d: %s followed, and %d machines are unaccounted for", seed, next, u)
+					t.Errorf("seed %d: standby %s took over with %d machines not reconciled", seed, next, u)
 				}
 			}
 			w.Run(w.now + units.Microseconds(6+w.rng.IntN(6))*second)
@@ -45,8 +45,8 @@
 		if b := w.Check.Violations(); len(b) > 0 {
 			t.Errorf("seed %d: %v", seed, b)
 		}
-		if known < 4 {
-			t.Errorf("seed %d: of 6 holders %d were followed", seed, known)
+		if takeovers < 4 {
+			t.Errorf("seed %d: in 6 failovers a standby took over %d times", seed, takeovers)
 		}
 	}
 }
--- a/internal/emulator/sim/handover_test.go
+++ b/internal/emulator/sim/handover_test.go
@@ -8,7 +8,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// churning returns a world in which short tasks of a few wide jobs end and start all the time.
+// shortTaskWorld returns a world in which short tasks of a few large jobs end and start all the time.
 func shortTaskWorld(seed uint64) *World {
 	s := deployment(3, 0)
 	s.Capacity = []scenario.Capacity{{Type: "big", Zone: "a", Count: 12}, {Type: "big", Zone: "b", Count: 12}}
@@ -21,9 +21,9 @@
 	return w
 }
 
-// standstill plays a fault at the holder, and returns the longest time without a start in
-// the ten seconds from then on, and for how long nobody could have started anything.
-func measureFailover(t *testing.T, seed uint64, kind string) (longest, nobody units.Microseconds) {
+// measureFailover injects a fault at the shard owner. It returns the longest time without a task start in the
+// next ten seconds, and the time until another controller owned the shard.
+func measureFailover(t *testing.T, seed uint64, kind string) (longest, unowned units.Microseconds) {
 	t.Helper()
 	w := shortTaskWorld(seed)
 	w.Run(80 * second)
@@ -35,8 +35,8 @@
 		if w.starts > starts {
 			longest, last, starts = max(longest, w.now-last), w.now, w.starts
 		}
-		if n := w.ShardOwner(0); nobody == 0 && n != nil && n != old {
-			nobody = w.now - 80*second
+		if n := w.ShardOwner(0); unowned == 0 && n != nil && n != old {
+			unowned = w.now - 80*second
 		}
 	}
 	longest = max(longest, w.now-last)
@@ -44,26 +44,26 @@
 	if b := w.Check.Violations(); len(b) > 0 {
 		t.Errorf("seed %d, %s: %v", seed, kind, b)
 	}
-	return longest, nobody
+	return longest, unowned
 }
 
-// TestHandOver has a holder end on purpose while tasks start many times a second: the next
-// one holds the block almost at once, and goes on with work that was accepted before as soon
-// as workers have turned to it, which takes them up to half a second by the protocol. Ended
-// without a word, a holder is missed for seconds.
+// TestGracefulHandover guards against a gap in task starts when a shard owner retires. The next owner must
+// own the shard almost at once. It continues work that was accepted before as soon as the workers have
+// connected to it, which takes up to half a second by the protocol. After a crash, in contrast, the gap lasts
+// for seconds.
 func TestGracefulHandover(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
-		retired, nobody := measureFailover(t, seed, scenario.ControllerRetire)
-		crashed, missed := measureFailover(t, seed, scenario.ControllerCrash)
-		t.Logf("seed %d: held by nobody for %.2f s, nothing started for %.2f s; %.2f s and %.2f s after a crash", seed, nobody.Seconds(), retired.Seconds(), missed.Seconds(), crashed.Seconds())
-		if retired > second || nobody > 3*second/10 || crashed < 2*second {
-			t.Errorf("seed %d: that is too long, or a crash is none", seed)
+		retired, unowned := measureFailover(t, seed, scenario.ControllerRetire)
+		crashed, crashUnowned := measureFailover(t, seed, scenario.ControllerCrash)
+		t.Logf("seed %d: no owner for %.2f s, no start for %.2f s; %.2f s and %.2f s after a crash", seed, unowned.Seconds(), retired.Seconds(), crashUnowned.Seconds(), crashed.Seconds())
+		if retired > second || unowned > 3*second/10 || crashed < 2*second {
+			t.Errorf("seed %d: the handover took too long, or the gap after a crash is too short", seed)
 		}
 	}
 }
 
-// TestHandOverUnderTrouble retires controllers again and again while messages are late or
-// lost, transactions come late and others end: no rule is broken, and all work ends.
+// TestHandoverUnderFaults guards against rule violations and stuck jobs when controllers retire repeatedly,
+// while messages are late or lost, transactions are applied late and owners crash.
 func TestHandoverUnderFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		s := deployment(3, int(seed%3)*4)
@@ -88,7 +88,7 @@
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		if u := w.Unfinished(); len(u) > 0 {
-			t.Errorf("seed %d: %v are not over: %s", seed, u, w.Explain(u[0]))
+			t.Errorf("seed %d: jobs %v are not finished: %s", seed, u, w.Explain(u[0]))
 		}
 	}
 }
--- a/internal/emulator/sim/meet_test.go
+++ b/internal/emulator/sim/meet_test.go
@@ -17,7 +17,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestDrawnFaultsAreSound draws faults of all shapes: each could stand in a file.
+// TestDrawnFaultsAreValid guards against drawn faults that a scenario file could not contain, and against
+// fault kinds that are never drawn.
 func TestDrawnFaultsAreValid(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	seen := map[string]bool{}
@@ -37,14 +38,14 @@
 	}
 }
 
-// TestMuteMachines keeps all machines from every controller for longer than their lease:
-// their tasks end with it, while direct commands still reach them.
+// TestMuteMachines checks the fault that stops messages from machines to controllers for longer than the
+// lease: tasks must stop at the end of the lease, while direct requests still reach the machines.
 func TestMuteMachines(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
 	w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 8, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 10 * second}, 300*second, 0)
 	w.Run(60 * second)
 	if w.Site.Running() == 0 {
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs")
 	}
 	w.InjectFault(scenario.Fault{Kind: scenario.MachineMute, Share: 1, ForS: 30})
 	reached := 0
@@ -55,11 +56,11 @@
 	}
 	w.Run(w.now + 20*second)
 	if reached == 0 || w.Site.Running() > 0 {
-		t.Errorf("%d machines were reached, %d tasks run after the leases", reached, w.Site.Running())
+		t.Errorf("%d machines were reached, %d tasks still run after the end of the leases", reached, w.Site.Running())
 	}
 }
 
-// TestQuickBoots rents machines: they are up within two seconds.
+// TestQuickBoots checks the fault that shortens boot times: new machines must be up within two seconds.
 func TestQuickBoots(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
 	w.InjectFault(scenario.Fault{Kind: scenario.QuickBoots, ForS: 60})
@@ -67,27 +68,28 @@
 	w.Run(60 * second)
 	for _, m := range w.Site.Cloud.Billed() {
 		if up := m.UpAt - m.CreatedAt; up > 2*second {
-			t.Errorf("%s was up after %v", m.Name, up)
+			t.Errorf("%s took %v to boot", m.Name, up)
 		}
 	}
 	if w.Site.Cloud.CreatedCount() == 0 {
-		t.Error("nothing was rented")
+		t.Error("no machine was created")
 	}
 }
 
-// TestLateBy draws how late a share of the transactions is.
+// TestLateTransactionDelay checks that transactions are applied 2 to 12 s late if only a share of them is
+// affected.
 func TestLateTransactionDelay(t *testing.T) {
 	w := New(deployment(3, 0), Options{Seed: 1})
 	w.InjectFault(scenario.Fault{Kind: scenario.StateLate, ForS: 10, Share: 0.4})
 	for range 1000 {
 		if d := w.lateDelay(); d < 2*second || d > 12*second {
-			t.Fatalf("%v late", d)
+			t.Fatalf("delay of %v", d)
 		}
 	}
 }
 
-// TestKeptReports keeps copies of reports until the next holder: they reach controllers after
-// it has its grant, and none of them before.
+// TestKeptHeartbeatsReachNextOwner checks the fault that delivers copies of heartbeats to the next shard
+// owner: controllers must receive the copies after the next assignment, and none before.
 func TestKeptHeartbeatsReachNextOwner(t *testing.T) {
 	count := 0
 	w := New(deployment(3, 0), Options{Seed: 1, OnEvent: func(_ units.Microseconds, event string) {
@@ -100,31 +102,33 @@
 	w.InjectFault(scenario.Fault{Kind: scenario.LateReports, Share: 1, ForS: 20, ForNext: true})
 	w.Run(w.now + 10*second)
 	if count > 0 || len(w.interactions.kept) == 0 {
-		t.Fatalf("%d came before, %d are kept", count, len(w.interactions.kept))
+		t.Fatalf("%d copies were delivered before the assignment, %d are kept", count, len(w.interactions.kept))
 	}
 	w.InjectFault(scenario.Fault{Kind: scenario.ControllerCrash, Node: "holder"})
 	w.Run(w.now + 30*second)
 	if count == 0 || len(w.Check.Violations()) > 0 {
-		t.Errorf("%d reports came to the next; %v", count, w.Check.Violations())
+		t.Errorf("%d copies were delivered to the next owner; %v", count, w.Check.Violations())
 	}
 }
 
-// unguarded is a rehearsal of a meeting, played by a program without what guards it.
+// missingGuard is a rehearsal of interacting faults, run with controllers that lack one of the protocol's
+// guards.
 type missingGuard struct {
 	scenario string
 	guard    string
-	mutate   func(w *World) // told of the world before it begins
-	rule     string         // that is then broken
-	seeds    uint64         // within so many
+	mutate   func(w *World) // sets the mutation of the world before the run
+	rule     string         // that is violated then
+	seeds    uint64         // number of seeds of which one must violate the rule
 }
 
-// TestMeetingsWithoutTheirGuards takes out what guards a meeting: the rehearsal must notice.
+// TestRemovedGuardsAreDetected guards against rehearsals of interacting faults that test nothing. Each case
+// removes one guard of the protocol: the rehearsal must detect a rule violation.
 func TestRemovedGuardsAreDetected(t *testing.T) {
 	reportAs := func(change func(w *World, r *fleet.Heartbeat)) func(*World) {
 		return func(w *World) { w.options.Mutation.Heartbeat = func(r *fleet.Heartbeat) { change(w, r) } }
 	}
-	number := uint64(0)
-	for _, c := range []missingGuard{
+	heartbeatNumber := uint64(0)
+	for _, testCase := range []missingGuard{
 		{"meet-lost-answers", "no answer counts as unknown", func(w *World) {
 			w.options.Mutation.Outcome = func(_ store.Txn, o store.Outcome) store.Outcome {
 				if o == store.Unknown {
@@ -138,8 +142,8 @@
 		}, check.Forgotten, 6},
 		{"meet-quick-machines", "machines are stored as up before anything starts there", func(w *World) {
 			w.options.Mutation.Commit = func(t *kv.Txn) {
-				t.Changes = slices.DeleteFunc(t.Changes, func(c kv.Change) bool {
-					return strings.HasPrefix(c.Key, "shalestage/machine/") && strings.Contains(string(c.Value), `"up"`)
+				t.Changes = slices.DeleteFunc(t.Changes, func(testCase kv.Change) bool {
+					return strings.HasPrefix(testCase.Key, "shalestage/machine/") && strings.Contains(string(testCase.Value), `"up"`)
 				})
 			}
 		}, check.RanTwice, 3},
@@ -147,8 +151,8 @@
 			r.FencingToken = w.interactions.latestToken
 		}), check.RanTwice, 12},
 		{"meet-held-reports", "the token, and the order of a machine's messages", reportAs(func(w *World, r *fleet.Heartbeat) {
-			number++
-			r.Incarnation, r.Seq, r.FencingToken = 1, number, w.interactions.latestToken
+			heartbeatNumber++
+			r.Incarnation, r.Seq, r.FencingToken = 1, heartbeatNumber, w.interactions.latestToken
 		}), check.RanTwice, 3},
 		{"meet-mute-machines", "tasks may run until their lease must have run out", func(w *World) {
 			w.options.Mutation.Settings = func(s *config.Settings) { s.Deployment.Workers.LeaseS *= 0.3 }
@@ -160,27 +164,27 @@
 			w.options.Mutation.Settings = func(s *config.Settings) { s.Deployment.Teams[0].CPUsMax = 0 }
 		}, check.Quota, 12},
 	} {
-		t.Run(c.scenario+"/"+c.guard, func(t *testing.T) {
-			s, err := scenario.Load("../../../rehearsals/" + c.scenario + ".toml")
+		t.Run(testCase.scenario+"/"+testCase.guard, func(t *testing.T) {
+			s, err := scenario.Load("../../../rehearsals/" + testCase.scenario + ".toml")
 			if err != nil {
 				t.Fatal(err)
 			}
-			for seed := uint64(1); seed <= c.seeds; seed++ {
-				if violatesWith(s, seed, c.mutate, c.rule) {
-					t.Logf("seed %d breaks %s", seed, c.rule)
+			for seed := uint64(1); seed <= testCase.seeds; seed++ {
+				if violatesWith(s, seed, testCase.mutate, testCase.rule) {
+					t.Logf("seed %d violates %s", seed, testCase.rule)
 					return
 				}
 			}
-			t.Errorf("%d plays without it break no %s", c.seeds, c.rule)
+			t.Errorf("%d runs without the guard do not violate %s", testCase.seeds, testCase.rule)
 		})
 	}
 }
 
-// played plays a scenario by a broken program until it breaks a rule, and reports whether it
-// does.
+// violatesWith runs a scenario with mutated controllers and reports whether they violate the rule. It stops
+// at the first violation.
 func violatesWith(s *scenario.Scenario, seed uint64, breaks func(*World), rule string) bool {
 	first := &World{}
-	breaks(first) // settings and clocks matter from the beginning
+	breaks(first) // settings and clocks are needed before New
 	w := New(s, Options{Seed: seed, Mutation: first.options.Mutation})
 	breaks(w)
 	for at := 10 * second; at <= units.Seconds(s.DurationS); at += 10 * second {
--- a/internal/emulator/sim/meetings.go
+++ b/internal/emulator/sim/meetings.go
@@ -23,8 +23,8 @@
 
 // faultInteractions tracks the run to detect when two faults interact.
 type faultInteractions struct {
-	// unreadWrites maps keys that were written by a transaction without a response to the writing controller, until
-	// another controller reads them.
+	// unreadWrites maps keys that were written by a transaction without a response to the writing controller,
+	// until another controller reads them.
 	unreadWrites   map[string]string
 	kept           []keptHeartbeat
 	grants         int    // number of shard assignments stored so far
@@ -38,7 +38,8 @@
 	grants int // faultInteractions.grants when it was sent
 }
 
-// keepHeartbeat keeps a copy of a heartbeat for the next leader or owner. The oldest copy is dropped at the limit.
+// keepHeartbeat keeps a copy of a heartbeat for the next leader or owner. The oldest copy is dropped at the
+// limit.
 func (w *World) keepHeartbeat(body *fleet.Heartbeat) {
 	interactions := &w.interactions
 	if len(interactions.kept) == maxKeptHeartbeats {
@@ -64,7 +65,8 @@
 	}
 }
 
-// recordAssignmentToken records a stored shard assignment: a controller is about to own the shard, or has released it.
+// recordAssignmentToken records a stored shard assignment: a controller is about to own the shard, or has
+// released it.
 func (w *World) recordAssignmentToken(value json.RawMessage) {
 	if assignment, err := authority.DecodeAssignment(value); err == nil && assignment.Node != "" {
 		w.interactions.grants++
@@ -73,8 +75,8 @@
 	}
 }
 
-// recordOwnerResponse records the fencing token of a shard owner's response to a heartbeat. The first response with a
-// higher token comes from a new owner: the kept copies are delivered then for the last time.
+// recordOwnerResponse records the fencing token of a shard owner's response to a heartbeat. The first
+// response with a higher token comes from a new owner: the kept copies are delivered then for the last time.
 func (w *World) recordOwnerResponse(token uint64) {
 	if interactions := &w.interactions; token > interactions.respondedToken {
 		interactions.respondedToken = token
@@ -93,8 +95,8 @@
 	}
 }
 
-// lateDelay draws the delay of a transaction that is applied late and gets no response. It is 2 to 12 s if other
-// transactions of the same controller are applied in time meanwhile, and 1 to 60 s if not.
+// lateDelay draws the delay of a transaction that is applied late and gets no response. It is 2 to 12 s if
+// other transactions of the same controller are applied in time meanwhile, and 1 to 60 s if not.
 func (w *World) lateDelay() units.Microseconds {
 	if w.now < w.lateUntil && w.lateShare < 1 {
 		return w.randomDuration(2, 12)
--- a/internal/emulator/sim/net.go
+++ b/internal/emulator/sim/net.go
@@ -42,8 +42,9 @@
 	refused                  // it is rejected, and the sender is told
 )
 
-// send calls deliver after the delay of the link, unless the message is lost. Held messages arrive when the impairment
-// is over, in the order in which they were sent, even if the sender no longer waits for a response.
+// send calls deliver after the delay of the link, unless the message is lost. Held messages arrive when the
+// impairment is over, in the order in which they were sent, even if the sender no longer waits for a
+// response.
 func (n *network) send(from, to string, deliver func()) outcome {
 	w := n.world
 	current := n.links[link{from, to}]
@@ -85,9 +86,9 @@
 	return delivered
 }
 
-// request sends a request and delivers its response. serve handles the request and calls answer with a function that
-// delivers the response. done is called exactly once: with that function, or with nil if no response arrived within
-// wait or the connection was refused.
+// request sends a request and delivers its response. serve handles the request and calls answer with a
+// function that delivers the response. done is called exactly once: with that function, or with nil if no
+// response arrived within wait or the connection was refused.
 func (n *network) request(from, to string, wait units.Microseconds, serve func(answer func(f func())), done func(f func())) {
 	w := n.world
 	settled := false
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -100,7 +100,8 @@
 // Crash ends the process, which restarts after about RestartS seconds.
 func (n *Node) Crash() { n.crash(0) }
 
-// crash ends the process, which restarts after down. If down is 0, it restarts after 0.7 to 1.3 times RestartS.
+// crash ends the process, which restarts after down. If down is 0, it restarts after 0.7 to 1.3 times
+// RestartS.
 func (n *Node) crash(down units.Microseconds) {
 	if n.incarnation == 0 {
 		return
@@ -144,8 +145,8 @@
 // Freeze stops the process until the given time, as a stopped virtual machine does.
 func (n *Node) Freeze(until units.Microseconds) { n.frozenUntil = max(n.frozenUntil, until) }
 
-// whenRunning calls fn once the process is not frozen and, if it is slow, has computed all earlier messages. fn is
-// not called if the process ends before.
+// whenRunning calls fn once the process is not frozen and, if it is slow, has computed all earlier messages.
+// fn is not called if the process ends before.
 func (n *Node) whenRunning(fn func()) {
 	w, incarnation := n.world, n.incarnation
 	at := max(n.frozenUntil, 0)
@@ -168,8 +169,8 @@
 	})
 }
 
-// transmit calls fn, which sends a request of the process. If the process is frozen, with probability 0.5 the freeze
-// came before the sending: then fn is called after the freeze.
+// transmit calls fn, which sends a request of the process. If the process is frozen, with probability 0.5 the
+// freeze came before the sending: then fn is called after the freeze.
 func (n *Node) transmit(fn func()) {
 	if n.world.now < n.frozenUntil && n.world.chance(0.5) {
 		n.whenRunning(fn)
@@ -194,8 +195,8 @@
 	n.world.schedule(max(core.TickInterval, n.busyUntil-n.world.now), func() { n.tick(incarnation) })
 }
 
-// request passes a request to the core. done gets the reply, or a 503 if there is none within the given time; 0 means
-// no timeout. done is not called if the process ends.
+// request passes a request to the core. done gets the reply, or a 503 if there is none within the given time;
+// 0 means no timeout. done is not called if the process ends.
 func (n *Node) request(fn func(id core.RequestID), within units.Microseconds, done func(core.Reply)) {
 	if n.incarnation == 0 {
 		return
@@ -228,7 +229,8 @@
 	}
 }
 
-// deliver calls fn, which passes a service's response to the core, if the incarnation that sent the request still runs.
+// deliver calls fn, which passes a service's response to the core, if the incarnation that sent the request
+// still runs.
 func (n *Node) deliver(incarnation int, fn func()) {
 	if n.incarnation != incarnation {
 		return
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// operatorTimeout is how long an operator waits for a response, operatorRetryDelay the delay before a retry, and
-	// confirmPollInterval the time between two queries whether a change is confirmed.
+	// operatorTimeout is how long an operator waits for a response, operatorRetryDelay the delay before a
+	// retry, and confirmPollInterval the time between two queries whether a change is confirmed.
 	operatorTimeout     = 5 * second
 	operatorRetryDelay  = second
 	confirmPollInterval = second / 20
@@ -26,13 +26,13 @@
 type ConfigChange struct {
 	RequestedAt units.Microseconds
 	StoredAt    units.Microseconds // when the operator was told that it is stored; 0 if never
-	ConfirmedAt units.Microseconds // when the operator was told that all controllers use it; 0 if never
+	ConfirmedAt units.Microseconds // when the operator was told that no controller uses an older version; 0 if never
 	Version     uint64
 	FailedTries int // tries that were refused or got no response
 }
 
-// changeTeam makes an operator's changes of a team. The last change is retried until it is stored; earlier ones are not
-// retried.
+// changeTeam makes an operator's changes of a team. The last change is retried until it is stored; earlier
+// ones are not retried.
 func (w *World) changeTeam(fault scenario.Fault) {
 	count := max(fault.Count, 1)
 	for i := range count {
@@ -54,8 +54,8 @@
 	}
 }
 
-// requestConfigChange requests a change at the controllers that node selects. If it fails and again is set, it is
-// retried at random controllers.
+// requestConfigChange requests a change at the controllers that node selects. If it fails and again is set,
+// it is retried at random controllers.
 func (w *World) requestConfigChange(node string, request configuration.Request, change *ConfigChange, again bool) {
 	answered := false
 	retry := func() {
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -14,10 +14,11 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestGivenUpParts has submissions whose descriptions go into parts while controllers
-// end one by one and all at once, and transactions come late or unanswered: users give
-// some up half-way. Their parts are cleared while records may still come, and no record
-// is ever there without its parts.
+// TestChunksOfAbandonedSubmissions guards against leaked or missing chunks of job specs. Submissions have
+// specs that are stored in several chunks, while controllers crash, one by one and all at once, and
+// transactions are applied late or get no response, so that users abandon some submissions half-way. Their
+// chunks must be deleted in the end, although a late transaction may still store the job's record, and no
+// record may ever exist without all of its chunks.
 func TestChunksOfAbandonedSubmissions(t *testing.T) {
 	seen := 0
 	for seed := range uint64(2) {
@@ -44,14 +45,14 @@
 				case "headless":
 					seen++
 				case "incomplete":
-					t.Fatalf("seed %d at %.1f: %s: %s", seed+1, at.Seconds(), f.Key, f.Text)
+					t.Fatalf("seed %d at %.1f s: %s: %s", seed+1, at.Seconds(), f.Key, f.Text)
 				}
 			}
 		}
 		w.Run(500 * second)
 		for _, f := range storedFindings(w) {
 			if f.Kind == "headless" {
-				t.Errorf("seed %d: %s is left: %s", seed+1, f.Key, f.Text)
+				t.Errorf("seed %d: orphaned chunk %s is left: %s", seed+1, f.Key, f.Text)
 			}
 		}
 		w.Check.Finish(w.now, true)
@@ -60,11 +61,11 @@
 		}
 	}
 	if seen == 0 {
-		t.Error("nothing was given up half-way")
+		t.Error("no submission was abandoned half-way")
 	}
 }
 
-// inspect looks at what is stored.
+// storedFindings returns the inconsistencies of the stored records.
 func storedFindings(w *World) []introspect.Finding {
 	in := introspect.NewInspector()
 	w.State.Each(func(it kv.Item) {
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -26,65 +26,67 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// packing returns a deployment that packs early.
+// earlyArchiving returns a deployment that archives finished jobs early.
 func earlyArchiving() *scenario.Scenario {
 	s := deployment(3, 0)
 	s.Controllers.KeepDone, s.Controllers.PackSettleS = 4, 5
 	return s
 }
 
-// TestOlderReleasesAreKeptOut has jobs packed, and reads what is stored as releases
-// before this one do: another leads for good, so that they never claim the lead, and
-// so hold nothing, ask for no price list and, knowing no machine types, are never
-// ready and accept nothing. One that is there all the same gets no block.
+// TestOlderReleasesAreExcluded guards against an older release working beside archived jobs, which it cannot
+// read. Jobs are archived, and the stored records are then read as releases before this one do. They must see
+// a leader that stays for good: then they never claim the leadership, own no shard and do not read the price
+// list. As they know no machine types, they are never ready and accept no jobs. An older release that runs
+// all the same is assigned no shard.
 func TestOlderReleasesAreExcluded(t *testing.T) {
 	w := New(earlyArchiving(), Options{Seed: 1})
 	for i := range 12 {
 		w.submitJob(units.Microseconds(i)*second, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	}
 	w.Run(200 * second)
-	l := w.State.List(w.now, "x", "", "", 0)
+	listing := w.State.List(w.now, "x", "", "", 0)
 	packed, kinds := 0, 0
-	for _, it := range l.Items {
+	for _, item := range listing.Items {
 		switch {
-		case strings.HasPrefix(it.Key, archive.Prefix):
-			b, err := archive.Decode(it.Key, it.Value)
+		case strings.HasPrefix(item.Key, archive.Prefix):
+			b, err := archive.Decode(item.Key, item.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
 			packed += len(b.Jobs)
-		case strings.HasPrefix(it.Key, "shalestage/kind/"):
+		case strings.HasPrefix(item.Key, "shalestage/kind/"):
 			kinds++
-		case strings.HasPrefix(it.Key, "shalestage/type/"):
-			t.Errorf("%s: an older release would be ready", it.Key)
-		case it.Key == "shalestage/leader":
+		case strings.HasPrefix(item.Key, "shalestage/type/"):
+			t.Errorf("%s is stored: an older release would be ready", item.Key)
+		case item.Key == "shalestage/leader":
 			var claim struct { // as releases before 0.5 read it
 				Term uint64 `json:"term"`
 				Node string `json:"node"`
 				Seat uint64 `json:"seat"`
 			}
-			if err := json.Unmarshal(it.Value, &claim); err != nil || claim.Node == "" || strings.HasPrefix(claim.Node, "node-") || it.Lease != 0 {
-				t.Errorf("an older release may lead: %s with lease %d, %v", it.Value, it.Lease, err)
+			if err := json.Unmarshal(item.Value, &claim); err != nil || claim.Node == "" || strings.HasPrefix(claim.Node, "node-") || item.Lease != 0 {
+				t.Errorf("an older release may lead: %s with lease %d, %v", item.Value, item.Lease, err)
 			}
 		}
 	}
-	// What keeps the others out is no claim: after an end of all controllers, when the
-	// lead is nobody's, one of them takes it.
-	w.Scenario.Controllers.RestartS = 10 // longer than a lease
+	// The record that excludes older releases is no claim: after a crash of all controllers, when nobody
+	// leads, one of them must become leader.
+	w.Scenario.Controllers.RestartS = 10 // longer than a leader's lease
 	for _, n := range w.Nodes {
 		n.Crash()
 	}
 	w.Run(230 * second)
 	if w.ShardOwner(0) == nil {
-		t.Error("nobody leads after all controllers have ended")
+		t.Error("no shard owner after all controllers have crashed")
 	}
 	if packed == 0 || kinds != 2 {
-		t.Errorf("%d jobs packed, %d machine types", packed, kinds)
+		t.Errorf("%d jobs archived, %d machine types", packed, kinds)
 	}
 }
 
-// TestNothingIsPackedBesideOlder has one controller say that it runs an older release:
-// nothing is packed, however many jobs are over.
+// TestNoArchivingBesideOlderRelease guards against archiving jobs while a controller of an older release
+// runs, which could not read them. One controller reports an older release: nothing may be archived, however
+// many jobs have finished.
 func TestNoArchivingBesideOlderRelease(t *testing.T) {
 	w := New(earlyArchiving(), Options{Seed: 1})
 	for i := range 30 {
@@ -92,28 +94,29 @@
 	}
 	for at := second / 10; at < 200*second; at += second / 10 {
 		w.Run(at)
-		for _, n := range w.Nodes[:2] { // as if the third's process ran 0.3
+		for _, n := range w.Nodes[:2] { // as if the third controller ran release 0.3
 			n.core.OnPeer(n.steadyClock(), "node-2", core.PeerStatus{Release: 3})
 		}
 	}
 	if l := w.State.List(w.now, "x", "shalestage-past/", "", 0); len(l.Items) > 0 {
-		t.Errorf("%d buckets", len(l.Items))
+		t.Errorf("%d archive buckets are stored", len(l.Items))
 	}
 	if it, _, code := w.State.Get(w.now, "x", "shalestage/past"); code == 200 {
-		t.Errorf("the mark is set: %s", it.Value)
+		t.Errorf("the archive mark is set: %s", it.Value)
 	}
 }
 
-// TestOldAnswersUnderAStorm has users ask for far more old jobs than may be read:
-// each gets the right answer or is sent away at once, nobody loses authority, and new
-// jobs are accepted and started meanwhile.
+// TestArchivedJobQueriesUnderOverload guards against queries for archived jobs that starve other work. Users
+// query far more archived jobs than the read limit allows. Each query must get the right answer or be refused
+// at once with a retry time, no controller may lose its authority, and new jobs must still be accepted and
+// started.
 func TestArchivedJobQueriesUnderOverload(t *testing.T) {
 	s := earlyArchiving()
 	w := New(s, Options{Seed: 1})
 	storeArchivedJobs(w, 20_000)
 	w.Run(30 * second)
-	asked, ok, shed := 0, 0, 0
-	var took []units.Microseconds
+	asked, answered, refused := 0, 0, 0
+	var latencies []units.Microseconds
 	for i := range 3000 {
 		w.schedule(units.Microseconds(i)*second/100, func() {
 			n := w.Nodes[i%3]
@@ -121,13 +124,13 @@
 			asked++
 			sent := w.now
 			n.request(func(req core.RequestID) { n.core.Query(n.steadyClock(), req, id) }, 2*second, func(r core.Reply) {
-				a, told := r.Body.(core.JobAnswer)
+				a, isAnswer := r.Body.(core.JobAnswer)
 				switch {
-				case told && a.Status == jobs.Done && a.Done == 2:
-					ok++
-					took = append(took, w.now-sent)
+				case isAnswer && a.Status == jobs.Done && a.Done == 2:
+					answered++
+					latencies = append(latencies, w.now-sent)
 				case r.Code == 503 && r.RetryAfter > 0:
-					shed++
+					refused++
 				default:
 					t.Errorf("%s: %+v", id, r)
 				}
@@ -140,23 +143,23 @@
 			Image: "i", Estimate: second}, second, 0))
 	}
 	w.Run(100 * second)
-	if ok+shed != asked || ok < 300 {
-		t.Errorf("of %d: %d right, %d sent away", asked, ok, shed)
+	if answered+refused != asked || answered < 300 {
+		t.Errorf("of %d queries: %d answered, %d refused", asked, answered, refused)
 	}
-	slices.Sort(took)
-	t.Logf("of %d in 30 s: %d right, %d sent away; half within %.3f s, 95%% within %.3f s, 99%% within %.3f s", asked, ok, shed,
-		took[len(took)/2].Seconds(), took[len(took)*95/100].Seconds(), took[len(took)*99/100].Seconds())
+	slices.Sort(latencies)
+	t.Logf("of %d queries in 30 s: %d answered, %d refused; p50 %.3f s, p95 %.3f s, p99 %.3f s", asked, answered, refused,
+		latencies[len(latencies)/2].Seconds(), latencies[len(latencies)*95/100].Seconds(), latencies[len(latencies)*99/100].Seconds())
 	for _, j := range fresh {
 		if j.Final != jobs.Done || j.Over-j.At > 30*second {
-			t.Errorf("%s: %q after %.1f s", j.ID, j.Final, (j.Over - j.At).Seconds())
+			t.Errorf("%s: status %q after %.1f s", j.ID, j.Final, (j.Over - j.At).Seconds())
 		}
 	}
 	if b := w.Check.Violations(); len(b) > 0 {
-		t.Errorf("broken: %v", b)
+		t.Errorf("rules violated: %v", b)
 	}
 }
 
-// preload stores packed jobs wk-1000000, wk-1000001 and so on, with two tasks each.
+// storeArchivedJobs stores archived jobs wk-1000000, wk-1000001 and so on, with two tasks each.
 func storeArchivedJobs(w *World, submitted int) {
 	var items []kv.Item
 	rev := uint64(0)
@@ -174,37 +177,37 @@
 	w.State.Restore(0, rev, 1, items, nil)
 }
 
-var historySize = flag.Int("history", 0, "packed jobs with which to measure a start; 0: not measured")
+var historySize = flag.Int("history", 0, "number of archived jobs with which to measure a start; 0: not measured")
 
-// TestStart measures how a start depends on history:
-// go test ./internal/emulator/sim -run TestStart -history 1000 -v, and with 10000000.
+// TestStartupWithHistory measures how the startup time of controllers depends on the number of archived jobs:
+// go test ./internal/emulator/sim -run TestStartupWithHistory -history 1000 -v, and with 10000000.
 func TestStartupWithHistory(t *testing.T) {
 	if *historySize == 0 {
 		t.Skip("a measurement: -history N")
 	}
 	w := New(earlyArchiving(), Options{Seed: 1})
 	storeArchivedJobs(w, *historySize)
-	j := w.submitJob(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
+	job := w.submitJob(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	began := time.Now()
-	seated, whole := units.Microseconds(0), units.Microseconds(0)
-	for at := second / 20; at < 600*second && (whole == 0 || j.Final == ""); at += second / 20 {
+	memberAt, filterCompleteAt := units.Microseconds(0), units.Microseconds(0)
+	for at := second / 20; at < 600*second && (filterCompleteAt == 0 || job.Final == ""); at += second / 20 {
 		w.Run(at)
 		all := true
 		for _, n := range w.census().Nodes {
-			if n.Member && seated == 0 {
-				seated = at
+			if n.Member && memberAt == 0 {
+				memberAt = at
 			}
-			all = all && n.ArchivedIDs >= *historySize*9/10 // some are taken for others
+			all = all && n.ArchivedIDs >= *historySize*9/10 // false positives: the filter takes some ids for others
 		}
-		if all && whole == 0 {
-			whole = at
+		if all && filterCompleteAt == 0 {
+			filterCompleteAt = at
 		}
 	}
-	t.Logf("%d packed jobs: seated after %.2f s, a job done after %.2f s, filter whole after %.1f s (simulated); %.1f s of real time",
-		*historySize, seated.Seconds(), (j.Over - j.At).Seconds(), whole.Seconds(), time.Since(began).Seconds())
+	t.Logf("%d archived jobs: first membership after %.2f s, a job done after %.2f s, filter complete after %.1f s (simulated); %.1f s of real time",
+		*historySize, memberAt.Seconds(), (job.Over - job.At).Seconds(), filterCompleteAt.Seconds(), time.Since(began).Seconds())
 }
 
-// service is the state service as backup's commands see it, without a network.
+// stateService gives the backup commands access to the simulated state service, without network delays.
 type stateService struct{ w *World }
 
 func (d stateService) List(_ context.Context, prefix, after string, page int) (store.Outcome, uint64, []store.Event, bool) {
@@ -213,7 +216,7 @@
 }
 
 func (d stateService) Watch(_ context.Context, _ string, after uint64, _ units.Microseconds) (store.Outcome, uint64, []store.Event, bool) {
-	return store.OK, after, nil, false // nothing happens meanwhile
+	return store.OK, after, nil, false // there are no changes while the backup runs
 }
 
 func (d stateService) Commit(_ context.Context, t *store.Txn) (store.Outcome, uint64, []string) {
@@ -221,10 +224,10 @@
 	return outcomeOf(r.Code), r.Rev, r.Failed
 }
 
-// TestRestoredBackup takes a backup, goes on, loses the state service with all that it
-// holds, and puts the backup back. Workers still run what was started after it, and
-// have seen its tokens: what was accepted before is done in the end, nothing runs
-// twice at a time or beyond a limit, and what was accepted after is stopped.
+// TestRestoredBackup guards against rule violations after a restore. After a backup the deployment continues,
+// then the state service loses all data and the backup is restored. Workers still run tasks that were started
+// after the backup, and have seen fencing tokens of later terms. Jobs accepted before the backup must finish,
+// no task may run twice at a time or above a limit, and jobs accepted after it must be stopped.
 func TestRestoredBackup(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := New(earlyArchiving(), Options{Seed: seed})
@@ -244,7 +247,7 @@
 		for i := range 6 {
 			after = append(after, w.submitJob(w.now+units.Microseconds(i)*3*second, job("blue"), 60*second, 0))
 		}
-		w.Nodes[0].Crash() // so that terms rise after the backup
+		w.Nodes[0].Crash() // terms increase after the backup
 		w.Run(185 * second)
 		for _, n := range w.Nodes {
 			n.Crash()
@@ -256,20 +259,20 @@
 		}
 		w.Run(420 * second)
 		for _, b := range w.Check.Violations() {
-			// What a restore loses is lost: later jobs, and ends that were told since.
+			// A restore loses jobs that were accepted later, and job ends that were reported since.
 			if b.Rule != check.Forgotten && b.Rule != check.WentBack && b.Rule != check.Lost {
 				t.Errorf("seed %d: %s", seed, b)
 			}
 		}
 		for _, j := range before {
 			if j.Job.DoneTasks() != 4 || j.Final != jobs.Done {
-				t.Errorf("seed %d: %s is %q, %d tasks done", seed, j.ID, j.Final, j.Job.DoneTasks())
+				t.Errorf("seed %d: %s has status %q, %d tasks done", seed, j.ID, j.Final, j.Job.DoneTasks())
 			}
 		}
 		if k := w.ShardOwner(0); k == nil || done.Term < 1000 {
-			t.Errorf("seed %d: held by %v, terms above %d", seed, k, done.Term)
+			t.Errorf("seed %d: shard owned by %v, terms above %d", seed, k, done.Term)
 		}
-		// Of the later jobs nothing goes on: what ran has been stopped.
+		// Tasks of jobs that were accepted after the backup must have been stopped.
 		for _, j := range after {
 			if n := w.Check.Running(j.ID); n > 0 {
 				t.Errorf("seed %d: %d tasks of %s still run", seed, n, j.ID)
@@ -278,10 +281,10 @@
 	}
 }
 
-// TestListingOutlivesChanges starts a controller that has to read so much, at so low a
-// rate, that the state service forgets the changes since it began, while its limits
-// fall. Changes are followed from the first page on: it is loaded all the same, and
-// knows what was removed meanwhile.
+// TestListingLongerThanWatchHistory guards against a controller that never finishes its initial listing. The
+// listing is so large and the rate so low that the state service discards the changes since the start of the
+// listing, while its limits decrease. As the controller watches changes from the first page on, it must
+// complete the listing, and must know which keys were deleted meanwhile.
 func TestListingLongerThanWatchHistory(t *testing.T) {
 	s := earlyArchiving()
 	s.Controllers.Count, s.Controllers.KeepDone = 1, 0
@@ -296,7 +299,7 @@
 	for i := range 30_000 { // 1,500 a second
 		w.schedule(units.Microseconds(i)*second/1500, func() {
 			c := kv.Change{Key: "shalestage/type/x", Value: json.RawMessage(`{}`)}
-			if i%3 == 0 { // also removes what was listed, or is going to be
+			if i%3 == 0 { // also deletes keys that have been listed, or will be
 				c = kv.Change{Key: fmt.Sprintf("shalestage/job/wk-%06d", i)}
 			}
 			if r := w.State.Commit(w.now, "other", kv.Txn{Changes: []kv.Change{c}}); r.Code == 200 {
@@ -304,27 +307,27 @@
 			}
 		})
 	}
-	// The others' changes are no part of what the controller was told of the limits.
-	l := s.State.KV()
+	// The service's limits differ from the controller's settings, to admit the changes of others.
+	limits := s.State.KV()
 	limit := func(at units.Microseconds, rate float64) {
-		w.schedule(at, func() { l.Rate = rate; w.State.SetLimits(l) })
+		w.schedule(at, func() { limits.Rate = rate; w.State.SetLimits(limits) })
 	}
 	limit(0, 1e6)
 	limit(4*second, 1)
 	limit(7*second, 1e6)
-	loaded := units.Microseconds(0)
-	for at := second / 2; at < 60*second && loaded == 0; at += second / 2 {
+	memberAt := units.Microseconds(0)
+	for at := second / 2; at < 60*second && memberAt == 0; at += second / 2 {
 		w.Run(at)
 		if w.census().Nodes[0].Member {
-			loaded = at
+			memberAt = at
 		}
 	}
-	if loaded == 0 || loaded > 19*second { // only once the others were through
-		t.Fatalf("seated after %.1f s and %d changes", loaded.Seconds(), changes)
+	if memberAt == 0 || memberAt > 19*second { // only after the changes of others had ended
+		t.Fatalf("membership after %.1f s and %d changes", memberAt.Seconds(), changes)
 	}
 	w.Run(70 * second)
 	if c := w.census(); c.Nodes[0].KnownJobs != c.Keys["shalestage/job"] || changes < 12_000 {
 		t.Errorf("%d jobs known of %d after %d changes", c.Nodes[0].KnownJobs, c.Keys["shalestage/job"], changes)
 	}
-	t.Logf("seated after %.1f s and %d changes", loaded.Seconds(), changes)
+	t.Logf("membership after %.1f s and %d changes", memberAt.Seconds(), changes)
 }
--- a/internal/emulator/sim/randomfaults.go
+++ b/internal/emulator/sim/randomfaults.go
@@ -19,7 +19,8 @@
 	return f
 }
 
-// faultsOverTime returns the time at which all faults and their delayed effects are over: a minute after the last end.
+// faultsOverTime returns the time at which all faults and their delayed effects are over: a minute after the
+// last end.
 func faultsOverTime(faults []scenario.Fault) units.Microseconds {
 	last := 0.0
 	for _, f := range faults {
@@ -28,8 +29,9 @@
 	return units.Seconds(last) + 60*units.Second
 }
 
-// DrawFaults draws faults of every kind that the protocol tolerates, at random times of the scenario's range. With
-// Draw.Pairs, a run combines the same two kinds several times, and successive seeds go through all pairs.
+// DrawFaults draws faults of every kind that the protocol tolerates, at random times of the scenario's range.
+// With Draw.Pairs, a run combines the same two kinds several times, and successive seeds go through all
+// pairs.
 func DrawFaults(s *scenario.Scenario, seed uint64, rng *rand.Rand) []scenario.Fault {
 	var out []scenario.Fault
 	gap := s.Draw.GapS
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -31,8 +31,8 @@
 	heartbeatInterval = 3 * second
 )
 
-// deployment returns a small deployment: two zones, two machine types, a bounded
-// team, one with a guarantee and a guest with neither.
+// deployment returns a small deployment: two zones, two machine types, one team with a limit, one with a
+// guarantee and a limit, and one with neither.
 func deployment(nodes, blockMachines int) *scenario.Scenario {
 	s := scenario.Defaults()
 	s.Controllers.Count, s.Controllers.Zones = nodes, []string{"a", "b"}
@@ -47,12 +47,12 @@
 	return s
 }
 
-// world returns a world without troubles or jobs.
+// newWorld returns a world without faults or jobs.
 func newWorld(seed uint64, nodes, blockMachines int) *World {
 	return New(deployment(nodes, blockMachines), Options{Seed: seed})
 }
 
-// submit plans a job.
+// submitJob schedules the submission of a job.
 func (w *World) submitJob(at units.Microseconds, spec *jobs.Spec, length, cancelAfter units.Microseconds, needs ...*user.Job) *user.Job {
 	if spec.ImageMB == 0 {
 		spec.ImageMB = 1000
@@ -62,10 +62,10 @@
 	return j
 }
 
-// upTo returns the machines that are up.
+// aliveMachines returns the machines that are up.
 func (w *World) aliveMachines() []*cloudprovider.Machine { return w.Site.Cloud.Alive() }
 
-// drawJob draws a job of any kind that the worlds' machines can run.
+// drawJob draws a job of any kind that the machines of deployment can run.
 func drawJob(t *rapid.T) *jobs.Spec {
 	s := &jobs.Spec{
 		Class:    rapid.SampledFrom([]string{"x", "y"}).Draw(t, "class"),
@@ -95,13 +95,12 @@
 	return s
 }
 
-// play plays drawn jobs on a drawn deployment, with faults of every kind drawn
-// until the given time.
-func runDrawnScenario(t *rapid.T, trouble float64) *World {
+// runDrawnScenario runs drawn jobs on a drawn deployment, with faults of every kind until faultsEndS seconds.
+func runDrawnScenario(t *rapid.T, faultsEndS float64) *World {
 	sc := deployment(rapid.SampledFrom([]int{1, 2, 3, 3, 5}).Draw(t, "nodes"), rapid.SampledFrom([]int{0, 1, 4}).Draw(t, "block_machines"))
 	sc.Cloud.SickShare, sc.Cloud.SpotPerHour = 0.04, 3
 	sc.Users.LateRetries, sc.Users.Strangers = 0.3, 0.05
-	sc.Draw = scenario.Draw{FromS: 3, ToS: trouble, GapS: 11}
+	sc.Draw = scenario.Draw{FromS: 3, ToS: faultsEndS, GapS: 11}
 	if rapid.Bool().Draw(t, "limits_fall") {
 		sc.Faults = []scenario.Fault{{Kind: scenario.StateLimits, AtS: float64(rapid.IntRange(1, 100).Draw(t, "limits_fall_at"))}}
 	}
@@ -131,18 +130,18 @@
 	return w
 }
 
-// TestRulesUnderTrouble plays drawn histories, with every trouble the protocol
-// names, and checks that no rule is broken and that all work ends in time once
-// the troubles are over.
+// TestRulesUnderFaults guards against rule violations and stuck jobs. It runs drawn scenarios with faults of
+// every kind that the protocol tolerates: no rule may be violated, and all jobs must finish in time once the
+// faults are over.
 func TestRulesUnderFaults(t *testing.T) {
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := runDrawnScenario(t, 120)
 		if b := w.Check.Violations(); len(b) > 0 {
-			t.Fatalf("rules broken: %v", b)
+			t.Fatalf("rules violated: %v", b)
 		}
 		if u := w.Unfinished(); len(u) > 0 {
-			t.Fatalf("not over: %v\n%s", u, w.Explain(u[0]))
+			t.Fatalf("jobs not finished: %v\n%s", u, w.Explain(u[0]))
 		}
 		starts += w.starts
 	})
@@ -151,9 +150,9 @@
 	}
 }
 
-// TestStartTogether starts controllers at the same moment, again and again. A
-// claim learnt between asking for a lease and using it once let the second
-// replace the first's claim, and both led.
+// TestSimultaneousControllerStart guards against two leaders after controllers start at the same moment. If a
+// controller learned of another's claim between requesting a lease and using it, it could replace that claim,
+// and both led.
 func TestSimultaneousControllerStart(t *testing.T) {
 	for seed := range uint64(200) {
 		w := newWorld(seed+1, 3, 0)
@@ -173,12 +172,12 @@
 	}
 }
 
-// busy returns a world in which long tasks run on many machines.
+// longTaskWorld returns a world in which long tasks run on many machines.
 func longTaskWorld(seed uint64, nodes int) *World {
 	return mutatedLongTaskWorld(seed, nodes, Mutation{})
 }
 
-// busyWith does so with broken programs.
+// mutatedLongTaskWorld does the same with mutated controllers.
 func mutatedLongTaskWorld(seed uint64, nodes int, b Mutation) *World {
 	w := New(deployment(nodes, 0), Options{Seed: seed + 1, Mutation: b})
 	for range 4 {
@@ -189,24 +188,24 @@
 	return w
 }
 
-// busyUnder returns a busy world of three controllers, the number of tasks that
-// run, and the holder.
+// longTaskWorldWithOwner returns a longTaskWorld of three controllers, the number of running tasks, and the
+// shard owner.
 func longTaskWorldWithOwner(t *testing.T, seed uint64) (*World, int, *Node) {
 	w := longTaskWorld(seed, 3)
 	n, holder := w.Site.Running(), w.ShardOwner(0)
 	if n == 0 || holder == nil {
-		t.Fatalf("seed %d: %d tasks run, held by %v", seed, n, holder)
+		t.Fatalf("seed %d: %d tasks run, shard owned by %v", seed, n, holder)
 	}
 	return w, n, holder
 }
 
-// TestOutageLongerThanLease shows that work outlives an outage of the state
-// service that is longer than a worker's lease and the leader's together.
+// TestOutageLongerThanLease guards against losing tasks in an outage of the state service that is longer than
+// a worker's lease and the leader's lease together.
 func TestOutageLongerThanLease(t *testing.T) {
 	w := longTaskWorld(1, 3)
 	before := w.Site.Running()
 	if before == 0 {
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs")
 	}
 	w.InjectFault(scenario.Fault{Kind: scenario.StateOutage, ForS: (lease + 6*second).Seconds()})
 	w.Run(w.now + lease + 8*second)
@@ -215,13 +214,14 @@
 	}
 	for _, m := range w.aliveMachines() {
 		if w.Site.Worker(m.Name).Incarnation() != 1 {
-			t.Fatalf("the lease of %s ran out", m.Name)
+			t.Fatalf("the lease of %s expired", m.Name)
 		}
 	}
 }
 
-// TestRefusedAlone cuts the leader off from the state service alone: its peers,
-// which are served, stop promising, and one of them leads soon.
+// TestLeaderRefusedByStateService guards against a leader that stays although the state service refuses it
+// alone. Its peers, which are served, must stop granting it peer leases, and one of them must become leader
+// soon.
 func TestLeaderRefusedByStateService(t *testing.T) {
 	w := longTaskWorld(2, 3)
 	var old *Node
@@ -246,16 +246,16 @@
 	}
 }
 
-// TestHolderLosesWorkers cuts the holder off from the workers alone. It gives its
-// block up, and the leader used to grant it back at once, as the release came
-// before the holder's word that it is deaf: all leases ran out.
+// TestOwnerCutOffFromWorkers guards against assigning a shard back to an owner that workers cannot reach. The
+// owner releases its shard, and the leader used to assign it back at once, because the release arrived before
+// the owner's status that reports it as unreachable. All workers' leases expired then.
 func TestOwnerCutOffFromWorkers(t *testing.T) {
 	for seed := range uint64(10) {
 		w, before, old := longTaskWorldWithOwner(t, seed)
 		w.InjectFault(scenario.Fault{Kind: scenario.Cut, Between: []string{old.Name, scenario.PartyWorkers}, ForS: 90})
 		w.Run(w.now + 2*heartbeatInterval + 3*second)
 		if n := w.ShardOwner(0); n == nil || n == old {
-			t.Fatalf("seed %d: held by %v", seed, n)
+			t.Fatalf("seed %d: shard owned by %v", seed, n)
 		}
 		w.Run(w.now + 30*second)
 		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
@@ -264,16 +264,16 @@
 	}
 }
 
-// TestHolderStandsStill has the holder stand still for longer than every lease,
-// and a peer before it. Another takes over within seconds and no task is lost;
-// what the first had decided and queued does no harm when it wakes.
+// TestFrozenOwner guards against harm by a frozen shard owner. The owner is frozen for longer than every
+// lease. Another controller must take over within seconds without losing a task, and what the first one had
+// decided and queued must have no effect when it resumes.
 func TestFrozenOwner(t *testing.T) {
 	for seed := range uint64(10) {
 		w, before, old := longTaskWorldWithOwner(t, seed)
 		old.frozenUntil = w.now + lease + 20*second
 		w.Run(w.now + 8*second)
 		if n := w.ShardOwner(0); n == nil || n == old {
-			t.Fatalf("seed %d: held by %v", seed, n)
+			t.Fatalf("seed %d: shard owned by %v", seed, n)
 		}
 		w.Run(old.frozenUntil + 5*second)
 		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 || w.ShardOwner(0) == old {
@@ -282,9 +282,9 @@
 	}
 }
 
-// TestNewHolderAsks has the holder stand still: workers wait 4 s for its answer
-// and a second more. The next holder, which did not follow it, asks them, so that work
-// accepted earlier need not wait for the last of them to find it.
+// TestNewOwnerProbesWorkers guards against a slow failover after the shard owner freezes, when workers wait 4
+// s for its response and a second more. The next owner, which was no standby, must probe them, so that jobs
+// accepted earlier need not wait for the last worker to connect.
 func TestNewOwnerProbesWorkers(t *testing.T) {
 	for seed := range uint64(10) {
 		w, _, old := longTaskWorldWithOwner(t, seed)
@@ -298,11 +298,11 @@
 		}
 		n := w.ShardOwner(0)
 		if n == nil || n == old || n.core.Unreconciled(0) == 0 {
-			t.Fatalf("seed %d: held by %v", seed, n)
+			t.Fatalf("seed %d: shard owned by %v", seed, n)
 		}
 		w.Run(w.now + 2*second)
 		if left := n.core.Unreconciled(0); left > 0 || w.ShardOwner(0) != n {
-			t.Fatalf("seed %d: %d machines are not accounted for", seed, left)
+			t.Fatalf("seed %d: %d machines are not reconciled", seed, left)
 		}
 		w.Run(w.now + 20*second)
 		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
@@ -311,9 +311,9 @@
 	}
 }
 
-// TestBrokenJob runs a wide job that fails everywhere beside good ones, through
-// the end of its holder. Few of its tasks are tried, none of the machines is
-// given up for it, and the next holder does not try all of them again.
+// TestJobThatAlwaysFails guards against a failing job that harms others. A large job that fails on all
+// machines runs beside a good one, and its shard owner crashes. Only few of its tasks may be tried, no
+// machine may be quarantined because of it, and the next owner may not try all of its tasks again.
 func TestJobThatAlwaysFails(t *testing.T) {
 	w := newWorld(11, 3, 0)
 	spec := func(tasks int, cpu int64) *jobs.Spec {
@@ -326,49 +326,50 @@
 	w.Run(60 * second)
 	wave := failed()
 	if wave == 0 {
-		t.Fatal("the broken job was never tried")
+		t.Fatal("the failing job was never tried")
 	}
 	w.ShardOwner(0).Crash()
 	w.Run(120 * second)
 	if again := failed() - wave; again > 12 {
-		t.Fatalf("%d tasks of a job known to fail were tried again, %d before", again, wave)
+		t.Fatalf("%d tasks of the failing job were tried after the failover, %d before", again, wave)
 	}
 	for _, n := range w.Nodes {
 		if s := n.core.Quarantined(0); s > 0 {
-			t.Fatalf("%d machines blamed", s)
+			t.Fatalf("%d machines quarantined", s)
 		}
 	}
 	w.Run(300 * second)
 	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
+		t.Fatalf("jobs not finished: %v; %v", u, w.Check.Violations())
 	}
 }
 
-// TestIdleTimeMakesRoom fills all machines with long idle-time tasks. Other work
-// starts within seconds all the same, and the idle-time work is done in the end.
+// TestIdleTimeTasksYield guards against idle-time work that blocks other jobs. Long idle-time tasks fill all
+// machines. Tasks of another job must start within seconds all the same, and the idle-time work must finish
+// in the end.
 func TestIdleTimeTasksYield(t *testing.T) {
 	w := newWorld(12, 1, 0)
 	w.submitJob(second, &jobs.Spec{Class: "idle", Team: "green", Tasks: 70, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
 		Image: "i", Estimate: 60 * second, Checkpoint: 5 * second, Save: second}, 60*second, 0)
 	w.Run(50 * second)
 	if w.Site.Running() == 0 {
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs")
 	}
 	starts := w.starts
 	w.submitJob(w.now, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 8, Demand: binpack.Vec{4000, 0, 2000}, AnyType: true, Spot: true,
 		Image: "i", Estimate: 10 * second}, 30*second, 0)
 	w.Run(w.now + 15*second)
 	if got := w.starts - starts; got < 8 {
-		t.Fatalf("%d of 8 tasks have started beside idle-time work", got)
+		t.Fatalf("only %d of 8 tasks have started beside idle-time work", got)
 	}
 	w.Run(600 * second)
 	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
+		t.Fatalf("jobs not finished: %v; %v", u, w.Check.Violations())
 	}
 }
 
-// TestDeadMachineWithLeader ends the leader and a machine together: the next
-// leader must not hold all work for the dead machine's lease.
+// TestMachineDiesWithLeader guards against a slow failover when a machine dies together with the leader: the
+// next leader must not hold back all work until the dead machine's lease has expired.
 func TestMachineDiesWithLeader(t *testing.T) {
 	w := longTaskWorld(3, 3)
 	total := w.Site.Running()
@@ -386,7 +387,7 @@
 	}
 	lost := total - w.Site.Running()
 	if lost == 0 {
-		t.Fatal("the dead machine ran nothing")
+		t.Fatal("the dead machine ran no task")
 	}
 	w.Run(w.now + 40*second)
 	if w.Site.Running() < total || len(w.Check.Violations()) > 0 {
@@ -394,9 +395,9 @@
 	}
 }
 
-// TestLateReportProvesNothing gives a new leader reports from before the tasks
-// were started, held up in the network. They show empty machines, yet a
-// machine counts only once it has seen the new leader's token.
+// TestLateHeartbeatToNewOwner guards against running tasks twice because of delayed heartbeats. A new owner
+// receives heartbeats that were sent before the tasks started and were delayed in the network. They show idle
+// machines, but a machine counts as reconciled only once it has seen the new owner's fencing token.
 func TestLateHeartbeatToNewOwner(t *testing.T) {
 	for seed := range uint64(10) {
 		if broken := deliverLateHeartbeats(t, seed, Mutation{}); len(broken) > 0 {
@@ -405,29 +406,30 @@
 	}
 }
 
-// TestLateReportTakenForTrue leaves that check out, where nobody follows the holder: what a
-// follower knows of a machine's last report tells a late one as well.
+// TestLateHeartbeatWithoutTokenGuard shows that TestLateHeartbeatToNewOwner depends on the token check:
+// without it, tasks run twice. There is no standby in this test, as a standby would also recognize the late
+// heartbeat by the machine's last one.
 func TestLateHeartbeatWithoutTokenGuard(t *testing.T) {
-	unfollowed := func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
+	withoutStandby := func(m any) bool { _, starts := m.(core.ReplicationMessage); return !starts }
 	for seed := range uint64(10) {
-		if broken := deliverLateHeartbeats(t, seed, Mutation{DeliverPeer: unfollowed}); len(broken) > 0 {
+		if broken := deliverLateHeartbeats(t, seed, Mutation{DeliverPeer: withoutStandby}); len(broken) > 0 {
 			t.Fatalf("seed %d, with the check: %v", seed, broken)
 		}
-		b := Mutation{DeliverPeer: unfollowed, CoreConfig: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
+		b := Mutation{DeliverPeer: withoutStandby, CoreConfig: func(c *core.Config) { c.SkippedGuard = guard.HeartbeatToken }}
 		if slices.ContainsFunc(deliverLateHeartbeats(t, seed, b), func(b check.Violation) bool { return b.Rule == check.RanTwice }) {
 			return
 		}
 	}
-	t.Error("in no play of ten tasks that a late report does not show start elsewhere too")
+	t.Error("in ten runs no task that a late heartbeat does not list was started a second time")
 }
 
-// lateReports has a holder end, gives the next one reports from before any task was started,
-// and returns the rules that are broken.
+// deliverLateHeartbeats crashes the owner, delivers heartbeats from before the start of any task to the next
+// owner, and returns the violations.
 func deliverLateHeartbeats(t *testing.T, seed uint64, b Mutation) []check.Violation {
 	t.Helper()
 	w := mutatedLongTaskWorld(seed, 3, b)
 	if w.Site.Running() == 0 {
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs")
 	}
 	for _, n := range w.Nodes {
 		if n.core.Owns(n.steadyClock(), 0) {
@@ -456,8 +458,8 @@
 	return w.Check.Violations()
 }
 
-// TestManyTasks runs a job whose finished tasks take several records, through
-// the end of its leader.
+// TestProgressInSeveralRecords guards against losing finished tasks of a job whose progress takes several
+// records, when the leader crashes.
 func TestProgressInSeveralRecords(t *testing.T) {
 	w := newWorld(4, 2, 0)
 	w.submitJob(second, &jobs.Spec{Class: "x", Team: "blue", Tasks: 5000, Demand: binpack.Vec{100, 0, 100},
@@ -470,12 +472,12 @@
 	}
 	w.Run(300 * second)
 	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
-		t.Fatalf("not over: %v; %v\n%s", u, w.Check.Violations(), w.Explain("wk-000000"))
+		t.Fatalf("jobs not finished: %v; %v\n%s", u, w.Check.Violations(), w.Explain("wk-000000"))
 	}
 }
 
-// spread returns a world with more machines than one block carries, in which
-// short tasks come and go in several blocks.
+// multiShardWorld returns a world with more machines than one shard holds, in which short tasks start and end
+// in several shards.
 func multiShardWorld(seed uint64) *World {
 	w := newWorld(seed, 3, 2)
 	for i := range 40 {
@@ -486,8 +488,8 @@
 	return w
 }
 
-// TestBlocksShareWork shows that several controllers place tasks where there is
-// more than one block carries, within the limits (checked at every start).
+// TestShardsShareWork guards against one controller placing all tasks when the work exceeds one shard.
+// Several controllers must place tasks, within the limits, which the checker tests at every start.
 func TestShardsShareWork(t *testing.T) {
 	w := multiShardWorld(5)
 	who := map[string]bool{}
@@ -501,12 +503,12 @@
 	}
 	w.Run(300 * second)
 	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
+		t.Fatalf("jobs not finished: %v; %v", u, w.Check.Violations())
 	}
 }
 
-// TestHoldersOutliveLeader ends the leader and keeps another controller from
-// following: the holders of other blocks go on starting tasks.
+// TestOwnersContinueWithoutLeader guards against shard owners that need a leader. The leader crashes, and no
+// other can be elected before its lease expires: the owners of other shards must continue to start tasks.
 func TestOwnersContinueWithoutLeader(t *testing.T) {
 	w := multiShardWorld(6)
 	var other *Node
@@ -523,24 +525,24 @@
 		}
 	}
 	if other == nil {
-		t.Fatal("only the leader holds a block")
+		t.Fatal("only the leader owns a shard")
 	}
 	starts := w.starts
-	w.Run(w.now + 1500*millis) // the leader's record still stands
+	w.Run(w.now + 1500*millis) // the crashed leader's record has not expired
 	for _, n := range w.Nodes {
 		if n.incarnation != 0 && n.core.Leads() {
-			t.Fatal("another leads before the lease has ended")
+			t.Fatal("another controller leads before the lease has expired")
 		}
 	}
 	if w.ShardOwner(k) != other || w.starts == starts || len(w.Check.Violations()) > 0 {
-		t.Fatalf("held by %v, %d starts; %v", w.ShardOwner(k), w.starts-starts, w.Check.Violations())
+		t.Fatalf("shard owned by %v, %d starts; %v", w.ShardOwner(k), w.starts-starts, w.Check.Violations())
 	}
 }
 
-// TestOlderReleaseBlock finds the block of a controller of release 0.1, which
-// took no seat and may go on by promises that this release cannot ask about. It
-// is granted only when those must have run out, and machines stored one by one
-// are accounted for first.
+// TestShardOfOlderRelease guards against taking a shard over too early from a controller of release 0.1. That
+// has no membership and may continue with peer leases that this release cannot query. The shard may be
+// assigned only when these must have expired, and tasks may start only after the machines that it stored one
+// by one have been reconciled.
 func TestShardOfOlderRelease(t *testing.T) {
 	w := newWorld(7, 3, 0)
 	for k, v := range map[string]string{
@@ -554,23 +556,23 @@
 		Estimate: second}, second, 0)
 	w.Run(cancelDeadline - lease - 3*second)
 	if n := w.ShardOwner(0); n != nil {
-		t.Fatalf("%s holds the block while its holder may still place", n.Name)
+		t.Fatalf("%s owns the shard while its former owner may still place tasks", n.Name)
 	}
 	w.Run(cancelDeadline - 2*second)
 	if w.ShardOwner(0) == nil {
-		t.Fatal("nobody holds the block")
+		t.Fatal("nobody owns the shard")
 	}
 	if w.starts > 0 {
-		t.Fatal("work started before the stored machine was accounted for")
+		t.Fatal("tasks started before the stored machine was reconciled")
 	}
 	w.Run(120 * second)
 	if u := w.Unfinished(); len(u) > 0 || len(w.Check.Violations()) > 0 {
-		t.Fatalf("not over: %v; %v", u, w.Check.Violations())
+		t.Fatalf("jobs not finished: %v; %v", u, w.Check.Violations())
 	}
 }
 
-// TestBadPeerMessages gives controllers messages about leases that are malformed,
-// old, repeated or about nothing that there is: they change nothing.
+// TestInvalidPeerMessages guards against peer messages that are malformed, outdated or repeated, or that
+// refer to unknown controllers, shards or jobs: they must change no shard's owner.
 func TestInvalidPeerMessages(t *testing.T) {
 	w := multiShardWorld(8)
 	var before []*Node
@@ -578,7 +580,7 @@
 		before = append(before, w.ShardOwner(k))
 	}
 	if before[0] == nil || before[1] == nil {
-		t.Fatal("blocks without a holder")
+		t.Fatal("a shard has no owner")
 	}
 	for _, n := range w.Nodes {
 		for _, from := range []string{"node-0", "node-1", "node-2", "node-9", ""} {
@@ -601,7 +603,7 @@
 	w.Run(w.now + 20*second)
 	for k, n := range before {
 		if w.ShardOwner(k) != n {
-			t.Errorf("block %d has changed hands", k)
+			t.Errorf("shard %d has changed its owner", k)
 		}
 	}
 	if len(w.Check.Violations()) > 0 {
@@ -609,21 +611,22 @@
 	}
 }
 
-// TestSeatEndsBeforeOutage has the state service refuse the holder alone for a little longer
-// than its lease, and then everybody. Nobody had been granted its block yet, nobody could be
-// until the outage was over, and all leases ran out.
+// TestOwnerMembershipEndsBeforeOutage guards against losing all tasks if an outage begins just after the
+// owner's membership has expired. The state service refuses the owner alone for a little longer than its
+// lease, and then everybody. No controller had been assigned the shard yet, none could be until the end of
+// the outage, and all workers' leases expired.
 func TestOwnerMembershipEndsBeforeOutage(t *testing.T) {
 	for seed := range uint64(6) {
 		w, before, old := longTaskWorldWithOwner(t, seed)
 		w.InjectFault(scenario.Fault{Kind: scenario.StateRefuse, Node: old.Name, ForS: 60})
-		for stands := true; stands; w.Run(w.now + 20*millis) {
+		for memberRecordExists := true; memberRecordExists; w.Run(w.now + 20*millis) {
 			_, _, code := w.State.Get(w.now, "", "shalestage/seat/"+old.Name)
-			stands = code == http.StatusOK
+			memberRecordExists = code == http.StatusOK
 		}
 		w.Run(w.now + units.Microseconds(seed)*second/8)
 		w.InjectFault(scenario.Fault{Kind: scenario.StateOutage, ForS: 60})
 		if n := w.ShardOwner(0); n != old && n != nil {
-			t.Fatalf("seed %d: %s holds the block already", seed, n.Name)
+			t.Fatalf("seed %d: %s owns the shard already", seed, n.Name)
 		}
 		w.Run(w.now + 50*second)
 		if after := w.Site.Running(); after != before || len(w.Check.Violations()) > 0 {
@@ -631,7 +634,7 @@
 		}
 		w.Run(w.now + 30*second)
 		if n := w.ShardOwner(0); n == nil || len(w.Check.Violations()) > 0 {
-			t.Errorf("seed %d: after the outage %v holds the block; %v", seed, n, w.Check.Violations())
+			t.Errorf("seed %d: after the outage %v owns the shard; %v", seed, n, w.Check.Violations())
 		}
 	}
 }
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -15,7 +15,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// stateEffect executes an effect that is a request to the state service. It reports whether the effect is of that kind.
+// stateEffect executes an effect that is a request to the state service. It reports whether the effect is of
+// that kind.
 func (n *Node) stateEffect(incarnation int, effect core.Effect) bool {
 	w := n.world
 	switch effect := effect.(type) {
@@ -59,9 +60,10 @@
 	return store.Failed
 }
 
-// callState sends a request to the state service. Any fault of the protocol may affect it: it may be refused, delayed or
-// lost, before or after it is applied. free requests are exempt from the rate limit. apply executes the request and
-// returns its status code. done gets the outcome that the client would report, and the status code or 0.
+// callState sends a request to the state service. Any fault of the protocol may affect it: it may be refused,
+// delayed or lost, before or after it is applied. free requests are exempt from the rate limit. apply
+// executes the request and returns its status code. done gets the outcome that the client would report, and
+// the status code or 0.
 func (n *Node) callState(wait units.Microseconds, free bool, apply func() int, done func(store.Outcome, int)) {
 	w := n.world
 	if !free && !n.stateLimiter.AllowN(limiterTime(w.now), 1) {
@@ -93,8 +95,8 @@
 	})
 }
 
-// applyLowerRate reduces the client's rate to this controller's share of the service's next limit, as a real client
-// does on a 429.
+// applyLowerRate reduces the client's rate to this controller's share of the service's next limit, as a real
+// client does on a 429.
 func (n *Node) applyLowerRate() {
 	next := n.world.Scenario.State.Next.RPS
 	if next > 0 {
@@ -182,7 +184,8 @@
 	})
 }
 
-// watch waits for changes of the state service's keys after a revision. A fresh read is a watch that does not wait.
+// watch waits for changes of the state service's keys after a revision. A fresh read is a watch that does not
+// wait.
 func (n *Node) watch(incarnation int, effect core.Watch) {
 	w := n.world
 	finish := func(o store.Outcome, c kv.Changes) {
--- a/internal/emulator/sim/traffic_test.go
+++ b/internal/emulator/sim/traffic_test.go
@@ -9,7 +9,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestTraffic counts a play's messages: that changes nothing, and what is answered was asked.
+// TestTraffic guards against counting messages in a way that changes the run or misses kinds of messages. The
+// digest must be the same with and without counting, and heartbeats and responses must match.
 func TestTraffic(t *testing.T) {
 	s, err := scenario.Load("../../../rehearsals/base.toml")
 	if err != nil {
@@ -19,7 +20,7 @@
 	tally := traffic.New(0)
 	got := New(s, Options{Traffic: tally}).RunScenario()
 	if got.Digest != want.Digest {
-		t.Errorf("digest %s when counted, else %s", got.Digest, want.Digest)
+		t.Errorf("digest %s with counting, %s without", got.Digest, want.Digest)
 	}
 	var b bytes.Buffer
 	if err := tally.Write(&b); err != nil {
@@ -35,11 +36,11 @@
 	}
 	for _, n := range s.Nodes() {
 		if in := per[n+" in report"]; in == "" || in != per[n+" out orders"] && per[n+" out start"] != "" {
-			t.Errorf("%s: %q reports, %q answered with orders", n, in, per[n+" out orders"])
+			t.Errorf("%s: %q heartbeats, %q responses with commands", n, in, per[n+" out orders"])
 		}
 		for _, kind := range []string{"in peer", "out peer", "out lease", "out watch", "do tick", "do peer"} {
 			if per[n+" "+kind] == "" {
-				t.Errorf("%s: no %s", n, kind)
+				t.Errorf("%s: no message of kind %s", n, kind)
 			}
 		}
 	}
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -18,7 +18,8 @@
 	longRemaining = 20 * second
 	// maxHangingMachines bounds the machines of cancelled jobs that hang.
 	maxHangingMachines = 8
-	// handoverWindow is the time after a shard assignment in which a cancellation counts as reported during a handover.
+	// handoverWindow is the time after a shard assignment in which a cancellation counts as reported during a
+	// handover.
 	handoverWindow = 3 * second
 )
 
@@ -63,7 +64,8 @@
 	return out
 }
 
-// cancelNow makes users cancel running jobs at nearly the same time, and makes some of the jobs' machines hang.
+// cancelNow makes users cancel running jobs at nearly the same time, and makes some of the jobs' machines
+// hang.
 func (w *World) cancelNow(fault scenario.Fault) {
 	all := w.runningJobs()
 	w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -115,8 +117,8 @@
 	}
 }
 
-// recordTaskCompletion records that a task of a job has completed. If all tasks have, the job may be cancelled at that
-// moment.
+// recordTaskCompletion records that a task of a job has completed. If all tasks have, the job may be
+// cancelled at that moment.
 func (w *World) recordTaskCompletion(id string) {
 	if w.now >= w.userFaults.cancelAtEndUntil && !w.Users.LooksClosely(w.now) {
 		return
@@ -162,8 +164,8 @@
 	return refused > 0 && refused < len(w.Nodes)
 }
 
-// jobUnreachable reports whether a task of a job is on a machine that hangs, receives no messages, or reaches no
-// controller.
+// jobUnreachable reports whether a task of a job is on a machine that hangs, receives no messages, or reaches
+// no controller.
 func (w *World) jobUnreachable(id string) bool {
 	for _, m := range w.Site.Cloud.Alive() {
 		worker := w.Site.Worker(m.Name)
@@ -181,8 +183,8 @@
 	return false
 }
 
-// scheduleWaitingCheck reports the free capacity of machines to the checker every check.WaitingCheckEvery, once all
-// faults are over.
+// scheduleWaitingCheck reports the free capacity of machines to the checker every check.WaitingCheckEvery,
+// once all faults are over.
 func (w *World) scheduleWaitingCheck() {
 	w.schedule(check.WaitingCheckEvery, func() {
 		if w.Check.FaultsOver(w.now) {
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -15,7 +15,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// crowded plays a small deployment with short and long jobs and one fault.
+// runUserFault runs a small deployment with short and long jobs and one fault.
 func runUserFault(seed uint64, f scenario.Fault, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.Users.LateRetries = 0.3
@@ -33,7 +33,7 @@
 	return w
 }
 
-// broke reports whether a rule was broken in one of some seeds.
+// violates reports whether a rule is violated with at least one of the seeds.
 func violates(rule string, seeds uint64, f scenario.Fault, b Mutation) bool {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		if slices.ContainsFunc(runUserFault(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
@@ -43,7 +43,8 @@
 	return false
 }
 
-// answers returns a program that answers one kind of calls wrongly after so many.
+// answeringAfter returns a mutation that replies to requests of one kind without processing them, after the
+// first ones.
 func answeringAfter(k user.Kind, after, code int, s jobs.Status) Mutation {
 	n := 0
 	return Mutation{UserReply: func(e user.Call) *core.Reply {
@@ -57,9 +58,10 @@
 	}}
 }
 
-// TestUserTroubles plays each of the users' troubles: it comes about, and breaks nothing.
+// TestUserFaults guards against rule violations by each of the users' faults, and against faults that do not
+// occur.
 func TestUserFaults(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		f     scenario.Fault
 		event string
 		least int
@@ -70,22 +72,23 @@
 		{scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, scenario.CloseLook, 200},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			w := runUserFault(seed, c.f, Mutation{})
+			w := runUserFault(seed, testCase.f, Mutation{})
 			for _, b := range w.Check.Violations() {
-				t.Errorf("%s, seed %d: %s", c.f.Kind, seed, b)
+				t.Errorf("%s, seed %d: %s", testCase.f.Kind, seed, b)
 			}
-			if got := w.EventCount(c.event); got < c.least {
-				t.Errorf("%s, seed %d: %s happened %d times, want %d", c.f.Kind, seed, c.event, got, c.least)
+			if got := w.EventCount(testCase.event); got < testCase.least {
+				t.Errorf("%s, seed %d: %s happened %d times, want %d", testCase.f.Kind, seed, testCase.event, got, testCase.least)
 			}
 		}
 	}
 }
 
-// TestOlderAnswersAreNoticed answers each kind of calls with something older than what users
-// were told, in close looks: the checker must notice.
+// TestCheckerDetectsStaleAnswers guards against a checker that misses stale replies. While users query often,
+// one kind of request gets replies that are older than what users were told before: the checker must report
+// that.
 func TestCheckerDetectsStaleAnswers(t *testing.T) {
-	looks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
-	for name, c := range map[string]struct {
+	closeLooks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
+	for name, testCase := range map[string]struct {
 		rule string
 		b    Mutation
 	}{
@@ -98,26 +101,27 @@
 		"question, older":              {check.WentBack, answeringAfter(user.Poll, 100, http.StatusOK, jobs.Pending)},
 		"reads that bring nothing new": {check.Forgotten, Mutation{StaleReads: true}},
 	} {
-		if !violates(c.rule, 3, looks, c.b) {
-			t.Errorf("%s: three plays break no %s", name, c.rule)
+		if !violates(testCase.rule, 3, closeLooks, testCase.b) {
+			t.Errorf("%s: three runs do not violate %s", name, testCase.rule)
 		}
 	}
 }
 
-// TestCancelledOnHangingMachine has tasks of cancelled jobs on machines that hang, go on
-// within their leases and are told no stop: the checker must notice.
+// TestCheckerDetectsCancelledTaskOnHungMachine guards against a checker that misses running tasks of
+// cancelled jobs. Their machines hang, resume within their leases and get no stop commands: the checker must
+// report that.
 func TestCheckerDetectsCancelledTaskOnHungMachine(t *testing.T) {
 	hang := scenario.Fault{Kind: scenario.CancelNow, AtS: 40, Count: 8, HangS: 6}
-	noStops := Mutation{Commands: func(_ string, o *core.HeartbeatResponse) {
+	withoutStops := Mutation{Commands: func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 	}}
-	if !violates(check.RanCancelled, 3, hang, noStops) {
-		t.Error("three plays with tasks that go on break nothing")
+	if !violates(check.RanCancelled, 3, hang, withoutStops) {
+		t.Error("three runs in which tasks of cancelled jobs continue violate nothing")
 	}
 }
 
-// TestStartsAfterCancelCounted has tasks start after their job's cancellation was told: they
-// are counted.
+// TestStartsAfterCancellationAreCounted guards against missing tasks that start after a user was told that
+// their job is cancelled.
 func TestStartsAfterCancellationAreCounted(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := runUserFault(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, answering(user.Cancel, http.StatusOK, jobs.Cancelled))
@@ -125,5 +129,5 @@
 			return
 		}
 	}
-	t.Error("three plays whose cancellations are not stored start nothing that is cancelled")
+	t.Error("in three runs with cancellations that are not stored, no start of a cancelled task was counted")
 }
--- a/internal/emulator/sim/waiting_test.go
+++ b/internal/emulator/sim/waiting_test.go
@@ -11,10 +11,10 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// fullFleet returns a world of 400 machines, each with room for two tasks of 18 s, and small jobs
-// that ask for more than that all the time. Its first job is a large one, which comes once all
-// machines are full. At most looks a few machines are between the end of a task and the start of
-// the next, others at each look.
+// fullFleetWorld returns a world of 400 machines, each with capacity for two tasks of 18 s, and small jobs
+// that always need more than that. Its first job is a large one, which is submitted once all machines are
+// full. At most of the checker's samples a few machines are between the end of one task and the start of the
+// next, and these differ from sample to sample.
 func fullFleetWorld(seed uint64, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.State.Limits = scenario.Limits{RPS: 1000, WriteRPS: 500, ValueKB: 8, TxnOps: 32}
@@ -35,10 +35,11 @@
 	return w
 }
 
-// TestPassingRoom plays a full fleet. The large job waits for two minutes, as smaller ones go
-// first, and is not left waiting by that; a service that never starts it is reported.
+// TestLargeJobInFullFleet guards against a checker that takes short-lived free capacity for a job that is
+// left waiting. In a full fleet the large job waits for two minutes, as smaller ones go first: that is no
+// violation. A service that never starts the job must be reported.
 func TestLargeJobInFullFleet(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		b     Mutation
 		until units.Microseconds
@@ -47,12 +48,12 @@
 		{"intact", Mutation{}, 400 * second, false},
 		{"never started", Mutation{Commands: withoutStarts("wk-000000")}, 330 * second, true},
 	} {
-		w := fullFleetWorld(1, c.b)
-		w.Run(c.until)
+		w := fullFleetWorld(1, testCase.b)
+		w.Run(testCase.until)
 		began := w.Check.FirstStart("wk-000000")
-		t.Logf("%s: began at %.1f, %d starts, %v", c.name, began.Seconds(), w.Check.Starts(), w.Check.Violations())
-		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.LeftWaiting }); got != c.want {
-			t.Errorf("%s: left waiting %v, want %v", c.name, got, c.want)
+		t.Logf("%s: first start at %.1f s, %d starts, %v", testCase.name, began.Seconds(), w.Check.Starts(), w.Check.Violations())
+		if got := slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.LeftWaiting }); got != testCase.want {
+			t.Errorf("%s: violation of check.LeftWaiting reported %v, want %v", testCase.name, got, testCase.want)
 		}
 	}
 }
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -1,7 +1,7 @@
 // Package sim is a deterministic discrete-event simulation of a deployment. It runs the emulator's models of
-// workers, cloud, state service and users together with the controllers' real cores, and injects the faults of a
-// scenario. All random choices, such as the delay of each message, derive from one seed, so that a seed always
-// produces the same history. A checker tests the history against the invariants.
+// workers, cloud, state service and users together with the controllers' real cores, and injects the faults
+// of a scenario. All random choices, such as the delay of each message, derive from one seed, so that a seed
+// always produces the same history. A checker tests the history against the invariants.
 package sim
 
 import (
@@ -57,8 +57,8 @@
 	Traffic *traffic.Tally
 }
 
-// Mutation is a deliberate defect of the controllers. Tests use it to show that the checker detects the defect.
-// Each field that is set breaks one thing.
+// Mutation is a deliberate defect of the controllers. Tests use it to show that the checker detects the
+// defect. Each field that is set breaks one thing.
 type Mutation struct {
 	Heartbeat   func(*fleet.Heartbeat)                       // changes a heartbeat before a controller gets it
 	JobSpec     func(*jobs.Spec)                             // changes the job spec of a submission
