--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -116,7 +116,7 @@
 // unfinished job's spec names it, since whoever reads that spec must also be able to read how the
 // named job ended, or if something of the job is still to be stored or deleted.
 func (r *Registry) Retained(id string) bool {
-	return r.dependencies.Referenced(id) || r.chunks.Any(id) || r.pendingCleanup[id]
+	return r.dependencies.Referenced(id) || r.chunks.HasChunks(id) || r.pendingCleanup[id]
 }
 
 // TaskRemoved drops an archived job once none of its tasks may be running.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,28 +15,28 @@
 	// PeerStatus is a controller's heartbeat to the other controllers.
 	PeerStatus = peering.PeerStatus
 	// ShardStatus is the part of a PeerStatus about one shard.
-	ShardStatus = peering.BlockStatus
+	ShardStatus = peering.ShardStatus
 	// PeerLeaseGrant grants a peer lease.
-	PeerLeaseGrant = peering.PeerPromise
+	PeerLeaseGrant = peering.PeerLeaseGrant
 	// TakeoverVoteRequest asks for a takeover vote.
-	TakeoverVoteRequest = peering.PeerPermitAsk
+	TakeoverVoteRequest = peering.TakeoverVoteRequest
 	// TakeoverVote is a takeover vote.
-	TakeoverVote = peering.PeerPermit
+	TakeoverVote = peering.TakeoverVote
 	// ReleaseRequest asks an owner to release a shard.
-	ReleaseRequest = peering.PeerRelease
+	ReleaseRequest = peering.ReleaseRequest
 	// ForwardedRequest forwards a user's request.
-	ForwardedRequest = peering.PeerAsk
+	ForwardedRequest = peering.ForwardedRequest
 	// ForwardedResponse answers a ForwardedRequest.
-	ForwardedResponse = peering.PeerAnswer
+	ForwardedResponse = peering.ForwardedResponse
 	// RequestKind is the kind of a user's request.
-	RequestKind = peering.AskKind
+	RequestKind = peering.RequestKind
 )
 
 // Kinds of requests that are forwarded.
 const (
-	RequestSubmit = peering.AskSubmit
-	RequestQuery  = peering.AskQuery
-	RequestCancel = peering.AskCancel
+	RequestSubmit = peering.RequestSubmit
+	RequestQuery  = peering.RequestQuery
+	RequestCancel = peering.RequestCancel
 )
 
 // SendPeer is the effect that sends a message to another controller. The message may be lost.
@@ -62,7 +62,7 @@
 		c.broadcast(c.status())
 	}
 	c.peers.LogChanges(c.now)
-	for _, request := range c.forwarder.Expired(c.now) {
+	for _, request := range c.forwarder.DrainExpired(c.now) {
 		c.replyUnavailable(request, "no controller is served by the state service")
 	}
 }
@@ -70,7 +70,7 @@
 // status returns this controller's status for the other controllers.
 func (c *Core) status() PeerStatus {
 	status := PeerStatus{StateAge: c.stateAge(), Deaf: c.reachability.Unreachable(c.now), Release: peering.Release,
-		Full: c.admission.MemoryFull(), Back: c.cache.RollbackMark()}
+		Full: c.admission.MemoryFull(), Back: c.cache.LastRollback()}
 	// Also after this controller's authority has expired: while all other controllers
 	// still grant it a peer lease, none has taken over its shards.
 	if c.membership.ID() != 0 {
@@ -99,7 +99,7 @@
 	for _, node := range c.peers.Names() {
 		zone := c.cfg.PeerZones[node]
 		all[zone]++
-		if c.peers.Alive(c.now, node) || c.membership.CurrentID(node) != 0 && c.stateAge() < peering.ServedFor {
+		if c.peers.Alive(c.now, node) || c.membership.CurrentID(node) != 0 && c.stateAge() < peering.ServedTimeout {
 			alive[zone]++
 		}
 	}
@@ -111,13 +111,13 @@
 // bestServedPeer returns a controller that is alive and was recently served by the
 // state service, or "" if none is.
 func (c *Core) bestServedPeer() string {
-	return c.peers.BestServed(c.now, func(node string) bool { return !c.incompatible(node) })
+	return c.peers.MostRecentlyServed(c.now, func(node string) bool { return !c.incompatible(node) })
 }
 
 // shouldForward reports whether a request should be forwarded right away: the state service has not answered
 // this controller for a while, and it has recently answered another one.
 func (c *Core) shouldForward(request RequestID) bool {
-	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedFor && c.bestServedPeer() != ""
+	return !c.forwarder.IsRemote(request) && c.stateAge() > peering.ServedTimeout && c.bestServedPeer() != ""
 }
 
 // forward sends a request to a controller that the state service answers. If there is
@@ -138,7 +138,7 @@
 // OnPeer handles a message from another controller.
 func (c *Core) OnPeer(now units.Microseconds, from string, message any) {
 	c.advance(now)
-	if !c.peers.Knows(from) {
+	if !c.peers.IsPeer(from) {
 		return
 	}
 	switch received := message.(type) {
@@ -150,7 +150,7 @@
 		c.receiveCancellations(from, received)
 	case TakeoverVoteRequest:
 		// A request about an unknown controller gets no vote: the requester waits for the timeout.
-		if (received.Node == c.cfg.Node || c.peers.Knows(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
+		if (received.Node == c.cfg.Node || c.peers.IsPeer(received.Node)) && c.membership.VoteRequested(now, received.Node, received.Seat) {
 			c.emit(SendPeer{from, TakeoverVote(received)})
 		}
 	case TakeoverVote:
@@ -183,10 +183,10 @@
 	if len(c.owned) == 0 && slices.ContainsFunc(status.Blocks, owns) {
 		c.zones.ApplyPeerStatuses(status.Zones)
 	}
-	c.peers.NoteRelease(from, status.Release)
-	if c.peers.RollbackNoticed(from, status.Back) {
+	c.peers.SetRelease(from, status.Release)
+	if c.peers.RollbackReported(from, status.Back) {
 		c.log.Warn("another controller reports that the state service was rolled back; reloading", "controller", from)
-		c.cache.Reload(c.now)
+		c.cache.StartRecovery(c.now)
 	}
 	c.receiveConfigStatus(from, status)
 	if c.membership.GrantPeerLease(c.now, from, status.Seat) {
@@ -216,13 +216,13 @@
 	case RequestCancel:
 		c.Cancel(c.now, request, ask.Job)
 	default:
-		c.forwarder.Finish(request) // a kind that a later release added
+		c.forwarder.FinishRemote(request) // a kind that a later release added
 	}
 }
 
 // onForwardedResponse answers a user whose forwarded request another controller served.
 func (c *Core) onForwardedResponse(answer ForwardedResponse) {
-	request, ok := c.forwarder.Answered(answer.ID)
+	request, ok := c.forwarder.CompleteSent(answer.ID)
 	if !ok {
 		return
 	}
@@ -235,7 +235,7 @@
 
 // send answers a request: directly, or by the controller that forwarded it.
 func (c *Core) send(reply Reply) {
-	origin, remote := c.forwarder.Finish(reply.Request)
+	origin, remote := c.forwarder.FinishRemote(reply.Request)
 	if !remote {
 		c.emit(reply)
 		return
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -151,7 +151,7 @@
 	if !core.admission.AnyMemoryFull() {
 		t.Error("memory does not count as full although that of another controller is")
 	}
-	core.advance(core.now + 2*peering.AliveFor)
+	core.advance(core.now + 2*peering.AliveTimeout)
 	if core.admission.AnyMemoryFull() {
 		t.Error("memory counts as full because of a controller that is no longer alive")
 	}
@@ -235,11 +235,11 @@
 		{Key: jobPrefix + "wk-000001", Value: store.Value(done), Stamp: 115},
 		{Key: machinePrefix + "r-1", Value: store.Value(fleet.Group{Type: "big", Zone: "z", Up: []string{"n-1"}}), Stamp: 118}}, false)
 	core.Drain()
-	core.OnChanges(core.now, Watch{After: 101, Known: 101}, store.OK, 110, nil, false)
+	core.OnChanges(core.now, Watch{After: 101, KnownRevision: 101}, store.OK, 110, nil, false)
 	if core.cache.Recovering() {
 		t.Fatal("an answer that was in flight is mistaken for a rollback")
 	}
-	core.OnChanges(core.now, Watch{After: 120, Known: 120}, store.OK, 107, nil, false)
+	core.OnChanges(core.now, Watch{After: 120, KnownRevision: 120}, store.OK, 107, nil, false)
 	lists := false
 	for _, e := range core.Drain() {
 		_, ok := e.(List)
