--- a/internal/emulator/sim/checker_test.go
+++ b/internal/emulator/sim/checker_test.go
@@ -66,7 +66,7 @@
 		// have ended it.
 		check.TwoHolders: {fault: scenario.Fault{Kind: scenario.Cut, Between: []string{"node-0", scenario.PartyState}, AtS: 25, ForS: 60, Mode: "drop"},
 			b: Mutation{ClockRate: func(node int) float64 { return []float64{0.3, 1, 1}[node] }}},
-		// The state service accepts smaller values than its configured limits.
+		// The limits of the state service are lower than any that the controllers were configured with.
 		check.TooLarge: {fault: scenario.Fault{Kind: scenario.StateLimits, ValueKB: 0.1}},
 		check.Impossible: {fault: scenario.Fault{Kind: scenario.OddRequests, AtS: 5, ForS: 60}, b: Mutation{UserReply: func(e user.Call) *core.Reply {
 			if e.Kind == user.Submit && (e.Spec == nil || strings.HasPrefix(e.ID, "wk-8")) {
@@ -105,8 +105,8 @@
 			spread := spec("green", 4)
 			spread.Spread = true
 			spreadJob := w.submitJob(second, spread, 30*second, 0)
-			dependentJob := spec("blue", 2)
-			w.submitJob(second, dependentJob, units.Second, 0, zonedJob, spreadJob)
+			dependent := spec("blue", 2)
+			w.submitJob(second, dependent, units.Second, 0, zonedJob, spreadJob)
 			w.submitJob(60*second, spec("red", 1), units.Second, 0)
 			w.Run(200 * second)
 			w.Check.Finish(w.now, true)
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -282,8 +282,8 @@
 	}
 }
 
-// TestNewOwnerProbesWorkers guards against a slow failover after the shard owner freezes, when workers wait 4
-// s for its response and a second more. The next owner, which was no standby, must probe them, so that jobs
+// TestNewOwnerProbesWorkers guards against a slow failover after the shard owner freezes, when workers wait
+// 4 s for its response and a second more. The next owner, which was no standby, must probe them, so that jobs
 // accepted earlier need not wait for the last worker to connect.
 func TestNewOwnerProbesWorkers(t *testing.T) {
 	for seed := range uint64(10) {
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestCheckerDetectsStaleAnswers guards against a checker that misses stale replies. While users query often,
-// one kind of request gets replies that are older than what users were told before: the checker must report
-// that.
+// TestCheckerDetectsStaleAnswers guards against a checker that misses stale replies. While users query within
+// milliseconds of each change of a job, one kind of request gets replies that are older than what users were
+// told before: the checker must report that.
 func TestCheckerDetectsStaleAnswers(t *testing.T) {
 	closeLooks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
 	for name, testCase := range map[string]struct {
