--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -9,44 +9,45 @@
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
-// Census is what there is at a time: what a long play is looked at for.
+// Census counts the resources in use at one time. Long runs record it to show that nothing grows without
+// bound.
 type Census struct {
 	At     units.Microseconds
-	Keys   map[string]int // in the state service, by folder
-	Nodes  []core.Stats   // of the controllers that run
-	HeapMB float64        // of the whole play, models included
+	Keys   map[string]int // number of stored keys by key group
+	Nodes  []core.Stats   // statistics of the running controllers
+	HeapMB float64        // heap in use by the whole process, emulator models included
 }
 
-// census counts.
+// census takes a census now.
 func (w *World) census() Census {
-	c := Census{At: w.now, Keys: map[string]int{}}
-	w.State.Each(func(it kv.Item) { c.Keys[store.KeyGroup(it.Key)]++ })
+	census := Census{At: w.now, Keys: map[string]int{}}
+	w.State.Each(func(it kv.Item) { census.Keys[store.KeyGroup(it.Key)]++ })
 	for _, n := range w.Nodes {
-		if n.life == 0 {
+		if n.incarnation == 0 {
 			continue
 		}
-		n.next++
-		n.asked[n.next] = func(r core.Reply) {
+		n.lastRequest++
+		n.pending[n.lastRequest] = func(r core.Reply) {
 			if s, ok := r.Body.(core.Stats); ok {
-				c.Nodes = append(c.Nodes, s)
+				census.Nodes = append(census.Nodes, s)
 			}
 		}
-		n.core.Stats(n.next)
-		n.carryOut()
+		n.core.Stats(n.lastRequest)
+		n.executeEffects()
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	c.HeapMB = float64(m.HeapInuse) / (1 << 20)
-	return c
+	census.HeapMB = float64(m.HeapInuse) / (1 << 20)
+	return census
 }
 
-// count takes a census again and again.
-func (w *World) count() {
-	if w.opt.Census == nil || w.opt.CensusEvery <= 0 {
+// scheduleCensus takes a census every CensusInterval.
+func (w *World) scheduleCensus() {
+	if w.options.OnCensus == nil || w.options.CensusInterval <= 0 {
 		return
 	}
-	w.after(w.opt.CensusEvery, func() {
-		w.opt.Census(w.census())
-		w.count()
+	w.schedule(w.options.CensusInterval, func() {
+		w.options.OnCensus(w.census())
+		w.scheduleCensus()
 	})
 }
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -15,72 +15,73 @@
 )
 
 const (
-	// operatorWait is how long an operator waits for an answer, operatorRetry until the next
-	// try, and operatorLook between two looks whether a change is confirmed.
-	operatorWait  = 5 * second
-	operatorRetry = second
-	operatorLook  = second / 20
+	// operatorTimeout is how long an operator waits for a response, operatorRetryDelay the delay before a
+	// retry, and confirmPollInterval the time between two queries whether a change is confirmed.
+	operatorTimeout     = 5 * second
+	operatorRetryDelay  = second
+	confirmPollInterval = second / 20
 )
 
-// ConfigChange is what became of an operator's change of the configuration.
+// ConfigChange is an operator's change of the configuration and its progress.
 type ConfigChange struct {
-	Asked     units.Microseconds
-	Stored    units.Microseconds // when its operator was told; 0: never
-	Confirmed units.Microseconds // when the operator was told; 0: never
-	Version   uint64
-	Refused   int // tries that were refused or not answered
+	RequestedAt units.Microseconds
+	StoredAt    units.Microseconds // when the operator was told that it is stored; 0 if never
+	ConfirmedAt units.Microseconds // when the operator was told that no controller uses an older version; 0 if never
+	Version     uint64
+	FailedTries int // tries that were refused or got no response
 }
 
-// configSet does an operator's changes of a team. The last one is tried until it is stored;
-// one before that is refused is left.
-func (w *World) configSet(f scenario.Fault) {
-	count := max(f.Count, 1)
+// changeTeam makes an operator's changes of a team. The last change is retried until it is stored; earlier
+// ones are not retried.
+func (w *World) changeTeam(fault scenario.Fault) {
+	count := max(fault.Count, 1)
 	for i := range count {
 		last := i == count-1
-		change := configuration.TeamChange{Name: f.Team, Remove: f.Remove && last}
-		cpus := units.MilliDown(f.CPUsMax)
+		teamChange := configuration.TeamChange{Name: fault.Team, Remove: fault.Remove && last}
+		cpus := units.MilliDown(fault.CPUsMax)
 		if !last {
 			cpus = max(1000, int64(float64(cpus)*(0.5+w.rng.Float64())))
 		}
 		none := int64(0)
-		if !change.Remove {
-			change.LimitCPU, change.GuaranteeCPU = &cpus, &none
+		if !teamChange.Remove {
+			teamChange.LimitCPU, teamChange.GuaranteeCPU = &cpus, &none
 		}
-		w.after(units.Seconds(f.EveryS)*units.Microseconds(i), func() {
-			x := &ConfigChange{Asked: w.now}
-			w.Changes = append(w.Changes, x)
-			w.configure(f.Node, configuration.Request{By: "operator", Teams: []configuration.TeamChange{change}}, x, last)
+		w.schedule(units.Seconds(fault.EveryS)*units.Microseconds(i), func() {
+			change := &ConfigChange{RequestedAt: w.now}
+			w.ConfigChanges = append(w.ConfigChanges, change)
+			w.requestConfigChange(fault.Node, configuration.Request{By: "operator", Teams: []configuration.TeamChange{teamChange}}, change, last)
 		})
 	}
 }
 
-// configure asks a controller for a change, and others again while it fails.
-func (w *World) configure(node string, r configuration.Request, x *ConfigChange, again bool) {
+// requestConfigChange requests a change at the controllers that node selects. If it fails and again is set,
+// it is retried at random controllers.
+func (w *World) requestConfigChange(node string, request configuration.Request, change *ConfigChange, again bool) {
 	answered := false
 	retry := func() {
 		if answered {
 			return
 		}
 		answered = true
-		x.Refused++
+		change.FailedTries++
 		if again {
-			w.after(operatorRetry, func() { w.configure("any", r, x, true) })
+			w.schedule(operatorRetryDelay, func() { w.requestConfigChange("any", request, change, true) })
 		}
 	}
-	w.after(operatorWait, retry) // also where the process ends meanwhile
+	w.schedule(operatorTimeout, retry) // also covers an exit of the process
 	for _, n := range w.nodesOf(node) {
-		n.ask(func(req core.RequestID) { n.core.Configure(n.local(), req, r) }, 0, func(reply core.Reply) {
-			s, ok := reply.Body.(core.ConfigStored)
+		n.request(func(req core.RequestID) { n.core.Configure(n.steadyClock(), req, request) }, 0, func(reply core.Reply) {
+			stored, ok := reply.Body.(core.ConfigStored)
 			switch {
 			case answered:
 			case ok && reply.Code == http.StatusOK:
 				answered = true
-				x.Stored, x.Version = w.now, s.Version
-				w.Check.Note(w.now, "the operator is told that the change is in version %d", s.Version)
-				w.confirm(x)
+				change.StoredAt, change.Version = w.now, stored.Version
+				w.Check.Note(w.now, "the operator is told that the change is in version %d", stored.Version)
+				w.pollConfirmation(change)
 			case reply.Code == http.StatusUnprocessableEntity:
-				answered = true // as to remove a team that is removed
-				x.Refused++
+				answered = true // for example, the team has been removed already
+				change.FailedTries++
 			default:
 				retry()
 			}
@@ -88,25 +89,25 @@
 	}
 }
 
-// confirm asks one controller after another whether a change is confirmed.
-func (w *World) confirm(x *ConfigChange) {
-	if x.Confirmed != 0 {
+// pollConfirmation asks random controllers whether a change is confirmed, until one says so.
+func (w *World) pollConfirmation(change *ConfigChange) {
+	if change.ConfirmedAt != 0 {
 		return
 	}
 	n := w.Nodes[w.rng.IntN(len(w.Nodes))]
-	n.ask(func(req core.RequestID) { n.core.ConfigStatus(n.local(), req, x.Version) }, 0, func(reply core.Reply) {
-		if s, ok := reply.Body.(core.ConfigStatus); ok && s.Confirmed && x.Confirmed == 0 {
-			x.Confirmed = w.now
-			w.Check.ConfigConfirmed(w.now, x.Version)
+	n.request(func(req core.RequestID) { n.core.ConfigStatus(n.steadyClock(), req, change.Version) }, 0, func(reply core.Reply) {
+		if status, ok := reply.Body.(core.ConfigStatus); ok && status.Confirmed && change.ConfirmedAt == 0 {
+			change.ConfirmedAt = w.now
+			w.Check.ConfigConfirmed(w.now, change.Version)
 		}
 	})
-	w.after(operatorLook, func() { w.confirm(x) })
+	w.schedule(confirmPollInterval, func() { w.pollConfirmation(change) })
 }
 
-// configured tells the checker of a version that a transaction has stored.
-func (w *World) configured(t kv.Txn) {
+// reportStoredConfig reports a version of the configuration that a transaction has stored to the checker.
+func (w *World) reportStoredConfig(txn kv.Txn) {
 	stored := false
-	for _, c := range t.Changes {
+	for _, c := range txn.Changes {
 		stored = stored || c.Key == configuration.HeadKey && c.Value != nil
 	}
 	if !stored {
@@ -123,23 +124,23 @@
 		w.Check.RecordViolation(w.now, check.Lost, "a version of the configuration is stored without all of its records")
 		return
 	}
-	var l check.Limits
-	for _, t := range content.Teams {
-		l.Teams = append(l.Teams, check.Team{Name: t.Name, Limit: t.Limit})
-		if t.Removed != 0 {
-			l.Removed = append(l.Removed, t.Name)
+	var limits check.Limits
+	for _, team := range content.Teams {
+		limits.Teams = append(limits.Teams, check.Team{Name: team.Name, Limit: team.Limit})
+		if team.Removed != 0 {
+			limits.Removed = append(limits.Removed, team.Name)
 		}
 	}
-	w.Check.ConfigStored(w.now, version, l)
+	w.Check.ConfigStored(w.now, version, limits)
 }
 
-// ordered tells the checker which tasks a controller has decided to start.
-func (w *World) ordered(r core.Reply) {
-	o, ok := r.Body.(core.HeartbeatResponse)
+// reportOrderedStarts reports the tasks that a controller has decided to start to the checker.
+func (w *World) reportOrderedStarts(reply core.Reply) {
+	response, ok := reply.Body.(core.HeartbeatResponse)
 	if !ok {
 		return
 	}
-	for _, c := range o.Commands {
+	for _, c := range response.Commands {
 		if c.Op == fleet.Start {
 			w.Check.StartOrdered(w.now, c.ID)
 		}
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -1,6 +1,7 @@
-// Package sim plays a scenario in simulated time: the models of the emulator and
-// the controllers' own cores, with every message between them drawn from one seed,
-// so that one seed gives one history. A checker holds the rules against it.
+// Package sim is a deterministic discrete-event simulation of a deployment. It runs the emulator's models of
+// workers, cloud, state service and users together with the controllers' real cores, and injects the faults
+// of a scenario. All random choices, such as the delay of each message, derive from one seed, so that a seed
+// always produces the same history. A checker tests the history against the invariants.
 package sim
 
 import (
@@ -33,167 +34,169 @@
 	millis = units.Second / 1000
 )
 
-// Options say how a scenario is played, beyond what its file says.
+// Options configure a run beyond what the scenario file says.
 type Options struct {
-	Seed uint64 // 0: the scenario's own
-	// Noise lets single messages be lost, late, or applied without an answer.
+	Seed uint64 // 0 means the scenario's own seed
+	// Noise makes single messages get lost, arrive late, or be applied without a response.
 	Noise bool
-	Break Broken
-	// Log returns a controller's log; nil: none.
+	// Mutation is the deliberate defect of the controllers, if any.
+	Mutation Mutation
+	// Log returns a controller's logger. If it is nil, controllers do not log.
 	Log func(node string, now func() units.Microseconds) *slog.Logger
-	// Event, if set, is told of scenario.Events.
-	Event func(at units.Microseconds, event string)
-	// Census, if set, is told what there is, again and again.
-	Census      func(Census)
-	CensusEvery units.Microseconds
-	// Meter, if set, measures the play, and looks at it again and again.
-	Meter      *meter.Meter
-	MeterEvery units.Microseconds
-	// Account, if set, is told what the rented machines do.
+	// OnEvent, if set, is called for each event of scenario.CountedEvents.
+	OnEvent func(at units.Microseconds, event string)
+	// OnCensus, if set, is called with a census every CensusInterval.
+	OnCensus       func(Census)
+	CensusInterval units.Microseconds
+	// Meter, if set, measures the run. It samples the machines every MeterInterval.
+	Meter         *meter.Meter
+	MeterInterval units.Microseconds
+	// Account, if set, records what the billed machines do.
 	Account *account.Account
-	// Traffic, if set, counts what controllers are asked, ask and take of a processor.
+	// Traffic, if set, counts the messages that controllers receive and send, and their CPU time.
 	Traffic *traffic.Tally
 }
 
-// Broken programs, for showing that the checker notices them. Each field, if set,
-// breaks something.
-type Broken struct {
-	Report   func(*fleet.Heartbeat)      // what a controller sees of a report
-	Spec     func(*jobs.Spec)            // what it reads of a submission
-	Answer   func(user.Call) *core.Reply // what it answers a user without doing anything; nil: as it should
-	Settings func(*config.Settings)      // what it is told
-	Clock    func(node int) float64      // rate of its steady clock
-	Peer     func(m any) bool            // whether a message to another controller is carried
-	Told     func(m any) any             // what another controller is told in place of a message
-	Commit   func(*kv.Txn)               // what it sends to the state service of a transaction
-	Stale    bool                        // its reads of the state service's keys bring nothing new, though they are answered
-	Orders   func(node string, o *core.HeartbeatResponse)
-	// Outcome is what a controller makes of a transaction's outcome.
+// Mutation is a deliberate defect of the controllers. Tests use it to show that the checker detects the
+// defect. Each field that is set breaks one thing.
+type Mutation struct {
+	Heartbeat   func(*fleet.Heartbeat)                       // changes a heartbeat before a controller gets it
+	JobSpec     func(*jobs.Spec)                             // changes the job spec of a submission
+	UserReply   func(user.Call) *core.Reply                  // replies to a user in place of the core; nil leaves it to the core
+	Settings    func(*config.Settings)                       // changes a controller's settings
+	ClockRate   func(node int) float64                       // returns the rate of a controller's monotonic clock
+	DeliverPeer func(m any) bool                             // reports whether a message to another controller is sent
+	PeerMessage func(m any) any                              // replaces a message to another controller
+	Commit      func(*kv.Txn)                                // changes a transaction before it is sent to the state service
+	StaleReads  bool                                         // fresh reads of the watch cache return no changes
+	Commands    func(node string, o *core.HeartbeatResponse) // changes a response to a heartbeat
+	// Outcome replaces the outcome of a transaction that the controller sees.
 	Outcome func(t store.Txn, o store.Outcome) store.Outcome
-	// Read reports whether the state service is really asked what has changed when a
-	// controller wants that at once; else it is told that nothing has.
-	Read func() bool
-	Core func(*core.Config) // what its core is told, beyond the settings
+	// ServeFreshRead reports whether a fresh read goes to the state service. If not, it returns no changes.
+	ServeFreshRead func() bool
+	CoreConfig     func(*core.Config) // changes the configuration of the core, after Settings
 }
 
-// World is a scenario that is being played.
+// World is the state of one simulation run.
 type World struct {
-	S       *scenario.Scenario
-	Check   *check.Checker
-	State   *kv.Service
-	Site    *site.Site
-	Crowd   *user.Crowd
-	Nodes   []*Node
-	Faults  []scenario.Fault // all that happen, drawn ones included
-	opt     Options
-	rng     *rand.Rand
-	now     units.Microseconds
-	plans   eventqueue.Queue[func()]
-	net     network
-	front   *balance.Balancer
-	noise   bool
-	answers map[uint64]func(kv.Changes) // of open watches
-	watch   uint64
-	starts  int
-	slow    struct {
+	Scenario       *scenario.Scenario
+	Check          *check.Checker
+	State          *kv.Service
+	Site           *site.Site
+	Users          *user.Crowd
+	Nodes          []*Node
+	Faults         []scenario.Fault // all faults of the run, including drawn ones
+	options        Options
+	rng            *rand.Rand
+	now            units.Microseconds
+	events         eventqueue.Queue[func()]
+	net            network
+	balancer       *balance.Balancer
+	noise          bool
+	watchResponses map[uint64]func(kv.Changes) // callbacks of open watches by watch id
+	lastWatchID    uint64
+	starts         int
+	stateSlowness  struct {
 		until, delay units.Microseconds
 	}
-	late, unanswered units.Microseconds // until when transactions are
-	lateShare        float64            // of those that are late
-	unansweredShare  float64            // of those whose answer is lost
-	copies           struct {           // of reports that arrive again
+	lateUntil, unansweredUntil units.Microseconds // until when transactions are applied late, or get no response
+	lateShare                  float64            // of transactions that are applied late meanwhile
+	unansweredShare            float64            // of transactions that get no response meanwhile
+	heartbeatCopies            struct {           // heartbeats that are delivered twice
 		until   units.Microseconds
 		share   float64
-		forNext bool // when a new leader begins
+		forNext bool // the copy is delivered after the next change of leader or owner
 	}
-	meetings    meetings
-	zoneCut     map[string]units.Microseconds // until when zones are cut off
-	eventCounts map[string]int                // how often each of scenario.CountedEvents has happened
-	users       userTroubles
-	combined    combinations
-	// Changes are the operators' changes of the configuration so far.
-	Changes []*ConfigChange
+	interactions faultInteractions
+	zoneCutUntil map[string]units.Microseconds // until when each zone is cut off
+	eventCounts  map[string]int                // occurrences of each of scenario.CountedEvents
+	userFaults   userFaultState
+	combinations faultCombinations
+	// ConfigChanges are the operators' changes of the configuration so far.
+	ConfigChanges []*ConfigChange
 }
 
-// New returns a world in which nothing has happened yet.
+// New returns a world at time 0, with the jobs and faults of the scenario scheduled.
 func New(s *scenario.Scenario, opt Options) *World {
 	seed := cmp.Or(opt.Seed, s.Seed)
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
-	w := &World{zoneCut: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combined: newCombinations(), S: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
-		Crowd: user.New(s.UserOptions(), stream(14)),
-		opt:   opt, rng: stream(16), noise: opt.Noise, answers: map[uint64]func(kv.Changes){}, meetings: meetings{unread: map[string]string{}}}
-	w.net = network{w: w, ways: map[way]trouble{}}
-	w.front = balance.New(s.Controllers.Count, 0, stream(13))
+	w := &World{zoneCutUntil: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combinations: newFaultCombinations(), Scenario: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
+		Users:   user.New(s.UserOptions(), stream(14)),
+		options: opt, rng: stream(16), noise: opt.Noise, watchResponses: map[uint64]func(kv.Changes){}, interactions: faultInteractions{unreadWrites: map[string]string{}}}
+	w.net = network{world: w, links: map[link]impairment{}}
+	w.balancer = balance.New(s.Controllers.Count, 0, stream(13))
 	for _, j := range s.Plan(0, stream(15)) {
-		w.Add(j)
+		w.AddJob(j)
 	}
 	for i := range s.Nodes() {
-		n := &Node{w: w, index: i, Name: scenario.NodeName(i), zone: s.Controllers.Zones[i%len(s.Controllers.Zones)]}
+		n := &Node{world: w, index: i, Name: scenario.NodeName(i), zone: s.Controllers.Zones[i%len(s.Controllers.Zones)]}
 		w.Nodes = append(w.Nodes, n)
 	}
 	for _, n := range w.Nodes {
 		n.start()
 	}
-	w.count()
-	w.measure()
-	w.keepAccount()
-	w.lookForWaiting()
+	w.scheduleCensus()
+	w.scheduleMeter()
+	w.scheduleAccount()
+	w.scheduleWaitingCheck()
 	draws := stream(17)
 	for _, f := range s.Faults {
-		w.Faults = append(w.Faults, settled(f, draws))
+		w.Faults = append(w.Faults, resolveTimes(f, draws))
 	}
 	if d := s.Draw; d.ToS > 0 {
-		w.Faults = append(w.Faults, Drawn(s, seed, draws)...)
+		w.Faults = append(w.Faults, DrawFaults(s, seed, draws)...)
 		w.noise = true
 	}
-	w.Check.SetFaultsOver(calm(w.Faults))
+	w.Check.SetFaultsOver(faultsOverTime(w.Faults))
 	for _, f := range w.Faults {
-		w.after(units.Seconds(f.AtS), func() { w.Fault(f) })
+		w.schedule(units.Seconds(f.AtS), func() { w.InjectFault(f) })
 	}
 	return w
 }
 
-// Add plans a job; its description is uploaded at once.
-func (w *World) Add(j *user.Job) {
+// AddJob schedules the submission of a job. Its upload is available to workers at once.
+func (w *World) AddJob(j *user.Job) {
 	w.Site.Book[j.ID] = j.Job
-	w.Crowd.Add(j)
+	w.Users.Add(j)
 }
 
-func (w *World) after(d units.Microseconds, f func()) { w.plans.Add(w.now+max(d, 0), f) }
+// schedule adds an event to the event queue, at d after the current time. A negative d counts as 0.
+func (w *World) schedule(d units.Microseconds, event func()) { w.events.Add(w.now+max(d, 0), event) }
 
-// span draws a time between a and b seconds.
-func (w *World) span(a, b float64) units.Microseconds {
+// randomDuration returns a random duration between a and b seconds.
+func (w *World) randomDuration(a, b float64) units.Microseconds {
 	return units.Seconds(a + (b-a)*w.rng.Float64())
 }
 
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
 
-// Run plays until a time.
+// Run advances the simulation to the time until.
 func (w *World) Run(until units.Microseconds) {
 	for {
-		next := min(w.plans.Next(), w.State.Next(), w.Site.Next(), w.Crowd.Next(), w.front.Next())
+		next := min(w.events.Next(), w.State.Next(), w.Site.Next(), w.Users.Next(), w.balancer.Next())
 		if next > until {
 			break
 		}
 		w.now = max(w.now, next)
 		if w.State.Next() <= w.now {
 			w.State.Advance(w.now)
-			w.takeState()
+			w.deliverWatchResponses()
 		}
 		if w.Site.Next() <= w.now {
 			w.Site.Advance(w.now)
-			w.takeSite()
+			w.handleSiteEvents()
 		}
-		if w.Crowd.Next() <= w.now {
-			w.Crowd.Advance(w.now)
-			w.takeCrowd()
+		if w.Users.Next() <= w.now {
+			w.Users.Advance(w.now)
+			w.handleUserEvents()
 		}
-		if w.front.Next() <= w.now {
-			w.front.Advance(w.now)
-			w.takeFront()
+		if w.balancer.Next() <= w.now {
+			w.balancer.Advance(w.now)
+			w.handleBalancerEvents()
 		}
 		for {
-			_, f, ok := w.plans.Due(w.now)
+			_, f, ok := w.events.Due(w.now)
 			if !ok {
 				break
 			}
@@ -213,23 +216,22 @@
 	return nil
 }
 
-// Holder returns the controller that holds a block, if any does.
-func (w *World) Holder(k int) *Node {
+// ShardOwner returns the controller that owns shard k, or nil if none does.
+func (w *World) ShardOwner(k int) *Node {
 	for _, n := range w.Nodes {
-		if n.life != 0 && n.core.Owns(n.local(), k) {
+		if n.incarnation != 0 && n.core.Owns(n.steadyClock(), k) {
 			return n
 		}
 	}
 	return nil
 }
 
-// oneHolder checks that no two controllers think that they may answer the workers
-// of the same block.
-func (w *World) oneHolder() {
+// checkSingleOwner records a violation for each shard of which two controllers consider themselves the owner.
+func (w *World) checkSingleOwner() {
 	for k := range w.Nodes {
 		first := ""
 		for _, n := range w.Nodes {
-			if n.life == 0 || !n.core.Owns(n.local(), k) {
+			if n.incarnation == 0 || !n.core.Owns(n.steadyClock(), k) {
 				continue
 			}
 			if first != "" {
@@ -240,38 +242,38 @@
 	}
 }
 
-// Result is how a play went.
+// Result is the outcome of a run.
 type Result struct {
-	Broken []check.Violation
-	Digest string
-	Starts int
-	// StartsCancelled counts the tasks that began after their job's cancellation was told.
-	StartsCancelled int
-	Jobs            int
-	Over            int
-	Rented          int
-	Money           float64
-	MaxWait         units.Microseconds // from a submission to the answer that the job is over
-	Missed          []string           // expectations that are no rules
-	Faults          []scenario.Fault
+	Violations []check.Violation
+	Digest     string
+	Starts     int
+	// StartsCancelled counts tasks that started after a user was told that their job is cancelled.
+	StartsCancelled    int
+	Jobs               int
+	FinishedJobs       int
+	MachinesCreated    int
+	Cost               float64            // of all machines
+	MaxWait            units.Microseconds // longest time from a submission to the response that the job is final
+	MissedExpectations []string           // expectations of the scenario that are no invariants
+	Faults             []scenario.Fault
 }
 
-// Play plays the whole scenario.
-func (w *World) Play() Result {
-	w.Run(units.Seconds(w.S.DurationS))
-	w.Check.Finish(w.now, w.S.Expect.AllOver)
-	r := Result{Broken: w.Check.Violations(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.CreatedCount(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
-	r.Jobs = len(w.Crowd.Jobs())
-	r.Over, r.MaxWait = user.Summary(w.Crowd.Jobs(), w.now)
-	r.Missed = w.S.Expect.Missed(r.MaxWait, r.Money, user.Floor(w.Crowd.Jobs(), w.S.UserOptions(), w.Check.FirstStart))
-	r.Missed = append(r.Missed, w.S.Expect.MissedEvents(w.EventCount)...)
+// RunScenario runs the whole scenario and returns its result.
+func (w *World) RunScenario() Result {
+	w.Run(units.Seconds(w.Scenario.DurationS))
+	w.Check.Finish(w.now, w.Scenario.Expect.AllOver)
+	r := Result{Violations: w.Check.Violations(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), MachinesCreated: w.Site.Cloud.CreatedCount(), Cost: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
+	r.Jobs = len(w.Users.Jobs())
+	r.FinishedJobs, r.MaxWait = user.Summary(w.Users.Jobs(), w.now)
+	r.MissedExpectations = w.Scenario.Expect.Missed(r.MaxWait, r.Cost, user.Floor(w.Users.Jobs(), w.Scenario.UserOptions(), w.Check.FirstStart))
+	r.MissedExpectations = append(r.MissedExpectations, w.Scenario.Expect.MissedEvents(w.EventCount)...)
 	return r
 }
 
-// Unfinished returns the accepted jobs that are not over, as far as users know.
+// Unfinished returns the ids of accepted jobs that are not final as far as their users know.
 func (w *World) Unfinished() []string {
 	var out []string
-	for _, j := range w.Crowd.Jobs() {
+	for _, j := range w.Users.Jobs() {
 		if j.Final == "" && !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
 			out = append(out, j.ID)
 		}
@@ -279,11 +281,11 @@
 	return out
 }
 
-// Explain says what every controller knows of a job.
+// Explain describes the state of a job at every controller and in the workers' uploads, for test failures.
 func (w *World) Explain(id string) string {
 	var b strings.Builder
 	for _, n := range w.Nodes {
-		fmt.Fprintf(&b, "%s (alive %v): %s\n", n.Name, n.life != 0, n.core.Explain(id))
+		fmt.Fprintf(&b, "%s (alive %v): %s\n", n.Name, n.incarnation != 0, n.core.Explain(id))
 	}
 	if j := w.Site.Book[id]; j != nil {
 		fmt.Fprintf(&b, "truth: done %d of %d, spec %+v\n", j.DoneTasks(), j.Spec.Tasks, *j.Spec)
