--- a/internal/emulator/check/answers.go
+++ b/internal/emulator/check/answers.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// maxPollFailure is for how long every poll for a job may fail while most others do not.
+	// maxPollFailure is how long every poll for a job may fail while most polls for other jobs succeed.
 	maxPollFailure = 90 * units.Second
-	// maxPollFailureAfterFaults is for how long once all troubles are over, however the others fare.
+	// maxPollFailureAfterFaults is how long every poll for a job may fail once all faults are over,
+	// whether or not polls for other jobs succeed.
 	maxPollFailureAfterFaults = 75 * units.Second
 )
 
-// Submitting says that a user starts to submit a job.
+// Submitting records that a user starts to submit a job.
 func (c *Checker) Submitting(at units.Microseconds, id string, spec *jobs.Spec) {
 	c.Advance(at)
 	job := &jobRecord{id: id, spec: spec}
@@ -30,18 +31,19 @@
 	c.note(at, job, "", false, "%s: submitted, %d tasks of team %s, awaits %v", id, spec.Tasks, spec.Team, spec.Awaits)
 }
 
-// SubmittingMalformed says that a user submits a job that lacks a field.
+// SubmittingMalformed records that a user submits a job that lacks a required field.
 func (c *Checker) SubmittingMalformed(at units.Microseconds, id string) {
 	c.Submitting(at, id, &jobs.Spec{})
 	c.jobs[id].malformed = true
 }
 
-// FailsAlways says that a job was submitted with an error: its tasks fail on every machine, and
-// nobody need retry them.
+// FailsAlways records that a job was submitted with an error: its tasks fail on every machine, so
+// the service need not retry them.
 func (c *Checker) FailsAlways(id string) { c.jobs[id].failsAlways = true }
 
-// AcceptedEarlier says that a job was accepted before this checker was started, and which of its
-// tasks had completed. Whether it was cancelled since is not known.
+// AcceptedEarlier records that a job was accepted before this checker started, and which of its
+// tasks had completed. It is unknown whether the job was cancelled since, so the checker assumes
+// that its cancellation may have been requested.
 func (c *Checker) AcceptedEarlier(at units.Microseconds, id string, spec *jobs.Spec, finished func(task int) bool) {
 	c.Submitting(at, id, spec)
 	job := c.jobs[id]
@@ -54,7 +56,7 @@
 	}
 }
 
-// CancelRequested says that a user has requested the cancellation of a job.
+// CancelRequested records that a user has requested the cancellation of a job.
 func (c *Checker) CancelRequested(at units.Microseconds, id string) {
 	c.Advance(at)
 	if job := c.jobs[id]; job != nil {
@@ -63,8 +65,8 @@
 	}
 }
 
-// SubmitAnswered says what a submission was answered, and how long that took; code 0: nothing in
-// time.
+// SubmitAnswered records the reply to a submission and how long the call took. Code 0 means that
+// there was no reply before the timeout.
 func (c *Checker) SubmitAnswered(at, took units.Microseconds, id string, code int, status jobs.Status) {
 	c.Advance(at)
 	job := c.jobs[id]
@@ -86,7 +88,7 @@
 	}
 }
 
-// PollAnswered says what a poll was answered, and how long that took.
+// PollAnswered records the reply to a poll and how long the call took. Code 0 means a timeout.
 func (c *Checker) PollAnswered(at, took units.Microseconds, id string, code int, status jobs.Status) {
 	c.Advance(at)
 	c.polls++
@@ -111,8 +113,8 @@
 	}
 }
 
-// pollFailed notes a poll for an accepted job that got no answer that counts: for how long all of
-// them fail decides, as some jobs are polled seldom.
+// pollFailed records a poll for an accepted job that got neither 200 nor 404. The rule is about how
+// long all polls for the job have failed rather than how many, because some jobs are polled rarely.
 func (c *Checker) pollFailed(at units.Microseconds, job *jobRecord, code int) {
 	if job.failedPolls++; job.failedPolls == 1 {
 		job.failingSince, job.answeredBefore, job.pollsBefore = at, c.answeredPolls, c.polls
@@ -127,7 +129,7 @@
 	}
 }
 
-// CancelAnswered says what a request to cancel was answered, and how long that took.
+// CancelAnswered records the reply to a cancellation request and how long the call took.
 func (c *Checker) CancelAnswered(at, took units.Microseconds, id string, code int, status jobs.Status) {
 	c.Advance(at)
 	job := c.jobs[id]
@@ -146,15 +148,15 @@
 	}
 }
 
-// knownTo reports whether a call that was made at a time must find the job. One that was
-// under way when its user was told of the acceptance may have been answered before that.
+// knownTo reports whether a call made at a time must find the job. A call that was in flight when
+// the user learned of the acceptance may have been answered before the job was accepted.
 func (job *jobRecord) knownTo(made units.Microseconds) bool {
 	return job.accepted && made >= job.acceptedAt
 }
 
-// checkStatus checks a status that a user was answered against earlier answers and against the
-// truth. Of calls that were under way together, the answers may come in any order: only a call that
-// was made after its user had an answer may not be answered with less.
+// checkStatus checks the status in a reply against earlier replies and against what the machines
+// did. Replies to concurrent calls may arrive in any order: only a call made after an earlier reply
+// must not return an older status than that reply.
 func (c *Checker) checkStatus(at, made units.Microseconds, job *jobRecord, status jobs.Status) {
 	c.accept(at, job)
 	if job.finalStatus != "" && status != job.finalStatus && (status.Final() || made >= job.finalAt) {
@@ -184,7 +186,7 @@
 	}
 }
 
-// accept records that a user is answered for the first time that a job is accepted.
+// accept records the first reply that says that a job is accepted.
 func (c *Checker) accept(at units.Microseconds, job *jobRecord) {
 	if job.accepted {
 		return
@@ -196,7 +198,7 @@
 	}
 }
 
-// whyImpossible says why nobody may accept a job, or "".
+// whyImpossible returns why no controller may accept a job, or "" if it is acceptable.
 func (c *Checker) whyImpossible(job *jobRecord) string {
 	spec := job.spec
 	limit, known := c.highestLimit(spec.Team, c.now), c.knownTeam(spec.Team)
@@ -220,10 +222,10 @@
 	return ""
 }
 
-// withinLimit reports whether a use keeps to a limit, where 0 means none.
-func withinLimit(use, limit binpack.Vec) bool {
-	for r, most := range limit {
-		if most > 0 && use[r] > most {
+// withinLimit reports whether usage is within a limit; a limit of 0 means unlimited.
+func withinLimit(usage, limit binpack.Vec) bool {
+	for r, highest := range limit {
+		if highest > 0 && usage[r] > highest {
 			return false
 		}
 	}
--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -1,10 +1,10 @@
-// Package check checks the rules of the protocol against what really happened: what runs where, and
-// what users were answered. It is independent of the models and of the service, and believes
-// neither: it keeps records of its own from events that go in one by one. The cost of an event does
-// not grow with machines or jobs.
+// Package check checks a run against the rules of the protocol: which tasks run on which machines,
+// and what users get as replies. It depends on neither the models nor the service: it builds its own
+// state from events that it is given one at a time. The cost of an event does not grow with the
+// number of machines or jobs.
 //
-// The texts of the history go into the digest that names it: changing one changes the digest of
-// every recorded run.
+// The texts of the history are hashed into its digest: changing one changes the digest of every
+// recorded run.
 package check
 
 import (
@@ -19,87 +19,87 @@
 	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
-// Team is a team's limit; 0 means none.
+// Team is a team with its resource limit; 0 means unlimited.
 type Team struct {
 	Name  string
 	Limit binpack.Vec
 }
 
-// Type is a machine type: what a machine has, and the zones in which there are any.
+// Type is a machine type: its capacity and the zones that offer it.
 type Type struct {
 	Name     string
 	Capacity binpack.Vec
 	Zones    []string
 }
 
-// Config says what the rules are measured by.
+// Config holds the parameters of the rules.
 type Config struct {
 	Teams    []Team
-	Types    []Type             // none: jobs that fit no machine are not told apart
-	CancelIn units.Microseconds // cancelled work must be gone after this
+	Types    []Type             // empty: jobs that fit no machine are not detected
+	CancelIn units.Microseconds // tasks of a cancelled job must have ended after this time
 }
 
-// Machine is where a task runs.
+// Machine is a machine that runs a task.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
 }
 
-// jobRecord is what the checker knows of a job.
+// jobRecord is the checker's state of a job.
 type jobRecord struct {
 	id              string
 	spec            *jobs.Spec
 	accepted        bool
-	acceptedAt      units.Microseconds // when its user was first answered so
+	acceptedAt      units.Microseconds // time of the first reply that says so
 	cancelRequested bool
-	cancelledAt     units.Microseconds // when its user was first answered so; 0: never
-	finalStatus     jobs.Status        // as its user was answered; "": none so far
+	cancelledAt     units.Microseconds // time of the first reply that says that it is cancelled; 0: none
+	finalStatus     jobs.Status        // the first final status in a reply; "": none yet
 	finalAt         units.Microseconds
-	firstStart      units.Microseconds // when a task was first on a machine; 0: none was
+	firstStart      units.Microseconds // when its first task started on a machine; 0: none did
 	completed       jobs.Set
-	running         map[int]Machine    // tasks that are on a machine; nil while none is, as a long run has many jobs
-	runningByZone   map[string]int     // how many of them are in each zone
-	failingSince    units.Microseconds // the first of the latest polls that failed one after another
-	failedPolls     int                // how many these are
-	answeredBefore  int                // polls for all jobs that were answered before them
-	pollsBefore     int                // polls for all jobs before them
+	running         map[int]Machine    // machine by task; nil if none runs, to save memory in long runs with many jobs
+	runningByZone   map[string]int     // number of running tasks by zone
+	failingSince    units.Microseconds // time of the first of the consecutive failed polls
+	failedPolls     int                // number of consecutive failed polls
+	answeredBefore  int                // answered polls for all jobs before the first failed one
+	pollsBefore     int                // polls for all jobs before the first failed one
 	dependencies    []*jobRecord
 	dependents      []*jobRecord
 	lines           []int              // indexes into the history
-	malformed       bool               // its submission lacks a field
+	malformed       bool               // its submission lacks a required field
 	failsAlways     bool               // its tasks fail on every machine
-	waitingSince    units.Microseconds // since when it is left waiting, see CheckWaiting; 0: it is not
-	excusedSince    units.Microseconds // since when it was when its room was found to be passing; 0: it was not
+	waitingSince    units.Microseconds // since when it has waited despite free capacity, see CheckWaiting; 0: it does not
+	excusedSince    units.Microseconds // waitingSince when its free capacity was found to be transient; 0: never
 }
 
-// Checker records what happens and the rules that it breaks. Its methods take times that do not
-// decrease.
+// Checker records events and the rules that they violate. The times that its methods are given must
+// not decrease.
 type Checker struct {
 	config Config
-	// Versions of the configuration, the first that of the settings.
+	// Versions of the configuration; the first is the one from the settings.
 	versions        []*configVersion
-	startOrders     map[jobs.TaskID]units.Microseconds // tasks that have not come to a machine yet
-	lastOrder       map[string]units.Microseconds      // of each team's tasks that have
+	startOrders     map[jobs.TaskID]units.Microseconds // when a start was ordered, of tasks that have not started on a machine yet
+	lastOrder       map[string]units.Microseconds      // by team: latest order time of the tasks that have started
 	jobs            map[string]*jobRecord
-	usage           map[string]binpack.Vec       // of each team's tasks on machines
-	cancelDeadlines eventqueue.Queue[*jobRecord] // cancelled jobs, by when their tasks must be gone
+	usage           map[string]binpack.Vec       // by team: demand of the running tasks
+	cancelDeadlines eventqueue.Queue[*jobRecord] // cancelled jobs, by the time at which their tasks must have ended
 	polls           int
 	answeredPolls   int
 	starts          int
-	startsCancelled int                // of jobs whose users had been answered that they are cancelled
-	openJobs        []*jobRecord       // accepted, and not known to be over when that was last looked at
-	openAfterSweep  int                // how many of them dropFinished left
-	nextOpen        int                // which of them is looked at next, see CheckWaiting
-	freeSnapshots   []freeSnapshot     // of the last 90 s, the oldest first
-	faultsOverAt    units.Microseconds // MaxTime: not known
+	startsCancelled int                // starts of jobs after a reply had said that they are cancelled
+	openJobs        []*jobRecord       // accepted jobs without a final status at the last dropFinished
+	openAfterSweep  int                // len(openJobs) after the last dropFinished
+	nextOpen        int                // index of the last job that CheckWaiting examined
+	freeSnapshots   []freeSnapshot     // of the last maxWait (90 s), the oldest first
+	faultsOverAt    units.Microseconds // MaxTime: unknown
 	violations      []Violation
-	recorded        map[string]bool // rule and job, or rule and text, of each
+	recorded        map[string]bool // keys of the violations: rule and job, or rule and text
 	history         []line
 	digest          hash.Hash
 	now             units.Microseconds
 }
 
-// New returns a checker that has seen nothing.
+// New returns a checker without any events.
 func New(config Config) *Checker {
 	c := &Checker{config: config, startOrders: map[jobs.TaskID]units.Microseconds{}, lastOrder: map[string]units.Microseconds{}, jobs: map[string]*jobRecord{}, usage: map[string]binpack.Vec{}, recorded: map[string]bool{}, digest: sha256.New(), faultsOverAt: units.MaxTime}
 	first := &configVersion{limits: map[string]binpack.Vec{}}
@@ -110,10 +110,10 @@
 	return c
 }
 
-// SetFaultsOver says when all faults are over.
+// SetFaultsOver sets the time at which all faults are over.
 func (c *Checker) SetFaultsOver(at units.Microseconds) { c.faultsOverAt = at }
 
-// FirstStart returns when a task of a job was first on a machine, 0 if none was.
+// FirstStart returns when the first task of a job started on a machine, 0 if none did.
 func (c *Checker) FirstStart(id string) units.Microseconds {
 	if job := c.jobs[id]; job != nil {
 		return job.firstStart
@@ -132,11 +132,12 @@
 // Starts returns how many tasks were started.
 func (c *Checker) Starts() int { return c.starts }
 
-// StartsCancelled returns how many tasks were started after a user had been answered that their job
-// is cancelled. Until cancel_s has passed no rule is broken by that.
+// StartsCancelled returns how many tasks were started after a reply had said that their job is
+// cancelled. This violates no rule until cancel_s has passed.
 func (c *Checker) StartsCancelled() int { return c.startsCancelled }
 
-// Advance lets time pass: what was cancelled must be gone by its time.
+// Advance moves the clock to now and checks that the tasks of cancelled jobs have ended by their
+// deadlines.
 func (c *Checker) Advance(now units.Microseconds) {
 	c.now = max(c.now, now)
 	for {
@@ -153,27 +154,27 @@
 	}
 }
 
-// Finish checks the whole run: whether anything was started, and, if all work should be over by
-// now, whether something that was accepted is not.
+// Finish checks the whole run: that at least one task was started if any job was to run, and, if
+// over is set (all work should be finished by now), that every accepted job has a final status.
 func (c *Checker) Finish(at units.Microseconds, over bool) {
 	c.Advance(at)
-	var left []*jobRecord
-	wanted := false
+	var unfinished []*jobRecord
+	expected := false
 	for _, job := range c.jobs {
 		_, asked := c.cancellation(job, nil)
-		wanted = wanted || job.accepted && !asked
+		expected = expected || job.accepted && !asked
 		if job.accepted && job.finalStatus == "" && !job.spec.Service {
-			left = append(left, job)
+			unfinished = append(unfinished, job)
 		}
 	}
-	if c.starts == 0 && wanted {
+	if c.starts == 0 && expected {
 		c.violated(at, NothingRan, nil, "", "no task was started")
 	}
 	if !over {
 		return
 	}
-	slices.SortFunc(left, func(a, b *jobRecord) int { return cmp.Compare(a.id, b.id) })
-	for _, job := range left {
+	slices.SortFunc(unfinished, func(a, b *jobRecord) int { return cmp.Compare(a.id, b.id) })
+	for _, job := range unfinished {
 		c.violated(at, Lost, job, "", "%s was accepted, and is not over: %d of %d tasks are done", job.id, job.completed.Len(), job.spec.Tasks)
 	}
 }
--- a/internal/emulator/check/limits.go
+++ b/internal/emulator/check/limits.go
@@ -8,31 +8,31 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Limits may change while the service runs. From when a change is stored controllers may apply it,
-// and until it is confirmed they may apply those before: whichever is higher counts. From its
-// confirmation on no start above it is ordered. What was ordered before may come to its machine
-// later, and what runs may go on.
+// Limits may change while the service runs. Once a new version is stored, controllers may apply it;
+// until it is confirmed, they may still apply an earlier one. In between, the highest of these limits
+// is the bound. After the confirmation no controller may order a start above the new limit. A start
+// ordered before may reach its machine later, and running tasks may continue.
 
-// configVersion is a version of the configuration as it was stored.
+// configVersion is a stored version of the configuration.
 type configVersion struct {
 	version   uint64
 	confirmed units.Microseconds // MaxTime: not yet
 	limits    map[string]binpack.Vec
-	removed   map[string]bool // teams that take no new jobs
+	removed   map[string]bool // teams that accept no new jobs
 }
 
-// versionRetention is for how long versions are kept that others have replaced: a start may take
-// that long, with its image.
+// versionRetention is how long replaced versions are kept: the time from the order of a start until
+// the task runs may be that long, because its image is fetched first.
 const versionRetention = 600 * units.Second
 
-// Limits is the content of a version, as far as rules depend on it.
+// Limits is the part of a configuration that the rules depend on.
 type Limits struct {
 	Teams   []Team
-	Removed []string // of these, teams that take no new jobs
+	Removed []string // names of those teams that accept no new jobs
 }
 
-// ConfigStored says that a version of the configuration is stored. One that is stored again
-// counts once, unless it holds something else.
+// ConfigStored records that a version of the configuration is stored. Storing the same version again
+// has no effect unless its content differs.
 func (c *Checker) ConfigStored(at units.Microseconds, version uint64, l Limits) {
 	c.Advance(at)
 	last := c.versions[len(c.versions)-1]
@@ -59,7 +59,7 @@
 	return len(l.Teams) == len(v.limits) && len(l.Removed) == len(v.removed)
 }
 
-// ConfigConfirmed says that an operator was answered that a version is confirmed.
+// ConfigConfirmed records that an operator was told that a version is confirmed.
 func (c *Checker) ConfigConfirmed(at units.Microseconds, version uint64) {
 	c.Advance(at)
 	for _, v := range c.versions {
@@ -73,21 +73,22 @@
 	}
 }
 
-// StartOrdered says that a controller decided to start a task.
+// StartOrdered records that a controller decided to start a task.
 func (c *Checker) StartOrdered(at units.Microseconds, id jobs.TaskID) { c.startOrders[id] = at }
 
-// eachEffectiveVersion calls f with the versions that a controller may have applied at a time, the
-// newest first.
+// eachEffectiveVersion calls f with every version that a controller may have applied at a time or later,
+// the newest first.
 func (c *Checker) eachEffectiveVersion(at units.Microseconds, f func(*configVersion)) {
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		f(c.versions[i])
 		if c.versions[i].confirmed <= at {
-			return // all before are replaced
+			return // all earlier versions are replaced
 		}
 	}
 }
 
-// highestLimit returns the highest limit that a team may have had at a time; 0 is none.
+// highestLimit returns, per resource, the highest limit of a team that a controller may have applied
+// at a time or later; 0 means unlimited.
 func (c *Checker) highestLimit(team string, at units.Microseconds) binpack.Vec {
 	highest := binpack.Vec{}
 	c.eachEffectiveVersion(at, func(v *configVersion) {
@@ -107,7 +108,8 @@
 	return highest
 }
 
-// lowestLimit returns the lowest limit that a team may have at present; 0 is none.
+// lowestLimit returns, per resource, the lowest limit of a team that a controller may apply now; 0
+// means unlimited.
 func (c *Checker) lowestLimit(team string) binpack.Vec {
 	lowest := binpack.Vec{}
 	c.eachEffectiveVersion(c.now, func(v *configVersion) {
@@ -120,7 +122,7 @@
 	return lowest
 }
 
-// knownTeam reports whether there may be a team at present.
+// knownTeam reports whether a version that a controller may apply now has the team.
 func (c *Checker) knownTeam(team string) bool {
 	known := false
 	c.eachEffectiveVersion(c.now, func(v *configVersion) {
@@ -130,8 +132,9 @@
 	return known
 }
 
-// startOrderedAt returns when the last of a team's tasks that have come to a machine, this one
-// included, was ordered: the controller that ordered it counted all that was ordered before.
+// startOrderedAt returns the latest order time of all tasks of a team that have started, including
+// this one; at is the default for a task whose order was not recorded. The limit at that time is the
+// bound, because the controller that gave the order counted all starts ordered before.
 func (c *Checker) startOrderedAt(at units.Microseconds, team string, id jobs.TaskID) units.Microseconds {
 	if t, ok := c.startOrders[id]; ok {
 		at = t
@@ -142,8 +145,8 @@
 	return at
 }
 
-// checkTeamNotRemoved checks that a job that was submitted at a time, and accepted, is of a team that
-// took new jobs by some version that may have counted then or since.
+// checkTeamNotRemoved checks that the team of an accepted job, submitted at made, accepts new jobs in
+// at least one version that a controller may have applied since.
 func (c *Checker) checkTeamNotRemoved(at, made units.Microseconds, job *jobRecord) {
 	removed := true
 	c.eachEffectiveVersion(made, func(v *configVersion) { removed = removed && v.removed[job.spec.Team] })
--- a/internal/emulator/check/rules.go
+++ b/internal/emulator/check/rules.go
@@ -6,11 +6,11 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// The rules: those of the protocol and of the page on dependencies between jobs, and some of our
-// own: nothing accepted is lost, a shard has one owner, nothing is sent that the state service would
-// refuse for its size, no job is accepted that can never run, none is left waiting while a machine
-// has capacity for it, and nobody accepts jobs by a configuration that was replaced before they were
-// submitted. Reports and tests know them by these texts.
+// The rules of the protocol and of dependencies between jobs, and some that go beyond them: no
+// accepted job is lost, a shard has one owner, no write exceeds the size limit of the state service,
+// no job is accepted that can never run, no job is left waiting while a machine has capacity for it,
+// and no job is accepted under a configuration that was replaced before the job was submitted.
+// Reports and tests identify the rules by these values.
 const (
 	RanTwice     = "ran_twice"
 	Quota        = "quota"
@@ -31,13 +31,13 @@
 	Outdated     = "outdated"
 )
 
-// Rules lists all rules.
+// Rules lists every rule.
 var Rules = []string{
 	RanTwice, Quota, WrongPlace, RanCancelled, Forgotten, Invented, NotDone, WentBack, NothingRan, TooEarly,
 	Orphaned, Lost, TwoHolders, TooLarge, Impossible, LeftWaiting, Outdated,
 }
 
-// Violation is a broken rule, with the part of the history that concerns it.
+// Violation is a violated rule, with the part of the history that explains it.
 type Violation struct {
 	At      units.Microseconds
 	Rule    string
@@ -46,4 +46,4 @@
 }
 
 // String returns the violation on one line, without its history.
-func (b Violation) String() string { return fmt.Sprintf("%.3f %s: %s", b.At.Seconds(), b.Rule, b.Text) }
+func (v Violation) String() string { return fmt.Sprintf("%.3f %s: %s", v.At.Seconds(), v.Rule, v.Text) }
--- a/internal/emulator/check/tasks.go
+++ b/internal/emulator/check/tasks.go
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TaskStarted says that a task is on a machine with its image.
+// TaskStarted records that a task runs on a machine, with its image fetched.
 func (c *Checker) TaskStarted(at units.Microseconds, machine Machine, id jobs.TaskID) {
 	c.Advance(at)
 	c.starts++
@@ -59,7 +59,7 @@
 	}
 }
 
-// TaskEnded says that a task is no longer on a machine, and whether it completed.
+// TaskEnded records that a task no longer runs on a machine, and whether it completed.
 func (c *Checker) TaskEnded(at units.Microseconds, machine Machine, id jobs.TaskID, completed bool) {
 	c.Advance(at)
 	job := c.jobs[id.Job]
@@ -82,7 +82,7 @@
 	}
 }
 
-// AllMachinesLost says that all machines are lost at once, with all that was on them.
+// AllMachinesLost records that all machines are lost at once, with the tasks on them.
 func (c *Checker) AllMachinesLost(at units.Microseconds) {
 	c.Advance(at)
 	c.Note(at, "all machines are gone")
@@ -92,8 +92,8 @@
 	}
 }
 
-// scheduleCancelCheck schedules the check that no task of a cancelled job and of its dependents
-// is left on a machine.
+// scheduleCancelCheck schedules the check that no task of a cancelled job or of its dependents still
+// runs once the cancellation deadline has passed.
 func (c *Checker) scheduleCancelCheck(at units.Microseconds, job *jobRecord, seen map[*jobRecord]bool) {
 	if seen[job] {
 		return
@@ -105,8 +105,9 @@
 	}
 }
 
-// cancellation returns when a user was first answered that a job or one of its dependencies is
-// cancelled, 0 if none was, and whether any of their users has requested it.
+// cancellation returns the time of the first reply that said that a job or one of its dependencies is
+// cancelled, 0 if there was none, and whether a user has requested the cancellation of any of them.
+// seen breaks cycles; callers pass nil.
 func (c *Checker) cancellation(job *jobRecord, seen map[*jobRecord]bool) (at units.Microseconds, asked bool) {
 	at, asked = job.cancelledAt, job.cancelRequested
 	if len(job.dependencies) == 0 {
@@ -129,7 +130,7 @@
 	return at, asked
 }
 
-// sortedTasks returns the numbers of tasks in order.
+// sortedTasks returns the task numbers in ascending order.
 func sortedTasks(on map[int]Machine) []int {
 	var out []int
 	for t := range on {
--- a/internal/emulator/check/waiting.go
+++ b/internal/emulator/check/waiting.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// maxWait is for how long a job may wait, once all faults are over, while a machine has free
-	// capacity for it and its team is under its limit.
+	// maxWait is how long a job may wait, once all faults are over, while a machine has free capacity
+	// for it and its team is within its limit.
 	maxWait = 90 * units.Second
-	// maxWaitPassing is for how long it may if the fleet is full and there is passing room only, see
-	// onlyPassing. The service puts a job first in its tier after two minutes; its team's tasks
-	// that go before it need another two to end.
-	maxWaitPassing = 240 * units.Second
-	// fullShare says when a fleet is full for a job: of the machines that may run its tasks, fewer
-	// than one in so many has room. If they are so many or fewer, the fleet is full only if none has.
+	// maxWaitTransient is how long a job may wait if the fleet is full and free capacity is only
+	// transient, see onlyTransient. The service puts a job first in its tier after two minutes; its
+	// team's tasks that go before it need another two to end.
+	maxWaitTransient = 240 * units.Second
+	// fullShare defines when the fleet is full for a job: fewer than one in fullShare of the machines
+	// that may run its tasks have capacity for one. With fullShare such machines or fewer, the fleet
+	// is full only if none has capacity.
 	fullShare = 20
-	// WaitingCheckEvery is about the time between two calls of CheckWaiting.
+	// WaitingCheckEvery is the approximate interval between calls of CheckWaiting.
 	WaitingCheckEvery = 5 * units.Second
-	// maxJobsChecked bounds how many jobs a call of CheckWaiting goes through, so that its cost does
-	// not grow with them.
+	// maxJobsChecked bounds the jobs that one call of CheckWaiting examines, so that its cost does not
+	// grow with the number of jobs.
 	maxJobsChecked = 200
 )
 
-// AvailableMachine is a machine that works and can be reached, with its free capacity and the tasks
-// on it, those too that wait for their images.
+// AvailableMachine is a healthy, reachable machine with its free capacity and the tasks placed on it,
+// including those whose image is still being fetched.
 type AvailableMachine struct {
 	Machine
 	Free  binpack.Vec
@@ -37,19 +38,20 @@
 // FaultsOver reports whether all faults are over.
 func (c *Checker) FaultsOver(at units.Microseconds) bool { return at >= c.faultsOverAt }
 
-// AtLimit reports whether a job's team has no room for one more task of it under its limit.
+// AtLimit reports whether one more task of a job would exceed its team's limit.
 func (c *Checker) AtLimit(id string) bool {
 	job := c.jobs[id]
 	return job != nil && !withinLimit(c.usage[job.spec.Team].Add(job.spec.Demand), c.lowestLimit(job.spec.Team))
 }
 
-// CheckWaiting checks the waiting jobs against all machines that are up. It is to be called about
-// every WaitingCheckEvery, once all faults are over (TestLeftWaiting).
+// CheckWaiting checks the waiting jobs against the free capacity of all available machines. Call it
+// about every WaitingCheckEvery once all faults are over (TestLeftWaiting).
 //
-// A job is left waiting if for 90 s none of its tasks is on a machine, though one is to run, and
-// at each look within that time a machine has room on which it may start. If that room is passing,
-// it is left waiting if it still has not begun 240 s after it began to wait. A job of which some
-// tasks run does not wait: those that failed on a machine go on with a few tasks.
+// A job violates the rule if for 90 s it has tasks to run but none on a machine, while at every check
+// in that time some machine that may run it has free capacity for a task. If that capacity is only
+// transient, the job violates the rule if it still has not started 240 s after it began to wait. A
+// job with some tasks running does not count as waiting: a job whose tasks failed on a machine
+// continues with only a few tasks.
 func (c *Checker) CheckWaiting(at units.Microseconds, available []AvailableMachine) {
 	c.Advance(at)
 	c.dropFinished()
@@ -66,7 +68,7 @@
 		if job.waitingSince == 0 {
 			job.waitingSince = at
 		}
-		if at-job.waitingSince > maxWait && job.excusedSince == 0 && c.onlyPassing(job, available) {
+		if at-job.waitingSince > maxWait && job.excusedSince == 0 && c.onlyTransient(job, available) {
 			job.excusedSince = job.waitingSince
 		}
 		if since, left := c.isLeftWaiting(at, job, available); left {
@@ -75,12 +77,12 @@
 	}
 }
 
-// placedTasks returns the tasks that are on a machine or wait there for an image, by job, and what
-// they use, by team.
+// placedTasks returns the tasks that run on a machine or wait there for their image, by job, and
+// their total demand, by team.
 func (c *Checker) placedTasks(available []AvailableMachine) (placed map[string]map[int]bool, usage map[string]binpack.Vec) {
 	placed, usage = map[string]map[int]bool{}, map[string]binpack.Vec{}
-	for _, r := range available {
-		for _, id := range r.Tasks {
+	for _, m := range available {
+		for _, id := range m.Tasks {
 			job := c.jobs[id.Job]
 			if job == nil {
 				continue
@@ -95,66 +97,65 @@
 	return placed, usage
 }
 
-// isLeftWaiting reports whether a job that has room at this look is left waiting, and since when. Once its
-// room has been passing it need not have some at each look any more: that time is not forgiven
-// until it begins.
+// isLeftWaiting reports whether a job with free capacity at this check has waited for too long, and
+// since when. Once its capacity was found to be transient, later checks without capacity do not reset
+// the time; only a start does.
 func (c *Checker) isLeftWaiting(at units.Microseconds, job *jobRecord, available []AvailableMachine) (since units.Microseconds, left bool) {
-	if job.excusedSince > 0 && at-job.excusedSince > maxWaitPassing {
+	if job.excusedSince > 0 && at-job.excusedSince > maxWaitTransient {
 		return job.excusedSince, true
 	}
-	return job.waitingSince, at-job.waitingSince > maxWait && !c.onlyPassing(job, available)
+	return job.waitingSince, at-job.waitingSince > maxWait && !c.onlyTransient(job, available)
 }
 
-// freeSnapshot is the free room by machine at a look.
+// freeSnapshot is the free capacity by machine at one check.
 type freeSnapshot struct {
 	at   units.Microseconds
 	free map[string]binpack.Vec
 }
 
-// rememberFree keeps the free room of a look for as long as a job may wait, and drops that of
-// older looks.
+// rememberFree stores the free capacity at this check and drops snapshots older than maxWait.
 func (c *Checker) rememberFree(at units.Microseconds, available []AvailableMachine) {
-	c.freeSnapshots = slices.DeleteFunc(c.freeSnapshots, func(l freeSnapshot) bool { return at-l.at > maxWait })
+	c.freeSnapshots = slices.DeleteFunc(c.freeSnapshots, func(old freeSnapshot) bool { return at-old.at > maxWait })
 	free := make(map[string]binpack.Vec, len(available))
-	for _, r := range available {
-		free[r.Name] = r.Free
+	for _, m := range available {
+		free[m.Name] = m.Free
 	}
 	c.freeSnapshots = append(c.freeSnapshots, freeSnapshot{at, free})
 }
 
-// onlyPassing reports whether the room for a waiting job is no more than what other work leaves free
-// for moments: the fleet is full for the job, and no machine has had room for it at every look of
-// the last 90 s. Of thousands of full machines some are always between the end of a task and the
-// start of the next, others at each look.
-func (c *Checker) onlyPassing(job *jobRecord, available []AvailableMachine) bool {
-	mayRun, haveRoom := 0, 0
-	for _, r := range available {
-		if !job.mayRun(r) || !c.fitsType(job.spec.Demand, r.Type) {
+// onlyTransient reports whether the free capacity for a waiting job is only transient: the fleet is
+// full for the job, and no machine has had capacity for it at every check of the last 90 s. Among
+// thousands of full machines there are always some between the end of one task and the start of the
+// next, and different ones at each check.
+func (c *Checker) onlyTransient(job *jobRecord, available []AvailableMachine) bool {
+	allowed, withCapacity := 0, 0
+	for _, m := range available {
+		if !job.mayRun(m) || !c.fitsType(job.spec.Demand, m.Type) {
 			continue
 		}
-		mayRun++
-		if !job.spec.Demand.Fits(r.Free) {
+		allowed++
+		if !job.spec.Demand.Fits(m.Free) {
 			continue
 		}
-		haveRoom++
-		if c.freeThroughout(job, r.Name) {
+		withCapacity++
+		if c.freeThroughout(job, m.Name) {
 			return false
 		}
 	}
-	return haveRoom*fullShare < mayRun
+	return withCapacity*fullShare < allowed
 }
 
-// fitsType reports whether a demand fits an empty machine of a type, as far as that is known.
+// fitsType reports whether a demand fits an empty machine of a type; true if the type is unknown.
 func (c *Checker) fitsType(demand binpack.Vec, name string) bool {
 	i := slices.IndexFunc(c.config.Types, func(t Type) bool { return t.Name == name })
 	return i < 0 || demand.Fits(c.config.Types[i].Capacity)
 }
 
-// freeThroughout reports whether a machine has had room for a task of a job at every look of the last
-// 90 s.
+// freeThroughout reports whether a machine has had free capacity for a task of a job at every check of
+// the last 90 s.
 func (c *Checker) freeThroughout(job *jobRecord, machine string) bool {
-	for _, l := range c.freeSnapshots {
-		free, up := l.free[machine]
+	for _, snapshot := range c.freeSnapshots {
+		free, up := snapshot.free[machine]
 		if !up || !job.spec.Demand.Fits(free) {
 			return false
 		}
@@ -162,8 +163,8 @@
 	return true
 }
 
-// dropFinished drops the jobs that are over from those that are looked at, once they are half of
-// them, so that it costs no more than each job's end.
+// dropFinished removes jobs with a final status from openJobs. It does so only after openJobs has
+// doubled, so that its amortized cost per job is constant.
 func (c *Checker) dropFinished() {
 	if len(c.openJobs) < 2*c.openAfterSweep+64 {
 		return
@@ -172,8 +173,8 @@
 	c.openAfterSweep = len(c.openJobs)
 }
 
-// machineFor returns a machine on which a waiting task of a job could start, -1 if there is none, or
-// none waits.
+// machineFor returns the index of a machine on which a waiting task of a job could start, -1 if there
+// is no such machine or no task is waiting.
 func (c *Checker) machineFor(job *jobRecord, available []AvailableMachine, placed map[int]bool, usage map[string]binpack.Vec) int {
 	if _, asked := c.cancellation(job, nil); asked || job.finalStatus != "" || job.malformed || job.failsAlways {
 		return -1
@@ -186,10 +187,10 @@
 	if len(placed) > 0 || !job.incomplete() || !withinLimit(usage[job.spec.Team].Add(job.spec.Demand), c.lowestLimit(job.spec.Team)) {
 		return -1
 	}
-	return slices.IndexFunc(available, func(r AvailableMachine) bool { return job.couldStart(r) })
+	return slices.IndexFunc(available, func(m AvailableMachine) bool { return job.couldStart(m) })
 }
 
-// incomplete reports whether a task of a job, none of which is on a machine, is to run.
+// incomplete reports whether a job has tasks that have not completed.
 func (job *jobRecord) incomplete() bool { return job.completed.Len() < job.spec.Tasks }
 
 // couldStart reports whether one more task of a job could start on a machine.
@@ -197,7 +198,8 @@
 	return job.spec.Demand.Fits(machine.Free) && job.mayRun(machine)
 }
 
-// mayRun reports whether one more task of a job may be on a machine, whatever room it has.
+// mayRun reports whether the constraints of a job allow one more task on a machine, regardless of its
+// free capacity.
 func (job *jobRecord) mayRun(machine AvailableMachine) bool {
 	spec := job.spec
 	switch {
