--- a/cmd/shalestage/up.go
+++ b/cmd/shalestage/up.go
@@ -197,13 +197,13 @@
 		switch {
 		case j.GaveUp:
 			g.gaveUp++
-		case j.Final == "done":
+		case j.FinalStatus == "done":
 			g.done++
-		case j.Final == "cancelled":
+		case j.FinalStatus == "cancelled":
 			g.off++
 		}
-		if j.Final != "" {
-			took := j.Over - j.At
+		if j.FinalStatus != "" {
+			took := j.FinalAt - j.At
 			g.over += took
 			g.longest = max(g.longest, took)
 			if j.Spec.Deadline > 0 && took > j.Spec.Deadline {
--- a/internal/emulator/account/account.go
+++ b/internal/emulator/account/account.go
@@ -13,9 +13,9 @@
 	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 )
 
-// Every is how often an account looks at the machines: what holds at a look is taken to
+// Interval is how often an account looks at the machines: what holds at a look is taken to
 // have held since the one before.
-const Every = units.Second / 2
+const Interval = units.Second / 2
 
 // Use is what money was spent on.
 type Use int
@@ -96,8 +96,8 @@
 	return &Account{rows: map[cloudprovider.Pool]*Row{}, live: map[string]*machine{}}
 }
 
-// Look takes all machines that are paid for at a time.
-func (a *Account) Look(at units.Microseconds, list []Machine) {
+// Observe takes all machines that are paid for at a time.
+func (a *Account) Observe(at units.Microseconds, list []Machine) {
 	hours := (at - a.at).Seconds() / 3600
 	a.at = at
 	there := make(map[string]bool, len(list))
@@ -188,15 +188,15 @@
 	m.boot, m.empty = 0, 0
 }
 
-// Began says that a task is on a machine, with its image.
-func (a *Account) Began(name string, id jobs.TaskID, cpus float64) {
+// TaskStarted says that a task is on a machine, with its image.
+func (a *Account) TaskStarted(name string, id jobs.TaskID, cpus float64) {
 	if m := a.live[name]; m != nil {
 		m.tasks[id] = held{cpus, m.perCPU}
 	}
 }
 
-// Ended says that a task is no longer on a machine, and whether it completed.
-func (a *Account) Ended(name string, id jobs.TaskID, completed bool) {
+// TaskEnded says that a task is no longer on a machine, and whether it completed.
+func (a *Account) TaskEnded(name string, id jobs.TaskID, completed bool) {
 	m := a.live[name]
 	if m == nil {
 		return
--- a/internal/emulator/balance/balance.go
+++ b/internal/emulator/balance/balance.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Probed takes a probe's result. A timeout is a failure.
-func (b *Balancer) Probed(now units.Microseconds, i int, ok bool) {
+// HandleProbe takes a probe's result. A timeout is a failure.
+func (b *Balancer) HandleProbe(now units.Microseconds, i int, ok bool) {
 	n := b.nodes[i]
 	n.last = append(n.last, !ok)
 	if len(n.last) > 6 {
@@ -156,17 +156,17 @@
 	return best
 }
 
-// Opened says that a node has taken a connection.
-func (b *Balancer) Opened(i int) {
+// ConnectionOpened says that a node has taken a connection.
+func (b *Balancer) ConnectionOpened(i int) {
 	b.nodes[i].open++
 	b.nodes[i].failed = 0
 }
 
-// Closed says that a connection is over.
-func (b *Balancer) Closed(i int) { b.nodes[i].open-- }
+// ConnectionClosed says that a connection is over.
+func (b *Balancer) ConnectionClosed(i int) { b.nodes[i].open-- }
 
-// Failed says that a node has refused a connection, or not taken it in time.
-func (b *Balancer) Failed(now units.Microseconds, i int) {
+// ConnectionFailed says that a node has refused a connection, or not taken it in time.
+func (b *Balancer) ConnectionFailed(now units.Microseconds, i int) {
 	n := b.nodes[i]
 	if n.failed++; n.failed >= 3 {
 		n.failed, n.skip = 0, now+skipFor
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -81,8 +81,8 @@
 // Upload makes a job's description known to the workers.
 func (c *Cloud) Upload(j *work.Job) bool {
 	return c.Do(func(_ units.Microseconds, s *site.Site) {
-		if s.Book[j.ID] == nil {
-			s.Book[j.ID] = j
+		if s.Uploads[j.ID] == nil {
+			s.Uploads[j.ID] = j
 		}
 	})
 }
@@ -91,7 +91,7 @@
 	c.site.Advance(now)
 	for _, e := range c.site.Drain() {
 		switch e := e.(type) {
-		case site.Gone:
+		case site.MachineEnded:
 			if l := c.doors[e.Machine.Name]; l != nil {
 				_ = l.Close() // nothing to lose
 				delete(c.doors, e.Machine.Name)
@@ -99,18 +99,18 @@
 			if _, ok := c.direct.LoadAndDelete(e.Machine.Name); ok {
 				c.outside.End(e.Machine.Name)
 			}
-		case site.Handed:
+		case site.ExternalWorkerStarted:
 			h, err := c.outside.Begin(e.Machine.Name, e.Config, e.Fault)
 			if err != nil {
 				c.log.Error("a worker's process does not take a machine", "machine", e.Machine.Name, "err", err)
 				continue
 			}
 			c.direct.Store(e.Machine.Name, h)
-		case site.Send:
+		case site.HeartbeatSent:
 			go c.send(e)
-		case site.Began:
+		case site.TaskStarted:
 			c.facts.Began(e.Machine, e.Task)
-		case site.Ended:
+		case site.TaskEnded:
 			c.facts.Ended(e.Machine, e.Task, e.Completed)
 		}
 	}
@@ -140,9 +140,9 @@
 }
 
 // send brings a report to a controller.
-func (c *Cloud) send(e site.Send) {
+func (c *Cloud) send(e site.HeartbeatSent) {
 	a := sendReport(c.client, c.nodes[e.Body.Zone][e.Node], e.Heartbeat)
-	c.loop.tell(c.ctx, func(now units.Microseconds) { c.site.Answer(now, e.Machine, e.Number, a) })
+	c.loop.tell(c.ctx, func(now units.Microseconds) { c.site.HandleResponse(now, e.Machine, e.Number, a) })
 }
 
 // Slow makes every answer of the cloud take longer by d.
@@ -260,7 +260,7 @@
 func (c *Cloud) worker(name string) http.Handler {
 	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
-			r, saved, t, f := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
+			r, saved, t, f := c.site.HandleDirect(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
 			if taken, found = t, f; f {
 				body = wire.EncodeHeartbeat(r, saved)
 			}
--- a/internal/emulator/host/front.go
+++ b/internal/emulator/host/front.go
@@ -63,7 +63,7 @@
 	if err == nil {
 		_ = resp.Body.Close() // of no interest
 	}
-	f.loop.tell(f.ctx, func(now units.Microseconds) { f.b.Probed(now, i, ok) })
+	f.loop.tell(f.ctx, func(now units.Microseconds) { f.b.HandleProbe(now, i, ok) })
 }
 
 // Healthy returns how many controllers count as healthy.
@@ -104,13 +104,13 @@
 		tried = append(tried, i)
 		c, err := net.DialTimeout("tcp4", f.nodes[i], time.Duration(balance.AcceptWithin)*time.Microsecond)
 		if err != nil {
-			f.loop.do(f.ctx, func(now units.Microseconds) { f.b.Failed(now, i) })
+			f.loop.do(f.ctx, func(now units.Microseconds) { f.b.ConnectionFailed(now, i) })
 			continue
 		}
 		f.note(i, user, true)
-		f.loop.do(f.ctx, func(units.Microseconds) { f.b.Opened(i) })
+		f.loop.do(f.ctx, func(units.Microseconds) { f.b.ConnectionOpened(i) })
 		splice(user, c)
-		f.loop.do(f.ctx, func(units.Microseconds) { f.b.Closed(i) })
+		f.loop.do(f.ctx, func(units.Microseconds) { f.b.ConnectionClosed(i) })
 		f.note(i, user, false)
 		return
 	}
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -171,7 +171,7 @@
 // TestCloudOverHTTP has the controllers' own client talk to the emulated cloud.
 func TestCloudOverHTTP(t *testing.T) {
 	p := cloudprovider.Pool{Type: "big", Zone: "z"}
-	st := site.New(site.Config{ReportEvery: units.Second, Lease: 10 * units.Second, Cloud: cloudprovider.Config{RequestRate: 1000, Capacity: map[cloudprovider.Pool]int{p: 3},
+	st := site.New(site.Config{HeartbeatInterval: units.Second, Lease: 10 * units.Second, Cloud: cloudprovider.Config{RequestRate: 1000, Capacity: map[cloudprovider.Pool]int{p: 3},
 		Types: []cloudprovider.MachineType{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * units.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -35,7 +35,7 @@
 	worker *machine.Worker        // nil: no machine is up
 	owner  *cloudprovider.Machine // as facts name it
 	nodes  map[string]map[string]string
-	book   work.Book
+	book   work.Uploads
 	jobs   Jobs
 	facts  Facts
 	client *http.Client
@@ -48,7 +48,7 @@
 // NewLoneWorker returns a worker without a machine that will report to controllers at the
 // given addresses, by the zone that they are reached from.
 func NewLoneWorker(ctx context.Context, nodes map[string]map[string]string, jobs Jobs, facts Facts, rng *rand.Rand, log *slog.Logger) *LoneWorker {
-	l := &LoneWorker{ctx: ctx, nodes: nodes, book: work.Book{}, jobs: jobs, facts: facts, log: log, rng: rng}
+	l := &LoneWorker{ctx: ctx, nodes: nodes, book: work.Uploads{}, jobs: jobs, facts: facts, log: log, rng: rng}
 	dialer := &net.Dialer{Timeout: time.Second}
 	l.client = &http.Client{Timeout: time.Duration(machine.ResponseTimeout) * time.Microsecond, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -16,13 +16,13 @@
 type Users struct {
 	ctx    context.Context
 	loop   *loop
-	crowd  *user.Crowd
+	crowd  *user.Users
 	client *client.Client
 	told   Told
 }
 
 // NewUsers returns users who talk to an address.
-func NewUsers(ctx context.Context, c *user.Crowd, addr string, told Told) *Users {
+func NewUsers(ctx context.Context, c *user.Users, addr string, told Told) *Users {
 	u := &Users{ctx: ctx, crowd: c, client: client.New(addr), told: told}
 	u.loop = newLoop(c, u.settle, func(error) {})
 	return u
@@ -32,7 +32,7 @@
 func (u *Users) Run() { u.loop.run(u.ctx) }
 
 // Do runs a function on the model.
-func (u *Users) Do(f func(now units.Microseconds, c *user.Crowd)) bool {
+func (u *Users) Do(f func(now units.Microseconds, c *user.Users)) bool {
 	return u.loop.do(u.ctx, func(now units.Microseconds) { f(now, u.crowd) })
 }
 
@@ -48,7 +48,7 @@
 }
 
 func (u *Users) call(e user.Call) {
-	ctx, cancel := context.WithTimeout(u.ctx, time.Duration(e.Wait)*time.Microsecond)
+	ctx, cancel := context.WithTimeout(u.ctx, time.Duration(e.Timeout)*time.Microsecond)
 	defer cancel()
 	var r client.Reply
 	var err error
@@ -64,6 +64,6 @@
 		r = client.Reply{}
 	}
 	u.loop.tell(u.ctx, func(now units.Microseconds) {
-		u.crowd.Answer(now, e.Number, user.Answer{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
+		u.crowd.HandleReply(now, e.Number, user.Reply{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
 	})
 }
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -56,7 +56,7 @@
 type Worker struct {
 	config  Config
 	fault   Fault
-	uploads work.Book // what users uploaded
+	uploads work.Uploads // what users uploaded
 	rng     *rand.Rand
 	now     units.Microseconds
 
@@ -92,7 +92,7 @@
 }
 
 // New returns a worker that has just started, in its first incarnation.
-func New(config Config, fault Fault, uploads work.Book, now units.Microseconds, rng *rand.Rand) *Worker {
+func New(config Config, fault Fault, uploads work.Uploads, now units.Microseconds, rng *rand.Rand) *Worker {
 	w := &Worker{config: config, fault: fault, uploads: uploads, rng: rng, now: now, incarnation: 1, leaseRenewedAt: now, reclaimAt: units.MaxTime,
 		free: config.Capacity, tasks: map[jobs.TaskID]*task{}, imageSizes: map[string]int64{}, fetches: map[string]*fetch{},
 		fetchedUntil: now, heartbeatDue: now, lastHeartbeat: now - changeInterval, tokenChangedAt: now - config.Lease}
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -22,7 +22,7 @@
 		hang units.Microseconds
 		runs bool
 	}{{2 * units.Second, false}, {6 * units.Second, true}} {
-		book := work.Book{id.Job: {ID: id.Job, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{1, 0, 1}}, Run: 600 * units.Second}}
+		book := work.Uploads{id.Job: {ID: id.Job, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{1, 0, 1}}, Run: 600 * units.Second}}
 		w := New(Config{Name: "n-1", Capacity: binpack.Vec{10, 0, 10}, FetchMBs: 1000, HeartbeatEvery: 3 * units.Second, Lease: 60 * units.Second, Nodes: []string{"node-0"}},
 			Fault{Speed: 1}, book, 0, rand.New(rand.NewPCG(1, 1)))
 		// Heartbeats go out until one is under way, which has no response yet.
--- a/internal/emulator/machine/tasks.go
+++ b/internal/emulator/machine/tasks.go
@@ -65,7 +65,7 @@
 		t.job.Save(t.id.Task, t.progress)
 		t.checkpointed = true
 		w.exit(t, fleet.Stopped)
-	case w.fault.FailsTasks || t.job.Broken:
+	case w.fault.FailsTasks || t.job.FailsAlways:
 		w.exit(t, fleet.Failed)
 	default:
 		t.job.Finish(t.id.Task)
@@ -172,11 +172,11 @@
 	switch {
 	case t.job.Finished(t.id.Task): // what completed once does so again at once
 		t.endsAt = w.now
-	case t.job.Spec.Service && !t.job.Broken && !w.fault.FailsTasks:
+	case t.job.Spec.Service && !t.job.FailsAlways && !w.fault.FailsTasks:
 		t.endsAt = units.MaxTime
 	default:
 		left := max(t.job.RunOf(t.id.Task)-t.progress, 0)
-		if t.job.Broken || w.fault.FailsTasks {
+		if t.job.FailsAlways || w.fault.FailsTasks {
 			left = min(left, failsWithin)
 		}
 		t.endsAt = w.now + units.Microseconds(float64(left)/max(w.fault.Speed, 0.01))
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -97,8 +97,8 @@
 	return &Meter{jobs: map[string]*job{}, on: map[place]units.Microseconds{}, first: -1}
 }
 
-// Planned says that a job's user begins to submit it.
-func (m *Meter) Planned(at units.Microseconds, j *user.Job) {
+// SubmissionStarted says that a job's user begins to submit it.
+func (m *Meter) SubmissionStarted(at units.Microseconds, j *user.Job) {
 	k := &job{Job: j, ready: at}
 	m.jobs[j.ID] = k
 	m.order = append(m.order, k)
@@ -108,8 +108,8 @@
 	}
 }
 
-// Asked says that a job's user has asked to cancel it: what becomes of it is not measured.
-func (m *Meter) Asked(id string) {
+// CancelRequested says that a job's user has asked to cancel it: what becomes of it is not measured.
+func (m *Meter) CancelRequested(id string) {
 	if j := m.jobs[id]; j != nil && !j.asked {
 		j.asked = true
 		if j.began == 0 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// Told says what a user was told, and how long that took.
-func (m *Meter) Told(t user.Told) {
+// CallFinished says what a user was told, and how long that took.
+func (m *Meter) CallFinished(t user.CallFinished) {
 	m.calls++
 	if t.Code != 200 && t.Code != 201 && t.Code != 404 {
 		m.refused++
@@ -129,8 +129,8 @@
 	}
 }
 
-// Began says that a task is on a machine, with its image.
-func (m *Meter) Began(at units.Microseconds, machine string, id jobs.TaskID) {
+// TaskStarted says that a task is on a machine, with its image.
+func (m *Meter) TaskStarted(at units.Microseconds, machine string, id jobs.TaskID) {
 	m.on[place{machine, id}] = at
 	if j := m.jobs[id.Job]; j != nil && j.began == 0 {
 		j.began = max(at, 1)
@@ -145,8 +145,8 @@
 	}
 }
 
-// Ended says that a task is no longer on a machine, and whether it completed.
-func (m *Meter) Ended(at units.Microseconds, machine string, id jobs.TaskID, completed bool) {
+// TaskEnded says that a task is no longer on a machine, and whether it completed.
+func (m *Meter) TaskEnded(at units.Microseconds, machine string, id jobs.TaskID, completed bool) {
 	p := place{machine, id}
 	since, there := m.on[p]
 	j := m.jobs[id.Job]
@@ -170,8 +170,8 @@
 	}
 }
 
-// Look takes what there is at a moment.
-func (m *Meter) Look(s Sample) {
+// AddSample takes what there is at a moment.
+func (m *Meter) AddSample(s Sample) {
 	at := units.Seconds(s.AtS)
 	d := (at - m.at).Seconds()
 	m.at = at
@@ -207,7 +207,7 @@
 func (m *Meter) counts(j *job) bool {
 	for _, a := range j.Awaits {
 		if o := m.jobs[a.ID]; o == nil || o.asked {
-			m.Asked(j.ID)
+			m.CancelRequested(j.ID)
 		}
 	}
 	return j.Accepted && !j.asked
--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -53,9 +53,9 @@
 			}
 			switch {
 			case over[j.ID]:
-			case j.CancelAfter > 0 && j.Final == jobs.Cancelled:
+			case j.CancelAfter > 0 && j.FinalStatus == jobs.Cancelled:
 				over[j.ID] = true
-				out.cancelled = append(out.cancelled, j.Over-accepted[j.ID]-j.CancelAfter)
+				out.cancelled = append(out.cancelled, j.FinalAt-accepted[j.ID]-j.CancelAfter)
 			case j.CancelAfter == 0 && done[j.ID]:
 				over[j.ID] = true
 				out.ended = append(out.ended, t-complete[j.ID])
--- a/internal/emulator/sim/calls.go
+++ b/internal/emulator/sim/calls.go
@@ -26,14 +26,14 @@
 		if call, ok := e.(user.Call); ok {
 			w.call(call, nil)
 		} else {
-			user.Tell(w.Check, w.now, e)
-			if t, ok := e.(user.Told); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
+			user.RecordEffect(w.Check, w.now, e)
+			if t, ok := e.(user.CallFinished); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
 				w.cancelToldPastCut()
 				if t.Status == jobs.Cancelled {
 					w.cancelTold(t.ID)
 				}
 			}
-			if _, ok := e.(user.Looked); ok {
+			if _, ok := e.(user.ReadProbe); ok {
 				w.happened(scenario.CloseLook)
 			}
 			w.meter(e)
@@ -44,7 +44,7 @@
 // call brings a user's call to a controller that the balancer chooses.
 func (w *World) call(e user.Call, tried []int) {
 	failed := func() {
-		w.Crowd.Failed(w.now, e.Number)
+		w.Crowd.CallFailed(w.now, e.Number)
 		w.takeCrowd()
 	}
 	if e.Node != "" {
@@ -67,13 +67,13 @@
 			wait = balance.AcceptWithin
 		}
 		w.after(wait, func() {
-			w.front.Failed(w.now, i)
+			w.front.ConnectionFailed(w.now, i)
 			w.call(e, append(tried, i))
 		})
 		return
 	}
-	w.front.Opened(i)
-	w.serveCall(e, n, failed, func() { w.front.Closed(i) })
+	w.front.ConnectionOpened(i)
+	w.serveCall(e, n, failed, func() { w.front.ConnectionClosed(i) })
 }
 
 // callNode brings a user's call to one controller, past the balancer.
@@ -89,7 +89,7 @@
 
 // serveCall lets a controller answer a user's call; closed is told when the connection ends.
 func (w *World) serveCall(e user.Call, n *Node, failed, closed func()) {
-	w.net.request("users", n.Name, e.Wait+second, func(answer func(func())) {
+	w.net.request("users", n.Name, e.Timeout+second, func(answer func(func())) {
 		within := 4 * second
 		if e.Kind == user.Poll {
 			within = 1900 * millis
@@ -121,12 +121,12 @@
 				n.core.Cancel(n.local(), req, e.ID)
 			}
 		}, within, func(r core.Reply) {
-			a := user.Answer{Code: r.Code, RetryAfter: r.RetryAfter}
+			a := user.Reply{Code: r.Code, RetryAfter: r.RetryAfter}
 			if b, ok := r.Body.(core.JobAnswer); ok {
 				a.Status = b.Status
 			}
 			answer(func() {
-				w.Crowd.Answer(w.now, e.Number, a)
+				w.Crowd.HandleReply(w.now, e.Number, a)
 				w.takeCrowd()
 			})
 		})
@@ -147,16 +147,16 @@
 			n := w.Nodes[p.Node]
 			w.net.request("users", n.Name, balance.ProbeWithin, func(answer func(func())) {
 				if n.life == 0 {
-					answer(func() { w.front.Probed(w.now, p.Node, false) })
+					answer(func() { w.front.HandleProbe(w.now, p.Node, false) })
 					return
 				}
 				n.awake(func() {
 					ok := n.core.Ready(n.local())
-					answer(func() { w.front.Probed(w.now, p.Node, ok) })
+					answer(func() { w.front.HandleProbe(w.now, p.Node, ok) })
 				})
 			}, func(f func()) {
 				if f == nil {
-					w.front.Probed(w.now, p.Node, false)
+					w.front.HandleProbe(w.now, p.Node, false)
 				} else {
 					f()
 				}
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -137,9 +137,9 @@
 }
 
 // taskEnded notes that a task is no longer on its machine.
-func (w *World) taskEnded(e site.Ended) {
+func (w *World) taskEnded(e site.TaskEnded) {
 	c := &w.combined
-	j := w.Site.Book[e.Task.Job]
+	j := w.Site.Uploads[e.Task.Job]
 	if j == nil {
 		return
 	}
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -148,8 +148,8 @@
 		t.Errorf("%+v; the later job was not refused: %+v", x, late)
 	}
 	for _, j := range w.Crowd.Jobs()[:known] {
-		if j.Final != jobs.Done {
-			t.Errorf("%s is %q", j.ID, j.Final)
+		if j.FinalStatus != jobs.Done {
+			t.Errorf("%s is %q", j.ID, j.FinalStatus)
 		}
 	}
 }
--- a/internal/emulator/sim/effects.go
+++ b/internal/emulator/sim/effects.go
@@ -83,7 +83,7 @@
 		sent := w.now
 		w.net.request(n.Name, zone, second, func(answer func(func())) {
 			w.requestArrives(sent)
-			r, _, taken, found := w.Site.Direct(w.now, e.Machine, e.FencingToken, e.Incarnation, nil)
+			r, _, taken, found := w.Site.HandleDirect(w.now, e.Machine, e.FencingToken, e.Incarnation, nil)
 			w.takeSite()
 			if !found || w.noise && w.chance(0.02) {
 				return
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -117,8 +117,8 @@
 	until := w.now + last
 	switch f.Kind {
 	case scenario.PollStorm:
-		w.Crowd.Storm(f.Times)
-		w.after(last, func() { w.Crowd.Storm(1) })
+		w.Crowd.SetPollFactor(f.Times)
+		w.after(last, func() { w.Crowd.SetPollFactor(1) })
 	case scenario.CancelNow:
 		w.cancelNow(f)
 	case scenario.CancelAtEnd:
@@ -126,7 +126,7 @@
 	case scenario.OddRequests:
 		w.oddRequests(until)
 	case scenario.CloseLooks:
-		w.Crowd.LookClosely(until)
+		w.Crowd.ProbeReadsUntil(until)
 	case scenario.ConfigSet:
 		w.configSet(f)
 	default:
--- a/internal/emulator/sim/handover_test.go
+++ b/internal/emulator/sim/handover_test.go
@@ -16,7 +16,7 @@
 	w := New(s, Options{Seed: seed})
 	for range 4 {
 		j := w.submit(0, &jobs.Spec{Team: "green", Tasks: 6000, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: 3 * second}, 3*second, 0)
-		j.Vary = 0.5
+		j.RunVariation = 0.5
 	}
 	return w
 }
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -14,12 +14,12 @@
 		return
 	}
 	switch e := e.(type) {
-	case user.Planned:
-		m.Planned(w.now, e.Job)
-	case user.CancelAsked:
-		m.Asked(e.ID)
-	case user.Told:
-		m.Told(e)
+	case user.SubmissionStarted:
+		m.SubmissionStarted(w.now, e.Job)
+	case user.CancelRequested:
+		m.CancelRequested(e.ID)
+	case user.CallFinished:
+		m.CallFinished(e)
 	}
 }
 
@@ -29,7 +29,7 @@
 		return
 	}
 	w.after(w.opt.MeterEvery, func() {
-		w.opt.Meter.Look(w.look())
+		w.opt.Meter.AddSample(w.look())
 		w.measure()
 	})
 }
@@ -39,7 +39,7 @@
 	if w.opt.Account == nil {
 		return
 	}
-	w.after(account.Every, func() {
+	w.after(account.Interval, func() {
 		var list []account.Machine
 		for _, m := range w.Site.Cloud.Billed() {
 			x := account.Machine{Machine: m, Cut: w.now < w.zoneCut[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
@@ -49,7 +49,7 @@
 			}
 			list = append(list, x)
 		}
-		w.opt.Account.Look(w.now, list)
+		w.opt.Account.Observe(w.now, list)
 		w.keepAccount()
 	})
 }
--- a/internal/emulator/sim/meet_test.go
+++ b/internal/emulator/sim/meet_test.go
@@ -49,7 +49,7 @@
 	w.Fault(scenario.Fault{Kind: scenario.MachineMute, Share: 1, ForS: 30})
 	reached := 0
 	for _, m := range w.Site.Cloud.Alive() {
-		if _, _, taken, found := w.Site.Direct(w.now, m.Name, 1<<60, w.Site.Worker(m.Name).Incarnation(), nil); found && taken {
+		if _, _, taken, found := w.Site.HandleDirect(w.now, m.Name, 1<<60, w.Site.Worker(m.Name).Incarnation(), nil); found && taken {
 			reached++
 		}
 	}
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -147,8 +147,8 @@
 	t.Logf("of %d in 30 s: %d right, %d sent away; half within %.3f s, 95%% within %.3f s, 99%% within %.3f s", asked, ok, shed,
 		took[len(took)/2].Seconds(), took[len(took)*95/100].Seconds(), took[len(took)*99/100].Seconds())
 	for _, j := range fresh {
-		if j.Final != jobs.Done || j.Over-j.At > 30*second {
-			t.Errorf("%s: %q after %.1f s", j.ID, j.Final, (j.Over - j.At).Seconds())
+		if j.FinalStatus != jobs.Done || j.FinalAt-j.At > 30*second {
+			t.Errorf("%s: %q after %.1f s", j.ID, j.FinalStatus, (j.FinalAt - j.At).Seconds())
 		}
 	}
 	if b := w.Check.Violations(); len(b) > 0 {
@@ -187,7 +187,7 @@
 	j := w.submit(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	began := time.Now()
 	seated, whole := units.Microseconds(0), units.Microseconds(0)
-	for at := second / 20; at < 600*second && (whole == 0 || j.Final == ""); at += second / 20 {
+	for at := second / 20; at < 600*second && (whole == 0 || j.FinalStatus == ""); at += second / 20 {
 		w.Run(at)
 		all := true
 		for _, n := range w.census().Nodes {
@@ -201,7 +201,7 @@
 		}
 	}
 	t.Logf("%d packed jobs: seated after %.2f s, a job done after %.2f s, filter whole after %.1f s (simulated); %.1f s of real time",
-		*history, seated.Seconds(), (j.Over - j.At).Seconds(), whole.Seconds(), time.Since(began).Seconds())
+		*history, seated.Seconds(), (j.FinalAt - j.At).Seconds(), whole.Seconds(), time.Since(began).Seconds())
 }
 
 // service is the state service as backup's commands see it, without a network.
@@ -262,8 +262,8 @@
 			}
 		}
 		for _, j := range before {
-			if j.Job.DoneTasks() != 4 || j.Final != jobs.Done {
-				t.Errorf("seed %d: %s is %q, %d tasks done", seed, j.ID, j.Final, j.Job.DoneTasks())
+			if j.Job.DoneTasks() != 4 || j.FinalStatus != jobs.Done {
+				t.Errorf("seed %d: %s is %q, %d tasks done", seed, j.ID, j.FinalStatus, j.Job.DoneTasks())
 			}
 		}
 		if k := w.Holder(0); k == nil || done.Term < 1000 {
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -123,7 +123,7 @@
 			needs = rapid.SliceOfNDistinct(rapid.SampledFrom(submitted), 1, min(len(submitted), 3), rapid.ID).Draw(t, "needs")
 		}
 		j := w.submit(at, drawJob(t), length, cancel, needs...)
-		j.Broken = broken
+		j.FailsAlways = broken
 		submitted = append(submitted, j)
 	}
 	w.Run(420 * second)
@@ -319,7 +319,7 @@
 			Image: "i", Estimate: 20 * second}
 	}
 	w.submit(second, spec(20, 4000), 40*second, 0)
-	w.submit(20*second, spec(200, 1000), 2*second, 200*second).Broken = true
+	w.submit(20*second, spec(200, 1000), 2*second, 200*second).FailsAlways = true
 	failed := func() int { return w.starts - 20 }
 	w.Run(60 * second)
 	wave := failed()
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -14,7 +14,7 @@
 
 // gotReport counts a worker's report.
 func (w *World) gotReport(n *Node, r *fleet.Heartbeat) {
-	if t := w.opt.Traffic; t.At(w.now) {
+	if t := w.opt.Traffic; t.AdvanceTo(w.now) {
 		t.JSON(n.Name, "in report", wire.EncodeHeartbeat(r, nil))
 	}
 }
@@ -22,7 +22,7 @@
 // gotCall counts a user's call; those but submissions have no body.
 func (w *World) gotCall(n *Node, e user.Call) {
 	t := w.opt.Traffic
-	if !t.At(w.now) {
+	if !t.AdvanceTo(w.now) {
 		return
 	}
 	if e.Kind != user.Submit {
@@ -39,7 +39,7 @@
 // countEffect counts what a controller sends.
 func (n *Node) countEffect(e core.Effect) {
 	t := n.w.opt.Traffic
-	if !t.At(n.w.now) {
+	if !t.AdvanceTo(n.w.now) {
 		return
 	}
 	switch e := e.(type) {
@@ -106,7 +106,7 @@
 
 // countItems counts a page of a listing.
 func (n *Node) countItems(items []kv.Item) {
-	if t := n.w.opt.Traffic; t.At(n.w.now) {
+	if t := n.w.opt.Traffic; t.AdvanceTo(n.w.now) {
 		bytes := 0
 		for _, it := range items {
 			bytes += len(it.Key) + len(it.Value)
@@ -118,7 +118,7 @@
 // countChanges counts an answer to a watch, and its changes by folder.
 func (n *Node) countChanges(events []kv.Event) {
 	t := n.w.opt.Traffic
-	if !t.At(n.w.now) || len(events) == 0 {
+	if !t.AdvanceTo(n.w.now) || len(events) == 0 {
 		return
 	}
 	bytes := 0
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -47,7 +47,7 @@
 		}
 		for _, t := range k.RemainingTimes(w.now) {
 			j := w.Crowd.Job(t.Task.Job)
-			if j == nil || !j.Accepted || j.Final != "" {
+			if j == nil || !j.Accepted || j.FinalStatus != "" {
 				continue
 			}
 			r := byID[j.ID]
@@ -100,11 +100,11 @@
 	if w.now >= until {
 		return
 	}
-	if w.Crowd.OddRequest(w.now) {
+	if w.Crowd.SendInvalidRequest(w.now) {
 		w.happened(scenario.OddRequest)
 	}
 	w.takeCrowd()
-	w.after(w.Crowd.OddPause(), func() { w.oddRequests(until) })
+	w.after(w.Crowd.DrawInvalidRequestDelay(), func() { w.oddRequests(until) })
 }
 
 // began notes that a task is on a machine.
@@ -118,14 +118,14 @@
 
 // ended notes that a task of a job has completed: with the last one the job has ended.
 func (w *World) ended(id string) {
-	if w.now >= w.users.endUntil && !w.Crowd.LooksClosely(w.now) {
+	if w.now >= w.users.endUntil && !w.Crowd.ProbingReads(w.now) {
 		return
 	}
 	j := w.Crowd.Job(id)
 	if j == nil || !j.Done() {
 		return
 	}
-	w.Crowd.Ended(w.now, j)
+	w.Crowd.LastTaskEnded(w.now, j)
 	if w.now < w.users.endUntil && w.chance(w.users.endShare) {
 		w.happened(scenario.CancelledAtEnd)
 		w.Crowd.CancelAtEnd(w.now, j)
--- a/internal/emulator/sim/workers.go
+++ b/internal/emulator/sim/workers.go
@@ -20,18 +20,18 @@
 func (w *World) takeSite() {
 	for _, e := range w.Site.Drain() {
 		switch e := e.(type) {
-		case site.Send:
+		case site.HeartbeatSent:
 			w.report(e)
-		case site.Began:
+		case site.TaskStarted:
 			w.starts++
 			w.began(machineOf(e.Machine), e.Task)
 			if m := w.opt.Meter; m != nil {
-				m.Began(w.now, e.Machine.Name, e.Task)
+				m.TaskStarted(w.now, e.Machine.Name, e.Task)
 			}
 			if a := w.opt.Account; a != nil {
-				a.Began(e.Machine.Name, e.Task, cpus(w.Site.Book[e.Task.Job].Spec.Demand))
+				a.TaskStarted(e.Machine.Name, e.Task, cpus(w.Site.Uploads[e.Task.Job].Spec.Demand))
 			}
-		case site.Ended:
+		case site.TaskEnded:
 			w.Check.TaskEnded(w.now, machineOf(e.Machine), e.Task, e.Completed)
 			if e.Completed {
 				w.happened(scenario.TaskDone)
@@ -39,22 +39,22 @@
 			}
 			w.taskEnded(e)
 			if m := w.opt.Meter; m != nil {
-				m.Ended(w.now, e.Machine.Name, e.Task, e.Completed)
+				m.TaskEnded(w.now, e.Machine.Name, e.Task, e.Completed)
 			}
 			if a := w.opt.Account; a != nil {
-				a.Ended(e.Machine.Name, e.Task, e.Completed)
+				a.TaskEnded(e.Machine.Name, e.Task, e.Completed)
 			}
 		}
 	}
 }
 
 // report brings a worker's report to a controller and its answer back.
-func (w *World) report(e site.Send) {
+func (w *World) report(e site.HeartbeatSent) {
 	n := w.node(e.Node)
 	arrives := func(req core.RequestID) { n.report(req, e.Body) }
 	zone := scenario.ZoneParty(e.Body.Zone)
 	failed := func() {
-		w.Site.Answer(w.now, e.Machine, e.Number, machine.Response{})
+		w.Site.HandleResponse(w.now, e.Machine, e.Number, machine.Response{})
 		w.takeSite()
 	}
 	lost := w.noise && w.chance(0.003)
@@ -93,7 +93,7 @@
 			answer(func() {
 				w.answered(e.Machine, a.Commands)
 				w.answerArrives(sent, r)
-				w.Site.Answer(w.now, e.Machine, e.Number, a)
+				w.Site.HandleResponse(w.now, e.Machine, e.Number, a)
 				w.takeSite()
 			})
 		})
@@ -115,6 +115,6 @@
 		f(&seen)
 		body = &seen
 	}
-	n.w.opt.Traffic.As("do report")
+	n.w.opt.Traffic.SetKind("do report")
 	n.core.Heartbeat(n.local(), req, body)
 }
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -82,7 +82,7 @@
 	Check   *check.Checker
 	State   *kv.Service
 	Site    *site.Site
-	Crowd   *user.Crowd
+	Crowd   *user.Users
 	Nodes   []*Node
 	Faults  []scenario.Fault // all that happen, drawn ones included
 	opt     Options
@@ -155,7 +155,7 @@
 
 // Add plans a job; its description is uploaded at once.
 func (w *World) Add(j *user.Job) {
-	w.Site.Book[j.ID] = j.Job
+	w.Site.Uploads[j.ID] = j.Job
 	w.Crowd.Add(j)
 }
 
@@ -263,7 +263,7 @@
 	r := Result{Broken: w.Check.Violations(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), Rented: w.Site.Cloud.CreatedCount(), Money: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
 	r.Jobs = len(w.Crowd.Jobs())
 	r.Over, r.MaxWait = user.Summary(w.Crowd.Jobs(), w.now)
-	r.Missed = w.S.Expect.Missed(r.MaxWait, r.Money, user.Floor(w.Crowd.Jobs(), w.S.UserOptions(), w.Check.FirstStart))
+	r.Missed = w.S.Expect.Missed(r.MaxWait, r.Money, user.ServiceLevels(w.Crowd.Jobs(), w.S.UserOptions(), w.Check.FirstStart))
 	r.Missed = append(r.Missed, w.S.Expect.MissedEvents(w.EventCount)...)
 	return r
 }
@@ -272,7 +272,7 @@
 func (w *World) Unfinished() []string {
 	var out []string
 	for _, j := range w.Crowd.Jobs() {
-		if j.Final == "" && !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
+		if j.FinalStatus == "" && !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
 			out = append(out, j.ID)
 		}
 	}
@@ -285,7 +285,7 @@
 	for _, n := range w.Nodes {
 		fmt.Fprintf(&b, "%s (alive %v): %s\n", n.Name, n.life != 0, n.core.Explain(id))
 	}
-	if j := w.Site.Book[id]; j != nil {
+	if j := w.Site.Uploads[id]; j != nil {
 		fmt.Fprintf(&b, "truth: done %d of %d, spec %+v\n", j.DoneTasks(), j.Spec.Tasks, *j.Spec)
 	}
 	return b.String()
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -19,37 +19,37 @@
 
 // Config says what the site is like.
 type Config struct {
-	Cloud       cloudprovider.Config
-	ReportEvery units.Microseconds
-	Lease       units.Microseconds
-	Nodes       []string // controllers
-	MaxDrift    float64  // of workers' clocks, as a share
-	Apart       int      // machines at a time whose worker runs in a process of its own
+	Cloud             cloudprovider.Config
+	HeartbeatInterval units.Microseconds
+	Lease             units.Microseconds
+	Nodes             []string // controllers
+	MaxDrift          float64  // of workers' clocks, as a share
+	ExternalWorkers   int      // machines at a time whose worker runs in a process of its own
 }
 
 // Effects.
 type (
-	// Up says that a machine's worker begins, Gone that the machine has ended.
-	Up   struct{ *cloudprovider.Machine }
-	Gone struct{ *cloudprovider.Machine }
-	// Handed says that a machine's worker begins in a process of its own, as it is
+	// MachineUp says that a machine's worker begins, Gone that the machine has ended.
+	MachineUp    struct{ *cloudprovider.Machine }
+	MachineEnded struct{ *cloudprovider.Machine }
+	// ExternalWorkerStarted says that a machine's worker begins in a process of its own, as it is
 	// described; its Gone tells that process to end it.
-	Handed struct {
+	ExternalWorkerStarted struct {
 		*cloudprovider.Machine
 		Config machine.Config
 		Fault  machine.Fault
 	}
-	// Send is a report to be sent to a controller.
-	Send struct {
+	// HeartbeatSent is a report to be sent to a controller.
+	HeartbeatSent struct {
 		Machine string
 		machine.Heartbeat
 	}
-	// Began and Ended say what is on a machine with its image.
-	Began struct {
+	// TaskStarted and Ended say what is on a machine with its image.
+	TaskStarted struct {
 		*cloudprovider.Machine
 		Task jobs.TaskID
 	}
-	Ended struct {
+	TaskEnded struct {
 		*cloudprovider.Machine
 		Task      jobs.TaskID
 		Completed bool
@@ -58,8 +58,8 @@
 
 // Site is the cloud with its machines.
 type Site struct {
-	Cloud *cloudprovider.Provider
-	Book  work.Book
+	Cloud   *cloudprovider.Provider
+	Uploads work.Uploads
 
 	cfg     Config
 	rng     *rand.Rand
@@ -78,7 +78,7 @@
 
 // New returns a site with nothing rented.
 func New(cfg Config, rng *rand.Rand) *Site {
-	s := &Site{Cloud: cloudprovider.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Book: work.Book{}, cfg: cfg, rng: rng,
+	s := &Site{Cloud: cloudprovider.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Uploads: work.Uploads{}, cfg: cfg, rng: rng,
 		types: map[string]cloudprovider.MachineType{}, workers: map[string]*member{}, apart: map[string]bool{}}
 	for _, t := range cfg.Cloud.Types {
 		s.types[t.Name] = t
@@ -118,7 +118,7 @@
 				delete(s.workers, e.Machine.Name)
 			}
 			delete(s.apart, e.Machine.Name)
-			s.out = append(s.out, Gone{e.Machine})
+			s.out = append(s.out, MachineEnded{e.Machine})
 		case cloudprovider.ReclaimNotice:
 			if k := s.workers[e.Machine.Name]; k != nil {
 				k.NoticeReclaim(now, e.In)
@@ -132,16 +132,16 @@
 	t := s.types[m.Type]
 	cfg := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.FetchSpeed)),
-		HeartbeatEvery: s.cfg.ReportEvery, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, ClockRate: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
+		HeartbeatEvery: s.cfg.HeartbeatInterval, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, ClockRate: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
 	fault := machine.Fault{Speed: m.Speed, FailsTasks: m.FailsTasks}
-	if len(s.apart) < s.cfg.Apart {
+	if len(s.apart) < s.cfg.ExternalWorkers {
 		s.apart[m.Name] = true
-		s.out = append(s.out, Up{m}, Handed{m, cfg, fault})
+		s.out = append(s.out, MachineUp{m}, ExternalWorkerStarted{m, cfg, fault})
 		return
 	}
-	k := &member{m: m, Worker: machine.New(cfg, fault, s.Book, now, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))}
+	k := &member{m: m, Worker: machine.New(cfg, fault, s.Uploads, now, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))}
 	s.workers[m.Name] = k
-	s.out = append(s.out, Up{m})
+	s.out = append(s.out, MachineUp{m})
 	k.Advance(now)
 	s.settle(now, k)
 }
@@ -167,17 +167,17 @@
 	for _, e := range k.Drain() {
 		switch e := e.(type) {
 		case machine.Heartbeat:
-			s.out = append(s.out, Send{k.m.Name, e})
+			s.out = append(s.out, HeartbeatSent{k.m.Name, e})
 		case machine.TaskStarted:
-			s.out = append(s.out, Began{k.m, e.Task})
+			s.out = append(s.out, TaskStarted{k.m, e.Task})
 		case machine.TaskEnded:
-			s.out = append(s.out, Ended{k.m, e.Task, e.Completed})
+			s.out = append(s.out, TaskEnded{k.m, e.Task, e.Completed})
 		}
 	}
 }
 
-// Answer takes the answer to a report; Code 0: it failed.
-func (s *Site) Answer(now units.Microseconds, name string, number int, a machine.Response) {
+// HandleResponse takes the answer to a report; Code 0: it failed.
+func (s *Site) HandleResponse(now units.Microseconds, name string, number int, a machine.Response) {
 	s.Advance(now)
 	k := s.workers[name]
 	if k == nil {
@@ -191,9 +191,9 @@
 	s.settle(now, k)
 }
 
-// Direct carries commands out that came straight to a machine, and returns its
+// HandleDirect carries commands out that came straight to a machine, and returns its
 // report; found is false where there is no such machine, or it does not speak.
-func (s *Site) Direct(now units.Microseconds, name string, token, session uint64, commands []fleet.Command) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, taken, found bool) {
+func (s *Site) HandleDirect(now units.Microseconds, name string, token, session uint64, commands []fleet.Command) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, taken, found bool) {
 	s.Advance(now)
 	k := s.workers[name]
 	if k == nil || k.Hung(now) || k.InboundCut(now) {
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// Workers returns how many machines are up.
-func (s *Site) Workers() int { return len(s.workers) + len(s.apart) }
+// WorkerCount returns how many machines are up.
+func (s *Site) WorkerCount() int { return len(s.workers) + len(s.apart) }
 
 // Running returns how many tasks are on machines with their image, but for machines whose
 // worker runs in a process of its own.
@@ -237,9 +237,9 @@
 	return n
 }
 
-// Pick draws n of the machines that are up and match; an empty type or zone
+// PickMachines draws n of the machines that are up and match; an empty type or zone
 // matches any. The order is that of the draw.
-func (s *Site) Pick(n int, match func(*cloudprovider.Machine) bool) []*cloudprovider.Machine {
+func (s *Site) PickMachines(n int, match func(*cloudprovider.Machine) bool) []*cloudprovider.Machine {
 	alive := slices.DeleteFunc(s.Cloud.Alive(), func(m *cloudprovider.Machine) bool { return match != nil && !match(m) })
 	s.rng.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	return alive[:min(n, len(alive))]
@@ -252,8 +252,8 @@
 	s.sync(now)
 }
 
-// Take lets the cloud take a spot machine back.
-func (s *Site) Take(now units.Microseconds, m *cloudprovider.Machine, notice units.Microseconds, silent float64) {
+// Reclaim lets the cloud take a spot machine back.
+func (s *Site) Reclaim(now units.Microseconds, m *cloudprovider.Machine, notice units.Microseconds, silent float64) {
 	s.Advance(now)
 	s.Cloud.Reclaim(now, m, notice, silent)
 	s.sync(now)
@@ -268,24 +268,24 @@
 	}
 }
 
-// Deafen lets no answer and no command reach a machine until a time.
-func (s *Site) Deafen(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
+// CutInbound lets no answer and no command reach a machine until a time.
+func (s *Site) CutInbound(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.CutInbound(until)
 	}
 }
 
-// Mute lets no report of a machine reach a controller until a time; direct commands reach it.
-func (s *Site) Mute(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
+// CutOutbound lets no report of a machine reach a controller until a time; direct commands reach it.
+func (s *Site) CutOutbound(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
 	if k := s.workers[m.Name]; k != nil {
 		k.CutOutbound(until)
 	}
 }
 
-// Spoil changes what is wrong with a machine.
-func (s *Site) Spoil(now units.Microseconds, m *cloudprovider.Machine, f machine.Fault) {
+// SetFault changes what is wrong with a machine.
+func (s *Site) SetFault(now units.Microseconds, m *cloudprovider.Machine, f machine.Fault) {
 	s.Advance(now)
 	m.Speed, m.FailsTasks = f.Speed, f.FailsTasks
 	if k := s.workers[m.Name]; k != nil {
--- a/internal/emulator/site/site_test.go
+++ b/internal/emulator/site/site_test.go
@@ -23,7 +23,7 @@
 var pools = []cloudprovider.Pool{{Type: "big", Zone: "a"}, {Type: "big", Zone: "a", Spot: true}, {Type: "small", Zone: "b"}}
 
 func newSite(seed uint64) *Site {
-	return New(Config{ReportEvery: 3 * units.Second, Lease: 12 * units.Second, Nodes: []string{"n0", "n1"}, MaxDrift: 0.0005,
+	return New(Config{HeartbeatInterval: 3 * units.Second, Lease: 12 * units.Second, Nodes: []string{"n0", "n1"}, MaxDrift: 0.0005,
 		Cloud: cloudprovider.Config{RequestRate: 1e6, ListLag: 3 * units.Second, ReclaimRate: 60, Notice: 5 * units.Second, NoNoticeShare: 0.3, FailingShare: 0.1,
 			Capacity: map[cloudprovider.Pool]int{pools[0]: 2, pools[1]: 2, pools[2]: 3},
 			Types: []cloudprovider.MachineType{{Name: "big", CPUs: 8, MemoryGB: 32, CacheGB: 3, FetchGBs: 0.5, Price: 3600, SpotPrice: 1200, Boot: 5 * units.Second, Zones: []string{"a"}},
@@ -38,13 +38,13 @@
 		s := newSite(rapid.Uint64().Draw(t, "seed"))
 		for i := range 6 {
 			id := fmt.Sprintf("wk-%06d", i)
-			s.Book[id] = &work.Job{ID: id, Run: units.Microseconds(i+1) * 3 * units.Second, Vary: 0.3, Broken: i == 5,
+			s.Uploads[id] = &work.Job{ID: id, Run: units.Microseconds(i+1) * 3 * units.Second, RunVariation: 0.3, FailsAlways: i == 5,
 				Spec: &jobs.Spec{Tasks: 4, Demand: binpack.Vec{int64(i+1) * 1000, 0, 1000}, Image: fmt.Sprint("i", i%3), ImageMB: 1500,
 					Service: i == 4, Checkpoint: units.Microseconds(i%2) * units.Second, Save: units.Second / 2}}
 		}
 		now := units.Microseconds(0)
 		on := map[string]map[jobs.TaskID]bool{} // by machine
-		sent := map[string]Send{}
+		sent := map[string]HeartbeatSent{}
 		sentAt := map[string]units.Microseconds{}
 		tokens := map[string]uint64{}
 		answers := map[string]map[int]bool{}        // of reports, by number
@@ -57,35 +57,35 @@
 		take := func() {
 			for _, e := range s.Drain() {
 				switch e := e.(type) {
-				case Up:
+				case MachineUp:
 					upAt[e.Name] = now
 					on[e.Name] = map[jobs.TaskID]bool{}
-				case Gone:
+				case MachineEnded:
 					if len(on[e.Name]) > 0 {
 						t.Fatalf("%s is gone with %v on it", e.Name, on[e.Name])
 					}
 					delete(sent, e.Name)
-				case Began:
+				case TaskStarted:
 					if on[e.Name][e.Task] {
 						t.Fatalf("%v begins twice on %s", e.Task, e.Name)
 					}
 					on[e.Name][e.Task] = true
 					var sum binpack.Vec
 					for id := range on[e.Name] {
-						sum = sum.Add(s.Book[id.Job].Spec.Demand)
+						sum = sum.Add(s.Uploads[id.Job].Spec.Demand)
 					}
 					if limit := Capacity(s.types[e.Type]); !sum.Fits(limit) {
 						t.Fatalf("%v run on %s, which has %v", sum, e.Name, limit)
 					}
-				case Ended:
+				case TaskEnded:
 					if !on[e.Name][e.Task] {
 						t.Fatalf("%v ends on %s and was not there", e.Task, e.Name)
 					}
 					delete(on[e.Name], e.Task)
-					if j := s.Book[e.Task.Job]; e.Completed && (j.Broken || e.FailsTasks || j.Spec.Service) {
+					if j := s.Uploads[e.Task.Job]; e.Completed && (j.FailsAlways || e.FailsTasks || j.Spec.Service) {
 						t.Fatalf("%v completes on %s", e.Task, e.Name)
 					}
-				case Send:
+				case HeartbeatSent:
 					if e.Body.FencingToken < tokens[e.Machine] {
 						t.Fatalf("%s reports token %d after %d", e.Machine, e.Body.FencingToken, tokens[e.Machine])
 					}
@@ -160,14 +160,14 @@
 				}
 			},
 			"fault": func(t *rapid.T) {
-				if ms := s.Pick(1, nil); len(ms) > 0 {
+				if ms := s.PickMachines(1, nil); len(ms) > 0 {
 					switch rapid.IntRange(0, 2).Draw(t, "fault") {
 					case 0:
 						s.Kill(now, ms[0])
 					case 1:
 						s.Hang(now, ms[0], now+units.Microseconds(rapid.Int64Range(0, 20_000_000).Draw(t, "for")))
 					case 2:
-						s.Spoil(now, ms[0], machine.Fault{Speed: 0.2, FailsTasks: ms[0].FailsTasks})
+						s.SetFault(now, ms[0], machine.Fault{Speed: 0.2, FailsTasks: ms[0].FailsTasks})
 					}
 					take()
 				}
@@ -191,7 +191,7 @@
 				}
 				answers[name][e.Number] = true
 				counts := first && a.Code == 200 && a.FencingToken >= max(tokens[name], e.Body.FencingToken) && e.Body.Incarnation == session && now < sentAt[name]+machine.ResponseTimeout
-				s.Answer(now, name, e.Number, a)
+				s.HandleResponse(now, name, e.Number, a)
 				if counts {
 					tokens[name] = a.FencingToken
 					answered[name] = max(answered[name], sentAt[name])
@@ -204,7 +204,7 @@
 					return
 				}
 				token, session := rapid.Uint64Range(0, 5).Draw(t, "token"), s.Worker(name).Incarnation()
-				r, _, taken, found := s.Direct(now, name, token, session, rapid.SliceOfN(commands, 0, 3).Draw(t, "commands"))
+				r, _, taken, found := s.HandleDirect(now, name, token, session, rapid.SliceOfN(commands, 0, 3).Draw(t, "commands"))
 				take() // a report that was due went first
 				if found {
 					if taken != (token >= tokens[name]) && taken != (token >= r.FencingToken) {
--- a/internal/emulator/traffic/traffic.go
+++ b/internal/emulator/traffic/traffic.go
@@ -39,8 +39,8 @@
 // New returns a tally that leaves out what happens before a time of the play.
 func New(from units.Microseconds) *Tally { return &Tally{from: from, counts: map[key]*count{}} }
 
-// At moves time on, and reports whether anything is counted.
-func (t *Tally) At(now units.Microseconds) bool {
+// AdvanceTo moves time on, and reports whether anything is counted.
+func (t *Tally) AdvanceTo(now units.Microseconds) bool {
 	if t == nil {
 		return false
 	}
@@ -75,13 +75,13 @@
 
 // Start begins to measure what a controller does with a message.
 func (t *Tally) Start(now units.Microseconds, node, kind string) {
-	if t.At(now) {
+	if t.AdvanceTo(now) {
 		t.running, t.began, t.timed = key{node, kind}, threadTime(), true
 	}
 }
 
-// As names the kind of message that is being measured.
-func (t *Tally) As(kind string) {
+// SetKind names the kind of message that is being measured.
+func (t *Tally) SetKind(kind string) {
 	if t != nil {
 		t.running.kind = kind
 	}
--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -11,23 +11,23 @@
 	"shalestage.example/shalestage/internal/emulator/check"
 )
 
-// Tell hands what a user did or was told to a checker; e is an effect other than Call.
-func Tell(c *check.Checker, at units.Microseconds, e any) {
+// RecordEffect hands what a user did or was told to a checker; e is an effect other than Call.
+func RecordEffect(c *check.Checker, at units.Microseconds, e any) {
 	switch e := e.(type) {
-	case Planned:
+	case SubmissionStarted:
 		c.Submitting(at, e.Job.ID, e.Job.Spec)
-		if e.Job.Broken {
+		if e.Job.FailsAlways {
 			c.FailsAlways(e.Job.ID)
 		}
-	case Odd:
+	case InvalidSubmission:
 		if e.Spec == nil {
 			c.SubmittingMalformed(at, e.ID)
 		} else {
 			c.Submitting(at, e.ID, e.Spec)
 		}
-	case CancelAsked:
+	case CancelRequested:
 		c.CancelRequested(at, e.ID)
-	case Told:
+	case CallFinished:
 		switch e.Kind {
 		case Submit:
 			c.SubmitAnswered(at, e.Took, e.ID, e.Code, e.Status)
@@ -44,9 +44,9 @@
 // counts up to the end.
 func Summary(submitted []*Job, end units.Microseconds) (over int, longest units.Microseconds) {
 	for _, j := range submitted {
-		if j.Final != "" {
+		if j.FinalStatus != "" {
 			over++
-			longest = max(longest, j.Over-j.At)
+			longest = max(longest, j.FinalAt-j.At)
 		} else if j.Accepted && !j.Spec.Service {
 			longest = max(longest, end-j.At)
 		}
@@ -54,15 +54,15 @@
 	return over, longest
 }
 
-// Served says how many of some jobs got what they asked for.
-type Served struct {
+// ServiceLevel says how many of some jobs got what they asked for.
+type ServiceLevel struct {
 	What string // "class C done", "team T done", and the same "in time"
 	Good int
 	Of   int
 }
 
 // Share is the part of the jobs that got it.
-func (s Served) Share() float64 { return float64(s.Good) / float64(max(s.Of, 1)) }
+func (s ServiceLevel) Share() float64 { return float64(s.Good) / float64(max(s.Of, 1)) }
 
 const (
 	// One in so many of a class's jobs is among its largest.
@@ -76,17 +76,17 @@
 	return float64(j.Spec.Tasks) * float64(j.Spec.Demand[binpack.CPU]) * j.Run.Seconds()
 }
 
-// Floor counts, by class and by team, the accepted arrays that nobody cancelled, and of
+// ServiceLevels counts, by class and by team, the accepted arrays that nobody cancelled, and of
 // them those that are done; and of those with a deadline, those whose users were told so by
 // then, or at their first poll after it. Of each class's largest jobs, a fifth of them, it
 // counts those that began soon enough; began tells when a job's first task was on a machine,
 // 0 if none was.
-func Floor(submitted []*Job, opt Options, began func(id string) units.Microseconds) []Served {
-	all := map[string]*Served{}
+func ServiceLevels(submitted []*Job, opt Options, began func(id string) units.Microseconds) []ServiceLevel {
+	all := map[string]*ServiceLevel{}
 	count := func(what string, good bool) {
 		s := all[what]
 		if s == nil {
-			s = &Served{What: what}
+			s = &ServiceLevel{What: what}
 			all[what] = s
 		}
 		s.Of++
@@ -96,15 +96,15 @@
 	}
 	classes := map[string][]*Job{}
 	for _, j := range submitted {
-		if !j.Accepted || j.Spec.Service || j.CancelAfter > 0 || j.Final == jobs.Cancelled || j.Broken {
+		if !j.Accepted || j.Spec.Service || j.CancelAfter > 0 || j.FinalStatus == jobs.Cancelled || j.FailsAlways {
 			continue
 		}
-		done := j.Final == jobs.Done
+		done := j.FinalStatus == jobs.Done
 		classes[j.Spec.Class] = append(classes[j.Spec.Class], j)
 		for _, who := range []string{"class " + j.Spec.Class, "team " + j.Spec.Team} {
 			count(who+" done", done)
 			if j.Spec.Deadline > 0 {
-				count(who+" in time", done && j.Over-j.At <= j.Spec.Deadline+max(opt.PollEvery, 5*units.Second))
+				count(who+" in time", done && j.FinalAt-j.At <= j.Spec.Deadline+max(opt.PollInterval, 5*units.Second))
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 			count("class "+class+" largest begun", at > 0 && at-j.At <= beginWithin)
 		}
 	}
-	var out []Served
+	var out []ServiceLevel
 	for _, what := range slices.Sorted(maps.Keys(all)) {
 		out = append(out, *all[what])
 	}
--- a/internal/emulator/user/trouble.go
+++ b/internal/emulator/user/trouble.go
@@ -32,25 +32,25 @@
 	until units.Microseconds
 }
 
-// Odd says that a user submits a job that no controller may accept; Spec is nil where it
+// InvalidSubmission says that a user submits a job that no controller may accept; Spec is nil where it
 // lacks a field.
-type Odd struct {
+type InvalidSubmission struct {
 	ID   string
 	Spec *jobs.Spec
 }
 
-// Looked says that a user asks one controller in a close look.
-type Looked struct{ ID, Node string }
+// ReadProbe says that a user asks one controller in a close look.
+type ReadProbe struct{ ID, Node string }
 
-// LookClosely makes users ask all controllers within milliseconds, again and again, whenever
+// ProbeReadsUntil makes users ask all controllers within milliseconds, again and again, whenever
 // a job was accepted, has ended or was confirmed as cancelled, until a time.
-func (c *Crowd) LookClosely(until units.Microseconds) { c.close.until = max(c.close.until, until) }
+func (c *Users) ProbeReadsUntil(until units.Microseconds) { c.close.until = max(c.close.until, until) }
 
-// LooksClosely reports whether users look closely at a time.
-func (c *Crowd) LooksClosely(now units.Microseconds) bool { return now < c.close.until }
+// ProbingReads reports whether users look closely at a time.
+func (c *Users) ProbingReads(now units.Microseconds) bool { return now < c.close.until }
 
 // Job returns a job by its id, or nil.
-func (c *Crowd) Job(id string) *Job {
+func (c *Users) Job(id string) *Job {
 	if c.byID == nil {
 		c.byID = map[string]*Job{}
 	}
@@ -60,12 +60,12 @@
 	return c.byID[id]
 }
 
-// Ended says that a job's last task has ended, which no controller may know yet.
-func (c *Crowd) Ended(now units.Microseconds, j *Job) { c.lookAfter(now, j, false) }
+// LastTaskEnded says that a job's last task has ended, which no controller may know yet.
+func (c *Users) LastTaskEnded(now units.Microseconds, j *Job) { c.lookAfter(now, j, false) }
 
 // lookAfter plans a close look at a job, if users look closely at present; accepted says that
 // the job was accepted just now.
-func (c *Crowd) lookAfter(now units.Microseconds, j *Job, accepted bool) {
+func (c *Users) lookAfter(now units.Microseconds, j *Job, accepted bool) {
 	if now >= c.close.until || !j.Accepted {
 		return
 	}
@@ -86,19 +86,19 @@
 }
 
 // look asks one controller for a job in a close look.
-func (c *Crowd) look(now units.Microseconds, s step) {
+func (c *Users) look(now units.Microseconds, s step) {
 	if s.kind == Submit && s.job.GaveUp {
 		return
 	}
-	c.out = append(c.out, Looked{s.job.ID, s.node})
+	c.out = append(c.out, ReadProbe{s.job.ID, s.node})
 	c.onceAt(now, s.job, s.kind, s.node)
 }
 
 // CancelAt lets a job's user cancel it at a time.
-func (c *Crowd) CancelAt(at units.Microseconds, j *Job) { c.plans.Add(at, step{job: j, kind: Cancel}) }
+func (c *Users) CancelAt(at units.Microseconds, j *Job) { c.plans.Add(at, step{job: j, kind: Cancel}) }
 
 // CancelSoon lets the users of jobs cancel them within a fifth of a second.
-func (c *Crowd) CancelSoon(now units.Microseconds, submitted []*Job) {
+func (c *Users) CancelSoon(now units.Microseconds, submitted []*Job) {
 	for _, j := range submitted {
 		c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(cancelWithin))), j)
 	}
@@ -106,7 +106,7 @@
 
 // CancelAtEnd lets a job's user cancel it as its last task ends: at that moment, or, for half
 // of them, up to a second later.
-func (c *Crowd) CancelAtEnd(now units.Microseconds, j *Job) {
+func (c *Users) CancelAtEnd(now units.Microseconds, j *Job) {
 	within := atEndClosely
 	if c.rng.IntN(2) == 0 {
 		within = atEndWithin
@@ -114,15 +114,15 @@
 	c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(within))), j)
 }
 
-// OddPause draws the time until the next odd request.
-func (c *Crowd) OddPause() units.Microseconds {
+// DrawInvalidRequestDelay draws the time until the next odd request.
+func (c *Users) DrawInvalidRequestDelay() units.Microseconds {
 	return oddEvery/2 + units.Microseconds(c.rng.Int64N(int64(oddEvery)))
 }
 
-// OddRequest makes one request that makes no sense, or none any more: it repeats the
+// SendInvalidRequest makes one request that makes no sense, or none any more: it repeats the
 // submission of an unfinished job, cancels one that is done, or submits one that fits no
 // machine or lacks a field. It reports whether it did so.
-func (c *Crowd) OddRequest(now units.Microseconds) bool {
+func (c *Users) SendInvalidRequest(now units.Microseconds) bool {
 	if len(c.begun) == 0 {
 		return false
 	}
@@ -132,19 +132,19 @@
 		return true
 	}
 	switch {
-	case !j.Accepted || j.GaveUp || j.Final == jobs.Cancelled:
+	case !j.Accepted || j.GaveUp || j.FinalStatus == jobs.Cancelled:
 		return false
-	case j.Final == "":
+	case j.FinalStatus == "":
 		c.once(now, j, Submit)
 	default:
-		c.out = append(c.out, CancelAsked{j.ID})
+		c.out = append(c.out, CancelRequested{j.ID})
 		c.once(now, j, Cancel)
 	}
 	return true
 }
 
 // submitOdd submits a job that no controller may accept, like another but for one thing.
-func (c *Crowd) submitOdd(now units.Microseconds, like *Job) {
+func (c *Users) submitOdd(now units.Microseconds, like *Job) {
 	const tooMuch = 1 << 40 // thousandths, more than any machine has
 	spec := *like.Spec
 	spec.Awaits = nil
@@ -164,6 +164,6 @@
 		odd = nil
 	}
 	id := fmt.Sprintf("wk-8%05d%04d", c.rng.IntN(100_000), c.rng.IntN(10_000))
-	c.out = append(c.out, Odd{id, odd})
+	c.out = append(c.out, InvalidSubmission{id, odd})
 	c.onceAt(now, &Job{Job: &work.Job{ID: id, Spec: odd}}, Submit, "")
 }
--- a/internal/emulator/user/user.go
+++ b/internal/emulator/user/user.go
@@ -38,28 +38,28 @@
 type (
 	// Call is to be made; its answer goes to Answer, or to Failed.
 	Call struct {
-		Number uint64
-		Kind   Kind
-		ID     string
-		Spec   *jobs.Spec         // of a submission; nil: it lacks a field
-		Wait   units.Microseconds // for an answer
-		Node   string             // the controller that is asked; "": the one that the load balancer chooses
+		Number  uint64
+		Kind    Kind
+		ID      string
+		Spec    *jobs.Spec         // of a submission; nil: it lacks a field
+		Timeout units.Microseconds // for an answer
+		Node    string             // the controller that is asked; "": the one that the load balancer chooses
 	}
-	// Planned says that a job is submitted from now on; CancelAsked that its user
+	// SubmissionStarted says that a job is submitted from now on; CancelAsked that its user
 	// has asked to cancel it.
-	Planned     struct{ Job *Job }
-	CancelAsked struct{ ID string }
-	// Told says what a user has heard. Code 0: no answer in time.
-	Told struct {
+	SubmissionStarted struct{ Job *Job }
+	CancelRequested   struct{ ID string }
+	// CallFinished says what a user has heard. Code 0: no answer in time.
+	CallFinished struct {
 		Kind Kind
 		ID   string
 		Took units.Microseconds // since the call was made
-		Answer
+		Reply
 	}
 )
 
-// Answer is a controller's answer.
-type Answer struct {
+// Reply is a controller's answer.
+type Reply struct {
 	Code       int
 	Status     jobs.Status
 	RetryAfter units.Microseconds
@@ -72,21 +72,21 @@
 	At          units.Microseconds // of the first attempt to submit
 	CancelAfter units.Microseconds // from then on; 0: never
 
-	Accepted bool
-	GaveUp   bool
-	Final    jobs.Status        // as told; "" so far
-	Over     units.Microseconds // when that was
-	first    units.Microseconds
-	cancels  bool
+	Accepted    bool
+	GaveUp      bool
+	FinalStatus jobs.Status        // as told; "" so far
+	FinalAt     units.Microseconds // when that was
+	first       units.Microseconds
+	cancels     bool
 }
 
 // Options say how users behave beyond what the protocol fixes.
 type Options struct {
-	PollEvery   units.Microseconds // about; 5 s by default
-	LateRetries float64            // share of accepted submissions that are sent again later
-	Strangers   float64            // share of polls that are followed by one for a job that nobody submitted
-	Revisits    float64            // and by a call for any earlier job
-	Nodes       []string           // controllers that can be asked without the load balancer, see LookClosely
+	PollInterval    units.Microseconds // about; 5 s by default
+	LateRetries     float64            // share of accepted submissions that are sent again later
+	UnknownJobPolls float64            // share of polls that are followed by one for a job that nobody submitted
+	Revisits        float64            // and by a call for any earlier job
+	Nodes           []string           // controllers that can be asked without the load balancer, see LookClosely
 }
 
 type step struct {
@@ -105,8 +105,8 @@
 	once bool
 }
 
-// Crowd is all users.
-type Crowd struct {
+// Users is all users.
+type Users struct {
 	opt     Options
 	rng     *rand.Rand
 	plans   eventqueue.Queue[step]
@@ -123,15 +123,15 @@
 }
 
 // New returns a crowd without jobs.
-func New(opt Options, rng *rand.Rand) *Crowd {
-	if opt.PollEvery == 0 {
-		opt.PollEvery = 5 * units.Second
+func New(opt Options, rng *rand.Rand) *Users {
+	if opt.PollInterval == 0 {
+		opt.PollInterval = 5 * units.Second
 	}
-	return &Crowd{opt: opt, rng: rng, open: map[uint64]call{}, storm: 1}
+	return &Users{opt: opt, rng: rng, open: map[uint64]call{}, storm: 1}
 }
 
 // Add plans a job.
-func (c *Crowd) Add(j *Job) {
+func (c *Users) Add(j *Job) {
 	if len(j.Awaits) > 0 {
 		spec := *j.Spec
 		for _, a := range j.Awaits {
@@ -146,30 +146,30 @@
 
 // Adopt takes up a job that was accepted in an earlier time of the same service: its
 // user polls until it is over.
-func (c *Crowd) Adopt(now units.Microseconds, j *Job) {
+func (c *Users) Adopt(now units.Microseconds, j *Job) {
 	j.Accepted, j.At, j.first = true, now, max(now, 1)
 	c.jobs = append(c.jobs, j)
 	if !j.Spec.Service {
 		c.left++
 	}
-	c.plans.Add(now+units.Microseconds(c.rng.Int64N(int64(c.opt.PollEvery))), step{job: j, kind: Poll})
+	c.plans.Add(now+units.Microseconds(c.rng.Int64N(int64(c.opt.PollInterval))), step{job: j, kind: Poll})
 }
 
 // Jobs returns all jobs in the order in which they were added.
-func (c *Crowd) Jobs() []*Job { return c.jobs }
+func (c *Users) Jobs() []*Job { return c.jobs }
 
-// Left returns how many jobs are neither over, as far as their users were told,
+// Unfinished returns how many jobs are neither over, as far as their users were told,
 // nor given up. Services that nobody cancels do not count.
-func (c *Crowd) Left() int { return c.left }
+func (c *Users) Unfinished() int { return c.left }
 
-// Storm makes users ask n times as often from now on.
-func (c *Crowd) Storm(n float64) { c.storm = max(n, 1) }
+// SetPollFactor makes users ask n times as often from now on.
+func (c *Users) SetPollFactor(n float64) { c.storm = max(n, 1) }
 
 // Next returns when Advance is next of use.
-func (c *Crowd) Next() units.Microseconds { return c.plans.Next() }
+func (c *Users) Next() units.Microseconds { return c.plans.Next() }
 
 // Advance lets time pass.
-func (c *Crowd) Advance(now units.Microseconds) {
+func (c *Users) Advance(now units.Microseconds) {
 	for {
 		at, s, ok := c.plans.Due(now)
 		if !ok {
@@ -177,7 +177,7 @@
 		}
 		if s.number != 0 {
 			if _, waits := c.open[s.number]; waits {
-				c.Failed(at, s.number)
+				c.CallFailed(at, s.number)
 			}
 			continue
 		}
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *Crowd) due(now units.Microseconds, s step) {
+func (c *Users) due(now units.Microseconds, s step) {
 	j := s.job
 	if s.node != "" {
 		c.look(now, s)
@@ -210,15 +210,15 @@
 			return
 		}
 	case Cancel:
-		if j.GaveUp || j.Final != "" && j.cancels {
+		if j.GaveUp || j.FinalStatus != "" && j.cancels {
 			return
 		}
 		if !j.cancels {
 			j.cancels = true
-			c.out = append(c.out, CancelAsked{j.ID})
+			c.out = append(c.out, CancelRequested{j.ID})
 		}
 	case Poll:
-		if c.rng.Float64() < c.opt.Strangers {
+		if c.rng.Float64() < c.opt.UnknownJobPolls {
 			c.call(now, nil, Poll, fmt.Sprintf("wk-9%05d%04d", c.rng.IntN(100_000), c.rng.IntN(10_000)))
 		}
 	}
@@ -230,7 +230,7 @@
 
 // revisit asks for any job that was submitted before, as one who comes back to it long
 // after does: what became of it, the same submission, or that it be cancelled.
-func (c *Crowd) revisit(now units.Microseconds) {
+func (c *Users) revisit(now units.Microseconds) {
 	j := c.begun[c.rng.IntN(len(c.begun))]
 	switch n := c.rng.IntN(10); {
 	case !j.Accepted || j.GaveUp:
@@ -238,18 +238,18 @@
 		c.once(now, j, Poll)
 	case n < 9:
 		c.once(now, j, Submit)
-	case j.Final != "" && !j.cancels:
+	case j.FinalStatus != "" && !j.cancels:
 		j.cancels = true
-		c.out = append(c.out, CancelAsked{j.ID})
+		c.out = append(c.out, CancelRequested{j.ID})
 		c.once(now, j, Cancel)
 	}
 }
 
 // once makes a call whose answer leads to nothing further.
-func (c *Crowd) once(now units.Microseconds, j *Job, k Kind) { c.onceAt(now, j, k, "") }
+func (c *Users) once(now units.Microseconds, j *Job, k Kind) { c.onceAt(now, j, k, "") }
 
 // onceAt does so at one controller, or at any where node is "".
-func (c *Crowd) onceAt(now units.Microseconds, j *Job, k Kind, node string) {
+func (c *Users) onceAt(now units.Microseconds, j *Job, k Kind, node string) {
 	c.callAt(now, j, k, j.ID, node)
 	o := c.open[c.next]
 	o.once = true
@@ -257,10 +257,10 @@
 }
 
 // begin is a job's first attempt. What it awaits is known by now.
-func (c *Crowd) begin(now units.Microseconds, j *Job) {
+func (c *Users) begin(now units.Microseconds, j *Job) {
 	j.first = max(now, 1)
 	c.begun = append(c.begun, j)
-	c.out = append(c.out, Planned{j})
+	c.out = append(c.out, SubmissionStarted{j})
 	if j.CancelAfter > 0 {
 		c.plans.Add(now+j.CancelAfter, step{job: j, kind: Cancel})
 	}
@@ -269,33 +269,35 @@
 	}
 }
 
-func (c *Crowd) call(now units.Microseconds, j *Job, k Kind, id string) { c.callAt(now, j, k, id, "") }
+func (c *Users) call(now units.Microseconds, j *Job, k Kind, id string) { c.callAt(now, j, k, id, "") }
 
-func (c *Crowd) callAt(now units.Microseconds, j *Job, k Kind, id, node string) {
+func (c *Users) callAt(now units.Microseconds, j *Job, k Kind, id, node string) {
 	c.next++
 	c.open[c.next] = call{job: j, kind: k, id: id, sent: now}
-	e := Call{Number: c.next, Kind: k, ID: id, Wait: submitWait, Node: node}
+	e := Call{Number: c.next, Kind: k, ID: id, Timeout: submitWait, Node: node}
 	if k == Poll {
-		e.Wait = pollWait
+		e.Timeout = pollWait
 	}
 	if k == Submit {
 		e.Spec = j.Spec
 	}
-	c.plans.Add(now+e.Wait, step{number: c.next})
+	c.plans.Add(now+e.Timeout, step{number: c.next})
 	c.out = append(c.out, e)
 }
 
-// Failed says that a call got no answer.
-func (c *Crowd) Failed(now units.Microseconds, number uint64) { c.Answer(now, number, Answer{}) }
+// CallFailed says that a call got no answer.
+func (c *Users) CallFailed(now units.Microseconds, number uint64) {
+	c.HandleReply(now, number, Reply{})
+}
 
-// Answer takes the answer to a call; one that comes too late is nobody's.
-func (c *Crowd) Answer(now units.Microseconds, number uint64, a Answer) {
+// HandleReply takes the answer to a call; one that comes too late is nobody's.
+func (c *Users) HandleReply(now units.Microseconds, number uint64, a Reply) {
 	o, ok := c.open[number]
 	if !ok {
 		return
 	}
 	delete(c.open, number)
-	c.out = append(c.out, Told{o.kind, o.id, now - o.sent, a})
+	c.out = append(c.out, CallFinished{o.kind, o.id, now - o.sent, a})
 	if o.job == nil || o.once {
 		return
 	}
@@ -320,7 +322,7 @@
 	}
 }
 
-func (c *Crowd) submitted(now units.Microseconds, j *Job, a Answer) {
+func (c *Users) submitted(now units.Microseconds, j *Job, a Reply) {
 	switch a.Code {
 	case http.StatusOK, http.StatusCreated:
 		if !j.Accepted {
@@ -347,8 +349,8 @@
 	}
 }
 
-func (c *Crowd) giveUp(j *Job) {
-	if j.GaveUp || j.Final != "" {
+func (c *Users) giveUp(j *Job) {
+	if j.GaveUp || j.FinalStatus != "" {
 		return
 	}
 	j.GaveUp = true
@@ -358,14 +360,14 @@
 }
 
 // pause is how long a user waits before the next try.
-func (c *Crowd) pause(a Answer) units.Microseconds {
+func (c *Users) pause(a Reply) units.Microseconds {
 	return max(units.Second+units.Microseconds(c.rng.Int64N(int64(units.Second))), min(a.RetryAfter, maxRetry))
 }
 
 // pollLater polls again after some seconds, and now and then once all is over.
-func (c *Crowd) pollLater(now units.Microseconds, j *Job) {
-	every := float64(c.opt.PollEvery) * (0.6 + 0.8*c.rng.Float64()) / c.storm
-	if j.Final != "" {
+func (c *Users) pollLater(now units.Microseconds, j *Job) {
+	every := float64(c.opt.PollInterval) * (0.6 + 0.8*c.rng.Float64()) / c.storm
+	if j.FinalStatus != "" {
 		if c.rng.Float64() > 0.2 && c.storm == 1 {
 			return
 		}
@@ -374,9 +376,9 @@
 	c.plans.Add(now+units.Microseconds(every), step{job: j, kind: Poll})
 }
 
-func (c *Crowd) heard(now units.Microseconds, j *Job, s jobs.Status) {
-	if s.Final() && j.Final == "" {
-		j.Final, j.Over = s, now
+func (c *Users) heard(now units.Microseconds, j *Job, s jobs.Status) {
+	if s.Final() && j.FinalStatus == "" {
+		j.FinalStatus, j.FinalAt = s, now
 		c.lookAfter(now, j, false)
 		if !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
 			c.left--
@@ -385,7 +387,7 @@
 }
 
 // Drain returns the effects since the last call.
-func (c *Crowd) Drain() []any {
+func (c *Users) Drain() []any {
 	out := c.out
 	c.out = nil
 	return out
--- a/internal/emulator/user/user_test.go
+++ b/internal/emulator/user/user_test.go
@@ -46,10 +46,10 @@
 				if !ok {
 					continue
 				}
-				if want := map[Kind]units.Microseconds{Submit: 5 * units.Second, Cancel: 5 * units.Second, Poll: 2 * units.Second}[call.Kind]; call.Wait != want {
-					t.Fatalf("%v waits %d", call.Kind, call.Wait)
+				if want := map[Kind]units.Microseconds{Submit: 5 * units.Second, Cancel: 5 * units.Second, Poll: 2 * units.Second}[call.Kind]; call.Timeout != want {
+					t.Fatalf("%v waits %d", call.Kind, call.Timeout)
 				}
-				a := Answer{Code: rapid.SampledFrom([]int{0, 503, 429, 500, 201}).Draw(t, "code"), Status: jobs.Pending,
+				a := Reply{Code: rapid.SampledFrom([]int{0, 503, 429, 500, 201}).Draw(t, "code"), Status: jobs.Pending,
 					RetryAfter: units.Microseconds(rapid.IntRange(0, 40).Draw(t, "after")) * units.Second}
 				if call.Kind == Submit {
 					if at, again := tried[call.ID]; again && (accepted[call.ID] || now-at < max(units.Second, min(pause[call.ID], 30*units.Second))) {
@@ -74,8 +74,8 @@
 						a.Status, known[call.ID] = jobs.Cancelled, true
 					}
 				}
-				c.Answer(now, call.Number, a)
-				c.Answer(now, call.Number, Answer{Code: 422}) // a second answer is nobody's
+				c.HandleReply(now, call.Number, a)
+				c.HandleReply(now, call.Number, Reply{Code: 422}) // a second answer is nobody's
 			}
 		}
 		for _, j := range submitted {
@@ -92,7 +92,7 @@
 	b := balance.New(2, 0, rand.New(rand.NewPCG(1, 1)))
 	probe := func(at float64, ok ...bool) {
 		for i, o := range ok {
-			b.Probed(units.Seconds(at+float64(i)), 0, o)
+			b.HandleProbe(units.Seconds(at+float64(i)), 0, o)
 		}
 	}
 	healthy := func(want bool, when string) {
@@ -118,12 +118,12 @@
 	healthy(false, "the second pause is twice as long")
 	probe(18.1, true)
 	healthy(true, "after it")
-	b.Probed(units.Seconds(1), 1, true)
+	b.HandleProbe(units.Seconds(1), 1, true)
 	if got := b.Choose(units.Seconds(19), []int{0}); got != 1 {
 		t.Errorf("chosen: %d, though 0 was tried", got)
 	}
 	for range 3 {
-		b.Failed(units.Seconds(20), 1)
+		b.ConnectionFailed(units.Seconds(20), 1)
 	}
 	if got := b.Choose(units.Seconds(21), []int{0}); got != -1 {
 		t.Errorf("chosen: %d, though it has failed three times", got)
@@ -137,10 +137,10 @@
 func TestFloor(t *testing.T) {
 	var submitted []*Job
 	for i := range 10 {
-		submitted = append(submitted, &Job{Job: &work.Job{ID: fmt.Sprint("j", i), Run: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t", Tasks: i + 1, Demand: binpack.Vec{1000, 0, 0}}}, At: units.Second, Accepted: true, Final: jobs.Done})
+		submitted = append(submitted, &Job{Job: &work.Job{ID: fmt.Sprint("j", i), Run: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t", Tasks: i + 1, Demand: binpack.Vec{1000, 0, 0}}}, At: units.Second, Accepted: true, FinalStatus: jobs.Done})
 	}
 	began := map[string]units.Microseconds{"j9": 242 * units.Second, "j8": 200 * units.Second, "j0": 2 * units.Second}
-	for _, s := range Floor(submitted, Options{}, func(id string) units.Microseconds { return began[id] }) {
+	for _, s := range ServiceLevels(submitted, Options{}, func(id string) units.Microseconds { return began[id] }) {
 		if s.What == "class c largest begun" {
 			if s.Good != 1 || s.Of != 2 {
 				t.Errorf("%d of %d", s.Good, s.Of)
--- a/internal/emulator/work/work.go
+++ b/internal/emulator/work/work.go
@@ -12,11 +12,11 @@
 
 // Job is a job as its user uploaded it.
 type Job struct {
-	ID     string
-	Spec   *jobs.Spec
-	Run    units.Microseconds // of a task on a machine of speed 1, without the image
-	Vary   float64            // tasks run up to this share shorter or longer
-	Broken bool               // submitted with a mistake: fails on every machine
+	ID           string
+	Spec         *jobs.Spec
+	Run          units.Microseconds // of a task on a machine of speed 1, without the image
+	RunVariation float64            // tasks run up to this share shorter or longer
+	FailsAlways  bool               // submitted with a mistake: fails on every machine
 
 	done  jobs.Set
 	saved map[int]units.Microseconds
@@ -25,13 +25,13 @@
 // RunOf returns how long a task runs on a machine of speed 1. The draw is by the
 // task's name, so that every run of it takes as long.
 func (j *Job) RunOf(task int) units.Microseconds {
-	if j.Vary == 0 {
+	if j.RunVariation == 0 {
 		return j.Run
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(jobs.TaskID{Job: j.ID, Task: task}.String()))
 	u := float64(h.Sum64()>>11) / (1 << 53)
-	return units.Microseconds(math.Round(float64(j.Run) * (1 + j.Vary*(2*u-1))))
+	return units.Microseconds(math.Round(float64(j.Run) * (1 + j.RunVariation*(2*u-1))))
 }
 
 // Finish records that a task has completed; it stays so.
@@ -60,5 +60,5 @@
 // Saved returns a task's saved progress.
 func (j *Job) Saved(task int) units.Microseconds { return j.saved[task] }
 
-// Book holds all jobs that were uploaded, by id.
-type Book map[string]*Job
+// Uploads holds all jobs that were uploaded, by id.
+type Uploads map[string]*Job
--- a/internal/launch/deployment.go
+++ b/internal/launch/deployment.go
@@ -275,7 +275,7 @@
 	if o := d.opt.Observer; o != nil {
 		o.User(d.now(), e)
 	}
-	d.facts.add(d.now(), func(at units.Microseconds) { user.Tell(d.checker, at, e) })
+	d.facts.add(d.now(), func(at units.Microseconds) { user.RecordEffect(d.checker, at, e) })
 }
 
 // checkUpTo hands the checker what must have come by now.
@@ -370,7 +370,7 @@
 // Upload makes a job's description known to the workers of a deployment, by its
 // control address.
 func Upload(control string, j *user.Job) error {
-	return post(http.MethodPut, control, "/jobs", upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.Vary, Broken: j.Broken})
+	return post(http.MethodPut, control, "/jobs", upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.RunVariation, Broken: j.FailsAlways})
 }
 
 // SendFault does a fault in a running deployment, by its control address.
@@ -429,7 +429,7 @@
 // describe makes the descriptions of jobs known to the workers.
 func (d *Deployment) describe(jobs []*user.Job) {
 	for _, j := range jobs {
-		if err := post(http.MethodPut, d.Plan.Roles[RoleCloud], "/jobs", upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.Vary, Broken: j.Broken}); err != nil {
+		if err := post(http.MethodPut, d.Plan.Roles[RoleCloud], "/jobs", upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.RunVariation, Broken: j.FailsAlways}); err != nil {
 			d.note("a description could not be uploaded: %v", err)
 		}
 	}
@@ -463,7 +463,9 @@
 		if u == nil {
 			continue // Run has not been called
 		}
-		u.Do(func(_ units.Microseconds, c *user.Crowd) { p.Jobs, p.Left = p.Jobs+len(c.Jobs()), p.Left+c.Left() })
+		u.Do(func(_ units.Microseconds, c *user.Users) {
+			p.Jobs, p.Left = p.Jobs+len(c.Jobs()), p.Left+c.Unfinished()
+		})
 	}
 	p.Figures, _ = d.Figures() // zero while the cloud's process is away
 	d.checkUpTo(d.now() - units.Microseconds(settleTime.Microseconds()))
@@ -571,8 +573,8 @@
 		if d.users == nil {
 			return errors.New("there are no users yet")
 		}
-		d.users.Do(func(_ units.Microseconds, c *user.Crowd) { c.Storm(f.Times) })
-		time.AfterFunc(seconds(f.ForS), func() { d.users.Do(func(_ units.Microseconds, c *user.Crowd) { c.Storm(1) }) })
+		d.users.Do(func(_ units.Microseconds, c *user.Users) { c.SetPollFactor(f.Times) })
+		time.AfterFunc(seconds(f.ForS), func() { d.users.Do(func(_ units.Microseconds, c *user.Users) { c.SetPollFactor(1) }) })
 		return nil
 	case scenario.Surge, scenario.ClockJump, scenario.LateReports, scenario.CancelNow, scenario.CancelAtEnd, scenario.OddRequests, scenario.CloseLooks,
 		scenario.ConfigSet:
--- a/internal/launch/role.go
+++ b/internal/launch/role.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Cloud.FirstNumber, cfg.Apart = first, len(p.Direct)
+	cfg.Cloud.FirstNumber, cfg.ExternalWorkers = first, len(p.Direct)
 	st := site.New(cfg, rand.New(rand.NewPCG(p.Seed, 12)))
 	var facts host.Facts = newFactWriter(os.Stdout)
 	if p.Data != "" {
@@ -212,7 +212,7 @@
 			return err
 		}
 		for _, j := range book.jobs {
-			st.Book[j.ID] = j
+			st.Uploads[j.ID] = j
 		}
 		facts = book.keep(facts)
 	}
@@ -255,7 +255,7 @@
 	figures(control, func() any {
 		var f Figures
 		c.Do(func(now units.Microseconds, st *site.Site) {
-			f = Figures{st.Workers(), st.Cloud.CreatedCount(), st.Running(), st.Cloud.Spent(now)}
+			f = Figures{st.WorkerCount(), st.Cloud.CreatedCount(), st.Running(), st.Cloud.Spent(now)}
 		})
 		return f
 	}, map[string]func(f any) float64{
@@ -310,5 +310,5 @@
 }
 
 func (u upload) job() *work.Job {
-	return &work.Job{ID: u.ID, Spec: u.Spec, Run: u.Run, Vary: u.Vary, Broken: u.Broken}
+	return &work.Job{ID: u.ID, Spec: u.Spec, Run: u.Run, RunVariation: u.Vary, FailsAlways: u.Broken}
 }
--- a/internal/launch/worker.go
+++ b/internal/launch/worker.go
@@ -114,8 +114,8 @@
 		}
 		var t taskState
 		c.Do(func(_ units.Microseconds, s *site.Site) {
-			if j := s.Book[id.Job]; j != nil {
-				t = taskState{Job: &upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.Vary, Broken: j.Broken}, Finished: j.Finished(id.Task), Saved: j.Saved(id.Task)}
+			if j := s.Uploads[id.Job]; j != nil {
+				t = taskState{Job: &upload{ID: j.ID, Spec: j.Spec, Run: j.Run, Vary: j.RunVariation, Broken: j.FailsAlways}, Finished: j.Finished(id.Task), Saved: j.Saved(id.Task)}
 			}
 		})
 		if t.Job == nil {
@@ -134,7 +134,7 @@
 		}
 		// Not waited for: the cloud may wait for this very worker to end a machine.
 		c.Tell(func(s *site.Site) {
-			j := s.Book[id.Job]
+			j := s.Uploads[id.Job]
 			switch {
 			case j == nil:
 			case t.Finished:
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -52,7 +52,7 @@
 	v.Jobs = len(jobs)
 	v.Over, longest = user.Summary(jobs, units.Seconds(s.DurationS))
 	v.Wait = longest.Seconds()
-	v.Missed = s.Expect.Missed(longest, v.Money, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
+	v.Missed = s.Expect.Missed(longest, v.Money, user.ServiceLevels(jobs, s.UserOptions(), d.FirstBegan))
 	v.Kept = len(v.Broken) == 0 && len(v.Missed) == 0
 	v.Took = time.Since(began).Seconds()
 	return v, nil
--- a/internal/scalerun/observe.go
+++ b/internal/scalerun/observe.go
@@ -148,15 +148,15 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch e := e.(type) {
-	case user.Planned:
+	case user.SubmissionStarted:
 		o.jobs[e.Job.ID] = &waiting{class: e.Job.Spec.Class, phase: o.phase, first: at}
 		o.counts[o.phase].Submitted++
-	case user.Told:
+	case user.CallFinished:
 		o.told(at, e)
 	}
 }
 
-func (o *observer) told(at units.Microseconds, e user.Told) {
+func (o *observer) told(at units.Microseconds, e user.CallFinished) {
 	c := o.counts[o.phase]
 	if isAbroad(e.ID) {
 		c.Abroad.add(e.Code)
@@ -172,7 +172,7 @@
 	}
 }
 
-func (o *observer) accepted(at units.Microseconds, e user.Told) {
+func (o *observer) accepted(at units.Microseconds, e user.CallFinished) {
 	j := o.jobs[e.ID]
 	if j == nil || j.accepted {
 		return
--- a/internal/scalerun/scalerun_test.go
+++ b/internal/scalerun/scalerun_test.go
@@ -150,14 +150,14 @@
 	job := func(id, class string) *user.Job {
 		return &user.Job{Job: &work.Job{ID: id, Spec: &jobs.Spec{Class: class, Tasks: 2}}}
 	}
-	told := func(k user.Kind, id string, code int) user.Told {
-		return user.Told{Kind: k, ID: id, Took: units.Second / 4, Answer: user.Answer{Code: code}}
+	told := func(k user.Kind, id string, code int) user.CallFinished {
+		return user.CallFinished{Kind: k, ID: id, Took: units.Second / 4, Reply: user.Reply{Code: code}}
 	}
 	at := units.Second
-	o.User(at, user.Planned{Job: job("wk-000001", ClassUrgent)})
+	o.User(at, user.SubmissionStarted{Job: job("wk-000001", ClassUrgent)})
 	o.User(at, told(user.Submit, "wk-000001", 503))
 	o.User(2*at, told(user.Submit, "wk-000001", 201))
-	o.User(at, user.Planned{Job: job("wk-800001", ClassAbroad)})
+	o.User(at, user.SubmissionStarted{Job: job("wk-800001", ClassAbroad)})
 	o.User(at, told(user.Submit, "wk-800001", 0))
 	o.User(at, told(user.Poll, "wk-9123451234", 404)) // of a job that nobody submitted, asked at home
 	o.enter(1)
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -39,7 +39,7 @@
 
 // Site returns the cloud and its machines.
 func (s *Scenario) Site() site.Config {
-	c := site.Config{ReportEvery: units.Seconds(s.Workers.ReportS), Lease: units.Seconds(s.Workers.LeaseS), Nodes: s.Nodes(), MaxDrift: MaxDrift,
+	c := site.Config{HeartbeatInterval: units.Seconds(s.Workers.ReportS), Lease: units.Seconds(s.Workers.LeaseS), Nodes: s.Nodes(), MaxDrift: MaxDrift,
 		Cloud: cloudprovider.Config{Capacity: map[cloudprovider.Pool]int{}, RequestRate: s.Cloud.RPS, ListLag: units.Seconds(s.Cloud.ListLagS),
 			ReclaimRate: s.Cloud.SpotPerHour, Notice: units.Seconds(s.Cloud.NoticeS), NoNoticeShare: s.Cloud.Silent,
 			FailingShare: s.Cloud.SickShare, SlowShare: s.Cloud.SlowShare}}
@@ -136,12 +136,12 @@
 
 // UserOptions says how the users behave.
 func (s *Scenario) UserOptions() user.Options {
-	return user.Options{PollEvery: units.Seconds(s.Users.PollS), LateRetries: s.Users.LateRetries, Strangers: s.Users.Strangers, Revisits: s.Users.Revisits, Nodes: s.Nodes()}
+	return user.Options{PollInterval: units.Seconds(s.Users.PollS), LateRetries: s.Users.LateRetries, UnknownJobPolls: s.Users.Strangers, Revisits: s.Users.Revisits, Nodes: s.Nodes()}
 }
 
 // Work returns what is true of a job.
 func (j Job) Work(id string, spec *jobs.Spec) *work.Job {
-	return &work.Job{ID: id, Spec: spec, Run: units.Seconds(j.RunS), Vary: j.Vary, Broken: j.Broken}
+	return &work.Job{ID: id, Spec: spec, Run: units.Seconds(j.RunS), RunVariation: j.Vary, FailsAlways: j.Broken}
 }
 
 // Plan returns the file's jobs as their users go about them, in the order in
@@ -204,10 +204,10 @@
 	}
 	pick := func() []*cloudprovider.Machine {
 		if f.Share > 0 {
-			all := st.Pick(1<<30, match)
+			all := st.PickMachines(1<<30, match)
 			return all[:int(float64(len(all))*f.Share+0.5)]
 		}
-		return st.Pick(max(f.Count, 1), match)
+		return st.PickMachines(max(f.Count, 1), match)
 	}
 	switch f.Kind {
 	case CloudDown:
@@ -224,21 +224,21 @@
 		}
 	case MachineDeaf:
 		for _, m := range pick() {
-			st.Deafen(now, m, until)
+			st.CutInbound(now, m, until)
 		}
 	case MachineMute:
 		for _, m := range pick() {
-			st.Mute(now, m, until)
+			st.CutOutbound(now, m, until)
 		}
 	case QuickBoots:
 		st.Cloud.BootQuickly(until)
 	case MachineSick:
 		for _, m := range pick() {
-			st.Spoil(now, m, machine.Fault{Speed: m.Speed, FailsTasks: true})
+			st.SetFault(now, m, machine.Fault{Speed: m.Speed, FailsTasks: true})
 		}
 	case MachineSlow:
 		for _, m := range pick() {
-			st.Spoil(now, m, machine.Fault{Speed: 1 / f.Times, FailsTasks: m.FailsTasks})
+			st.SetFault(now, m, machine.Fault{Speed: 1 / f.Times, FailsTasks: m.FailsTasks})
 		}
 	case SpotWave:
 		notice := f.NoticeS
@@ -246,7 +246,7 @@
 			notice = s.Cloud.NoticeS
 		}
 		for _, m := range pick() {
-			st.Take(now, m, units.Seconds(notice), s.Cloud.Silent)
+			st.Reclaim(now, m, units.Seconds(notice), s.Cloud.Silent)
 		}
 	case SpotRate:
 		st.Cloud.SetReclaimRate(now, f.PerHour)
@@ -268,7 +268,7 @@
 }
 
 // Missed says which expectations were not met, beside the rules.
-func (e Expect) Missed(longest units.Microseconds, money float64, served []user.Served) (out []string) {
+func (e Expect) Missed(longest units.Microseconds, money float64, served []user.ServiceLevel) (out []string) {
 	if e.MaxWaitS > 0 && longest > units.Seconds(e.MaxWaitS) {
 		out = append(out, fmt.Sprintf("max_wait_s: a job took %.1f s, %g are expected at most", longest.Seconds(), e.MaxWaitS))
 	}
