--- a/internal/emulator/cloudprovider/billing.go
+++ b/internal/emulator/cloudprovider/billing.go
@@ -4,11 +4,11 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// priceHistory is a machine type with its moving spot price and the integral of that price.
+// priceHistory is a machine type with its varying spot price and the integral of that price.
 type priceHistory struct {
 	MachineType
 	spot         float64
-	spotIntegral float64 // of the spot price up to at, in price seconds
+	spotIntegral float64 // of the spot price up to at, in price (per hour) times seconds
 	at           units.Microseconds
 }
 
@@ -19,7 +19,8 @@
 	return h.spotIntegral
 }
 
-// movePrices moves the spot prices by a step around the nominal one, within a third of it.
+// movePrices changes each spot price by one random step of up to 5%, within a third of its nominal
+// value.
 func (p *Provider) movePrices(at units.Microseconds) {
 	for _, t := range p.config.Types {
 		history := p.types[t.Name]
@@ -29,7 +30,7 @@
 	p.steps.Add(at+priceInterval, step{kind: stepPrices})
 }
 
-// charge is what a machine has cost by a time, as if it had lived for least at least.
+// charge returns the cost of a machine up to now, billed for least at the minimum.
 func (p *Provider) charge(now units.Microseconds, m *Machine, least units.Microseconds) float64 {
 	if m.DiedAt != units.MaxTime {
 		return m.costAtDeath
@@ -43,7 +44,7 @@
 	return (history.integral(now) - m.integralAtCreation + rest*history.spot) / 3600
 }
 
-// HourlyRate is what a machine costs at present, an hour.
+// HourlyRate returns the current price of a machine per hour.
 func (p *Provider) HourlyRate(m *Machine) float64 {
 	if m.Spot {
 		return p.types[m.Type].spot
@@ -51,7 +52,7 @@
 	return p.types[m.Type].Price
 }
 
-// Spent returns the money spent by now.
+// Spent returns the total cost of all machines up to now.
 func (p *Provider) Spent(now units.Microseconds) float64 {
 	sum := p.spentOnDeleted
 	for _, m := range p.machines {
--- a/internal/emulator/cloudprovider/cloudprovider.go
+++ b/internal/emulator/cloudprovider/cloudprovider.go
@@ -1,6 +1,7 @@
-// Package cloudprovider is the model of the cloud provider: it creates and deletes machines, bills
-// them by the second, reclaims spot machines and shows a list that lags, as the protocol describes
-// it. It is pure: time and random draws go in, effects come out of Drain.
+// Package cloudprovider models the cloud provider: it creates and deletes machines, bills them by the
+// second, reclaims spot machines and serves a machine list that lags behind, as the protocol defines
+// it. It is deterministic and does no I/O: time and random numbers are inputs, and Drain returns the
+// effects.
 package cloudprovider
 
 import (
@@ -12,20 +13,20 @@
 
 // Limits of the protocol.
 const (
-	MaxScaleOut = 50  // machines of one request
-	MaxScaleIn  = 100 // names of one request
-	MaxListPage = 500 // machines of one page of the list
+	MaxScaleOut = 50  // machines per request
+	MaxScaleIn  = 100 // names per request
+	MaxListPage = 500 // machines per page of the list
 )
 
-// Times of the provider.
+// Durations of the provider.
 const (
-	MinimumCharge    = 60 * units.Second // that a deleted machine is billed for at least
-	failureDetection = 30 * units.Second // for which a machine that died is still listed as running
-	priceInterval    = 20 * units.Second // how often spot prices move
-	quickBoot        = 2 * units.Second  // within which machines are up while they boot quickly
+	MinimumCharge    = 60 * units.Second // a deleted machine is billed for at least this long
+	failureDetection = 30 * units.Second // how long a failed machine is still listed as running
+	priceInterval    = 20 * units.Second // between changes of the spot prices
+	quickBoot        = 2 * units.Second  // maximum boot time while BootQuickly is in effect
 )
 
-// MachineType is a machine type on the price list. Prices are an hour.
+// MachineType is a machine type on the price list. Prices are per hour.
 type MachineType struct {
 	Name          string
 	CPUs          float64
@@ -36,46 +37,46 @@
 	Price         float64
 	SpotPrice     float64
 	Boot          units.Microseconds
-	BootFailShare float64 // of machines that never come up
+	BootFailShare float64 // share of machines that never come up
 	Zones         []string
 }
 
-// Pool is a type, zone and kind of machine; each has a capacity of its own.
+// Pool is a machine type in a zone, spot or on-demand. Each pool has its own capacity.
 type Pool struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Config says what the provider has, and what goes wrong there.
+// Config describes the provider's machine types and capacity, and its faults.
 type Config struct {
 	Types         []MachineType
 	Capacity      map[Pool]int
-	RequestRate   float64 // requests a second, with a burst of two seconds' worth
+	RequestRate   float64 // requests per second; bursts of up to two seconds' worth are allowed
 	ListLag       units.Microseconds
-	ReclaimRate   float64 // of spot machines, as a share an hour
+	ReclaimRate   float64 // share of spot machines reclaimed per hour
 	Notice        units.Microseconds
-	NoNoticeShare float64 // of those reclaimed without a notice
-	SlowShare     float64 // of machines that are several times slower
-	FailingShare  float64 // of machines on which every task fails
+	NoNoticeShare float64 // share of reclaimed machines that get no notice
+	SlowShare     float64 // share of machines that are several times slower
+	FailingShare  float64 // share of machines on which every task fails
 	FirstNumber   int     // number of the first machine
 }
 
-// stepKind is what a scheduled step does.
+// stepKind is the kind of a scheduled step.
 type stepKind int
 
 const (
 	stepBoot   stepKind = iota
-	stepNotice          // of a reclaim
+	stepNotice          // of an upcoming reclaim
 	stepReclaim
 	stepPrices
 )
 
-// step is something that the provider does at its time.
+// step is an action of the provider that is scheduled for a time.
 type step struct {
 	kind    stepKind
 	machine *Machine
-	draw    int // of stepNotice: counts only if it is the machine's last
+	draw    int // of stepNotice: the step is ignored unless this is the machine's latest draw
 }
 
 // Provider is a cloud provider with its machines.
@@ -83,16 +84,16 @@
 	config          Config
 	rng             *rand.Rand
 	types           map[string]*priceHistory
-	machines        []*Machine // in the order of their names; those deleted long ago are dropped
+	machines        []*Machine // sorted by name; machines deleted long ago are dropped
 	byName          map[string]*Machine
 	used            map[Pool]int
-	created         map[string][]string // names of the machines that each request created
+	created         map[string][]string // names of the created machines by request, for idempotency
 	nextNumber      int
 	steps           eventqueue.Queue[step]
 	downUntil       units.Microseconds
 	noCapacityUntil map[Pool]units.Microseconds
 	quickBootUntil  units.Microseconds
-	spentOnDeleted  float64 // what machines cost that are deleted or reclaimed
+	spentOnDeleted  float64 // cost of the deleted and reclaimed machines
 	bucket          struct {
 		used float64
 		at   units.Microseconds
@@ -100,7 +101,7 @@
 	effects []any
 }
 
-// New returns a provider without machines.
+// New returns a provider that has no machines yet.
 func New(config Config, rng *rand.Rand) *Provider {
 	p := &Provider{config: config, rng: rng, types: map[string]*priceHistory{}, byName: map[string]*Machine{}, used: map[Pool]int{},
 		created: map[string][]string{}, nextNumber: config.FirstNumber, noCapacityUntil: map[Pool]units.Microseconds{}}
@@ -111,13 +112,13 @@
 	return p
 }
 
-// Config returns what the provider is like.
+// Config returns the provider's current configuration.
 func (p *Provider) Config() Config { return p.config }
 
-// SetDown lets every request fail until a time; machines go on.
+// SetDown makes every request fail until a time. Machines keep running.
 func (p *Provider) SetDown(until units.Microseconds) { p.downUntil = max(p.downUntil, until) }
 
-// RefuseCapacity creates no machine in the pools that match until a time; an empty type or zone
+// RefuseCapacity makes the matching pools report no capacity until a time. An empty type or zone
 // matches any.
 func (p *Provider) RefuseCapacity(typ, zone string, until units.Microseconds) {
 	for _, t := range p.config.Types {
@@ -129,13 +130,13 @@
 	}
 }
 
-// BootQuickly lets every machine that is created until a time be up within quickBoot.
+// BootQuickly makes every machine that is created until a time boot within quickBoot.
 func (p *Provider) BootQuickly(until units.Microseconds) {
 	p.quickBootUntil = max(p.quickBootUntil, until)
 }
 
-// SetReclaimRate changes how often spot machines are reclaimed from now on, as a share an hour.
-// Draws are made anew for every machine.
+// SetReclaimRate sets the share of spot machines that are reclaimed per hour from now on. The reclaim
+// time of every spot machine is redrawn.
 func (p *Provider) SetReclaimRate(now units.Microseconds, perHour float64) {
 	p.config.ReclaimRate = perHour
 	for _, m := range p.machines {
@@ -145,10 +146,10 @@
 	}
 }
 
-// Next returns when Advance is next of use.
+// Next returns the time at which Advance is due next.
 func (p *Provider) Next() units.Microseconds { return p.steps.Next() }
 
-// Advance lets time pass.
+// Advance processes all steps that are due by now.
 func (p *Provider) Advance(now units.Microseconds) {
 	for {
 		at, due, ok := p.steps.Due(now)
@@ -170,7 +171,7 @@
 	}
 }
 
-// boot lets the worker of a machine start that is there still.
+// boot starts the worker of a machine, unless the machine was deleted or has failed.
 func (p *Provider) boot(at units.Microseconds, m *Machine) {
 	if m.DeletedAt == units.MaxTime && m.DiedAt == units.MaxTime {
 		m.UpAt = at
@@ -178,7 +179,7 @@
 	}
 }
 
-// Drain returns the effects since the last call.
+// Drain returns and clears the effects since the last call.
 func (p *Provider) Drain() []any {
 	out := p.effects
 	p.effects = nil
--- a/internal/emulator/cloudprovider/machine.go
+++ b/internal/emulator/cloudprovider/machine.go
@@ -6,40 +6,40 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Machine is a machine that was created. Times are units.MaxTime until they come.
+// Machine is a machine that was created. A time is units.MaxTime until its event has happened.
 type Machine struct {
 	Name string
 	Addr string
 	Pool
 	CreatedAt  units.Microseconds
 	UpAt       units.Microseconds // when its worker started
-	DiedAt     units.Microseconds // when it failed by itself
+	DiedAt     units.Microseconds // when it failed
 	DeletedAt  units.Microseconds // when it was deleted or reclaimed
-	Reclaimed  bool               // by the provider, rather than deleted
+	Reclaimed  bool               // by the provider, rather than deleted by a request
 	Speed      float64            // of its processors, about 1
 	FetchSpeed float64            // of its image fetches, about 1
 	FailsTasks bool               // every task fails
 
 	listed             bool
-	integralAtCreation float64 // of its type's spot price
-	costAtDeath        float64 // of a machine that has died: nothing more is charged
-	reclaimDraws       int     // of when it is reclaimed; the last one counts
+	integralAtCreation float64 // integral of its type's spot price at its creation
+	costAtDeath        float64 // cost of a failed machine, which is no longer billed
+	reclaimDraws       int     // number of draws of its reclaim time; only the latest is valid
 }
 
 // Effects.
 type (
-	// MachineStarted says that a machine's worker starts.
+	// MachineStarted: a machine's worker starts.
 	MachineStarted struct{ *Machine }
-	// MachineEnded says that a machine was deleted or reclaimed or has died, with all that was on it.
+	// MachineEnded: a machine was deleted or reclaimed or has failed, with all tasks on it.
 	MachineEnded struct{ *Machine }
-	// ReclaimNotice says that a machine's worker is told that the machine will be reclaimed.
+	// ReclaimNotice: a machine's worker is notified that the machine will be reclaimed.
 	ReclaimNotice struct {
 		*Machine
-		In units.Microseconds // as announced; it may be off by half
+		In units.Microseconds // announced time until then; the actual time may differ by up to half of it
 	}
 )
 
-// create adds a machine: its speed, its faults and its boot time are drawn.
+// create adds a machine with random speed, faults and boot time.
 func (p *Provider) create(now units.Microseconds, pool Pool, history *priceHistory) *Machine {
 	created := &Machine{Name: fmt.Sprintf("n-%06d", p.nextNumber), Pool: pool, CreatedAt: now, UpAt: units.MaxTime, DiedAt: units.MaxTime, DeletedAt: units.MaxTime,
 		Speed: 0.9 + 0.2*p.rng.Float64(), FetchSpeed: 0.67 + 0.66*p.rng.Float64(), integralAtCreation: history.integral(now)}
@@ -62,8 +62,8 @@
 	return created
 }
 
-// drawBootTime draws how long a machine boots; false: it never comes up. Besides those that never
-// do, two in a hundred boot several times slower, and two within seconds.
+// drawBootTime draws the boot time of a machine; false means that it never comes up. Of the others, 2%
+// boot several times slower than usual, and 2% within seconds.
 func (p *Provider) drawBootTime(now units.Microseconds, of MachineType) (units.Microseconds, bool) {
 	boot := float64(of.Boot) * (0.6 + 0.9*p.rng.Float64())
 	comesUp := true
@@ -82,8 +82,8 @@
 	return units.Microseconds(boot), comesUp
 }
 
-// scheduleReclaim draws when a spot machine is reclaimed, at the present rate. One that would be
-// more than a day ahead never comes.
+// scheduleReclaim draws the time at which a spot machine is reclaimed, from the current rate. A reclaim
+// more than a day ahead is not scheduled.
 func (p *Provider) scheduleReclaim(now units.Microseconds, m *Machine) {
 	m.reclaimDraws++
 	if p.config.ReclaimRate <= 0 {
@@ -95,13 +95,13 @@
 	}
 }
 
-// Reclaim reclaims a machine after a notice or, in a share of cases, at once without one. The
-// notice is right to within half.
-func (p *Provider) Reclaim(now units.Microseconds, m *Machine, notice units.Microseconds, silent float64) {
+// Reclaim reclaims a machine after a notice or, with the probability noNoticeShare, immediately and
+// without one. The machine is reclaimed after 0.5 to 1.5 times the announced time.
+func (p *Provider) Reclaim(now units.Microseconds, m *Machine, notice units.Microseconds, noNoticeShare float64) {
 	if m.DeletedAt != units.MaxTime || m.DiedAt != units.MaxTime {
 		return
 	}
-	if p.rng.Float64() < silent {
+	if p.rng.Float64() < noNoticeShare {
 		p.reclaimNow(now, m)
 		return
 	}
@@ -109,20 +109,20 @@
 	p.steps.Add(now+units.Microseconds(float64(notice)*(0.5+p.rng.Float64())), step{kind: stepReclaim, machine: m})
 }
 
-// reclaimNow reclaims a machine that was not deleted meanwhile.
+// reclaimNow reclaims a machine, unless it was deleted meanwhile.
 func (p *Provider) reclaimNow(now units.Microseconds, m *Machine) {
 	if m.DeletedAt != units.MaxTime {
 		return
 	}
-	died := m.DiedAt
+	diedAt := m.DiedAt
 	m.Reclaimed = true
 	p.markDeleted(now, m, 0)
-	if died == units.MaxTime {
+	if diedAt == units.MaxTime {
 		p.effects = append(p.effects, MachineEnded{m})
 	}
 }
 
-// Kill lets a machine fail by itself: it is no longer billed, is listed as running for
+// Kill makes a machine fail. It is no longer billed; the list shows it as running for
 // failureDetection and then as failed, until it is deleted.
 func (p *Provider) Kill(now units.Microseconds, m *Machine) {
 	if m.DiedAt != units.MaxTime || m.DeletedAt != units.MaxTime {
@@ -133,17 +133,18 @@
 	p.effects = append(p.effects, MachineEnded{m})
 }
 
-// markDeleted frees a machine's capacity and settles its bill.
+// markDeleted releases a machine's capacity and adds its cost, billed for least at the minimum, to
+// spentOnDeleted.
 func (p *Provider) markDeleted(now units.Microseconds, m *Machine, least units.Microseconds) {
 	m.DeletedAt = now
 	p.used[m.Pool]--
 	p.spentOnDeleted += p.charge(now, m, least)
 }
 
-// Machine returns a machine, or nil if there is none or it was deleted long ago.
+// Machine returns a machine by name, or nil if it does not exist or was deleted long ago.
 func (p *Provider) Machine(name string) *Machine { return p.byName[name] }
 
-// Alive returns the machines that are up, in the order of their names.
+// Alive returns the machines that are up, sorted by name.
 func (p *Provider) Alive() []*Machine {
 	var out []*Machine
 	for _, m := range p.machines {
@@ -154,7 +155,7 @@
 	return out
 }
 
-// Billed returns the machines that are paid for, booting ones too, in the order of their names.
+// Billed returns the machines that are currently billed, including booting ones, sorted by name.
 func (p *Provider) Billed() []*Machine {
 	var out []*Machine
 	for _, m := range p.machines {
@@ -165,5 +166,5 @@
 	return out
 }
 
-// CreatedCount returns how many machines were ever created.
+// CreatedCount returns the number of machines created so far.
 func (p *Provider) CreatedCount() int { return p.nextNumber - p.config.FirstNumber }
--- a/internal/emulator/cloudprovider/requests.go
+++ b/internal/emulator/cloudprovider/requests.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Listed is a machine as the list shows it.
+// Listed is an entry of the machine list.
 type Listed struct {
 	*Machine
 	State string // Booting, Running or Failed
@@ -23,7 +23,7 @@
 	Failed  = "failed"
 )
 
-// admit counts a request and returns 200, or the status that refuses it.
+// admit applies the rate limit to a request and returns 200, or the status with which it is refused.
 func (p *Provider) admit(now units.Microseconds) int {
 	p.Advance(now)
 	if now < p.downUntil {
@@ -39,7 +39,7 @@
 	return http.StatusOK
 }
 
-// MachineTypes returns the price list with the present spot prices.
+// MachineTypes returns the price list with the current spot prices, and an HTTP status.
 func (p *Provider) MachineTypes(now units.Microseconds) ([]MachineType, int) {
 	code := p.admit(now)
 	if code != http.StatusOK {
@@ -52,9 +52,9 @@
 	return out, code
 }
 
-// ScaleOut creates up to count machines. It is idempotent: a request that succeeded once gets the
-// same machines again. 503 with noCapacity says that there are none, 503 without that the request
-// was not executed.
+// ScaleOut creates up to count machines. It is idempotent: a repeated request that succeeded before
+// returns the same machines. A 503 with noCapacity means that the pool has no capacity, a 503 without
+// it that the request was not executed.
 func (p *Provider) ScaleOut(now units.Microseconds, request string, pool Pool, count int) (names []string, noCapacity bool, code int) {
 	if code = p.admit(now); code != http.StatusOK {
 		return nil, false, code
@@ -77,7 +77,7 @@
 	return names, false, http.StatusOK
 }
 
-// ScaleIn deletes machines and returns an HTTP status. Unknown names are ignored.
+// ScaleIn deletes machines and returns an HTTP status. It ignores unknown names.
 func (p *Provider) ScaleIn(now units.Microseconds, names []string) int {
 	if code := p.admit(now); code != http.StatusOK {
 		return code
@@ -99,8 +99,9 @@
 	return http.StatusOK
 }
 
-// List returns a page of the machine list, as it was some time ago. A list may be older than the
-// one before it; what was listed once stays until it is deleted.
+// List returns a page of the machine list as it was some time ago, and an HTTP status. A list may
+// reflect an older state than the one before it, but a machine that was listed once stays listed until
+// it is deleted.
 func (p *Provider) List(now units.Microseconds, after string, page int) (out []Listed, more bool, code int) {
 	if code = p.admit(now); code != http.StatusOK {
 		return nil, false, code
@@ -136,8 +137,8 @@
 	return out, false, code
 }
 
-// dropDeleted drops the machines that no list can show any more, so that lists cost no more as time
-// passes.
+// dropDeleted drops the machines that no list can show any more, so that the cost of a list does not
+// grow over time.
 func (p *Provider) dropDeleted(now units.Microseconds) {
 	p.machines = slices.DeleteFunc(p.machines, func(m *Machine) bool {
 		if m.DeletedAt != units.MaxTime && m.DeletedAt+2*p.config.ListLag+units.Second < now {
--- a/internal/emulator/machine/heartbeat.go
+++ b/internal/emulator/machine/heartbeat.go
@@ -9,28 +9,28 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Heartbeat is an effect: a heartbeat to be sent to a controller. Its response goes to
-// HandleResponse; HeartbeatFailed says that there is none. Without either within ResponseTimeout
-// the worker gives up by itself.
+// Heartbeat is an effect: a heartbeat to be sent to a controller. Pass its response to HandleResponse,
+// or report a failure with HeartbeatFailed. Without either the heartbeat times out after
+// ResponseTimeout.
 type Heartbeat struct {
 	Node         string
 	Number       int
 	Body         *fleet.Heartbeat
-	Checkpointed map[jobs.TaskID]bool // of the stopped tasks, whose progress was saved
+	Checkpointed map[jobs.TaskID]bool // stopped tasks whose progress was saved
 }
 
 // Response is a controller's response to a heartbeat.
 type Response struct {
 	Code           int
-	RedirectTo     string // the controller that a 421 names
+	RedirectTo     string // the controller named in a 421
 	FencingToken   uint64
-	NoFencingToken bool // the response had none: it counts for nothing
+	NoFencingToken bool // the response had no token and is ignored
 	Commands       []fleet.Command
 }
 
-// StartedTasks returns the tasks that a response starts, if it is acted on.
-func (a Response) StartedTasks() (out []jobs.TaskID) {
-	for _, c := range a.Commands {
+// StartedTasks returns the tasks that the response's commands start.
+func (r Response) StartedTasks() (out []jobs.TaskID) {
+	for _, c := range r.Commands {
 		if c.Op == fleet.Start {
 			out = append(out, c.ID)
 		}
@@ -38,13 +38,14 @@
 	return out
 }
 
-// pendingResponse is a response that arrived while the machine hung; it is read once it goes on.
+// pendingResponse is a response that arrived while the machine hung; it is processed after the machine
+// resumes.
 type pendingResponse struct {
 	number   int
 	response Response
 }
 
-// sendHeartbeat sends the worker's status, and draws when the next heartbeat is due.
+// sendHeartbeat sends the worker's status and schedules the next heartbeat, with jitter.
 func (w *Worker) sendHeartbeat() {
 	w.heartbeats++
 	w.inFlight, w.sentAt, w.sentIncarnation, w.lastHeartbeat = w.heartbeats, w.now, w.incarnation, w.now
@@ -52,13 +53,13 @@
 	w.heartbeatDue = w.now + units.Microseconds(float64(w.config.HeartbeatEvery)*(0.75+0.5*w.rng.Float64()))
 	body, saved := w.Status()
 	if w.OutboundCut(w.now) {
-		return // the connection is never established: the worker gives up after ResponseTimeout
+		return // the connection is never established: the heartbeat times out after ResponseTimeout
 	}
 	w.effects = append(w.effects, Heartbeat{w.config.Nodes[w.controller], w.heartbeats, body, saved})
 }
 
-// Status returns what a heartbeat says, and which stopped tasks have saved their progress. Each
-// call counts as a message of its own.
+// Status returns the body of a heartbeat, and the stopped tasks that have saved their progress. Each
+// call uses a new sequence number.
 func (w *Worker) Status() (*fleet.Heartbeat, map[jobs.TaskID]bool) {
 	w.sequence++
 	status := &fleet.Heartbeat{Machine: w.config.Name, Addr: w.config.Addr, Type: w.config.Type, Zone: w.config.Zone, Spot: w.config.Spot,
@@ -82,7 +83,7 @@
 	return status, checkpointed
 }
 
-// HeartbeatFailed says that a heartbeat got no response that counts.
+// HeartbeatFailed reports that a heartbeat got no valid response.
 func (w *Worker) HeartbeatFailed(now units.Microseconds, number int) {
 	w.Advance(now)
 	if w.inFlight == number && number != 0 {
@@ -91,21 +92,21 @@
 	}
 }
 
-// tryNextController turns to the next controller, after a pause.
+// tryNextController sends the next heartbeat to the next controller, after a pause.
 func (w *Worker) tryNextController(pause units.Microseconds) {
 	w.controller = (w.controller + 1) % len(w.config.Nodes)
 	w.retryAfter(pause)
 }
 
-// retryAfter sends the next heartbeat after a pause, and none before.
+// retryAfter schedules the next heartbeat after a pause and suppresses earlier ones.
 func (w *Worker) retryAfter(pause units.Microseconds) {
 	w.retryAt = w.now + pause
 	w.heartbeatDue = w.retryAt
 }
 
-// HandleResponse takes a controller's response to a heartbeat. One that comes after
-// ResponseTimeout, or while a later heartbeat is under way, is dropped. A machine that hangs reads
-// it once it goes on, if that is within ResponseTimeout (TestResponseWhileHung).
+// HandleResponse processes a controller's response to a heartbeat. A response that arrives after
+// ResponseTimeout, or while a later heartbeat is in flight, is dropped. A hung machine processes it
+// after it resumes, if that is within ResponseTimeout (TestResponseWhileHung).
 func (w *Worker) HandleResponse(now units.Microseconds, number int, response Response) {
 	w.Advance(now)
 	if w.inFlight != number || number == 0 || w.InboundCut(now) {
@@ -118,7 +119,7 @@
 	w.applyResponse(response)
 }
 
-// applyResponse acts on the response to the heartbeat that is under way.
+// applyResponse applies the response to the heartbeat that is in flight.
 func (w *Worker) applyResponse(response Response) {
 	w.inFlight = 0
 	if response.Code == http.StatusMisdirectedRequest {
@@ -133,7 +134,7 @@
 		return
 	}
 	if response.NoFencingToken || response.FencingToken < w.fencingToken || w.sentIncarnation != w.incarnation {
-		return // of a former leader or incarnation: no command is executed, no lease renewed
+		return // from a former leader, or for a former incarnation: execute no command, don't renew the lease
 	}
 	w.observeToken(response.FencingToken)
 	w.leaseRenewedAt = max(w.leaseRenewedAt, w.sentAt)
@@ -142,8 +143,8 @@
 	}
 }
 
-// observeToken takes up a fencing token. A higher one counts as a change, which is sent at once, at
-// most twice a lease.
+// observeToken adopts a fencing token if it is higher. A higher token counts as a change, which is
+// sent in a heartbeat without waiting for the next interval, at most twice per lease.
 func (w *Worker) observeToken(offered uint64) {
 	if offered > w.fencingToken && w.now-w.tokenChangedAt >= w.config.Lease/2 {
 		w.tokenChangedAt = w.now
@@ -152,8 +153,8 @@
 	w.fencingToken = max(w.fencingToken, offered)
 }
 
-// HandleDirect executes commands that a controller sent directly to the machine, and reports
-// whether fencing token and incarnation allowed it. No lease is renewed.
+// HandleDirect executes commands that a controller sent directly to the machine, and reports whether
+// the fencing token and the incarnation were valid. It does not renew the lease.
 func (w *Worker) HandleDirect(now units.Microseconds, offered, incarnation uint64, commands []fleet.Command) bool {
 	w.Advance(now)
 	if offered < w.fencingToken || incarnation != w.incarnation {
--- a/internal/emulator/machine/images.go
+++ b/internal/emulator/machine/images.go
@@ -7,14 +7,14 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// fetch is an image that is being fetched.
+// fetch is an image fetch in progress.
 type fetch struct {
 	image  string
 	leftMB float64
 	sizeMB int64
 }
 
-// nextFetchDone is how long it takes until the first fetch is complete.
+// nextFetchDone returns the time until the first of the fetches completes.
 func (w *Worker) nextFetchDone() units.Microseconds {
 	leastMB := -1.0
 	for _, f := range w.fetches {
@@ -25,20 +25,20 @@
 	return units.Seconds(leastMB*float64(len(w.fetches))/float64(max(w.config.FetchMBs, 1))) + 1
 }
 
-// advanceFetches advances the fetches up to now; all under way share the machine's rate.
+// advanceFetches advances the fetches up to now. They share the machine's fetch rate equally.
 func (w *Worker) advanceFetches() {
 	for len(w.fetches) > 0 && w.fetchedUntil < w.now {
 		step := min(w.nextFetchDone(), w.now-w.fetchedUntil)
 		part := step.Seconds() * float64(w.config.FetchMBs) / float64(len(w.fetches))
 		w.fetchedUntil += step
-		var through []string
+		var completed []string
 		for image, f := range w.fetches {
 			if f.leftMB -= part; f.leftMB <= 0 {
-				through = append(through, image)
+				completed = append(completed, image)
 			}
 		}
-		slices.Sort(through)
-		for _, image := range through {
+		slices.Sort(completed)
+		for _, image := range completed {
 			f := w.fetches[image]
 			delete(w.fetches, image)
 			w.touchImage(image, f.sizeMB)
@@ -52,7 +52,7 @@
 	w.fetchedUntil = max(w.fetchedUntil, w.now)
 }
 
-// cancelUnusedFetches cancels the fetches for which no task waits any more.
+// cancelUnusedFetches cancels the fetches that no task waits for any more.
 func (w *Worker) cancelUnusedFetches() {
 	for image := range w.fetches {
 		if !w.imageInUse(image) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// touchImage makes an image the most recently used one, and evicts the least recently used ones
-// beyond the size of the cache that no task uses.
+// touchImage marks an image as the most recently used. While the cache exceeds its size, it evicts the
+// least recently used images that no task uses.
 func (w *Worker) touchImage(image string, size int64) {
 	if i := slices.Index(w.imagesByUse, image); i >= 0 {
 		w.imagesByUse = slices.Delete(w.imagesByUse, i, i+1)
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -1,6 +1,6 @@
-// Package machine is the model of a worker and of the machine that it runs on: heartbeats, fencing
-// tokens, leases and incarnations, commands, images, checkpoints, as the protocol describes them.
-// It is pure: time, responses and random draws go in, effects come out of Drain.
+// Package machine models a worker and the machine that it runs on: heartbeats, fencing tokens, leases,
+// incarnations, commands, images and checkpoints, as the protocol defines them. It is deterministic
+// and does no I/O: time, responses and random numbers are inputs, and Drain returns the effects.
 package machine
 
 import (
@@ -12,86 +12,86 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// Times of the protocol.
+// Durations of the protocol.
 const (
 	// ResponseTimeout is how long a worker waits for the response to a heartbeat.
 	ResponseTimeout = 4 * units.Second
-	// changeInterval is the least time between heartbeats that are sent because of a change.
+	// changeInterval is the minimum time between heartbeats that are sent because of a change.
 	changeInterval = units.Second / 2
-	// retryPause is the pause after a heartbeat that failed.
+	// retryPause is the pause after a failed heartbeat.
 	retryPause = units.Second
 )
 
-// maxRefused bounds the refusals that a worker keeps until it is told to forget them.
+// maxRefused bounds the refused attempts that a worker keeps until a Forget command.
 const maxRefused = 64
 
-// failsWithin is the run time after which a task fails that is bound to.
+// failsWithin is the maximum run time of a task that is going to fail.
 const failsWithin = 2 * units.Second
 
-// Config describes a machine. It is handed as JSON to workers in processes of their own, under
-// the names in the tags.
+// Config describes a machine. It is passed as JSON to workers in processes of their own, under the
+// names in the tags.
 type Config struct {
 	Name, Addr     string
 	Type, Zone     string
 	Spot           bool
 	Capacity       binpack.Vec
 	CacheMB        int64
-	FetchMBs       int64              // megabytes a second, shared by all fetches
+	FetchMBs       int64              // megabytes per second, shared by all fetches
 	HeartbeatEvery units.Microseconds `json:"ReportEvery"`
 	Lease          units.Microseconds
-	Nodes          []string // controllers, in the order in which they are tried
-	ClockRate      float64  `json:"Clock"` // of its monotonic clock, about 1; 0 is 1
+	Nodes          []string // controllers, in the order of attempts
+	ClockRate      float64  `json:"Clock"` // rate of its monotonic clock, about 1; 0 means 1
 }
 
-// TaskStarted is an effect: a task is on the machine with its image.
+// TaskStarted is an effect: a task runs on the machine, with its image fetched.
 type TaskStarted struct{ Task jobs.TaskID }
 
-// TaskEnded is an effect: a task is no longer on the machine.
+// TaskEnded is an effect: a task no longer runs on the machine.
 type TaskEnded struct {
 	Task      jobs.TaskID
 	Completed bool
 }
 
-// Worker is a machine with its worker.
+// Worker models a machine and its worker.
 type Worker struct {
 	config  Config
 	fault   Fault
-	uploads work.Uploads // what users uploaded
+	uploads work.Uploads // the jobs that users uploaded
 	rng     *rand.Rand
 	now     units.Microseconds
 
-	controller       int // index of the one that is tried
+	controller       int // index of the controller that gets the next heartbeat
 	incarnation      uint64
 	sequence         uint64
 	fencingToken     uint64
-	leaseRenewedAt   units.Microseconds // when the last heartbeat that got a response was sent
-	reclaimAt        units.Microseconds // when the cloud reclaims the machine, by its notice; MaxTime: no notice
+	leaseRenewedAt   units.Microseconds // send time of the last heartbeat that got a valid response
+	reclaimAt        units.Microseconds // when the cloud reclaims the machine, as announced; MaxTime: no notice
 	hungUntil        units.Microseconds
-	pending          *pendingResponse // arrived while the machine hung
+	pending          *pendingResponse // response that arrived while the machine hung
 	inboundCutUntil  units.Microseconds
 	outboundCutUntil units.Microseconds
 
-	heartbeatDue    units.Microseconds // the next heartbeat, unless something changes before
+	heartbeatDue    units.Microseconds // when the next heartbeat is due if nothing changes before
 	statusChanged   bool
 	lastHeartbeat   units.Microseconds
-	retryAt         units.Microseconds // no heartbeat before: the pause after a failure
-	inFlight        int                // number of the heartbeat under way; 0: none
+	retryAt         units.Microseconds // end of the pause after a failure: no heartbeat is sent before
+	inFlight        int                // number of the heartbeat in flight; 0: none
 	sentAt          units.Microseconds
-	sentIncarnation uint64             // in which it was sent
-	heartbeats      int                // sent so far
-	tokenChangedAt  units.Microseconds // when a higher token last counted as a change
+	sentIncarnation uint64             // incarnation in which it was sent
+	heartbeats      int                // number sent so far
+	tokenChangedAt  units.Microseconds // when a higher fencing token last counted as a change
 
 	tasks        map[jobs.TaskID]*task
-	refused      []*task // refusals that stand beside an attempt of the same task
+	refused      []*task // refused attempts of tasks that have another attempt on the machine
 	free         binpack.Vec
-	imagesByUse  []string         // the cache, the most recently used image last
-	imageSizes   map[string]int64 // of cached images, in megabytes
+	imagesByUse  []string         // cached images, the most recently used last
+	imageSizes   map[string]int64 // sizes of cached images in megabytes
 	fetches      map[string]*fetch
-	fetchedUntil units.Microseconds // up to when fetches have been advanced
+	fetchedUntil units.Microseconds // time up to which fetches have been advanced
 	effects      []any
 }
 
-// New returns a worker that has just started, in its first incarnation.
+// New returns a worker that starts now, in its first incarnation.
 func New(config Config, fault Fault, uploads work.Uploads, now units.Microseconds, rng *rand.Rand) *Worker {
 	w := &Worker{config: config, fault: fault, uploads: uploads, rng: rng, now: now, incarnation: 1, leaseRenewedAt: now, reclaimAt: units.MaxTime,
 		free: config.Capacity, tasks: map[jobs.TaskID]*task{}, imageSizes: map[string]int64{}, fetches: map[string]*fetch{},
@@ -102,10 +102,10 @@
 	return w
 }
 
-// Incarnation returns the present incarnation.
+// Incarnation returns the current incarnation.
 func (w *Worker) Incarnation() uint64 { return w.incarnation }
 
-// Next returns when Advance is next of use.
+// Next returns the time at which Advance is due next.
 func (w *Worker) Next() units.Microseconds {
 	lease := w.leaseExpiry()
 	next := units.MaxTime
@@ -131,11 +131,11 @@
 	return min(lease, max(next, w.hungUntil))
 }
 
-// Advance lets time pass.
+// Advance moves the clock to now and processes everything that is due by then.
 func (w *Worker) Advance(now units.Microseconds) {
 	w.now = max(w.now, now)
-	// A machine that hung resumes within its lease or without its tasks: what counts the lease
-	// there does not hang with it.
+	// The lease timer does not stop while the machine hangs: a machine that resumes after its lease
+	// has expired has no tasks left.
 	if w.now >= w.leaseExpiry() {
 		w.endAllTasks()
 		w.incarnation++
@@ -145,10 +145,10 @@
 	if w.now < w.hungUntil {
 		return
 	}
-	if u := w.pending; u != nil {
+	if pending := w.pending; pending != nil {
 		w.pending = nil
-		if w.inFlight == u.number && w.now < w.sentAt+ResponseTimeout {
-			w.applyResponse(u.response)
+		if w.inFlight == pending.number && w.now < w.sentAt+ResponseTimeout {
+			w.applyResponse(pending.response)
 		}
 	}
 	w.advanceFetches()
@@ -168,8 +168,8 @@
 	}
 }
 
-// leaseExpiry is when the lease expires, by the simulation's clock; the worker counts it by its
-// own.
+// leaseExpiry returns when the lease expires, in simulated time. The worker measures the lease with
+// its own clock, which runs at clockRate.
 func (w *Worker) leaseExpiry() units.Microseconds {
 	return w.leaseRenewedAt + units.Microseconds(float64(w.config.Lease)/w.clockRate()) + 1
 }
@@ -181,7 +181,7 @@
 	return w.config.ClockRate
 }
 
-// Drain returns the effects since the last call.
+// Drain returns and clears the effects since the last call.
 func (w *Worker) Drain() []any {
 	out := w.effects
 	w.effects = nil
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -13,19 +13,20 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// TestResponseWhileHung has the response to a heartbeat, with a command to stop a task, arrive
-// while the machine stands still: nothing is carried out until it goes on, and then only
-// within ResponseTimeout.
+// TestResponseWhileHung guards against a hung machine that executes commands, or executes a response
+// that has timed out meanwhile. The response to a heartbeat, with a command to stop a task, arrives
+// while the machine hangs: it takes effect only after the machine resumes, and only within
+// ResponseTimeout.
 func TestResponseWhileHung(t *testing.T) {
 	id := jobs.TaskID{Job: "wk-000001"}
 	for _, test := range []struct {
 		hang units.Microseconds
 		runs bool
 	}{{2 * units.Second, false}, {6 * units.Second, true}} {
-		book := work.Uploads{id.Job: {ID: id.Job, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{1, 0, 1}}, Run: 600 * units.Second}}
+		uploads := work.Uploads{id.Job: {ID: id.Job, Spec: &jobs.Spec{Tasks: 1, Demand: binpack.Vec{1, 0, 1}}, Run: 600 * units.Second}}
 		w := New(Config{Name: "n-1", Capacity: binpack.Vec{10, 0, 10}, FetchMBs: 1000, HeartbeatEvery: 3 * units.Second, Lease: 60 * units.Second, Nodes: []string{"node-0"}},
-			Fault{Speed: 1}, book, 0, rand.New(rand.NewPCG(1, 1)))
-		// Heartbeats go out until one is under way, which has no response yet.
+			Fault{Speed: 1}, uploads, 0, rand.New(rand.NewPCG(1, 1)))
+		// next advances the worker until it sends a heartbeat, which has no response yet.
 		now, number := units.Microseconds(0), 0
 		next := func() {
 			for number = 0; number == 0; now += units.Second / 20 {
@@ -48,18 +49,18 @@
 		w.HandleResponse(now, number, Response{Code: http.StatusOK, FencingToken: 1, Commands: []fleet.Command{{Op: fleet.Stop, ID: id, Attempt: 1}}})
 		w.Advance(now + test.hang - 1)
 		if w.Running() != 1 {
-			t.Errorf("hanging for %v s: it carries out a command meanwhile", test.hang.Seconds())
+			t.Errorf("hung for %v s: the command was executed while the machine hung", test.hang.Seconds())
 		}
 		w.Advance(now + test.hang)
 		if got := w.Running() == 1; got != test.runs {
-			t.Errorf("hanging for %v s: the task goes on %v, want %v", test.hang.Seconds(), got, test.runs)
+			t.Errorf("hung for %v s: the task still runs: %v, want %v", test.hang.Seconds(), got, test.runs)
 		}
 	}
 }
 
-// TestHandedAsJSON checks the text under which the cloud hands a machine to a worker in a process
-// of its own: the names of the fields stay as they are.
-func TestHandedAsJSON(t *testing.T) {
+// TestJSONFieldNames guards against renamed fields in the JSON with which the cloud passes a machine to a
+// worker in a process of its own.
+func TestJSONFieldNames(t *testing.T) {
 	for _, test := range []struct {
 		value any
 		want  string
--- a/internal/emulator/machine/tasks.go
+++ b/internal/emulator/machine/tasks.go
@@ -10,7 +10,7 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// task is an attempt of a task that a machine was told to start.
+// task is an attempt of a task that the worker was commanded to start.
 type task struct {
 	id           jobs.TaskID
 	attempt      uint64
@@ -18,17 +18,17 @@
 	cause        fleet.Cause
 	checkpointed bool
 	job          *work.Job
-	// A running task had made progress by the time since and ends at endsAt; a saving one has
-	// its checkpoint written at endsAt. Progress is run time on a machine of speed 1.
+	// progress is the run time completed by the time since, on a machine of speed 1. A running task
+	// ends at endsAt; a saving task has written its checkpoint at endsAt.
 	progress units.Microseconds
 	since    units.Microseconds
 	endsAt   units.Microseconds
 }
 
-// onMachine reports whether a task is on the machine with its image.
+// onMachine reports whether the task is running or saving its checkpoint, with its image fetched.
 func (t *task) onMachine() bool { return t.state == fleet.Running || t.state == fleet.Saving }
 
-// taskIDs returns the tasks in the order of their names.
+// taskIDs returns the tasks sorted by job, then by number.
 func (w *Worker) taskIDs() []jobs.TaskID {
 	ids := make([]jobs.TaskID, 0, len(w.tasks))
 	for id := range w.tasks {
@@ -43,9 +43,9 @@
 	return ids
 }
 
-// dueTasks returns the tasks whose run or checkpoint is complete, in the order of their names.
+// dueTasks returns the tasks whose run or checkpoint is complete, sorted as taskIDs.
 func (w *Worker) dueTasks() []jobs.TaskID {
-	found := false // most calls find none: they need no sorted list
+	found := false // most calls find none and can skip the sorting
 	for _, t := range w.tasks {
 		found = found || t.onMachine() && t.endsAt <= w.now
 	}
@@ -73,21 +73,21 @@
 	}
 }
 
-// exit ends an attempt; it stays in the heartbeats until a command to forget it.
-func (w *Worker) exit(t *task, c fleet.Cause) {
-	was := t.onMachine()
+// exit ends an attempt. It stays in the heartbeats until a Forget command.
+func (w *Worker) exit(t *task, cause fleet.Cause) {
+	wasOnMachine := t.onMachine()
 	if t.job != nil && t.state != fleet.Exited {
 		w.free = w.free.Add(t.job.Spec.Demand)
 	}
-	t.state, t.cause = fleet.Exited, c
-	if was {
-		w.effects = append(w.effects, TaskEnded{t.id, c == fleet.Completed})
+	t.state, t.cause = fleet.Exited, cause
+	if wasOnMachine {
+		w.effects = append(w.effects, TaskEnded{t.id, cause == fleet.Completed})
 	}
 	w.statusChanged = true
 	w.cancelUnusedFetches()
 }
 
-// endAllTasks ends all attempts and forgets them, as when the lease expires or the machine dies.
+// endAllTasks ends and forgets all attempts, because the lease has expired or the machine has failed.
 func (w *Worker) endAllTasks() {
 	for _, id := range w.taskIDs() {
 		if t := w.tasks[id]; t.onMachine() {
@@ -103,7 +103,7 @@
 	w.free = w.config.Capacity
 }
 
-// execute executes a command of a controller.
+// execute executes a controller's command.
 func (w *Worker) execute(command fleet.Command) {
 	t := w.tasks[command.ID]
 	switch command.Op {
@@ -122,7 +122,7 @@
 	}
 }
 
-// start begins an attempt, refuses it, or ignores the repeated command.
+// start starts an attempt or refuses it. A repeated command is ignored.
 func (w *Worker) start(command fleet.Command, old *task) {
 	if old != nil && old.attempt == command.Attempt ||
 		slices.ContainsFunc(w.refused, func(r *task) bool { return r.id == command.ID && r.attempt == command.Attempt }) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// startRunning lets a task run that has its image, from its checkpoint.
+// startRunning starts a task whose image is on the machine, from its checkpoint.
 func (w *Worker) startRunning(t *task) {
 	w.touchImage(t.job.Spec.Image, t.job.Spec.ImageMB)
 	t.state, t.since, t.progress = fleet.Running, w.now, t.job.Saved(t.id.Task)
@@ -167,10 +167,10 @@
 	w.statusChanged = true
 }
 
-// scheduleEnd sets when a running task ends.
+// scheduleEnd sets the time at which a running task ends.
 func (w *Worker) scheduleEnd(t *task) {
 	switch {
-	case t.job.Finished(t.id.Task): // what completed once does so again at once
+	case t.job.Finished(t.id.Task): // a task that has completed before completes immediately
 		t.endsAt = w.now
 	case t.job.Spec.Service && !t.job.FailsAlways && !w.fault.FailsTasks:
 		t.endsAt = units.MaxTime
@@ -183,12 +183,12 @@
 	}
 }
 
-// progressOf is how much of a running task is done, in run time on a machine of speed 1.
+// progressOf returns the progress of a running task, as run time on a machine of speed 1.
 func (w *Worker) progressOf(t *task) units.Microseconds {
 	return t.progress + units.Microseconds(float64(max(w.now-t.since, 0))*w.fault.Speed)
 }
 
-// stop lets a task that has checkpoints write one, if the grace period is long enough for it.
+// stop stops a task. A task with checkpoints writes one first if the grace period is long enough.
 func (w *Worker) stop(t *task, grace units.Microseconds) {
 	s := t.job.Spec
 	if t.state == fleet.Running && s.Checkpoint > 0 && grace >= s.Save {
@@ -206,7 +206,7 @@
 	w.exit(t, fleet.Stopped)
 }
 
-// saveLastCheckpoint keeps the progress that a task had at its last periodic checkpoint.
+// saveLastCheckpoint saves the progress that a task had at its last periodic checkpoint.
 func (w *Worker) saveLastCheckpoint(t *task) {
 	if every := t.job.Spec.Checkpoint; every > 0 {
 		t.job.Save(t.id.Task, w.progressOf(t)/every*every)
--- a/internal/emulator/machine/usage.go
+++ b/internal/emulator/machine/usage.go
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Running returns how many tasks are on the machine with their image.
+// Running returns the number of tasks on the machine, without those that wait for their image.
 func (w *Worker) Running() int {
 	n := 0
 	for _, t := range w.tasks {
@@ -18,8 +18,8 @@
 	return n
 }
 
-// Usage returns what the tasks take that are on the machine, and those that wait for their
-// image.
+// Usage returns the total demand of the tasks that are running or saving a checkpoint, and of those
+// whose image is being fetched.
 func (w *Worker) Usage() (running, fetching binpack.Vec) {
 	for _, t := range w.tasks {
 		switch {
@@ -32,24 +32,24 @@
 	return running, fetching
 }
 
-// FreeCapacity returns what is free, and the tasks that take the rest.
-func (w *Worker) FreeCapacity() (free binpack.Vec, taken []jobs.TaskID) {
+// FreeCapacity returns the free capacity and the tasks that occupy the rest.
+func (w *Worker) FreeCapacity() (free binpack.Vec, placed []jobs.TaskID) {
 	for _, id := range w.taskIDs() {
 		if w.tasks[id].state != fleet.Exited {
-			taken = append(taken, id)
+			placed = append(placed, id)
 		}
 	}
-	return w.free, taken
+	return w.free, placed
 }
 
-// Remaining is a task on a machine, and how much longer it takes.
+// Remaining is a task on a machine and its remaining run time.
 type Remaining struct {
 	Task jobs.TaskID
 	Time units.Microseconds
 }
 
-// RemainingTimes returns the tasks that are on the machine, in the order of their names, and how
-// much longer each runs if nothing stops it.
+// RemainingTimes returns the tasks on the machine, sorted as taskIDs, with the time that each still
+// runs if nothing stops it.
 func (w *Worker) RemainingTimes(now units.Microseconds) (out []Remaining) {
 	for _, id := range w.taskIDs() {
 		if t := w.tasks[id]; t.onMachine() {
