--- a/internal/emulator/account/account.go
+++ b/internal/emulator/account/account.go
@@ -1,6 +1,6 @@
-// Package account says where the money for machines goes: what they were doing while
-// they were paid for, by pool. Like the meter it goes by what machines did, and believes
-// no controller. It is pure.
+// Package account breaks down the cost of machines by pool and by what the machines were doing while
+// they were billed. Like package meter it is based on what machines did, not on what controllers
+// report. It does no I/O.
 package account
 
 import (
@@ -13,54 +13,54 @@
 	"shalestage.example/shalestage/internal/emulator/cloudprovider"
 )
 
-// Interval is how often an account looks at the machines: what holds at a look is taken to
-// have held since the one before.
+// Interval is the time between observations of the machines. The state at an observation is attributed
+// to the whole time since the previous one.
 const Interval = units.Second / 2
 
-// Use is what money was spent on.
+// Use is a category of spending.
 type Use int
 
-// Uses, in the order in which a machine comes to them. Of a machine that holds tasks, each
-// CPU's money goes to what that CPU does.
+// Uses, in the order of a machine's life. The cost of a machine with tasks is split by CPU: each CPU's
+// share counts for what that CPU does.
 const (
-	Boot       Use = iota // until the worker began
-	NeverUp               // the same of machines whose worker never did
-	Unused                // up, and held no task until they were gone
-	Before                // empty, until the first task came
-	Between               // empty, and a task came later
-	After                 // empty, and none came any more
-	Fetching              // held by tasks that waited for their image
-	Beside                // free, while other CPUs of the machine were held
-	Useful                // tasks that completed
-	Lost                  // tasks that did not complete
-	Unfinished            // tasks that were on their machine when the play ended
-	Least                 // charged for machines that were gone before the least charge was used up
-	CutEmpty              // up and empty in a zone that was cut off
-	CutBoot               // booting in one
-	Uses
+	Boot       Use = iota // until the worker started
+	NeverUp               // the same, of machines whose worker never started
+	Unused                // up, of machines that never had a task
+	Before                // empty, before the first task
+	Between               // empty, between two tasks
+	After                 // empty, after the last task
+	Fetching              // occupied by tasks that waited for their image
+	Beside                // free, while other CPUs of the machine were occupied
+	Useful                // occupied by tasks that completed
+	Lost                  // occupied by tasks that did not complete
+	Unfinished            // occupied by tasks that were still running at the end of the run
+	Least                 // rest of the minimum charge of machines that were deleted before it was used up
+	CutEmpty              // up and empty, in a zone that was partitioned
+	CutBoot               // booting, in a zone that was partitioned
+	Uses                  // number of uses
 )
 
-// Names are the uses as reports call them.
+// Names are the names of the uses in reports.
 var Names = [Uses]string{"boot", "never_up", "unused", "before", "between", "after", "fetching", "beside", "useful", "lost", "unfinished", "least", "cut_empty", "cut_boot"}
 
-// Machine is a machine that is paid for, as a look finds it.
+// Machine is the state of a billed machine at an observation.
 type Machine struct {
 	*cloudprovider.Machine
 	Up                bool
-	Cut               bool // its zone is cut off
+	Cut               bool // its zone is partitioned
 	CPUs              float64
-	Running, Fetching float64 // CPUs that tasks hold
-	Rate              float64 // money an hour
+	Running, Fetching float64 // CPUs occupied by tasks
+	Rate              float64 // cost per hour
 }
 
-// Row is what one pool's machines cost, by use.
+// Row is the cost of one pool's machines by use.
 type Row struct {
 	Pool     cloudprovider.Pool
 	Machines int
 	Spent    [Uses]float64
 }
 
-// Total is what a row's machines cost.
+// Total returns the total cost of a row.
 func (r *Row) Total() float64 {
 	var sum float64
 	for _, v := range r.Spent {
@@ -69,53 +69,55 @@
 	return sum
 }
 
+// machine is the account of a machine that is still billed.
 type machine struct {
-	host   *cloudprovider.Machine
-	row    *Row
-	up     bool
-	worked bool
-	boot   float64
-	empty  float64 // since it last held a task
-	perCPU float64 // what a CPU of it has cost since the first look
-	rate   float64
-	tasks  map[jobs.TaskID]held
-}
-
-// held is a task's CPUs and what one had cost when it began.
-type held struct{ cpus, perCPU float64 }
-
-// Account is a play's. Its memory grows with the machines that are rented at one time.
+	host     *cloudprovider.Machine
+	row      *Row
+	up       bool
+	hadTasks bool
+	boot     float64
+	empty    float64 // cost since it last had a task
+	perCPU   float64 // cost of one of its CPUs since the first observation
+	rate     float64
+	tasks    map[jobs.TaskID]taskCost
+}
+
+// taskCost holds a task's CPUs, and the machine's perCPU when the task started.
+type taskCost struct{ cpus, perCPU float64 }
+
+// Account is the account of one run. Its memory grows with the machines that are billed at the same
+// time.
 type Account struct {
 	rows map[cloudprovider.Pool]*Row
 	live map[string]*machine
 	at   units.Microseconds
 }
 
-// New returns an account of nothing.
+// New returns an empty account.
 func New() *Account {
 	return &Account{rows: map[cloudprovider.Pool]*Row{}, live: map[string]*machine{}}
 }
 
-// Observe takes all machines that are paid for at a time.
+// Observe adds an observation of all billed machines.
 func (a *Account) Observe(at units.Microseconds, list []Machine) {
 	hours := (at - a.at).Seconds() / 3600
 	a.at = at
-	there := make(map[string]bool, len(list))
+	present := make(map[string]bool, len(list))
 	for _, x := range list {
-		there[x.Name] = true
+		present[x.Name] = true
 		m := a.live[x.Name]
 		since := hours
 		if m == nil {
-			m = &machine{host: x.Machine, row: a.row(x.Pool), tasks: map[jobs.TaskID]held{}}
+			m = &machine{host: x.Machine, row: a.row(x.Pool), tasks: map[jobs.TaskID]taskCost{}}
 			m.row.Machines++
 			a.live[x.Name] = m
-			since = (at - x.CreatedAt).Seconds() / 3600 // it was rented since the last look
+			since = (at - x.CreatedAt).Seconds() / 3600 // created since the last observation
 		}
 		m.spend(x, x.Rate*since)
 	}
 	for name, m := range a.live {
-		if !there[name] {
-			a.gone(at, m)
+		if !present[name] {
+			a.endMachine(at, m)
 			delete(a.live, name)
 		}
 	}
@@ -130,7 +132,7 @@
 	return r
 }
 
-// spend adds money to what a machine is doing.
+// spend books money on what a machine is doing.
 func (m *machine) spend(x Machine, money float64) {
 	m.rate = x.Rate
 	m.perCPU += money / x.CPUs
@@ -147,7 +149,7 @@
 	case busy == 0:
 		m.empty += money
 	default:
-		m.filled()
+		m.markOccupied()
 		m.row.Spent[Fetching] += money * x.Fetching / x.CPUs
 		m.row.Spent[Beside] += money * (x.CPUs - busy) / x.CPUs
 		m.row.Spent[Unfinished] += money * x.Running / x.CPUs
@@ -155,30 +157,31 @@
 	m.up = true
 }
 
-// filled notes that a machine holds tasks, after it was empty.
-func (m *machine) filled() {
+// markOccupied books the cost of the time for which a machine was empty, now that it has tasks.
+func (m *machine) markOccupied() {
 	use := Before
-	if m.worked {
+	if m.hadTasks {
 		use = Between
 	}
 	m.row.Spent[use] += m.empty
-	m.empty, m.worked = 0, true
+	m.empty, m.hadTasks = 0, true
 }
 
-// gone closes a machine's account. What was left of its last half second is not seen, and
-// neither is it paid for.
-func (a *Account) gone(at units.Microseconds, m *machine) {
+// endMachine closes the account of a machine that is no longer billed. The time since the last
+// observation, up to half a second, is not accounted for.
+func (a *Account) endMachine(at units.Microseconds, m *machine) {
 	m.close()
 	if left := cloudprovider.MinimumCharge - (at - m.host.CreatedAt); left > 0 && m.host.DiedAt == units.MaxTime && !m.host.Reclaimed {
 		m.row.Spent[Least] += m.rate * left.Seconds() / 3600
 	}
 }
 
+// close books the costs whose use was open until the machine ended.
 func (m *machine) close() {
 	switch {
 	case !m.up:
 		m.row.Spent[NeverUp] += m.boot
-	case !m.worked:
+	case !m.hadTasks:
 		m.row.Spent[Boot] += m.boot
 		m.row.Spent[Unused] += m.empty
 	default:
@@ -188,21 +191,21 @@
 	m.boot, m.empty = 0, 0
 }
 
-// TaskStarted says that a task is on a machine, with its image.
+// TaskStarted records that a task runs on a machine, with its image fetched.
 func (a *Account) TaskStarted(name string, id jobs.TaskID, cpus float64) {
 	if m := a.live[name]; m != nil {
-		m.tasks[id] = held{cpus, m.perCPU}
+		m.tasks[id] = taskCost{cpus, m.perCPU}
 	}
 }
 
-// TaskEnded says that a task is no longer on a machine, and whether it completed.
+// TaskEnded records that a task no longer runs on a machine, and whether it completed.
 func (a *Account) TaskEnded(name string, id jobs.TaskID, completed bool) {
 	m := a.live[name]
 	if m == nil {
 		return
 	}
-	t, there := m.tasks[id]
-	if !there {
+	t, ok := m.tasks[id]
+	if !ok {
 		return
 	}
 	delete(m.tasks, id)
@@ -215,7 +218,7 @@
 	m.row.Spent[Unfinished] -= money
 }
 
-// Rows returns what was spent by the last look, by pool; the account is closed.
+// Rows closes the account and returns the costs up to the last observation, by pool.
 func (a *Account) Rows() []Row {
 	for _, m := range a.live {
 		m.close()
@@ -237,7 +240,7 @@
 	return 0
 }
 
-// Sum adds rows up.
+// Sum returns the sum of rows.
 func Sum(rows []Row) Row {
 	var out Row
 	for _, r := range rows {
--- a/internal/emulator/account/account_test.go
+++ b/internal/emulator/account/account_test.go
@@ -9,23 +9,25 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestAccountAddsUp plays a scenario with machines that are lost and taken, and holds the
-// account against the cloud's own bill: all money is somewhere, and none twice.
-func TestAccountAddsUp(t *testing.T) {
-	sum := adds(t, "spot-wave.toml")
+// TestAccountMatchesBill guards against costs that are booked twice or not at all: in a scenario with
+// failed and reclaimed machines the account must match the cloud's bill.
+func TestAccountMatchesBill(t *testing.T) {
+	sum := accountFor(t, "spot-wave.toml")
 	if sum.Spent[account.Useful] <= 0 || sum.Spent[account.Boot] <= 0 || sum.Spent[account.Lost] <= 0 {
 		t.Errorf("%+v", sum)
 	}
 }
 
-// TestAccountOfALostZone has the money of machines that nobody reaches stand by itself.
-func TestAccountOfALostZone(t *testing.T) {
-	if sum := adds(t, "zone-twice.toml"); sum.Spent[account.CutEmpty] <= 0 {
+// TestAccountOfPartitionedZone guards against booking unreachable machines as ordinary empty ones:
+// their cost has a use of its own.
+func TestAccountOfPartitionedZone(t *testing.T) {
+	if sum := accountFor(t, "zone-twice.toml"); sum.Spent[account.CutEmpty] <= 0 {
 		t.Errorf("%+v", sum)
 	}
 }
 
-func adds(t *testing.T, file string) account.Row {
+// accountFor runs a scenario, compares its account with the bill, and returns the sum of the account.
+func accountFor(t *testing.T, file string) account.Row {
 	t.Helper()
 	s, err := scenario.Load("../../../rehearsals/" + file)
 	if err != nil {
--- a/internal/emulator/eventqueue/eventqueue.go
+++ b/internal/emulator/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is the event queue of a discrete event simulation: events by the time at
-// which they are due.
+// Package eventqueue implements the event queue of a discrete event simulation: a priority queue of
+// events by due time.
 package eventqueue
 
 import (
@@ -8,8 +8,9 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Queue holds events until they are due. Those due at the same moment come in the order in
-// which they were added, so that one seed gives one history. The zero value is an empty queue.
+// Queue holds events until they are due. Events that are due at the same time are returned in the order
+// in which they were added, so that a seed always produces the same history. The zero value is an empty
+// queue.
 type Queue[T any] struct {
 	entries  entries[T]
 	sequence uint64
@@ -17,11 +18,11 @@
 
 type entry[T any] struct {
 	at       units.Microseconds
-	sequence uint64 // breaks ties: counts up with every event added
+	sequence uint64 // breaks ties; incremented for every added event
 	event    T
 }
 
-// entries is the heap below a Queue, the earliest event first.
+// entries implements heap.Interface; the earliest event is first.
 type entries[T any] []entry[T]
 
 func (e entries[T]) Len() int { return len(e) }
@@ -33,18 +34,18 @@
 func (e *entries[T]) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = entry[T]{} // lets the event be collected
+	old[len(old)-1] = entry[T]{} // allows the event to be garbage collected
 	*e = old[:len(old)-1]
 	return last
 }
 
-// Add schedules an event. A time that is over already is due at once.
+// Add schedules an event. An event whose time has passed is due immediately.
 func (q *Queue[T]) Add(at units.Microseconds, event T) {
 	q.sequence++
 	heap.Push(&q.entries, entry[T]{at, q.sequence, event})
 }
 
-// Next returns when the first event is due, units.MaxTime if there is none.
+// Next returns the time at which the first event is due, or units.MaxTime if the queue is empty.
 func (q *Queue[T]) Next() units.Microseconds {
 	if len(q.entries) == 0 {
 		return units.MaxTime
@@ -52,8 +53,8 @@
 	return q.entries[0].at
 }
 
-// Due removes and returns the first event that is due by now, with the time for which it was
-// scheduled.
+// Due removes and returns the first event that is due by now, with its scheduled time. ok is false if
+// none is due.
 func (q *Queue[T]) Due(now units.Microseconds) (at units.Microseconds, event T, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].at > now {
 		return 0, event, false
--- a/internal/emulator/eventqueue/eventqueue_test.go
+++ b/internal/emulator/eventqueue/eventqueue_test.go
@@ -7,12 +7,12 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TestOrder adds events out of order and takes those that are due: by time, and in the order of
-// addition where they are due at the same time.
+// TestOrder guards against events that are returned in the wrong order: they must be sorted by time, and
+// events that are due at the same time must keep the order in which they were added.
 func TestOrder(t *testing.T) {
 	var queue Queue[string]
 	if got := queue.Next(); got != units.MaxTime {
-		t.Errorf("empty queue: next event at %d, want units.Never", got)
+		t.Errorf("empty queue: next event at %d, want units.MaxTime", got)
 	}
 	queue.Add(30, "late")
 	queue.Add(10, "first")
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter measures a play: what its users waited for, what was spent, and where
-// the rented time went. Like the checker it goes by what machines and users did, and
-// believes no controller. It is pure.
+// Package meter measures a run: how long users waited, what was spent, and how the time of the machines
+// was used. Like package check it is based on what machines and users did, not on what controllers
+// report. It does no I/O.
 package meter
 
 import (
@@ -16,17 +16,17 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// Figures are a play's, by name; see Names.
+// Figures holds the figures of a run by name; see Measures.
 type Figures map[string]float64
 
-// Measure is a figure's name, what it says, and whether more of it is better.
+// Measure is the name of a figure, its description, and whether a higher value is better.
 type Measure struct {
 	Name, About string
 	More        bool
 }
 
-// Measures lists the figures that every play has. Times are in seconds, from the first
-// attempt to submit, or from when the last awaited job was done.
+// Measures lists the figures of every run. Times are in seconds. They count from the first attempt to
+// submit a job, or from the completion of the last job that it awaits, whichever is later.
 var Measures = []Measure{
 	{"wait_mean_s", "until a job's first task began, on average", false},
 	{"wait_p95_s", "the same, 95% of jobs", false},
@@ -50,7 +50,7 @@
 	{"stops", "tasks that began and did not complete", false},
 }
 
-// Sample is what there is at a moment, in CPUs; of waiting jobs, their number.
+// Sample is the state at a time: numbers of CPUs, and the number of waiting jobs.
 type Sample struct {
 	AtS      float64 `json:"at_s"`
 	Rented   float64 `json:"rented"`
@@ -60,25 +60,27 @@
 	Waiting  int     `json:"waiting_jobs"`
 }
 
+// job is a job and its measured times.
 type job struct {
 	*user.Job
-	began, ended units.Microseconds // first task's start, last task's end; 0: not yet
-	ready        units.Microseconds
-	done         int
-	asked        bool // to be cancelled, itself or one that it awaits
+	startedAt, completedAt units.Microseconds // start of the first task, completion of the last; 0: not yet
+	readyAt                units.Microseconds
+	completedTasks         int
+	cancelled              bool // its cancellation, or that of a job that it awaits, was requested
 }
 
-type place struct {
+// runningTask is a task on a machine.
+type runningTask struct {
 	machine string
 	task    jobs.TaskID
 }
 
-// Meter keeps what is measured. Its memory grows with the jobs.
+// Meter collects the measurements of a run. Its memory grows with the number of jobs.
 type Meter struct {
 	jobs    map[string]*job
 	order   []*job
-	on      map[place]units.Microseconds // since when a task is on a machine
-	useful  float64                      // CPU seconds
+	running map[runningTask]units.Microseconds // start times of the running tasks
+	useful  float64                            // CPU seconds
 	wasted  float64
 	stops   int
 	submits []float64 // milliseconds
@@ -92,33 +94,34 @@
 	series  []Sample
 }
 
-// New returns a meter that has seen nothing.
+// New returns a meter without measurements.
 func New() *Meter {
-	return &Meter{jobs: map[string]*job{}, on: map[place]units.Microseconds{}, first: -1}
+	return &Meter{jobs: map[string]*job{}, running: map[runningTask]units.Microseconds{}, first: -1}
 }
 
-// SubmissionStarted says that a job's user begins to submit it.
+// SubmissionStarted records that a user starts to submit a job.
 func (m *Meter) SubmissionStarted(at units.Microseconds, j *user.Job) {
-	k := &job{Job: j, ready: at}
-	m.jobs[j.ID] = k
-	m.order = append(m.order, k)
+	measured := &job{Job: j, readyAt: at}
+	m.jobs[j.ID] = measured
+	m.order = append(m.order, measured)
 	m.waiting++
 	if m.first < 0 {
 		m.first = at
 	}
 }
 
-// CancelRequested says that a job's user has asked to cancel it: what becomes of it is not measured.
+// CancelRequested records that a user has requested the cancellation of a job, which is then not
+// measured.
 func (m *Meter) CancelRequested(id string) {
-	if j := m.jobs[id]; j != nil && !j.asked {
-		j.asked = true
-		if j.began == 0 {
+	if j := m.jobs[id]; j != nil && !j.cancelled {
+		j.cancelled = true
+		if j.startedAt == 0 {
 			m.waiting--
 		}
 	}
 }
 
-// CallFinished says what a user was told, and how long that took.
+// CallFinished records the reply to a call and how long the call took.
 func (m *Meter) CallFinished(t user.CallFinished) {
 	m.calls++
 	if t.Code != 200 && t.Code != 201 && t.Code != 404 {
@@ -129,31 +132,31 @@
 	}
 }
 
-// TaskStarted says that a task is on a machine, with its image.
+// TaskStarted records that a task runs on a machine, with its image fetched.
 func (m *Meter) TaskStarted(at units.Microseconds, machine string, id jobs.TaskID) {
-	m.on[place{machine, id}] = at
-	if j := m.jobs[id.Job]; j != nil && j.began == 0 {
-		j.began = max(at, 1)
+	m.running[runningTask{machine, id}] = at
+	if j := m.jobs[id.Job]; j != nil && j.startedAt == 0 {
+		j.startedAt = max(at, 1)
 		for _, a := range j.Awaits {
 			if o := m.jobs[a.ID]; o != nil {
-				j.ready = max(j.ready, o.ended)
+				j.readyAt = max(j.readyAt, o.completedAt)
 			}
 		}
-		if !j.asked {
+		if !j.cancelled {
 			m.waiting--
 		}
 	}
 }
 
-// TaskEnded says that a task is no longer on a machine, and whether it completed.
+// TaskEnded records that a task no longer runs on a machine, and whether it completed.
 func (m *Meter) TaskEnded(at units.Microseconds, machine string, id jobs.TaskID, completed bool) {
-	p := place{machine, id}
-	since, there := m.on[p]
+	p := runningTask{machine, id}
+	since, ok := m.running[p]
 	j := m.jobs[id.Job]
-	if !there || j == nil {
+	if !ok || j == nil {
 		return
 	}
-	delete(m.on, p)
+	delete(m.running, p)
 	cpu := float64(j.Spec.Demand[binpack.CPU]) / 1000
 	if !completed {
 		if !j.Spec.Service {
@@ -162,15 +165,16 @@
 		}
 		return
 	}
-	// A task that goes on from a checkpoint has done all of it, though not here.
+	// A task that resumed from a checkpoint counts with its whole run time, including that on
+	// other machines.
 	m.useful += cpu * j.RunOf(id.Task).Seconds()
 	m.last = at
-	if j.done++; j.done == j.Spec.Tasks {
-		j.ended = max(at, 1)
+	if j.completedTasks++; j.completedTasks == j.Spec.Tasks {
+		j.completedAt = max(at, 1)
 	}
 }
 
-// AddSample takes what there is at a moment.
+// AddSample adds a sample. It replaces the sample's number of waiting jobs by its own count.
 func (m *Meter) AddSample(s Sample) {
 	at := units.Seconds(s.AtS)
 	d := (at - m.at).Seconds()
@@ -183,10 +187,11 @@
 	m.series = append(m.series, s)
 }
 
-// Series returns all moments that were looked at.
+// Series returns all samples.
 func (m *Meter) Series() []Sample { return m.series }
 
-// quantile returns the value that a share of all does not exceed; 0 without any.
+// quantile returns the empirical quantile of the values for a share, 0 without values. It sorts the
+// values.
 func quantile(v []float64, share float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -202,58 +207,59 @@
 	return stat.Mean(v, nil)
 }
 
-// counts reports whether what became of a job is measured: it was accepted, and neither it
-// nor one that it awaits was to be cancelled. Those that are awaited come first.
-func (m *Meter) counts(j *job) bool {
+// isMeasured reports whether a job is measured: it was accepted, and no cancellation was requested of
+// it or of a job that it awaits. Call it for the jobs in order, as awaited jobs come first.
+func (m *Meter) isMeasured(j *job) bool {
 	for _, a := range j.Awaits {
-		if o := m.jobs[a.ID]; o == nil || o.asked {
+		if o := m.jobs[a.ID]; o == nil || o.cancelled {
 			m.CancelRequested(j.ID)
 		}
 	}
-	return j.Accepted && !j.asked
+	return j.Accepted && !j.cancelled
 }
 
-// Times returns each job's time to its first task and to its end, in seconds, sorted. What
-// has not begun, or ended, counts up to the end of the play.
+// Times returns the times of all measured jobs until their first task started, and of those that are
+// not services until their last task completed, in seconds, sorted. A job that has not started, or not
+// completed, counts up to end.
 func (m *Meter) Times(end units.Microseconds) (waits, dones []float64) {
 	for _, j := range m.order {
-		if !m.counts(j) {
+		if !m.isMeasured(j) {
 			continue
 		}
-		began := j.began
+		began := j.startedAt
 		if began == 0 {
 			began = end
 		}
-		waits = append(waits, max(0, (began-j.ready).Seconds()))
+		waits = append(waits, max(0, (began-j.readyAt).Seconds()))
 		if j.Spec.Service {
 			continue
 		}
-		ended := j.ended
+		ended := j.completedAt
 		if ended == 0 {
 			ended = end
 		}
-		dones = append(dones, max(0, (ended-j.ready).Seconds()))
+		dones = append(dones, max(0, (ended-j.readyAt).Seconds()))
 	}
 	slices.Sort(waits)
 	slices.Sort(dones)
 	return waits, dones
 }
 
-// Figures returns what was measured by the end: money that was spent, and the cheapest
-// price of a CPU for an hour that there is.
+// Figures returns the figures of a run that ended at end. money is the money spent, cheapest the lowest
+// price of a CPU per hour.
 func (m *Meter) Figures(end units.Microseconds, money, cheapest float64) Figures {
 	waits, dones := m.Times(end)
 	kept, due, unfinished := 0, 0, 0
 	for _, j := range m.order {
-		if !m.counts(j) || j.Spec.Service {
+		if !m.isMeasured(j) || j.Spec.Service {
 			continue
 		}
-		if j.ended == 0 {
+		if j.completedAt == 0 {
 			unfinished++
 		}
 		if d := j.Spec.Deadline; d > 0 {
 			due++
-			if j.ended > 0 && j.ended <= j.At+d {
+			if j.completedAt > 0 && j.completedAt <= j.At+d {
 				kept++
 			}
 		}
@@ -275,7 +281,7 @@
 		"idle_share":   share(m.sums.Rented-m.sums.Booting-m.sums.Fetching-m.sums.Running, m.sums.Rented),
 		"wasted_share": share(m.wasted, m.sums.Rented), "stops": float64(m.stops),
 	}
-	if due > 0 { // of no job, a share says nothing
+	if due > 0 { // without such jobs there is no share
 		f["deadline"] = float64(kept) / float64(due)
 	}
 	maps.DeleteFunc(f, func(_ string, v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) })
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -1,6 +1,6 @@
-// Package site joins the models of the cloud and of its machines: what is rented
-// boots and works, and what is taken or dies ends with all that is on it. It is
-// pure like they are.
+// Package site combines the models of the cloud provider and of its machines: a created machine boots
+// and runs a worker, and a machine that is deleted, reclaimed or fails ends with all tasks on it. Like
+// these models it is deterministic and does no I/O.
 package site
 
 import (
@@ -17,34 +17,34 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// Config says what the site is like.
+// Config holds the parameters of a site.
 type Config struct {
 	Cloud             cloudprovider.Config
 	HeartbeatInterval units.Microseconds
 	Lease             units.Microseconds
 	Nodes             []string // controllers
-	MaxDrift          float64  // of workers' clocks, as a share
-	ExternalWorkers   int      // machines at a time whose worker runs in a process of its own
+	MaxDrift          float64  // maximum rate error of the workers' clocks, as a share
+	ExternalWorkers   int      // maximum number of machines at a time whose worker runs in a process of its own
 }
 
 // Effects.
 type (
-	// MachineUp says that a machine's worker begins, Gone that the machine has ended.
+	// MachineUp: a machine's worker starts. MachineEnded: the machine has ended.
 	MachineUp    struct{ *cloudprovider.Machine }
 	MachineEnded struct{ *cloudprovider.Machine }
-	// ExternalWorkerStarted says that a machine's worker begins in a process of its own, as it is
-	// described; its Gone tells that process to end it.
+	// ExternalWorkerStarted: a machine's worker is to be started in a process of its own with this
+	// configuration. At the machine's MachineEnded that process must stop it.
 	ExternalWorkerStarted struct {
 		*cloudprovider.Machine
 		Config machine.Config
 		Fault  machine.Fault
 	}
-	// HeartbeatSent is a report to be sent to a controller.
+	// HeartbeatSent is a heartbeat to be sent to a controller.
 	HeartbeatSent struct {
 		Machine string
 		machine.Heartbeat
 	}
-	// TaskStarted and Ended say what is on a machine with its image.
+	// TaskStarted: a task runs on a machine, with its image fetched. TaskEnded: it no longer does.
 	TaskStarted struct {
 		*cloudprovider.Machine
 		Task jobs.TaskID
@@ -56,247 +56,252 @@
 	}
 )
 
-// Site is the cloud with its machines.
+// Site models a cloud with its machines.
 type Site struct {
 	Cloud   *cloudprovider.Provider
 	Uploads work.Uploads
 
-	cfg     Config
-	rng     *rand.Rand
-	types   map[string]cloudprovider.MachineType
-	workers map[string]*member
-	apart   map[string]bool // machines whose worker runs in a process of its own
-	due     eventqueue.Queue[*member]
-	out     []any
+	config   Config
+	rng      *rand.Rand
+	types    map[string]cloudprovider.MachineType
+	workers  map[string]*worker
+	external map[string]bool // machines whose worker runs in a process of its own
+	schedule eventqueue.Queue[*worker]
+	effects  []any
 }
 
-type member struct {
+// worker is the worker of a machine that runs in this process.
+type worker struct {
 	*machine.Worker
-	m    *cloudprovider.Machine
-	plan units.Microseconds // when it is next looked at
+	machine     *cloudprovider.Machine
+	scheduledAt units.Microseconds // time of its next Advance
 }
 
-// New returns a site with nothing rented.
+// New returns a site without machines.
 func New(cfg Config, rng *rand.Rand) *Site {
-	s := &Site{Cloud: cloudprovider.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Uploads: work.Uploads{}, cfg: cfg, rng: rng,
-		types: map[string]cloudprovider.MachineType{}, workers: map[string]*member{}, apart: map[string]bool{}}
+	s := &Site{Cloud: cloudprovider.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Uploads: work.Uploads{}, config: cfg, rng: rng,
+		types: map[string]cloudprovider.MachineType{}, workers: map[string]*worker{}, external: map[string]bool{}}
 	for _, t := range cfg.Cloud.Types {
 		s.types[t.Name] = t
 	}
 	return s
 }
 
-// Next returns when Advance is next of use.
-func (s *Site) Next() units.Microseconds { return min(s.Cloud.Next(), s.due.Next()) }
+// Next returns the time at which Advance is due next.
+func (s *Site) Next() units.Microseconds { return min(s.Cloud.Next(), s.schedule.Next()) }
 
-// Advance lets time pass.
+// Advance advances the cloud and its machines to now.
 func (s *Site) Advance(now units.Microseconds) {
 	s.Cloud.Advance(now)
-	s.sync(now)
+	s.processCloudEffects(now)
 	for {
-		at, k, ok := s.due.Due(now)
+		at, w, ok := s.schedule.Due(now)
 		if !ok {
 			return
 		}
-		if s.workers[k.m.Name] == k && k.plan == at {
-			k.Advance(now)
-			s.settle(now, k)
+		if s.workers[w.machine.Name] == w && w.scheduledAt == at {
+			w.Advance(now)
+			s.reschedule(now, w)
 		}
 	}
 }
 
-// sync takes up what the cloud did.
-func (s *Site) sync(now units.Microseconds) {
+// processCloudEffects applies the effects of the cloud model to the workers.
+func (s *Site) processCloudEffects(now units.Microseconds) {
 	for _, e := range s.Cloud.Drain() {
 		switch e := e.(type) {
 		case cloudprovider.MachineStarted:
-			s.begin(now, e.Machine)
+			s.startWorker(now, e.Machine)
 		case cloudprovider.MachineEnded:
-			if k := s.workers[e.Machine.Name]; k != nil {
-				k.Stop(now)
-				s.collect(k)
+			if w := s.workers[e.Machine.Name]; w != nil {
+				w.Stop(now)
+				s.collectEffects(w)
 				delete(s.workers, e.Machine.Name)
 			}
-			delete(s.apart, e.Machine.Name)
-			s.out = append(s.out, MachineEnded{e.Machine})
+			delete(s.external, e.Machine.Name)
+			s.effects = append(s.effects, MachineEnded{e.Machine})
 		case cloudprovider.ReclaimNotice:
-			if k := s.workers[e.Machine.Name]; k != nil {
-				k.NoticeReclaim(now, e.In)
-				s.settle(now, k)
+			if w := s.workers[e.Machine.Name]; w != nil {
+				w.NoticeReclaim(now, e.In)
+				s.reschedule(now, w)
 			}
 		}
 	}
 }
 
-func (s *Site) begin(now units.Microseconds, m *cloudprovider.Machine) {
+// startWorker starts the worker of a machine that is up, here or in a process of its own.
+func (s *Site) startWorker(now units.Microseconds, m *cloudprovider.Machine) {
 	t := s.types[m.Type]
 	cfg := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.FetchSpeed)),
-		HeartbeatEvery: s.cfg.HeartbeatInterval, Lease: s.cfg.Lease, Nodes: s.cfg.Nodes, ClockRate: 1 + s.cfg.MaxDrift*(2*s.rng.Float64()-1)}
+		HeartbeatEvery: s.config.HeartbeatInterval, Lease: s.config.Lease, Nodes: s.config.Nodes, ClockRate: 1 + s.config.MaxDrift*(2*s.rng.Float64()-1)}
 	fault := machine.Fault{Speed: m.Speed, FailsTasks: m.FailsTasks}
-	if len(s.apart) < s.cfg.ExternalWorkers {
-		s.apart[m.Name] = true
-		s.out = append(s.out, MachineUp{m}, ExternalWorkerStarted{m, cfg, fault})
+	if len(s.external) < s.config.ExternalWorkers {
+		s.external[m.Name] = true
+		s.effects = append(s.effects, MachineUp{m}, ExternalWorkerStarted{m, cfg, fault})
 		return
 	}
-	k := &member{m: m, Worker: machine.New(cfg, fault, s.Uploads, now, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))}
-	s.workers[m.Name] = k
-	s.out = append(s.out, MachineUp{m})
-	k.Advance(now)
-	s.settle(now, k)
+	w := &worker{machine: m, Worker: machine.New(cfg, fault, s.Uploads, now, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))}
+	s.workers[m.Name] = w
+	s.effects = append(s.effects, MachineUp{m})
+	w.Advance(now)
+	s.reschedule(now, w)
 }
 
-// Capacity is what a machine of a type has, in thousandths.
+// Capacity returns the capacity of a machine type, in thousandths.
 func Capacity(t cloudprovider.MachineType) binpack.Vec {
 	return binpack.Vec{units.MilliDown(t.CPUs), units.MilliDown(t.GPUs), units.MilliDown(t.MemoryGB)}
 }
 
-// CPUs is how many a machine has.
+// CPUs returns the number of CPUs of a machine.
 func (s *Site) CPUs(m *cloudprovider.Machine) float64 { return s.types[m.Type].CPUs }
 
-// settle takes up what a worker did and plans its next look.
-func (s *Site) settle(now units.Microseconds, k *member) {
-	s.collect(k)
-	if next := max(k.Next(), now+1); next != k.plan {
-		k.plan = next
-		s.due.Add(next, k)
+// reschedule collects a worker's effects and schedules its next Advance.
+func (s *Site) reschedule(now units.Microseconds, w *worker) {
+	s.collectEffects(w)
+	if next := max(w.Next(), now+1); next != w.scheduledAt {
+		w.scheduledAt = next
+		s.schedule.Add(next, w)
 	}
 }
 
-func (s *Site) collect(k *member) {
-	for _, e := range k.Drain() {
+func (s *Site) collectEffects(w *worker) {
+	for _, e := range w.Drain() {
 		switch e := e.(type) {
 		case machine.Heartbeat:
-			s.out = append(s.out, HeartbeatSent{k.m.Name, e})
+			s.effects = append(s.effects, HeartbeatSent{w.machine.Name, e})
 		case machine.TaskStarted:
-			s.out = append(s.out, TaskStarted{k.m, e.Task})
+			s.effects = append(s.effects, TaskStarted{w.machine, e.Task})
 		case machine.TaskEnded:
-			s.out = append(s.out, TaskEnded{k.m, e.Task, e.Completed})
+			s.effects = append(s.effects, TaskEnded{w.machine, e.Task, e.Completed})
 		}
 	}
 }
 
-// HandleResponse takes the answer to a report; Code 0: it failed.
+// HandleResponse passes the response to a heartbeat to a machine. Code 0 means that the heartbeat
+// failed.
 func (s *Site) HandleResponse(now units.Microseconds, name string, number int, a machine.Response) {
 	s.Advance(now)
-	k := s.workers[name]
-	if k == nil {
+	w := s.workers[name]
+	if w == nil {
 		return
 	}
 	if a.Code == 0 {
-		k.HeartbeatFailed(now, number)
+		w.HeartbeatFailed(now, number)
 	} else {
-		k.HandleResponse(now, number, a)
+		w.HandleResponse(now, number, a)
 	}
-	s.settle(now, k)
+	s.reschedule(now, w)
 }
 
-// HandleDirect carries commands out that came straight to a machine, and returns its
-// report; found is false where there is no such machine, or it does not speak.
-func (s *Site) HandleDirect(now units.Microseconds, name string, token, session uint64, commands []fleet.Command) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, taken, found bool) {
+// HandleDirect executes commands that a controller sent directly to a machine, and returns the body of
+// a heartbeat. accepted is as for machine.Worker.HandleDirect. found is false if the machine does not
+// exist or does not respond.
+func (s *Site) HandleDirect(now units.Microseconds, name string, token, incarnation uint64, commands []fleet.Command) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, accepted, found bool) {
 	s.Advance(now)
-	k := s.workers[name]
-	if k == nil || k.Hung(now) || k.InboundCut(now) {
+	w := s.workers[name]
+	if w == nil || w.Hung(now) || w.InboundCut(now) {
 		return nil, nil, false, false
 	}
-	taken = k.HandleDirect(now, token, session, commands)
-	r, saved = k.Status()
-	s.settle(now, k)
-	return r, saved, taken, true
+	accepted = w.HandleDirect(now, token, incarnation, commands)
+	r, saved = w.Status()
+	s.reschedule(now, w)
+	return r, saved, accepted, true
 }
 
-// Status returns a machine's report.
+// Status returns the body of a machine's heartbeat. found is false if the machine does not exist or is
+// hung.
 func (s *Site) Status(now units.Microseconds, name string) (r *fleet.Heartbeat, saved map[jobs.TaskID]bool, found bool) {
 	s.Advance(now)
-	k := s.workers[name]
-	if k == nil || k.Hung(now) {
+	w := s.workers[name]
+	if w == nil || w.Hung(now) {
 		return nil, nil, false
 	}
-	r, saved = k.Status()
+	r, saved = w.Status()
 	return r, saved, true
 }
 
-// Worker returns a machine's worker, or nil.
+// Worker returns a machine's worker, or nil if none runs in this process.
 func (s *Site) Worker(name string) *machine.Worker {
-	if k := s.workers[name]; k != nil {
-		return k.Worker
+	if w := s.workers[name]; w != nil {
+		return w.Worker
 	}
 	return nil
 }
 
-// WorkerCount returns how many machines are up.
-func (s *Site) WorkerCount() int { return len(s.workers) + len(s.apart) }
+// WorkerCount returns the number of machines that are up.
+func (s *Site) WorkerCount() int { return len(s.workers) + len(s.external) }
 
-// Running returns how many tasks are on machines with their image, but for machines whose
-// worker runs in a process of its own.
+// Running returns the number of tasks that are on machines with their image, without the machines
+// whose worker runs in a process of its own.
 func (s *Site) Running() int {
 	n := 0
-	for _, k := range s.workers {
-		n += k.Running()
+	for _, w := range s.workers {
+		n += w.Running()
 	}
 	return n
 }
 
-// PickMachines draws n of the machines that are up and match; an empty type or zone
-// matches any. The order is that of the draw.
+// PickMachines draws up to n of the machines that are up and match, in random order. A nil match
+// matches all.
 func (s *Site) PickMachines(n int, match func(*cloudprovider.Machine) bool) []*cloudprovider.Machine {
 	alive := slices.DeleteFunc(s.Cloud.Alive(), func(m *cloudprovider.Machine) bool { return match != nil && !match(m) })
 	s.rng.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	return alive[:min(n, len(alive))]
 }
 
-// Kill stops a machine with all that is on it.
+// Kill makes a machine fail, with all tasks on it.
 func (s *Site) Kill(now units.Microseconds, m *cloudprovider.Machine) {
 	s.Advance(now)
 	s.Cloud.Kill(now, m)
-	s.sync(now)
+	s.processCloudEffects(now)
 }
 
-// Reclaim lets the cloud take a spot machine back.
-func (s *Site) Reclaim(now units.Microseconds, m *cloudprovider.Machine, notice units.Microseconds, silent float64) {
+// Reclaim makes the cloud reclaim a spot machine, see cloudprovider.Provider.Reclaim.
+func (s *Site) Reclaim(now units.Microseconds, m *cloudprovider.Machine, notice units.Microseconds, noNoticeShare float64) {
 	s.Advance(now)
-	s.Cloud.Reclaim(now, m, notice, silent)
-	s.sync(now)
+	s.Cloud.Reclaim(now, m, notice, noNoticeShare)
+	s.processCloudEffects(now)
 }
 
-// Hang lets a machine stand still until a time.
+// Hang suspends a machine until a time.
 func (s *Site) Hang(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
-	if k := s.workers[m.Name]; k != nil {
-		k.Hang(now, until)
-		s.settle(now, k)
+	if w := s.workers[m.Name]; w != nil {
+		w.Hang(now, until)
+		s.reschedule(now, w)
 	}
 }
 
-// CutInbound lets no answer and no command reach a machine until a time.
+// CutInbound drops all responses and commands to a machine until a time.
 func (s *Site) CutInbound(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
-	if k := s.workers[m.Name]; k != nil {
-		k.CutInbound(until)
+	if w := s.workers[m.Name]; w != nil {
+		w.CutInbound(until)
 	}
 }
 
-// CutOutbound lets no report of a machine reach a controller until a time; direct commands reach it.
+// CutOutbound drops a machine's heartbeats until a time. Direct commands still reach it.
 func (s *Site) CutOutbound(now units.Microseconds, m *cloudprovider.Machine, until units.Microseconds) {
 	s.Advance(now)
-	if k := s.workers[m.Name]; k != nil {
-		k.CutOutbound(until)
+	if w := s.workers[m.Name]; w != nil {
+		w.CutOutbound(until)
 	}
 }
 
-// SetFault changes what is wrong with a machine.
+// SetFault replaces a machine's faults.
 func (s *Site) SetFault(now units.Microseconds, m *cloudprovider.Machine, f machine.Fault) {
 	s.Advance(now)
 	m.Speed, m.FailsTasks = f.Speed, f.FailsTasks
-	if k := s.workers[m.Name]; k != nil {
-		k.SetFault(now, f)
-		s.settle(now, k)
+	if w := s.workers[m.Name]; w != nil {
+		w.SetFault(now, f)
+		s.reschedule(now, w)
 	}
 }
 
-// Drain returns the effects since the last call.
+// Drain returns and clears the effects since the last call.
 func (s *Site) Drain() []any {
-	out := s.out
-	s.out = nil
+	out := s.effects
+	s.effects = nil
 	return out
 }
--- a/internal/emulator/site/site_test.go
+++ b/internal/emulator/site/site_test.go
@@ -31,8 +31,9 @@
 		rand.New(rand.NewPCG(seed, 1)))
 }
 
-// TestSite sends drawn commands, as any controllers might, right or wrong, and checks
-// what must hold whatever they do: room, tokens, leases, capacity, the list, money.
+// TestSite guards the invariants of the machine and cloud models. It sends random commands, valid and
+// invalid, and checks what must hold for any controller: machine capacity, fencing tokens, leases, pool
+// capacity, the machine list and the bill.
 func TestSite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(rapid.Uint64().Draw(t, "seed"))
@@ -43,18 +44,18 @@
 					Service: i == 4, Checkpoint: units.Microseconds(i%2) * units.Second, Save: units.Second / 2}}
 		}
 		now := units.Microseconds(0)
-		on := map[string]map[jobs.TaskID]bool{} // by machine
+		on := map[string]map[jobs.TaskID]bool{} // running tasks by machine
 		sent := map[string]HeartbeatSent{}
 		sentAt := map[string]units.Microseconds{}
 		tokens := map[string]uint64{}
-		answers := map[string]map[int]bool{}        // of reports, by number
-		answered := map[string]units.Microseconds{} // when the last answered report was sent
+		answers := map[string]map[int]bool{}        // answered heartbeats by machine and number
+		answered := map[string]units.Microseconds{} // send time of the last heartbeat that got a valid response
 		upAt := map[string]units.Microseconds{}
-		rented := map[string]*cloudprovider.Machine{}
-		bookings := map[string][]string{}
+		created := map[string]*cloudprovider.Machine{}
+		requests := map[string][]string{}
 		listed := map[string]bool{}
-		money := 0.0
-		take := func() {
+		spentBefore := 0.0
+		processEffects := func() {
 			for _, e := range s.Drain() {
 				switch e := e.(type) {
 				case MachineUp:
@@ -62,12 +63,12 @@
 					on[e.Name] = map[jobs.TaskID]bool{}
 				case MachineEnded:
 					if len(on[e.Name]) > 0 {
-						t.Fatalf("%s is gone with %v on it", e.Name, on[e.Name])
+						t.Fatalf("%s ended with %v still on it", e.Name, on[e.Name])
 					}
 					delete(sent, e.Name)
 				case TaskStarted:
 					if on[e.Name][e.Task] {
-						t.Fatalf("%v begins twice on %s", e.Task, e.Name)
+						t.Fatalf("%v starts twice on %s", e.Task, e.Name)
 					}
 					on[e.Name][e.Task] = true
 					var sum binpack.Vec
@@ -75,11 +76,11 @@
 						sum = sum.Add(s.Uploads[id.Job].Spec.Demand)
 					}
 					if limit := Capacity(s.types[e.Type]); !sum.Fits(limit) {
-						t.Fatalf("%v run on %s, which has %v", sum, e.Name, limit)
+						t.Fatalf("demand of %v on %s, whose capacity is %v", sum, e.Name, limit)
 					}
 				case TaskEnded:
 					if !on[e.Name][e.Task] {
-						t.Fatalf("%v ends on %s and was not there", e.Task, e.Name)
+						t.Fatalf("%v ends on %s but was not running there", e.Task, e.Name)
 					}
 					delete(on[e.Name], e.Task)
 					if j := s.Uploads[e.Task.Job]; e.Completed && (j.FailsAlways || e.FailsTasks || j.Spec.Service) {
@@ -87,19 +88,19 @@
 					}
 				case HeartbeatSent:
 					if e.Body.FencingToken < tokens[e.Machine] {
-						t.Fatalf("%s reports token %d after %d", e.Machine, e.Body.FencingToken, tokens[e.Machine])
+						t.Fatalf("%s sends token %d after %d", e.Machine, e.Body.FencingToken, tokens[e.Machine])
 					}
 					if last, ok := sent[e.Machine]; ok && last.Number >= e.Number {
-						t.Fatalf("report %d after %d", e.Number, last.Number)
+						t.Fatalf("heartbeat %d after %d", e.Number, last.Number)
 					}
 					sent[e.Machine], sentAt[e.Machine] = e, now
 				}
 			}
-			// A lease that has run out leaves nothing on its machine.
+			// No task may run on a machine whose lease has expired.
 			for name, tasks := range on {
 				from := max(answered[name], upAt[name])
 				if now > from+12*units.Second+units.Second/10 && len(tasks) > 0 {
-					t.Fatalf("%v are on %s, whose last report that was answered was sent at %d", tasks, name, from)
+					t.Fatalf("%v are on %s, whose lease was last renewed at %d", tasks, name, from)
 				}
 			}
 		}
@@ -108,7 +109,7 @@
 				ID:      jobs.TaskID{Job: fmt.Sprintf("wk-%06d", rapid.IntRange(0, 6).Draw(t, "job")), Task: rapid.IntRange(0, 4).Draw(t, "task")},
 				Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt"), Grace: units.Microseconds(rapid.IntRange(0, 1).Draw(t, "grace")) * units.Second}
 		})
-		someone := func(t *rapid.T) string {
+		drawMachine := func(t *rapid.T) string {
 			names := slices.Sorted(maps.Keys(sent))
 			if len(names) == 0 {
 				return ""
@@ -120,43 +121,43 @@
 				for until := now + units.Microseconds(rapid.Int64Range(0, 4_000_000).Draw(t, "d")); now < until; {
 					now = min(until, max(now, s.Next()))
 					s.Advance(now)
-					take()
+					processEffects()
 				}
 			},
 			"rent": func(t *rapid.T) {
 				b := fmt.Sprint("r-", rapid.IntRange(0, 20).Draw(t, "booking"))
 				p := rapid.SampledFrom(pools).Draw(t, "pool")
 				names, none, code := s.Cloud.ScaleOut(now, b, p, rapid.IntRange(1, 4).Draw(t, "count"))
-				if old, again := bookings[b]; again && (code != http.StatusOK || !slices.Equal(names, old)) {
-					t.Fatalf("the booking %s is answered %v, before %v", b, names, old)
+				if old, again := requests[b]; again && (code != http.StatusOK || !slices.Equal(names, old)) {
+					t.Fatalf("the repeated request %s returns %v, before it returned %v", b, names, old)
 				}
 				if code == http.StatusOK {
-					bookings[b] = names
+					requests[b] = names
 					for _, n := range names {
 						if m := s.Cloud.Machine(n); m != nil {
-							rented[n] = m
+							created[n] = m
 						}
 					}
 				} else if !none {
-					t.Fatalf("rental refused with %d", code)
+					t.Fatalf("scale out refused with %d", code)
 				}
 				have := map[cloudprovider.Pool]int{}
-				for _, m := range rented {
+				for _, m := range created {
 					if m.DeletedAt == units.MaxTime {
 						have[m.Pool]++
 					}
 				}
 				for p, n := range have {
-					if n > s.cfg.Cloud.Capacity[p] {
+					if n > s.config.Cloud.Capacity[p] {
 						t.Fatalf("%d machines of %v", n, p)
 					}
 				}
 			},
 			"return": func(t *rapid.T) {
-				if n := someone(t); n != "" {
+				if n := drawMachine(t); n != "" {
 					s.Cloud.ScaleIn(now, []string{n, "n-none"})
 					s.Advance(now)
-					take()
+					processEffects()
 				}
 			},
 			"fault": func(t *rapid.T) {
@@ -169,11 +170,11 @@
 					case 2:
 						s.SetFault(now, ms[0], machine.Fault{Speed: 0.2, FailsTasks: ms[0].FailsTasks})
 					}
-					take()
+					processEffects()
 				}
 			},
 			"answer": func(t *rapid.T) {
-				name := someone(t)
+				name := drawMachine(t)
 				if name == "" {
 					return
 				}
@@ -184,35 +185,35 @@
 				}
 				a := machine.Response{Code: rapid.SampledFrom([]int{200, 200, 200, 421, 503}).Draw(t, "code"), RedirectTo: "n1",
 					FencingToken: rapid.Uint64Range(0, 5).Draw(t, "token"), Commands: rapid.SliceOfN(commands, 0, 5).Draw(t, "commands")}
-				session := w.Incarnation()
+				incarnation := w.Incarnation()
 				first := !answers[name][e.Number]
 				if answers[name] == nil {
 					answers[name] = map[int]bool{}
 				}
 				answers[name][e.Number] = true
-				counts := first && a.Code == 200 && a.FencingToken >= max(tokens[name], e.Body.FencingToken) && e.Body.Incarnation == session && now < sentAt[name]+machine.ResponseTimeout
+				counts := first && a.Code == 200 && a.FencingToken >= max(tokens[name], e.Body.FencingToken) && e.Body.Incarnation == incarnation && now < sentAt[name]+machine.ResponseTimeout
 				s.HandleResponse(now, name, e.Number, a)
 				if counts {
 					tokens[name] = a.FencingToken
 					answered[name] = max(answered[name], sentAt[name])
 				}
-				take()
+				processEffects()
 			},
 			"direct": func(t *rapid.T) {
-				name := someone(t)
+				name := drawMachine(t)
 				if name == "" || s.Worker(name) == nil {
 					return
 				}
-				token, session := rapid.Uint64Range(0, 5).Draw(t, "token"), s.Worker(name).Incarnation()
-				r, _, taken, found := s.HandleDirect(now, name, token, session, rapid.SliceOfN(commands, 0, 3).Draw(t, "commands"))
-				take() // a report that was due went first
+				token, incarnation := rapid.Uint64Range(0, 5).Draw(t, "token"), s.Worker(name).Incarnation()
+				r, _, accepted, found := s.HandleDirect(now, name, token, incarnation, rapid.SliceOfN(commands, 0, 3).Draw(t, "commands"))
+				processEffects() // a heartbeat that was due was sent first
 				if found {
-					if taken != (token >= tokens[name]) && taken != (token >= r.FencingToken) {
-						t.Fatalf("token %d taken: %v; the highest seen is %d", token, taken, r.FencingToken)
+					if accepted != (token >= tokens[name]) && accepted != (token >= r.FencingToken) {
+						t.Fatalf("token %d accepted: %v; the highest seen is %d", token, accepted, r.FencingToken)
 					}
 					tokens[name] = max(tokens[name], r.FencingToken)
 				}
-				take()
+				processEffects()
 			},
 			"": func(t *rapid.T) {
 				list, _, code := s.Cloud.List(now, "", cloudprovider.MaxListPage)
@@ -223,30 +224,31 @@
 				for i, l := range list {
 					shown[l.Name], listed[l.Name] = true, true
 					if i > 0 && list[i-1].Name >= l.Name {
-						t.Fatal("the list is not in the order of names")
+						t.Fatal("the list is not sorted by name")
 					}
 				}
 				for n := range listed {
-					if m := rented[n]; m != nil && m.DeletedAt == units.MaxTime && !shown[n] {
-						t.Fatalf("%s was listed once, is not gone, and is not listed", n)
+					if m := created[n]; m != nil && m.DeletedAt == units.MaxTime && !shown[n] {
+						t.Fatalf("%s was listed before, was not deleted, and is missing from the list", n)
 					}
 				}
-				if spent := s.Cloud.Spent(now); spent < money-1e-6 {
-					t.Fatalf("%g were spent, %g before", spent, money)
+				if spent := s.Cloud.Spent(now); spent < spentBefore-1e-6 {
+					t.Fatalf("%g were spent, %g before", spent, spentBefore)
 				} else {
-					money = spent
+					spentBefore = spent
 				}
 			},
 		})
 	})
 }
 
-// TestLeastCharge rents a machine for a second: it costs a minute.
-func TestLeastCharge(t *testing.T) {
+// TestMinimumCharge guards against a bill below the minimum charge: a machine deleted after a second
+// costs a minute.
+func TestMinimumCharge(t *testing.T) {
 	s := newSite(1)
 	names, _, _ := s.Cloud.ScaleOut(0, "r", pools[0], 1)
 	s.Cloud.ScaleIn(units.Second, names)
 	if got := s.Cloud.Spent(units.Second); got != 60 {
-		t.Errorf("a machine of 1 a second costs %g after a second", got)
+		t.Errorf("a machine at a price of 1 per second costs %g after a second, want 60", got)
 	}
 }
--- a/internal/emulator/traffic/traffic.go
+++ b/internal/emulator/traffic/traffic.go
@@ -1,6 +1,5 @@
-// Package traffic counts what each controller of a play in simulated time is asked, asks and
-// takes of a processor: messages, their bytes as they go over the wire, and processor time by
-// the kind of message.
+// Package traffic counts the messages that each controller sends and receives in a run in simulated
+// time, their bytes on the wire, and the processor time that handling them takes, by kind of message.
 package traffic
 
 import (
@@ -17,16 +16,17 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// key names what is counted together.
+// key identifies a counter: a controller and a kind of message.
 type key struct{ node, kind string }
 
+// count holds the totals of one counter.
 type count struct {
 	messages, bytes uint64
 	took            time.Duration
 }
 
-// Tally counts from a time on. A nil one counts nothing. It belongs to one goroutine, which must
-// stay on its thread for processor time to be right.
+// Tally counts traffic from a start time on. A nil Tally counts nothing. It must be used by one
+// goroutine only, which must stay locked to its thread for the processor times to be correct.
 type Tally struct {
 	from    units.Microseconds
 	now     units.Microseconds
@@ -36,10 +36,10 @@
 	timed   bool
 }
 
-// New returns a tally that leaves out what happens before a time of the play.
+// New returns a tally that ignores everything before a time of the run.
 func New(from units.Microseconds) *Tally { return &Tally{from: from, counts: map[key]*count{}} }
 
-// AdvanceTo moves time on, and reports whether anything is counted.
+// AdvanceTo moves the clock to now and reports whether traffic is counted at that time.
 func (t *Tally) AdvanceTo(now units.Microseconds) bool {
 	if t == nil {
 		return false
@@ -57,37 +57,37 @@
 	return c
 }
 
-// Message counts a message of so many bytes that a controller got or sent.
+// Message counts a message that a controller sent or received, with its size in bytes.
 func (t *Tally) Message(node, kind string, bytes int) {
 	c := t.of(key{node, kind})
 	c.messages++
 	c.bytes += uint64(bytes)
 }
 
-// JSON counts a message that goes as JSON.
+// JSON counts a message that is sent as JSON.
 func (t *Tally) JSON(node, kind string, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the types are the program's own
+		panic(err) // cannot fail: all bodies are types of this program
 	}
 	t.Message(node, kind, len(b))
 }
 
-// Start begins to measure what a controller does with a message.
+// Start starts to measure the processor time that a controller takes to handle a message.
 func (t *Tally) Start(now units.Microseconds, node, kind string) {
 	if t.AdvanceTo(now) {
 		t.running, t.began, t.timed = key{node, kind}, threadTime(), true
 	}
 }
 
-// SetKind names the kind of message that is being measured.
+// SetKind sets the kind of the message that is being measured.
 func (t *Tally) SetKind(kind string) {
 	if t != nil {
 		t.running.kind = kind
 	}
 }
 
-// Stop ends that measurement, if one is under way.
+// Stop ends the current measurement, if there is one.
 func (t *Tally) Stop() {
 	if t == nil || !t.timed {
 		return
@@ -98,7 +98,7 @@
 	c.took += threadTime() - t.began
 }
 
-// threadTime is the processor time of this thread.
+// threadTime returns the processor time of this thread.
 func threadTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts); err != nil {
@@ -107,8 +107,7 @@
 	return time.Duration(ts.Nano())
 }
 
-// Write writes what was counted as CSV, a line for each controller and kind of message, by the
-// second.
+// Write writes the counters as CSV, one line per controller and kind of message, as rates per second.
 func (t *Tally) Write(w io.Writer) error {
 	seconds := max((t.now - t.from).Seconds(), 1)
 	keys := make([]key, 0, len(t.counts))
--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -11,7 +11,7 @@
 	"shalestage.example/shalestage/internal/emulator/check"
 )
 
-// RecordEffect hands what a user did or was told to a checker; e is an effect other than Call.
+// RecordEffect passes an effect other than Call to a checker.
 func RecordEffect(c *check.Checker, at units.Microseconds, e any) {
 	switch e := e.(type) {
 	case SubmissionStarted:
@@ -39,9 +39,8 @@
 	}
 }
 
-// Summary says how many jobs are over, as their users were told, and the longest
-// time from a submission to that answer; one that was accepted and is not over
-// counts up to the end.
+// Summary returns the number of jobs with a final status in a reply, and the longest time from a
+// submission to that reply. An accepted job without one, unless it is a service, counts up to end.
 func Summary(submitted []*Job, end units.Microseconds) (over int, longest units.Microseconds) {
 	for _, j := range submitted {
 		if j.FinalStatus != "" {
@@ -54,33 +53,33 @@
 	return over, longest
 }
 
-// ServiceLevel says how many of some jobs got what they asked for.
+// ServiceLevel counts the jobs of a class or team that met a goal.
 type ServiceLevel struct {
 	What string // "class C done", "team T done", and the same "in time"
-	Good int
-	Of   int
+	Good int    // jobs that met it
+	Of   int    // all jobs counted
 }
 
-// Share is the part of the jobs that got it.
+// Share returns the share of the jobs that met the goal.
 func (s ServiceLevel) Share() float64 { return float64(s.Good) / float64(max(s.Of, 1)) }
 
 const (
-	// One in so many of a class's jobs is among its largest.
-	largest = 5
-	// beginWithin is how soon one of these should begin.
-	beginWithin = 240 * units.Second
+	// largestFraction: one in largestFraction of a class's jobs counts as one of its largest.
+	largestFraction = 5
+	// startWithin is the time within which a largest job should start.
+	startWithin = 240 * units.Second
 )
 
-// amount is how much work a job is.
-func amount(j *Job) float64 {
+// totalWork returns the work of a job: tasks times CPU demand (thousandths) times run time in seconds.
+func totalWork(j *Job) float64 {
 	return float64(j.Spec.Tasks) * float64(j.Spec.Demand[binpack.CPU]) * j.Run.Seconds()
 }
 
-// ServiceLevels counts, by class and by team, the accepted arrays that nobody cancelled, and of
-// them those that are done; and of those with a deadline, those whose users were told so by
-// then, or at their first poll after it. Of each class's largest jobs, a fifth of them, it
-// counts those that began soon enough; began tells when a job's first task was on a machine,
-// 0 if none was.
+// ServiceLevels counts, by class and by team, the accepted jobs that nobody cancelled and, of them,
+// those that are done; services and jobs that always fail are left out. Of the jobs with a deadline it
+// counts those whose users learned by then, or at the first poll after it, that they are done. Of the
+// largest fifth of each class it counts the jobs that started within startWithin. began returns when a
+// job's first task started on a machine, 0 if none did.
 func ServiceLevels(submitted []*Job, opt Options, began func(id string) units.Microseconds) []ServiceLevel {
 	all := map[string]*ServiceLevel{}
 	count := func(what string, good bool) {
@@ -109,10 +108,10 @@
 		}
 	}
 	for class, of := range classes {
-		slices.SortStableFunc(of, func(a, b *Job) int { return cmp.Compare(amount(b), amount(a)) })
-		for _, j := range of[:len(of)/largest] {
+		slices.SortStableFunc(of, func(a, b *Job) int { return cmp.Compare(totalWork(b), totalWork(a)) })
+		for _, j := range of[:len(of)/largestFraction] {
 			at := began(j.ID)
-			count("class "+class+" largest begun", at > 0 && at-j.At <= beginWithin)
+			count("class "+class+" largest begun", at > 0 && at-j.At <= startWithin)
 		}
 	}
 	var out []ServiceLevel
--- a/internal/emulator/user/trouble.go
+++ b/internal/emulator/user/trouble.go
@@ -10,146 +10,142 @@
 )
 
 const (
-	// lookRounds is how often each controller is asked in a close look, and lookWithin
-	// the time between two rounds at most.
-	lookRounds = 4
-	lookWithin = 8 * units.Second / 1000
-	// cancelsAtOnce is the share of accepted jobs that are cancelled in a close look.
-	cancelsAtOnce = 0.1
-	// cancelWithin is the time in which CancelNow's users cancel.
-	cancelWithin = units.Second / 5
-	// atEndWithin is how close to the end a job is cancelled at its end: a part of the users
-	// within atEndClosely, the others by then, so that they meet the report of the end and the
-	// write of the job's record as well.
-	atEndClosely = 20 * units.Second / 1000
-	atEndWithin  = units.Second
-	// oddEvery is the time between two odd requests, half of it at least.
-	oddEvery = units.Second / 2
+	// probeRounds is the number of calls to each controller after an event, and probeInterval the
+	// maximum time between two rounds.
+	probeRounds   = 4
+	probeInterval = 8 * units.Second / 1000
+	// probeCancelShare is the share of accepted jobs that are cancelled while they are probed.
+	probeCancelShare = 0.1
+	// cancelSoonWithin is the time within which the users of CancelSoon cancel.
+	cancelSoonWithin = units.Second / 5
+	// CancelAtEnd cancels within cancelAtEndShort of the end of a job for half of the users and within
+	// cancelAtEndLong for the others, so that cancellations also race with the heartbeat that reports
+	// the end and with the write of the job's record.
+	cancelAtEndShort = 20 * units.Second / 1000
+	cancelAtEndLong  = units.Second
+	// invalidRequestInterval is the mean time between two invalid requests; the minimum is half of it.
+	invalidRequestInterval = units.Second / 2
 )
 
-// lookingClosely says until when users look closely.
-type lookingClosely struct {
-	until units.Microseconds
-}
-
-// InvalidSubmission says that a user submits a job that no controller may accept; Spec is nil where it
-// lacks a field.
+// InvalidSubmission is an effect: a user submits a job that no controller may accept. Spec is nil if
+// the submission lacks a required field.
 type InvalidSubmission struct {
 	ID   string
 	Spec *jobs.Spec
 }
 
-// ReadProbe says that a user asks one controller in a close look.
+// ReadProbe is an effect: a user calls one controller as a read probe, see ProbeReadsUntil.
 type ReadProbe struct{ ID, Node string }
 
-// ProbeReadsUntil makes users ask all controllers within milliseconds, again and again, whenever
-// a job was accepted, has ended or was confirmed as cancelled, until a time.
-func (c *Users) ProbeReadsUntil(until units.Microseconds) { c.close.until = max(c.close.until, until) }
+// ProbeReadsUntil turns on read probes until a time: whenever a job is accepted, ends or is confirmed
+// as cancelled, users call every controller several times within milliseconds. This exposes
+// controllers that serve stale reads.
+func (u *Users) ProbeReadsUntil(until units.Microseconds) { u.probeUntil = max(u.probeUntil, until) }
 
-// ProbingReads reports whether users look closely at a time.
-func (c *Users) ProbingReads(now units.Microseconds) bool { return now < c.close.until }
+// ProbingReads reports whether read probes are turned on.
+func (u *Users) ProbingReads(now units.Microseconds) bool { return now < u.probeUntil }
 
-// Job returns a job by its id, or nil.
-func (c *Users) Job(id string) *Job {
-	if c.byID == nil {
-		c.byID = map[string]*Job{}
+// Job returns a job by its id, or nil if there is none.
+func (u *Users) Job(id string) *Job {
+	if u.byID == nil {
+		u.byID = map[string]*Job{}
 	}
-	for ; c.indexed < len(c.jobs); c.indexed++ {
-		c.byID[c.jobs[c.indexed].ID] = c.jobs[c.indexed]
+	for ; u.indexed < len(u.jobs); u.indexed++ {
+		u.byID[u.jobs[u.indexed].ID] = u.jobs[u.indexed]
 	}
-	return c.byID[id]
+	return u.byID[id]
 }
 
-// LastTaskEnded says that a job's last task has ended, which no controller may know yet.
-func (c *Users) LastTaskEnded(now units.Microseconds, j *Job) { c.lookAfter(now, j, false) }
+// LastTaskEnded reports that a job's last task has ended, which the controllers may not know yet.
+func (u *Users) LastTaskEnded(now units.Microseconds, j *Job) { u.scheduleProbes(now, j, false) }
 
-// lookAfter plans a close look at a job, if users look closely at present; accepted says that
-// the job was accepted just now.
-func (c *Users) lookAfter(now units.Microseconds, j *Job, accepted bool) {
-	if now >= c.close.until || !j.Accepted {
+// scheduleProbes schedules the read probes of a job, if they are turned on. accepted is set if the job
+// was accepted just now.
+func (u *Users) scheduleProbes(now units.Microseconds, j *Job, accepted bool) {
+	if now >= u.probeUntil || !j.Accepted {
 		return
 	}
 	at := now
-	for round := range lookRounds {
-		for _, node := range c.opt.Nodes {
+	for round := range probeRounds {
+		for _, node := range u.options.Nodes {
 			kind := Poll
 			if round%2 == 1 {
 				kind = Submit
 			}
-			c.plans.Add(at+units.Microseconds(c.rng.Int64N(int64(lookWithin))), step{job: j, kind: kind, node: node})
+			u.queue.Add(at+units.Microseconds(u.rng.Int64N(int64(probeInterval))), step{job: j, kind: kind, node: node})
 		}
-		at += units.Microseconds(c.rng.Int64N(int64(lookWithin)))
+		at += units.Microseconds(u.rng.Int64N(int64(probeInterval)))
 	}
-	if accepted && j.CancelAfter == 0 && !j.Spec.Service && c.rng.Float64() < cancelsAtOnce {
-		c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(lookWithin))), j)
+	if accepted && j.CancelAfter == 0 && !j.Spec.Service && u.rng.Float64() < probeCancelShare {
+		u.CancelAt(now+units.Microseconds(u.rng.Int64N(int64(probeInterval))), j)
 	}
 }
 
-// look asks one controller for a job in a close look.
-func (c *Users) look(now units.Microseconds, s step) {
+// sendProbe sends one read probe: a poll or a repeated submission.
+func (u *Users) sendProbe(now units.Microseconds, s step) {
 	if s.kind == Submit && s.job.GaveUp {
 		return
 	}
-	c.out = append(c.out, ReadProbe{s.job.ID, s.node})
-	c.onceAt(now, s.job, s.kind, s.node)
+	u.effects = append(u.effects, ReadProbe{s.job.ID, s.node})
+	u.callOnceAt(now, s.job, s.kind, s.node)
 }
 
-// CancelAt lets a job's user cancel it at a time.
-func (c *Users) CancelAt(at units.Microseconds, j *Job) { c.plans.Add(at, step{job: j, kind: Cancel}) }
+// CancelAt schedules the cancellation of a job by its user at a time.
+func (u *Users) CancelAt(at units.Microseconds, j *Job) { u.queue.Add(at, step{job: j, kind: Cancel}) }
 
-// CancelSoon lets the users of jobs cancel them within a fifth of a second.
-func (c *Users) CancelSoon(now units.Microseconds, submitted []*Job) {
+// CancelSoon schedules the cancellation of jobs by their users within a fifth of a second.
+func (u *Users) CancelSoon(now units.Microseconds, submitted []*Job) {
 	for _, j := range submitted {
-		c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(cancelWithin))), j)
+		u.CancelAt(now+units.Microseconds(u.rng.Int64N(int64(cancelSoonWithin))), j)
 	}
 }
 
-// CancelAtEnd lets a job's user cancel it as its last task ends: at that moment, or, for half
-// of them, up to a second later.
-func (c *Users) CancelAtEnd(now units.Microseconds, j *Job) {
-	within := atEndClosely
-	if c.rng.IntN(2) == 0 {
-		within = atEndWithin
+// CancelAtEnd schedules the cancellation of a job as its last task ends: within 20 ms, or, for half of
+// the jobs, within a second.
+func (u *Users) CancelAtEnd(now units.Microseconds, j *Job) {
+	within := cancelAtEndShort
+	if u.rng.IntN(2) == 0 {
+		within = cancelAtEndLong
 	}
-	c.CancelAt(now+units.Microseconds(c.rng.Int64N(int64(within))), j)
+	u.CancelAt(now+units.Microseconds(u.rng.Int64N(int64(within))), j)
 }
 
-// DrawInvalidRequestDelay draws the time until the next odd request.
-func (c *Users) DrawInvalidRequestDelay() units.Microseconds {
-	return oddEvery/2 + units.Microseconds(c.rng.Int64N(int64(oddEvery)))
+// DrawInvalidRequestDelay draws the time until the next call of SendInvalidRequest.
+func (u *Users) DrawInvalidRequestDelay() units.Microseconds {
+	return invalidRequestInterval/2 + units.Microseconds(u.rng.Int64N(int64(invalidRequestInterval)))
 }
 
-// SendInvalidRequest makes one request that makes no sense, or none any more: it repeats the
-// submission of an unfinished job, cancels one that is done, or submits one that fits no
-// machine or lacks a field. It reports whether it did so.
-func (c *Users) SendInvalidRequest(now units.Microseconds) bool {
-	if len(c.begun) == 0 {
+// SendInvalidRequest sends one request that is invalid or redundant: it repeats the submission of an
+// unfinished job, cancels a finished one, or submits a job that fits no machine, names an unknown team,
+// type or zone, or lacks a required field. It reports whether it sent one.
+func (u *Users) SendInvalidRequest(now units.Microseconds) bool {
+	if len(u.submitted) == 0 {
 		return false
 	}
-	j := c.begun[c.rng.IntN(len(c.begun))]
-	if c.rng.IntN(2) == 0 {
-		c.submitOdd(now, j)
+	j := u.submitted[u.rng.IntN(len(u.submitted))]
+	if u.rng.IntN(2) == 0 {
+		u.submitInvalid(now, j)
 		return true
 	}
 	switch {
 	case !j.Accepted || j.GaveUp || j.FinalStatus == jobs.Cancelled:
 		return false
 	case j.FinalStatus == "":
-		c.once(now, j, Submit)
+		u.callOnce(now, j, Submit)
 	default:
-		c.out = append(c.out, CancelRequested{j.ID})
-		c.once(now, j, Cancel)
+		u.effects = append(u.effects, CancelRequested{j.ID})
+		u.callOnce(now, j, Cancel)
 	}
 	return true
 }
 
-// submitOdd submits a job that no controller may accept, like another but for one thing.
-func (c *Users) submitOdd(now units.Microseconds, like *Job) {
-	const tooMuch = 1 << 40 // thousandths, more than any machine has
-	spec := *like.Spec
+// submitInvalid submits a copy of a job with one change for which no controller may accept it.
+func (u *Users) submitInvalid(now units.Microseconds, template *Job) {
+	const tooMuch = 1 << 40 // thousandths; more than any machine has
+	spec := *template.Spec
 	spec.Awaits = nil
-	odd := &spec
-	switch c.rng.IntN(6) {
+	invalid := &spec
+	switch u.rng.IntN(6) {
 	case 0:
 		spec.Demand[binpack.CPU] = tooMuch
 	case 1:
@@ -161,9 +157,9 @@
 	case 4:
 		spec.Zone = "no-such-zone"
 	default:
-		odd = nil
+		invalid = nil
 	}
-	id := fmt.Sprintf("wk-8%05d%04d", c.rng.IntN(100_000), c.rng.IntN(10_000))
-	c.out = append(c.out, InvalidSubmission{id, odd})
-	c.onceAt(now, &Job{Job: &work.Job{ID: id, Spec: odd}}, Submit, "")
+	id := fmt.Sprintf("wk-8%05d%04d", u.rng.IntN(100_000), u.rng.IntN(10_000))
+	u.effects = append(u.effects, InvalidSubmission{id, invalid})
+	u.callOnceAt(now, &Job{Job: &work.Job{ID: id, Spec: invalid}}, Submit, "")
 }
--- a/internal/emulator/user/user.go
+++ b/internal/emulator/user/user.go
@@ -1,6 +1,6 @@
-// Package user is the model of the users: they submit jobs, retry, poll and
-// cancel as the protocol says they do. It is pure: time, answers and draws go in,
-// calls to be made and what was told come out of Drain.
+// Package user models the users, who submit, poll and cancel jobs and retry failed calls as the
+// protocol defines. It is deterministic and does no I/O: time, replies and random numbers are inputs,
+// and Drain returns the effects: calls to be made and events for the checker.
 package user
 
 import (
@@ -14,18 +14,18 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// Times of the protocol.
+// Durations of the protocol.
 const (
-	submitWait = 5 * units.Second
-	pollWait   = 2 * units.Second
-	submitFor  = 60 * units.Second // for which a submission is retried
-	maxRetry   = 30 * units.Second // of a Retry-After that is followed
+	submitTimeout   = 5 * units.Second
+	pollTimeout     = 2 * units.Second
+	submitRetryTime = 60 * units.Second // how long a submission is retried
+	maxRetryAfter   = 30 * units.Second // longer Retry-After delays are capped at this
 )
 
-// Kind of a call.
+// Kind is the kind of a call.
 type Kind int
 
-// The three calls.
+// The kinds of calls.
 const (
 	Submit Kind = iota
 	Poll
@@ -36,67 +36,69 @@
 
 // Effects.
 type (
-	// Call is to be made; its answer goes to Answer, or to Failed.
+	// Call is a call to be made. Pass its reply to HandleReply, or report a failure with CallFailed.
 	Call struct {
 		Number  uint64
 		Kind    Kind
 		ID      string
-		Spec    *jobs.Spec         // of a submission; nil: it lacks a field
-		Timeout units.Microseconds // for an answer
-		Node    string             // the controller that is asked; "": the one that the load balancer chooses
+		Spec    *jobs.Spec         // of a submission; nil: the submission lacks a required field
+		Timeout units.Microseconds // for the reply
+		Node    string             // the controller to call; "": the load balancer chooses one
 	}
-	// SubmissionStarted says that a job is submitted from now on; CancelAsked that its user
-	// has asked to cancel it.
+	// SubmissionStarted: a user starts to submit a job. CancelRequested: a user requests the
+	// cancellation of a job.
 	SubmissionStarted struct{ Job *Job }
 	CancelRequested   struct{ ID string }
-	// CallFinished says what a user has heard. Code 0: no answer in time.
+	// CallFinished: a call has got its reply. Code 0 means that there was none before the timeout.
 	CallFinished struct {
 		Kind Kind
 		ID   string
-		Took units.Microseconds // since the call was made
+		Took units.Microseconds // time since the call was made
 		Reply
 	}
 )
 
-// Reply is a controller's answer.
+// Reply is a controller's reply to a call.
 type Reply struct {
 	Code       int
 	Status     jobs.Status
 	RetryAfter units.Microseconds
 }
 
-// Job is a job and how its user goes about it.
+// Job is a job and the state of its user.
 type Job struct {
 	*work.Job
 	Awaits      []*Job
-	At          units.Microseconds // of the first attempt to submit
-	CancelAfter units.Microseconds // from then on; 0: never
-
-	Accepted    bool
-	GaveUp      bool
-	FinalStatus jobs.Status        // as told; "" so far
-	FinalAt     units.Microseconds // when that was
-	first       units.Microseconds
-	cancels     bool
+	At          units.Microseconds // scheduled time of the first submission
+	CancelAfter units.Microseconds // after the first submission; 0: never
+
+	Accepted        bool
+	GaveUp          bool
+	FinalStatus     jobs.Status        // first final status in a reply; "": none yet
+	FinalAt         units.Microseconds // time of that reply
+	submittedAt     units.Microseconds
+	cancelRequested bool
 }
 
-// Options say how users behave beyond what the protocol fixes.
+// Options holds the parts of the users' behaviour that the protocol leaves open.
 type Options struct {
-	PollInterval    units.Microseconds // about; 5 s by default
-	LateRetries     float64            // share of accepted submissions that are sent again later
-	UnknownJobPolls float64            // share of polls that are followed by one for a job that nobody submitted
-	Revisits        float64            // and by a call for any earlier job
-	Nodes           []string           // controllers that can be asked without the load balancer, see LookClosely
+	PollInterval    units.Microseconds // mean interval; 5 s by default
+	LateRetries     float64            // share of accepted submissions that are repeated later
+	UnknownJobPolls float64            // probability of an extra poll for a job that nobody submitted
+	Revisits        float64            // probability that a call for a random earlier job follows a poll
+	Nodes           []string           // controllers that ProbeReadsUntil calls directly
 }
 
+// step is an entry of the queue.
 type step struct {
-	job    *Job
-	kind   Kind
-	number uint64 // of the call whose wait is over; 0: a call is due
-	late   bool   // a submission repeated although it was accepted
-	node   string // a close look at this controller
+	job      *Job
+	kind     Kind
+	number   uint64 // the call that times out; 0: the step is a call to be made
+	resubmit bool   // repeat the submission of an accepted job
+	node     string // a read probe of this controller; "": none
 }
 
+// call is a call in flight.
 type call struct {
 	job  *Job
 	kind Kind
@@ -105,33 +107,33 @@
 	once bool
 }
 
-// Users is all users.
+// Users models all users.
 type Users struct {
-	opt     Options
-	rng     *rand.Rand
-	plans   eventqueue.Queue[step]
-	open    map[uint64]call
-	next    uint64
-	begun   []*Job // those that were submitted, as they came
-	jobs    []*Job
-	left    int // jobs whose users are not through
-	storm   float64
-	close   lookingClosely
-	byID    map[string]*Job // the first jobs that were added, see Job
-	indexed int             // how many these are
-	out     []any
+	options    Options
+	rng        *rand.Rand
+	queue      eventqueue.Queue[step]
+	inFlight   map[uint64]call // calls without a reply, by number
+	lastNumber uint64          // number of the last call
+	submitted  []*Job          // in the order of their first submissions
+	jobs       []*Job
+	unfinished int     // see Unfinished
+	pollFactor float64 // see SetPollFactor
+	probeUntil units.Microseconds
+	byID       map[string]*Job // index of the first jobs that were added, see Job
+	indexed    int             // number of jobs in the index
+	effects    []any
 }
 
-// New returns a crowd without jobs.
+// New returns users without jobs.
 func New(opt Options, rng *rand.Rand) *Users {
 	if opt.PollInterval == 0 {
 		opt.PollInterval = 5 * units.Second
 	}
-	return &Users{opt: opt, rng: rng, open: map[uint64]call{}, storm: 1}
+	return &Users{options: opt, rng: rng, inFlight: map[uint64]call{}, pollFactor: 1}
 }
 
-// Add plans a job.
-func (c *Users) Add(j *Job) {
+// Add schedules a job for submission at its time At.
+func (u *Users) Add(j *Job) {
 	if len(j.Awaits) > 0 {
 		spec := *j.Spec
 		for _, a := range j.Awaits {
@@ -139,256 +141,263 @@
 		}
 		j.Spec = &spec
 	}
-	c.jobs = append(c.jobs, j)
-	c.left++
-	c.plans.Add(j.At, step{job: j, kind: Submit})
+	u.jobs = append(u.jobs, j)
+	u.unfinished++
+	u.queue.Add(j.At, step{job: j, kind: Submit})
 }
 
-// Adopt takes up a job that was accepted in an earlier time of the same service: its
-// user polls until it is over.
-func (c *Users) Adopt(now units.Microseconds, j *Job) {
-	j.Accepted, j.At, j.first = true, now, max(now, 1)
-	c.jobs = append(c.jobs, j)
+// Adopt adds a job that was accepted before this model was started, such as by an earlier run of the
+// same service. Its user polls until it has a final status.
+func (u *Users) Adopt(now units.Microseconds, j *Job) {
+	j.Accepted, j.At, j.submittedAt = true, now, max(now, 1)
+	u.jobs = append(u.jobs, j)
 	if !j.Spec.Service {
-		c.left++
+		u.unfinished++
 	}
-	c.plans.Add(now+units.Microseconds(c.rng.Int64N(int64(c.opt.PollInterval))), step{job: j, kind: Poll})
+	u.queue.Add(now+units.Microseconds(u.rng.Int64N(int64(u.options.PollInterval))), step{job: j, kind: Poll})
 }
 
 // Jobs returns all jobs in the order in which they were added.
-func (c *Users) Jobs() []*Job { return c.jobs }
+func (u *Users) Jobs() []*Job { return u.jobs }
 
-// Unfinished returns how many jobs are neither over, as far as their users were told,
-// nor given up. Services that nobody cancels do not count.
-func (c *Users) Unfinished() int { return c.left }
+// Unfinished returns the number of jobs that have neither got a final status in a reply nor been given
+// up. Services that nobody cancels do not count.
+func (u *Users) Unfinished() int { return u.unfinished }
 
-// SetPollFactor makes users ask n times as often from now on.
-func (c *Users) SetPollFactor(n float64) { c.storm = max(n, 1) }
+// SetPollFactor makes users poll n times as often from now on; n below 1 counts as 1.
+func (u *Users) SetPollFactor(n float64) { u.pollFactor = max(n, 1) }
 
-// Next returns when Advance is next of use.
-func (c *Users) Next() units.Microseconds { return c.plans.Next() }
+// Next returns the time at which Advance is due next.
+func (u *Users) Next() units.Microseconds { return u.queue.Next() }
 
-// Advance lets time pass.
-func (c *Users) Advance(now units.Microseconds) {
+// Advance executes all steps that are due by now.
+func (u *Users) Advance(now units.Microseconds) {
 	for {
-		at, s, ok := c.plans.Due(now)
+		at, s, ok := u.queue.Due(now)
 		if !ok {
 			return
 		}
 		if s.number != 0 {
-			if _, waits := c.open[s.number]; waits {
-				c.CallFailed(at, s.number)
+			if _, pending := u.inFlight[s.number]; pending {
+				u.CallFailed(at, s.number)
 			}
 			continue
 		}
-		c.due(at, s)
+		u.execute(at, s)
 	}
 }
 
-func (c *Users) due(now units.Microseconds, s step) {
+// execute makes the call of a step, unless it has become unnecessary.
+func (u *Users) execute(now units.Microseconds, s step) {
 	j := s.job
 	if s.node != "" {
-		c.look(now, s)
+		u.sendProbe(now, s)
 		return
 	}
 	switch s.kind {
 	case Submit:
-		if j.first == 0 {
+		if j.submittedAt == 0 {
 			for _, a := range j.Awaits {
 				if a.GaveUp {
-					c.giveUp(j)
+					u.giveUp(j)
 					return
 				}
 				if !a.Accepted {
-					c.plans.Add(now+units.Second/50, s)
+					u.queue.Add(now+units.Second/50, s)
 					return
 				}
 			}
-			c.begin(now, j)
+			u.startSubmission(now, j)
 		}
-		if !s.late && j.Accepted {
+		if !s.resubmit && j.Accepted {
 			return
 		}
 	case Cancel:
-		if j.GaveUp || j.FinalStatus != "" && j.cancels {
+		if j.GaveUp || j.FinalStatus != "" && j.cancelRequested {
 			return
 		}
-		if !j.cancels {
-			j.cancels = true
-			c.out = append(c.out, CancelRequested{j.ID})
+		if !j.cancelRequested {
+			j.cancelRequested = true
+			u.effects = append(u.effects, CancelRequested{j.ID})
 		}
 	case Poll:
-		if c.rng.Float64() < c.opt.UnknownJobPolls {
-			c.call(now, nil, Poll, fmt.Sprintf("wk-9%05d%04d", c.rng.IntN(100_000), c.rng.IntN(10_000)))
+		if u.rng.Float64() < u.options.UnknownJobPolls {
+			u.call(now, nil, Poll, fmt.Sprintf("wk-9%05d%04d", u.rng.IntN(100_000), u.rng.IntN(10_000)))
 		}
 	}
-	c.call(now, j, s.kind, j.ID)
-	if s.kind == Poll && c.opt.Revisits > 0 && c.rng.Float64() < c.opt.Revisits {
-		c.revisit(now)
+	u.call(now, j, s.kind, j.ID)
+	if s.kind == Poll && u.options.Revisits > 0 && u.rng.Float64() < u.options.Revisits {
+		u.revisit(now)
 	}
 }
 
-// revisit asks for any job that was submitted before, as one who comes back to it long
-// after does: what became of it, the same submission, or that it be cancelled.
-func (c *Users) revisit(now units.Microseconds) {
-	j := c.begun[c.rng.IntN(len(c.begun))]
-	switch n := c.rng.IntN(10); {
+// revisit makes one call for a random job that was submitted before: a poll, a repeated submission or
+// a cancellation. It covers late calls for jobs that finished long ago.
+func (u *Users) revisit(now units.Microseconds) {
+	j := u.submitted[u.rng.IntN(len(u.submitted))]
+	switch n := u.rng.IntN(10); {
 	case !j.Accepted || j.GaveUp:
 	case n < 7:
-		c.once(now, j, Poll)
+		u.callOnce(now, j, Poll)
 	case n < 9:
-		c.once(now, j, Submit)
-	case j.FinalStatus != "" && !j.cancels:
-		j.cancels = true
-		c.out = append(c.out, CancelRequested{j.ID})
-		c.once(now, j, Cancel)
+		u.callOnce(now, j, Submit)
+	case j.FinalStatus != "" && !j.cancelRequested:
+		j.cancelRequested = true
+		u.effects = append(u.effects, CancelRequested{j.ID})
+		u.callOnce(now, j, Cancel)
 	}
 }
 
-// once makes a call whose answer leads to nothing further.
-func (c *Users) once(now units.Microseconds, j *Job, k Kind) { c.onceAt(now, j, k, "") }
+// callOnce makes a call whose reply does not affect the user's further behaviour.
+func (u *Users) callOnce(now units.Microseconds, j *Job, k Kind) { u.callOnceAt(now, j, k, "") }
 
-// onceAt does so at one controller, or at any where node is "".
-func (c *Users) onceAt(now units.Microseconds, j *Job, k Kind, node string) {
-	c.callAt(now, j, k, j.ID, node)
-	o := c.open[c.next]
-	o.once = true
-	c.open[c.next] = o
+// callOnceAt does the same at one controller; with node "" the load balancer chooses.
+func (u *Users) callOnceAt(now units.Microseconds, j *Job, k Kind, node string) {
+	u.callAt(now, j, k, j.ID, node)
+	c := u.inFlight[u.lastNumber]
+	c.once = true
+	u.inFlight[u.lastNumber] = c
 }
 
-// begin is a job's first attempt. What it awaits is known by now.
-func (c *Users) begin(now units.Microseconds, j *Job) {
-	j.first = max(now, 1)
-	c.begun = append(c.begun, j)
-	c.out = append(c.out, SubmissionStarted{j})
+// startSubmission starts the first submission of a job, after the jobs that it awaits were accepted.
+func (u *Users) startSubmission(now units.Microseconds, j *Job) {
+	j.submittedAt = max(now, 1)
+	u.submitted = append(u.submitted, j)
+	u.effects = append(u.effects, SubmissionStarted{j})
 	if j.CancelAfter > 0 {
-		c.plans.Add(now+j.CancelAfter, step{job: j, kind: Cancel})
+		u.queue.Add(now+j.CancelAfter, step{job: j, kind: Cancel})
 	}
 	if j.Spec.Service && j.CancelAfter == 0 {
-		c.left--
+		u.unfinished--
 	}
 }
 
-func (c *Users) call(now units.Microseconds, j *Job, k Kind, id string) { c.callAt(now, j, k, id, "") }
+func (u *Users) call(now units.Microseconds, j *Job, k Kind, id string) { u.callAt(now, j, k, id, "") }
 
-func (c *Users) callAt(now units.Microseconds, j *Job, k Kind, id, node string) {
-	c.next++
-	c.open[c.next] = call{job: j, kind: k, id: id, sent: now}
-	e := Call{Number: c.next, Kind: k, ID: id, Timeout: submitWait, Node: node}
+// callAt makes a call to a controller and schedules its timeout; with node "" the load balancer
+// chooses.
+func (u *Users) callAt(now units.Microseconds, j *Job, k Kind, id, node string) {
+	u.lastNumber++
+	u.inFlight[u.lastNumber] = call{job: j, kind: k, id: id, sent: now}
+	e := Call{Number: u.lastNumber, Kind: k, ID: id, Timeout: submitTimeout, Node: node}
 	if k == Poll {
-		e.Timeout = pollWait
+		e.Timeout = pollTimeout
 	}
 	if k == Submit {
 		e.Spec = j.Spec
 	}
-	c.plans.Add(now+e.Timeout, step{number: c.next})
-	c.out = append(c.out, e)
+	u.queue.Add(now+e.Timeout, step{number: u.lastNumber})
+	u.effects = append(u.effects, e)
 }
 
-// CallFailed says that a call got no answer.
-func (c *Users) CallFailed(now units.Microseconds, number uint64) {
-	c.HandleReply(now, number, Reply{})
+// CallFailed reports that a call failed without a reply.
+func (u *Users) CallFailed(now units.Microseconds, number uint64) {
+	u.HandleReply(now, number, Reply{})
 }
 
-// HandleReply takes the answer to a call; one that comes too late is nobody's.
-func (c *Users) HandleReply(now units.Microseconds, number uint64, a Reply) {
-	o, ok := c.open[number]
+// HandleReply processes the reply to a call. A reply after the call's timeout is ignored.
+func (u *Users) HandleReply(now units.Microseconds, number uint64, reply Reply) {
+	c, ok := u.inFlight[number]
 	if !ok {
 		return
 	}
-	delete(c.open, number)
-	c.out = append(c.out, CallFinished{o.kind, o.id, now - o.sent, a})
-	if o.job == nil || o.once {
+	delete(u.inFlight, number)
+	u.effects = append(u.effects, CallFinished{c.kind, c.id, now - c.sent, reply})
+	if c.job == nil || c.once {
 		return
 	}
-	switch o.kind {
+	switch c.kind {
 	case Submit:
-		c.submitted(now, o.job, a)
+		u.handleSubmitReply(now, c.job, reply)
 	case Cancel:
-		if a.Code == http.StatusOK {
-			// It was accepted, though no answer to its submission has come.
-			if !o.job.Accepted && !o.job.GaveUp {
-				o.job.Accepted = true
+		if reply.Code == http.StatusOK {
+			// The job was accepted, although no reply to its submission arrived.
+			if !c.job.Accepted && !c.job.GaveUp {
+				c.job.Accepted = true
 			}
-			c.heard(now, o.job, a.Status)
+			u.observeStatus(now, c.job, reply.Status)
 			return
 		}
-		c.plans.Add(now+c.pause(a), step{job: o.job, kind: Cancel})
+		u.queue.Add(now+u.retryDelay(reply), step{job: c.job, kind: Cancel})
 	case Poll:
-		if a.Code == http.StatusOK {
-			c.heard(now, o.job, a.Status)
+		if reply.Code == http.StatusOK {
+			u.observeStatus(now, c.job, reply.Status)
 		}
-		c.pollLater(now, o.job)
+		u.schedulePoll(now, c.job)
 	}
 }
 
-func (c *Users) submitted(now units.Microseconds, j *Job, a Reply) {
-	switch a.Code {
+// handleSubmitReply processes the reply to a submission: the user polls, gives up or retries.
+func (u *Users) handleSubmitReply(now units.Microseconds, j *Job, reply Reply) {
+	switch reply.Code {
 	case http.StatusOK, http.StatusCreated:
 		if !j.Accepted {
 			j.Accepted = true
-			c.lookAfter(now, j, true)
-			c.pollLater(now, j)
-			if c.rng.Float64() < c.opt.LateRetries {
-				c.plans.Add(now+units.Microseconds(c.rng.Int64N(int64(80*units.Second))), step{job: j, kind: Submit, late: true})
+			u.scheduleProbes(now, j, true)
+			u.schedulePoll(now, j)
+			if u.rng.Float64() < u.options.LateRetries {
+				u.queue.Add(now+units.Microseconds(u.rng.Int64N(int64(80*units.Second))), step{job: j, kind: Submit, resubmit: true})
 			}
 		}
-		c.heard(now, j, a.Status)
+		u.observeStatus(now, j, reply.Status)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if !j.Accepted {
-			c.giveUp(j)
+			u.giveUp(j)
 		}
 	default:
-		if p := c.pause(a); j.Accepted || now+p-j.first > submitFor {
+		if p := u.retryDelay(reply); j.Accepted || now+p-j.submittedAt > submitRetryTime {
 			if !j.Accepted {
-				c.giveUp(j)
+				u.giveUp(j)
 			}
 		} else {
-			c.plans.Add(now+p, step{job: j, kind: Submit})
+			u.queue.Add(now+p, step{job: j, kind: Submit})
 		}
 	}
 }
 
-func (c *Users) giveUp(j *Job) {
+// giveUp records that a user stops submitting a job.
+func (u *Users) giveUp(j *Job) {
 	if j.GaveUp || j.FinalStatus != "" {
 		return
 	}
 	j.GaveUp = true
-	if !j.Spec.Service || j.CancelAfter > 0 || j.first == 0 {
-		c.left--
+	if !j.Spec.Service || j.CancelAfter > 0 || j.submittedAt == 0 {
+		u.unfinished--
 	}
 }
 
-// pause is how long a user waits before the next try.
-func (c *Users) pause(a Reply) units.Microseconds {
-	return max(units.Second+units.Microseconds(c.rng.Int64N(int64(units.Second))), min(a.RetryAfter, maxRetry))
+// retryDelay returns how long a user waits before a retry: one to two seconds, or a longer Retry-After.
+func (u *Users) retryDelay(reply Reply) units.Microseconds {
+	return max(units.Second+units.Microseconds(u.rng.Int64N(int64(units.Second))), min(reply.RetryAfter, maxRetryAfter))
 }
 
-// pollLater polls again after some seconds, and now and then once all is over.
-func (c *Users) pollLater(now units.Microseconds, j *Job) {
-	every := float64(c.opt.PollInterval) * (0.6 + 0.8*c.rng.Float64()) / c.storm
+// schedulePoll schedules the next poll. A job with a final status is polled again with probability 0.2,
+// or always if the poll factor is above 1, at three times the interval.
+func (u *Users) schedulePoll(now units.Microseconds, j *Job) {
+	interval := float64(u.options.PollInterval) * (0.6 + 0.8*u.rng.Float64()) / u.pollFactor
 	if j.FinalStatus != "" {
-		if c.rng.Float64() > 0.2 && c.storm == 1 {
+		if u.rng.Float64() > 0.2 && u.pollFactor == 1 {
 			return
 		}
-		every *= 3
+		interval *= 3
 	}
-	c.plans.Add(now+units.Microseconds(every), step{job: j, kind: Poll})
+	u.queue.Add(now+units.Microseconds(interval), step{job: j, kind: Poll})
 }
 
-func (c *Users) heard(now units.Microseconds, j *Job, s jobs.Status) {
+// observeStatus records the status in a reply. The first final one ends the job for its user.
+func (u *Users) observeStatus(now units.Microseconds, j *Job, s jobs.Status) {
 	if s.Final() && j.FinalStatus == "" {
 		j.FinalStatus, j.FinalAt = s, now
-		c.lookAfter(now, j, false)
+		u.scheduleProbes(now, j, false)
 		if !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
-			c.left--
+			u.unfinished--
 		}
 	}
 }
 
-// Drain returns the effects since the last call.
-func (c *Users) Drain() []any {
-	out := c.out
-	c.out = nil
+// Drain returns and clears the effects since the last call.
+func (u *Users) Drain() []any {
+	out := u.effects
+	u.effects = nil
 	return out
 }
--- a/internal/emulator/user/user_test.go
+++ b/internal/emulator/user/user_test.go
@@ -16,10 +16,11 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// TestUsersDoAsWritten gives users drawn answers, or none: they retry after a second
-// or more, or as long as they are told up to 30 s, for a minute in all; they submit a
-// job only once those that it awaits are accepted; they wait 5 s, or 2 s for a poll.
-func TestUsersDoAsWritten(t *testing.T) {
+// TestUsersFollowProtocol guards against users who deviate from the protocol when calls fail. Replies
+// are random or missing. Users must retry after a second or more, or after a Retry-After of up to 30 s,
+// for at most a minute; submit a job only after the jobs that it awaits were accepted; and time out
+// after 5 s, or 2 s for a poll.
+func TestUsersFollowProtocol(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(Options{}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		var submitted []*Job
@@ -34,11 +35,11 @@
 			c.Add(j)
 			submitted = append(submitted, j)
 		}
-		tried := map[string]units.Microseconds{} // when the last answer to a submission was
-		pause := map[string]units.Microseconds{} // that it asked for
-		began := map[string]units.Microseconds{} // the first submission
+		tried := map[string]units.Microseconds{} // time of the last reply to a submission
+		pause := map[string]units.Microseconds{} // Retry-After in that reply
+		began := map[string]units.Microseconds{} // time of the first submission
 		accepted := map[string]bool{}
-		known := map[string]bool{} // by the answer to a request to cancel
+		known := map[string]bool{} // accepted according to the reply to a cancellation
 		for now := units.Microseconds(0); now < 200*units.Second; now = max(now+1, min(c.Next(), 200*units.Second)) {
 			c.Advance(now)
 			for _, e := range c.Drain() {
@@ -47,19 +48,19 @@
 					continue
 				}
 				if want := map[Kind]units.Microseconds{Submit: 5 * units.Second, Cancel: 5 * units.Second, Poll: 2 * units.Second}[call.Kind]; call.Timeout != want {
-					t.Fatalf("%v waits %d", call.Kind, call.Timeout)
+					t.Fatalf("%v has a timeout of %d", call.Kind, call.Timeout)
 				}
 				a := Reply{Code: rapid.SampledFrom([]int{0, 503, 429, 500, 201}).Draw(t, "code"), Status: jobs.Pending,
 					RetryAfter: units.Microseconds(rapid.IntRange(0, 40).Draw(t, "after")) * units.Second}
 				if call.Kind == Submit {
 					if at, again := tried[call.ID]; again && (accepted[call.ID] || now-at < max(units.Second, min(pause[call.ID], 30*units.Second))) {
-						t.Fatalf("%s is submitted again %d after an answer; accepted: %v", call.ID, now-at, accepted[call.ID])
+						t.Fatalf("%s is submitted again %d after a reply; accepted: %v", call.ID, now-at, accepted[call.ID])
 					}
 					if _, again := began[call.ID]; !again {
 						began[call.ID] = now
 					}
 					if now-began[call.ID] > 60*units.Second {
-						t.Fatalf("%s is submitted after %d", call.ID, now-began[call.ID])
+						t.Fatalf("%s is still submitted after %d", call.ID, now-began[call.ID])
 					}
 					for _, n := range call.Spec.Awaits {
 						if !accepted[n] && !known[n] {
@@ -75,7 +76,7 @@
 					}
 				}
 				c.HandleReply(now, call.Number, a)
-				c.HandleReply(now, call.Number, Reply{Code: 422}) // a second answer is nobody's
+				c.HandleReply(now, call.Number, Reply{Code: 422}) // a second reply must be ignored
 			}
 		}
 		for _, j := range submitted {
@@ -86,8 +87,9 @@
 	})
 }
 
-// TestBalancer follows one node through its health: one success for a node that has
-// never been healthy, two failures or three of six to remove it, a pause that doubles.
+// TestBalancer guards against a load balancer that uses an unhealthy controller or drops a healthy one.
+// A node that was never healthy needs one successful probe; two consecutive failures, or three of six,
+// remove it; it returns after two successes and a pause, which doubles with each removal.
 func TestBalancer(t *testing.T) {
 	b := balance.New(2, 0, rand.New(rand.NewPCG(1, 1)))
 	probe := func(at float64, ok ...bool) {
@@ -120,21 +122,22 @@
 	healthy(true, "after it")
 	b.HandleProbe(units.Seconds(1), 1, true)
 	if got := b.Choose(units.Seconds(19), []int{0}); got != 1 {
-		t.Errorf("chosen: %d, though 0 was tried", got)
+		t.Errorf("chosen: %d, although 0 was already tried", got)
 	}
 	for range 3 {
 		b.ConnectionFailed(units.Seconds(20), 1)
 	}
 	if got := b.Choose(units.Seconds(21), []int{0}); got != -1 {
-		t.Errorf("chosen: %d, though it has failed three times", got)
+		t.Errorf("chosen: %d, although it has failed three times", got)
 	}
 	if got := b.Choose(units.Seconds(23.1), []int{0}); got != 1 {
 		t.Errorf("chosen: %d after the pause", got)
 	}
 }
 
-// TestFloor counts of a class's largest jobs those that began within four minutes.
-func TestFloor(t *testing.T) {
+// TestServiceLevelOfLargestJobs guards against a wrong service level of a class's largest jobs: only
+// those that started within four minutes of their submission count as good.
+func TestServiceLevelOfLargestJobs(t *testing.T) {
 	var submitted []*Job
 	for i := range 10 {
 		submitted = append(submitted, &Job{Job: &work.Job{ID: fmt.Sprint("j", i), Run: units.Second, Spec: &jobs.Spec{Class: "c", Team: "t", Tasks: i + 1, Demand: binpack.Vec{1000, 0, 0}}}, At: units.Second, Accepted: true, FinalStatus: jobs.Done})
@@ -143,10 +146,10 @@
 	for _, s := range ServiceLevels(submitted, Options{}, func(id string) units.Microseconds { return began[id] }) {
 		if s.What == "class c largest begun" {
 			if s.Good != 1 || s.Of != 2 {
-				t.Errorf("%d of %d", s.Good, s.Of)
+				t.Errorf("%d of %d largest jobs started in time, want 1 of 2", s.Good, s.Of)
 			}
 			return
 		}
 	}
-	t.Error("the largest jobs are not counted")
+	t.Error("there is no service level of the largest jobs")
 }
--- a/internal/emulator/work/work.go
+++ b/internal/emulator/work/work.go
@@ -1,5 +1,5 @@
-// Package work holds what is true of jobs, whoever believes what: how long their
-// tasks run, which are done, and what progress is saved outside of machines.
+// Package work holds the ground truth about jobs, independent of what controllers and workers know: how
+// long their tasks run, which have completed, and the checkpoints saved outside of machines.
 package work
 
 import (
@@ -14,16 +14,16 @@
 type Job struct {
 	ID           string
 	Spec         *jobs.Spec
-	Run          units.Microseconds // of a task on a machine of speed 1, without the image
-	RunVariation float64            // tasks run up to this share shorter or longer
-	FailsAlways  bool               // submitted with a mistake: fails on every machine
+	Run          units.Microseconds // mean of a task on a machine of speed 1, without the image fetch
+	RunVariation float64            // run times vary by up to this share in both directions
+	FailsAlways  bool               // submitted with an error: its tasks fail on every machine
 
 	done  jobs.Set
 	saved map[int]units.Microseconds
 }
 
-// RunOf returns how long a task runs on a machine of speed 1. The draw is by the
-// task's name, so that every run of it takes as long.
+// RunOf returns the run time of a task on a machine of speed 1. It is derived from a hash of the task's
+// name, so that every attempt takes equally long.
 func (j *Job) RunOf(task int) units.Microseconds {
 	if j.RunVariation == 0 {
 		return j.Run
@@ -34,7 +34,7 @@
 	return units.Microseconds(math.Round(float64(j.Run) * (1 + j.RunVariation*(2*u-1))))
 }
 
-// Finish records that a task has completed; it stays so.
+// Finish records that a task has completed. This is permanent.
 func (j *Job) Finish(task int) {
 	j.done.Add(task)
 	delete(j.saved, task)
@@ -43,13 +43,14 @@
 // Finished reports whether a task has completed on any machine.
 func (j *Job) Finished(task int) bool { return j.done.Has(task) }
 
-// Done reports whether all tasks have.
+// Done reports whether all tasks have completed. A service is never done.
 func (j *Job) Done() bool { return !j.Spec.Service && j.done.Len() == j.Spec.Tasks }
 
-// DoneTasks returns how many have.
+// DoneTasks returns the number of completed tasks.
 func (j *Job) DoneTasks() int { return j.done.Len() }
 
-// Save keeps a task's progress, in run time on a machine of speed 1.
+// Save saves a task's progress, as run time on a machine of speed 1. A lower progress than the saved one
+// is ignored.
 func (j *Job) Save(task int, p units.Microseconds) {
 	if j.saved == nil {
 		j.saved = map[int]units.Microseconds{}
@@ -60,5 +61,5 @@
 // Saved returns a task's saved progress.
 func (j *Job) Saved(task int) units.Microseconds { return j.saved[task] }
 
-// Uploads holds all jobs that were uploaded, by id.
+// Uploads holds all jobs that users uploaded, by id.
 type Uploads map[string]*Job
