--- a/internal/emulator/account/account.go
+++ b/internal/emulator/account/account.go
@@ -133,26 +133,26 @@
 }
 
 // spend books money on what a machine is doing.
-func (m *machine) spend(x Machine, money float64) {
-	m.rate = x.Rate
-	m.perCPU += money / x.CPUs
-	busy := x.Running + x.Fetching
+func (m *machine) spend(state Machine, money float64) {
+	m.rate = state.Rate
+	m.perCPU += money / state.CPUs
+	busy := state.Running + state.Fetching
 	switch {
-	case x.Cut && !x.Up:
+	case state.Cut && !state.Up:
 		m.row.Spent[CutBoot] += money
 		return
-	case x.Cut && busy == 0:
+	case state.Cut && busy == 0:
 		m.row.Spent[CutEmpty] += money
-	case !x.Up:
+	case !state.Up:
 		m.boot += money
 		return
 	case busy == 0:
 		m.empty += money
 	default:
 		m.markOccupied()
-		m.row.Spent[Fetching] += money * x.Fetching / x.CPUs
-		m.row.Spent[Beside] += money * (x.CPUs - busy) / x.CPUs
-		m.row.Spent[Unfinished] += money * x.Running / x.CPUs
+		m.row.Spent[Fetching] += money * state.Fetching / state.CPUs
+		m.row.Spent[Beside] += money * (state.CPUs - busy) / state.CPUs
+		m.row.Spent[Unfinished] += money * state.Running / state.CPUs
 	}
 	m.up = true
 }
@@ -200,22 +200,22 @@
 
 // TaskEnded records that a task no longer runs on a machine, and whether it completed.
 func (a *Account) TaskEnded(name string, id jobs.TaskID, completed bool) {
-	m := a.live[name]
-	if m == nil {
+	host := a.live[name]
+	if host == nil {
 		return
 	}
-	t, ok := m.tasks[id]
+	t, ok := host.tasks[id]
 	if !ok {
 		return
 	}
-	delete(m.tasks, id)
+	delete(host.tasks, id)
 	use := Lost
 	if completed {
 		use = Useful
 	}
-	money := t.cpus * (m.perCPU - t.perCPU)
-	m.row.Spent[use] += money
-	m.row.Spent[Unfinished] -= money
+	money := t.cpus * (host.perCPU - t.perCPU)
+	host.row.Spent[use] += money
+	host.row.Spent[Unfinished] -= money
 }
 
 // Rows closes the account and returns the costs up to the last observation, by pool.
--- a/internal/emulator/balance/balance.go
+++ b/internal/emulator/balance/balance.go
@@ -27,9 +27,9 @@
 
 // Effects.
 type (
-	// Probe is a health probe to be sent to a node. Pass its result to HandleProbe.
+	// Probe is an effect: a health probe to be sent to a node. Pass its result to HandleProbe.
 	Probe struct{ Node int }
-	// Reset: all open connections of a node are to be closed.
+	// Reset is an effect: all open connections of a node are to be closed.
 	Reset struct{ Node int }
 )
 
--- a/internal/emulator/cloudprovider/machine.go
+++ b/internal/emulator/cloudprovider/machine.go
@@ -28,11 +28,11 @@
 
 // Effects.
 type (
-	// MachineStarted: a machine's worker starts.
+	// MachineStarted is an effect: a machine's worker starts.
 	MachineStarted struct{ *Machine }
-	// MachineEnded: a machine was deleted or reclaimed or has failed, with all tasks on it.
+	// MachineEnded is an effect: a machine was deleted or reclaimed or has failed, with all tasks on it.
 	MachineEnded struct{ *Machine }
-	// ReclaimNotice: a machine's worker is notified that the machine will be reclaimed.
+	// ReclaimNotice is an effect: a machine's worker is notified that the machine will be reclaimed.
 	ReclaimNotice struct {
 		*Machine
 		In units.Microseconds // announced time until then; the actual time may differ by up to half of it
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -152,14 +152,14 @@
 func (m *Meter) TaskEnded(at units.Microseconds, machine string, id jobs.TaskID, completed bool) {
 	p := runningTask{machine, id}
 	since, ok := m.running[p]
-	j := m.jobs[id.Job]
-	if !ok || j == nil {
+	owner := m.jobs[id.Job]
+	if !ok || owner == nil {
 		return
 	}
 	delete(m.running, p)
-	cpu := float64(j.Spec.Demand[binpack.CPU]) / 1000
+	cpu := float64(owner.Spec.Demand[binpack.CPU]) / 1000
 	if !completed {
-		if !j.Spec.Service {
+		if !owner.Spec.Service {
 			m.stops++
 			m.wasted += cpu * (at - since).Seconds()
 		}
@@ -167,10 +167,10 @@
 	}
 	// A task that resumed from a checkpoint counts with its whole run time, including that on
 	// other machines.
-	m.useful += cpu * j.RunOf(id.Task).Seconds()
+	m.useful += cpu * owner.RunOf(id.Task).Seconds()
 	m.last = at
-	if j.completedTasks++; j.completedTasks == j.Spec.Tasks {
-		j.completedAt = max(at, 1)
+	if owner.completedTasks++; owner.completedTasks == owner.Spec.Tasks {
+		owner.completedAt = max(at, 1)
 	}
 }
 
@@ -222,23 +222,23 @@
 // not services until their last task completed, in seconds, sorted. A job that has not started, or not
 // completed, counts up to end.
 func (m *Meter) Times(end units.Microseconds) (waits, dones []float64) {
-	for _, j := range m.order {
-		if !m.isMeasured(j) {
+	for _, measured := range m.order {
+		if !m.isMeasured(measured) {
 			continue
 		}
-		began := j.startedAt
+		began := measured.startedAt
 		if began == 0 {
 			began = end
 		}
-		waits = append(waits, max(0, (began-j.readyAt).Seconds()))
-		if j.Spec.Service {
+		waits = append(waits, max(0, (began-measured.readyAt).Seconds()))
+		if measured.Spec.Service {
 			continue
 		}
-		ended := j.completedAt
+		ended := measured.completedAt
 		if ended == 0 {
 			ended = end
 		}
-		dones = append(dones, max(0, (ended-j.readyAt).Seconds()))
+		dones = append(dones, max(0, (ended-measured.readyAt).Seconds()))
 	}
 	slices.Sort(waits)
 	slices.Sort(dones)
@@ -270,7 +270,7 @@
 		}
 		return a / b
 	}
-	f := Figures{
+	figures := Figures{
 		"wait_mean_s": mean(waits), "wait_p95_s": quantile(waits, 0.95), "wait_p99_s": quantile(waits, 0.99),
 		"done_mean_s": mean(dones), "done_p95_s": quantile(dones, 0.95), "done_p99_s": quantile(dones, 0.99),
 		"makespan_s": max(0, (m.last - max(m.first, 0)).Seconds()),
@@ -282,8 +282,8 @@
 		"wasted_share": share(m.wasted, m.sums.Rented), "stops": float64(m.stops),
 	}
 	if due > 0 { // without such jobs there is no share
-		f["deadline"] = float64(kept) / float64(due)
+		figures["deadline"] = float64(kept) / float64(due)
 	}
-	maps.DeleteFunc(f, func(_ string, v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) })
-	return f
+	maps.DeleteFunc(figures, func(_ string, v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) })
+	return figures
 }
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -29,26 +29,28 @@
 
 // Effects.
 type (
-	// MachineUp: a machine's worker starts. MachineEnded: the machine has ended.
-	MachineUp    struct{ *cloudprovider.Machine }
+	// MachineUp is an effect: a machine's worker starts.
+	MachineUp struct{ *cloudprovider.Machine }
+	// MachineEnded is an effect: a machine was deleted or reclaimed or has failed.
 	MachineEnded struct{ *cloudprovider.Machine }
-	// ExternalWorkerStarted: a machine's worker is to be started in a process of its own with this
+	// ExternalWorkerStarted is an effect: a machine's worker is to be started in a process of its own with this
 	// configuration. At the machine's MachineEnded that process must stop it.
 	ExternalWorkerStarted struct {
 		*cloudprovider.Machine
 		Config machine.Config
 		Fault  machine.Fault
 	}
-	// HeartbeatSent is a heartbeat to be sent to a controller.
+	// HeartbeatSent is an effect: a heartbeat to be sent to a controller.
 	HeartbeatSent struct {
 		Machine string
 		machine.Heartbeat
 	}
-	// TaskStarted: a task runs on a machine, with its image fetched. TaskEnded: it no longer does.
+	// TaskStarted is an effect: a task runs on a machine, with its image fetched.
 	TaskStarted struct {
 		*cloudprovider.Machine
 		Task jobs.TaskID
 	}
+	// TaskEnded is an effect: a task no longer runs on a machine.
 	TaskEnded struct {
 		*cloudprovider.Machine
 		Task      jobs.TaskID
@@ -165,6 +167,7 @@
 	}
 }
 
+// collectEffects passes on the effects of a worker.
 func (s *Site) collectEffects(w *worker) {
 	for _, e := range w.Drain() {
 		switch e := e.(type) {
--- a/internal/emulator/user/user.go
+++ b/internal/emulator/user/user.go
@@ -36,7 +36,7 @@
 
 // Effects.
 type (
-	// Call is a call to be made. Pass its reply to HandleReply, or report a failure with CallFailed.
+	// Call is an effect: a call to be made. Pass its reply to HandleReply, or report a failure with CallFailed.
 	Call struct {
 		Number  uint64
 		Kind    Kind
@@ -45,11 +45,12 @@
 		Timeout units.Microseconds // for the reply
 		Node    string             // the controller to call; "": the load balancer chooses one
 	}
-	// SubmissionStarted: a user starts to submit a job. CancelRequested: a user requests the
-	// cancellation of a job.
+	// SubmissionStarted is an effect: a user starts to submit a job.
 	SubmissionStarted struct{ Job *Job }
-	CancelRequested   struct{ ID string }
-	// CallFinished: a call has got its reply. Code 0 means that there was none before the timeout.
+	// CancelRequested is an effect: a user requests the cancellation of a job.
+	CancelRequested struct{ ID string }
+	// CallFinished is an effect: a call has got its reply. Code 0 means that there was none before the
+	// timeout.
 	CallFinished struct {
 		Kind Kind
 		ID   string
--- a/internal/launch/deployment.go
+++ b/internal/launch/deployment.go
@@ -52,7 +52,7 @@
 	// Began and Ended say that a task is on a machine, and that it no longer is.
 	Began(at units.Microseconds, m check.Machine, id jobs.TaskID)
 	Ended(at units.Microseconds, m check.Machine, id jobs.TaskID, completed bool)
-	// User tells what a user did or was told: an effect of user.Crowd other than Call.
+	// User tells what a user did or was told: an effect of user.Users other than Call.
 	User(at units.Microseconds, e any)
 }
 
