--- a/internal/emulator/check/limits.go
+++ b/internal/emulator/check/limits.go
@@ -76,8 +76,8 @@
 // StartOrdered records that a controller decided to start a task.
 func (c *Checker) StartOrdered(at units.Microseconds, id jobs.TaskID) { c.startOrders[id] = at }
 
-// eachEffectiveVersion calls f with every version that a controller may have applied at a time or later,
-// the newest first.
+// eachEffectiveVersion calls f with every version that a controller may have applied at a time or
+// later, the newest first.
 func (c *Checker) eachEffectiveVersion(at units.Microseconds, f func(*configVersion)) {
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		f(c.versions[i])
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -33,8 +33,8 @@
 	MachineUp struct{ *cloudprovider.Machine }
 	// MachineEnded is an effect: a machine was deleted or reclaimed or has failed.
 	MachineEnded struct{ *cloudprovider.Machine }
-	// ExternalWorkerStarted is an effect: a machine's worker is to be started in a process of its own with this
-	// configuration. At the machine's MachineEnded that process must stop it.
+	// ExternalWorkerStarted is an effect: a machine's worker is to be started in a process of its own
+	// with this configuration. That process must stop it at the machine's MachineEnded.
 	ExternalWorkerStarted struct {
 		*cloudprovider.Machine
 		Config machine.Config
--- a/internal/emulator/user/trouble.go
+++ b/internal/emulator/user/trouble.go
@@ -38,8 +38,7 @@
 type ReadProbe struct{ ID, Node string }
 
 // ProbeReadsUntil turns on read probes until a time: whenever a job is accepted, ends or is confirmed
-// as cancelled, users call every controller several times within milliseconds. This exposes
-// controllers that serve stale reads.
+// as cancelled, users call every controller several times within milliseconds.
 func (u *Users) ProbeReadsUntil(until units.Microseconds) { u.probeUntil = max(u.probeUntil, until) }
 
 // ProbingReads reports whether read probes are turned on.
