--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -54,9 +54,9 @@
 			}
 			switch {
 			case over[job.ID]:
-			case job.CancelAfter > 0 && job.Final == jobs.Cancelled:
+			case job.CancelAfter > 0 && job.FinalStatus == jobs.Cancelled:
 				over[job.ID] = true
-				out.cancelled = append(out.cancelled, job.Over-accepted[job.ID]-job.CancelAfter)
+				out.cancelled = append(out.cancelled, job.FinalAt-accepted[job.ID]-job.CancelAfter)
 			case job.CancelAfter == 0 && done[job.ID]:
 				over[job.ID] = true
 				out.finished = append(out.finished, t-complete[job.ID])
--- a/internal/emulator/sim/archive_test.go
+++ b/internal/emulator/sim/archive_test.go
@@ -150,8 +150,8 @@
 	t.Logf("of %d queries in 30 s: %d answered, %d refused; p50 %.3f s, p95 %.3f s, p99 %.3f s", asked, answered, refused,
 		latencies[len(latencies)/2].Seconds(), latencies[len(latencies)*95/100].Seconds(), latencies[len(latencies)*99/100].Seconds())
 	for _, j := range fresh {
-		if j.Final != jobs.Done || j.Over-j.At > 30*second {
-			t.Errorf("%s: status %q after %.1f s", j.ID, j.Final, (j.Over - j.At).Seconds())
+		if j.FinalStatus != jobs.Done || j.FinalAt-j.At > 30*second {
+			t.Errorf("%s: status %q after %.1f s", j.ID, j.FinalStatus, (j.FinalAt - j.At).Seconds())
 		}
 	}
 	if b := w.Check.Violations(); len(b) > 0 {
@@ -190,7 +190,7 @@
 	job := w.submitJob(second/100, &jobs.Spec{Team: "green", Tasks: 1, Demand: [3]int64{1000, 0, 1000}, AnyType: true, Image: "i", Estimate: second}, second, 0)
 	began := time.Now()
 	memberAt, filterCompleteAt := units.Microseconds(0), units.Microseconds(0)
-	for at := second / 20; at < 600*second && (filterCompleteAt == 0 || job.Final == ""); at += second / 20 {
+	for at := second / 20; at < 600*second && (filterCompleteAt == 0 || job.FinalStatus == ""); at += second / 20 {
 		w.Run(at)
 		all := true
 		for _, n := range w.census().Nodes {
@@ -204,7 +204,7 @@
 		}
 	}
 	t.Logf("%d archived jobs: first membership after %.2f s, a job done after %.2f s, filter complete after %.1f s (simulated); %.1f s of real time",
-		*historySize, memberAt.Seconds(), (job.Over - job.At).Seconds(), filterCompleteAt.Seconds(), time.Since(began).Seconds())
+		*historySize, memberAt.Seconds(), (job.FinalAt - job.At).Seconds(), filterCompleteAt.Seconds(), time.Since(began).Seconds())
 }
 
 // stateService gives the backup commands access to the simulated state service, without network delays.
@@ -265,8 +265,8 @@
 			}
 		}
 		for _, j := range before {
-			if j.Job.DoneTasks() != 4 || j.Final != jobs.Done {
-				t.Errorf("seed %d: %s has status %q, %d tasks done", seed, j.ID, j.Final, j.Job.DoneTasks())
+			if j.Job.DoneTasks() != 4 || j.FinalStatus != jobs.Done {
+				t.Errorf("seed %d: %s has status %q, %d tasks done", seed, j.ID, j.FinalStatus, j.Job.DoneTasks())
 			}
 		}
 		if k := w.ShardOwner(0); k == nil || done.Term < 1000 {
--- a/internal/emulator/sim/calls.go
+++ b/internal/emulator/sim/calls.go
@@ -26,14 +26,14 @@
 		if call, ok := event.(user.Call); ok {
 			w.sendCall(call, nil)
 		} else {
-			user.Tell(w.Check, w.now, event)
-			if t, ok := event.(user.Told); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
+			user.RecordEffect(w.Check, w.now, event)
+			if t, ok := event.(user.CallFinished); ok && t.Kind == user.Cancel && t.Code == http.StatusOK {
 				w.recordCancelPastCut()
 				if t.Status == jobs.Cancelled {
 					w.recordReportedCancel(t.ID)
 				}
 			}
-			if _, ok := event.(user.Looked); ok {
+			if _, ok := event.(user.ReadProbe); ok {
 				w.recordEvent(scenario.CloseLook)
 			}
 			w.reportToMeter(event)
@@ -45,7 +45,7 @@
 // tries the other controllers; tried lists those that have failed.
 func (w *World) sendCall(call user.Call, tried []int) {
 	failed := func() {
-		w.Users.Failed(w.now, call.Number)
+		w.Users.CallFailed(w.now, call.Number)
 		w.handleUserEvents()
 	}
 	if call.Node != "" {
@@ -68,13 +68,13 @@
 			wait = balance.AcceptWithin
 		}
 		w.schedule(wait, func() {
-			w.balancer.Failed(w.now, i)
+			w.balancer.ConnectionFailed(w.now, i)
 			w.sendCall(call, append(tried, i))
 		})
 		return
 	}
-	w.balancer.Opened(i)
-	w.serveCall(call, n, failed, func() { w.balancer.Closed(i) })
+	w.balancer.ConnectionOpened(i)
+	w.serveCall(call, n, failed, func() { w.balancer.ConnectionClosed(i) })
 }
 
 // callNode sends a user's request directly to one controller, bypassing the load balancer.
@@ -91,7 +91,7 @@
 // serveCall passes a user's request to a controller and its response to the user. closed is called when the
 // connection ends; failed is called after that if there was no response.
 func (w *World) serveCall(call user.Call, n *Node, failed, closed func()) {
-	w.net.request("users", n.Name, call.Wait+second, func(answer func(func())) {
+	w.net.request("users", n.Name, call.Timeout+second, func(answer func(func())) {
 		within := 4 * second
 		if call.Kind == user.Poll {
 			within = 1900 * millis
@@ -123,12 +123,12 @@
 				n.core.Cancel(n.steadyClock(), req, call.ID)
 			}
 		}, within, func(reply core.Reply) {
-			a := user.Answer{Code: reply.Code, RetryAfter: reply.RetryAfter}
+			a := user.Reply{Code: reply.Code, RetryAfter: reply.RetryAfter}
 			if b, ok := reply.Body.(core.JobAnswer); ok {
 				a.Status = b.Status
 			}
 			answer(func() {
-				w.Users.Answer(w.now, call.Number, a)
+				w.Users.HandleReply(w.now, call.Number, a)
 				w.handleUserEvents()
 			})
 		})
@@ -149,16 +149,16 @@
 			n := w.Nodes[probe.Node]
 			w.net.request("users", n.Name, balance.ProbeWithin, func(answer func(func())) {
 				if n.incarnation == 0 {
-					answer(func() { w.balancer.Probed(w.now, probe.Node, false) })
+					answer(func() { w.balancer.HandleProbe(w.now, probe.Node, false) })
 					return
 				}
 				n.whenRunning(func() {
 					ok := n.core.Ready(n.steadyClock())
-					answer(func() { w.balancer.Probed(w.now, probe.Node, ok) })
+					answer(func() { w.balancer.HandleProbe(w.now, probe.Node, ok) })
 				})
 			}, func(f func()) {
 				if f == nil {
-					w.balancer.Probed(w.now, probe.Node, false)
+					w.balancer.HandleProbe(w.now, probe.Node, false)
 				} else {
 					f()
 				}
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -138,9 +138,9 @@
 }
 
 // recordTaskEnd records that a task is no longer on its machine.
-func (w *World) recordTaskEnd(end site.Ended) {
+func (w *World) recordTaskEnd(end site.TaskEnded) {
 	combinations := &w.combinations
-	job := w.Site.Book[end.Task.Job]
+	job := w.Site.Uploads[end.Task.Job]
 	if job == nil {
 		return
 	}
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -152,8 +152,8 @@
 		t.Errorf("not confirmed, or the later job was not refused: %+v; %+v", x, late)
 	}
 	for _, j := range w.Users.Jobs()[:known] {
-		if j.Final != jobs.Done {
-			t.Errorf("%s has status %q, want done", j.ID, j.Final)
+		if j.FinalStatus != jobs.Done {
+			t.Errorf("%s has status %q, want done", j.ID, j.FinalStatus)
 		}
 	}
 }
--- a/internal/emulator/sim/effects.go
+++ b/internal/emulator/sim/effects.go
@@ -84,7 +84,7 @@
 		sent := w.now
 		w.net.request(n.Name, zone, second, func(answer func(func())) {
 			w.recordHeldRequest(sent)
-			r, _, taken, found := w.Site.Direct(w.now, probe.Machine, probe.FencingToken, probe.Incarnation, nil)
+			r, _, taken, found := w.Site.HandleDirect(w.now, probe.Machine, probe.FencingToken, probe.Incarnation, nil)
 			w.handleSiteEvents()
 			if !found || w.noise && w.chance(0.02) {
 				return
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -117,8 +117,8 @@
 	until := w.now + last
 	switch fault.Kind {
 	case scenario.PollStorm:
-		w.Users.Storm(fault.Times)
-		w.schedule(last, func() { w.Users.Storm(1) })
+		w.Users.SetPollFactor(fault.Times)
+		w.schedule(last, func() { w.Users.SetPollFactor(1) })
 	case scenario.CancelNow:
 		w.cancelNow(fault)
 	case scenario.CancelAtEnd:
@@ -126,7 +126,7 @@
 	case scenario.OddRequests:
 		w.oddRequests(until)
 	case scenario.CloseLooks:
-		w.Users.LookClosely(until)
+		w.Users.ProbeReadsUntil(until)
 	case scenario.ConfigSet:
 		w.changeTeam(fault)
 	default:
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -14,12 +14,12 @@
 		return
 	}
 	switch e := e.(type) {
-	case user.Planned:
-		m.Planned(w.now, e.Job)
-	case user.CancelAsked:
-		m.Asked(e.ID)
-	case user.Told:
-		m.Told(e)
+	case user.SubmissionStarted:
+		m.SubmissionStarted(w.now, e.Job)
+	case user.CancelRequested:
+		m.CancelRequested(e.ID)
+	case user.CallFinished:
+		m.CallFinished(e)
 	}
 }
 
@@ -29,7 +29,7 @@
 		return
 	}
 	w.schedule(w.options.MeterInterval, func() {
-		w.options.Meter.Look(w.sampleCPUs())
+		w.options.Meter.AddSample(w.sampleCPUs())
 		w.scheduleMeter()
 	})
 }
@@ -39,7 +39,7 @@
 	if w.options.Account == nil {
 		return
 	}
-	w.schedule(account.Every, func() {
+	w.schedule(account.Interval, func() {
 		var list []account.Machine
 		for _, m := range w.Site.Cloud.Billed() {
 			x := account.Machine{Machine: m, Cut: w.now < w.zoneCutUntil[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
@@ -49,7 +49,7 @@
 			}
 			list = append(list, x)
 		}
-		w.options.Account.Look(w.now, list)
+		w.options.Account.Observe(w.now, list)
 		w.scheduleAccount()
 	})
 }
--- a/internal/emulator/sim/traffic.go
+++ b/internal/emulator/sim/traffic.go
@@ -14,7 +14,7 @@
 
 // countHeartbeat counts a worker's heartbeat to a controller.
 func (w *World) countHeartbeat(n *Node, heartbeat *fleet.Heartbeat) {
-	if tally := w.options.Traffic; tally.At(w.now) {
+	if tally := w.options.Traffic; tally.AdvanceTo(w.now) {
 		tally.JSON(n.Name, "in report", wire.EncodeHeartbeat(heartbeat, nil))
 	}
 }
@@ -22,7 +22,7 @@
 // countCall counts a user's request to a controller. Only submissions have a body.
 func (w *World) countCall(n *Node, call user.Call) {
 	tally := w.options.Traffic
-	if !tally.At(w.now) {
+	if !tally.AdvanceTo(w.now) {
 		return
 	}
 	if call.Kind != user.Submit {
@@ -39,7 +39,7 @@
 // countEffect counts the message that an effect sends.
 func (n *Node) countEffect(effect core.Effect) {
 	tally := n.world.options.Traffic
-	if !tally.At(n.world.now) {
+	if !tally.AdvanceTo(n.world.now) {
 		return
 	}
 	switch effect := effect.(type) {
@@ -106,7 +106,7 @@
 
 // countItems counts a page of a listing that a controller receives.
 func (n *Node) countItems(items []kv.Item) {
-	if tally := n.world.options.Traffic; tally.At(n.world.now) {
+	if tally := n.world.options.Traffic; tally.AdvanceTo(n.world.now) {
 		bytes := 0
 		for _, it := range items {
 			bytes += len(it.Key) + len(it.Value)
@@ -118,7 +118,7 @@
 // countChanges counts a response to a watch, and its changes by key group.
 func (n *Node) countChanges(events []kv.Event) {
 	tally := n.world.options.Traffic
-	if !tally.At(n.world.now) || len(events) == 0 {
+	if !tally.AdvanceTo(n.world.now) || len(events) == 0 {
 		return
 	}
 	bytes := 0
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -48,7 +48,7 @@
 		}
 		for _, task := range worker.RemainingTimes(w.now) {
 			job := w.Users.Job(task.Task.Job)
-			if job == nil || !job.Accepted || job.Final != "" {
+			if job == nil || !job.Accepted || job.FinalStatus != "" {
 				continue
 			}
 			running := byID[job.ID]
@@ -101,11 +101,11 @@
 	if w.now >= until {
 		return
 	}
-	if w.Users.OddRequest(w.now) {
+	if w.Users.SendInvalidRequest(w.now) {
 		w.recordEvent(scenario.OddRequest)
 	}
 	w.handleUserEvents()
-	w.schedule(w.Users.OddPause(), func() { w.oddRequests(until) })
+	w.schedule(w.Users.DrawInvalidRequestDelay(), func() { w.oddRequests(until) })
 }
 
 // recordTaskStart reports the start of a task to the checker.
@@ -120,14 +120,14 @@
 // recordTaskCompletion records that a task of a job has completed. If all tasks have, the job may be
 // cancelled at that moment.
 func (w *World) recordTaskCompletion(id string) {
-	if w.now >= w.userFaults.cancelAtEndUntil && !w.Users.LooksClosely(w.now) {
+	if w.now >= w.userFaults.cancelAtEndUntil && !w.Users.ProbingReads(w.now) {
 		return
 	}
 	job := w.Users.Job(id)
 	if job == nil || !job.Done() {
 		return
 	}
-	w.Users.Ended(w.now, job)
+	w.Users.LastTaskEnded(w.now, job)
 	if w.now < w.userFaults.cancelAtEndUntil && w.chance(w.userFaults.cancelAtEndShare) {
 		w.recordEvent(scenario.CancelledAtEnd)
 		w.Users.CancelAtEnd(w.now, job)
--- a/internal/emulator/sim/workers.go
+++ b/internal/emulator/sim/workers.go
@@ -21,18 +21,18 @@
 func (w *World) handleSiteEvents() {
 	for _, event := range w.Site.Drain() {
 		switch event := event.(type) {
-		case site.Send:
+		case site.HeartbeatSent:
 			w.sendHeartbeat(event)
-		case site.Began:
+		case site.TaskStarted:
 			w.starts++
 			w.recordTaskStart(machineOf(event.Machine), event.Task)
 			if m := w.options.Meter; m != nil {
-				m.Began(w.now, event.Machine.Name, event.Task)
+				m.TaskStarted(w.now, event.Machine.Name, event.Task)
 			}
 			if a := w.options.Account; a != nil {
-				a.Began(event.Machine.Name, event.Task, cpus(w.Site.Book[event.Task.Job].Spec.Demand))
+				a.TaskStarted(event.Machine.Name, event.Task, cpus(w.Site.Uploads[event.Task.Job].Spec.Demand))
 			}
-		case site.Ended:
+		case site.TaskEnded:
 			w.Check.TaskEnded(w.now, machineOf(event.Machine), event.Task, event.Completed)
 			if event.Completed {
 				w.recordEvent(scenario.TaskDone)
@@ -40,22 +40,22 @@
 			}
 			w.recordTaskEnd(event)
 			if m := w.options.Meter; m != nil {
-				m.Ended(w.now, event.Machine.Name, event.Task, event.Completed)
+				m.TaskEnded(w.now, event.Machine.Name, event.Task, event.Completed)
 			}
 			if a := w.options.Account; a != nil {
-				a.Ended(event.Machine.Name, event.Task, event.Completed)
+				a.TaskEnded(event.Machine.Name, event.Task, event.Completed)
 			}
 		}
 	}
 }
 
 // sendHeartbeat sends a worker's heartbeat to a controller and the response to the worker.
-func (w *World) sendHeartbeat(send site.Send) {
+func (w *World) sendHeartbeat(send site.HeartbeatSent) {
 	n := w.node(send.Node)
 	arrives := func(req core.RequestID) { n.handleHeartbeat(req, send.Body) }
 	zone := scenario.ZoneParty(send.Body.Zone)
 	failed := func() {
-		w.Site.Answer(w.now, send.Machine, send.Number, machine.Response{})
+		w.Site.HandleResponse(w.now, send.Machine, send.Number, machine.Response{})
 		w.handleSiteEvents()
 	}
 	lost := w.noise && w.chance(0.003)
@@ -94,7 +94,7 @@
 			answer(func() {
 				w.recordQuickStart(send.Machine, response.Commands)
 				w.recordHeldResponse(sent, reply)
-				w.Site.Answer(w.now, send.Machine, send.Number, response)
+				w.Site.HandleResponse(w.now, send.Machine, send.Number, response)
 				w.handleSiteEvents()
 			})
 		})
@@ -116,6 +116,6 @@
 		mutate(&altered)
 		body = &altered
 	}
-	n.world.options.Traffic.As("do report")
+	n.world.options.Traffic.SetKind("do report")
 	n.core.Heartbeat(n.steadyClock(), req, body)
 }
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -83,7 +83,7 @@
 	Check          *check.Checker
 	State          *kv.Service
 	Site           *site.Site
-	Users          *user.Crowd
+	Users          *user.Users
 	Nodes          []*Node
 	Faults         []scenario.Fault // all faults of the run, including drawn ones
 	options        Options
@@ -156,7 +156,7 @@
 
 // AddJob schedules the submission of a job. Its upload is available to workers at once.
 func (w *World) AddJob(j *user.Job) {
-	w.Site.Book[j.ID] = j.Job
+	w.Site.Uploads[j.ID] = j.Job
 	w.Users.Add(j)
 }
 
@@ -265,7 +265,7 @@
 	r := Result{Violations: w.Check.Violations(), Digest: w.Check.Digest(), Starts: w.starts, StartsCancelled: w.Check.StartsCancelled(), MachinesCreated: w.Site.Cloud.CreatedCount(), Cost: w.Site.Cloud.Spent(w.now), Faults: w.Faults}
 	r.Jobs = len(w.Users.Jobs())
 	r.FinishedJobs, r.MaxWait = user.Summary(w.Users.Jobs(), w.now)
-	r.MissedExpectations = w.Scenario.Expect.Missed(r.MaxWait, r.Cost, user.Floor(w.Users.Jobs(), w.Scenario.UserOptions(), w.Check.FirstStart))
+	r.MissedExpectations = w.Scenario.Expect.Missed(r.MaxWait, r.Cost, user.ServiceLevels(w.Users.Jobs(), w.Scenario.UserOptions(), w.Check.FirstStart))
 	r.MissedExpectations = append(r.MissedExpectations, w.Scenario.Expect.MissedEvents(w.EventCount)...)
 	return r
 }
@@ -274,7 +274,7 @@
 func (w *World) Unfinished() []string {
 	var out []string
 	for _, j := range w.Users.Jobs() {
-		if j.Final == "" && !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
+		if j.FinalStatus == "" && !j.GaveUp && (!j.Spec.Service || j.CancelAfter > 0) {
 			out = append(out, j.ID)
 		}
 	}
@@ -287,7 +287,7 @@
 	for _, n := range w.Nodes {
 		fmt.Fprintf(&b, "%s (alive %v): %s\n", n.Name, n.incarnation != 0, n.core.Explain(id))
 	}
-	if j := w.Site.Book[id]; j != nil {
+	if j := w.Site.Uploads[id]; j != nil {
 		fmt.Fprintf(&b, "truth: done %d of %d, spec %+v\n", j.DoneTasks(), j.Spec.Tasks, *j.Spec)
 	}
 	return b.String()
