--- a/internal/emulator/direct/direct.go
+++ b/internal/emulator/direct/direct.go
@@ -11,7 +11,7 @@
 func Txn(t *store.Txn) kv.Txn {
 	var out kv.Txn
 	for _, g := range t.Guards {
-		out.Guards = append(out.Guards, kv.Guard{Key: g.Key, Stamp: g.Version})
+		out.Guards = append(out.Guards, kv.Guard{Key: g.Key, Version: g.Version})
 	}
 	for _, c := range t.Changes {
 		out.Changes = append(out.Changes, kv.Change{Key: c.Key, Value: c.Value, Lease: c.Lease})
@@ -23,7 +23,7 @@
 func Items(items []kv.Item) []store.Event {
 	var out []store.Event
 	for _, it := range items {
-		out = append(out, store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+		out = append(out, store.Event{Key: it.Key, Value: it.Value, Stamp: it.Version})
 	}
 	return out
 }
@@ -32,7 +32,7 @@
 func Events(events []kv.Event) []store.Event {
 	var out []store.Event
 	for _, e := range events {
-		out = append(out, store.Event{Key: e.Key, Value: e.Value, Stamp: e.Stamp})
+		out = append(out, store.Event{Key: e.Key, Value: e.Value, Stamp: e.Version})
 	}
 	return out
 }
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -21,18 +21,18 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// Facts takes what happens on machines, for a checker.
-type Facts interface {
-	Began(m *cloudprovider.Machine, id jobs.TaskID)
-	Ended(m *cloudprovider.Machine, id jobs.TaskID, completed bool)
+// TaskObserver takes what happens on machines, for a checker.
+type TaskObserver interface {
+	TaskStarted(m *cloudprovider.Machine, id jobs.TaskID)
+	TaskEnded(m *cloudprovider.Machine, id jobs.TaskID, completed bool)
 }
 
-// Outside runs workers in processes of their own. Both methods return once it is done.
-type Outside interface {
-	// Begin lets a worker begin, and returns who answers commands that come straight to it.
-	Begin(name string, c machine.Config, f machine.Fault) (http.Handler, error)
-	// End ends a machine with all that is on it.
-	End(name string)
+// WorkerProcesses runs workers in processes of their own. Both methods return once it is done.
+type WorkerProcesses interface {
+	// StartWorker lets a worker begin, and returns who answers commands that come straight to it.
+	StartWorker(name string, c machine.Config, f machine.Fault) (http.Handler, error)
+	// StopWorker ends a machine with all that is on it.
+	StopWorker(name string)
 }
 
 // Cloud serves the cloud's interface over HTTP and runs the machines' workers.
@@ -45,16 +45,16 @@
 	latency time.Duration
 	slow    atomic.Int64
 	client  *http.Client
-	facts   Facts
+	facts   TaskObserver
 	doors   map[string]net.Listener // of machines
-	outside Outside                 // nil: no worker has a process of its own
+	outside WorkerProcesses                 // nil: no worker has a process of its own
 	direct  sync.Map                // handlers of machines whose worker has, by name
 	log     *slog.Logger
 }
 
 // NewCloud returns a cloud whose machines report to controllers at the given
 // addresses and listen on a host's own ports.
-func NewCloud(ctx context.Context, s *site.Site, nodes map[string]map[string]string, host string, latency time.Duration, facts Facts, log *slog.Logger) *Cloud {
+func NewCloud(ctx context.Context, s *site.Site, nodes map[string]map[string]string, host string, latency time.Duration, facts TaskObserver, log *slog.Logger) *Cloud {
 	c := &Cloud{ctx: ctx, site: s, nodes: nodes, host: host, latency: latency, facts: facts, doors: map[string]net.Listener{}, log: log}
 	c.client = &http.Client{Timeout: time.Duration(machine.ResponseTimeout) * time.Microsecond, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4096, IdleConnTimeout: time.Minute, DisableCompression: true}}
@@ -62,8 +62,8 @@
 	return c
 }
 
-// RunOutside sets who runs workers in processes of their own, before Run.
-func (c *Cloud) RunOutside(o Outside) { c.outside = o }
+// SetWorkerProcesses sets who runs workers in processes of their own, before Run.
+func (c *Cloud) SetWorkerProcesses(o WorkerProcesses) { c.outside = o }
 
 // Run serves until the context ends.
 func (c *Cloud) Run() { c.loop.run(c.ctx) }
@@ -73,8 +73,8 @@
 	return c.loop.do(c.ctx, func(now units.Microseconds) { f(now, c.site) })
 }
 
-// Tell runs a function on the model some time, and before what is asked after this call.
-func (c *Cloud) Tell(f func(s *site.Site)) {
+// Enqueue runs a function on the model some time, and before what is asked after this call.
+func (c *Cloud) Enqueue(f func(s *site.Site)) {
 	c.loop.tell(c.ctx, func(units.Microseconds) { f(c.site) })
 }
 
@@ -97,10 +97,10 @@
 				delete(c.doors, e.Machine.Name)
 			}
 			if _, ok := c.direct.LoadAndDelete(e.Machine.Name); ok {
-				c.outside.End(e.Machine.Name)
+				c.outside.StopWorker(e.Machine.Name)
 			}
 		case site.Handed:
-			h, err := c.outside.Begin(e.Machine.Name, e.Config, e.Fault)
+			h, err := c.outside.StartWorker(e.Machine.Name, e.Config, e.Fault)
 			if err != nil {
 				c.log.Error("a worker's process does not take a machine", "machine", e.Machine.Name, "err", err)
 				continue
@@ -109,9 +109,9 @@
 		case site.Send:
 			go c.send(e)
 		case site.Began:
-			c.facts.Began(e.Machine, e.Task)
+			c.facts.TaskStarted(e.Machine, e.Task)
 		case site.Ended:
-			c.facts.Ended(e.Machine, e.Task, e.Completed)
+			c.facts.TaskEnded(e.Machine, e.Task, e.Completed)
 		}
 	}
 	return nil
@@ -145,8 +145,8 @@
 	c.loop.tell(c.ctx, func(now units.Microseconds) { c.site.Answer(now, e.Machine, e.Number, a) })
 }
 
-// Slow makes every answer of the cloud take longer by d.
-func (c *Cloud) Slow(d time.Duration) { c.slow.Store(d.Microseconds()) }
+// SetExtraLatency makes every answer of the cloud take longer by d.
+func (c *Cloud) SetExtraLatency(d time.Duration) { c.slow.Store(d.Microseconds()) }
 
 func (c *Cloud) pause() { time.Sleep(c.latency + time.Duration(c.slow.Load())*time.Microsecond) }
 
--- a/internal/emulator/host/disk.go
+++ b/internal/emulator/host/disk.go
@@ -93,7 +93,7 @@
 			if err := json.Unmarshal(v, &s); err != nil {
 				return fmt.Errorf("key %s: %w", k, err)
 			}
-			items = append(items, kv.Item{Key: string(k), Value: s.Value, Stamp: s.Stamp, Lease: s.Lease})
+			items = append(items, kv.Item{Key: string(k), Value: s.Value, Version: s.Stamp, Lease: s.Lease})
 			return nil
 		})
 		if err != nil {
@@ -113,10 +113,10 @@
 		bucket, key, value []byte
 	}
 	var changes []change
-	s.Touched(func(it kv.Item, ok bool) {
+	s.DrainChanged(func(it kv.Item, ok bool) {
 		var v []byte
 		if ok {
-			v, _ = json.Marshal(stored{it.Value, it.Stamp, it.Lease}) // plain data: cannot fail
+			v, _ = json.Marshal(stored{it.Value, it.Version, it.Lease}) // plain data: cannot fail
 		}
 		changes = append(changes, change{keysBucket, []byte(it.Key), v})
 	}, func(l kv.Lease, ok bool) {
@@ -143,7 +143,7 @@
 			}
 		}
 		meta := tx.Bucket(metaBucket)
-		if err := meta.Put(leaseKey, number(s.LastLease())); err != nil {
+		if err := meta.Put(leaseKey, number(s.LastLeaseID())); err != nil {
 			return err
 		}
 		return meta.Put(revKey, number(s.Rev()))
--- a/internal/emulator/host/front.go
+++ b/internal/emulator/host/front.go
@@ -16,8 +16,8 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// Front is the users' load balancer: it passes whole connections on.
-type Front struct {
+// LoadBalancer is the users' load balancer: it passes whole connections on.
+type LoadBalancer struct {
 	ctx    context.Context
 	loop   *loop
 	b      *balance.Balancer
@@ -29,9 +29,9 @@
 	conns map[int]map[net.Conn]bool // open ones, by node
 }
 
-// NewFront returns a balancer for controllers at the given addresses.
-func NewFront(ctx context.Context, nodes []string, rng *rand.Rand, log *slog.Logger) *Front {
-	f := &Front{ctx: ctx, b: balance.New(len(nodes), 0, rng), nodes: nodes, log: log, conns: map[int]map[net.Conn]bool{},
+// NewLoadBalancer returns a balancer for controllers at the given addresses.
+func NewLoadBalancer(ctx context.Context, nodes []string, rng *rand.Rand, log *slog.Logger) *LoadBalancer {
+	f := &LoadBalancer{ctx: ctx, b: balance.New(len(nodes), 0, rng), nodes: nodes, log: log, conns: map[int]map[net.Conn]bool{},
 		probes: &http.Client{Timeout: time.Duration(balance.ProbeWithin) * time.Microsecond,
 			Transport: &http.Transport{DisableKeepAlives: true}}}
 	f.loop = newLoop(f.b, f.settle, func(error) {})
@@ -39,9 +39,9 @@
 }
 
 // Run probes until the context ends.
-func (f *Front) Run() { f.loop.run(f.ctx) }
+func (f *LoadBalancer) Run() { f.loop.run(f.ctx) }
 
-func (f *Front) settle(units.Microseconds) error {
+func (f *LoadBalancer) settle(units.Microseconds) error {
 	for _, e := range f.b.Drain() {
 		switch e := e.(type) {
 		case balance.Probe:
@@ -49,7 +49,7 @@
 		case balance.Reset:
 			f.mu.Lock()
 			for c := range f.conns[e.Node] {
-				link.Cut(c)
+				link.ResetConn(c)
 			}
 			f.mu.Unlock()
 		}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (f *Front) probe(i int) {
+func (f *LoadBalancer) probe(i int) {
 	resp, err := f.probes.Get("http://" + f.nodes[i] + wire.ReadyPath)
 	ok := err == nil && resp.StatusCode == http.StatusOK
 	if err == nil {
@@ -66,8 +66,8 @@
 	f.loop.tell(f.ctx, func(now units.Microseconds) { f.b.Probed(now, i, ok) })
 }
 
-// Healthy returns how many controllers count as healthy.
-func (f *Front) Healthy() int {
+// HealthyCount returns how many controllers count as healthy.
+func (f *LoadBalancer) HealthyCount() int {
 	n := 0
 	f.loop.do(f.ctx, func(units.Microseconds) {
 		for i := range f.nodes {
@@ -80,7 +80,7 @@
 }
 
 // Serve passes the connections of a listener on.
-func (f *Front) Serve(l net.Listener) error {
+func (f *LoadBalancer) Serve(l net.Listener) error {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -91,14 +91,14 @@
 }
 
 // pass connects a user's connection to a controller, or resets it.
-func (f *Front) pass(user net.Conn) {
+func (f *LoadBalancer) pass(user net.Conn) {
 	defer user.Close()
 	var tried []int
 	for {
 		i := -1
 		f.loop.do(f.ctx, func(now units.Microseconds) { i = f.b.Choose(now, tried) })
 		if i < 0 {
-			link.Cut(user)
+			link.ResetConn(user)
 			return
 		}
 		tried = append(tried, i)
@@ -116,7 +116,7 @@
 	}
 }
 
-func (f *Front) note(i int, c net.Conn, open bool) {
+func (f *LoadBalancer) note(i int, c net.Conn, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns[i] == nil {
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -102,7 +102,7 @@
 	if _, _, _, gone := c.Watch(t.Context(), "p/", 0, 0); gone {
 		t.Error("two changes ago is called too old")
 	}
-	s.Do(func(now units.Microseconds, m *kv.Service) { m.Refuse("node-0", now+units.Second) })
+	s.Do(func(now units.Microseconds, m *kv.Service) { m.RefuseClient("node-0", now+units.Second) })
 	if o, _, _, _ := c.List(t.Context(), "p/", "", 500); o != store.Refused {
 		t.Errorf("while this client is refused: %v", o)
 	}
@@ -224,7 +224,7 @@
 	c := &http.Client{Timeout: 20 * time.Second}
 	trouble := func(m link.Mode, d time.Duration) time.Time {
 		u := time.Now().Add(d)
-		l.Set(link.Trouble{Mode: m, Until: u, Every: time.Millisecond}, true, true)
+		l.SetImpairment(link.Impairment{Mode: m, Until: u, Interval: time.Millisecond}, true, true)
 		return u
 	}
 	for _, m := range []link.Mode{link.Pass, link.Hold, link.Trickle, link.Delay, link.Drop, link.Reset} {
--- a/internal/emulator/host/lone.go
+++ b/internal/emulator/host/lone.go
@@ -18,26 +18,26 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// Jobs is where a worker in a process of its own fetches descriptions, and where results
+// JobStore is where a worker in a process of its own fetches descriptions, and where results
 // and checkpoints are stored outside of its machine.
-type Jobs interface {
+type JobStore interface {
 	// Fetch returns a task's job with what is stored of the task; nil: there is no such job.
 	Fetch(id jobs.TaskID) (*work.Job, error)
 	// Store stores what is known of a task: whether it has completed, and its saved progress.
 	Store(id jobs.TaskID, finished bool, saved units.Microseconds) error
 }
 
-// LoneWorker runs one machine's worker at a time, alone in its process: what a machine
+// Worker runs one machine's worker at a time, alone in its process: what a machine
 // spends on control is what the process spends.
-type LoneWorker struct {
+type Worker struct {
 	ctx    context.Context
 	loop   *loop
 	worker *machine.Worker        // nil: no machine is up
 	owner  *cloudprovider.Machine // as facts name it
 	nodes  map[string]map[string]string
 	book   work.Book
-	jobs   Jobs
-	facts  Facts
+	jobs   JobStore
+	facts  TaskObserver
 	client *http.Client
 	log    *slog.Logger
 	bytes  atomic.Uint64
@@ -45,10 +45,10 @@
 	rng    *rand.Rand
 }
 
-// NewLoneWorker returns a worker without a machine that will report to controllers at the
+// NewWorker returns a worker without a machine that will report to controllers at the
 // given addresses, by the zone that they are reached from.
-func NewLoneWorker(ctx context.Context, nodes map[string]map[string]string, jobs Jobs, facts Facts, rng *rand.Rand, log *slog.Logger) *LoneWorker {
-	l := &LoneWorker{ctx: ctx, nodes: nodes, book: work.Book{}, jobs: jobs, facts: facts, log: log, rng: rng}
+func NewWorker(ctx context.Context, nodes map[string]map[string]string, jobs JobStore, facts TaskObserver, rng *rand.Rand, log *slog.Logger) *Worker {
+	l := &Worker{ctx: ctx, nodes: nodes, book: work.Book{}, jobs: jobs, facts: facts, log: log, rng: rng}
 	dialer := &net.Dialer{Timeout: time.Second}
 	l.client = &http.Client{Timeout: time.Duration(machine.ResponseTimeout) * time.Microsecond, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -95,16 +95,16 @@
 }
 
 // Run serves until the context ends.
-func (l *LoneWorker) Run() { l.loop.run(l.ctx) }
+func (l *Worker) Run() { l.loop.run(l.ctx) }
 
 // Bytes returns how many bytes have passed between the worker and controllers, both ways.
-func (l *LoneWorker) Bytes() uint64 { return l.bytes.Load() }
+func (l *Worker) Bytes() uint64 { return l.bytes.Load() }
 
-// Reports returns how many reports were sent.
-func (l *LoneWorker) Reports() uint64 { return l.calls.Load() }
+// HeartbeatsSent returns how many reports were sent.
+func (l *Worker) HeartbeatsSent() uint64 { return l.calls.Load() }
 
 // Next implements model.
-func (l *LoneWorker) Next() units.Microseconds {
+func (l *Worker) Next() units.Microseconds {
 	if l.worker == nil {
 		return units.MaxTime
 	}
@@ -112,7 +112,7 @@
 }
 
 // Advance implements model.
-func (l *LoneWorker) Advance(now units.Microseconds) {
+func (l *Worker) Advance(now units.Microseconds) {
 	if l.worker != nil {
 		l.worker.Advance(now)
 	}
@@ -120,8 +120,8 @@
 
 var errHasMachine = errors.New("this worker has a machine")
 
-// Begin lets the worker of a machine begin.
-func (l *LoneWorker) Begin(c machine.Config, f machine.Fault) (err error) {
+// Start lets the worker of a machine begin.
+func (l *Worker) Start(c machine.Config, f machine.Fault) (err error) {
 	l.loop.do(l.ctx, func(now units.Microseconds) {
 		if l.worker != nil {
 			err = errHasMachine
@@ -134,8 +134,8 @@
 	return err
 }
 
-// End ends the machine with all that is on it. Another may begin after that.
-func (l *LoneWorker) End(name string) {
+// Stop ends the machine with all that is on it. Another may begin after that.
+func (l *Worker) Stop(name string) {
 	l.loop.do(l.ctx, func(now units.Microseconds) {
 		if l.worker == nil || l.owner.Name != name {
 			return
@@ -147,7 +147,7 @@
 }
 
 // Running returns how many tasks are on the machine with their image.
-func (l *LoneWorker) Running() (n int) {
+func (l *Worker) Running() (n int) {
 	l.loop.do(l.ctx, func(units.Microseconds) {
 		if l.worker != nil {
 			n = l.worker.Running()
@@ -157,7 +157,7 @@
 }
 
 // settle stores what has ended before a report can tell of it.
-func (l *LoneWorker) settle(units.Microseconds) error {
+func (l *Worker) settle(units.Microseconds) error {
 	if l.worker == nil {
 		return nil
 	}
@@ -167,14 +167,14 @@
 			l.calls.Add(1)
 			go l.send(l.worker, l.owner.Zone, e)
 		case machine.TaskStarted:
-			l.facts.Began(l.owner, e.Task)
+			l.facts.TaskStarted(l.owner, e.Task)
 		case machine.TaskEnded:
 			if j := l.book[e.Task.Job]; j != nil {
 				if err := l.jobs.Store(e.Task, e.Completed, j.Saved(e.Task.Task)); err != nil {
 					l.log.Error("what a task did could not be stored", "task", e.Task.String(), "err", err)
 				}
 			}
-			l.facts.Ended(l.owner, e.Task, e.Completed)
+			l.facts.TaskEnded(l.owner, e.Task, e.Completed)
 		}
 	}
 	return nil
@@ -182,7 +182,7 @@
 
 // send brings a report to a controller. The descriptions of what it is told to start are
 // fetched before the answer is acted on.
-func (l *LoneWorker) send(w *machine.Worker, zone string, r machine.Heartbeat) {
+func (l *Worker) send(w *machine.Worker, zone string, r machine.Heartbeat) {
 	a := sendReport(l.client, l.nodes[zone][r.Node], r)
 	jobs := l.fetch(a)
 	l.loop.tell(l.ctx, func(now units.Microseconds) {
@@ -204,7 +204,7 @@
 	job *work.Job
 }
 
-func (l *LoneWorker) fetch(a machine.Response) (out []fetched) {
+func (l *Worker) fetch(a machine.Response) (out []fetched) {
 	for _, id := range a.StartedTasks() {
 		j, err := l.jobs.Fetch(id)
 		if err != nil {
@@ -218,7 +218,7 @@
 
 // learn takes up what was fetched. The book forgets jobs of which nothing runs here, so
 // that it does not grow with the jobs of the past.
-func (l *LoneWorker) learn(list []fetched) {
+func (l *Worker) learn(list []fetched) {
 	for _, f := range list {
 		known := l.book[f.id.Job]
 		switch {
@@ -238,7 +238,7 @@
 // keptJobs bounds the descriptions that a worker keeps beyond those in use.
 const keptJobs = 256
 
-func (l *LoneWorker) forgetJobs() {
+func (l *Worker) forgetJobs() {
 	r, _ := l.worker.Status()
 	used := map[string]bool{}
 	for _, t := range r.Tasks {
@@ -252,7 +252,7 @@
 }
 
 // Serve answers commands that come straight to the worker, on a listener.
-func (l *LoneWorker) Serve(in net.Listener) error {
+func (l *Worker) Serve(in net.Listener) error {
 	h := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
 		jobs := l.fetch(machine.Response{Commands: o.Commands})
 		l.loop.do(ctx, func(now units.Microseconds) {
--- a/internal/emulator/host/lone_test.go
+++ b/internal/emulator/host/lone_test.go
@@ -50,9 +50,9 @@
 	return nil
 }
 
-func (s *storedTasks) Began(_ *cloudprovider.Machine, id jobs.TaskID) { s.say("began " + id.String()) }
+func (s *storedTasks) TaskStarted(_ *cloudprovider.Machine, id jobs.TaskID) { s.say("began " + id.String()) }
 
-func (s *storedTasks) Ended(_ *cloudprovider.Machine, id jobs.TaskID, _ bool) {
+func (s *storedTasks) TaskEnded(_ *cloudprovider.Machine, id jobs.TaskID, _ bool) {
 	s.say("ended " + id.String())
 }
 
@@ -83,14 +83,14 @@
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := NewLoneWorker(ctx, map[string]map[string]string{"a": {"node-0": node}}, jobs, store, rand.New(rand.NewPCG(1, 1)), quiet)
+	w := NewWorker(ctx, map[string]map[string]string{"a": {"node-0": node}}, jobs, store, rand.New(rand.NewPCG(1, 1)), quiet)
 	go w.Run()
 	c := machine.Config{Name: "n-1", Type: "big", Zone: "a", Capacity: binpack.Vec{4000, 0, 8000}, FetchMBs: 1000,
 		HeartbeatEvery: units.Second / 2, Lease: 60 * units.Second, Nodes: []string{"node-0"}}
-	if err := w.Begin(c, machine.Fault{Speed: 1}); err != nil {
+	if err := w.Start(c, machine.Fault{Speed: 1}); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Begin(c, machine.Fault{Speed: 1}); err == nil {
+	if err := w.Start(c, machine.Fault{Speed: 1}); err == nil {
 		t.Error("a second machine was taken")
 	}
 	told := func() bool {
@@ -105,7 +105,7 @@
 			t.Fatalf("the end of a task was not reported: %v", store.heard())
 		}
 	}
-	w.End("n-1")
+	w.Stop("n-1")
 	want := []string{"began wk-000001/0", "began wk-000002/1", "stored done wk-000001/0", "ended wk-000001/0", "stored wk-000002/1", "ended wk-000002/1"}
 	if got := store.heard(); !slices.Equal(got, want) {
 		t.Errorf("heard %v, want %v", got, want)
@@ -113,10 +113,10 @@
 	if store.saved == 0 {
 		t.Error("the progress of a task whose machine ended was not stored")
 	}
-	if w.Bytes() == 0 || w.Reports() < 2 || w.Running() != 0 {
-		t.Errorf("%d bytes, %d reports, %d tasks after the end", w.Bytes(), w.Reports(), w.Running())
+	if w.Bytes() == 0 || w.HeartbeatsSent() < 2 || w.Running() != 0 {
+		t.Errorf("%d bytes, %d reports, %d tasks after the end", w.Bytes(), w.HeartbeatsSent(), w.Running())
 	}
-	if err := w.Begin(c, machine.Fault{Speed: 1}); err != nil {
+	if err := w.Start(c, machine.Fault{Speed: 1}); err != nil {
 		t.Errorf("another machine after the end of the first: %v", err)
 	}
 }
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -27,7 +27,7 @@
 	disk    *Disk // nil: nothing outlives the process
 	latency time.Duration
 	slow    atomic.Int64 // microseconds that every answer takes longer
-	watches map[uint64]chan kv.Changes
+	watches map[uint64]chan kv.WatchResponse
 	next    uint64
 	answers atomic.Uint64
 	log     *slog.Logger
@@ -39,7 +39,7 @@
 
 // NewState returns a state service. What disk holds is read first.
 func NewState(l kv.Limits, latency time.Duration, disk *Disk, rng *rand.Rand, log *slog.Logger, failed func(error)) (*State, error) {
-	s := &State{kv: kv.New(l, rng), disk: disk, latency: latency, watches: map[uint64]chan kv.Changes{}, log: log}
+	s := &State{kv: kv.New(l, rng), disk: disk, latency: latency, watches: map[uint64]chan kv.WatchResponse{}, log: log}
 	s.loop = newLoop(s.kv, s.settle, failed)
 	if disk != nil {
 		rev, lastLease, items, leases, err := disk.Read()
@@ -47,7 +47,7 @@
 			return nil, err
 		}
 		s.kv.Restore(0, rev, lastLease, items, leases)
-		s.kv.Track()
+		s.kv.TrackChanges()
 	}
 	return s, nil
 }
@@ -79,12 +79,12 @@
 	s.loop.do(context.Background(), func(now units.Microseconds) { f(now, s.kv) })
 }
 
-// Slow makes every answer take longer by d.
-func (s *State) Slow(d time.Duration) { s.slow.Store(d.Microseconds()) }
+// SetExtraLatency makes every answer take longer by d.
+func (s *State) SetExtraLatency(d time.Duration) { s.slow.Store(d.Microseconds()) }
 
-// Misfortune lets a share of transactions be applied late until one time, and be applied
+// InjectTxnFaults lets a share of transactions be applied late until one time, and be applied
 // without an answer until another.
-func (s *State) Misfortune(late, unanswered time.Duration, share float64) {
+func (s *State) InjectTxnFaults(late, unanswered time.Duration, share float64) {
 	s.share.Store(math.Float64bits(share))
 	s.late.Store(int64(s.loop.now()) + late.Microseconds())
 	s.unanswered.Store(int64(s.loop.now()) + unanswered.Microseconds())
@@ -100,8 +100,8 @@
 	return time.Duration((2 + 10*rand.Float64()) * float64(time.Second))
 }
 
-// Answers returns how many requests were answered.
-func (s *State) Answers() uint64 { return s.answers.Load() }
+// Responses returns how many requests were answered.
+func (s *State) Responses() uint64 { return s.answers.Load() }
 
 // pause is the time that the service takes.
 func (s *State) pause() {
@@ -128,7 +128,7 @@
 		}
 		s.pause()
 		if code == http.StatusOK {
-			answer(w, code, wire.Entry{Key: it.Key, Value: it.Value, Version: it.Stamp, Lease: it.Lease})
+			answer(w, code, wire.Entry{Key: it.Key, Value: it.Value, Version: it.Version, Lease: it.Lease})
 			return
 		}
 		refuse(w, code, rev)
@@ -153,7 +153,7 @@
 		}
 		out := wire.Listing{Items: make([]wire.Item, 0, len(l.Items)), More: l.More, Revision: l.Rev}
 		for _, it := range l.Items {
-			out.Items = append(out.Items, wire.Item{Key: it.Key, Value: it.Value, Version: it.Stamp})
+			out.Items = append(out.Items, wire.Item{Key: it.Key, Value: it.Value, Version: it.Version})
 		}
 		answer(w, http.StatusOK, out)
 	})
@@ -165,7 +165,7 @@
 		}
 		var id uint64
 		var code int
-		if !s.loop.do(req.Context(), func(now units.Microseconds) { id, code = s.kv.Open(now, client, units.Microseconds(b.TTLMillis)*1000) }) {
+		if !s.loop.do(req.Context(), func(now units.Microseconds) { id, code = s.kv.OpenLease(now, client, units.Microseconds(b.TTLMillis)*1000) }) {
 			return
 		}
 		s.pause()
@@ -175,8 +175,8 @@
 		}
 		answer(w, code, wire.Lease{ID: id})
 	})
-	r.Post(wire.LeasesPath+"/{id}/extend", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).Renew) })
-	r.Delete(wire.LeasesPath+"/{id}", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).End) })
+	r.Post(wire.LeasesPath+"/{id}/extend", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).RenewLease) })
+	r.Delete(wire.LeasesPath+"/{id}", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).CloseLease) })
 	r.Get(wire.WatchPath, func(w http.ResponseWriter, req *http.Request) { s.watch(w, req, client) })
 	return r
 }
@@ -206,7 +206,7 @@
 	}
 	var t kv.Txn
 	for _, g := range b.If {
-		t.Guards = append(t.Guards, kv.Guard{Key: g.Key, Stamp: g.Version})
+		t.Guards = append(t.Guards, kv.Guard{Key: g.Key, Version: g.Version})
 	}
 	for _, c := range b.Then {
 		if (c.Put == "") == (c.Delete == "") || c.Put != "" && c.Value == nil {
@@ -252,7 +252,7 @@
 		problem(w, http.StatusBadRequest, "after or wait_ms")
 		return
 	}
-	ch := make(chan kv.Changes, 1)
+	ch := make(chan kv.WatchResponse, 1)
 	var id uint64
 	if !s.loop.do(req.Context(), func(now units.Microseconds) {
 		s.next++
@@ -272,16 +272,16 @@
 		out := wire.Changes{Revision: c.Rev, Events: make([]wire.Event, 0, len(c.Events))}
 		for _, e := range c.Events {
 			if e.Value != nil {
-				out.Events = append(out.Events, wire.Event{Put: e.Key, Value: e.Value, Version: e.Stamp})
+				out.Events = append(out.Events, wire.Event{Put: e.Key, Value: e.Value, Version: e.Version})
 			} else {
-				out.Events = append(out.Events, wire.Event{Delete: e.Key, Version: e.Stamp})
+				out.Events = append(out.Events, wire.Event{Delete: e.Key, Version: e.Version})
 			}
 		}
 		answer(w, http.StatusOK, out)
 	case <-req.Context().Done():
 		s.loop.tell(context.Background(), func(units.Microseconds) {
 			delete(s.watches, id)
-			s.kv.Close(id)
+			s.kv.CloseWatch(id)
 		})
 	}
 }
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -9,8 +9,8 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// Told takes what users do and are told, for a checker.
-type Told func(e any)
+// UserObserver takes what users do and are told, for a checker.
+type UserObserver func(e any)
 
 // Users drives a crowd against a load balancer.
 type Users struct {
@@ -18,11 +18,11 @@
 	loop   *loop
 	crowd  *user.Crowd
 	client *client.Client
-	told   Told
+	told   UserObserver
 }
 
 // NewUsers returns users who talk to an address.
-func NewUsers(ctx context.Context, c *user.Crowd, addr string, told Told) *Users {
+func NewUsers(ctx context.Context, c *user.Crowd, addr string, told UserObserver) *Users {
 	u := &Users{ctx: ctx, crowd: c, client: client.New(addr), told: told}
 	u.loop = newLoop(c, u.settle, func(error) {})
 	return u
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -20,11 +20,11 @@
 
 // Bounds of the protocol.
 const (
-	MaxKey       = 200       // bytes of a key
-	MaxPage      = 1000      // items of a listing
+	MaxKeyBytes       = 200       // bytes of a key
+	MaxPageItems      = 1000      // items of a listing
 	MaxPageBytes = 512 << 10 // bytes of a listing
-	MaxTxn       = 64 << 10  // bytes of a transaction
-	Kept         = 10_000    // changes that watches may look back on
+	MaxTxnBytes       = 64 << 10  // bytes of a transaction
+	MaxHistory         = 10_000    // changes that watches may look back on
 	maxWait      = 60 * units.Second
 	minTTL       = units.Second / 10
 	maxTTL       = 600 * units.Second
@@ -43,7 +43,7 @@
 type Item struct {
 	Key   string
 	Value json.RawMessage
-	Stamp uint64
+	Version uint64
 	Lease uint64
 }
 
@@ -51,13 +51,13 @@
 type Event struct {
 	Key   string
 	Value json.RawMessage
-	Stamp uint64
+	Version uint64
 }
 
 // Guard is a condition on a key's version; 0: the key does not exist.
 type Guard struct {
 	Key   string
-	Stamp uint64
+	Version uint64
 }
 
 // Change puts a value, or removes the key where there is none.
@@ -90,8 +90,8 @@
 	Rev   uint64
 }
 
-// Changes answers a watch; ID is the one that the watch was opened with.
-type Changes struct {
+// WatchResponse answers a watch; ID is the one that the watch was opened with.
+type WatchResponse struct {
 	ID     uint64
 	Code   int
 	Rev    uint64
@@ -135,7 +135,7 @@
 	changes   bucket
 	outage    units.Microseconds            // until when nobody is served
 	refused   map[string]units.Microseconds // until when one client is not
-	out       []Changes
+	out       []WatchResponse
 	undo      []undo // of the last transactions, for Lose
 
 	// What has changed since Touched was last called, where somebody stores it.
@@ -187,8 +187,8 @@
 	}
 }
 
-// Track keeps from now on what Touched tells.
-func (s *Service) Track() {
+// TrackChanges keeps from now on what Touched tells.
+func (s *Service) TrackChanges() {
 	s.touchedKeys, s.touchedLeases = map[string]bool{}, map[uint64]bool{}
 }
 
@@ -204,9 +204,9 @@
 	}
 }
 
-// Touched hands over each key and lease that has changed since the last call, as
+// DrainChanged hands over each key and lease that has changed since the last call, as
 // it is now; ok is false where it is gone. It reports whether there were any.
-func (s *Service) Touched(key func(it Item, ok bool), l func(l Lease, ok bool)) bool {
+func (s *Service) DrainChanged(key func(it Item, ok bool), l func(l Lease, ok bool)) bool {
 	any := len(s.touchedKeys)+len(s.touchedLeases) > 0
 	for k := range s.touchedKeys {
 		it, ok := s.keys.Get(Item{Key: k})
@@ -228,11 +228,11 @@
 // Rev returns the present revision.
 func (s *Service) Rev() uint64 { return s.rev }
 
-// LastLease returns the highest lease ever given.
-func (s *Service) LastLease() uint64 { return s.nextLease }
+// LastLeaseID returns the highest lease ever given.
+func (s *Service) LastLeaseID() uint64 { return s.nextLease }
 
-// Each hands every key to f, in their order.
-func (s *Service) Each(f func(Item)) {
+// ForEach hands every key to f, in their order.
+func (s *Service) ForEach(f func(Item)) {
 	s.keys.Ascend(func(it Item) bool {
 		f(it)
 		return true
@@ -245,9 +245,9 @@
 // SetLimits changes the limits from now on; what is stored stays readable.
 func (s *Service) SetLimits(l Limits) { s.limits = l }
 
-// Down puts the service out of order until a time. Watches stay open, and no
+// SetDown puts the service out of order until a time. Watches stay open, and no
 // lease ends: after it each has its full time again.
-func (s *Service) Down(now, until units.Microseconds) {
+func (s *Service) SetDown(now, until units.Microseconds) {
 	s.Advance(now)
 	s.outage = max(s.outage, until)
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
@@ -257,13 +257,13 @@
 	}
 }
 
-// Refuse serves one client no more until a time. Its leases run out meanwhile.
-func (s *Service) Refuse(client string, until units.Microseconds) { s.refused[client] = until }
+// RefuseClient serves one client no more until a time. Its leases run out meanwhile.
+func (s *Service) RefuseClient(client string, until units.Microseconds) { s.refused[client] = until }
 
 func (s *Service) late() units.Microseconds { return units.Microseconds(s.rng.Int64N(int64(maxLate))) }
 
-// Refuses reports whether one client is not served at a time.
-func (s *Service) Refuses(now units.Microseconds, client string) bool { return !s.serves(now, client) }
+// IsClientRefused reports whether one client is not served at a time.
+func (s *Service) IsClientRefused(now units.Microseconds, client string) bool { return !s.serves(now, client) }
 
 // admit counts a request and returns 200, or the status that refuses it.
 func (s *Service) admit(now units.Microseconds, from string) int {
@@ -282,7 +282,7 @@
 }
 
 // ValidKey reports whether a key has the form that the service takes.
-func ValidKey(k string) bool { return k != "" && len(k) <= MaxKey && !strings.Contains(k, " ") }
+func ValidKey(k string) bool { return k != "" && len(k) <= MaxKeyBytes && !strings.Contains(k, " ") }
 
 // Get reads one key; the status is 200 or 404, or one that refuses.
 func (s *Service) Get(now units.Microseconds, from, key string) (Item, uint64, int) {
@@ -303,11 +303,11 @@
 	if code != http.StatusOK {
 		return Listing{Code: code}
 	}
-	if page < 0 || page > MaxPage {
+	if page < 0 || page > MaxPageItems {
 		return Listing{Code: http.StatusBadRequest}
 	}
 	if page == 0 {
-		page = MaxPage
+		page = MaxPageItems
 	}
 	l := Listing{Code: http.StatusOK, Rev: s.rev}
 	size := 0
@@ -348,7 +348,7 @@
 	}
 	var failed []string
 	for _, g := range t.Guards {
-		if it, _ := s.keys.Get(Item{Key: g.Key}); it.Stamp != g.Stamp {
+		if it, _ := s.keys.Get(Item{Key: g.Key}); it.Version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
@@ -376,7 +376,7 @@
 			return false
 		}
 	}
-	return len(t.Changes) <= s.limits.TxnOps && len(t.Guards) <= 4*s.limits.TxnOps && size <= MaxTxn
+	return len(t.Changes) <= s.limits.TxnOps && len(t.Guards) <= 4*s.limits.TxnOps && size <= MaxTxnBytes
 }
 
 // apply makes changes at one new revision. Where all that is to be removed is gone
@@ -410,8 +410,8 @@
 		s.log = append(s.log, Event{c.Key, c.Value, s.rev})
 		s.touch(c.Key)
 	}
-	if over := len(s.log) - Kept; over >= Kept/4 {
-		s.oldest = max(s.oldest, s.log[over-1].Stamp)
+	if over := len(s.log) - MaxHistory; over >= MaxHistory/4 {
+		s.oldest = max(s.oldest, s.log[over-1].Version)
 		s.log = slices.Clone(s.log[over:])
 	}
 	s.undo = append(s.undo, u)
@@ -424,7 +424,7 @@
 // first returns where in the log the changes after a revision begin.
 func (s *Service) first(after uint64) int {
 	i, _ := slices.BinarySearchFunc(s.log, after+1, func(e Event, rev uint64) int {
-		if e.Stamp < rev {
+		if e.Version < rev {
 			return -1
 		}
 		return 1
@@ -436,7 +436,7 @@
 // still has them all: it keeps the last 10,000 changes.
 func (s *Service) since(prefix string, after uint64) ([]Event, bool) {
 	i := s.first(after)
-	if after < s.oldest || len(s.log)-i > Kept {
+	if after < s.oldest || len(s.log)-i > MaxHistory {
 		return nil, false
 	}
 	var out []Event
@@ -452,11 +452,11 @@
 // out of Drain, at the latest when the wait is over and the service works.
 func (s *Service) Watch(now units.Microseconds, id uint64, from, prefix string, after uint64, wait units.Microseconds) {
 	if code := s.admit(now, from); code != http.StatusOK {
-		s.out = append(s.out, Changes{ID: id, Code: code})
+		s.out = append(s.out, WatchResponse{ID: id, Code: code})
 		return
 	}
 	if wait < 0 || wait > maxWait {
-		s.out = append(s.out, Changes{ID: id, Code: http.StatusBadRequest})
+		s.out = append(s.out, WatchResponse{ID: id, Code: http.StatusBadRequest})
 		return
 	}
 	w := &watch{id, from, prefix, after, now + wait}
@@ -466,8 +466,8 @@
 	}
 }
 
-// Close forgets a watch whose client is gone.
-func (s *Service) Close(id uint64) {
+// CloseWatch forgets a watch whose client is gone.
+func (s *Service) CloseWatch(id uint64) {
 	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return w.id == id })
 }
 
@@ -480,9 +480,9 @@
 	events, all := s.since(w.prefix, w.after)
 	switch {
 	case !all:
-		s.out = append(s.out, Changes{ID: w.id, Code: http.StatusGone})
+		s.out = append(s.out, WatchResponse{ID: w.id, Code: http.StatusGone})
 	case len(events) > 0 || now >= w.until:
-		s.out = append(s.out, Changes{ID: w.id, Code: http.StatusOK, Rev: s.rev, Events: events})
+		s.out = append(s.out, WatchResponse{ID: w.id, Code: http.StatusOK, Rev: s.rev, Events: events})
 	default:
 		return false
 	}
@@ -493,8 +493,8 @@
 	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return s.answer(now, w) })
 }
 
-// Open makes a lease; 400 if the time is out of bounds.
-func (s *Service) Open(now units.Microseconds, from string, ttl units.Microseconds) (uint64, int) {
+// OpenLease makes a lease; 400 if the time is out of bounds.
+func (s *Service) OpenLease(now units.Microseconds, from string, ttl units.Microseconds) (uint64, int) {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return 0, code
 	}
@@ -513,8 +513,8 @@
 	s.ending.Add(n.ends, l.ID)
 }
 
-// Renew gives a lease its full time again; 404 if it has ended.
-func (s *Service) Renew(now units.Microseconds, from string, id uint64) int {
+// RenewLease gives a lease its full time again; 404 if it has ended.
+func (s *Service) RenewLease(now units.Microseconds, from string, id uint64) int {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return code
 	}
@@ -527,8 +527,8 @@
 	return http.StatusOK
 }
 
-// End ends a lease at once; 404 if it has ended.
-func (s *Service) End(now units.Microseconds, from string, id uint64) int {
+// CloseLease ends a lease at once; 404 if it has ended.
+func (s *Service) CloseLease(now units.Microseconds, from string, id uint64) int {
 	if code := s.admit(now, from); code != http.StatusOK {
 		return code
 	}
@@ -595,17 +595,17 @@
 }
 
 // Drain returns the answers of watches since the last call.
-func (s *Service) Drain() []Changes {
+func (s *Service) Drain() []WatchResponse {
 	out := s.out
 	s.out = nil
 	return out
 }
 
-// Lose undoes the last n transactions that changed a key with a prefix, as a
+// RollBack undoes the last n transactions that changed a key with a prefix, as a
 // service would that was put back to an older copy of its data: beyond what the
 // protocol allows. The revision goes back with them, and later transactions that
 // the copy does not have are lost too. It returns how many were undone.
-func (s *Service) Lose(now units.Microseconds, prefix string, n int) int {
+func (s *Service) RollBack(now units.Microseconds, prefix string, n int) int {
 	s.Advance(now)
 	cut, found := len(s.undo), 0
 	for i := len(s.undo) - 1; i >= 0 && found < n; i-- {
@@ -636,7 +636,7 @@
 			delete(l.keys, it.Key)
 		}
 	}
-	if it.Stamp == 0 {
+	if it.Version == 0 {
 		s.keys.Delete(it)
 		return
 	}
--- a/internal/emulator/kv/kv_test.go
+++ b/internal/emulator/kv/kv_test.go
@@ -29,7 +29,7 @@
 func (r *reference) drop(k string) {
 	if _, ok := r.keys[k]; ok {
 		delete(r.keys, k)
-		r.history = append(r.history, Event{Key: k, Stamp: r.rev})
+		r.history = append(r.history, Event{Key: k, Version: r.rev})
 	}
 }
 
@@ -86,7 +86,7 @@
 			},
 			"outage": func(t *rapid.T) {
 				down = max(down, now+units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "for")))
-				s.Down(now, down)
+				s.SetDown(now, down)
 				settle()
 				for id := range r.leases {
 					r.sure[id], r.leases[id] = max(r.sure[id], down+ttl[id]), max(r.leases[id], down+ttl[id]+maxLate)
@@ -94,7 +94,7 @@
 			},
 			"open": func(t *rapid.T) {
 				d := units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "ttl"))
-				id, code := s.Open(now, "x", d)
+				id, code := s.OpenLease(now, "x", d)
 				settle()
 				if ok := d >= minTTL && now >= down; ok != (code == http.StatusOK) {
 					t.Fatalf("ttl %d: %d", d, code)
@@ -106,7 +106,7 @@
 			},
 			"renew": func(t *rapid.T) {
 				id := lease(t)
-				code := s.Renew(now, "x", id)
+				code := s.RenewLease(now, "x", id)
 				settle()
 				if now < down {
 					return
@@ -132,7 +132,7 @@
 				}
 				for range rapid.IntRange(0, 2).Draw(t, "guards") {
 					k := key.Draw(t, "guard")
-					stamp := r.keys[k].Stamp
+					stamp := r.keys[k].Version
 					if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
 						stamp++
 					}
@@ -149,13 +149,13 @@
 					want = http.StatusBadRequest
 				case slices.ContainsFunc(txn.Changes, func(c Change) bool { _, ok := r.leases[c.Lease]; return c.Lease != 0 && !ok }):
 					want = http.StatusBadRequest
-				case slices.ContainsFunc(txn.Guards, func(g Guard) bool { return r.keys[g.Key].Stamp != g.Stamp }):
+				case slices.ContainsFunc(txn.Guards, func(g Guard) bool { return r.keys[g.Key].Version != g.Version }):
 					want = http.StatusConflict
 				}
 				if res.Code != want {
 					t.Fatalf("%+v: %d, want %d", txn, res.Code, want)
 				}
-				if want != http.StatusOK || !slices.ContainsFunc(txn.Changes, func(c Change) bool { return c.Value != nil || r.keys[c.Key].Stamp != 0 }) {
+				if want != http.StatusOK || !slices.ContainsFunc(txn.Changes, func(c Change) bool { return c.Value != nil || r.keys[c.Key].Version != 0 }) {
 					return
 				}
 				r.rev++
@@ -195,7 +195,7 @@
 				s.Watch(now, 1, "x", "a/", after, 0)
 				var events []Event
 				for _, e := range r.history {
-					if e.Stamp > after && strings.HasPrefix(e.Key, "a/") {
+					if e.Version > after && strings.HasPrefix(e.Key, "a/") {
 						events = append(events, e)
 					}
 				}
@@ -240,10 +240,10 @@
 		t.Fatalf("page of %d items, %d bytes, more %v", len(l.Items), size, l.More)
 	}
 	first := s.Rev()
-	for i := range Kept + Kept/2 {
+	for i := range MaxHistory + MaxHistory/2 {
 		s.Commit(0, "x", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage(fmt.Sprint(i))}}})
 	}
-	for after, want := range map[uint64]int{first: http.StatusGone, s.Rev() - Kept: http.StatusOK, s.Rev() - 1: http.StatusOK} {
+	for after, want := range map[uint64]int{first: http.StatusGone, s.Rev() - MaxHistory: http.StatusOK, s.Rev() - 1: http.StatusOK} {
 		s.Watch(0, 1, "x", "k", after, 0)
 		if out := s.Drain(); len(out) != 1 || out[0].Code != want {
 			t.Errorf("watch after %d of %d: %d, want %d", after, s.Rev(), out[0].Code, want)
@@ -257,7 +257,7 @@
 	s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 100, TxnOps: 4}, rand.New(rand.NewPCG(1, 1)))
 	s.Watch(0, 1, "x", "", 0, 2*units.Second)
 	s.Watch(0, 2, "y", "", 0, 2*units.Second)
-	s.Refuse("x", 5*units.Second)
+	s.RefuseClient("x", 5*units.Second)
 	s.Commit(units.Second, "y", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}})
 	if out := s.Drain(); len(out) != 1 || out[0].ID != 2 || len(out[0].Events) != 1 {
 		t.Fatalf("while x is refused: %+v", out)
@@ -281,7 +281,7 @@
 	put("seat/a", "1")
 	put("job/1", "2")
 	put("seat/a", "2")
-	if n := s.Lose(0, "job/", 1); n != 2 {
+	if n := s.RollBack(0, "job/", 1); n != 2 {
 		t.Fatalf("%d transactions undone, want 2", n)
 	}
 	job, rev, _ := s.Get(0, "x", "job/1")
@@ -289,7 +289,7 @@
 	if rev != 2 && s.Rev() != 2 || string(job.Value) != "1" || string(seat.Value) != "1" {
 		t.Fatalf("revision %d, %+v, %+v", s.Rev(), job, seat)
 	}
-	if n := s.Lose(0, "none/", 1); n != 0 {
+	if n := s.RollBack(0, "none/", 1); n != 0 {
 		t.Fatalf("%d undone of nothing", n)
 	}
 }
--- a/internal/emulator/link/link.go
+++ b/internal/emulator/link/link.go
@@ -28,14 +28,14 @@
 	Delay
 )
 
-// Trouble is a mode with its time.
-type Trouble struct {
+// Impairment is a mode with its time.
+type Impairment struct {
 	Mode  Mode
 	Until time.Time
-	Every time.Duration // between bytes that trickle, or the delay of a piece
+	Interval time.Duration // between bytes that trickle, or the delay of a piece
 }
 
-func (t Trouble) now() Mode {
+func (t Impairment) now() Mode {
 	if time.Now().After(t.Until) {
 		return Pass
 	}
@@ -49,7 +49,7 @@
 	sent, received atomic.Uint64 // bytes that were delivered to the address, and from it
 
 	mu          sync.Mutex
-	there, back Trouble // on the way to the address, and from it
+	there, back Impairment // on the way to the address, and from it
 	conns       map[*pair]bool
 	closed      bool
 }
@@ -59,8 +59,8 @@
 // New returns a link to an address.
 func New(to string) *Link { return &Link{to: to, conns: map[*pair]bool{}} }
 
-// Set puts the link into trouble, in one direction or both.
-func (l *Link) Set(t Trouble, there, back bool) {
+// SetImpairment puts the link into trouble, in one direction or both.
+func (l *Link) SetImpairment(t Impairment, there, back bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if there {
@@ -71,8 +71,8 @@
 	}
 	if t.Mode == Reset {
 		for p := range l.conns {
-			Cut(p.a)
-			Cut(p.b)
+			ResetConn(p.a)
+			ResetConn(p.b)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // Bytes returns how many bytes the link has delivered to its address, and from it.
 func (l *Link) Bytes() (there, back uint64) { return l.sent.Load(), l.received.Load() }
 
-func (l *Link) trouble(there bool) Trouble {
+func (l *Link) trouble(there bool) Impairment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if there {
@@ -106,8 +106,8 @@
 	defer l.mu.Unlock()
 	l.closed = true
 	for p := range l.conns {
-		Cut(p.a)
-		Cut(p.b)
+		ResetConn(p.a)
+		ResetConn(p.b)
 	}
 }
 
@@ -116,12 +116,12 @@
 	// A connection that is made while the way there is out of order says nothing,
 	// until the trouble is over: what its sender wrote comes through then.
 	if l.wait(true) != nil {
-		Cut(a)
+		ResetConn(a)
 		return
 	}
 	b, err := net.DialTimeout("tcp4", l.to, time.Second)
 	if err != nil {
-		Cut(a)
+		ResetConn(a)
 		return
 	}
 	defer b.Close()
@@ -177,8 +177,8 @@
 		n, err := from.Read(buf)
 		if n > 0 {
 			if l.wait(there) != nil {
-				Cut(p.a)
-				Cut(p.b)
+				ResetConn(p.a)
+				ResetConn(p.b)
 				return
 			}
 			if l.write(to, buf[:n], there) != nil {
@@ -200,9 +200,9 @@
 		switch t := l.trouble(there); t.now() {
 		case Trickle:
 			n = 1
-			time.Sleep(t.Every)
+			time.Sleep(t.Interval)
 		case Delay:
-			time.Sleep(t.Every)
+			time.Sleep(t.Interval)
 		}
 		if _, err := to.Write(b[:n]); err != nil {
 			return err
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// Cut closes a connection so that the other side gets an error.
-func Cut(c net.Conn) {
+// ResetConn closes a connection so that the other side gets an error.
+func ResetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // best effort
 	}
--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -19,7 +19,7 @@
 // storedDone returns the jobs whose records say that they are done.
 func (w *World) storedDone() map[string]bool {
 	done := map[string]bool{}
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		var r struct{ Status jobs.Status }
 		const prefix = "shalestage/job/"
 		if len(it.Key) > len(prefix) && it.Key[:len(prefix)] == prefix && json.Unmarshal(it.Value, &r) == nil && r.Status == jobs.Done {
--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -20,7 +20,7 @@
 // census counts.
 func (w *World) census() Census {
 	c := Census{At: w.now, Keys: map[string]int{}}
-	w.State.Each(func(it kv.Item) { c.Keys[store.KeyGroup(it.Key)]++ })
+	w.State.ForEach(func(it kv.Item) { c.Keys[store.KeyGroup(it.Key)]++ })
 	for _, n := range w.Nodes {
 		if n.life == 0 {
 			continue
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -83,7 +83,7 @@
 		w := loaded(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
 		n := w.Holder(0)
-		w.State.Refuse(n.Name, w.now+15*second)
+		w.State.RefuseClient(n.Name, w.now+15*second)
 		w.Run(w.now + 2*second)
 		other := w.Nodes[(n.index+1)%3].Name
 		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 10, Node: other})
@@ -181,7 +181,7 @@
 		w := loaded(seed+1, 3, 0, Options{Break: Broken{Told: deaf}})
 		w.Run(units.Microseconds(40+seed) * second / 2) // tasks end, and others start
 		n := w.Holder(0)
-		w.State.Refuse(n.Name, w.now+60*second)
+		w.State.RefuseClient(n.Name, w.now+60*second)
 		w.Fault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
 		w.Run(120 * second)
 		if slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Quota }) {
@@ -210,7 +210,7 @@
 func TestNothingIsStoredWithoutAChange(t *testing.T) {
 	w := loaded(1, 3, 0, Options{})
 	w.Run(60 * second)
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		if len(it.Key) > 18 && it.Key[:18] == "shalestage/config/" {
 			t.Errorf("%s is stored", it.Key)
 		}
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -89,11 +89,11 @@
 	until := w.now + units.Seconds(f.ForS)
 	switch f.Kind {
 	case scenario.StateOutage:
-		w.State.Down(w.now, until)
+		w.State.SetDown(w.now, until)
 		w.takeState()
 	case scenario.StateRefuse:
 		for _, n := range w.nodesOf(f.Node) {
-			w.State.Refuse(n.Name, until)
+			w.State.RefuseClient(n.Name, until)
 		}
 	case scenario.StateSlow:
 		w.slow.until, w.slow.delay = until, units.Microseconds(f.DelayMS*1000)
@@ -104,7 +104,7 @@
 	case scenario.StateUnanswered:
 		w.unanswered, w.unansweredShare = until, cmp.Or(f.Share, 1)
 	case scenario.StateLose:
-		w.State.Lose(w.now, f.LosePrefix(), max(f.Count, 1))
+		w.State.RollBack(w.now, f.LosePrefix(), max(f.Count, 1))
 	default:
 		return false
 	}
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -113,7 +113,7 @@
 		return
 	}
 	records := map[string]json.RawMessage{}
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		if strings.HasPrefix(it.Key, configuration.Prefix) {
 			records[it.Key] = it.Value
 		}
--- a/internal/emulator/sim/parts_test.go
+++ b/internal/emulator/sim/parts_test.go
@@ -67,9 +67,9 @@
 // inspect looks at what is stored.
 func inspect(w *World) []introspect.Finding {
 	in := introspect.NewInspector()
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		if strings.HasPrefix(it.Key, core.Root) {
-			in.Inspect(store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+			in.Inspect(store.Event{Key: it.Key, Value: it.Value, Stamp: it.Version})
 		}
 	})
 	return in.Findings()
--- a/internal/emulator/sim/past_test.go
+++ b/internal/emulator/sim/past_test.go
@@ -164,12 +164,12 @@
 		return 1_000_000 + i, archive.Summary{Status: jobs.Done, Tasks: 2, FinishedAt: second}
 	}) {
 		rev++
-		items = append(items, kv.Item{Key: e.Key, Value: e.Value, Stamp: rev})
+		items = append(items, kv.Item{Key: e.Key, Value: e.Value, Version: rev})
 	}
 	for _, k := range []struct{ key, value string }{{"shalestage/past", `{"release":4,"cut":1,"jobs":1}`}, {"shalestage/leader", `{"term":1,"node":"release-4"}`},
 		{"shalestage/term", `{"term":1,"node":"x"}`}} {
 		rev++
-		items = append(items, kv.Item{Key: k.key, Value: json.RawMessage(k.value), Stamp: rev})
+		items = append(items, kv.Item{Key: k.key, Value: json.RawMessage(k.value), Version: rev})
 	}
 	w.State.Restore(0, rev, 1, items, nil)
 }
@@ -289,7 +289,7 @@
 	w := New(s, Options{Seed: 1})
 	var items []kv.Item
 	for i := range uint64(30_000) {
-		items = append(items, kv.Item{Key: fmt.Sprintf("shalestage/job/wk-%06d", i), Value: json.RawMessage(`{"status":"done","tasks":1}`), Stamp: i + 1})
+		items = append(items, kv.Item{Key: fmt.Sprintf("shalestage/job/wk-%06d", i), Value: json.RawMessage(`{"status":"done","tasks":1}`), Version: i + 1})
 	}
 	w.State.Restore(0, 30_000, 1, items, nil)
 	changes := 0
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -231,7 +231,7 @@
 	if old == nil {
 		t.Fatal("nobody leads")
 	}
-	w.State.Refuse(old.Name, w.now+60*second)
+	w.State.RefuseClient(old.Name, w.now+60*second)
 	w.Run(w.now + 10*second)
 	led := 0
 	for _, n := range w.Nodes {
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -39,7 +39,7 @@
 	case core.RenewLease:
 		n.renewLease(life, e)
 	case core.CloseLease:
-		n.call(callWait, false, func() int { return w.State.End(w.now, n.Name, e.ID) }, func(store.Outcome, int) {})
+		n.call(callWait, false, func() int { return w.State.CloseLease(w.now, n.Name, e.ID) }, func(store.Outcome, int) {})
 	default:
 		return false
 	}
@@ -118,7 +118,7 @@
 	var id uint64
 	n.call(callWait, false, func() int {
 		var code int
-		id, code = w.State.Open(w.now, n.Name, e.TTL)
+		id, code = w.State.OpenLease(w.now, n.Name, e.TTL)
 		return code
 	}, func(o store.Outcome, _ int) { n.back(life, func() { n.core.OnLease(n.local(), o, id) }) })
 }
@@ -126,7 +126,7 @@
 // renewLease renews a lease at the state service, beside the budget of requests.
 func (n *Node) renewLease(life int, e core.RenewLease) {
 	w := n.w
-	n.call(callWait, true, func() int { return w.State.Renew(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
+	n.call(callWait, true, func() int { return w.State.RenewLease(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
 		if o != store.OK {
 			w.happened(scenario.RenewalFailed)
 		}
@@ -170,7 +170,7 @@
 			case code == http.StatusNotFound:
 				n.core.OnKey(n.local(), e, store.OK, nil, 0, rev)
 			case o == store.OK:
-				n.core.OnKey(n.local(), e, o, it.Value, it.Stamp, 0)
+				n.core.OnKey(n.local(), e, o, it.Value, it.Version, 0)
 			default:
 				n.core.OnKey(n.local(), e, o, nil, 0, 0)
 			}
@@ -180,7 +180,7 @@
 
 func (n *Node) watch(life int, e core.Watch) {
 	w := n.w
-	finish := func(o store.Outcome, c kv.Changes) {
+	finish := func(o store.Outcome, c kv.WatchResponse) {
 		n.countChanges(c.Events)
 		n.back(life, func() {
 			events := direct.Events(c.Events)
@@ -189,11 +189,11 @@
 		})
 	}
 	if f := w.opt.Break.Read; f != nil && e.Fresh && !f() {
-		w.after(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: e.After}) })
+		w.after(millis, func() { finish(store.OK, kv.WatchResponse{Code: http.StatusOK, Rev: e.After}) })
 		return
 	}
 	if !n.state.AllowN(stamp(w.now), 1) {
-		w.after(0, func() { finish(store.Refused, kv.Changes{}) })
+		w.after(0, func() { finish(store.Refused, kv.WatchResponse{}) })
 		return
 	}
 	wait := readWait
@@ -201,7 +201,7 @@
 		wait = callWait + e.Wait
 	}
 	if e.Fresh && w.opt.Break.Stale {
-		w.after(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: e.After}) })
+		w.after(millis, func() { finish(store.OK, kv.WatchResponse{Code: http.StatusOK, Rev: e.After}) })
 		return
 	}
 	var id uint64
@@ -209,7 +209,7 @@
 		w.net.request(n.Name, scenario.PartyState, wait, func(answer func(func())) {
 			w.watch++
 			id = w.watch
-			w.answers[id] = func(c kv.Changes) {
+			w.answers[id] = func(c kv.WatchResponse) {
 				w.after(w.stateTime(), func() { answer(func() { finish(outcomeOf(c.Code), c) }) })
 			}
 			w.State.Watch(w.now, id, n.Name, core.Root, e.After, e.Wait)
@@ -219,9 +219,9 @@
 				f()
 				return
 			}
-			w.State.Close(id)
+			w.State.CloseWatch(id)
 			delete(w.answers, id)
-			finish(store.Unknown, kv.Changes{})
+			finish(store.Unknown, kv.WatchResponse{})
 		})
 	})
 }
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -155,7 +155,7 @@
 func (w *World) refusedAlone() bool {
 	refused := 0
 	for _, n := range w.Nodes {
-		if w.State.Refuses(w.now, n.Name) {
+		if w.State.IsClientRefused(w.now, n.Name) {
 			refused++
 		}
 	}
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -92,7 +92,7 @@
 	net     network
 	front   *balance.Balancer
 	noise   bool
-	answers map[uint64]func(kv.Changes) // of open watches
+	answers map[uint64]func(kv.WatchResponse) // of open watches
 	watch   uint64
 	starts  int
 	slow    struct {
@@ -121,7 +121,7 @@
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
 	w := &World{zoneCut: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combined: newCombinations(), S: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
 		Crowd: user.New(s.UserOptions(), stream(14)),
-		opt:   opt, rng: stream(16), noise: opt.Noise, answers: map[uint64]func(kv.Changes){}, meetings: meetings{unread: map[string]string{}}}
+		opt:   opt, rng: stream(16), noise: opt.Noise, answers: map[uint64]func(kv.WatchResponse){}, meetings: meetings{unread: map[string]string{}}}
 	w.net = network{w: w, ways: map[way]trouble{}}
 	w.front = balance.New(s.Controllers.Count, 0, stream(13))
 	for _, j := range s.Plan(0, stream(15)) {
--- a/internal/launch/book.go
+++ b/internal/launch/book.go
@@ -81,11 +81,11 @@
 }
 
 // keep returns facts that are written to the book as well.
-func (b *book) keep(f host.Facts) *keeper { return &keeper{Facts: f, file: b.file} }
+func (b *book) keep(f host.TaskObserver) *keeper { return &keeper{TaskObserver: f, file: b.file} }
 
 // keeper adds lines to a book.
 type keeper struct {
-	host.Facts
+	host.TaskObserver
 	file string
 	mu   sync.Mutex
 	f    *os.File
@@ -93,13 +93,13 @@
 
 func (k *keeper) add(u upload) error { return k.write(entry{Job: &u}) }
 
-// Ended implements host.Facts.
-func (k *keeper) Ended(m *cloudprovider.Machine, id jobs.TaskID, completed bool) {
+// TaskEnded implements host.TaskObserver.
+func (k *keeper) TaskEnded(m *cloudprovider.Machine, id jobs.TaskID, completed bool) {
 	if completed {
 		// A line that is lost costs a second run of the task at the most.
 		_ = k.write(entry{Done: id.String()})
 	}
-	k.Facts.Ended(m, id, completed)
+	k.TaskObserver.TaskEnded(m, id, completed)
 }
 
 func (k *keeper) write(e entry) error {
--- a/internal/launch/deployment.go
+++ b/internal/launch/deployment.go
@@ -641,17 +641,17 @@
 	if a == "" {
 		return errors.New("there is no such controller now")
 	}
-	t := link.Trouble{Mode: modes[f.Mode], Until: time.Now().Add(seconds(f.ForS)), Every: seconds(f.DelayMS / 1000)}
+	t := link.Impairment{Mode: modes[f.Mode], Until: time.Now().Add(seconds(f.ForS)), Interval: seconds(f.DelayMS / 1000)}
 	// there is the way from the controller to the other party.
 	there, back := f.Direction != "back", f.Direction != "there"
 	out := func(to string) {
 		if l := d.links[linkName(a, to)]; l != nil {
-			l.Set(t, there, back)
+			l.SetImpairment(t, there, back)
 		}
 	}
 	in := func(from string) {
 		if l := d.links[linkName(from, a)]; l != nil {
-			l.Set(t, back, there)
+			l.SetImpairment(t, back, there)
 		}
 	}
 	switch b := f.Between[1]; b {
@@ -677,11 +677,11 @@
 
 // apart cuts a zone off.
 func (d *Deployment) apart(f scenario.Fault) {
-	t := link.Trouble{Mode: modes[f.Mode], Until: time.Now().Add(seconds(f.ForS))}
+	t := link.Impairment{Mode: modes[f.Mode], Until: time.Now().Add(seconds(f.ForS))}
 	for _, p := range d.s.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
 		for _, name := range []string{linkName(p[0], p[1]), linkName(p[1], p[0])} {
 			if l := d.links[name]; l != nil {
-				l.Set(t, true, true)
+				l.SetImpairment(t, true, true)
 			}
 		}
 	}
--- a/internal/launch/fact.go
+++ b/internal/launch/fact.go
@@ -30,11 +30,11 @@
 
 func newFactWriter(w io.Writer) *factWriter { return &factWriter{json.NewEncoder(w)} }
 
-// Began implements host.Facts.
-func (f *factWriter) Began(m *cloudprovider.Machine, id jobs.TaskID) { f.put(m, id, true, false) }
+// TaskStarted implements host.TaskObserver.
+func (f *factWriter) TaskStarted(m *cloudprovider.Machine, id jobs.TaskID) { f.put(m, id, true, false) }
 
-// Ended implements host.Facts.
-func (f *factWriter) Ended(m *cloudprovider.Machine, id jobs.TaskID, completed bool) {
+// TaskEnded implements host.TaskObserver.
+func (f *factWriter) TaskEnded(m *cloudprovider.Machine, id jobs.TaskID, completed bool) {
 	f.put(m, id, false, completed)
 }
 
--- a/internal/launch/role.go
+++ b/internal/launch/role.go
@@ -127,23 +127,23 @@
 		st.Do(func(now units.Microseconds, m *kv.Service) {
 			switch f.Kind {
 			case scenario.StateOutage:
-				m.Down(now, now+for_)
+				m.SetDown(now, now+for_)
 			case scenario.StateRefuse:
-				m.Refuse(f.Node, now+for_)
+				m.RefuseClient(f.Node, now+for_)
 			case scenario.StateLimits:
 				m.SetLimits(s.State.Fallen(f).KV())
 			case scenario.StateLose:
-				lost = m.Lose(now, f.LosePrefix(), max(f.Count, 1))
+				lost = m.RollBack(now, f.LosePrefix(), max(f.Count, 1))
 			}
 		})
 		switch f.Kind {
 		case scenario.StateSlow:
-			st.Slow(seconds(f.DelayMS / 1000))
-			time.AfterFunc(seconds(f.ForS), func() { st.Slow(0) })
+			st.SetExtraLatency(seconds(f.DelayMS / 1000))
+			time.AfterFunc(seconds(f.ForS), func() { st.SetExtraLatency(0) })
 		case scenario.StateLate:
-			st.Misfortune(seconds(f.ForS), 0, cmp.Or(f.Share, 1))
+			st.InjectTxnFaults(seconds(f.ForS), 0, cmp.Or(f.Share, 1))
 		case scenario.StateUnanswered:
-			st.Misfortune(0, seconds(f.ForS), cmp.Or(f.Share, 1))
+			st.InjectTxnFaults(0, seconds(f.ForS), cmp.Or(f.Share, 1))
 		case scenario.StateLose:
 			if lost == 0 {
 				return errors.New("there is no such write to lose")
@@ -153,7 +153,7 @@
 	})
 	figures(control, func() any {
 		var f StateFigures
-		st.Do(func(_ units.Microseconds, m *kv.Service) { f = StateFigures{m.Len(), m.Rev(), st.Answers()} })
+		st.Do(func(_ units.Microseconds, m *kv.Service) { f = StateFigures{m.Len(), m.Rev(), st.Responses()} })
 		return f
 	}, map[string]func(f any) float64{
 		"state_keys":           func(f any) float64 { return float64(f.(StateFigures).Keys) },
@@ -205,7 +205,7 @@
 	}
 	cfg.Cloud.FirstNumber, cfg.Apart = first, len(p.Direct)
 	st := site.New(cfg, rand.New(rand.NewPCG(p.Seed, 12)))
-	var facts host.Facts = newFactWriter(os.Stdout)
+	var facts host.TaskObserver = newFactWriter(os.Stdout)
 	if p.Data != "" {
 		book, err := openBook(filepath.Join(p.Data, bookFile))
 		if err != nil {
@@ -219,7 +219,7 @@
 	// Workers reach a controller by a link of their zone.
 	c := host.NewCloud(ctx, st, p.Workers, hostOf(p.Front), seconds(s.Cloud.LatencyMS/1000), facts, log)
 	if len(p.Direct) > 0 {
-		c.RunOutside(newOutside(p))
+		c.SetWorkerProcesses(newOutside(p))
 		serveJobs(control, c)
 	}
 	go c.Run()
@@ -291,9 +291,9 @@
 	for _, n := range s.Nodes() {
 		nodes = append(nodes, p.Listen[n].Link)
 	}
-	f := host.NewFront(ctx, nodes, rand.New(rand.NewPCG(p.Seed, 13)), log)
+	f := host.NewLoadBalancer(ctx, nodes, rand.New(rand.NewPCG(p.Seed, 13)), log)
 	go f.Run()
-	figures(control, func() any { return FrontFigures{f.Healthy()} }, map[string]func(f any) float64{
+	figures(control, func() any { return FrontFigures{f.HealthyCount()} }, map[string]func(f any) float64{
 		"balancer_healthy": func(f any) float64 { return float64(f.(FrontFigures).Healthy) },
 	})
 	return serve(p.Front, f.Serve, cancel)
--- a/internal/launch/worker.go
+++ b/internal/launch/worker.go
@@ -48,7 +48,7 @@
 // runWorker runs the worker of one machine at a time, as the cloud hands it over.
 func runWorker(ctx context.Context, cancel context.CancelCauseFunc, role string, p *Plan, control chi.Router, log *slog.Logger) error {
 	jobs := jobClient{p.Roles[RoleCloud]}
-	w := host.NewLoneWorker(ctx, p.Workers, jobs, newFactWriter(os.Stdout), rand.New(rand.NewPCG(p.Seed, uint64(os.Getpid()))), log)
+	w := host.NewWorker(ctx, p.Workers, jobs, newFactWriter(os.Stdout), rand.New(rand.NewPCG(p.Seed, uint64(os.Getpid()))), log)
 	go w.Run()
 	control.Put("/machine", func(rw http.ResponseWriter, r *http.Request) {
 		var h handed
@@ -56,19 +56,19 @@
 			http.Error(rw, "malformed", http.StatusBadRequest)
 			return
 		}
-		if err := w.Begin(h.Config, h.Fault); err != nil {
+		if err := w.Start(h.Config, h.Fault); err != nil {
 			http.Error(rw, err.Error(), http.StatusConflict)
 		}
 	})
-	control.Delete("/machine/{name}", func(_ http.ResponseWriter, r *http.Request) { w.End(chi.URLParam(r, "name")) })
-	figures(control, func() any { return WorkerFigures{w.Bytes(), w.Reports(), w.Running()} }, nil)
+	control.Delete("/machine/{name}", func(_ http.ResponseWriter, r *http.Request) { w.Stop(chi.URLParam(r, "name")) })
+	figures(control, func() any { return WorkerFigures{w.Bytes(), w.HeartbeatsSent(), w.Running()} }, nil)
 	return serve(p.Direct[role], func(l net.Listener) error { return w.Serve(l) }, cancel)
 }
 
 // jobClient is the cloud's process as a worker asks it.
 type jobClient struct{ addr string }
 
-// Fetch implements host.Jobs.
+// Fetch implements host.JobStore.
 func (c jobClient) Fetch(id jobs.TaskID) (*work.Job, error) {
 	resp, err := controlClient.Get("http://" + c.addr + "/tasks/" + id.String())
 	if err != nil {
@@ -94,7 +94,7 @@
 // storeTries is how often a worker tries to store what a task did.
 const storeTries = 3
 
-// Store implements host.Jobs.
+// Store implements host.JobStore.
 func (c jobClient) Store(id jobs.TaskID, finished bool, saved units.Microseconds) (err error) {
 	for range storeTries {
 		if err = post(http.MethodPut, c.addr, "/tasks", taskState{Task: id.String(), Finished: finished, Saved: saved}); err == nil {
@@ -133,7 +133,7 @@
 			return
 		}
 		// Not waited for: the cloud may wait for this very worker to end a machine.
-		c.Tell(func(s *site.Site) {
+		c.Enqueue(func(s *site.Site) {
 			j := s.Book[id.Job]
 			switch {
 			case j == nil:
@@ -157,8 +157,8 @@
 
 var errNoProcess = errors.New("no process is free")
 
-// Begin implements host.Outside.
-func (o *outside) Begin(name string, c machine.Config, f machine.Fault) (http.Handler, error) {
+// StartWorker implements host.WorkerProcesses.
+func (o *outside) StartWorker(name string, c machine.Config, f machine.Fault) (http.Handler, error) {
 	for _, role := range o.plan.workerRoles() {
 		if o.has[role] != "" {
 			continue
@@ -172,8 +172,8 @@
 	return nil, errNoProcess
 }
 
-// End implements host.Outside.
-func (o *outside) End(name string) {
+// StopWorker implements host.WorkerProcesses.
+func (o *outside) StopWorker(name string) {
 	for role, has := range o.has {
 		if has == name {
 			delete(o.has, role)
--- a/internal/scalerun/part.go
+++ b/internal/scalerun/part.go
@@ -46,7 +46,7 @@
 // part lets nothing pass between regions until they are joined.
 func (w *ways) part() {
 	for _, l := range w.links {
-		l.Set(link.Trouble{Mode: link.Drop, Until: time.Now().Add(maxTotalS * time.Second)}, true, true)
+		l.SetImpairment(link.Impairment{Mode: link.Drop, Until: time.Now().Add(maxTotalS * time.Second)}, true, true)
 	}
 	time.Sleep(pieceTime)
 }
@@ -54,7 +54,7 @@
 // join ends a parting: connections of before are reset, new ones pass.
 func (w *ways) join() {
 	for _, l := range w.links {
-		l.Set(link.Trouble{}, true, true)
+		l.SetImpairment(link.Impairment{}, true, true)
 	}
 }
 
