--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -47,7 +47,7 @@
 	client  *http.Client
 	facts   TaskObserver
 	doors   map[string]net.Listener // of machines
-	outside WorkerProcesses                 // nil: no worker has a process of its own
+	outside WorkerProcesses         // nil: no worker has a process of its own
 	direct  sync.Map                // handlers of machines whose worker has, by name
 	log     *slog.Logger
 }
--- a/internal/emulator/host/lone_test.go
+++ b/internal/emulator/host/lone_test.go
@@ -50,7 +50,9 @@
 	return nil
 }
 
-func (s *storedTasks) TaskStarted(_ *cloudprovider.Machine, id jobs.TaskID) { s.say("began " + id.String()) }
+func (s *storedTasks) TaskStarted(_ *cloudprovider.Machine, id jobs.TaskID) {
+	s.say("began " + id.String())
+}
 
 func (s *storedTasks) TaskEnded(_ *cloudprovider.Machine, id jobs.TaskID, _ bool) {
 	s.say("ended " + id.String())
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -165,7 +165,9 @@
 		}
 		var id uint64
 		var code int
-		if !s.loop.do(req.Context(), func(now units.Microseconds) { id, code = s.kv.OpenLease(now, client, units.Microseconds(b.TTLMillis)*1000) }) {
+		if !s.loop.do(req.Context(), func(now units.Microseconds) {
+			id, code = s.kv.OpenLease(now, client, units.Microseconds(b.TTLMillis)*1000)
+		}) {
 			return
 		}
 		s.pause()
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -20,11 +20,11 @@
 
 // Bounds of the protocol.
 const (
-	MaxKeyBytes       = 200       // bytes of a key
-	MaxPageItems      = 1000      // items of a listing
+	MaxKeyBytes  = 200       // bytes of a key
+	MaxPageItems = 1000      // items of a listing
 	MaxPageBytes = 512 << 10 // bytes of a listing
-	MaxTxnBytes       = 64 << 10  // bytes of a transaction
-	MaxHistory         = 10_000    // changes that watches may look back on
+	MaxTxnBytes  = 64 << 10  // bytes of a transaction
+	MaxHistory   = 10_000    // changes that watches may look back on
 	maxWait      = 60 * units.Second
 	minTTL       = units.Second / 10
 	maxTTL       = 600 * units.Second
@@ -41,22 +41,22 @@
 
 // Item is a key with its value; Stamp is the revision of its last change.
 type Item struct {
-	Key   string
-	Value json.RawMessage
+	Key     string
+	Value   json.RawMessage
 	Version uint64
-	Lease uint64
+	Lease   uint64
 }
 
 // Event is a change at a revision; without a value the key was removed.
 type Event struct {
-	Key   string
-	Value json.RawMessage
+	Key     string
+	Value   json.RawMessage
 	Version uint64
 }
 
 // Guard is a condition on a key's version; 0: the key does not exist.
 type Guard struct {
-	Key   string
+	Key     string
 	Version uint64
 }
 
@@ -263,7 +263,9 @@
 func (s *Service) late() units.Microseconds { return units.Microseconds(s.rng.Int64N(int64(maxLate))) }
 
 // IsClientRefused reports whether one client is not served at a time.
-func (s *Service) IsClientRefused(now units.Microseconds, client string) bool { return !s.serves(now, client) }
+func (s *Service) IsClientRefused(now units.Microseconds, client string) bool {
+	return !s.serves(now, client)
+}
 
 // admit counts a request and returns 200, or the status that refuses it.
 func (s *Service) admit(now units.Microseconds, from string) int {
--- a/internal/emulator/link/link.go
+++ b/internal/emulator/link/link.go
@@ -30,8 +30,8 @@
 
 // Impairment is a mode with its time.
 type Impairment struct {
-	Mode  Mode
-	Until time.Time
+	Mode     Mode
+	Until    time.Time
 	Interval time.Duration // between bytes that trickle, or the delay of a piece
 }
 
