--- a/internal/emulator/direct/direct.go
+++ b/internal/emulator/direct/direct.go
@@ -1,5 +1,5 @@
-// Package direct turns the types of the controllers' transactions into those of the
-// model of the state service and back, for who speaks to the model without a network.
+// Package direct converts between the types of the state service's client in controllers and those of the service's
+// model. Simulations and tests use it to call the model without a network.
 package direct
 
 import (
@@ -7,7 +7,7 @@
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
-// Txn returns a transaction as the model takes it.
+// Txn converts a transaction of a controller to one of the model.
 func Txn(t *store.Txn) kv.Txn {
 	var out kv.Txn
 	for _, g := range t.Guards {
@@ -19,7 +19,7 @@
 	return out
 }
 
-// Items returns the keys of a listing as controllers take them.
+// Items converts the items of a listing to the events that controllers process.
 func Items(items []kv.Item) []store.Event {
 	var out []store.Event
 	for _, it := range items {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Events returns changes as controllers take them.
+// Events converts the model's changes to the events that controllers process.
 func Events(events []kv.Event) []store.Event {
 	var out []store.Event
 	for _, e := range events {
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -21,64 +21,65 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// TaskObserver takes what happens on machines, for a checker.
+// TaskObserver is notified of starts and ends of tasks on machines, for a checker.
 type TaskObserver interface {
 	TaskStarted(m *cloudprovider.Machine, id jobs.TaskID)
 	TaskEnded(m *cloudprovider.Machine, id jobs.TaskID, completed bool)
 }
 
-// WorkerProcesses runs workers in processes of their own. Both methods return once it is done.
+// WorkerProcesses runs workers in separate processes. Both methods return when the operation has completed.
 type WorkerProcesses interface {
-	// StartWorker lets a worker begin, and returns who answers commands that come straight to it.
+	// StartWorker starts the worker of a machine. The handler serves the requests to the machine's own address.
 	StartWorker(name string, c machine.Config, f machine.Fault) (http.Handler, error)
-	// StopWorker ends a machine with all that is on it.
+	// StopWorker stops a machine and everything that runs on it.
 	StopWorker(name string)
 }
 
-// Cloud serves the cloud's interface over HTTP and runs the machines' workers.
+// Cloud serves the cloud's API over HTTP and runs the workers of its machines.
 type Cloud struct {
-	ctx     context.Context
-	loop    *loop
-	site    *site.Site
-	nodes   map[string]map[string]string // controllers' addresses, by the zone that they are reached from
-	host    string                       // on which workers listen
-	latency time.Duration
-	slow    atomic.Int64
-	client  *http.Client
-	facts   TaskObserver
-	doors   map[string]net.Listener // of machines
-	outside WorkerProcesses         // nil: no worker has a process of its own
-	direct  sync.Map                // handlers of machines whose worker has, by name
-	log     *slog.Logger
+	ctx          context.Context
+	loop         *loop
+	site         *site.Site
+	nodes        map[string]map[string]string // addresses of controllers by zone of the machine and name of the controller
+	host         string                       // on which workers listen
+	latency      time.Duration
+	extraLatency atomic.Int64
+	client       *http.Client
+	observer     TaskObserver
+	listeners    map[string]net.Listener // of the machines' own addresses, by machine name
+	processes    WorkerProcesses         // nil: all workers run in this process
+	handlers     sync.Map                // by machine name, of workers in separate processes
+	log          *slog.Logger
 }
 
-// NewCloud returns a cloud whose machines report to controllers at the given
-// addresses and listen on a host's own ports.
-func NewCloud(ctx context.Context, s *site.Site, nodes map[string]map[string]string, host string, latency time.Duration, facts TaskObserver, log *slog.Logger) *Cloud {
-	c := &Cloud{ctx: ctx, site: s, nodes: nodes, host: host, latency: latency, facts: facts, doors: map[string]net.Listener{}, log: log}
+// NewCloud returns a cloud whose machines send heartbeats to controllers at the given addresses, and listen on
+// ports of host. nodes maps the zone of a machine to the controllers' addresses by name, as reached from there.
+func NewCloud(ctx context.Context, s *site.Site, nodes map[string]map[string]string, host string, latency time.Duration, observer TaskObserver, log *slog.Logger) *Cloud {
+	c := &Cloud{ctx: ctx, site: s, nodes: nodes, host: host, latency: latency, observer: observer, listeners: map[string]net.Listener{}, log: log}
 	c.client = &http.Client{Timeout: time.Duration(machine.ResponseTimeout) * time.Microsecond, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4096, IdleConnTimeout: time.Minute, DisableCompression: true}}
-	c.loop = newLoop(s, c.settle, func(error) {})
+	c.loop = newLoop(s, c.flush, func(error) {})
 	return c
 }
 
-// SetWorkerProcesses sets who runs workers in processes of their own, before Run.
-func (c *Cloud) SetWorkerProcesses(o WorkerProcesses) { c.outside = o }
+// SetWorkerProcesses sets what runs workers in separate processes. Call it before Run.
+func (c *Cloud) SetWorkerProcesses(p WorkerProcesses) { c.processes = p }
 
-// Run serves until the context ends.
+// Run drives the model until the context ends.
 func (c *Cloud) Run() { c.loop.run(c.ctx) }
 
-// Do runs a function on the model, for faults by command and uploads.
+// Do runs f on the model and waits until its effects are processed. It returns false if the context ended first.
 func (c *Cloud) Do(f func(now units.Microseconds, s *site.Site)) bool {
 	return c.loop.do(c.ctx, func(now units.Microseconds) { f(now, c.site) })
 }
 
-// Enqueue runs a function on the model some time, and before what is asked after this call.
+// Enqueue runs f on the model without waiting for it. f runs before any function that is submitted later.
 func (c *Cloud) Enqueue(f func(s *site.Site)) {
-	c.loop.tell(c.ctx, func(units.Microseconds) { f(c.site) })
+	c.loop.enqueue(c.ctx, func(units.Microseconds) { f(c.site) })
 }
 
-// Upload makes a job's description known to the workers.
+// Upload makes a job's description available to the workers, unless the job is known already. It returns false
+// if the context ended first.
 func (c *Cloud) Upload(j *work.Job) bool {
 	return c.Do(func(_ units.Microseconds, s *site.Site) {
 		if s.Book[j.ID] == nil {
@@ -87,73 +88,77 @@
 	})
 }
 
-func (c *Cloud) settle(now units.Microseconds) error {
+// flush processes the effects of the model: it starts and stops workers, sends heartbeats and notifies the observer.
+func (c *Cloud) flush(now units.Microseconds) error {
 	c.site.Advance(now)
 	for _, e := range c.site.Drain() {
 		switch e := e.(type) {
 		case site.Gone:
-			if l := c.doors[e.Machine.Name]; l != nil {
-				_ = l.Close() // nothing to lose
-				delete(c.doors, e.Machine.Name)
+			if l := c.listeners[e.Machine.Name]; l != nil {
+				_ = l.Close() // its error doesn't matter: the machine no longer exists
+				delete(c.listeners, e.Machine.Name)
 			}
-			if _, ok := c.direct.LoadAndDelete(e.Machine.Name); ok {
-				c.outside.StopWorker(e.Machine.Name)
+			if _, ok := c.handlers.LoadAndDelete(e.Machine.Name); ok {
+				c.processes.StopWorker(e.Machine.Name)
 			}
 		case site.Handed:
-			h, err := c.outside.StartWorker(e.Machine.Name, e.Config, e.Fault)
+			h, err := c.processes.StartWorker(e.Machine.Name, e.Config, e.Fault)
 			if err != nil {
-				c.log.Error("a worker's process does not take a machine", "machine", e.Machine.Name, "err", err)
+				c.log.Error("cannot start a machine in a worker process", "machine", e.Machine.Name, "err", err)
 				continue
 			}
-			c.direct.Store(e.Machine.Name, h)
+			c.handlers.Store(e.Machine.Name, h)
 		case site.Send:
-			go c.send(e)
+			go c.sendHeartbeat(e)
 		case site.Began:
-			c.facts.TaskStarted(e.Machine, e.Task)
+			c.observer.TaskStarted(e.Machine, e.Task)
 		case site.Ended:
-			c.facts.TaskEnded(e.Machine, e.Task, e.Completed)
+			c.observer.TaskEnded(e.Machine, e.Task, e.Completed)
 		}
 	}
 	return nil
 }
 
-// open lets a machine listen for direct commands. Its address is known from the
-// rental on, and nobody answers there before its worker begins.
-func (c *Cloud) open(m *cloudprovider.Machine) {
+// listen opens a machine's own address, on which it receives direct commands. The address is assigned when the
+// machine is created; requests get no response before its worker starts.
+func (c *Cloud) listen(m *cloudprovider.Machine) {
 	l, err := net.Listen("tcp4", net.JoinHostPort(c.host, "0"))
 	if err != nil {
-		c.log.Error("a machine cannot listen", "machine", m.Name, "err", err)
+		c.log.Error("cannot open a listener for a machine", "machine", m.Name, "err", err)
 		return
 	}
 	m.Addr = l.Addr().String()
-	c.doors[m.Name] = l
-	inside := c.worker(m.Name)
-	go func() { // ends with the machine
-		_ = server(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-			if h, ok := c.direct.Load(m.Name); ok {
+	c.listeners[m.Name] = l
+	handler := c.machineHandler(m.Name)
+	go func() { // returns when the machine is deleted
+		_ = newServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+			if h, ok := c.handlers.Load(m.Name); ok {
 				h.(http.Handler).ServeHTTP(w, req)
 				return
 			}
-			inside.ServeHTTP(w, req)
+			handler.ServeHTTP(w, req)
 		})).Serve(l)
 	}()
 }
 
-// send brings a report to a controller.
-func (c *Cloud) send(e site.Send) {
-	a := sendReport(c.client, c.nodes[e.Body.Zone][e.Node], e.Heartbeat)
-	c.loop.tell(c.ctx, func(now units.Microseconds) { c.site.Answer(now, e.Machine, e.Number, a) })
+// sendHeartbeat posts a heartbeat to a controller and passes the response to the model.
+func (c *Cloud) sendHeartbeat(e site.Send) {
+	a := postHeartbeat(c.client, c.nodes[e.Body.Zone][e.Node], e.Heartbeat)
+	c.loop.enqueue(c.ctx, func(now units.Microseconds) { c.site.Answer(now, e.Machine, e.Number, a) })
 }
 
-// SetExtraLatency makes every answer of the cloud take longer by d.
-func (c *Cloud) SetExtraLatency(d time.Duration) { c.slow.Store(d.Microseconds()) }
+// SetExtraLatency adds d to the latency of every response.
+func (c *Cloud) SetExtraLatency(d time.Duration) { c.extraLatency.Store(d.Microseconds()) }
 
-func (c *Cloud) pause() { time.Sleep(c.latency + time.Duration(c.slow.Load())*time.Microsecond) }
+// simulateLatency sleeps for the latency of a response.
+func (c *Cloud) simulateLatency() {
+	time.Sleep(c.latency + time.Duration(c.extraLatency.Load())*time.Microsecond)
+}
 
-// Serve answers requests to the cloud on a listener.
-func (c *Cloud) Serve(l net.Listener) error { return server(c.Handler()).Serve(l) }
+// Serve serves the cloud's API on a listener.
+func (c *Cloud) Serve(l net.Listener) error { return newServer(c.Handler()).Serve(l) }
 
-// Handler serves the cloud's interface.
+// Handler returns the handler of the cloud's API.
 func (c *Cloud) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(wire.TypesPath, func(w http.ResponseWriter, req *http.Request) {
@@ -162,9 +167,9 @@
 		if !c.loop.do(req.Context(), func(now units.Microseconds) { types, code = c.site.Cloud.MachineTypes(now) }) {
 			return
 		}
-		c.pause()
+		c.simulateLatency()
 		if code != http.StatusOK {
-			c.refuse(w, code)
+			c.writeRefusal(w, code)
 			return
 		}
 		out := wire.MachineTypes{Types: []wire.MachineType{}}
@@ -172,57 +177,57 @@
 			out.Types = append(out.Types, wire.MachineType{Name: t.Name, Cores: t.CPUs, Cards: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 				FetchGBs: t.FetchGBs, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.Boot.Seconds(), Zones: t.Zones})
 		}
-		answer(w, code, out)
+		writeJSON(w, code, out)
 	})
 	r.Post(wire.HostsPath, func(w http.ResponseWriter, req *http.Request) {
 		var b wire.ScaleOutRequest
-		if !read(w, req, &b) {
+		if !readJSON(w, req, &b) {
 			return
 		}
 		var names []string
-		var noRoom bool
+		var noCapacity bool
 		var code int
 		if !c.loop.do(req.Context(), func(now units.Microseconds) {
-			names, noRoom, code = c.site.Cloud.ScaleOut(now, b.Request, cloudprovider.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot}, b.Count)
+			names, noCapacity, code = c.site.Cloud.ScaleOut(now, b.Request, cloudprovider.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot}, b.Count)
 			for _, n := range names {
 				if m := c.site.Cloud.Machine(n); m != nil && m.Addr == "" {
-					c.open(m)
+					c.listen(m)
 				}
 			}
 		}) {
 			return
 		}
-		c.pause()
+		c.simulateLatency()
 		switch {
-		case noRoom:
-			problem(w, code, wire.NoCapacity)
+		case noCapacity:
+			writeProblem(w, code, wire.NoCapacity)
 		case code != http.StatusOK:
-			c.refuse(w, code)
+			c.writeRefusal(w, code)
 		default:
-			answer(w, code, wire.Names{Machines: names})
+			writeJSON(w, code, wire.Names{Machines: names})
 		}
 	})
 	r.Post(wire.ReturnPath, func(w http.ResponseWriter, req *http.Request) {
 		var b wire.Names
-		if !read(w, req, &b) {
+		if !readJSON(w, req, &b) {
 			return
 		}
 		var code int
 		if !c.loop.do(req.Context(), func(now units.Microseconds) { code = c.site.Cloud.ScaleIn(now, b.Machines) }) {
 			return
 		}
-		c.pause()
+		c.simulateLatency()
 		if code != http.StatusOK {
-			c.refuse(w, code)
+			c.writeRefusal(w, code)
 			return
 		}
-		answer(w, code, struct{}{})
+		writeJSON(w, code, struct{}{})
 	})
 	r.Get(wire.HostsPath, func(w http.ResponseWriter, req *http.Request) {
 		q := req.URL.Query()
 		page := cloudprovider.MaxListPage
 		if v := q.Get("page"); v != "" {
-			page, _ = strconv.Atoi(v) // 0 is refused
+			page, _ = strconv.Atoi(v) // an invalid number becomes 0, which the model refuses
 		}
 		out := wire.Hosts{Machines: []wire.Host{}}
 		var code int
@@ -231,33 +236,33 @@
 			list, out.More, code = c.site.Cloud.List(now, q.Get("after"), page)
 			for _, l := range list {
 				out.Machines = append(out.Machines, wire.Host{ID: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot,
-					State: hostState[l.State], AgeS: l.Age.Seconds()})
+					State: hostStates[l.State], AgeS: l.Age.Seconds()})
 			}
 		}) {
 			return
 		}
-		c.pause()
+		c.simulateLatency()
 		if code != http.StatusOK {
-			c.refuse(w, code)
+			c.writeRefusal(w, code)
 			return
 		}
-		answer(w, code, out)
+		writeJSON(w, code, out)
 	})
 	return r
 }
 
-var hostState = map[string]string{cloudprovider.Booting: wire.HostBooting, cloudprovider.Running: wire.HostRunning, cloudprovider.Failed: wire.HostFailed}
+var hostStates = map[string]string{cloudprovider.Booting: wire.HostBooting, cloudprovider.Running: wire.HostRunning, cloudprovider.Failed: wire.HostFailed}
 
-func (c *Cloud) refuse(w http.ResponseWriter, code int) {
+func (c *Cloud) writeRefusal(w http.ResponseWriter, code int) {
 	if code == http.StatusServiceUnavailable {
-		problem(w, code, wire.Unavailable)
+		writeProblem(w, code, wire.Unavailable)
 		return
 	}
-	problem(w, code, http.StatusText(code))
+	writeProblem(w, code, http.StatusText(code))
 }
 
-// worker serves a machine's own address.
-func (c *Cloud) worker(name string) http.Handler {
+// machineHandler serves the address of a machine whose worker runs in this process.
+func (c *Cloud) machineHandler(name string) http.Handler {
 	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
 			r, saved, t, f := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
--- a/internal/emulator/host/disk.go
+++ b/internal/emulator/host/disk.go
@@ -16,11 +16,11 @@
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
-// Disk keeps the state service's data in a directory. What was written is there
-// after the process is killed at any moment.
+// Disk stores the state service's data in a directory. Once Write has returned, the data survives a crash of the
+// process at any time.
 type Disk struct{ db *bbolt.DB }
 
-// diskFormat is raised when what is stored changes in a way that an older release
+// diskFormat is the version of the file format. Raise it when the format changes in a way that an older release
 // would misread.
 const diskFormat = 1
 
@@ -33,14 +33,15 @@
 	leaseKey    = []byte("last_lease")
 )
 
-// stored is a key's value on disk.
-type stored struct {
+// diskRecord is the value of a key on disk.
+type diskRecord struct {
 	Value json.RawMessage `json:"value"`
 	Stamp uint64          `json:"stamp"`
 	Lease uint64          `json:"lease,omitempty"`
 }
 
-// OpenDisk opens a directory, or makes a new one. Errors say what to do.
+// OpenDisk opens the data in a directory, which it creates if necessary. It fails if another process uses the
+// data or a newer release has written it; the error says so.
 func OpenDisk(dir string) (*Disk, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -59,7 +60,7 @@
 			return err
 		}
 		if f := meta.Get(formatKey); f == nil {
-			if err := meta.Put(formatKey, number(diskFormat)); err != nil {
+			if err := meta.Put(formatKey, encodeUint64(diskFormat)); err != nil {
 				return err
 			}
 		} else if n := binary.BigEndian.Uint64(f); n > diskFormat {
@@ -73,15 +74,15 @@
 		return nil
 	})
 	if err != nil {
-		_ = db.Close() // the first error tells more
+		_ = db.Close() // the first error is more useful
 		return nil, err
 	}
 	return &Disk{db}, nil
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Read returns all that is stored.
+// Read returns all stored data.
 func (d *Disk) Read() (rev, lastLease uint64, items []kv.Item, leases []kv.Lease, err error) {
 	err = d.db.View(func(tx *bbolt.Tx) error {
 		if v := tx.Bucket(metaBucket).Get(revKey); v != nil {
@@ -89,7 +90,7 @@
 			lastLease = binary.BigEndian.Uint64(tx.Bucket(metaBucket).Get(leaseKey))
 		}
 		err := tx.Bucket(keysBucket).ForEach(func(k, v []byte) error {
-			var s stored
+			var s diskRecord
 			if err := json.Unmarshal(v, &s); err != nil {
 				return fmt.Errorf("key %s: %w", k, err)
 			}
@@ -107,7 +108,7 @@
 	return rev, lastLease, items, leases, err
 }
 
-// Write stores what has changed since the last call, whole or not at all.
+// Write atomically stores the changes since the last call.
 func (d *Disk) Write(s *kv.Service) error {
 	type change struct {
 		bucket, key, value []byte
@@ -116,15 +117,15 @@
 	s.DrainChanged(func(it kv.Item, ok bool) {
 		var v []byte
 		if ok {
-			v, _ = json.Marshal(stored{it.Value, it.Version, it.Lease}) // plain data: cannot fail
+			v, _ = json.Marshal(diskRecord{it.Value, it.Version, it.Lease}) // cannot fail: the types are all serializable
 		}
 		changes = append(changes, change{keysBucket, []byte(it.Key), v})
 	}, func(l kv.Lease, ok bool) {
 		var v []byte
 		if ok {
-			v = number(uint64(l.TTL))
+			v = encodeUint64(uint64(l.TTL))
 		}
-		changes = append(changes, change{leaseBucket, number(l.ID), v})
+		changes = append(changes, change{leaseBucket, encodeUint64(l.ID), v})
 	})
 	if len(changes) == 0 {
 		return nil
@@ -143,12 +144,12 @@
 			}
 		}
 		meta := tx.Bucket(metaBucket)
-		if err := meta.Put(leaseKey, number(s.LastLeaseID())); err != nil {
+		if err := meta.Put(leaseKey, encodeUint64(s.LastLeaseID())); err != nil {
 			return err
 		}
-		return meta.Put(revKey, number(s.Rev()))
+		return meta.Put(revKey, encodeUint64(s.Rev()))
 	})
 }
 
-// Close gives the directory up.
+// Close closes the files, so that another process can open the directory.
 func (d *Disk) Close() error { return d.db.Close() }
--- a/internal/emulator/host/front.go
+++ b/internal/emulator/host/front.go
@@ -16,62 +16,62 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// LoadBalancer is the users' load balancer: it passes whole connections on.
+// LoadBalancer is the users' load balancer: it forwards TCP connections to controllers.
 type LoadBalancer struct {
-	ctx    context.Context
-	loop   *loop
-	b      *balance.Balancer
-	nodes  []string // addresses
-	probes *http.Client
-	log    *slog.Logger
+	ctx         context.Context
+	loop        *loop
+	balancer    *balance.Balancer
+	nodeAddrs   []string // addresses of the controllers, by index
+	probeClient *http.Client
+	log         *slog.Logger
 
 	mu    sync.Mutex
-	conns map[int]map[net.Conn]bool // open ones, by node
+	conns map[int]map[net.Conn]bool // open connections of users, by index of the controller
 }
 
-// NewLoadBalancer returns a balancer for controllers at the given addresses.
-func NewLoadBalancer(ctx context.Context, nodes []string, rng *rand.Rand, log *slog.Logger) *LoadBalancer {
-	f := &LoadBalancer{ctx: ctx, b: balance.New(len(nodes), 0, rng), nodes: nodes, log: log, conns: map[int]map[net.Conn]bool{},
-		probes: &http.Client{Timeout: time.Duration(balance.ProbeWithin) * time.Microsecond,
+// NewLoadBalancer returns a load balancer for controllers at the given addresses.
+func NewLoadBalancer(ctx context.Context, nodeAddrs []string, rng *rand.Rand, log *slog.Logger) *LoadBalancer {
+	l := &LoadBalancer{ctx: ctx, balancer: balance.New(len(nodeAddrs), 0, rng), nodeAddrs: nodeAddrs, log: log, conns: map[int]map[net.Conn]bool{},
+		probeClient: &http.Client{Timeout: time.Duration(balance.ProbeWithin) * time.Microsecond,
 			Transport: &http.Transport{DisableKeepAlives: true}}}
-	f.loop = newLoop(f.b, f.settle, func(error) {})
-	return f
+	l.loop = newLoop(l.balancer, l.flush, func(error) {})
+	return l
 }
 
-// Run probes until the context ends.
-func (f *LoadBalancer) Run() { f.loop.run(f.ctx) }
+// Run probes the controllers until the context ends.
+func (l *LoadBalancer) Run() { l.loop.run(l.ctx) }
 
-func (f *LoadBalancer) settle(units.Microseconds) error {
-	for _, e := range f.b.Drain() {
+func (l *LoadBalancer) flush(units.Microseconds) error {
+	for _, e := range l.balancer.Drain() {
 		switch e := e.(type) {
 		case balance.Probe:
-			go f.probe(e.Node)
+			go l.probe(e.Node)
 		case balance.Reset:
-			f.mu.Lock()
-			for c := range f.conns[e.Node] {
+			l.mu.Lock()
+			for c := range l.conns[e.Node] {
 				link.ResetConn(c)
 			}
-			f.mu.Unlock()
+			l.mu.Unlock()
 		}
 	}
 	return nil
 }
 
-func (f *LoadBalancer) probe(i int) {
-	resp, err := f.probes.Get("http://" + f.nodes[i] + wire.ReadyPath)
+func (l *LoadBalancer) probe(i int) {
+	resp, err := l.probeClient.Get("http://" + l.nodeAddrs[i] + wire.ReadyPath)
 	ok := err == nil && resp.StatusCode == http.StatusOK
 	if err == nil {
-		_ = resp.Body.Close() // of no interest
+		_ = resp.Body.Close() // the status is all that matters
 	}
-	f.loop.tell(f.ctx, func(now units.Microseconds) { f.b.Probed(now, i, ok) })
+	l.loop.enqueue(l.ctx, func(now units.Microseconds) { l.balancer.Probed(now, i, ok) })
 }
 
-// HealthyCount returns how many controllers count as healthy.
-func (f *LoadBalancer) HealthyCount() int {
+// HealthyCount returns the number of controllers that are considered healthy.
+func (l *LoadBalancer) HealthyCount() int {
 	n := 0
-	f.loop.do(f.ctx, func(units.Microseconds) {
-		for i := range f.nodes {
-			if f.b.Healthy(i) {
+	l.loop.do(l.ctx, func(units.Microseconds) {
+		for i := range l.nodeAddrs {
+			if l.balancer.Healthy(i) {
 				n++
 			}
 		}
@@ -79,62 +79,62 @@
 	return n
 }
 
-// Serve passes the connections of a listener on.
-func (f *LoadBalancer) Serve(l net.Listener) error {
+// Serve forwards the connections of a listener.
+func (l *LoadBalancer) Serve(listener net.Listener) error {
 	for {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return err
 		}
-		go f.pass(c)
+		go l.proxy(c)
 	}
 }
 
-// pass connects a user's connection to a controller, or resets it.
-func (f *LoadBalancer) pass(user net.Conn) {
+// proxy forwards a user's connection to a controller that accepts it, or resets it if there is none.
+func (l *LoadBalancer) proxy(user net.Conn) {
 	defer user.Close()
 	var tried []int
 	for {
 		i := -1
-		f.loop.do(f.ctx, func(now units.Microseconds) { i = f.b.Choose(now, tried) })
+		l.loop.do(l.ctx, func(now units.Microseconds) { i = l.balancer.Choose(now, tried) })
 		if i < 0 {
 			link.ResetConn(user)
 			return
 		}
 		tried = append(tried, i)
-		c, err := net.DialTimeout("tcp4", f.nodes[i], time.Duration(balance.AcceptWithin)*time.Microsecond)
+		c, err := net.DialTimeout("tcp4", l.nodeAddrs[i], time.Duration(balance.AcceptWithin)*time.Microsecond)
 		if err != nil {
-			f.loop.do(f.ctx, func(now units.Microseconds) { f.b.Failed(now, i) })
+			l.loop.do(l.ctx, func(now units.Microseconds) { l.balancer.Failed(now, i) })
 			continue
 		}
-		f.note(i, user, true)
-		f.loop.do(f.ctx, func(units.Microseconds) { f.b.Opened(i) })
+		l.trackConn(i, user, true)
+		l.loop.do(l.ctx, func(units.Microseconds) { l.balancer.Opened(i) })
 		splice(user, c)
-		f.loop.do(f.ctx, func(units.Microseconds) { f.b.Closed(i) })
-		f.note(i, user, false)
+		l.loop.do(l.ctx, func(units.Microseconds) { l.balancer.Closed(i) })
+		l.trackConn(i, user, false)
 		return
 	}
 }
 
-func (f *LoadBalancer) note(i int, c net.Conn, open bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.conns[i] == nil {
-		f.conns[i] = map[net.Conn]bool{}
+func (l *LoadBalancer) trackConn(i int, c net.Conn, open bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.conns[i] == nil {
+		l.conns[i] = map[net.Conn]bool{}
 	}
 	if open {
-		f.conns[i][c] = true
+		l.conns[i][c] = true
 	} else {
-		delete(f.conns[i], c)
+		delete(l.conns[i], c)
 	}
 }
 
-// splice copies both ways until one side ends, then closes both.
+// splice copies in both directions until one side closes its connection, then closes both.
 func splice(a, b net.Conn) {
 	done := make(chan struct{}, 2)
 	for _, p := range [][2]net.Conn{{a, b}, {b, a}} {
 		go func() {
-			_, _ = io.Copy(p[0], p[1]) // an end like any other
+			_, _ = io.Copy(p[0], p[1]) // an error ends the connection like EOF
 			done <- struct{}{}
 		}()
 	}
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -29,12 +29,12 @@
 
 var limits = kv.Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 8 << 10, TxnOps: 12}
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// newState serves a state service until the test ends.
+// newState runs a state service until the test ends.
 func newState(t testing.TB, disk *Disk) *State {
 	t.Helper()
-	s, err := NewState(limits, 0, disk, rand.New(rand.NewPCG(1, 1)), quiet, func(err error) { t.Error(err) })
+	s, err := NewState(limits, 0, disk, rand.New(rand.NewPCG(1, 1)), discardLog, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,17 +52,17 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// TestStateOverHTTP has the controllers' own client talk to the emulated service.
+// TestStateOverHTTP checks the emulated state service with the client that controllers use.
 func TestStateOverHTTP(t *testing.T) {
 	s := newState(t, nil)
-	c := state.New(listen(t, s.Handler("node-0")), 1000, 1000, quiet)
+	c := state.New(listen(t, s.Handler("node-0")), 1000, 1000, discardLog)
 	o, id := c.OpenLease(t.Context(), 5*units.Second)
 	if o != store.OK || id == 0 {
 		t.Fatalf("lease: %v, %d", o, id)
 	}
 	txn := &store.Txn{Guards: []store.Guard{{Key: "p/a b"}}}
 	if o, _, _ := c.Commit(t.Context(), txn); o != store.TooLarge {
-		t.Errorf("a key with a space: %v", o)
+		t.Errorf("commit with a key that contains a space: %v", o)
 	}
 	txn = &store.Txn{Guards: []store.Guard{{Key: "p/a"}}, Changes: []store.Change{{Key: "p/a", Value: []byte(`{"x":1}`), Lease: id}, {Key: "p/b/c", Value: []byte("null")}}}
 	o, rev, _ := c.Commit(t.Context(), txn)
@@ -70,51 +70,52 @@
 		t.Fatalf("commit: %v at %d", o, rev)
 	}
 	if o, _, failed := c.Commit(t.Context(), txn); o != store.Failed || len(failed) != 1 || failed[0] != "p/a" {
-		t.Errorf("the same again: %v, %v", o, failed)
+		t.Errorf("the same transaction again: %v, failed guards %v", o, failed)
 	}
 	if o, _, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: "p/d", Value: []byte("1"), Lease: 99}}}); o != store.Failed {
-		t.Errorf("with a lease that has ended: %v", o)
+		t.Errorf("commit with a lease that does not exist: %v", o)
 	}
-	waits := make(chan []store.Event)
+	watched := make(chan []store.Event)
 	go func() {
 		_, _, events, _ := c.Watch(t.Context(), "p/", 1, 20*units.Second)
-		waits <- events
+		watched <- events
 	}()
 	if o := c.RenewLease(t.Context(), id); o != store.OK {
-		t.Errorf("renewal: %v", o)
+		t.Errorf("lease renewal: %v", o)
 	}
 	c.CloseLease(t.Context(), id)
-	if events := <-waits; len(events) != 1 || events[0].Key != "p/a" || events[0].Value != nil {
-		t.Errorf("the end of a lease: %+v", events)
+	if events := <-watched; len(events) != 1 || events[0].Key != "p/a" || events[0].Value != nil {
+		t.Errorf("events when a lease is closed: %+v", events)
 	}
 	if o := c.RenewLease(t.Context(), id); o != store.Failed {
-		t.Errorf("renewal of an ended lease: %v", o)
+		t.Errorf("renewal of a closed lease: %v", o)
 	}
 	if o, rev, items, more := c.List(t.Context(), "p/", "", 500); o != store.OK || rev != 2 || more || len(items) != 1 || items[0].Key != "p/b/c" {
 		t.Errorf("listing: %v at %d: %+v", o, rev, items)
 	}
 	if o, value, stamp, _ := c.Get(t.Context(), "p/b/c"); o != store.OK || value == nil || stamp != 1 {
-		t.Errorf("a key: %v, %s at %d", o, value, stamp)
+		t.Errorf("get: %v, %s at revision %d", o, value, stamp)
 	}
 	if o, value, _, rev := c.Get(t.Context(), "p/none"); o != store.OK || value != nil || rev != 2 {
-		t.Errorf("a key that is not there: %v, %s, revision %d", o, value, rev)
+		t.Errorf("get of a missing key: %v, %s, revision %d", o, value, rev)
 	}
 	if _, _, _, gone := c.Watch(t.Context(), "p/", 0, 0); gone {
-		t.Error("two changes ago is called too old")
+		t.Error("a watch from two changes ago is refused as too old")
 	}
 	s.Do(func(now units.Microseconds, m *kv.Service) { m.RefuseClient("node-0", now+units.Second) })
 	if o, _, _, _ := c.List(t.Context(), "p/", "", 500); o != store.Refused {
-		t.Errorf("while this client is refused: %v", o)
+		t.Errorf("listing while this client is refused: %v", o)
 	}
-	other := state.New(listen(t, s.Handler("node-1")), 1000, 1000, quiet)
+	other := state.New(listen(t, s.Handler("node-1")), 1000, 1000, discardLog)
 	if o, _, _, _ := other.List(t.Context(), "p/", "", 500); o != store.OK {
-		t.Errorf("another client meanwhile: %v", o)
+		t.Errorf("listing of another client meanwhile: %v", o)
 	}
 }
 
-// TestNothingAnsweredIsLost copies the data file after each answer, as an end of the
-// process at that moment would leave it: what was answered is in the copy.
-func TestNothingAnsweredIsLost(t *testing.T) {
+// TestAcknowledgedWritesSurviveCrash guards against the loss of acknowledged writes when the process is killed. It
+// copies the data file after each response, as a crash at that moment would leave it; the copy must have all
+// acknowledged writes.
+func TestAcknowledgedWritesSurviveCrash(t *testing.T) {
 	dir := t.TempDir()
 	disk, err := OpenDisk(dir)
 	if err != nil {
@@ -122,10 +123,10 @@
 	}
 	defer disk.Close()
 	if _, err := OpenDisk(dir); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second open of the directory: %v", err)
 	}
 	s := newState(t, disk)
-	c := state.New(listen(t, s.Handler("x")), 1e6, 1e6, quiet)
+	c := state.New(listen(t, s.Handler("x")), 1e6, 1e6, discardLog)
 	_, lease := c.OpenLease(t.Context(), 60*units.Second)
 	want := map[string]string{}
 	for i := range 30 {
@@ -153,14 +154,14 @@
 		}
 		gotRev, lastLease, items, leases, err := d.Read()
 		if err != nil || gotRev != rev || lastLease != lease || len(leases) != 1 || leases[0].TTL != 60*units.Second {
-			t.Fatalf("after %d: revision %d, want %d; leases %d, %+v; %v", i, gotRev, rev, lastLease, leases, err)
+			t.Fatalf("after commit %d: revision %d, want %d; last lease %d, leases %+v; %v", i, gotRev, rev, lastLease, leases, err)
 		}
 		got := map[string]string{}
 		for _, it := range items {
 			got[it.Key] = string(it.Value)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("after %d: %v, want %v", i, got, want)
+			t.Fatalf("after commit %d: keys %v, want %v", i, got, want)
 		}
 		if err := d.Close(); err != nil {
 			t.Fatal(err)
@@ -168,16 +169,16 @@
 	}
 }
 
-// TestCloudOverHTTP has the controllers' own client talk to the emulated cloud.
+// TestCloudOverHTTP checks the emulated cloud with the client that controllers use.
 func TestCloudOverHTTP(t *testing.T) {
 	p := cloudprovider.Pool{Type: "big", Zone: "z"}
 	st := site.New(site.Config{ReportEvery: units.Second, Lease: 10 * units.Second, Cloud: cloudprovider.Config{RequestRate: 1000, Capacity: map[cloudprovider.Pool]int{p: 3},
 		Types: []cloudprovider.MachineType{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * units.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, quiet)
+	c := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, discardLog)
 	go c.Run()
-	cl := cloud.New(listen(t, c.Handler()), 1000, quiet)
+	cl := cloud.New(listen(t, c.Handler()), 1000, discardLog)
 	yes := func() bool { return true }
 	if o, types := cl.Types(t.Context()); o != store.OK || len(types) != 1 || types[0].Name != "big" {
 		t.Fatalf("types: %v, %+v", o, types)
@@ -187,31 +188,31 @@
 	_, again := cl.ScaleOut(t.Context(), "r-1", r, yes)
 	_, rest := cl.ScaleOut(t.Context(), "r-2", r, yes)
 	if len(first) != 2 || fmt.Sprint(first) != fmt.Sprint(again) || len(rest) != 1 {
-		t.Errorf("rented %v, the same booking %v, then %v", first, again, rest)
+		t.Errorf("first request created %v, its retry %v, the next request %v", first, again, rest)
 	}
 	if o, _ := cl.ScaleOut(t.Context(), "r-3", r, yes); o != store.Failed {
-		t.Errorf("beyond the capacity: %v", o)
+		t.Errorf("scale-out beyond the capacity: %v", o)
 	}
 	if o, hosts := cl.List(t.Context()); o != store.OK || len(hosts) != 3 {
-		t.Errorf("list: %v, %+v", o, hosts)
+		t.Errorf("machine list: %v, %+v", o, hosts)
 	} else if _, err := net.ResolveTCPAddr("tcp4", hosts[0].Addr); err != nil || hosts[0].Addr == "" {
 		t.Errorf("address %q", hosts[0].Addr)
 	}
 	if o := cl.ScaleIn(t.Context(), first, yes); o != store.OK {
-		t.Errorf("return: %v", o)
+		t.Errorf("scale-in: %v", o)
 	}
 	if _, hosts := cl.List(t.Context()); len(hosts) != 1 {
-		t.Errorf("after the return: %+v", hosts)
+		t.Errorf("machines after the scale-in: %+v", hosts)
 	}
 	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.SetDown(now + units.Second) })
 	if o, _ := cl.ScaleOut(t.Context(), "r-4", r, yes); o != store.Refused {
-		t.Errorf("while the cloud is down: %v", o)
+		t.Errorf("scale-out while the cloud is down: %v", o)
 	}
 }
 
-// TestLink puts a link into every kind of trouble: held bytes come when it is over,
-// dropped ones never do, a reset is felt at once.
-func TestLink(t *testing.T) {
+// TestLinkImpairments sends a request through a link in each mode. Held bytes must arrive only when the impairment
+// ends, Drop and Reset must fail the request, and the other modes must not.
+func TestLinkImpairments(t *testing.T) {
 	echo := listen(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	l := link.New(echo)
 	in, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -222,30 +223,30 @@
 	defer l.Close()
 	go func() { _ = l.Serve(in) }() // ends with the listener
 	c := &http.Client{Timeout: 20 * time.Second}
-	trouble := func(m link.Mode, d time.Duration) time.Time {
+	impair := func(m link.Mode, d time.Duration) time.Time {
 		u := time.Now().Add(d)
 		l.SetImpairment(link.Impairment{Mode: m, Until: u, Interval: time.Millisecond}, true, true)
 		return u
 	}
 	for _, m := range []link.Mode{link.Pass, link.Hold, link.Trickle, link.Delay, link.Drop, link.Reset} {
-		over := trouble(m, 300*time.Millisecond)
+		end := impair(m, 300*time.Millisecond)
 		resp, err := c.Get("http://" + in.Addr().String())
 		if err == nil {
 			_ = resp.Body.Close()
 		}
 		lost := m == link.Drop || m == link.Reset
 		if lost != (err != nil) {
-			t.Errorf("mode %d: %v", m, err)
+			t.Errorf("request in mode %d: %v", m, err)
 		}
-		if m == link.Hold && time.Now().Before(over) {
-			t.Error("held bytes came before the trouble was over")
+		if m == link.Hold && time.Now().Before(end) {
+			t.Error("held bytes arrived before the impairment ended")
 		}
 		c.CloseIdleConnections()
-		trouble(link.Pass, 0)
+		impair(link.Pass, 0)
 	}
 }
 
-// BenchmarkStateReads tells how many reads a second the state service answers.
+// BenchmarkStateReads measures the read throughput of the state service.
 func BenchmarkStateReads(b *testing.B) {
 	s := newState(b, nil)
 	s.Do(func(now units.Microseconds, m *kv.Service) {
@@ -263,7 +264,7 @@
 				b.Error(err)
 				return
 			}
-			_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
+			_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is reused
 			_ = resp.Body.Close()
 		}
 	})
--- a/internal/emulator/host/loop.go
+++ b/internal/emulator/host/loop.go
@@ -1,6 +1,5 @@
-// Package host drives the emulator's models in real time: HTTP servers for the
-// state service, the cloud and the workers, a TCP proxy for the load balancer,
-// and clients for the users. Each model is owned by one goroutine.
+// Package host runs the emulator's models in real time: HTTP servers for the state service, the cloud and the
+// workers, a TCP proxy for the load balancer, and clients for the users. One goroutine owns each model.
 package host
 
 import (
@@ -15,38 +14,38 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// model is what a loop drives.
+// model is the part of a model that a loop calls: Next returns the time at which Advance must be called.
 type model interface {
 	Next() units.Microseconds
 	Advance(now units.Microseconds)
 }
 
-// loop owns a model. What is done to it is handed to the loop as a function;
-// after each batch of them, settle takes up the effects.
+// loop owns a model. All other goroutines access the model by functions that they pass to the loop. After each
+// batch of functions, flush processes their effects; if it fails, onError is called and the loop ends.
 type loop struct {
-	m      model
-	began  time.Time
-	inbox  chan request
-	settle func(now units.Microseconds) error
-	failed func(error)
+	model   model
+	start   time.Time
+	inbox   chan request
+	flush   func(now units.Microseconds) error
+	onError func(error)
 }
 
 type request struct {
-	do   func(now units.Microseconds)
+	run  func(now units.Microseconds)
 	done chan struct{}
 }
 
 const (
 	inboxSize = 4096
-	batchSize = 512 // requests that are settled together
+	batchSize = 512 // requests for which flush is called once
 )
 
-func newLoop(m model, settle func(now units.Microseconds) error, failed func(error)) *loop {
-	return &loop{m: m, began: time.Now(), inbox: make(chan request, inboxSize), settle: settle, failed: failed}
+func newLoop(m model, flush func(now units.Microseconds) error, onError func(error)) *loop {
+	return &loop{model: m, start: time.Now(), inbox: make(chan request, inboxSize), flush: flush, onError: onError}
 }
 
 func (l *loop) now() units.Microseconds {
-	return units.Microseconds(time.Since(l.began).Microseconds())
+	return units.Microseconds(time.Since(l.start).Microseconds())
 }
 
 // run drives the model until the context ends.
@@ -54,7 +53,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		wait := max(l.m.Next()-l.now(), 0)
+		wait := max(l.model.Next()-l.now(), 0)
 		timer.Reset(time.Duration(min(wait, 3600*units.Second)) * time.Microsecond)
 		var batch []request
 		select {
@@ -65,9 +64,9 @@
 		case <-timer.C:
 		}
 		now := l.now()
-		l.m.Advance(now)
+		l.model.Advance(now)
 		for i := 0; i < len(batch); i++ {
-			batch[i].do(now)
+			batch[i].run(now)
 			if len(batch) < batchSize {
 				select {
 				case r := <-l.inbox:
@@ -76,9 +75,9 @@
 				}
 			}
 		}
-		// Nobody is answered before what the answer promises is settled.
-		if err := l.settle(l.now()); err != nil {
-			l.failed(err)
+		// No response may be sent before the effects that it promises have been flushed, e.g. stored on disk.
+		if err := l.flush(l.now()); err != nil {
+			l.onError(err)
 			return
 		}
 		for _, r := range batch {
@@ -87,8 +86,8 @@
 	}
 }
 
-// do runs a function on the model's goroutine and waits until it is settled; it
-// reports whether it was, before the context ended.
+// do runs a function on the model's goroutine and waits until its effects have been flushed. It returns false if
+// the context ended first.
 func (l *loop) do(ctx context.Context, f func(now units.Microseconds)) bool {
 	r := request{f, make(chan struct{})}
 	select {
@@ -104,16 +103,16 @@
 	}
 }
 
-// tell runs a function on the model's goroutine, some time.
-func (l *loop) tell(ctx context.Context, f func(now units.Microseconds)) {
+// enqueue runs a function on the model's goroutine without waiting for it.
+func (l *loop) enqueue(ctx context.Context, f func(now units.Microseconds)) {
 	select {
 	case l.inbox <- request{f, make(chan struct{})}:
 	case <-ctx.Done():
 	}
 }
 
-// answer writes a JSON answer.
-func answer(w http.ResponseWriter, code int, body any) {
+// writeJSON writes a response with a JSON body.
+func writeJSON(w http.ResponseWriter, code int, body any) {
 	out, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -122,30 +121,32 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 	w.WriteHeader(code)
-	_, _ = w.Write(out) // the client may be gone
+	_, _ = w.Write(out) // fails only if the client has disconnected
 }
 
-// problem answers with a status and a reason.
-func problem(w http.ResponseWriter, code int, why string) { answer(w, code, wire.Problem{Error: why}) }
+// writeProblem writes a response with a status code and a reason.
+func writeProblem(w http.ResponseWriter, code int, why string) {
+	writeJSON(w, code, wire.Problem{Error: why})
+}
 
-// maxBody is more than any request that the protocol allows: a transaction's 64 KiB
-// of keys and values and the JSON round them.
+// maxBody limits bodies, in bytes. It exceeds the largest request of the protocol, a transaction of 64 KiB of
+// keys and values with the JSON around them.
 const maxBody = 1 << 20
 
-// read reads a JSON body of a request, or answers 400.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+// readJSON decodes the JSON body of a request. On failure, it responds with 400 and returns false.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
 		err = json.Unmarshal(b, into)
 	}
 	if err != nil {
-		problem(w, http.StatusBadRequest, "malformed")
+		writeProblem(w, http.StatusBadRequest, "malformed")
 		return false
 	}
 	return true
 }
 
-// server answers HTTP until its listener closes.
-func server(h http.Handler) *http.Server {
+// newServer returns an HTTP server with timeouts and a bound on the size of headers.
+func newServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
 }
--- a/internal/emulator/host/report.go
+++ b/internal/emulator/host/report.go
@@ -13,9 +13,9 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// sendReport brings a report to a controller and returns its answer; the zero answer
-// says that there was none that counts.
-func sendReport(client *http.Client, addr string, r machine.Heartbeat) machine.Response {
+// postHeartbeat posts a heartbeat to a controller and returns the response. It returns the zero Response, or one
+// with code 0, if there was no usable response.
+func postHeartbeat(client *http.Client, addr string, r machine.Heartbeat) machine.Response {
 	body, err := json.Marshal(wire.EncodeHeartbeat(r.Body, r.Checkpointed))
 	if err != nil {
 		return machine.Response{}
@@ -44,25 +44,25 @@
 	return a
 }
 
-// workerHandler serves a worker's own address. A machine that is not found stands still, or
-// is not up yet: it says nothing.
-func workerHandler(command func(context.Context, wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool),
+// workerHandler returns the handler of a worker's own address. found is false if the machine hangs or hasn't
+// started: it sends no response. accepted is false if the worker refused the commands.
+func workerHandler(command func(context.Context, wire.ReceivedOrders) (body wire.HeartbeatBody, accepted, found bool),
 	status func(context.Context) (body wire.HeartbeatBody, found bool)) http.Handler {
 	r := chi.NewRouter()
 	r.Post(wire.CommandsPath, func(w http.ResponseWriter, req *http.Request) {
 		b, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBody))
 		o, err2 := wire.DecodeOrders(b)
 		if err != nil || err2 != nil || o.FencingToken == nil || o.Incarnation == nil {
-			problem(w, http.StatusBadRequest, "malformed")
+			writeProblem(w, http.StatusBadRequest, "malformed")
 			return
 		}
-		switch body, taken, found := command(req.Context(), o); {
+		switch body, accepted, found := command(req.Context(), o); {
 		case !found:
 			<-req.Context().Done()
-		case taken:
-			answer(w, http.StatusOK, body)
+		case accepted:
+			writeJSON(w, http.StatusOK, body)
 		default:
-			answer(w, http.StatusConflict, body)
+			writeJSON(w, http.StatusConflict, body)
 		}
 	})
 	r.Get("/status", func(w http.ResponseWriter, req *http.Request) {
@@ -71,7 +71,7 @@
 			<-req.Context().Done()
 			return
 		}
-		answer(w, http.StatusOK, body)
+		writeJSON(w, http.StatusOK, body)
 	})
 	return r
 }
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -22,25 +22,26 @@
 
 // State serves the state service over HTTP.
 type State struct {
-	loop    *loop
-	kv      *kv.Service
-	disk    *Disk // nil: nothing outlives the process
-	latency time.Duration
-	slow    atomic.Int64 // microseconds that every answer takes longer
-	watches map[uint64]chan kv.WatchResponse
-	next    uint64
-	answers atomic.Uint64
-	log     *slog.Logger
+	loop         *loop
+	kv           *kv.Service
+	disk         *Disk // nil: data is in memory only
+	latency      time.Duration
+	extraLatency atomic.Int64 // microseconds, added to the latency of each response
+	watches      map[uint64]chan kv.WatchResponse
+	lastWatchID  uint64
+	responses    atomic.Uint64
+	log          *slog.Logger
 
-	// misfortunes of transactions, until when
-	late, unanswered atomic.Int64
-	share            atomic.Uint64 // of the transactions on which these fall, as the bits of a float
+	// Injected faults of transactions: the times at which they end, in microseconds of the loop's clock.
+	lateUntil, unansweredUntil atomic.Int64
+	faultShare                 atomic.Uint64 // share of the transactions that they affect, as the bits of a float64
 }
 
-// NewState returns a state service. What disk holds is read first.
-func NewState(l kv.Limits, latency time.Duration, disk *Disk, rng *rand.Rand, log *slog.Logger, failed func(error)) (*State, error) {
+// NewState returns a state service with the data of disk, which may be nil. onError is called if a write to the
+// disk fails; the service then stops.
+func NewState(l kv.Limits, latency time.Duration, disk *Disk, rng *rand.Rand, log *slog.Logger, onError func(error)) (*State, error) {
 	s := &State{kv: kv.New(l, rng), disk: disk, latency: latency, watches: map[uint64]chan kv.WatchResponse{}, log: log}
-	s.loop = newLoop(s.kv, s.settle, failed)
+	s.loop = newLoop(s.kv, s.flush, onError)
 	if disk != nil {
 		rev, lastLease, items, leases, err := disk.Read()
 		if err != nil {
@@ -52,11 +53,11 @@
 	return s, nil
 }
 
-// Run serves until the context ends.
+// Run drives the model until the context ends.
 func (s *State) Run(ctx context.Context) { s.loop.run(ctx) }
 
-// settle stores what has changed, then hands watches their answers.
-func (s *State) settle(units.Microseconds) error {
+// flush stores the changes on disk, then passes the responses to the watches.
+func (s *State) flush(units.Microseconds) error {
 	if s.disk != nil {
 		if err := s.disk.Write(s.kv); err != nil {
 			return err
@@ -71,53 +72,56 @@
 	return nil
 }
 
-// Serve answers one client's requests on a listener.
-func (s *State) Serve(l net.Listener, client string) error { return server(s.Handler(client)).Serve(l) }
+// Serve serves one client's requests on a listener.
+func (s *State) Serve(l net.Listener, client string) error {
+	return newServer(s.Handler(client)).Serve(l)
+}
 
-// Do runs a function on the model, for faults by command.
+// Do runs f on the model and waits until its effects are processed.
 func (s *State) Do(f func(now units.Microseconds, m *kv.Service)) {
 	s.loop.do(context.Background(), func(now units.Microseconds) { f(now, s.kv) })
 }
 
-// SetExtraLatency makes every answer take longer by d.
-func (s *State) SetExtraLatency(d time.Duration) { s.slow.Store(d.Microseconds()) }
+// SetExtraLatency adds d to the latency of each response.
+func (s *State) SetExtraLatency(d time.Duration) { s.extraLatency.Store(d.Microseconds()) }
 
-// InjectTxnFaults lets a share of transactions be applied late until one time, and be applied
-// without an answer until another.
+// InjectTxnFaults injects faults into a share of the transactions from now on: for the duration late, they are
+// applied late and get no response; for the duration unanswered, they are applied at once and get no response.
 func (s *State) InjectTxnFaults(late, unanswered time.Duration, share float64) {
-	s.share.Store(math.Float64bits(share))
-	s.late.Store(int64(s.loop.now()) + late.Microseconds())
-	s.unanswered.Store(int64(s.loop.now()) + unanswered.Microseconds())
+	s.faultShare.Store(math.Float64bits(share))
+	s.lateUntil.Store(int64(s.loop.now()) + late.Microseconds())
+	s.unansweredUntil.Store(int64(s.loop.now()) + unanswered.Microseconds())
 }
 
-// falls reports whether a misfortune that lasts until a time falls on a transaction now.
-func (s *State) falls(until *atomic.Int64) bool {
-	return int64(s.loop.now()) < until.Load() && rand.Float64() < math.Float64frombits(s.share.Load())
+// faultApplies draws whether a fault that lasts until the given time affects a transaction now.
+func (s *State) faultApplies(until *atomic.Int64) bool {
+	return int64(s.loop.now()) < until.Load() && rand.Float64() < math.Float64frombits(s.faultShare.Load())
 }
 
-// lateBy draws how late a transaction is carried out that gets no answer.
-func (s *State) lateBy() time.Duration {
+// drawDelay draws the delay of a transaction that is applied late: 2 to 12 s.
+func (s *State) drawDelay() time.Duration {
 	return time.Duration((2 + 10*rand.Float64()) * float64(time.Second))
 }
 
-// Responses returns how many requests were answered.
-func (s *State) Responses() uint64 { return s.answers.Load() }
+// Responses returns the number of responses.
+func (s *State) Responses() uint64 { return s.responses.Load() }
 
-// pause is the time that the service takes.
-func (s *State) pause() {
-	s.answers.Add(1)
-	if d := s.latency + time.Duration(s.slow.Load())*time.Microsecond; d > 0 {
+// simulateLatency counts a response and sleeps for its latency, which varies from 60% to 140% of the configured
+// latency.
+func (s *State) simulateLatency() {
+	s.responses.Add(1)
+	if d := s.latency + time.Duration(s.extraLatency.Load())*time.Microsecond; d > 0 {
 		time.Sleep(time.Duration(float64(d) * (0.6 + 0.8*rand.Float64())))
 	}
 }
 
-// Handler serves one client, by whose name it can be refused.
+// Handler returns the handler for one client. The name identifies the client when its requests are refused.
 func (s *State) Handler(client string) http.Handler {
 	r := chi.NewRouter()
 	r.Get(wire.KeysPath+"/*", func(w http.ResponseWriter, req *http.Request) {
 		key, err := url.PathUnescape(strings.TrimPrefix(req.URL.EscapedPath(), wire.KeysPath+"/"))
 		if err != nil || !kv.ValidKey(key) {
-			problem(w, http.StatusBadRequest, "key")
+			writeProblem(w, http.StatusBadRequest, "key")
 			return
 		}
 		var it kv.Item
@@ -126,12 +130,12 @@
 		if !s.loop.do(req.Context(), func(now units.Microseconds) { it, rev, code = s.kv.Get(now, client, key) }) {
 			return
 		}
-		s.pause()
+		s.simulateLatency()
 		if code == http.StatusOK {
-			answer(w, code, wire.Entry{Key: it.Key, Value: it.Value, Version: it.Version, Lease: it.Lease})
+			writeJSON(w, code, wire.Entry{Key: it.Key, Value: it.Value, Version: it.Version, Lease: it.Lease})
 			return
 		}
-		refuse(w, code, rev)
+		writeRefusal(w, code, rev)
 	})
 	r.Get(wire.KeysPath, func(w http.ResponseWriter, req *http.Request) {
 		q := req.URL.Query()
@@ -140,27 +144,27 @@
 			page, err = 0, nil
 		}
 		if err != nil {
-			page = -1 // malformed, but counted
+			page = -1 // the model refuses it, and counts it against the rate limit
 		}
 		var l kv.Listing
 		if !s.loop.do(req.Context(), func(now units.Microseconds) { l = s.kv.List(now, client, q.Get("starts"), q.Get("after"), page) }) {
 			return
 		}
-		s.pause()
+		s.simulateLatency()
 		if l.Code != http.StatusOK {
-			refuse(w, l.Code, 0)
+			writeRefusal(w, l.Code, 0)
 			return
 		}
 		out := wire.Listing{Items: make([]wire.Item, 0, len(l.Items)), More: l.More, Revision: l.Rev}
 		for _, it := range l.Items {
 			out.Items = append(out.Items, wire.Item{Key: it.Key, Value: it.Value, Version: it.Version})
 		}
-		answer(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	})
 	r.Post(wire.CommitPath, func(w http.ResponseWriter, req *http.Request) { s.commit(w, req, client) })
 	r.Post(wire.LeasesPath, func(w http.ResponseWriter, req *http.Request) {
 		var b wire.LeaseRequest
-		if !read(w, req, &b) {
+		if !readJSON(w, req, &b) {
 			return
 		}
 		var id uint64
@@ -170,12 +174,12 @@
 		}) {
 			return
 		}
-		s.pause()
+		s.simulateLatency()
 		if code != http.StatusOK {
-			refuse(w, code, 0)
+			writeRefusal(w, code, 0)
 			return
 		}
-		answer(w, code, wire.Lease{ID: id})
+		writeJSON(w, code, wire.Lease{ID: id})
 	})
 	r.Post(wire.LeasesPath+"/{id}/extend", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).RenewLease) })
 	r.Delete(wire.LeasesPath+"/{id}", func(w http.ResponseWriter, req *http.Request) { s.lease(w, req, client, (*kv.Service).CloseLease) })
@@ -186,24 +190,24 @@
 func (s *State) lease(w http.ResponseWriter, req *http.Request, client string, f func(*kv.Service, units.Microseconds, string, uint64) int) {
 	id, err := strconv.ParseUint(chi.URLParam(req, "id"), 10, 64)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "lease")
+		writeProblem(w, http.StatusBadRequest, "lease")
 		return
 	}
 	var code int
 	if !s.loop.do(req.Context(), func(now units.Microseconds) { code = f(s.kv, now, client, id) }) {
 		return
 	}
-	s.pause()
+	s.simulateLatency()
 	if code != http.StatusOK {
-		refuse(w, code, 0)
+		writeRefusal(w, code, 0)
 		return
 	}
-	answer(w, code, wire.Lease{ID: id})
+	writeJSON(w, code, wire.Lease{ID: id})
 }
 
 func (s *State) commit(w http.ResponseWriter, req *http.Request, client string) {
 	var b wire.Commit
-	if !read(w, req, &b) {
+	if !readJSON(w, req, &b) {
 		return
 	}
 	var t kv.Txn
@@ -212,14 +216,14 @@
 	}
 	for _, c := range b.Then {
 		if (c.Put == "") == (c.Delete == "") || c.Put != "" && c.Value == nil {
-			problem(w, http.StatusBadRequest, "change")
+			writeProblem(w, http.StatusBadRequest, "change")
 			return
 		}
 		t.Changes = append(t.Changes, kv.Change{Key: c.Put + c.Delete, Value: c.Value, Lease: c.Lease})
 	}
-	if s.falls(&s.late) {
-		time.AfterFunc(s.lateBy(), func() {
-			s.loop.tell(context.Background(), func(now units.Microseconds) { s.kv.Commit(now, client, t) })
+	if s.faultApplies(&s.lateUntil) {
+		time.AfterFunc(s.drawDelay(), func() {
+			s.loop.enqueue(context.Background(), func(now units.Microseconds) { s.kv.Commit(now, client, t) })
 		})
 		<-req.Context().Done()
 		return
@@ -228,18 +232,18 @@
 	if !s.loop.do(req.Context(), func(now units.Microseconds) { res = s.kv.Commit(now, client, t) }) {
 		return
 	}
-	if s.falls(&s.unanswered) {
+	if s.faultApplies(&s.unansweredUntil) {
 		<-req.Context().Done()
 		return
 	}
-	s.pause()
+	s.simulateLatency()
 	switch {
 	case res.NoLease:
-		problem(w, res.Code, wire.NoSuchLease)
+		writeProblem(w, res.Code, wire.NoSuchLease)
 	case res.Code == http.StatusOK || res.Code == http.StatusConflict:
-		answer(w, res.Code, wire.CommitResult{Revision: res.Rev, Failed: res.Failed})
+		writeJSON(w, res.Code, wire.CommitResult{Revision: res.Rev, Failed: res.Failed})
 	default:
-		refuse(w, res.Code, res.Rev)
+		writeRefusal(w, res.Code, res.Rev)
 	}
 }
 
@@ -251,14 +255,14 @@
 		wait, err = strconv.ParseInt(v, 10, 64)
 	}
 	if err != nil || wait < 0 {
-		problem(w, http.StatusBadRequest, "after or wait_ms")
+		writeProblem(w, http.StatusBadRequest, "after or wait_ms")
 		return
 	}
 	ch := make(chan kv.WatchResponse, 1)
 	var id uint64
 	if !s.loop.do(req.Context(), func(now units.Microseconds) {
-		s.next++
-		id = s.next
+		s.lastWatchID++
+		id = s.lastWatchID
 		s.watches[id] = ch
 		s.kv.Watch(now, id, client, q.Get("starts"), after, units.Microseconds(wait)*1000)
 	}) {
@@ -266,9 +270,9 @@
 	}
 	select {
 	case c := <-ch:
-		s.pause()
+		s.simulateLatency()
 		if c.Code != http.StatusOK {
-			refuse(w, c.Code, 0)
+			writeRefusal(w, c.Code, 0)
 			return
 		}
 		out := wire.Changes{Revision: c.Rev, Events: make([]wire.Event, 0, len(c.Events))}
@@ -279,20 +283,20 @@
 				out.Events = append(out.Events, wire.Event{Delete: e.Key, Version: e.Version})
 			}
 		}
-		answer(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	case <-req.Context().Done():
-		s.loop.tell(context.Background(), func(units.Microseconds) {
+		s.loop.enqueue(context.Background(), func(units.Microseconds) {
 			delete(s.watches, id)
 			s.kv.CloseWatch(id)
 		})
 	}
 }
 
-func refuse(w http.ResponseWriter, code int, rev uint64) {
+func writeRefusal(w http.ResponseWriter, code int, rev uint64) {
 	switch code {
 	case http.StatusNotFound:
-		answer(w, code, wire.Revision{Revision: rev})
+		writeJSON(w, code, wire.Revision{Revision: rev})
 	default:
-		problem(w, code, strings.ToLower(http.StatusText(code)))
+		writeProblem(w, code, strings.ToLower(http.StatusText(code)))
 	}
 }
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -9,39 +9,39 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// UserObserver takes what users do and are told, for a checker.
+// UserObserver is called with the events of users, their requests and the replies to them, for a checker.
 type UserObserver func(e any)
 
-// Users drives a crowd against a load balancer.
+// Users runs emulated users, who send their requests to a load balancer.
 type Users struct {
-	ctx    context.Context
-	loop   *loop
-	crowd  *user.Crowd
-	client *client.Client
-	told   UserObserver
+	ctx     context.Context
+	loop    *loop
+	crowd   *user.Crowd
+	client  *client.Client
+	observe UserObserver
 }
 
-// NewUsers returns users who talk to an address.
-func NewUsers(ctx context.Context, c *user.Crowd, addr string, told UserObserver) *Users {
-	u := &Users{ctx: ctx, crowd: c, client: client.New(addr), told: told}
-	u.loop = newLoop(c, u.settle, func(error) {})
+// NewUsers returns users who send their requests to an address.
+func NewUsers(ctx context.Context, c *user.Crowd, addr string, observe UserObserver) *Users {
+	u := &Users{ctx: ctx, crowd: c, client: client.New(addr), observe: observe}
+	u.loop = newLoop(c, u.flush, func(error) {})
 	return u
 }
 
-// Run drives the users until the context ends.
+// Run drives the model until the context ends.
 func (u *Users) Run() { u.loop.run(u.ctx) }
 
-// Do runs a function on the model.
+// Do runs f on the model and waits until its effects are processed. It returns false if the context ended first.
 func (u *Users) Do(f func(now units.Microseconds, c *user.Crowd)) bool {
 	return u.loop.do(u.ctx, func(now units.Microseconds) { f(now, u.crowd) })
 }
 
-func (u *Users) settle(now units.Microseconds) error {
+func (u *Users) flush(now units.Microseconds) error {
 	for _, e := range u.crowd.Drain() {
 		if call, ok := e.(user.Call); ok {
 			go u.call(call)
 		} else {
-			u.told(e)
+			u.observe(e)
 		}
 	}
 	return nil
@@ -63,7 +63,7 @@
 	if err != nil {
 		r = client.Reply{}
 	}
-	u.loop.tell(u.ctx, func(now units.Microseconds) {
+	u.loop.enqueue(u.ctx, func(now units.Microseconds) {
 		u.crowd.Answer(now, e.Number, user.Answer{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
 	})
 }
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -1,7 +1,7 @@
-// Package kv is the model of the state service: a small consistent store with
-// leases, watches and limits, as the protocol describes it. It is pure: time and
-// draws go in by method calls, answers come back or out of Drain. Keys, values
-// and statuses are the protocol's; what carries them is not its matter.
+// Package kv models the state service: a small consistent key-value store with leases, watches and rate
+// limits, as the protocol describes it. The model does no I/O and reads no clock: callers pass the current
+// time and a random source. Methods return responses directly, except that Drain returns the responses to
+// watches. Keys, values and status codes are those of the protocol; the transport is up to the caller.
 package kv
 
 import (
@@ -18,28 +18,29 @@
 	"shalestage.example/shalestage/internal/emulator/eventqueue"
 )
 
-// Bounds of the protocol.
+// Limits that the protocol fixes.
 const (
-	MaxKeyBytes  = 200       // bytes of a key
-	MaxPageItems = 1000      // items of a listing
-	MaxPageBytes = 512 << 10 // bytes of a listing
-	MaxTxnBytes  = 64 << 10  // bytes of a transaction
-	MaxHistory   = 10_000    // changes that watches may look back on
-	maxWait      = 60 * units.Second
-	minTTL       = units.Second / 10
-	maxTTL       = 600 * units.Second
-	maxLate      = units.Second / 10 // by which a lease may end late
+	MaxKeyBytes    = 200       // of a key
+	MaxPageItems   = 1000      // on one page of a listing
+	MaxPageBytes   = 512 << 10 // of one page of a listing
+	MaxTxnBytes    = 64 << 10  // of the keys and values of a transaction
+	MaxHistory     = 10_000    // latest changes that a watch can start from
+	maxWait        = 60 * units.Second
+	minTTL         = units.Second / 10
+	maxTTL         = 600 * units.Second
+	maxExpiryDelay = units.Second / 10 // a lease expires up to this long after its TTL
 )
 
-// Limits of the service. Rates are a second and allow bursts of one second's worth.
+// Limits are the configurable limits of the service. Rates are per second and allow bursts of one second's worth.
 type Limits struct {
-	Rate       float64 // requests
-	WriteRate  float64 // puts and deletes
-	ValueBytes int     // of one value
-	TxnOps     int     // puts and deletes of a transaction; four times as many conditions
+	Rate       float64 // requests per second
+	WriteRate  float64 // puts and deletes per second
+	ValueBytes int     // size limit of one value
+	TxnOps     int     // puts and deletes in a transaction, which may have four times as many guards
 }
 
-// Item is a key with its value; Stamp is the revision of its last change.
+// Item is a key with its value. Version is the revision of its last change. Lease is the ID of the lease that
+// the key is attached to, or 0.
 type Item struct {
 	Key     string
 	Value   json.RawMessage
@@ -47,34 +48,34 @@
 	Lease   uint64
 }
 
-// Event is a change at a revision; without a value the key was removed.
+// Event is a change of a key at revision Version. A nil Value means that the key was deleted.
 type Event struct {
 	Key     string
 	Value   json.RawMessage
 	Version uint64
 }
 
-// Guard is a condition on a key's version; 0: the key does not exist.
+// Guard is a condition on the version of a key. Version 0 requires that the key does not exist.
 type Guard struct {
 	Key     string
 	Version uint64
 }
 
-// Change puts a value, or removes the key where there is none.
+// Change puts a value, or deletes the key if Value is nil.
 type Change struct {
 	Key   string
 	Value json.RawMessage
 	Lease uint64
 }
 
-// Txn is a transaction.
+// Txn is a transaction: its changes apply only if all guards hold.
 type Txn struct {
 	Guards  []Guard
 	Changes []Change
 }
 
-// Result answers a transaction. Code is the status of the protocol; a 400 says in
-// NoLease whether a lease that has ended is the reason.
+// Result is the response to a transaction. Code is an HTTP status code of the protocol. Failed lists the keys
+// whose guards did not hold. With code 400, NoLease reports whether the cause is a lease that does not exist.
 type Result struct {
 	Code    int
 	Rev     uint64
@@ -82,7 +83,7 @@
 	NoLease bool
 }
 
-// Listing answers a listing.
+// Listing is one page of a listing. More reports whether further keys follow.
 type Listing struct {
 	Code  int
 	Items []Item
@@ -90,7 +91,7 @@
 	Rev   uint64
 }
 
-// WatchResponse answers a watch; ID is the one that the watch was opened with.
+// WatchResponse is the response to the watch that was opened with the given ID.
 type WatchResponse struct {
 	ID     uint64
 	Code   int
@@ -98,7 +99,7 @@
 	Events []Event
 }
 
-// Lease is what is kept of a lease, for who stores the service's data.
+// Lease is the persistent part of a lease. Its expiry time isn't stored.
 type Lease struct {
 	ID  uint64
 	TTL units.Microseconds
@@ -106,57 +107,57 @@
 
 type lease struct {
 	Lease
-	ends units.Microseconds // when it ends unless it is renewed, lateness included
-	keys map[string]bool
+	expires units.Microseconds // unless it is renewed first; includes the expiry delay
+	keys    map[string]bool
 }
 
 type watch struct {
-	id     uint64
-	from   string
-	prefix string
-	after  uint64
-	until  units.Microseconds
+	id       uint64
+	client   string
+	prefix   string
+	after    uint64
+	deadline units.Microseconds
 }
 
 // Service is the state service.
 type Service struct {
-	limits    Limits
-	rng       *rand.Rand
-	rev       uint64
-	keys      *btree.BTreeG[Item]
-	log       []Event // the last changes, oldest first
-	oldest    uint64  // changes after this revision are in the log
-	leases    map[uint64]*lease
-	nextLease uint64
-	ending    eventqueue.Queue[uint64] // leases, by when they may end
-	watches   []*watch
-	timeouts  eventqueue.Queue[uint64] // watches, by when their time runs out
-	requests  bucket
-	changes   bucket
-	outage    units.Microseconds            // until when nobody is served
-	refused   map[string]units.Microseconds // until when one client is not
-	out       []WatchResponse
-	undo      []undo // of the last transactions, for Lose
-
-	// What has changed since Touched was last called, where somebody stores it.
-	touchedKeys   map[string]bool
-	touchedLeases map[uint64]bool
-}
-
-// undo holds what a transaction replaced.
-type undo struct {
-	rev uint64
-	was []Item // Stamp 0: the key did not exist
-}
-
-// bucket counts what was used of a rate with a burst of one second's worth.
-type bucket struct {
+	limits            Limits
+	rng               *rand.Rand
+	rev               uint64
+	keys              *btree.BTreeG[Item]
+	history           []Event // the latest changes, oldest first
+	compactedRevision uint64  // the history is complete after this revision
+	leases            map[uint64]*lease
+	nextLease         uint64
+	leaseExpiries     eventqueue.Queue[uint64] // lease IDs by expiry time
+	watches           []*watch
+	watchTimeouts     eventqueue.Queue[uint64] // watch IDs by deadline
+	requestBucket     tokenBucket
+	writeBucket       tokenBucket
+	downUntil         units.Microseconds            // no client is served before this time
+	refusedUntil      map[string]units.Microseconds // per client: it is not served before this time
+	responses         []WatchResponse
+	undoLog           []undoRecord // latest transactions, for RollBack
+
+	// Changes since the last call of DrainChanged; nil unless TrackChanges was called.
+	changedKeys   map[string]bool
+	changedLeases map[uint64]bool
+}
+
+// undoRecord holds the items that a transaction replaced.
+type undoRecord struct {
+	rev    uint64
+	before []Item // Version 0: the key did not exist
+}
+
+// tokenBucket is a rate limiter whose burst is one second's worth of the rate.
+type tokenBucket struct {
 	used float64
 	at   units.Microseconds
 }
 
-// take uses n of a rate unless that is more than there is.
-func (b *bucket) take(now units.Microseconds, rate, n float64) bool {
+// allow takes n tokens, or returns false and takes none if fewer are left.
+func (b *tokenBucket) allow(now units.Microseconds, rate, n float64) bool {
 	b.used = max(0, b.used-(now-b.at).Seconds()*rate)
 	b.at = now
 	if b.used+n > rate {
@@ -168,14 +169,13 @@
 
 // New returns an empty service.
 func New(l Limits, rng *rand.Rand) *Service {
-	return &Service{limits: l, rng: rng, leases: map[uint64]*lease{}, refused: map[string]units.Microseconds{},
+	return &Service{limits: l, rng: rng, leases: map[uint64]*lease{}, refusedUntil: map[string]units.Microseconds{},
 		keys: btree.NewG(32, func(a, b Item) bool { return a.Key < b.Key })}
 }
 
-// Restore fills an empty service with stored data. Each lease has its full time
-// again, as after an outage.
+// Restore loads stored data into an empty service. Each lease gets its full TTL again, as after an outage.
 func (s *Service) Restore(now units.Microseconds, rev, lastLease uint64, items []Item, leases []Lease) {
-	s.rev, s.oldest, s.nextLease = rev, rev, lastLease
+	s.rev, s.compactedRevision, s.nextLease = rev, rev, lastLease
 	for _, l := range leases {
 		s.addLease(now, l)
 	}
@@ -187,51 +187,52 @@
 	}
 }
 
-// TrackChanges keeps from now on what Touched tells.
+// TrackChanges starts to record changes for DrainChanged.
 func (s *Service) TrackChanges() {
-	s.touchedKeys, s.touchedLeases = map[string]bool{}, map[uint64]bool{}
+	s.changedKeys, s.changedLeases = map[string]bool{}, map[uint64]bool{}
 }
 
-func (s *Service) touch(key string) {
-	if s.touchedKeys != nil {
-		s.touchedKeys[key] = true
+func (s *Service) markKeyChanged(key string) {
+	if s.changedKeys != nil {
+		s.changedKeys[key] = true
 	}
 }
 
-func (s *Service) touchLease(id uint64) {
-	if s.touchedLeases != nil {
-		s.touchedLeases[id] = true
+func (s *Service) markLeaseChanged(id uint64) {
+	if s.changedLeases != nil {
+		s.changedLeases[id] = true
 	}
 }
 
-// DrainChanged hands over each key and lease that has changed since the last call, as
-// it is now; ok is false where it is gone. It reports whether there were any.
+// DrainChanged passes the current state of each key and lease that has changed since the last call to the
+// callbacks, in no particular order; ok is false if the key or lease no longer exists. It reports whether there
+// were any changes.
 func (s *Service) DrainChanged(key func(it Item, ok bool), l func(l Lease, ok bool)) bool {
-	any := len(s.touchedKeys)+len(s.touchedLeases) > 0
-	for k := range s.touchedKeys {
+	changed := len(s.changedKeys)+len(s.changedLeases) > 0
+	for k := range s.changedKeys {
 		it, ok := s.keys.Get(Item{Key: k})
 		it.Key = k
 		key(it, ok)
 	}
-	for id := range s.touchedLeases {
+	for id := range s.changedLeases {
 		if now := s.leases[id]; now != nil {
 			l(now.Lease, true)
 		} else {
 			l(Lease{ID: id}, false)
 		}
 	}
-	clear(s.touchedKeys)
-	clear(s.touchedLeases)
-	return any
+	clear(s.changedKeys)
+	clear(s.changedLeases)
+	return changed
 }
 
-// Rev returns the present revision.
+// Rev returns the current revision.
 func (s *Service) Rev() uint64 { return s.rev }
 
-// LastLeaseID returns the highest lease ever given.
+// LastLeaseID returns the highest lease ID that was ever assigned.
 func (s *Service) LastLeaseID() uint64 { return s.nextLease }
 
-// ForEach hands every key to f, in their order.
+// ForEach calls f for every item, in the order of the keys.
 func (s *Service) ForEach(f func(Item)) {
 	s.keys.Ascend(func(it Item) bool {
 		f(it)
@@ -239,56 +240,61 @@
 	})
 }
 
-// Len returns how many keys there are.
+// Len returns the number of keys.
 func (s *Service) Len() int { return s.keys.Len() }
 
-// SetLimits changes the limits from now on; what is stored stays readable.
+// SetLimits changes the limits for later requests. Stored values that exceed the new limits stay readable.
 func (s *Service) SetLimits(l Limits) { s.limits = l }
 
-// SetDown puts the service out of order until a time. Watches stay open, and no
-// lease ends: after it each has its full time again.
+// SetDown makes the service unavailable until the given time. Watches stay open and no lease expires meanwhile:
+// after the outage, each lease has its full TTL again.
 func (s *Service) SetDown(now, until units.Microseconds) {
 	s.Advance(now)
-	s.outage = max(s.outage, until)
+	s.downUntil = max(s.downUntil, until)
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		l := s.leases[id]
-		l.ends = max(l.ends, s.outage+l.TTL+s.late())
-		s.ending.Add(l.ends, l.ID)
+		l.expires = max(l.expires, s.downUntil+l.TTL+s.drawExpiryDelay())
+		s.leaseExpiries.Add(l.expires, l.ID)
 	}
 }
 
-// RefuseClient serves one client no more until a time. Its leases run out meanwhile.
-func (s *Service) RefuseClient(client string, until units.Microseconds) { s.refused[client] = until }
+// RefuseClient refuses the requests of one client until the given time. Its leases can expire meanwhile.
+func (s *Service) RefuseClient(client string, until units.Microseconds) {
+	s.refusedUntil[client] = until
+}
 
-func (s *Service) late() units.Microseconds { return units.Microseconds(s.rng.Int64N(int64(maxLate))) }
+func (s *Service) drawExpiryDelay() units.Microseconds {
+	return units.Microseconds(s.rng.Int64N(int64(maxExpiryDelay)))
+}
 
-// IsClientRefused reports whether one client is not served at a time.
+// IsClientRefused reports whether the client's requests are refused at the given time, be it because of
+// RefuseClient or of an outage.
 func (s *Service) IsClientRefused(now units.Microseconds, client string) bool {
-	return !s.serves(now, client)
+	return !s.available(now, client)
 }
 
-// admit counts a request and returns 200, or the status that refuses it.
-func (s *Service) admit(now units.Microseconds, from string) int {
+// admit counts a request against the rate limit. It returns 200, or the status code of the refusal.
+func (s *Service) admit(now units.Microseconds, client string) int {
 	s.Advance(now)
 	switch {
-	case !s.serves(now, from):
+	case !s.available(now, client):
 		return http.StatusServiceUnavailable
-	case !s.requests.take(now, s.limits.Rate, 1):
+	case !s.requestBucket.allow(now, s.limits.Rate, 1):
 		return http.StatusTooManyRequests
 	}
 	return http.StatusOK
 }
 
-func (s *Service) serves(now units.Microseconds, from string) bool {
-	return now >= s.outage && now >= s.refused[from]
+func (s *Service) available(now units.Microseconds, client string) bool {
+	return now >= s.downUntil && now >= s.refusedUntil[client]
 }
 
-// ValidKey reports whether a key has the form that the service takes.
+// ValidKey reports whether a key has a valid form.
 func ValidKey(k string) bool { return k != "" && len(k) <= MaxKeyBytes && !strings.Contains(k, " ") }
 
-// Get reads one key; the status is 200 or 404, or one that refuses.
-func (s *Service) Get(now units.Microseconds, from, key string) (Item, uint64, int) {
-	if code := s.admit(now, from); code != http.StatusOK {
+// Get returns an item and the current revision. The status code is 200, 404, or that of a refusal.
+func (s *Service) Get(now units.Microseconds, client, key string) (Item, uint64, int) {
+	if code := s.admit(now, client); code != http.StatusOK {
 		return Item{}, s.rev, code
 	}
 	it, ok := s.keys.Get(Item{Key: key})
@@ -298,10 +304,10 @@
 	return it, s.rev, http.StatusOK
 }
 
-// List reads keys with a prefix in their order, beginning after a key. page 0
-// asks for as many as a response may hold.
-func (s *Service) List(now units.Microseconds, from, prefix, after string, page int) Listing {
-	code := s.admit(now, from)
+// List returns the items with a prefix that follow the key after, in the order of their keys. page limits the
+// number of items; 0 means MaxPageItems.
+func (s *Service) List(now units.Microseconds, client, prefix, after string, page int) Listing {
+	code := s.admit(now, client)
 	if code != http.StatusOK {
 		return Listing{Code: code}
 	}
@@ -331,16 +337,16 @@
 	return l
 }
 
-// Commit carries a transaction out, or not at all.
-func (s *Service) Commit(now units.Microseconds, from string, t Txn) Result {
-	if code := s.admit(now, from); code != http.StatusOK {
+// Commit applies a transaction atomically.
+func (s *Service) Commit(now units.Microseconds, client string, t Txn) Result {
+	if code := s.admit(now, client); code != http.StatusOK {
 		return Result{Code: code, Rev: s.rev}
 	}
-	if !s.fits(t) {
+	if !s.validTxn(t) {
 		return Result{Code: http.StatusBadRequest, Rev: s.rev}
 	}
-	// Transactions whose conditions fail use up the rate as well.
-	if !s.changes.take(now, s.limits.WriteRate, float64(len(t.Changes))) {
+	// Transactions whose guards fail count against the write rate, too.
+	if !s.writeBucket.allow(now, s.limits.WriteRate, float64(len(t.Changes))) {
 		return Result{Code: http.StatusTooManyRequests, Rev: s.rev}
 	}
 	for _, c := range t.Changes {
@@ -363,8 +369,8 @@
 	return Result{Code: http.StatusOK, Rev: s.rev}
 }
 
-// fits judges a transaction by form and size.
-func (s *Service) fits(t Txn) bool {
+// validTxn reports whether a transaction is well-formed and within the size limits.
+func (s *Service) validTxn(t Txn) bool {
 	size := 0
 	for _, c := range t.Changes {
 		size += len(c.Key) + len(c.Value)
@@ -381,20 +387,19 @@
 	return len(t.Changes) <= s.limits.TxnOps && len(t.Guards) <= 4*s.limits.TxnOps && size <= MaxTxnBytes
 }
 
-// apply makes changes at one new revision. Where all that is to be removed is gone
-// already, nothing changes.
+// apply applies changes at one new revision. If all of them delete keys that don't exist, the revision stays.
 func (s *Service) apply(now units.Microseconds, changes []Change) {
 	if !slices.ContainsFunc(changes, func(c Change) bool { return c.Value != nil || s.keys.Has(Item{Key: c.Key}) }) {
 		return
 	}
 	s.rev++
-	u := undo{rev: s.rev}
+	record := undoRecord{rev: s.rev}
 	for _, c := range changes {
 		old, had := s.keys.Get(Item{Key: c.Key})
 		if !had {
 			old = Item{Key: c.Key}
 		}
-		u.was = append(u.was, old)
+		record.before = append(record.before, old)
 		if l := s.leases[old.Lease]; l != nil {
 			delete(l.keys, c.Key)
 		}
@@ -407,25 +412,25 @@
 		case had:
 			s.keys.Delete(old)
 		default:
-			continue // there was nothing to remove
+			continue // deletes a key that doesn't exist
 		}
-		s.log = append(s.log, Event{c.Key, c.Value, s.rev})
-		s.touch(c.Key)
+		s.history = append(s.history, Event{c.Key, c.Value, s.rev})
+		s.markKeyChanged(c.Key)
 	}
-	if over := len(s.log) - MaxHistory; over >= MaxHistory/4 {
-		s.oldest = max(s.oldest, s.log[over-1].Version)
-		s.log = slices.Clone(s.log[over:])
+	if over := len(s.history) - MaxHistory; over >= MaxHistory/4 {
+		s.compactedRevision = max(s.compactedRevision, s.history[over-1].Version)
+		s.history = slices.Clone(s.history[over:])
 	}
-	s.undo = append(s.undo, u)
-	if len(s.undo) > 256 {
-		s.undo = slices.Clone(s.undo[128:])
+	s.undoLog = append(s.undoLog, record)
+	if len(s.undoLog) > 256 {
+		s.undoLog = slices.Clone(s.undoLog[128:])
 	}
-	s.wake(now)
+	s.notifyWatches(now)
 }
 
-// first returns where in the log the changes after a revision begin.
-func (s *Service) first(after uint64) int {
-	i, _ := slices.BinarySearchFunc(s.log, after+1, func(e Event, rev uint64) int {
+// firstAfter returns the index in the history of the first change after a revision.
+func (s *Service) firstAfter(after uint64) int {
+	i, _ := slices.BinarySearchFunc(s.history, after+1, func(e Event, rev uint64) int {
 		if e.Version < rev {
 			return -1
 		}
@@ -434,15 +439,15 @@
 	return i
 }
 
-// since returns the changes with a prefix after a revision, and whether the log
-// still has them all: it keeps the last 10,000 changes.
-func (s *Service) since(prefix string, after uint64) ([]Event, bool) {
-	i := s.first(after)
-	if after < s.oldest || len(s.log)-i > MaxHistory {
+// changesSince returns the changes with a prefix after a revision. It returns false if the history may no longer
+// have all of them: watches can look back on the last 10,000 changes.
+func (s *Service) changesSince(prefix string, after uint64) ([]Event, bool) {
+	i := s.firstAfter(after)
+	if after < s.compactedRevision || len(s.history)-i > MaxHistory {
 		return nil, false
 	}
 	var out []Event
-	for _, e := range s.log[i:] {
+	for _, e := range s.history[i:] {
 		if strings.HasPrefix(e.Key, prefix) {
 			out = append(out, e)
 		}
@@ -450,54 +455,55 @@
 	return out, true
 }
 
-// Watch asks for the changes with a prefix after a revision. Its one answer comes
-// out of Drain, at the latest when the wait is over and the service works.
-func (s *Service) Watch(now units.Microseconds, id uint64, from, prefix string, after uint64, wait units.Microseconds) {
-	if code := s.admit(now, from); code != http.StatusOK {
-		s.out = append(s.out, WatchResponse{ID: id, Code: code})
+// Watch requests the changes with a prefix after a revision. Drain returns its only response: at once if the
+// request is refused, else when there are changes or the wait is over. No open watch gets a response while the
+// service is down or refuses its client.
+func (s *Service) Watch(now units.Microseconds, id uint64, client, prefix string, after uint64, wait units.Microseconds) {
+	if code := s.admit(now, client); code != http.StatusOK {
+		s.responses = append(s.responses, WatchResponse{ID: id, Code: code})
 		return
 	}
 	if wait < 0 || wait > maxWait {
-		s.out = append(s.out, WatchResponse{ID: id, Code: http.StatusBadRequest})
+		s.responses = append(s.responses, WatchResponse{ID: id, Code: http.StatusBadRequest})
 		return
 	}
-	w := &watch{id, from, prefix, after, now + wait}
-	if !s.answer(now, w) {
+	w := &watch{id, client, prefix, after, now + wait}
+	if !s.respond(now, w) {
 		s.watches = append(s.watches, w)
-		s.timeouts.Add(w.until, id)
+		s.watchTimeouts.Add(w.deadline, id)
 	}
 }
 
-// CloseWatch forgets a watch whose client is gone.
+// CloseWatch removes a watch whose client has disconnected.
 func (s *Service) CloseWatch(id uint64) {
 	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return w.id == id })
 }
 
-// answer answers a watch if it is time. During an outage, and for a client that
-// is refused, open watches wait.
-func (s *Service) answer(now units.Microseconds, w *watch) bool {
-	if !s.serves(now, w.from) {
+// respond responds to a watch that has changes or has reached its deadline, and reports whether it did. During
+// an outage, and while its client is refused, the watch stays open.
+func (s *Service) respond(now units.Microseconds, w *watch) bool {
+	if !s.available(now, w.client) {
 		return false
 	}
-	events, all := s.since(w.prefix, w.after)
+	events, all := s.changesSince(w.prefix, w.after)
 	switch {
 	case !all:
-		s.out = append(s.out, WatchResponse{ID: w.id, Code: http.StatusGone})
-	case len(events) > 0 || now >= w.until:
-		s.out = append(s.out, WatchResponse{ID: w.id, Code: http.StatusOK, Rev: s.rev, Events: events})
+		s.responses = append(s.responses, WatchResponse{ID: w.id, Code: http.StatusGone})
+	case len(events) > 0 || now >= w.deadline:
+		s.responses = append(s.responses, WatchResponse{ID: w.id, Code: http.StatusOK, Rev: s.rev, Events: events})
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *Service) wake(now units.Microseconds) {
-	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return s.answer(now, w) })
+func (s *Service) notifyWatches(now units.Microseconds) {
+	s.watches = slices.DeleteFunc(s.watches, func(w *watch) bool { return s.respond(now, w) })
 }
 
-// OpenLease makes a lease; 400 if the time is out of bounds.
-func (s *Service) OpenLease(now units.Microseconds, from string, ttl units.Microseconds) (uint64, int) {
-	if code := s.admit(now, from); code != http.StatusOK {
+// OpenLease creates a lease and returns its ID. The status code is 400 if the TTL is out of bounds.
+func (s *Service) OpenLease(now units.Microseconds, client string, ttl units.Microseconds) (uint64, int) {
+	if code := s.admit(now, client); code != http.StatusOK {
 		return 0, code
 	}
 	if ttl < minTTL || ttl > maxTTL {
@@ -509,75 +515,78 @@
 }
 
 func (s *Service) addLease(now units.Microseconds, l Lease) {
-	n := &lease{Lease: l, ends: now + l.TTL + s.late(), keys: map[string]bool{}}
+	n := &lease{Lease: l, expires: now + l.TTL + s.drawExpiryDelay(), keys: map[string]bool{}}
 	s.leases[l.ID] = n
-	s.touchLease(l.ID)
-	s.ending.Add(n.ends, l.ID)
+	s.markLeaseChanged(l.ID)
+	s.leaseExpiries.Add(n.expires, l.ID)
 }
 
-// RenewLease gives a lease its full time again; 404 if it has ended.
-func (s *Service) RenewLease(now units.Microseconds, from string, id uint64) int {
-	if code := s.admit(now, from); code != http.StatusOK {
+// RenewLease restarts the TTL of a lease. The status code is 404 if the lease doesn't exist.
+func (s *Service) RenewLease(now units.Microseconds, client string, id uint64) int {
+	if code := s.admit(now, client); code != http.StatusOK {
 		return code
 	}
 	l := s.leases[id]
 	if l == nil {
 		return http.StatusNotFound
 	}
-	l.ends = now + l.TTL + s.late()
-	s.ending.Add(l.ends, id)
+	l.expires = now + l.TTL + s.drawExpiryDelay()
+	s.leaseExpiries.Add(l.expires, id)
 	return http.StatusOK
 }
 
-// CloseLease ends a lease at once; 404 if it has ended.
-func (s *Service) CloseLease(now units.Microseconds, from string, id uint64) int {
-	if code := s.admit(now, from); code != http.StatusOK {
+// CloseLease removes a lease and its keys at once. The status code is 404 if the lease doesn't exist.
+func (s *Service) CloseLease(now units.Microseconds, client string, id uint64) int {
+	if code := s.admit(now, client); code != http.StatusOK {
 		return code
 	}
 	if s.leases[id] == nil {
 		return http.StatusNotFound
 	}
-	s.end(now, id)
+	s.removeLease(now, id)
 	return http.StatusOK
 }
 
-func (s *Service) end(now units.Microseconds, id uint64) {
+func (s *Service) removeLease(now units.Microseconds, id uint64) {
 	l := s.leases[id]
 	delete(s.leases, id)
-	s.touchLease(id)
+	s.markLeaseChanged(id)
 	if len(l.keys) == 0 {
 		return
 	}
-	var gone []Change
+	var removals []Change
 	for k := range l.keys {
-		gone = append(gone, Change{Key: k})
+		removals = append(removals, Change{Key: k})
 	}
-	slices.SortFunc(gone, func(a, b Change) int { return strings.Compare(a.Key, b.Key) })
-	s.apply(now, gone)
+	slices.SortFunc(removals, func(a, b Change) int { return strings.Compare(a.Key, b.Key) })
+	s.apply(now, removals)
 }
 
-// Next returns when Advance is next of use.
-func (s *Service) Next() units.Microseconds { return min(s.ending.Next(), s.timeouts.Next()) }
+// Next returns the time of the next expiry or timeout, when Advance must be called.
+func (s *Service) Next() units.Microseconds {
+	return min(s.leaseExpiries.Next(), s.watchTimeouts.Next())
+}
 
-// Advance lets time pass: leases end, and watches whose time is over are answered.
+// Advance processes everything that is due at the given time: it removes expired leases and responds to watches
+// that have reached their deadline.
 func (s *Service) Advance(now units.Microseconds) {
 	for {
-		at, id, ok := s.ending.Due(now)
+		at, id, ok := s.leaseExpiries.Due(now)
 		if !ok {
 			break
 		}
 		l := s.leases[id]
 		switch {
-		case l == nil || l.ends > at: // ended, or renewed since
-		case now < s.outage:
-			s.ending.Add(s.outage, id)
+		case l == nil || l.expires > at: // already removed, or renewed
+		case now < s.downUntil:
+			s.leaseExpiries.Add(s.downUntil, id)
 		default:
-			s.end(now, id)
+			s.removeLease(now, id)
 		}
 	}
-	woken := false
+	anyDue := false
 	for {
-		_, id, ok := s.timeouts.Due(now)
+		_, id, ok := s.watchTimeouts.Due(now)
 		if !ok {
 			break
 		}
@@ -585,33 +594,33 @@
 		if i < 0 {
 			continue
 		}
-		if w := s.watches[i]; !s.serves(now, w.from) {
-			s.timeouts.Add(max(s.outage, s.refused[w.from]), id)
+		if w := s.watches[i]; !s.available(now, w.client) {
+			s.watchTimeouts.Add(max(s.downUntil, s.refusedUntil[w.client]), id)
 			continue
 		}
-		woken = true
+		anyDue = true
 	}
-	if woken {
-		s.wake(now)
+	if anyDue {
+		s.notifyWatches(now)
 	}
 }
 
-// Drain returns the answers of watches since the last call.
+// Drain returns the responses to watches since the last call.
 func (s *Service) Drain() []WatchResponse {
-	out := s.out
-	s.out = nil
+	out := s.responses
+	s.responses = nil
 	return out
 }
 
-// RollBack undoes the last n transactions that changed a key with a prefix, as a
-// service would that was put back to an older copy of its data: beyond what the
-// protocol allows. The revision goes back with them, and later transactions that
-// the copy does not have are lost too. It returns how many were undone.
+// RollBack emulates a restore of the service from an older copy of its data, which the protocol doesn't allow.
+// It undoes the last n transactions that changed a key with the prefix, and all other transactions since the
+// first of these, which the older copy doesn't have either. The revision falls accordingly. It returns the
+// number of transactions that were undone.
 func (s *Service) RollBack(now units.Microseconds, prefix string, n int) int {
 	s.Advance(now)
-	cut, found := len(s.undo), 0
-	for i := len(s.undo) - 1; i >= 0 && found < n; i-- {
-		if slices.ContainsFunc(s.undo[i].was, func(it Item) bool { return strings.HasPrefix(it.Key, prefix) }) {
+	cut, found := len(s.undoLog), 0
+	for i := len(s.undoLog) - 1; i >= 0 && found < n; i-- {
+		if slices.ContainsFunc(s.undoLog[i].before, func(it Item) bool { return strings.HasPrefix(it.Key, prefix) }) {
 			found++
 			cut = i
 		}
@@ -619,20 +628,20 @@
 	if found == 0 {
 		return 0
 	}
-	lost := s.undo[cut:]
+	lost := s.undoLog[cut:]
 	for i := len(lost) - 1; i >= 0; i-- {
-		for j := len(lost[i].was) - 1; j >= 0; j-- {
-			s.putBack(lost[i].was[j])
+		for j := len(lost[i].before) - 1; j >= 0; j-- {
+			s.restoreItem(lost[i].before[j])
 		}
 	}
 	s.rev = lost[0].rev - 1
-	s.log = s.log[:s.first(s.rev)]
-	s.undo = s.undo[:cut]
+	s.history = s.history[:s.firstAfter(s.rev)]
+	s.undoLog = s.undoLog[:cut]
 	return len(lost)
 }
 
-func (s *Service) putBack(it Item) {
-	s.touch(it.Key)
+func (s *Service) restoreItem(it Item) {
+	s.markKeyChanged(it.Key)
 	if now, had := s.keys.Get(it); had {
 		if l := s.leases[now.Lease]; l != nil {
 			delete(l.keys, it.Key)
@@ -644,7 +653,7 @@
 	}
 	if l := s.leases[it.Lease]; l != nil {
 		l.keys[it.Key] = true
-	} else if it.Lease != 0 { // its lease has ended since: gone all the same
+	} else if it.Lease != 0 { // its lease no longer exists, so neither does the key
 		s.keys.Delete(it)
 		return
 	}
--- a/internal/emulator/kv/kv_test.go
+++ b/internal/emulator/kv/kv_test.go
@@ -16,30 +16,29 @@
 	_ "shalestage.example/shalestage/internal/fixedseed"
 )
 
-// reference is the state service in the plainest words: a map, leases that are
-// looked at one by one, and the whole history.
+// reference is a simple implementation of the state service: a map of keys, a map of leases and the full history.
 type reference struct {
-	keys    map[string]Item
-	history []Event
-	rev     uint64
-	leases  map[uint64]units.Microseconds // by when they would surely have ended
-	sure    map[uint64]units.Microseconds // until when they surely have not
+	keys     map[string]Item
+	history  []Event
+	rev      uint64
+	latest   map[uint64]units.Microseconds // time at which a lease must have expired
+	earliest map[uint64]units.Microseconds // time before which it must not expire
 }
 
-func (r *reference) drop(k string) {
+func (r *reference) remove(k string) {
 	if _, ok := r.keys[k]; ok {
 		delete(r.keys, k)
 		r.history = append(r.history, Event{Key: k, Version: r.rev})
 	}
 }
 
-// TestAgainstReference runs drawn requests on the service and on the reference.
-// Leases may end up to 100 ms late, so there the reference follows the service
-// within that bound.
-func TestAgainstReference(t *testing.T) {
+// TestServiceMatchesReference applies random requests and outages to the service and to the reference, and compares
+// status codes, keys, revisions and the changes that a watch returns. A lease may expire up to 100 ms late, so the
+// reference follows the service's expiries within that bound.
+func TestServiceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 64, TxnOps: 4}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
-		r := &reference{keys: map[string]Item{}, leases: map[uint64]units.Microseconds{}, sure: map[uint64]units.Microseconds{}}
+		r := &reference{keys: map[string]Item{}, latest: map[uint64]units.Microseconds{}, earliest: map[uint64]units.Microseconds{}}
 		now := units.Microseconds(0)
 		ttl := map[uint64]units.Microseconds{}
 		down := units.Microseconds(0)
@@ -52,28 +51,28 @@
 			}
 			return rapid.SampledFrom(append(slices.Sorted(maps.Keys(ttl)), 0)).Draw(t, "lease")
 		}
-		// settle lets leases end in the reference that have ended in the service.
-		settle := func() {
-			for _, id := range slices.Sorted(maps.Keys(r.leases)) {
-				gone := s.leases[id] == nil
-				if gone && now < r.sure[id] {
-					t.Fatalf("lease %d ended at %d, at least %d was promised", id, now, r.sure[id])
+		// expireLeases removes the leases from the reference that have expired in the service, and checks the time.
+		expireLeases := func() {
+			for _, id := range slices.Sorted(maps.Keys(r.latest)) {
+				ended := s.leases[id] == nil
+				if ended && now < r.earliest[id] {
+					t.Fatalf("lease %d expired at %d, want %d at the earliest", id, now, r.earliest[id])
 				}
-				if !gone && now >= r.leases[id] && now >= down {
-					t.Fatalf("lease %d has not ended at %d, %d at most was promised", id, now, r.leases[id])
+				if !ended && now >= r.latest[id] && now >= down {
+					t.Fatalf("lease %d has not expired at %d, want %d at the latest", id, now, r.latest[id])
 				}
-				if !gone {
+				if !ended {
 					continue
 				}
-				delete(r.leases, id)
-				held := false
+				delete(r.latest, id)
+				hadKeys := false
 				for _, k := range slices.Sorted(maps.Keys(r.keys)) {
 					if r.keys[k].Lease == id {
-						if !held {
+						if !hadKeys {
 							r.rev++
-							held = true
+							hadKeys = true
 						}
-						r.drop(k)
+						r.remove(k)
 					}
 				}
 			}
@@ -82,40 +81,40 @@
 			"time": func(t *rapid.T) {
 				now += units.Microseconds(rapid.Int64Range(0, 3_000_000).Draw(t, "d"))
 				s.Advance(now)
-				settle()
+				expireLeases()
 			},
 			"outage": func(t *rapid.T) {
 				down = max(down, now+units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "for")))
 				s.SetDown(now, down)
-				settle()
-				for id := range r.leases {
-					r.sure[id], r.leases[id] = max(r.sure[id], down+ttl[id]), max(r.leases[id], down+ttl[id]+maxLate)
+				expireLeases()
+				for id := range r.latest {
+					r.earliest[id], r.latest[id] = max(r.earliest[id], down+ttl[id]), max(r.latest[id], down+ttl[id]+maxExpiryDelay)
 				}
 			},
 			"open": func(t *rapid.T) {
 				d := units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "ttl"))
 				id, code := s.OpenLease(now, "x", d)
-				settle()
+				expireLeases()
 				if ok := d >= minTTL && now >= down; ok != (code == http.StatusOK) {
-					t.Fatalf("ttl %d: %d", d, code)
+					t.Fatalf("lease with TTL %d: status %d", d, code)
 				}
 				if code == http.StatusOK {
 					ttl[id] = d
-					r.sure[id], r.leases[id] = now+d, now+d+maxLate
+					r.earliest[id], r.latest[id] = now+d, now+d+maxExpiryDelay
 				}
 			},
 			"renew": func(t *rapid.T) {
 				id := lease(t)
 				code := s.RenewLease(now, "x", id)
-				settle()
+				expireLeases()
 				if now < down {
 					return
 				}
-				if _, lives := r.leases[id]; lives != (code == http.StatusOK) {
-					t.Fatalf("renewal of %d: %d", id, code)
+				if _, exists := r.latest[id]; exists != (code == http.StatusOK) {
+					t.Fatalf("renewal of lease %d: status %d", id, code)
 				}
 				if code == http.StatusOK {
-					r.sure[id], r.leases[id] = now+ttl[id], now+ttl[id]+maxLate
+					r.earliest[id], r.latest[id] = now+ttl[id], now+ttl[id]+maxExpiryDelay
 				}
 			},
 			"commit": func(t *rapid.T) {
@@ -139,7 +138,7 @@
 					txn.Guards = append(txn.Guards, Guard{k, stamp})
 				}
 				s.Advance(now)
-				settle()
+				expireLeases()
 				res := s.Commit(now, "x", txn)
 				want := http.StatusOK
 				switch {
@@ -147,13 +146,13 @@
 					want = http.StatusServiceUnavailable
 				case len(txn.Changes) > 4 || slices.ContainsFunc(txn.Changes, func(c Change) bool { return len(c.Value) > 64 }):
 					want = http.StatusBadRequest
-				case slices.ContainsFunc(txn.Changes, func(c Change) bool { _, ok := r.leases[c.Lease]; return c.Lease != 0 && !ok }):
+				case slices.ContainsFunc(txn.Changes, func(c Change) bool { _, ok := r.latest[c.Lease]; return c.Lease != 0 && !ok }):
 					want = http.StatusBadRequest
 				case slices.ContainsFunc(txn.Guards, func(g Guard) bool { return r.keys[g.Key].Version != g.Version }):
 					want = http.StatusConflict
 				}
 				if res.Code != want {
-					t.Fatalf("%+v: %d, want %d", txn, res.Code, want)
+					t.Fatalf("commit of %+v: status %d, want %d", txn, res.Code, want)
 				}
 				if want != http.StatusOK || !slices.ContainsFunc(txn.Changes, func(c Change) bool { return c.Value != nil || r.keys[c.Key].Version != 0 }) {
 					return
@@ -161,7 +160,7 @@
 				r.rev++
 				for _, c := range txn.Changes {
 					if c.Value == nil {
-						r.drop(c.Key)
+						r.remove(c.Key)
 						continue
 					}
 					r.keys[c.Key] = Item{c.Key, c.Value, r.rev, c.Lease}
@@ -208,9 +207,9 @@
 	})
 }
 
-// TestLimitsAndHistory checks bursts, the sizes of pages, and that a watch that
-// looks back too far is told so.
-func TestLimitsAndHistory(t *testing.T) {
+// TestRateLimitPageSizeAndHistory checks the burst that the rate limit allows, the size limit of a page, and that a
+// watch gets 410 if the history doesn't reach back to its revision.
+func TestRateLimitPageSizeAndHistory(t *testing.T) {
 	s := New(Limits{Rate: 10, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 1000}, rand.New(rand.NewPCG(1, 1)))
 	codes := map[int]int{}
 	for range 25 {
@@ -218,7 +217,7 @@
 		codes[code]++
 	}
 	if codes[http.StatusNotFound] != 10 || codes[http.StatusTooManyRequests] != 15 {
-		t.Fatalf("a burst of 25 at 10 a second: %v", codes)
+		t.Fatalf("status codes of a burst of 25 requests at 10 per second: %v", codes)
 	}
 	s.SetLimits(Limits{Rate: 1e9, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 1000})
 	big := json.RawMessage(`"` + strings.Repeat("x", 4000) + `"`)
@@ -237,7 +236,7 @@
 		size += len(it.Value)
 	}
 	if !l.More || size > MaxPageBytes || len(l.Items) < 100 {
-		t.Fatalf("page of %d items, %d bytes, more %v", len(l.Items), size, l.More)
+		t.Fatalf("page has %d items, %d bytes, more: %v", len(l.Items), size, l.More)
 	}
 	first := s.Rev()
 	for i := range MaxHistory + MaxHistory/2 {
@@ -246,33 +245,33 @@
 	for after, want := range map[uint64]int{first: http.StatusGone, s.Rev() - MaxHistory: http.StatusOK, s.Rev() - 1: http.StatusOK} {
 		s.Watch(0, 1, "x", "k", after, 0)
 		if out := s.Drain(); len(out) != 1 || out[0].Code != want {
-			t.Errorf("watch after %d of %d: %d, want %d", after, s.Rev(), out[0].Code, want)
+			t.Errorf("watch after revision %d of %d: status %d, want %d", after, s.Rev(), out[0].Code, want)
 		}
 	}
 }
 
-// TestWatchesOutliveOutages opens watches before an outage and before a refusal of
-// their client alone: they stay open, and are answered after it.
-func TestWatchesOutliveOutages(t *testing.T) {
+// TestWatchStaysOpenWhileClientIsRefused guards against a watch that is lost, or answered too early, when the service
+// refuses its client. The watch must stay open and get its response afterwards; other clients' watches go on.
+func TestWatchStaysOpenWhileClientIsRefused(t *testing.T) {
 	s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 100, TxnOps: 4}, rand.New(rand.NewPCG(1, 1)))
 	s.Watch(0, 1, "x", "", 0, 2*units.Second)
 	s.Watch(0, 2, "y", "", 0, 2*units.Second)
 	s.RefuseClient("x", 5*units.Second)
 	s.Commit(units.Second, "y", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage("1")}}})
 	if out := s.Drain(); len(out) != 1 || out[0].ID != 2 || len(out[0].Events) != 1 {
-		t.Fatalf("while x is refused: %+v", out)
+		t.Fatalf("responses while client x is refused: %+v, want one to watch 2", out)
 	}
 	for s.Next() <= 20*units.Second && len(s.watches) > 0 {
 		s.Advance(s.Next())
 	}
 	if out := s.Drain(); len(out) != 1 || out[0].ID != 1 || len(out[0].Events) != 1 {
-		t.Fatalf("after the refusal: %+v", out)
+		t.Fatalf("responses after the refusal: %+v, want one to watch 1", out)
 	}
 }
 
-// TestLose takes answered writes back: the revision falls, and with it later
-// transactions go.
-func TestLose(t *testing.T) {
+// TestRollBack rolls back a committed transaction. The revision must fall, and later transactions on other keys
+// must be undone, too.
+func TestRollBack(t *testing.T) {
 	s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 100, TxnOps: 4}, rand.New(rand.NewPCG(1, 1)))
 	put := func(k, v string) {
 		s.Commit(0, "x", Txn{Changes: []Change{{Key: k, Value: json.RawMessage(v)}}})
@@ -282,14 +281,14 @@
 	put("job/1", "2")
 	put("seat/a", "2")
 	if n := s.RollBack(0, "job/", 1); n != 2 {
-		t.Fatalf("%d transactions undone, want 2", n)
+		t.Fatalf("%d transactions were undone, want 2", n)
 	}
 	job, rev, _ := s.Get(0, "x", "job/1")
 	seat, _, _ := s.Get(0, "x", "seat/a")
 	if rev != 2 && s.Rev() != 2 || string(job.Value) != "1" || string(seat.Value) != "1" {
-		t.Fatalf("revision %d, %+v, %+v", s.Rev(), job, seat)
+		t.Fatalf("after the rollback: revision %d, items %+v, %+v", s.Rev(), job, seat)
 	}
 	if n := s.RollBack(0, "none/", 1); n != 0 {
-		t.Fatalf("%d undone of nothing", n)
+		t.Fatalf("%d transactions were undone, want 0: none has the prefix", n)
 	}
 }
--- a/internal/emulator/link/link.go
+++ b/internal/emulator/link/link.go
@@ -1,7 +1,6 @@
-// Package link stands between two parties that talk over TCP and does to their
-// connections what networks do: it holds bytes back and delivers them later,
-// drops them, resets connections, trickles bytes, or delays them, in one direction
-// or both. It needs no privileges, as every connection passes through it.
+// Package link is a TCP proxy that emulates network faults. In one direction or both, it holds bytes back and
+// delivers them later, drops them, resets connections, trickles bytes one at a time, or delays them. It needs no
+// privileges, because it is the endpoint of all connections that it impairs.
 package link
 
 import (
@@ -13,149 +12,148 @@
 	"time"
 )
 
-// Mode is what happens to bytes on their way.
+// Mode is the way in which a link treats bytes.
 type Mode int
 
-// Modes. Held bytes are delivered when the trouble is over, also those of
-// connections that the sender has given up; dropped ones never, and their
-// connections are reset then.
+// Modes. Held bytes are delivered when the impairment ends, even if the sender has closed the connection by then.
+// Dropped bytes are never delivered; their connections are reset when the impairment ends.
 const (
 	Pass Mode = iota
 	Hold
 	Drop
 	Reset
-	Trickle // a byte at a time
+	Trickle // delivers one byte at a time
 	Delay
 )
 
-// Impairment is a mode with its time.
+// Impairment is a mode that applies until a time. The zero value is no impairment.
 type Impairment struct {
 	Mode     Mode
 	Until    time.Time
-	Interval time.Duration // between bytes that trickle, or the delay of a piece
+	Interval time.Duration // Trickle: pause before each byte; Delay: delay of each piece read
 }
 
-func (t Impairment) now() Mode {
-	if time.Now().After(t.Until) {
+func (i Impairment) mode() Mode {
+	if time.Now().After(i.Until) {
 		return Pass
 	}
-	return t.Mode
+	return i.Mode
 }
 
-// Link passes connections on to one address.
+// Link forwards connections to one target address.
 type Link struct {
-	to string
+	target string
 
-	sent, received atomic.Uint64 // bytes that were delivered to the address, and from it
+	sent, received atomic.Uint64 // bytes delivered to the target, and to its clients
 
-	mu          sync.Mutex
-	there, back Impairment // on the way to the address, and from it
-	conns       map[*pair]bool
-	closed      bool
+	mu               sync.Mutex
+	forward, reverse Impairment // to the target, and from it
+	conns            map[*proxiedConn]bool
+	closed           bool
 }
 
-type pair struct{ a, b net.Conn }
+type proxiedConn struct{ client, server net.Conn }
 
-// New returns a link to an address.
-func New(to string) *Link { return &Link{to: to, conns: map[*pair]bool{}} }
+// New returns a link to a target address, without impairments.
+func New(target string) *Link { return &Link{target: target, conns: map[*proxiedConn]bool{}} }
 
-// SetImpairment puts the link into trouble, in one direction or both.
-func (l *Link) SetImpairment(t Impairment, there, back bool) {
+// SetImpairment replaces the impairment of one direction or both. Mode Reset resets all open connections.
+func (l *Link) SetImpairment(impairment Impairment, forward, reverse bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if there {
-		l.there = t
+	if forward {
+		l.forward = impairment
 	}
-	if back {
-		l.back = t
+	if reverse {
+		l.reverse = impairment
 	}
-	if t.Mode == Reset {
+	if impairment.Mode == Reset {
 		for p := range l.conns {
-			ResetConn(p.a)
-			ResetConn(p.b)
+			ResetConn(p.client)
+			ResetConn(p.server)
 		}
 	}
 }
 
-// Bytes returns how many bytes the link has delivered to its address, and from it.
-func (l *Link) Bytes() (there, back uint64) { return l.sent.Load(), l.received.Load() }
+// Bytes returns the number of bytes that the link has delivered to its target, and to the clients.
+func (l *Link) Bytes() (sent, received uint64) { return l.sent.Load(), l.received.Load() }
 
-func (l *Link) trouble(there bool) Impairment {
+func (l *Link) impairment(forward bool) Impairment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if there {
-		return l.there
+	if forward {
+		return l.forward
 	}
-	return l.back
+	return l.reverse
 }
 
-// Serve passes the connections of a listener on until it closes.
-func (l *Link) Serve(in net.Listener) error {
+// Serve forwards the connections of a listener until accepting one fails, usually as the listener is closed.
+func (l *Link) Serve(listener net.Listener) error {
 	for {
-		c, err := in.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return err
 		}
-		go l.pass(c)
+		go l.proxy(c)
 	}
 }
 
-// Close resets what is open.
+// Close resets all open connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 	for p := range l.conns {
-		ResetConn(p.a)
-		ResetConn(p.b)
+		ResetConn(p.client)
+		ResetConn(p.server)
 	}
 }
 
-func (l *Link) pass(a net.Conn) {
-	defer a.Close()
-	// A connection that is made while the way there is out of order says nothing,
-	// until the trouble is over: what its sender wrote comes through then.
+func (l *Link) proxy(client net.Conn) {
+	defer client.Close()
+	// While the forward direction holds or drops bytes, a new connection isn't forwarded. When Hold ends, the
+	// target gets what the client has written meanwhile.
 	if l.wait(true) != nil {
-		ResetConn(a)
+		ResetConn(client)
 		return
 	}
-	b, err := net.DialTimeout("tcp4", l.to, time.Second)
+	server, err := net.DialTimeout("tcp4", l.target, time.Second)
 	if err != nil {
-		ResetConn(a)
+		ResetConn(client)
 		return
 	}
-	defer b.Close()
-	p := &pair{a, b}
+	defer server.Close()
+	conn := &proxiedConn{client, server}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.conns[p] = true
+	l.conns[conn] = true
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.conns, p)
+		delete(l.conns, conn)
 		l.mu.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go func() { l.copy(b, a, true, p); done <- struct{}{} }()
-	go func() { l.copy(a, b, false, p); done <- struct{}{} }()
+	go func() { l.copy(server, client, true, conn); done <- struct{}{} }()
+	go func() { l.copy(client, server, false, conn); done <- struct{}{} }()
 	<-done
-	// The other direction may still carry what was sent before the end.
-	_ = a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	_ = b.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	// The other direction may still have bytes that were sent before the connection was closed.
+	_ = client.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	_ = server.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	<-done
 }
 
 var errDropped = errors.New("dropped")
 
-// wait holds a piece back while the link does; it fails where the piece is lost.
-func (l *Link) wait(there bool) error {
+// wait blocks while the link holds or drops bytes. It returns an error if the bytes are lost.
+func (l *Link) wait(forward bool) error {
 	dropped := false
 	for {
-		t := l.trouble(there)
-		switch t.now() {
+		t := l.impairment(forward)
+		switch t.mode() {
 		case Drop:
 			dropped = true
 		case Hold:
@@ -171,43 +169,43 @@
 	}
 }
 
-func (l *Link) copy(to, from net.Conn, there bool, p *pair) {
+func (l *Link) copy(dst, src net.Conn, forward bool, conn *proxiedConn) {
 	buf := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buf)
+		n, err := src.Read(buf)
 		if n > 0 {
-			if l.wait(there) != nil {
-				ResetConn(p.a)
-				ResetConn(p.b)
+			if l.wait(forward) != nil {
+				ResetConn(conn.client)
+				ResetConn(conn.server)
 				return
 			}
-			if l.write(to, buf[:n], there) != nil {
+			if l.write(dst, buf[:n], forward) != nil {
 				return
 			}
 		}
 		if err != nil {
-			if c, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = c.CloseWrite() // the other side learns it by the next read
+			if c, ok := dst.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
+				_ = c.CloseWrite() // if it fails, the other side gets the error on its next read
 			}
 			return
 		}
 	}
 }
 
-func (l *Link) write(to net.Conn, b []byte, there bool) error {
+func (l *Link) write(dst net.Conn, b []byte, forward bool) error {
 	for len(b) > 0 {
 		n := len(b)
-		switch t := l.trouble(there); t.now() {
+		switch t := l.impairment(forward); t.mode() {
 		case Trickle:
 			n = 1
 			time.Sleep(t.Interval)
 		case Delay:
 			time.Sleep(t.Interval)
 		}
-		if _, err := to.Write(b[:n]); err != nil {
+		if _, err := dst.Write(b[:n]); err != nil {
 			return err
 		}
-		if there {
+		if forward {
 			l.sent.Add(uint64(n))
 		} else {
 			l.received.Add(uint64(n))
@@ -217,7 +215,7 @@
 	return nil
 }
 
-// ResetConn closes a connection so that the other side gets an error.
+// ResetConn closes a connection with a TCP reset, so that the other side gets an error.
 func ResetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // best effort
--- a/internal/emulator/packed/packed.go
+++ b/internal/emulator/packed/packed.go
@@ -1,4 +1,4 @@
-// Package packed makes buckets of many packed jobs, as years of work leave them.
+// Package packed generates archive buckets with many archived jobs, as a service has after years of operation.
 package packed
 
 import (
@@ -8,9 +8,9 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// Buckets returns the keys and values of so many packed jobs, some 100 to 200 in each
-// bucket: the i-th has the given number and answer.
-func Buckets(jobs int, job func(i uint64) (number uint64, a archive.Summary)) []store.Event {
+// Buckets returns the records of archive buckets that hold the given number of jobs, some 100 to 200 in each bucket.
+// job returns the job number and the summary of the i-th job.
+func Buckets(jobs int, job func(i uint64) (number uint64, summary archive.Summary)) []store.Event {
 	depth := 0
 	for jobs>>depth > 200 {
 		depth++
@@ -20,8 +20,8 @@
 		buckets[i] = &archive.Bucket{Number: uint32(i), Depth: depth, Jobs: map[uint64]archive.Summary{}}
 	}
 	for i := range uint64(jobs) {
-		n, a := job(i)
-		buckets[archive.BucketOf(fmt.Sprintf("wk-%06d", n), depth)].Jobs[n] = a
+		number, summary := job(i)
+		buckets[archive.BucketOf(fmt.Sprintf("wk-%06d", number), depth)].Jobs[number] = summary
 	}
 	out := make([]store.Event, len(buckets))
 	for i, b := range buckets {
