--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -88,7 +88,8 @@
 	})
 }
 
-// flush processes the effects of the model: it starts and stops workers, sends heartbeats and notifies the observer.
+// flush processes the effects of the model: it starts and stops workers in separate processes, sends heartbeats and
+// notifies the observer.
 func (c *Cloud) flush(now units.Microseconds) error {
 	c.site.Advance(now)
 	for _, e := range c.site.Drain() {
@@ -263,19 +264,19 @@
 
 // machineHandler serves the address of a machine whose worker runs in this process.
 func (c *Cloud) machineHandler(name string) http.Handler {
-	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, taken, found bool) {
+	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, accepted, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
-			r, saved, t, f := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
-			if taken, found = t, f; f {
-				body = wire.EncodeHeartbeat(r, saved)
+			heartbeat, saved, ok, exists := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
+			if accepted, found = ok, exists; exists {
+				body = wire.EncodeHeartbeat(heartbeat, saved)
 			}
 		})
-		return body, taken, found
+		return body, accepted, found
 	}, func(ctx context.Context) (body wire.HeartbeatBody, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
-			r, saved, f := c.site.Status(now, name)
-			if found = f; f {
-				body = wire.EncodeHeartbeat(r, saved)
+			heartbeat, saved, exists := c.site.Status(now, name)
+			if found = exists; exists {
+				body = wire.EncodeHeartbeat(heartbeat, saved)
 			}
 		})
 		return body, found
--- a/internal/emulator/host/disk.go
+++ b/internal/emulator/host/disk.go
@@ -117,7 +117,7 @@
 	s.DrainChanged(func(it kv.Item, ok bool) {
 		var v []byte
 		if ok {
-			v, _ = json.Marshal(diskRecord{it.Value, it.Version, it.Lease}) // cannot fail: the types are all serializable
+			v, _ = json.Marshal(diskRecord{it.Value, it.Version, it.Lease}) // cannot fail: all fields are plain data
 		}
 		changes = append(changes, change{keysBucket, []byte(it.Key), v})
 	}, func(l kv.Lease, ok bool) {
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -144,11 +144,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		then := t.TempDir()
-		if err := os.WriteFile(filepath.Join(then, "state.db"), b, 0o644); err != nil {
+		crashDir := t.TempDir()
+		if err := os.WriteFile(filepath.Join(crashDir, "state.db"), b, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		d, err := OpenDisk(then)
+		d, err := OpenDisk(crashDir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -178,34 +178,34 @@
 	defer cancel()
 	c := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, discardLog)
 	go c.Run()
-	cl := cloud.New(listen(t, c.Handler()), 1000, discardLog)
+	client := cloud.New(listen(t, c.Handler()), 1000, discardLog)
 	yes := func() bool { return true }
-	if o, types := cl.Types(t.Context()); o != store.OK || len(types) != 1 || types[0].Name != "big" {
+	if o, types := client.Types(t.Context()); o != store.OK || len(types) != 1 || types[0].Name != "big" {
 		t.Fatalf("types: %v, %+v", o, types)
 	}
 	r := autoscaler.Increase{Pool: autoscaler.Pool{Type: "big", Zone: "z"}, Count: 2}
-	_, first := cl.ScaleOut(t.Context(), "r-1", r, yes)
-	_, again := cl.ScaleOut(t.Context(), "r-1", r, yes)
-	_, rest := cl.ScaleOut(t.Context(), "r-2", r, yes)
+	_, first := client.ScaleOut(t.Context(), "r-1", r, yes)
+	_, again := client.ScaleOut(t.Context(), "r-1", r, yes)
+	_, rest := client.ScaleOut(t.Context(), "r-2", r, yes)
 	if len(first) != 2 || fmt.Sprint(first) != fmt.Sprint(again) || len(rest) != 1 {
 		t.Errorf("first request created %v, its retry %v, the next request %v", first, again, rest)
 	}
-	if o, _ := cl.ScaleOut(t.Context(), "r-3", r, yes); o != store.Failed {
+	if o, _ := client.ScaleOut(t.Context(), "r-3", r, yes); o != store.Failed {
 		t.Errorf("scale-out beyond the capacity: %v", o)
 	}
-	if o, hosts := cl.List(t.Context()); o != store.OK || len(hosts) != 3 {
+	if o, hosts := client.List(t.Context()); o != store.OK || len(hosts) != 3 {
 		t.Errorf("machine list: %v, %+v", o, hosts)
 	} else if _, err := net.ResolveTCPAddr("tcp4", hosts[0].Addr); err != nil || hosts[0].Addr == "" {
 		t.Errorf("address %q", hosts[0].Addr)
 	}
-	if o := cl.ScaleIn(t.Context(), first, yes); o != store.OK {
+	if o := client.ScaleIn(t.Context(), first, yes); o != store.OK {
 		t.Errorf("scale-in: %v", o)
 	}
-	if _, hosts := cl.List(t.Context()); len(hosts) != 1 {
+	if _, hosts := client.List(t.Context()); len(hosts) != 1 {
 		t.Errorf("machines after the scale-in: %+v", hosts)
 	}
 	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.SetDown(now + units.Second) })
-	if o, _ := cl.ScaleOut(t.Context(), "r-4", r, yes); o != store.Refused {
+	if o, _ := client.ScaleOut(t.Context(), "r-4", r, yes); o != store.Refused {
 		t.Errorf("scale-out while the cloud is down: %v", o)
 	}
 }
--- a/internal/emulator/host/loop.go
+++ b/internal/emulator/host/loop.go
@@ -14,7 +14,7 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// model is the part of a model that a loop calls: Next returns the time at which Advance must be called.
+// model is an emulator model that a loop drives. Next returns the time at which Advance must be called.
 type model interface {
 	Next() units.Microseconds
 	Advance(now units.Microseconds)
@@ -36,8 +36,8 @@
 }
 
 const (
-	inboxSize = 4096
-	batchSize = 512 // requests for which flush is called once
+	inboxSize = 4096 // requests; senders block when it is full
+	batchSize = 512 // maximum number of requests per flush
 )
 
 func newLoop(m model, flush func(now units.Microseconds) error, onError func(error)) *loop {
--- a/internal/emulator/host/report.go
+++ b/internal/emulator/host/workerhttp.go
@@ -13,8 +13,8 @@
 	"shalestage.example/shalestage/internal/wire"
 )
 
-// postHeartbeat posts a heartbeat to a controller and returns the response. It returns the zero Response, or one
-// with code 0, if there was no usable response.
+// postHeartbeat posts a heartbeat to a controller and returns the response. Its code is 0 if the request failed, or
+// if a response with status 200 could not be decoded.
 func postHeartbeat(client *http.Client, addr string, r machine.Heartbeat) machine.Response {
 	body, err := json.Marshal(wire.EncodeHeartbeat(r.Body, r.Checkpointed))
 	if err != nil {
