--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -33,10 +33,10 @@
 	// ConfigStored is the version in which a change was stored.
 	ConfigStored struct{ Version uint64 }
 	// ConfigRefused says why a change was not made. Err is a *configuration.Invalid,
-	// *configuration.Missed or *configuration.Unavailable.
+	// *configuration.Conflict or *configuration.Unavailable.
 	ConfigRefused struct{ Err error }
 	// ConfigHistory lists the last versions, latest first.
-	ConfigHistory []configuration.Entry
+	ConfigHistory []configuration.HistoryEntry
 	// ConfigStatus is the rollout status of a version.
 	ConfigStatus = configuration.Status
 )
@@ -47,17 +47,17 @@
 // Store implements configuration.Host.
 func (c configurationHost) Store(w *store.Write) bool { return c.queues[UserQueue].Add(w) }
 
-// Stamp implements configuration.Host.
-func (c configurationHost) Stamp(key string) uint64 { return c.cache.Version(key) }
+// KeyVersion implements configuration.Host.
+func (c configurationHost) KeyVersion(key string) uint64 { return c.cache.Version(key) }
 
-// Read implements configuration.Host.
-func (c configurationHost) Read(f func(ok bool)) { c.readFresh(f) }
+// ReadFresh implements configuration.Host.
+func (c configurationHost) ReadFresh(f func(ok bool)) { c.readFresh(f) }
 
-// Current implements configuration.Host.
-func (c configurationHost) Current() bool { return c.cache.Loaded() && !c.cache.Recovering() }
+// CacheCurrent implements configuration.Host.
+func (c configurationHost) CacheCurrent() bool { return c.cache.Loaded() && !c.cache.Recovering() }
 
-// Busy implements configuration.Host.
-func (c configurationHost) Busy(team string) bool {
+// HasUnfinishedJobs implements configuration.Host.
+func (c configurationHost) HasUnfinishedJobs(team string) bool {
 	for job := range c.jobs.Active() {
 		if job.Spec().Team == team {
 			return true
@@ -69,10 +69,10 @@
 // Adopted implements configuration.Host.
 func (c configurationHost) Adopted(content configuration.Content) { c.reconfigure(content) }
 
-// Answered implements configuration.Host.
-func (c configurationHost) Answered(request uint64, answer configuration.Answer) {
+// Respond implements configuration.Host.
+func (c configurationHost) Respond(request uint64, answer configuration.Result) {
 	reply := Reply{Request: RequestID(request), Code: http.StatusOK, Body: ConfigStored{answer.Version}}
-	var missed *configuration.Missed
+	var missed *configuration.Conflict
 	var invalid *configuration.Invalid
 	switch {
 	case answer.Err == nil:
@@ -148,11 +148,11 @@
 
 // receiveConfigStatus handles what another controller's status says about the configuration.
 func (c *Core) receiveConfigStatus(from string, status PeerStatus) {
-	c.config.PeerStatus(c.now, from, status.Config, status.ConfigKnown)
-	if c.config.PeerKnows(status.ConfigKnown) {
+	c.config.ApplyPeerStatus(c.now, from, status.Config, status.ConfigKnown)
+	if c.config.ObserveVersion(status.ConfigKnown) {
 		c.readFresh(nil)
 	}
-	if !c.config.Falling() || !c.configComplete() {
+	if !c.config.LimitsReduced() || !c.configComplete() {
 		return
 	}
 	for _, shardStatus := range status.Blocks {
@@ -172,11 +172,11 @@
 // addConfigStatus adds to a status which version is in force here, and which teams are
 // above their quota allocation in each shard.
 func (c *Core) addConfigStatus(status *PeerStatus) {
-	if !c.config.Changed() {
+	if !c.config.HasStoredVersion() {
 		return
 	}
-	status.Config, status.ConfigKnown = c.config.Version(), c.config.Known()
-	complete := c.config.Falling() && c.configComplete()
+	status.Config, status.ConfigKnown = c.config.Version(), c.config.KnownVersion()
+	complete := c.config.LimitsReduced() && c.configComplete()
 	bytesLeft := MaxOverQuotaBytes
 	for i := range status.Blocks {
 		shardStatus := &status.Blocks[i]
@@ -204,5 +204,5 @@
 // mayAcceptJobs reports whether this controller's configuration is current enough to accept jobs: no later
 // version is known, and the watch cache is recent.
 func (c *Core) mayAcceptJobs() bool {
-	return !c.config.Changed() || !c.config.Behind() && c.now-c.cache.AsOf() < c.cancellationGrace()
+	return !c.config.HasStoredVersion() || !c.config.Behind() && c.now-c.cache.AsOf() < c.cancellationGrace()
 }
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -139,7 +139,7 @@
 			s.assignments[shard] = event
 		}
 	case strings.HasPrefix(event.Key, keys.ConfigPrefix):
-		err = configuration.Readable(event.Key, event.Value)
+		err = configuration.CheckRecord(event.Key, event.Value)
 	case strings.HasPrefix(event.Key, keys.OverridePrefix):
 		err = json.Unmarshal(event.Value, &overrideRecord{})
 	case strings.HasPrefix(event.Key, keys.StandbyPrefix):
@@ -160,7 +160,7 @@
 	id := e.Key[len(keys.JobPrefix):]
 	record, err := jobs.DecodeRecord(e.Value)
 	if err != nil {
-		s.jobs[id] = jobSummary{status: jobs.Pending, version: e.Stamp} // as pending, so that its chunks and progress are not findings
+		s.jobs[id] = jobSummary{status: jobs.Pending, version: e.Stamp} // so its chunks and progress are no findings
 		return err
 	}
 	s.jobs[id] = jobSummary{status: record.Status, version: e.Stamp, chunks: record.Chunks, checksum: record.Checksum}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -146,7 +146,7 @@
 		c.onStatus(from, received)
 	case PeerLeaseGrant:
 		c.membership.PeerLeaseGranted(now, from, received.Seat, received.Sent)
-		c.config.PeerKnows(received.ConfigKnown) // must precede receiveCancellations, which may extend this owner's authority
+		c.config.ObserveVersion(received.ConfigKnown) // must precede receiveCancellations, which may extend this owner's authority
 		c.receiveCancellations(from, received)
 	case TakeoverVoteRequest:
 		// A request about an unknown controller gets no vote: the requester waits for the timeout.
@@ -190,7 +190,7 @@
 	}
 	c.receiveConfigStatus(from, status)
 	if c.membership.GrantPeerLease(c.now, from, status.Seat) {
-		c.emit(SendPeer{from, PeerLeaseGrant{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.Known()}})
+		c.emit(SendPeer{from, PeerLeaseGrant{Seat: status.Seat, Sent: status.Sent, Told: c.cancellationsFor(status), ConfigKnown: c.config.KnownVersion()}})
 	}
 	if c.election.Leads() {
 		for _, shardStatus := range status.Blocks {
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -175,7 +175,7 @@
 		}
 		out := wire.MachineTypes{Types: []wire.MachineType{}}
 		for _, t := range types {
-			out.Types = append(out.Types, wire.MachineType{Name: t.Name, Cores: t.CPUs, Cards: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+			out.Types = append(out.Types, wire.MachineType{Name: t.Name, Cores: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 				FetchGBs: t.FetchGBs, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.Boot.Seconds(), Zones: t.Zones})
 		}
 		writeJSON(w, code, out)
@@ -205,11 +205,11 @@
 		case code != http.StatusOK:
 			c.writeRefusal(w, code)
 		default:
-			writeJSON(w, code, wire.Names{Machines: names})
+			writeJSON(w, code, wire.MachineNames{Machines: names})
 		}
 	})
 	r.Post(wire.ReturnPath, func(w http.ResponseWriter, req *http.Request) {
-		var b wire.Names
+		var b wire.MachineNames
 		if !readJSON(w, req, &b) {
 			return
 		}
@@ -230,7 +230,7 @@
 		if v := q.Get("page"); v != "" {
 			page, _ = strconv.Atoi(v) // an invalid number becomes 0, which the model refuses
 		}
-		out := wire.Hosts{Machines: []wire.Host{}}
+		out := wire.HostList{Machines: []wire.Host{}}
 		var code int
 		if !c.loop.do(req.Context(), func(now units.Microseconds) {
 			var list []cloudprovider.Listed
@@ -264,7 +264,7 @@
 
 // machineHandler serves the address of a machine whose worker runs in this process.
 func (c *Cloud) machineHandler(name string) http.Handler {
-	return workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, accepted, found bool) {
+	return workerHandler(func(ctx context.Context, o wire.ReceivedCommandList) (body wire.HeartbeatBody, accepted, found bool) {
 		c.loop.do(ctx, func(now units.Microseconds) {
 			heartbeat, saved, ok, exists := c.site.Direct(now, name, *o.FencingToken, *o.Incarnation, o.Commands)
 			if accepted, found = ok, exists; exists {
--- a/internal/emulator/host/loop.go
+++ b/internal/emulator/host/loop.go
@@ -37,7 +37,7 @@
 
 const (
 	inboxSize = 4096 // requests; senders block when it is full
-	batchSize = 512 // maximum number of requests per flush
+	batchSize = 512  // maximum number of requests per flush
 )
 
 func newLoop(m model, flush func(now units.Microseconds) error, onError func(error)) *loop {
--- a/internal/emulator/host/worker.go
+++ b/internal/emulator/host/worker.go
@@ -253,7 +253,7 @@
 
 // Serve serves the worker's own address, at which it receives direct commands, on a listener.
 func (w *Worker) Serve(listener net.Listener) error {
-	handler := workerHandler(func(ctx context.Context, o wire.ReceivedOrders) (body wire.HeartbeatBody, accepted, found bool) {
+	handler := workerHandler(func(ctx context.Context, o wire.ReceivedCommandList) (body wire.HeartbeatBody, accepted, found bool) {
 		fetched := w.fetchJobs(machine.Response{Commands: o.Commands})
 		w.loop.do(ctx, func(now units.Microseconds) {
 			if found = w.model != nil; found {
--- a/internal/emulator/host/workerhttp.go
+++ b/internal/emulator/host/workerhttp.go
@@ -30,7 +30,7 @@
 		return machine.Response{}
 	}
 	a := machine.Response{Code: resp.StatusCode}
-	o, err := wire.DecodeOrders(b)
+	o, err := wire.DecodeCommandList(b)
 	if err != nil {
 		if a.Code == http.StatusOK {
 			a.Code = 0
@@ -46,12 +46,12 @@
 
 // workerHandler returns the handler of a worker's own address. found is false if the machine hangs or hasn't
 // started: it sends no response. accepted is false if the worker refused the commands.
-func workerHandler(command func(context.Context, wire.ReceivedOrders) (body wire.HeartbeatBody, accepted, found bool),
+func workerHandler(command func(context.Context, wire.ReceivedCommandList) (body wire.HeartbeatBody, accepted, found bool),
 	status func(context.Context) (body wire.HeartbeatBody, found bool)) http.Handler {
 	r := chi.NewRouter()
 	r.Post(wire.CommandsPath, func(w http.ResponseWriter, req *http.Request) {
 		b, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBody))
-		o, err2 := wire.DecodeOrders(b)
+		o, err2 := wire.DecodeCommandList(b)
 		if err != nil || err2 != nil || o.FencingToken == nil || o.Incarnation == nil {
 			writeProblem(w, http.StatusBadRequest, "malformed")
 			return
