--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -93,8 +93,8 @@
 	if o, rev, items, more := c.List(t.Context(), "p/", "", 500); o != store.OK || rev != 2 || more || len(items) != 1 || items[0].Key != "p/b/c" {
 		t.Errorf("listing: %v at %d: %+v", o, rev, items)
 	}
-	if o, value, stamp, _ := c.Get(t.Context(), "p/b/c"); o != store.OK || value == nil || stamp != 1 {
-		t.Errorf("get: %v, %s at revision %d", o, value, stamp)
+	if o, value, version, _ := c.Get(t.Context(), "p/b/c"); o != store.OK || value == nil || version != 1 {
+		t.Errorf("get: %v, %s at revision %d", o, value, version)
 	}
 	if o, value, _, rev := c.Get(t.Context(), "p/none"); o != store.OK || value != nil || rev != 2 {
 		t.Errorf("get of a missing key: %v, %s, revision %d", o, value, rev)
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -24,7 +24,7 @@
 	MaxPageItems   = 1000      // on one page of a listing
 	MaxPageBytes   = 512 << 10 // of one page of a listing
 	MaxTxnBytes    = 64 << 10  // of the keys and values of a transaction
-	MaxHistory     = 10_000    // latest changes that a watch can start from
+	MaxHistory     = 10_000    // number of latest changes that watches can go back to
 	maxWait        = 60 * units.Second
 	minTTL         = units.Second / 10
 	maxTTL         = 600 * units.Second
--- a/internal/emulator/kv/kv_test.go
+++ b/internal/emulator/kv/kv_test.go
@@ -131,11 +131,11 @@
 				}
 				for range rapid.IntRange(0, 2).Draw(t, "guards") {
 					k := key.Draw(t, "guard")
-					stamp := r.keys[k].Version
+					version := r.keys[k].Version
 					if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
-						stamp++
+						version++
 					}
-					txn.Guards = append(txn.Guards, Guard{k, stamp})
+					txn.Guards = append(txn.Guards, Guard{k, version})
 				}
 				s.Advance(now)
 				expireLeases()
