--- a/internal/emulator/direct/direct.go
+++ b/internal/emulator/direct/direct.go
@@ -1,5 +1,5 @@
-// Package direct turns the types of the controllers' transactions into those of the
-// model of the state service and back, for who speaks to the model without a network.
+// Package direct converts between the types of the state service's client in controllers and those of the service's
+// model. Simulations and tests use it to call the model without a network.
 package direct
 
 import (
@@ -7,11 +7,11 @@
 	"shalestage.example/shalestage/internal/emulator/kv"
 )
 
-// Txn returns a transaction as the model takes it.
+// Txn converts a transaction of a controller to one of the model.
 func Txn(t *store.Txn) kv.Txn {
 	var out kv.Txn
 	for _, g := range t.Guards {
-		out.Guards = append(out.Guards, kv.Guard{Key: g.Key, Stamp: g.Version})
+		out.Guards = append(out.Guards, kv.Guard{Key: g.Key, Version: g.Version})
 	}
 	for _, c := range t.Changes {
 		out.Changes = append(out.Changes, kv.Change{Key: c.Key, Value: c.Value, Lease: c.Lease})
@@ -19,20 +19,20 @@
 	return out
 }
 
-// Items returns the keys of a listing as controllers take them.
+// Items converts the items of a listing to the events that controllers process.
 func Items(items []kv.Item) []store.Event {
 	var out []store.Event
 	for _, it := range items {
-		out = append(out, store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+		out = append(out, store.Event{Key: it.Key, Value: it.Value, Stamp: it.Version})
 	}
 	return out
 }
 
-// Events returns changes as controllers take them.
+// Events converts the model's changes to the events that controllers process.
 func Events(events []kv.Event) []store.Event {
 	var out []store.Event
 	for _, e := range events {
-		out = append(out, store.Event{Key: e.Key, Value: e.Value, Stamp: e.Stamp})
+		out = append(out, store.Event{Key: e.Key, Value: e.Value, Stamp: e.Version})
 	}
 	return out
 }
--- a/internal/emulator/sim/answers_test.go
+++ b/internal/emulator/sim/answers_test.go
@@ -20,7 +20,7 @@
 // jobsStoredDone returns the ids of jobs whose stored record has the status done.
 func (w *World) jobsStoredDone() map[string]bool {
 	done := map[string]bool{}
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		var r struct{ Status jobs.Status }
 		const prefix = "shalestage/job/"
 		if len(it.Key) > len(prefix) && it.Key[:len(prefix)] == prefix && json.Unmarshal(it.Value, &r) == nil && r.Status == jobs.Done {
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -157,7 +157,7 @@
 func (w *World) someNodesRefused() bool {
 	refused := 0
 	for _, n := range w.Nodes {
-		if w.State.Refuses(w.now, n.Name) {
+		if w.State.IsClientRefused(w.now, n.Name) {
 			refused++
 		}
 	}
