--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -14,11 +14,11 @@
 
 // Users runs emulated users, who send their requests to a load balancer.
 type Users struct {
-	ctx    context.Context
-	loop   *loop
-	crowd  *user.Users
-	client *client.Client
-	observe   UserObserver
+	ctx     context.Context
+	loop    *loop
+	crowd   *user.Users
+	client  *client.Client
+	observe UserObserver
 }
 
 // NewUsers returns users who send their requests to an address.
