--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -36,12 +36,12 @@
 	c.send(Reply{Request: req, Code: code, Body: body})
 }
 
-// replyUnavailable refuses a request for the moment and tells the user to retry later.
+// replyUnavailable refuses a request temporarily and tells the user to retry later.
 func (c *Core) replyUnavailable(req RequestID, reason string) {
 	admissionHost{c}.Refuse(req, admission.TemporaryRefusal(reason))
 }
 
-// admissionHost implements admission.Host: it gives the admission of jobs access to this controller.
+// admissionHost implements admission.Host: it gives package admission access to this controller.
 type admissionHost struct{ *Core }
 
 var _ admission.Host = admissionHost{}
@@ -86,8 +86,8 @@
 // WallClock implements admission.Host.
 func (c admissionHost) WallClock() units.Microseconds { return c.wall }
 
-// TeamLimit implements admission.Host. A team that was removed from the configuration keeps its limit for the
-// jobs that it already has. New jobs of the team are refused.
+// TeamLimit implements admission.Host. It returns false for a team that was removed from the configuration: new
+// jobs of the team are refused, while the jobs that it already has keep its limit.
 func (c admissionHost) TeamLimit(name string) (binpack.Vec, bool) {
 	team := c.teams[name]
 	if team == nil || team.Removed != 0 {
--- a/internal/core/admission/cancel.go
+++ b/internal/core/admission/cancel.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// cancelUnknown reads from the state service, since another
-// controller may have accepted the job, and then continues.
+// cancelUnknown cancels a job that is not known here. It first reads from the
+// state service, since another controller may have accepted the job.
 func (h *Handler) cancelUnknown(request RequestID, id string) {
 	h.host.ReadFresh(func(ok bool) {
 		switch {
--- a/internal/core/cancellations/cancellations.go
+++ b/internal/core/cancellations/cancellations.go
@@ -27,7 +27,7 @@
 	maxKept   = 4096
 	maxListed = 128
 	// rollbackGrace is how long after a rollback of the state service no list counts as
-	// complete. Until then the controllers may not all refer to the same revisions.
+	// complete. Until then, the controllers may refer to different revisions.
 	rollbackGrace = 10 * units.Second
 )
 
@@ -138,7 +138,7 @@
 }
 
 // KnownUntil returns the time up to which every cancellation that was confirmed to a user is certain to be
-// known. readSentAt is when the last request was sent whose answer has brought the watch cache up to date.
+// known. readSentAt is the send time of the last read whose answer brought the watch cache up to date.
 func (t *Tracker) KnownUntil(now, readSentAt units.Microseconds) units.Microseconds {
 	if t.cfg.Peers == 0 {
 		return now // no other controller confirms cancellations
--- a/internal/core/cancellations/receive.go
+++ b/internal/core/cancellations/receive.go
@@ -21,8 +21,9 @@
 
 // Apply applies the cancellations that another controller has listed to the watch cache. A shard's owner
 // that cannot reach the state service learns of them in no other way, while other controllers go on
-// confirming cancellations to users; the owner's tasks stop with the next heartbeats. Apply reports whether
-// all records were valid. If one was not, the caller must not rely on the list being complete.
+// confirming cancellations to users. The tasks of the cancelled jobs stop with the next heartbeats. Apply
+// reports whether all records were valid. It stops at the first invalid one; the caller must then not rely on
+// the list being complete.
 func Apply(host Host, log *slog.Logger, from string, list []store.Event) bool {
 	for _, record := range list {
 		if !applyOne(host, log, from, record) {
@@ -32,8 +33,8 @@
 	return true
 }
 
-// applyOne applies one listed cancellation and reports whether it is one. A job that is not known here
-// is added as cancelled: its acceptance may arrive later, through a delayed watch.
+// applyOne applies one listed cancellation and reports whether the record is a valid one. A job that is not
+// known here is added as cancelled: its acceptance may arrive later, through a delayed watch.
 func applyOne(host Host, log *slog.Logger, from string, record store.Event) bool {
 	id, isJob := strings.CutPrefix(record.Key, keys.JobPrefix)
 	decoded, err := jobs.DecodeRecord(record.Value)
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -37,11 +37,11 @@
 // A job that waits has never been started, so its cancellation through a dependency stops no tasks.
 type DependencyGraph struct {
 	dependents map[string][]*Job // jobs that wait for the job with this ID
-	references map[string]int    // number of unfinished jobs whose spec names the job with this ID, done or not
+	references map[string]int    // by ID of a job, final or not: number of unfinished jobs whose spec names it
 }
 
 // Link adds a newly observed unfinished job. Its dependencies may not be known yet while the watch cache is
-// first being listed. Link returns the ID of a cancelled dependency, or "" if there is none.
+// being listed. Link returns the ID of a cancelled dependency, or "" if there is none.
 func (g *DependencyGraph) Link(job *Job, jobs map[string]*Job, now units.Microseconds) (cancelled string) {
 	job.Since = job.Record.Submitted
 	job.dependencies = job.Spec().Awaits
@@ -76,7 +76,7 @@
 }
 
 // JobFinalized updates the graph for a job that has become final. It returns the
-// jobs that may start now, and those that are cancelled with it.
+// jobs that may start now, and those that are cancelled because of it.
 func (g *DependencyGraph) JobFinalized(job *Job, now units.Microseconds) (ready, cancelled []*Job) {
 	for queue := []*Job{job}; len(queue) > 0; queue = queue[1:] {
 		final := queue[0]
--- a/internal/core/jobs/progress.go
+++ b/internal/core/jobs/progress.go
@@ -10,8 +10,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// TasksPerRecord returns how many tasks one record of finished tasks covers. Even the longest text of
-// ranges that they can need stays below the state service's value limit, given in KiB.
+// TasksPerRecord returns how many tasks one record of finished tasks covers. valueKB is the state service's
+// value limit in KiB. A record of more than 256 tasks stays below it even in the worst case.
 func TasksPerRecord(valueKB float64) int {
 	limit := int(valueKB*1024) - 64
 	n := 256
@@ -78,7 +78,7 @@
 // Progress is the stored value of one record of finished tasks.
 type Progress struct {
 	Tasks   string `json:"tasks"`             // see Set.Ranges
-	Failing bool   `json:"failing,omitempty"` // in the first record: see Job.FailsEverywhere
+	Failing bool   `json:"failing,omitempty"` // in the first record: failed on several machines, succeeded on none
 }
 
 // LoadProgress applies a stored record of finished tasks. number is the record's number.
--- a/internal/core/jobs/record.go
+++ b/internal/core/jobs/record.go
@@ -15,7 +15,7 @@
 
 // Record is a job's value in the state service. For a final job only the status and the
 // number of tasks are kept, plus the end time of a done job, and the team and demand of a
-// cancelled one, whose tasks may still be running when the shard changes its owner.
+// cancelled one, whose tasks may still be running when the shard gets its next owner.
 type Record struct {
 	Status     Status             `json:"status"`
 	Shard      int                `json:"block,omitempty"` // the shard whose owner schedules the job
@@ -25,8 +25,8 @@
 	Submitted  units.Microseconds `json:"submitted,omitempty"` // time of day
 	FinishedAt units.Microseconds `json:"ended,omitempty"`     // time of day; 0: not known (releases before 0.3)
 	Spec       *Spec              `json:"spec,omitempty"`
-	// Number and checksum of the chunks in which a job spec that does
-	// not fit into one value is stored, see Split.
+	// A job spec that does not fit into one value is stored in this number
+	// of chunks. Checksum is the checksum of the encoded spec, see Split.
 	Chunks   int    `json:"parts,omitempty"`
 	Checksum string `json:"sum,omitempty"`
 }
--- a/internal/core/replaylog/replaylog.go
+++ b/internal/core/replaylog/replaylog.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	// entryOverhead is the memory in bytes for an entry without its key and value.
+	// entryOverhead is the approximate size of an entry in bytes, without its key and value.
 	entryOverhead = 120
 	// maxOrderPerKey and orderReserve limit the length of order, which contains frequently changed keys many
 	// times: maxOrderPerKey for each entry, and orderReserve in addition.
