--- a/internal/core/configuration/change.go
+++ b/internal/core/configuration/change.go
@@ -17,17 +17,17 @@
 	minChangeInterval = units.Second / 4
 	// maxPendingChanges limits the queue of changes; further requests are refused.
 	maxPendingChanges = 128
-	// maxAttempts limits how often a batch is attempted whose writes do not succeed.
+	// maxAttempts is the maximum number of attempts to store one batch.
 	maxAttempts = 4
 	// repairInterval is the minimum time between two attempts to restore records that the state
 	// service has lost.
 	repairInterval = units.Second
-	// collectDelay is how long there must have been unused chunks before they are removed.
+	// collectDelay is the time for which chunks must have been unused before they are removed.
 	collectDelay = 30 * units.Second
-	// maxChunkBytesPerTxn limits the bytes of chunks in one transaction, and leaves space for the head.
+	// maxChunkBytesPerTxn limits the bytes of chunks in one transaction, so that the head also fits.
 	maxChunkBytesPerTxn = store.MaxTxnBytes / 2
 	maxIDBytes          = 64
-	maxSummaryBytes     = 160 // of an author or summary in the history
+	maxSummaryBytes     = 160 // of the authors, and of the summary, of a history entry
 )
 
 // Request asks for a change of some teams, or for a replacement of the whole content.
@@ -84,11 +84,11 @@
 	id             string
 	changes        []pendingChange // without a response yet
 	attempts       int
-	outcomeUnknown bool // the outcome of a write was unknown
+	outcomeUnknown bool // for at least one write: the batch may have been stored
 	repair         bool // stores the version in force once more
 	encoded        encoded
 	head           head
-	headVersion    uint64 // version of the head's key, which the write is guarded by
+	headVersion    uint64 // version of the head's key that guards the write
 	entry          HistoryEntry
 	missing        []string // chunks that still have to be stored
 	withHead       int      // how many of these, from the end, are stored in the head's transaction
@@ -110,7 +110,7 @@
 	m.startBatch()
 }
 
-// checkRequest returns an *Invalid for a request that is refused whatever the current version is.
+// checkRequest returns an *Invalid for a request that is invalid regardless of the current version.
 func (m *Manager) checkRequest(r Request) error {
 	if len(r.By) > MaxNameBytes {
 		return invalid("by", "want at most %d bytes", MaxNameBytes)
@@ -155,7 +155,8 @@
 	m.readAndBuild(q.current)
 }
 
-// newID returns an id for a batch, unique by controller, time of day and count. Too long ones are hashed.
+// newID returns an id for a batch, made unique by the controller's name, the time of day and the number of
+// batches. An id longer than maxIDBytes is replaced by its hash.
 func (m *Manager) newID() string {
 	id := fmt.Sprintf("%s.%x.%d", m.cfg.Node, int64(m.wall), m.queue.started)
 	if len(id) > maxIDBytes {
@@ -165,8 +166,8 @@
 	return id
 }
 
-// readAndBuild waits for a fresh read of the state service and then builds a batch. A batch that an earlier
-// attempt in doubt has already stored is complete.
+// readAndBuild waits for a fresh read of the state service and then builds a batch. If the read shows that an
+// earlier attempt of unknown outcome has stored the batch, the batch is complete.
 func (m *Manager) readAndBuild(x *batch) {
 	m.host.ReadFresh(func(ok bool) {
 		if !ok || !m.host.CacheCurrent() {
@@ -197,8 +198,8 @@
 	}
 }
 
-// build makes the version that a batch asks for and begins to store it. Changes that are not possible are
-// refused and left out.
+// build makes the version that a batch asks for and begins to store it. Changes that cannot be
+// applied are refused and left out.
 func (m *Manager) build(batch *batch) {
 	content := m.content
 	if !batch.repair {
@@ -240,8 +241,8 @@
 	}
 }
 
-// merge returns the content after all changes of a batch that are possible, applied in their order. The
-// others are refused and removed from the batch.
+// merge applies the changes of a batch in order and returns the resulting content. Changes that cannot be
+// applied are refused and removed from the batch.
 func (m *Manager) merge(batch *batch) Content {
 	content := m.content.pruned(m.wall, m.host.HasUnfinishedJobs)
 	current := max(m.latestKnown, m.version)
@@ -262,8 +263,8 @@
 	return content
 }
 
-// applyRequest returns the content after one request. follows says that earlier requests of the same batch
-// were accepted, so that a request made for the current version comes too late.
+// applyRequest returns the content after one request. follows says that an earlier request of the same batch
+// was accepted, so that a request made for the current version conflicts with it.
 func (m *Manager) applyRequest(content Content, r Request, current uint64, follows bool) (Content, error) {
 	if r.Base != nil && *r.Base != current {
 		return content, &Conflict{*r.Base, current}
--- a/internal/core/configuration/manager.go
+++ b/internal/core/configuration/manager.go
@@ -12,7 +12,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Host is the controller as the Manager needs it.
+// Host gives a Manager access to its controller.
 type Host interface {
 	// Store queues a write. It returns false if the queue is full.
 	Store(w *store.Write) bool
@@ -193,7 +193,7 @@
 	return list
 }
 
-// storedAs returns the version that the batch with an id was stored as, if it was.
+// storedAs returns the version that was stored for the batch with the given id, or false if there is none.
 func (m *Manager) storedAs(id string) (uint64, bool) {
 	if m.headStored && m.head.ID == id {
 		return m.head.Version, true
--- a/internal/core/peering/directory.go
+++ b/internal/core/peering/directory.go
@@ -6,7 +6,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// MaxPeers bounds the other controllers to which one controller is connected.
+// MaxPeers limits the number of other controllers to which a controller is connected.
 const MaxPeers = 32
 
 const (
--- a/internal/core/peering/releases.go
+++ b/internal/core/peering/releases.go
@@ -6,13 +6,13 @@
 // membership and sent with its status. Releases before 0.3 sent none, which counts as 0.
 const Release = 8
 
-// Releases from which on a controller supports a feature.
+// The first release that supports each feature.
 const (
 	ReleaseDependencies  = 3 // jobs with DAG dependencies
 	ReleaseArchive       = 4 // archived jobs
-	ReleaseChunks        = 5 // guard on the first chunk of a description
-	ReleaseTransfers     = 5 // snapshots of released shards
-	ReleaseReplication   = 6 // being the standby of an owner
+	ReleaseChunks        = 5 // guard on the first chunk of a job spec
+	ReleaseTransfers     = 5 // snapshots of shards that are transferred
+	ReleaseReplication   = 6 // acting as the standby of a shard's owner
 	ReleaseCancellations = 7 // lists of cancellations from other controllers
 	ReleaseConfig        = 8 // the stored configuration
 )
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// TrackOlderReleases updates since when all controllers
-// run the tracked releases. It is called with every tick.
+// TrackOlderReleases records, for each tracked release, that a controller
+// still runs an older one or an unknown one. It is called with every tick.
 func (d *Directory) TrackOlderReleases(now units.Microseconds) {
 	for _, release := range trackedReleases {
 		for _, node := range d.names {
@@ -57,8 +57,9 @@
 	}
 }
 
-// AllUpgradedFor reports whether every controller has run a release, ReleaseArchive or ReleaseChunks, or a
-// later one for settleTime. After that, nothing that an older release sent is expected to arrive any more.
+// AllUpgradedFor reports whether all controllers have run the given release, or a later one, for settleTime.
+// After that, nothing that an older release sent is expected to arrive any more. The release must be one of
+// trackedReleases, that is, ReleaseArchive or ReleaseChunks.
 func (d *Directory) AllUpgradedFor(now units.Microseconds, release int, settleTime units.Microseconds) bool {
 	return now-d.olderReleaseAt[release] >= settleTime
 }
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -11,8 +11,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// provisionerHost implements provisioner.Host and demand.Host: it gives the provisioning of a shard's
-// machines and the estimation of its demand access to the shard.
+// provisionerHost implements provisioner.Host and demand.Host: it gives the packages provisioner and demand
+// access to a shard and to this controller.
 type provisionerHost struct {
 	*Core
 	shard *ownedShard
@@ -30,7 +30,8 @@
 // Unreconciled implements provisioner.Host.
 func (h provisionerHost) Unreconciled() map[string]bool { return h.shard.reconciler.Unreconciled() }
 
-// SlotsNeeded implements provisioner.Host. The result is unknown while it is unknown what earlier owners started.
+// SlotsNeeded implements provisioner.Host. It returns false while too many machines have not yet reported which
+// tasks earlier owners started on them, for at most leaseBound after the shard was acquired.
 func (h provisionerHost) SlotsNeeded() (map[autoscaler.Group]autoscaler.Need, bool) {
 	tolerated := provisioner.MaxEarlyDeprovisions(len(h.shard.reconciler.Machines()))
 	// Machines in a lost zone are not counted: their tasks may still run there, but have
--- a/internal/core/ranking/entitlements.go
+++ b/internal/core/ranking/entitlements.go
@@ -5,13 +5,13 @@
 	"shalestage.example/shalestage/internal/core/jobs"
 )
 
-// Entitlements are the shares that the teams' nominal quotas give to their jobs at the time of computation.
+// Entitlements are what the teams' nominal quotas entitle their jobs to, as of the call of Entitle.
 type Entitlements struct {
 	FairShare     map[string]float64 // by team: the fraction of all capacity that is fair for one of its jobs
 	WithinNominal map[string]bool    // by job: it and the team's earlier jobs fit into the team's nominal quota
 }
 
-// Quotas gives access to the teams' nominal quotas (the setting "guarantee"), in thousandths.
+// Quotas gives access to the teams' nominal quotas (the setting "guarantee"), in thousandths of a CPU or GPU.
 type Quotas interface {
 	// Nominal returns a team's nominal quota, or false if the team does not exist.
 	Nominal(team string) (binpack.Vec, bool)
@@ -22,7 +22,7 @@
 // teamDemand accumulates the demand of a team's jobs while Entitle iterates over them.
 type teamDemand struct {
 	nominal    binpack.Vec
-	exists     bool        // the team exists
+	exists     bool        // in the configuration
 	cumulative binpack.Vec // demand of its jobs so far
 	exhausted  bool        // no later job is within the nominal quota
 	jobs       int         // jobs that divide the team's fair share
