--- a/internal/core/scheduler/evict.go
+++ b/internal/core/scheduler/evict.go
@@ -9,8 +9,8 @@
 const (
 	// evictAfter is how long a machine must have been spare before idle-time work on it is stopped.
 	evictAfter = 10 * units.Second
-	// evictRun is the minimum run time of every such task. It keeps the
-	// cost of saving and restarting a small fraction of the run time.
+	// evictRun is the minimum run time of a task on such a machine before it is stopped. It
+	// keeps the cost of saving and restarting a small fraction of the run time.
 	evictRun = 30 * units.Second
 )
 
@@ -41,8 +41,8 @@
 }
 
 // EvictBeforeReclaim returns the commands that stop the tasks of a machine that the
-// cloud is about to reclaim, as far as they cannot complete before that. Stopping
-// them early lets them start elsewhere now instead of after the machine is lost. A
+// cloud is about to reclaim, if they cannot complete before that. Stopping them
+// early lets them start elsewhere now instead of after the machine is lost. A
 // task gets the remaining time to save its progress, if that is long enough.
 func (s *Scheduler) EvictBeforeReclaim(machine *fleet.Machine) []fleet.Command {
 	now := s.host.Now()
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -24,7 +24,8 @@
 	gainFactor = 4
 )
 
-// preemption counts the places that stops are making for a job and that it has not used yet.
+// preemption is the number of a job's tasks for which capacity is being freed by
+// stopping other tasks, and the time of the last such stop.
 type preemption struct {
 	places int
 	at     units.Microseconds
@@ -131,7 +132,7 @@
 	return previous.places
 }
 
-// victims returns the tasks of a machine that may be stopped for a job, least lost work first.
+// victims returns the tasks of a machine that may be stopped for a job, the least lost work first.
 // costless reports whether all of them are preemptible, so that stopping several loses nothing.
 func (s *Scheduler) victims(machine *fleet.Machine, job *jobs.Job, eligible func(*jobs.Job) bool) (victims []victim, costless bool) {
 	now, gain := s.host.Now(), s.demand.Runtime(job.Spec())
--- a/internal/emulator/check/history.go
+++ b/internal/emulator/check/history.go
@@ -13,7 +13,7 @@
 	at        units.Microseconds
 	machine   string
 	text      string
-	important bool
+	important bool // may explain any violation: a fault, a configuration change or another violation
 }
 
 // maxHistoryLines bounds the lines that are kept to explain violations.
@@ -38,7 +38,7 @@
 	c.note(at, nil, "", true, format, args...)
 }
 
-// Digest returns a hash of the history: equal histories have equal digests.
+// Digest returns a hash of all lines, also of those beyond maxHistoryLines: equal histories have equal digests.
 func (c *Checker) Digest() string { return hex.EncodeToString(c.digest.Sum(nil))[:16] }
 
 // Violations returns the violations so far.
@@ -66,7 +66,7 @@
 }
 
 // explain returns an excerpt of the history for a violation: the first and the latest events of the
-// job and its dependencies, the latest events of the machine, and the latest faults.
+// job and its dependencies, the latest events of the machine, and the latest important events.
 func (c *Checker) explain(job *jobRecord, machine string) []string {
 	const maxLines = 40
 	selected := map[int]bool{}
