--- a/internal/emulator/balance/balance.go
+++ b/internal/emulator/balance/balance.go
@@ -177,7 +177,7 @@
 
 // Drain returns and clears the effects since the last call.
 func (b *Balancer) Drain() []any {
-	out := b.effects
+	effects := b.effects
 	b.effects = nil
-	return out
+	return effects
 }
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -226,19 +226,19 @@
 		if !m.isMeasured(measured) {
 			continue
 		}
-		began := measured.startedAt
-		if began == 0 {
-			began = end
+		startedAt := measured.startedAt
+		if startedAt == 0 {
+			startedAt = end
 		}
-		waits = append(waits, max(0, (began-measured.readyAt).Seconds()))
+		waits = append(waits, max(0, (startedAt-measured.readyAt).Seconds()))
 		if measured.Spec.Service {
 			continue
 		}
-		ended := measured.completedAt
-		if ended == 0 {
-			ended = end
+		completedAt := measured.completedAt
+		if completedAt == 0 {
+			completedAt = end
 		}
-		dones = append(dones, max(0, (ended-measured.readyAt).Seconds()))
+		dones = append(dones, max(0, (completedAt-measured.readyAt).Seconds()))
 	}
 	slices.Sort(waits)
 	slices.Sort(dones)
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -80,10 +80,10 @@
 }
 
 // New returns a site without machines.
-func New(cfg Config, rng *rand.Rand) *Site {
-	s := &Site{Cloud: cloudprovider.New(cfg.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Uploads: work.Uploads{}, config: cfg, rng: rng,
+func New(config Config, rng *rand.Rand) *Site {
+	s := &Site{Cloud: cloudprovider.New(config.Cloud, rand.New(rand.NewPCG(rng.Uint64(), 1))), Uploads: work.Uploads{}, config: config, rng: rng,
 		types: map[string]cloudprovider.MachineType{}, workers: map[string]*worker{}, external: map[string]bool{}}
-	for _, t := range cfg.Cloud.Types {
+	for _, t := range config.Cloud.Types {
 		s.types[t.Name] = t
 	}
 	return s
@@ -134,16 +134,16 @@
 // startWorker starts the worker of a machine that is up, here or in a process of its own.
 func (s *Site) startWorker(now units.Microseconds, m *cloudprovider.Machine) {
 	t := s.types[m.Type]
-	cfg := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+	config := machine.Config{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Capacity: Capacity(t), CacheMB: units.MilliDown(t.CacheGB), FetchMBs: max(1, int64(float64(units.MilliDown(t.FetchGBs))*m.FetchSpeed)),
 		HeartbeatEvery: s.config.HeartbeatInterval, Lease: s.config.Lease, Nodes: s.config.Nodes, ClockRate: 1 + s.config.MaxDrift*(2*s.rng.Float64()-1)}
 	fault := machine.Fault{Speed: m.Speed, FailsTasks: m.FailsTasks}
 	if len(s.external) < s.config.ExternalWorkers {
 		s.external[m.Name] = true
-		s.effects = append(s.effects, MachineUp{m}, ExternalWorkerStarted{m, cfg, fault})
+		s.effects = append(s.effects, MachineUp{m}, ExternalWorkerStarted{m, config, fault})
 		return
 	}
-	w := &worker{machine: m, Worker: machine.New(cfg, fault, s.Uploads, now, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))}
+	w := &worker{machine: m, Worker: machine.New(config, fault, s.Uploads, now, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))}
 	s.workers[m.Name] = w
 	s.effects = append(s.effects, MachineUp{m})
 	w.Advance(now)
@@ -304,7 +304,7 @@
 
 // Drain returns and clears the effects since the last call.
 func (s *Site) Drain() []any {
-	out := s.effects
+	effects := s.effects
 	s.effects = nil
-	return out
+	return effects
 }
--- a/internal/emulator/user/trouble.go
+++ b/internal/emulator/user/trouble.go
@@ -27,6 +27,11 @@
 	invalidRequestInterval = units.Second / 2
 )
 
+// readProbes holds the time until which read probes are turned on.
+type readProbes struct {
+	until units.Microseconds
+}
+
 // InvalidSubmission is an effect: a user submits a job that no controller may accept. Spec is nil if
 // the submission lacks a required field.
 type InvalidSubmission struct {
@@ -39,10 +44,12 @@
 
 // ProbeReadsUntil turns on read probes until a time: whenever a job is accepted, ends or is confirmed
 // as cancelled, users call every controller several times within milliseconds.
-func (u *Users) ProbeReadsUntil(until units.Microseconds) { u.probeUntil = max(u.probeUntil, until) }
+func (u *Users) ProbeReadsUntil(until units.Microseconds) {
+	u.probes.until = max(u.probes.until, until)
+}
 
 // ProbingReads reports whether read probes are turned on.
-func (u *Users) ProbingReads(now units.Microseconds) bool { return now < u.probeUntil }
+func (u *Users) ProbingReads(now units.Microseconds) bool { return now < u.probes.until }
 
 // Job returns a job by its id, or nil if there is none.
 func (u *Users) Job(id string) *Job {
@@ -61,7 +68,7 @@
 // scheduleProbes schedules the read probes of a job, if they are turned on. accepted is set if the job
 // was accepted just now.
 func (u *Users) scheduleProbes(now units.Microseconds, j *Job, accepted bool) {
-	if now >= u.probeUntil || !j.Accepted {
+	if now >= u.probes.until || !j.Accepted {
 		return
 	}
 	at := now
--- a/internal/emulator/user/user.go
+++ b/internal/emulator/user/user.go
@@ -119,18 +119,18 @@
 	jobs       []*Job
 	unfinished int     // see Unfinished
 	pollFactor float64 // see SetPollFactor
-	probeUntil units.Microseconds
+	probes     readProbes
 	byID       map[string]*Job // index of the first jobs that were added, see Job
 	indexed    int             // number of jobs in the index
 	effects    []any
 }
 
 // New returns users without jobs.
-func New(opt Options, rng *rand.Rand) *Users {
-	if opt.PollInterval == 0 {
-		opt.PollInterval = 5 * units.Second
+func New(options Options, rng *rand.Rand) *Users {
+	if options.PollInterval == 0 {
+		options.PollInterval = 5 * units.Second
 	}
-	return &Users{options: opt, rng: rng, inFlight: map[uint64]call{}, pollFactor: 1}
+	return &Users{options: options, rng: rng, inFlight: map[uint64]call{}, pollFactor: 1}
 }
 
 // Add schedules a job for submission at its time At.
@@ -398,7 +398,7 @@
 
 // Drain returns and clears the effects since the last call.
 func (u *Users) Drain() []any {
-	out := u.effects
+	effects := u.effects
 	u.effects = nil
-	return out
+	return effects
 }
