--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -7,9 +7,9 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// meter hands what a user did or was told to the meter.
-func (w *World) meter(e any) {
-	m := w.opt.Meter
+// reportToMeter passes an event of a user to the meter.
+func (w *World) reportToMeter(e any) {
+	m := w.options.Meter
 	if m == nil {
 		return
 	}
@@ -23,47 +23,48 @@
 	}
 }
 
-// measure looks at the machines again and again.
-func (w *World) measure() {
-	if w.opt.Meter == nil || w.opt.MeterEvery <= 0 {
+// scheduleMeter samples the machines every MeterInterval.
+func (w *World) scheduleMeter() {
+	if w.options.Meter == nil || w.options.MeterInterval <= 0 {
 		return
 	}
-	w.after(w.opt.MeterEvery, func() {
-		w.opt.Meter.AddSample(w.look())
-		w.measure()
+	w.schedule(w.options.MeterInterval, func() {
+		w.options.Meter.AddSample(w.sampleCPUs())
+		w.scheduleMeter()
 	})
 }
 
-// keepAccount looks at what is paid for, again and again.
-func (w *World) keepAccount() {
-	if w.opt.Account == nil {
+// scheduleAccount reports the billed machines to the account every account.Every.
+func (w *World) scheduleAccount() {
+	if w.options.Account == nil {
 		return
 	}
-	w.after(account.Interval, func() {
+	w.schedule(account.Interval, func() {
 		var list []account.Machine
 		for _, m := range w.Site.Cloud.Billed() {
-			x := account.Machine{Machine: m, Cut: w.now < w.zoneCut[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
-			if k := w.Site.Worker(m.Name); k != nil {
-				running, fetching := k.Usage()
+			x := account.Machine{Machine: m, Cut: w.now < w.zoneCutUntil[m.Zone], CPUs: w.Site.CPUs(m), Rate: w.Site.Cloud.HourlyRate(m)}
+			if worker := w.Site.Worker(m.Name); worker != nil {
+				running, fetching := worker.Usage()
 				x.Up, x.Running, x.Fetching = true, cpus(running), cpus(fetching)
 			}
 			list = append(list, x)
 		}
-		w.opt.Account.Observe(w.now, list)
-		w.keepAccount()
+		w.options.Account.Observe(w.now, list)
+		w.scheduleAccount()
 	})
 }
 
+// cpus returns the CPUs of a resource vector.
 func cpus(v binpack.Vec) float64 { return float64(v[binpack.CPU]) / 1000 }
 
-// look counts the CPUs that are rented, and what they do.
-func (w *World) look() meter.Sample {
+// sampleCPUs counts the CPUs of billed machines and how they are used.
+func (w *World) sampleCPUs() meter.Sample {
 	s := meter.Sample{AtS: w.now.Seconds()}
 	for _, m := range w.Site.Cloud.Billed() {
 		c := w.Site.CPUs(m)
 		s.Rented += c
-		if k := w.Site.Worker(m.Name); k != nil {
-			running, fetching := k.Usage()
+		if worker := w.Site.Worker(m.Name); worker != nil {
+			running, fetching := worker.Usage()
 			s.Running += cpus(running)
 			s.Fetching += cpus(fetching)
 		} else {
@@ -73,8 +74,8 @@
 	return s
 }
 
-// Cheapest is the lowest price of a CPU for an hour that the cloud's list ever names.
-func (w *World) Cheapest() float64 {
+// LowestCPUPrice returns the lowest price of one CPU for an hour among all machine types, on demand or spot.
+func (w *World) LowestCPUPrice() float64 {
 	least := 0.0
 	for _, t := range w.Site.Cloud.Config().Types {
 		for _, p := range []float64{t.Price, t.SpotPrice} {
