--- a/internal/emulator/sim/census.go
+++ b/internal/emulator/sim/census.go
@@ -21,7 +21,7 @@
 // census takes a census now.
 func (w *World) census() Census {
 	census := Census{At: w.now, Keys: map[string]int{}}
-	w.State.Each(func(it kv.Item) { census.Keys[store.KeyGroup(it.Key)]++ })
+	w.State.ForEach(func(it kv.Item) { census.Keys[store.KeyGroup(it.Key)]++ })
 	for _, n := range w.Nodes {
 		if n.incarnation == 0 {
 			continue
--- a/internal/emulator/sim/chunks_test.go
+++ b/internal/emulator/sim/chunks_test.go
@@ -68,9 +68,9 @@
 // storedFindings returns the inconsistencies of the stored records.
 func storedFindings(w *World) []introspect.Finding {
 	in := introspect.NewInspector()
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		if strings.HasPrefix(it.Key, core.Root) {
-			in.Inspect(store.Event{Key: it.Key, Value: it.Value, Stamp: it.Stamp})
+			in.Inspect(store.Event{Key: it.Key, Value: it.Value, Stamp: it.Version})
 		}
 	})
 	return in.Findings()
--- a/internal/emulator/sim/config_test.go
+++ b/internal/emulator/sim/config_test.go
@@ -85,7 +85,7 @@
 		w := limitedTeamWorld(seed+1, 3, 0, Options{})
 		w.Run(25 * second)
 		n := w.ShardOwner(0)
-		w.State.Refuse(n.Name, w.now+15*second)
+		w.State.RefuseClient(n.Name, w.now+15*second)
 		w.Run(w.now + 2*second)
 		other := w.Nodes[(n.index+1)%3].Name
 		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 10, Node: other})
@@ -186,7 +186,7 @@
 		w := limitedTeamWorld(seed+1, 3, 0, Options{Mutation: Mutation{PeerMessage: hideNewerVersions}})
 		w.Run(units.Microseconds(40+seed) * second / 2) // tasks are ending and others starting
 		n := w.ShardOwner(0)
-		w.State.Refuse(n.Name, w.now+60*second)
+		w.State.RefuseClient(n.Name, w.now+60*second)
 		w.InjectFault(scenario.Fault{Kind: scenario.ConfigSet, Team: "blue", CPUsMax: 5, Node: w.Nodes[(n.index+1)%3].Name})
 		w.Run(120 * second)
 		if slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == check.Quota }) {
@@ -216,7 +216,7 @@
 func TestNoConfigStoredWithoutChange(t *testing.T) {
 	w := limitedTeamWorld(1, 3, 0, Options{})
 	w.Run(60 * second)
-	w.State.Each(func(it kv.Item) {
+	w.State.ForEach(func(it kv.Item) {
 		if len(it.Key) > 18 && it.Key[:18] == "shalestage/config/" {
 			t.Errorf("%s is stored without a change", it.Key)
 		}
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -89,11 +89,11 @@
 	until := w.now + units.Seconds(fault.ForS)
 	switch fault.Kind {
 	case scenario.StateOutage:
-		w.State.Down(w.now, until)
+		w.State.SetDown(w.now, until)
 		w.deliverWatchResponses()
 	case scenario.StateRefuse:
 		for _, n := range w.nodesOf(fault.Node) {
-			w.State.Refuse(n.Name, until)
+			w.State.RefuseClient(n.Name, until)
 		}
 	case scenario.StateSlow:
 		w.stateSlowness.until, w.stateSlowness.delay = until, units.Microseconds(fault.DelayMS*1000)
@@ -104,7 +104,7 @@
 	case scenario.StateUnanswered:
 		w.unansweredUntil, w.unansweredShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateLose:
-		w.State.Lose(w.now, fault.LosePrefix(), max(fault.Count, 1))
+		w.State.RollBack(w.now, fault.LosePrefix(), max(fault.Count, 1))
 	default:
 		return false
 	}
--- a/internal/emulator/sim/stateclient.go
+++ b/internal/emulator/sim/stateclient.go
@@ -40,7 +40,7 @@
 	case core.RenewLease:
 		n.renewLease(incarnation, effect)
 	case core.CloseLease:
-		n.callState(callTimeout, false, func() int { return w.State.End(w.now, n.Name, effect.ID) }, func(store.Outcome, int) {})
+		n.callState(callTimeout, false, func() int { return w.State.CloseLease(w.now, n.Name, effect.ID) }, func(store.Outcome, int) {})
 	default:
 		return false
 	}
@@ -122,7 +122,7 @@
 	var id uint64
 	n.callState(callTimeout, false, func() int {
 		var code int
-		id, code = w.State.Open(w.now, n.Name, e.TTL)
+		id, code = w.State.OpenLease(w.now, n.Name, e.TTL)
 		return code
 	}, func(o store.Outcome, _ int) {
 		n.deliver(incarnation, func() { n.core.OnLease(n.steadyClock(), o, id) })
@@ -132,7 +132,7 @@
 // renewLease renews a lease at the state service. Renewals are exempt from the rate limit.
 func (n *Node) renewLease(incarnation int, e core.RenewLease) {
 	w := n.world
-	n.callState(callTimeout, true, func() int { return w.State.Renew(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
+	n.callState(callTimeout, true, func() int { return w.State.RenewLease(w.now, n.Name, e.ID) }, func(o store.Outcome, _ int) {
 		if o != store.OK {
 			w.recordEvent(scenario.RenewalFailed)
 		}
@@ -176,7 +176,7 @@
 			case code == http.StatusNotFound:
 				n.core.OnKey(n.steadyClock(), effect, store.OK, nil, 0, rev)
 			case o == store.OK:
-				n.core.OnKey(n.steadyClock(), effect, o, item.Value, item.Stamp, 0)
+				n.core.OnKey(n.steadyClock(), effect, o, item.Value, item.Version, 0)
 			default:
 				n.core.OnKey(n.steadyClock(), effect, o, nil, 0, 0)
 			}
@@ -188,7 +188,7 @@
 // wait.
 func (n *Node) watch(incarnation int, effect core.Watch) {
 	w := n.world
-	finish := func(o store.Outcome, c kv.Changes) {
+	finish := func(o store.Outcome, c kv.WatchResponse) {
 		n.countChanges(c.Events)
 		n.deliver(incarnation, func() {
 			events := direct.Events(c.Events)
@@ -197,11 +197,11 @@
 		})
 	}
 	if f := w.options.Mutation.ServeFreshRead; f != nil && effect.Fresh && !f() {
-		w.schedule(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: effect.After}) })
+		w.schedule(millis, func() { finish(store.OK, kv.WatchResponse{Code: http.StatusOK, Rev: effect.After}) })
 		return
 	}
 	if !n.stateLimiter.AllowN(limiterTime(w.now), 1) {
-		w.schedule(0, func() { finish(store.Refused, kv.Changes{}) })
+		w.schedule(0, func() { finish(store.Refused, kv.WatchResponse{}) })
 		return
 	}
 	wait := readTimeout
@@ -209,7 +209,7 @@
 		wait = callTimeout + effect.Wait
 	}
 	if effect.Fresh && w.options.Mutation.StaleReads {
-		w.schedule(millis, func() { finish(store.OK, kv.Changes{Code: http.StatusOK, Rev: effect.After}) })
+		w.schedule(millis, func() { finish(store.OK, kv.WatchResponse{Code: http.StatusOK, Rev: effect.After}) })
 		return
 	}
 	var id uint64
@@ -217,7 +217,7 @@
 		w.net.request(n.Name, scenario.PartyState, wait, func(answer func(func())) {
 			w.lastWatchID++
 			id = w.lastWatchID
-			w.watchResponses[id] = func(c kv.Changes) {
+			w.watchResponses[id] = func(c kv.WatchResponse) {
 				w.schedule(w.stateTime(), func() { answer(func() { finish(outcomeOf(c.Code), c) }) })
 			}
 			w.State.Watch(w.now, id, n.Name, core.Root, effect.After, effect.Wait)
@@ -227,9 +227,9 @@
 				f()
 				return
 			}
-			w.State.Close(id)
+			w.State.CloseWatch(id)
 			delete(w.watchResponses, id)
-			finish(store.Unknown, kv.Changes{})
+			finish(store.Unknown, kv.WatchResponse{})
 		})
 	})
 }
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -93,7 +93,7 @@
 	net            network
 	balancer       *balance.Balancer
 	noise          bool
-	watchResponses map[uint64]func(kv.Changes) // callbacks of open watches by watch id
+	watchResponses map[uint64]func(kv.WatchResponse) // callbacks of open watches by watch id
 	lastWatchID    uint64
 	starts         int
 	stateSlowness  struct {
@@ -122,7 +122,7 @@
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, n)) }
 	w := &World{zoneCutUntil: map[string]units.Microseconds{}, eventCounts: map[string]int{}, combinations: newFaultCombinations(), Scenario: s, Check: check.New(s.Check()), State: kv.New(s.State.KV(), stream(11)), Site: site.New(s.Site(), stream(12)),
 		Users:   user.New(s.UserOptions(), stream(14)),
-		options: opt, rng: stream(16), noise: opt.Noise, watchResponses: map[uint64]func(kv.Changes){}, interactions: faultInteractions{unreadWrites: map[string]string{}}}
+		options: opt, rng: stream(16), noise: opt.Noise, watchResponses: map[uint64]func(kv.WatchResponse){}, interactions: faultInteractions{unreadWrites: map[string]string{}}}
 	w.net = network{world: w, links: map[link]impairment{}}
 	w.balancer = balance.New(s.Controllers.Count, 0, stream(13))
 	for _, j := range s.Plan(0, stream(15)) {
