--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -123,13 +123,13 @@
 // listen opens a machine's own address, on which it receives direct commands. The address is assigned when the
 // machine is created; requests get no response before its worker starts.
 func (c *Cloud) listen(m *cloudprovider.Machine) {
-	l, err := net.Listen("tcp4", net.JoinHostPort(c.host, "0"))
+	listener, err := net.Listen("tcp4", net.JoinHostPort(c.host, "0"))
 	if err != nil {
 		c.log.Error("cannot open a listener for a machine", "machine", m.Name, "err", err)
 		return
 	}
-	m.Addr = l.Addr().String()
-	c.listeners[m.Name] = l
+	m.Addr = listener.Addr().String()
+	c.listeners[m.Name] = listener
 	handler := c.machineHandler(m.Name)
 	go func() { // returns when the machine is deleted
 		_ = newServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -138,7 +138,7 @@
 				return
 			}
 			handler.ServeHTTP(w, req)
-		})).Serve(l)
+		})).Serve(listener)
 	}()
 }
 
--- a/internal/emulator/host/disk.go
+++ b/internal/emulator/host/disk.go
@@ -109,12 +109,12 @@
 }
 
 // Write atomically stores the changes since the last call.
-func (d *Disk) Write(s *kv.Service) error {
+func (d *Disk) Write(service *kv.Service) error {
 	type change struct {
 		bucket, key, value []byte
 	}
 	var changes []change
-	s.DrainChanged(func(it kv.Item, ok bool) {
+	service.DrainChanged(func(it kv.Item, ok bool) {
 		var v []byte
 		if ok {
 			v, _ = json.Marshal(diskRecord{it.Value, it.Version, it.Lease}) // cannot fail: all fields are plain data
@@ -144,10 +144,10 @@
 			}
 		}
 		meta := tx.Bucket(metaBucket)
-		if err := meta.Put(leaseKey, encodeUint64(s.LastLeaseID())); err != nil {
+		if err := meta.Put(leaseKey, encodeUint64(service.LastLeaseID())); err != nil {
 			return err
 		}
-		return meta.Put(revKey, encodeUint64(s.Rev()))
+		return meta.Put(revKey, encodeUint64(service.Rev()))
 	})
 }
 
--- a/internal/emulator/host/host_test.go
+++ b/internal/emulator/host/host_test.go
@@ -54,59 +54,59 @@
 
 // TestStateOverHTTP checks the emulated state service with the client that controllers use.
 func TestStateOverHTTP(t *testing.T) {
-	s := newState(t, nil)
-	c := state.New(listen(t, s.Handler("node-0")), 1000, 1000, discardLog)
-	o, id := c.OpenLease(t.Context(), 5*units.Second)
+	service := newState(t, nil)
+	stateClient := state.New(listen(t, service.Handler("node-0")), 1000, 1000, discardLog)
+	o, id := stateClient.OpenLease(t.Context(), 5*units.Second)
 	if o != store.OK || id == 0 {
 		t.Fatalf("lease: %v, %d", o, id)
 	}
 	txn := &store.Txn{Guards: []store.Guard{{Key: "p/a b"}}}
-	if o, _, _ := c.Commit(t.Context(), txn); o != store.TooLarge {
+	if o, _, _ := stateClient.Commit(t.Context(), txn); o != store.TooLarge {
 		t.Errorf("commit with a key that contains a space: %v", o)
 	}
 	txn = &store.Txn{Guards: []store.Guard{{Key: "p/a"}}, Changes: []store.Change{{Key: "p/a", Value: []byte(`{"x":1}`), Lease: id}, {Key: "p/b/c", Value: []byte("null")}}}
-	o, rev, _ := c.Commit(t.Context(), txn)
+	o, rev, _ := stateClient.Commit(t.Context(), txn)
 	if o != store.OK || rev != 1 {
 		t.Fatalf("commit: %v at %d", o, rev)
 	}
-	if o, _, failed := c.Commit(t.Context(), txn); o != store.Failed || len(failed) != 1 || failed[0] != "p/a" {
+	if o, _, failed := stateClient.Commit(t.Context(), txn); o != store.Failed || len(failed) != 1 || failed[0] != "p/a" {
 		t.Errorf("the same transaction again: %v, failed guards %v", o, failed)
 	}
-	if o, _, _ := c.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: "p/d", Value: []byte("1"), Lease: 99}}}); o != store.Failed {
+	if o, _, _ := stateClient.Commit(t.Context(), &store.Txn{Changes: []store.Change{{Key: "p/d", Value: []byte("1"), Lease: 99}}}); o != store.Failed {
 		t.Errorf("commit with a lease that does not exist: %v", o)
 	}
 	watched := make(chan []store.Event)
 	go func() {
-		_, _, events, _ := c.Watch(t.Context(), "p/", 1, 20*units.Second)
+		_, _, events, _ := stateClient.Watch(t.Context(), "p/", 1, 20*units.Second)
 		watched <- events
 	}()
-	if o := c.RenewLease(t.Context(), id); o != store.OK {
+	if o := stateClient.RenewLease(t.Context(), id); o != store.OK {
 		t.Errorf("lease renewal: %v", o)
 	}
-	c.CloseLease(t.Context(), id)
+	stateClient.CloseLease(t.Context(), id)
 	if events := <-watched; len(events) != 1 || events[0].Key != "p/a" || events[0].Value != nil {
 		t.Errorf("events when a lease is closed: %+v", events)
 	}
-	if o := c.RenewLease(t.Context(), id); o != store.Failed {
+	if o := stateClient.RenewLease(t.Context(), id); o != store.Failed {
 		t.Errorf("renewal of a closed lease: %v", o)
 	}
-	if o, rev, items, more := c.List(t.Context(), "p/", "", 500); o != store.OK || rev != 2 || more || len(items) != 1 || items[0].Key != "p/b/c" {
+	if o, rev, items, more := stateClient.List(t.Context(), "p/", "", 500); o != store.OK || rev != 2 || more || len(items) != 1 || items[0].Key != "p/b/c" {
 		t.Errorf("listing: %v at %d: %+v", o, rev, items)
 	}
-	if o, value, version, _ := c.Get(t.Context(), "p/b/c"); o != store.OK || value == nil || version != 1 {
+	if o, value, version, _ := stateClient.Get(t.Context(), "p/b/c"); o != store.OK || value == nil || version != 1 {
 		t.Errorf("get: %v, %s at revision %d", o, value, version)
 	}
-	if o, value, _, rev := c.Get(t.Context(), "p/none"); o != store.OK || value != nil || rev != 2 {
+	if o, value, _, rev := stateClient.Get(t.Context(), "p/none"); o != store.OK || value != nil || rev != 2 {
 		t.Errorf("get of a missing key: %v, %s, revision %d", o, value, rev)
 	}
-	if _, _, _, gone := c.Watch(t.Context(), "p/", 0, 0); gone {
+	if _, _, _, gone := stateClient.Watch(t.Context(), "p/", 0, 0); gone {
 		t.Error("a watch from two changes ago is refused as too old")
 	}
-	s.Do(func(now units.Microseconds, m *kv.Service) { m.RefuseClient("node-0", now+units.Second) })
-	if o, _, _, _ := c.List(t.Context(), "p/", "", 500); o != store.Refused {
+	service.Do(func(now units.Microseconds, m *kv.Service) { m.RefuseClient("node-0", now+units.Second) })
+	if o, _, _, _ := stateClient.List(t.Context(), "p/", "", 500); o != store.Refused {
 		t.Errorf("listing while this client is refused: %v", o)
 	}
-	other := state.New(listen(t, s.Handler("node-1")), 1000, 1000, discardLog)
+	other := state.New(listen(t, service.Handler("node-1")), 1000, 1000, discardLog)
 	if o, _, _, _ := other.List(t.Context(), "p/", "", 500); o != store.OK {
 		t.Errorf("listing of another client meanwhile: %v", o)
 	}
@@ -148,11 +148,11 @@
 		if err := os.WriteFile(filepath.Join(crashDir, "state.db"), b, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		d, err := OpenDisk(crashDir)
+		crashed, err := OpenDisk(crashDir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		gotRev, lastLease, items, leases, err := d.Read()
+		gotRev, lastLease, items, leases, err := crashed.Read()
 		if err != nil || gotRev != rev || lastLease != lease || len(leases) != 1 || leases[0].TTL != 60*units.Second {
 			t.Fatalf("after commit %d: revision %d, want %d; last lease %d, leases %+v; %v", i, gotRev, rev, lastLease, leases, err)
 		}
@@ -163,7 +163,7 @@
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("after commit %d: keys %v, want %v", i, got, want)
 		}
-		if err := d.Close(); err != nil {
+		if err := crashed.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -176,9 +176,9 @@
 		Types: []cloudprovider.MachineType{{Name: "big", CPUs: 4, MemoryGB: 8, FetchGBs: 1, Price: 1, Boot: 3600 * units.Second, Zones: []string{"z"}}}}}, rand.New(rand.NewPCG(1, 1)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, discardLog)
-	go c.Run()
-	client := cloud.New(listen(t, c.Handler()), 1000, discardLog)
+	emulated := NewCloud(ctx, st, nil, "127.0.0.1", 0, nil, discardLog)
+	go emulated.Run()
+	client := cloud.New(listen(t, emulated.Handler()), 1000, discardLog)
 	yes := func() bool { return true }
 	if o, types := client.Types(t.Context()); o != store.OK || len(types) != 1 || types[0].Name != "big" {
 		t.Fatalf("types: %v, %+v", o, types)
@@ -204,7 +204,7 @@
 	if _, hosts := client.List(t.Context()); len(hosts) != 1 {
 		t.Errorf("machines after the scale-in: %+v", hosts)
 	}
-	c.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.SetDown(now + units.Second) })
+	emulated.Do(func(now units.Microseconds, s *site.Site) { s.Cloud.SetDown(now + units.Second) })
 	if o, _ := client.ScaleOut(t.Context(), "r-4", r, yes); o != store.Refused {
 		t.Errorf("scale-out while the cloud is down: %v", o)
 	}
@@ -215,14 +215,14 @@
 func TestLinkImpairments(t *testing.T) {
 	echo := listen(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	l := link.New(echo)
-	in, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
+	defer listener.Close()
 	defer l.Close()
-	go func() { _ = l.Serve(in) }() // ends with the listener
-	c := &http.Client{Timeout: 20 * time.Second}
+	go func() { _ = l.Serve(listener) }() // ends with the listener
+	httpClient := &http.Client{Timeout: 20 * time.Second}
 	impair := func(m link.Mode, d time.Duration) time.Time {
 		u := time.Now().Add(d)
 		l.SetImpairment(link.Impairment{Mode: m, Until: u, Interval: time.Millisecond}, true, true)
@@ -230,7 +230,7 @@
 	}
 	for _, m := range []link.Mode{link.Pass, link.Hold, link.Trickle, link.Delay, link.Drop, link.Reset} {
 		end := impair(m, 300*time.Millisecond)
-		resp, err := c.Get("http://" + in.Addr().String())
+		resp, err := httpClient.Get("http://" + listener.Addr().String())
 		if err == nil {
 			_ = resp.Body.Close()
 		}
@@ -241,7 +241,7 @@
 		if m == link.Hold && time.Now().Before(end) {
 			t.Error("held bytes arrived before the impairment ended")
 		}
-		c.CloseIdleConnections()
+		httpClient.CloseIdleConnections()
 		impair(link.Pass, 0)
 	}
 }
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -248,10 +248,10 @@
 }
 
 func (s *State) watch(w http.ResponseWriter, req *http.Request, client string) {
-	q := req.URL.Query()
-	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
+	query := req.URL.Query()
+	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	wait := int64(0)
-	if v := q.Get("wait_ms"); v != "" && err == nil {
+	if v := query.Get("wait_ms"); v != "" && err == nil {
 		wait, err = strconv.ParseInt(v, 10, 64)
 	}
 	if err != nil || wait < 0 {
@@ -264,7 +264,7 @@
 		s.lastWatchID++
 		id = s.lastWatchID
 		s.watches[id] = ch
-		s.kv.Watch(now, id, client, q.Get("starts"), after, units.Microseconds(wait)*1000)
+		s.kv.Watch(now, id, client, query.Get("starts"), after, units.Microseconds(wait)*1000)
 	}) {
 		return
 	}
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -47,23 +47,23 @@
 	return nil
 }
 
-func (u *Users) call(e user.Call) {
-	ctx, cancel := context.WithTimeout(u.ctx, time.Duration(e.Wait)*time.Microsecond)
+func (u *Users) call(request user.Call) {
+	ctx, cancel := context.WithTimeout(u.ctx, time.Duration(request.Wait)*time.Microsecond)
 	defer cancel()
 	var r client.Reply
 	var err error
-	switch e.Kind {
+	switch request.Kind {
 	case user.Submit:
-		r, err = u.client.Submit(ctx, e.ID, e.Spec)
+		r, err = u.client.Submit(ctx, request.ID, request.Spec)
 	case user.Poll:
-		r, err = u.client.Poll(ctx, e.ID)
+		r, err = u.client.Poll(ctx, request.ID)
 	case user.Cancel:
-		r, err = u.client.Cancel(ctx, e.ID)
+		r, err = u.client.Cancel(ctx, request.ID)
 	}
 	if err != nil {
 		r = client.Reply{}
 	}
 	u.loop.enqueue(u.ctx, func(now units.Microseconds) {
-		u.crowd.Answer(now, e.Number, user.Answer{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
+		u.crowd.Answer(now, request.Number, user.Answer{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
 	})
 }
--- a/internal/emulator/host/worker_test.go
+++ b/internal/emulator/host/worker_test.go
@@ -87,12 +87,12 @@
 	defer cancel()
 	w := NewWorker(ctx, map[string]map[string]string{"a": {"node-0": node}}, jobs, store, rand.New(rand.NewPCG(1, 1)), discardLog)
 	go w.Run()
-	c := machine.Config{Name: "n-1", Type: "big", Zone: "a", Capacity: binpack.Vec{4000, 0, 8000}, FetchMBs: 1000,
+	config := machine.Config{Name: "n-1", Type: "big", Zone: "a", Capacity: binpack.Vec{4000, 0, 8000}, FetchMBs: 1000,
 		HeartbeatEvery: units.Second / 2, Lease: 60 * units.Second, Nodes: []string{"node-0"}}
-	if err := w.Start(c, machine.Fault{Speed: 1}); err != nil {
+	if err := w.Start(config, machine.Fault{Speed: 1}); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Start(c, machine.Fault{Speed: 1}); err == nil {
+	if err := w.Start(config, machine.Fault{Speed: 1}); err == nil {
 		t.Error("a second machine was started while the first runs")
 	}
 	endReported := func() bool {
@@ -118,7 +118,7 @@
 	if w.Bytes() == 0 || w.HeartbeatsSent() < 2 || w.Running() != 0 {
 		t.Errorf("after the stop: %d bytes, %d heartbeats, %d running tasks", w.Bytes(), w.HeartbeatsSent(), w.Running())
 	}
-	if err := w.Start(c, machine.Fault{Speed: 1}); err != nil {
+	if err := w.Start(config, machine.Fault{Speed: 1}); err != nil {
 		t.Errorf("start of another machine after the first was stopped: %v", err)
 	}
 }
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -317,7 +317,7 @@
 	if page == 0 {
 		page = MaxPageItems
 	}
-	l := Listing{Code: http.StatusOK, Rev: s.rev}
+	listing := Listing{Code: http.StatusOK, Rev: s.rev}
 	size := 0
 	s.keys.AscendGreaterOrEqual(Item{Key: max(prefix, after)}, func(it Item) bool {
 		if !strings.HasPrefix(it.Key, prefix) {
@@ -327,14 +327,14 @@
 			return true
 		}
 		size += len(it.Key) + len(it.Value) + 48
-		if len(l.Items) == page || size > MaxPageBytes && len(l.Items) > 0 {
-			l.More = true
+		if len(listing.Items) == page || size > MaxPageBytes && len(listing.Items) > 0 {
+			listing.More = true
 			return false
 		}
-		l.Items = append(l.Items, it)
+		listing.Items = append(listing.Items, it)
 		return true
 	})
-	return l
+	return listing
 }
 
 // Commit applies a transaction atomically.
@@ -394,28 +394,28 @@
 	}
 	s.rev++
 	record := undoRecord{rev: s.rev}
-	for _, c := range changes {
-		old, had := s.keys.Get(Item{Key: c.Key})
+	for _, change := range changes {
+		old, had := s.keys.Get(Item{Key: change.Key})
 		if !had {
-			old = Item{Key: c.Key}
+			old = Item{Key: change.Key}
 		}
 		record.before = append(record.before, old)
 		if l := s.leases[old.Lease]; l != nil {
-			delete(l.keys, c.Key)
+			delete(l.keys, change.Key)
 		}
 		switch {
-		case c.Value != nil:
-			s.keys.ReplaceOrInsert(Item{c.Key, c.Value, s.rev, c.Lease})
-			if l := s.leases[c.Lease]; l != nil {
-				l.keys[c.Key] = true
+		case change.Value != nil:
+			s.keys.ReplaceOrInsert(Item{change.Key, change.Value, s.rev, change.Lease})
+			if l := s.leases[change.Lease]; l != nil {
+				l.keys[change.Key] = true
 			}
 		case had:
 			s.keys.Delete(old)
 		default:
 			continue // deletes a key that doesn't exist
 		}
-		s.history = append(s.history, Event{c.Key, c.Value, s.rev})
-		s.markKeyChanged(c.Key)
+		s.history = append(s.history, Event{change.Key, change.Value, s.rev})
+		s.markKeyChanged(change.Key)
 	}
 	if over := len(s.history) - MaxHistory; over >= MaxHistory/4 {
 		s.compactedRevision = max(s.compactedRevision, s.history[over-1].Version)
@@ -640,22 +640,22 @@
 	return len(lost)
 }
 
-func (s *Service) restoreItem(it Item) {
-	s.markKeyChanged(it.Key)
-	if now, had := s.keys.Get(it); had {
+func (s *Service) restoreItem(item Item) {
+	s.markKeyChanged(item.Key)
+	if now, had := s.keys.Get(item); had {
 		if l := s.leases[now.Lease]; l != nil {
-			delete(l.keys, it.Key)
+			delete(l.keys, item.Key)
 		}
 	}
-	if it.Version == 0 {
-		s.keys.Delete(it)
+	if item.Version == 0 {
+		s.keys.Delete(item)
 		return
 	}
-	if l := s.leases[it.Lease]; l != nil {
-		l.keys[it.Key] = true
-	} else if it.Lease != 0 { // its lease no longer exists, so neither does the key
-		s.keys.Delete(it)
+	if l := s.leases[item.Lease]; l != nil {
+		l.keys[item.Key] = true
+	} else if item.Lease != 0 { // its lease no longer exists, so neither does the key
+		s.keys.Delete(item)
 		return
 	}
-	s.keys.ReplaceOrInsert(it)
+	s.keys.ReplaceOrInsert(item)
 }
--- a/internal/emulator/kv/kv_test.go
+++ b/internal/emulator/kv/kv_test.go
@@ -37,7 +37,7 @@
 // reference follows the service's expiries within that bound.
 func TestServiceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 64, TxnOps: 4}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		service := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 64, TxnOps: 4}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		r := &reference{keys: map[string]Item{}, latest: map[uint64]units.Microseconds{}, earliest: map[uint64]units.Microseconds{}}
 		now := units.Microseconds(0)
 		ttl := map[uint64]units.Microseconds{}
@@ -54,7 +54,7 @@
 		// expireLeases removes the leases from the reference that have expired in the service, and checks the time.
 		expireLeases := func() {
 			for _, id := range slices.Sorted(maps.Keys(r.latest)) {
-				ended := s.leases[id] == nil
+				ended := service.leases[id] == nil
 				if ended && now < r.earliest[id] {
 					t.Fatalf("lease %d expired at %d, want %d at the earliest", id, now, r.earliest[id])
 				}
@@ -80,12 +80,12 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
 				now += units.Microseconds(rapid.Int64Range(0, 3_000_000).Draw(t, "d"))
-				s.Advance(now)
+				service.Advance(now)
 				expireLeases()
 			},
 			"outage": func(t *rapid.T) {
 				down = max(down, now+units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "for")))
-				s.SetDown(now, down)
+				service.SetDown(now, down)
 				expireLeases()
 				for id := range r.latest {
 					r.earliest[id], r.latest[id] = max(r.earliest[id], down+ttl[id]), max(r.latest[id], down+ttl[id]+maxExpiryDelay)
@@ -93,7 +93,7 @@
 			},
 			"open": func(t *rapid.T) {
 				d := units.Microseconds(rapid.Int64Range(0, 5_000_000).Draw(t, "ttl"))
-				id, code := s.OpenLease(now, "x", d)
+				id, code := service.OpenLease(now, "x", d)
 				expireLeases()
 				if ok := d >= minTTL && now >= down; ok != (code == http.StatusOK) {
 					t.Fatalf("lease with TTL %d: status %d", d, code)
@@ -105,7 +105,7 @@
 			},
 			"renew": func(t *rapid.T) {
 				id := lease(t)
-				code := s.RenewLease(now, "x", id)
+				code := service.RenewLease(now, "x", id)
 				expireLeases()
 				if now < down {
 					return
@@ -137,9 +137,9 @@
 					}
 					txn.Guards = append(txn.Guards, Guard{k, version})
 				}
-				s.Advance(now)
+				service.Advance(now)
 				expireLeases()
-				res := s.Commit(now, "x", txn)
+				res := service.Commit(now, "x", txn)
 				want := http.StatusOK
 				switch {
 				case now < down:
@@ -168,15 +168,15 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if s.rev != r.rev {
-					t.Fatalf("revision %d, want %d", s.rev, r.rev)
+				if service.rev != r.rev {
+					t.Fatalf("revision %d, want %d", service.rev, r.rev)
 				}
 				if now < down {
 					return
 				}
 				var got []Item
 				for after := ""; ; {
-					l := s.List(now, "x", "", after, 3)
+					l := service.List(now, "x", "", after, 3)
 					got = append(got, l.Items...)
 					if !l.More {
 						break
@@ -191,14 +191,14 @@
 					t.Fatalf("keys %v, want %v", got, want)
 				}
 				after := rapid.Uint64Range(0, r.rev).Draw(t, "after")
-				s.Watch(now, 1, "x", "a/", after, 0)
+				service.Watch(now, 1, "x", "a/", after, 0)
 				var events []Event
 				for _, e := range r.history {
 					if e.Version > after && strings.HasPrefix(e.Key, "a/") {
 						events = append(events, e)
 					}
 				}
-				out := s.Drain()
+				out := service.Drain()
 				if len(out) != 1 || out[0].Code != http.StatusOK || fmt.Sprint(out[0].Events) != fmt.Sprint(events) {
 					t.Fatalf("watch after %d: %+v, want %v", after, out, events)
 				}
@@ -210,27 +210,27 @@
 // TestRateLimitPageSizeAndHistory checks the burst that the rate limit allows, the size limit of a page, and that a
 // watch gets 410 if the history doesn't reach back to its revision.
 func TestRateLimitPageSizeAndHistory(t *testing.T) {
-	s := New(Limits{Rate: 10, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 1000}, rand.New(rand.NewPCG(1, 1)))
+	service := New(Limits{Rate: 10, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 1000}, rand.New(rand.NewPCG(1, 1)))
 	codes := map[int]int{}
 	for range 25 {
-		_, _, code := s.Get(0, "x", "k")
+		_, _, code := service.Get(0, "x", "k")
 		codes[code]++
 	}
 	if codes[http.StatusNotFound] != 10 || codes[http.StatusTooManyRequests] != 15 {
 		t.Fatalf("status codes of a burst of 25 requests at 10 per second: %v", codes)
 	}
-	s.SetLimits(Limits{Rate: 1e9, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 1000})
+	service.SetLimits(Limits{Rate: 1e9, WriteRate: 1e9, ValueBytes: 8 << 10, TxnOps: 1000})
 	big := json.RawMessage(`"` + strings.Repeat("x", 4000) + `"`)
 	for i := range 13 {
 		var changes []Change
 		for k := range 15 {
 			changes = append(changes, Change{Key: fmt.Sprintf("big/%03d", i*15+k), Value: big})
 		}
-		if res := s.Commit(0, "x", Txn{Changes: changes}); res.Code != http.StatusOK {
+		if res := service.Commit(0, "x", Txn{Changes: changes}); res.Code != http.StatusOK {
 			t.Fatalf("commit: %+v", res)
 		}
 	}
-	l := s.List(0, "x", "big/", "", 1000)
+	l := service.List(0, "x", "big/", "", 1000)
 	size := 0
 	for _, it := range l.Items {
 		size += len(it.Value)
@@ -238,14 +238,14 @@
 	if !l.More || size > MaxPageBytes || len(l.Items) < 100 {
 		t.Fatalf("page has %d items, %d bytes, more: %v", len(l.Items), size, l.More)
 	}
-	first := s.Rev()
+	first := service.Rev()
 	for i := range MaxHistory + MaxHistory/2 {
-		s.Commit(0, "x", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage(fmt.Sprint(i))}}})
+		service.Commit(0, "x", Txn{Changes: []Change{{Key: "k", Value: json.RawMessage(fmt.Sprint(i))}}})
 	}
-	for after, want := range map[uint64]int{first: http.StatusGone, s.Rev() - MaxHistory: http.StatusOK, s.Rev() - 1: http.StatusOK} {
-		s.Watch(0, 1, "x", "k", after, 0)
-		if out := s.Drain(); len(out) != 1 || out[0].Code != want {
-			t.Errorf("watch after revision %d of %d: status %d, want %d", after, s.Rev(), out[0].Code, want)
+	for after, want := range map[uint64]int{first: http.StatusGone, service.Rev() - MaxHistory: http.StatusOK, service.Rev() - 1: http.StatusOK} {
+		service.Watch(0, 1, "x", "k", after, 0)
+		if out := service.Drain(); len(out) != 1 || out[0].Code != want {
+			t.Errorf("watch after revision %d of %d: status %d, want %d", after, service.Rev(), out[0].Code, want)
 		}
 	}
 }
@@ -272,23 +272,23 @@
 // TestRollBack rolls back a committed transaction. The revision must fall, and later transactions on other keys
 // must be undone, too.
 func TestRollBack(t *testing.T) {
-	s := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 100, TxnOps: 4}, rand.New(rand.NewPCG(1, 1)))
+	service := New(Limits{Rate: 1e6, WriteRate: 1e6, ValueBytes: 100, TxnOps: 4}, rand.New(rand.NewPCG(1, 1)))
 	put := func(k, v string) {
-		s.Commit(0, "x", Txn{Changes: []Change{{Key: k, Value: json.RawMessage(v)}}})
+		service.Commit(0, "x", Txn{Changes: []Change{{Key: k, Value: json.RawMessage(v)}}})
 	}
 	put("job/1", "1")
 	put("seat/a", "1")
 	put("job/1", "2")
 	put("seat/a", "2")
-	if n := s.RollBack(0, "job/", 1); n != 2 {
+	if n := service.RollBack(0, "job/", 1); n != 2 {
 		t.Fatalf("%d transactions were undone, want 2", n)
 	}
-	job, rev, _ := s.Get(0, "x", "job/1")
-	seat, _, _ := s.Get(0, "x", "seat/a")
-	if rev != 2 && s.Rev() != 2 || string(job.Value) != "1" || string(seat.Value) != "1" {
-		t.Fatalf("after the rollback: revision %d, items %+v, %+v", s.Rev(), job, seat)
+	job, rev, _ := service.Get(0, "x", "job/1")
+	seat, _, _ := service.Get(0, "x", "seat/a")
+	if rev != 2 && service.Rev() != 2 || string(job.Value) != "1" || string(seat.Value) != "1" {
+		t.Fatalf("after the rollback: revision %d, items %+v, %+v", service.Rev(), job, seat)
 	}
-	if n := s.RollBack(0, "none/", 1); n != 0 {
+	if n := service.RollBack(0, "none/", 1); n != 0 {
 		t.Fatalf("%d transactions were undone, want 0: none has the prefix", n)
 	}
 }
