--- a/cmd/shalestage/explore.go
+++ b/cmd/shalestage/explore.go
@@ -61,13 +61,13 @@
 	}
 	debug.SetGCPercent(400) // a state is played and forgotten
 	r := explore.Search(begin, explore.Options{Depth: o.Depth, Within: o.Within,
-		Say: func(depth, states int) { fmt.Fprintf(os.Stderr, "depth %d: %d states\n", depth, states) }})
-	fmt.Printf("%d states by %d moves, all histories of up to %d moves, in %.1f s\n", r.States, r.Moves, r.Depth, r.Took.Seconds())
-	if r.Broken == "" {
+		OnDepth: func(depth, states int) { fmt.Fprintf(os.Stderr, "depth %d: %d states\n", depth, states) }})
+	fmt.Printf("%d states by %d moves, all histories of up to %d moves, in %.1f s\n", r.States, r.Transitions, r.Depth, r.Elapsed.Seconds())
+	if r.Violation == "" {
 		return nil
 	}
-	for _, l := range tell(r.History) {
+	for _, l := range tell(r.Counterexample) {
 		fmt.Println(l)
 	}
-	return exit{exitFailed, fmt.Errorf("after %d moves %s", len(r.History), r.Broken)}
+	return exit{exitFailed, fmt.Errorf("after %d moves %s", len(r.Counterexample), r.Violation)}
 }
--- a/cmd/shalestage/rehearse.go
+++ b/cmd/shalestage/rehearse.go
@@ -139,18 +139,18 @@
 		}
 	}
 	if !o.Real {
-		rehearse.Each(len(plays), func(i int) rehearse.Verdict {
+		rehearse.ForEachOrdered(len(plays), func(i int) rehearse.Verdict {
 			op := opt
 			op.Seed = plays[i].seed
 			if o.Account {
 				op.Account = account.New()
 			}
-			return rehearse.Play(plays[i].file, plays[i].s, op)
+			return rehearse.Simulate(plays[i].file, plays[i].s, op)
 		}, got)
 		return list, nil
 	}
 	for _, p := range plays {
-		v, err := rehearse.PlayReal(p.file, p.s)
+		v, err := rehearse.RunProcesses(p.file, p.s)
 		if err != nil {
 			return list, err
 		}
@@ -182,7 +182,7 @@
 func (o *rehearseCmd) judge(plays []plannedPlay, list []rehearse.Verdict) error {
 	broken := 0
 	for i, v := range list {
-		if v.Kept {
+		if v.Passed {
 			continue
 		}
 		broken++
@@ -214,7 +214,7 @@
 func printMet(list []rehearse.Verdict) {
 	count, of := map[string]map[string]int{}, 0
 	for _, v := range list {
-		for _, m := range v.Met {
+		for _, m := range v.Triggered {
 			if count[m.Kind] == nil {
 				count[m.Kind] = map[string]int{}
 			}
@@ -249,12 +249,12 @@
 // print tells a verdict in a line, and what was broken in more.
 func (o *rehearseCmd) print(v rehearse.Verdict) {
 	word := "kept  "
-	if !v.Kept {
+	if !v.Passed {
 		word = "BROKEN"
 	}
 	fmt.Printf("%s %-32s seed %-6d %s  %d of %d jobs over, %d tasks started, longest %.1f s, money %.3f, %d faults (%.1f s)\n",
-		word, v.Name, v.Seed, v.Digest, v.Over, v.Jobs, v.Starts, v.Wait, v.Money, len(v.Faults), v.Took)
-	for _, b := range v.Broken {
+		word, v.Name, v.Seed, v.Digest, v.FinishedJobs, v.Jobs, v.Starts, v.Wait, v.Cost, len(v.Faults), v.DurationS)
+	for _, b := range v.Violations {
 		fmt.Printf("  %.3f %s: %s\n", b.At, b.Rule, b.Text)
 		for _, l := range b.History {
 			fmt.Printf("    %s\n", l)
@@ -266,7 +266,7 @@
 	for _, m := range v.Missed {
 		fmt.Printf("  %s\n", m)
 	}
-	if !v.Kept && !v.Real {
+	if !v.Passed && !v.Real {
 		fmt.Printf("  again: shalestage rehearse %s --seed %d\n", v.File, v.Seed)
 	}
 }
--- a/internal/emulator/sim/cloudclient.go
+++ b/internal/emulator/sim/cloudclient.go
@@ -119,7 +119,7 @@
 		return code
 	}, func(o store.Outcome) {
 		if o == store.Refused && none {
-			w.happened(scenario.NoRoom)
+			w.happened(scenario.CapacityExhausted)
 			o = store.Failed
 		}
 		n.back(life, func() { n.core.OnScaleOut(n.local(), e, o, names) })
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -71,7 +71,7 @@
 	c := &w.combined
 	c.endedAt[n.Name] = w.now
 	if n.core.Owns(n.local(), 0) && w.anyOutOfReach(n) {
-		w.happened(scenario.HolderEndedUnheard)
+		w.happened(scenario.OwnerEndedWorkerUnreachable)
 	}
 	for _, o := range w.Nodes {
 		if o != n && o.life != 0 {
@@ -107,7 +107,7 @@
 		w.happened(scenario.ReturnedAtOnce)
 	}
 	if c.allDown != 0 && w.now-c.allDown > units.Seconds(w.S.Workers.LeaseS) {
-		w.happened(scenario.AllAway)
+		w.happened(scenario.RestartAfterLeaseExpiry)
 	}
 	c.allDown = 0
 }
@@ -130,7 +130,7 @@
 		before.seen = map[string]bool{}
 	}
 	if before.seen[b.Node] && before.last != b.Node {
-		w.happened(scenario.HandedBack)
+		w.happened(scenario.ShardReturned)
 	}
 	before.seen[b.Node], before.last = true, b.Node
 	c.holders[number] = before
@@ -145,7 +145,7 @@
 	}
 	bound := j.Spec.OneZone || j.Spec.Zone != "" || j.Spec.Spread
 	if !e.Completed && bound && (e.Machine.DiedAt != 0 || e.Machine.DeletedAt != 0) {
-		w.happened(scenario.BoundTaskLost)
+		w.happened(scenario.ZoneBoundTaskLost)
 	}
 	if n := j.Spec.Tasks; !e.Completed || j.Spec.Service || n < 2 || n > 3 {
 		return
@@ -213,7 +213,7 @@
 // nor be told.
 func (w *World) cancelToldPastCut() {
 	w.combined.cancels++
-	w.happened(scenario.CancelTold)
+	w.happened(scenario.CancelReported)
 	for _, n := range w.Nodes {
 		if w.isolatedHolder(n) {
 			w.happened(scenario.CancelPastCut)
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -32,12 +32,12 @@
 		}
 	case core.SendPeer:
 		if _, ok := e.Message.(core.SnapshotMessage); ok {
-			w.happened(scenario.PictureSent)
+			w.happened(scenario.SnapshotSent)
 		}
 	case core.List:
 		w.happened(scenario.ListingSent)
 	case core.Probe:
-		w.happened(scenario.TokenShown)
+		w.happened(scenario.TokenPresented)
 	}
 }
 
@@ -54,9 +54,9 @@
 			w.happened(scenario.LeaderChanged)
 			w.deliverKept()
 		case strings.HasPrefix(c.Key, "shalestage/progress/") && c.Value != nil:
-			w.happened(scenario.EndStored)
+			w.happened(scenario.CompletionStored)
 		case strings.HasPrefix(c.Key, "shalestage/follow/"):
-			w.happened(scenario.FollowerStored)
+			w.happened(scenario.StandbyStored)
 		}
 	}
 }
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -98,13 +98,13 @@
 	case scenario.StateSlow:
 		w.slow.until, w.slow.delay = until, units.Microseconds(f.DelayMS*1000)
 	case scenario.StateLimits:
-		w.State.SetLimits(w.S.State.Fallen(f).KV())
+		w.State.SetLimits(w.S.State.LoweredLimits(f).KV())
 	case scenario.StateLate:
 		w.late, w.lateShare = until, cmp.Or(f.Share, 1)
 	case scenario.StateUnanswered:
 		w.unanswered, w.unansweredShare = until, cmp.Or(f.Share, 1)
 	case scenario.StateLose:
-		w.State.Lose(w.now, f.LosePrefix(), max(f.Count, 1))
+		w.State.Lose(w.now, f.LostWritePrefix(), max(f.Count, 1))
 	default:
 		return false
 	}
@@ -137,7 +137,7 @@
 
 // siteFault injects a fault of machines or of the cloud provider.
 func (w *World) siteFault(f scenario.Fault) {
-	if err := w.S.SiteFault(w.now, w.Site, f); err != nil {
+	if err := w.S.InjectSiteFault(w.now, w.Site, f); err != nil {
 		panic(err) // the scenario was checked
 	}
 	w.takeSite()
@@ -193,7 +193,7 @@
 func (w *World) apart(f scenario.Fault) {
 	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
 	w.zoneCut[f.Zone] = t.until
-	for _, p := range w.S.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
+	for _, p := range w.S.PartitionedPairs(f.Zone, f.Kind == scenario.ZoneLost) {
 		if f.Direction != "back" {
 			w.net.cut(p[0], p[1], t)
 		}
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	wrong := func(at, format string, args ...any) (*File, error) {
-		return nil, scenario.Wrong(path, b, at, format, args...)
+		return nil, scenario.ErrorAt(path, b, at, format, args...)
 	}
 	switch {
 	case f.Name == "":
@@ -120,5 +120,5 @@
 			return nil, err
 		}
 	}
-	return scenario.LoadOver(filepath.Join(filepath.Dir(f.path), name), s.Name, over)
+	return scenario.LoadWithOverrides(filepath.Join(filepath.Dir(f.path), name), s.Name, over)
 }
--- a/internal/experiment/paper/tables.go
+++ b/internal/experiment/paper/tables.go
@@ -162,7 +162,7 @@
 // Play plays all tables and sweeps.
 func Play(o Options, say func(done, all int)) Results {
 	var all []seedResults
-	rehearse.Each(o.Seeds, func(i int) seedResults { return playSeed(o, uint64(i+1)) }, func(r seedResults) {
+	rehearse.ForEachOrdered(o.Seeds, func(i int) seedResults { return playSeed(o, uint64(i+1)) }, func(r seedResults) {
 		all = append(all, r)
 		if say != nil {
 			say(len(all), o.Seeds)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -82,7 +82,7 @@
 	var runs []Run
 	var failed error
 	done := 0
-	rehearse.Each(len(plays), func(i int) Run {
+	rehearse.ForEachOrdered(len(plays), func(i int) Run {
 		r := plays[i].run
 		if o, ok := old[r.Key]; ok {
 			o.Scenario, o.Setting = r.Scenario, r.Setting // as this file calls them
--- a/internal/explore/authority/authority.go
+++ b/internal/explore/authority/authority.go
@@ -336,8 +336,8 @@
 	return p.block.node == p.i && p.block.seat == p.s.ID() && p.s.ID() != 0 && p.s.Valid(p.local())
 }
 
-// Broken implements explore.World.
-func (w *World) Broken() string {
+// Violation implements explore.World.
+func (w *World) Violation() string {
 	var who []string
 	for _, p := range w.nodes {
 		if p.holds() {
@@ -350,8 +350,8 @@
 	return ""
 }
 
-// Moves implements explore.World.
-func (w *World) Moves() []Move {
+// Actions implements explore.World.
+func (w *World) Actions() []Move {
 	first, room := w.nodes[0], len(w.mail) < w.o.Mail
 	out := []Move{{Kind: passes}, {ticks, 0, 1}}
 	if room {
@@ -394,8 +394,8 @@
 	return out
 }
 
-// Do implements explore.World.
-func (w *World) Do(m Move) {
+// Apply implements explore.World.
+func (w *World) Apply(m Move) {
 	switch m.Kind {
 	case passes:
 		w.now += second
@@ -632,7 +632,7 @@
 	var out []string
 	for _, m := range history {
 		text := w.say(m)
-		w.Do(m)
+		w.Apply(m)
 		var who []string
 		for _, p := range w.nodes {
 			if p.holds() {
--- a/internal/explore/authority/authority_test.go
+++ b/internal/explore/authority/authority_test.go
@@ -13,15 +13,15 @@
 // TestOneHolder visits all histories of a few moves: no two controllers hold the block. A
 // longer search is "shalestage explore"; docs/results.md has what it visited.
 func TestOneHolder(t *testing.T) {
-	if r := search(Options{Mail: 2, Crashes: 1}, 6); r.Broken != "" || r.Depth != 6 || r.States < 2000 {
-		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Broken, r.History)
+	if r := search(Options{Mail: 2, Crashes: 1}, 6); r.Violation != "" || r.Depth != 6 || r.States < 2000 {
+		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 	}
 }
 
 // TestAlone visits those in which one controller may end a seat without the others' help.
 func TestAlone(t *testing.T) {
-	if r := search(Options{Mail: 1, Crashes: 1, Alone: true}, 7); r.Broken != "" || r.Depth != 7 || r.States < 2000 {
-		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Broken, r.History)
+	if r := search(Options{Mail: 1, Crashes: 1, Alone: true}, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
+		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 	}
 }
 
@@ -30,8 +30,8 @@
 // two controllers hold the block.
 func TestUnserved(t *testing.T) {
 	for _, o := range []Options{{Mail: 1, Crashes: 1, Alone: true, Unserved: true}, {Mail: 1, Crashes: 1, Unserved: true}} {
-		if r := search(o, 7); r.Broken != "" || r.Depth != 7 || r.States < 2000 {
-			t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Broken, r.History)
+		if r := search(o, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
+			t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 		}
 	}
 }
@@ -45,11 +45,11 @@
 			o = Options{Fault: f, Alone: true}
 		}
 		r := search(o, 10)
-		if r.Broken == "" || len(r.History) != moves {
-			t.Errorf("%s: %q after %d moves, want %d", f, r.Broken, len(r.History), moves)
+		if r.Violation == "" || len(r.Counterexample) != moves {
+			t.Errorf("%s: %q after %d moves, want %d", f, r.Violation, len(r.Counterexample), moves)
 			continue
 		}
-		if lines := Tell(o, r.History); len(lines) != moves {
+		if lines := Tell(o, r.Counterexample); len(lines) != moves {
 			t.Errorf("%s is told in %d lines", f, len(lines))
 		}
 	}
--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// Moves implements explore.World.
-func (w *World) Moves() []Move {
+// Actions implements explore.World.
+func (w *World) Actions() []Move {
 	out := []Move{{Kind: passes}}
 	for i := int8(1); i < count; i++ {
 		p := w.nodes[i]
@@ -197,8 +197,8 @@
 	return out
 }
 
-// Do implements explore.World.
-func (w *World) Do(m Move) {
+// Apply implements explore.World.
+func (w *World) Apply(m Move) {
 	a := w.nodes[0]
 	switch m.Kind {
 	case passes:
@@ -276,8 +276,8 @@
 	return w.nodes[0].book.KnownUntil(w.local(0), w.read) + units.MinWithDrift(extension)
 }
 
-// Broken implements explore.World.
-func (w *World) Broken() string {
+// Violation implements explore.World.
+func (w *World) Violation() string {
 	if w.local(0) >= w.answersUntil() {
 		return ""
 	}
@@ -326,7 +326,7 @@
 			text = map[kind]string{reads: "a's read", learns: "the answer to a's read", asks: "a's question to " + from, stores: from + "'s word"}[l.kind] +
 				map[kind]string{carried: " comes", lost: " is lost"}[m.Kind]
 		}
-		w.Do(m)
+		w.Apply(m)
 		out = append(out, fmt.Sprintf("%4.0f s  %-50s stored: %v; a knows %v, answers for %.1f s", (w.now-begins).Seconds(), text, w.stored,
 			slices.Sorted(maps.Keys(w.nodes[0].knows)), cmp.Or(max(0, w.answersUntil()-w.local(0)).Seconds(), 0)))
 	}
--- a/internal/explore/cancelling/cancelling_test.go
+++ b/internal/explore/cancelling/cancelling_test.go
@@ -15,8 +15,8 @@
 // search is "shalestage explore --world cancelling"; docs/results.md has what it visited.
 func TestCancellationsKnown(t *testing.T) {
 	for mail, depth := range map[int]int{1: 9, 2: 6} {
-		if r := search(Options{Jobs: 2, Mail: mail, Crashes: 1}, depth); r.Broken != "" || r.Depth != depth || r.States < 2000 {
-			t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Broken, r.History)
+		if r := search(Options{Jobs: 2, Mail: mail, Crashes: 1}, depth); r.Violation != "" || r.Depth != depth || r.States < 2000 {
+			t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 		}
 	}
 }
@@ -30,12 +30,12 @@
 			o.Jobs, o.Crashes = 1, 1
 		}
 		r := search(o, 10)
-		t.Logf("%s: %d moves, %d states: %s", f, len(r.History), r.States, r.Broken)
-		if r.Broken == "" {
+		t.Logf("%s: %d moves, %d states: %s", f, len(r.Counterexample), r.States, r.Violation)
+		if r.Violation == "" {
 			t.Errorf("%s is not found in %d states", f, r.States)
 			continue
 		}
-		if lines := Tell(o, r.History); len(lines) != len(r.History) {
+		if lines := Tell(o, r.Counterexample); len(lines) != len(r.Counterexample) {
 			t.Errorf("%s is told in %d lines", f, len(lines))
 		}
 	}
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -13,34 +13,34 @@
 
 // World is a world that can be moved.
 type World[M any] interface {
-	// Moves returns what can happen now.
-	Moves() []M
+	// Actions returns what can happen now.
+	Actions() []M
 	// Do lets it happen.
-	Do(m M)
+	Apply(m M)
 	// State tells all that matters for what can happen from now on: of two worlds with
 	// equal states one is visited.
 	State() string
 	// Broken says what is broken, or "".
-	Broken() string
+	Violation() string
 }
 
 // Options bound a search.
 type Options struct {
-	Depth  int           // moves in a history at most
-	States int           // visited at most; 0: any number
-	Within time.Duration // 0: any time
-	Say    func(depth, states int)
+	Depth   int           // moves in a history at most
+	States  int           // visited at most; 0: any number
+	Within  time.Duration // 0: any time
+	OnDepth func(depth, states int)
 }
 
 // Result is what was found.
 type Result[M any] struct {
-	States  int  // different ones that were visited
-	Moves   int  // that led to them, those to known states included
-	Depth   int  // up to which all histories were visited
-	Whole   bool // no state beyond that is left
-	Took    time.Duration
-	Broken  string
-	History []M // the shortest that breaks it
+	States         int  // different ones that were visited
+	Transitions    int  // that led to them, those to known states included
+	Depth          int  // up to which all histories were visited
+	Complete       bool // no state beyond that is left
+	Elapsed        time.Duration
+	Violation      string
+	Counterexample []M // the shortest that breaks it
 }
 
 // Search visits all states breadth first, so that the first broken one has the shortest
@@ -57,7 +57,7 @@
 	first := begin()
 	seen := map[[2]uint64]bool{hash(first): true}
 	r.States = 1
-	if r.Broken = first.Broken(); r.Broken != "" {
+	if r.Violation = first.Violation(); r.Violation != "" {
 		return r
 	}
 	type found struct {
@@ -73,7 +73,7 @@
 		for range runtime.GOMAXPROCS(0) {
 			wg.Go(func() {
 				for i := range next {
-					parts[i] = expand(begin, layer[i], func(w World[M], path []M) found { return found{hash(w), w.Broken(), path} })
+					parts[i] = expand(begin, layer[i], func(w World[M], path []M) found { return found{hash(w), w.Violation(), path} })
 				}
 			})
 		}
@@ -90,32 +90,32 @@
 		var deeper [][]M
 		for _, part := range parts {
 			for _, f := range part {
-				r.Moves++
+				r.Transitions++
 				if seen[f.sum] {
 					continue
 				}
 				seen[f.sum] = true
 				r.States++
-				if f.broken != "" && r.Broken == "" {
-					r.Broken, r.History = f.broken, f.path
+				if f.broken != "" && r.Violation == "" {
+					r.Violation, r.Counterexample = f.broken, f.path
 				}
 				deeper = append(deeper, f.path)
 			}
 		}
-		if r.Broken != "" || stopped {
+		if r.Violation != "" || stopped {
 			break
 		}
 		r.Depth++
 		layer = deeper
-		if o.Say != nil {
-			o.Say(r.Depth, r.States)
+		if o.OnDepth != nil {
+			o.OnDepth(r.Depth, r.States)
 		}
 		if o.States > 0 && r.States >= o.States {
 			break
 		}
 	}
-	r.Whole = len(layer) == 0
-	r.Took = time.Since(began)
+	r.Complete = len(layer) == 0
+	r.Elapsed = time.Since(began)
 	return r
 }
 
@@ -124,18 +124,18 @@
 	replay := func() World[M] {
 		w := begin()
 		for _, m := range path {
-			w.Do(m)
+			w.Apply(m)
 		}
 		return w
 	}
 	w := replay()
-	moves := w.Moves()
+	moves := w.Actions()
 	out := make([]F, 0, len(moves))
 	for i, m := range moves {
 		if i > 0 {
 			w = replay()
 		}
-		w.Do(m)
+		w.Apply(m)
 		longer := make([]M, len(path)+1)
 		copy(longer, path)
 		longer[len(path)] = m
--- a/internal/explore/following/following.go
+++ b/internal/explore/following/following.go
@@ -173,8 +173,8 @@
 	return true
 }
 
-// Moves implements explore.World.
-func (w *World) Moves() []Move {
+// Actions implements explore.World.
+func (w *World) Actions() []Move {
 	out := []Move{{Kind: passes}}
 	for m := range int8(2) {
 		if w.next < w.o.Starts {
@@ -213,8 +213,8 @@
 	return true
 }
 
-// Do implements explore.World.
-func (w *World) Do(m Move) {
+// Apply implements explore.World.
+func (w *World) Apply(m Move) {
 	switch m.Kind {
 	case passes:
 		w.now += units.Second / 4
@@ -273,9 +273,9 @@
 	w.post(letter{ack: &a})
 }
 
-// Broken implements explore.World: it asks the follower what it knows, as if the holder had
+// Violation implements explore.World: it asks the follower what it knows, as if the holder had
 // ended at this moment and all that was under way were lost.
-func (w *World) Broken() string {
+func (w *World) Violation() string {
 	r := w.record
 	if w.o.Fault == Unnamed {
 		r = replication.Record{Node: "f", Token: token, Run: w.sink.StreamID(0)}
@@ -322,7 +322,7 @@
 		if strings.Contains(text, "%d") {
 			text = fmt.Sprintf(text, m.A)
 		}
-		w.Do(m)
+		w.Apply(m)
 		out = append(out, fmt.Sprintf("%-50s let out: %v; stored: %v", text, w.out, w.record))
 	}
 	return out
--- a/internal/launch/deployment.go
+++ b/internal/launch/deployment.go
@@ -678,7 +678,7 @@
 // apart cuts a zone off.
 func (d *Deployment) apart(f scenario.Fault) {
 	t := link.Trouble{Mode: modes[f.Mode], Until: time.Now().Add(seconds(f.ForS))}
-	for _, p := range d.s.ApartFrom(f.Zone, f.Kind == scenario.ZoneLost) {
+	for _, p := range d.s.PartitionedPairs(f.Zone, f.Kind == scenario.ZoneLost) {
 		for _, name := range []string{linkName(p[0], p[1]), linkName(p[1], p[0])} {
 			if l := d.links[name]; l != nil {
 				l.Set(t, true, true)
--- a/internal/launch/role.go
+++ b/internal/launch/role.go
@@ -131,9 +131,9 @@
 			case scenario.StateRefuse:
 				m.Refuse(f.Node, now+for_)
 			case scenario.StateLimits:
-				m.SetLimits(s.State.Fallen(f).KV())
+				m.SetLimits(s.State.LoweredLimits(f).KV())
 			case scenario.StateLose:
-				lost = m.Lose(now, f.LosePrefix(), max(f.Count, 1))
+				lost = m.Lose(now, f.LostWritePrefix(), max(f.Count, 1))
 			}
 		})
 		switch f.Kind {
@@ -244,7 +244,7 @@
 		c.Upload(j)
 	})
 	faults(control, func(f scenario.Fault) (err error) {
-		c.Do(func(now units.Microseconds, st *site.Site) { err = s.SiteFault(now, st, f) })
+		c.Do(func(now units.Microseconds, st *site.Site) { err = s.InjectSiteFault(now, st, f) })
 		if f.Kind == scenario.SpotRate {
 			time.AfterFunc(seconds(f.ForS), func() {
 				c.Do(func(now units.Microseconds, st *site.Site) { st.Cloud.SetReclaimRate(now, s.Cloud.SpotPerHour) })
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	wrong := func(at, format string, args ...any) (*File, error) {
-		return nil, scenario.Wrong(path, b, at, format, args...)
+		return nil, scenario.ErrorAt(path, b, at, format, args...)
 	}
 	outside := func(v, lo, hi float64) bool { return !(v >= lo && v <= hi) }
 	switch {
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	s.Controllers.Count, s.Controllers.BlockMachines = count, blockMachines
-	return Play("gap.toml", s, sim.Options{Seed: seed, Break: b})
+	return Simulate("gap.toml", s, sim.Options{Seed: seed, Break: b})
 }
 
 // TestGap has one controller refused alone, others confirm cancellations, and then the state
@@ -32,8 +32,8 @@
 		blocks float64
 	}{{1, 0}, {3, 4}, {5, 0}, {5, 4}} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			if v := gap(t, seed, c.count, c.blocks, sim.Broken{}); !v.Kept {
-				t.Errorf("%d controllers, seed %d: %v %v", c.count, seed, v.Broken, v.Missed)
+			if v := gap(t, seed, c.count, c.blocks, sim.Broken{}); !v.Passed {
+				t.Errorf("%d controllers, seed %d: %v %v", c.count, seed, v.Violations, v.Missed)
 			}
 		}
 	}
@@ -52,11 +52,11 @@
 	}
 	caught := false
 	for seed := uint64(1); seed <= 6; seed++ {
-		if v := gap(t, seed, 3, 0, sim.Broken{Told: silent}); !v.Kept {
-			t.Errorf("seed %d: %v %v", seed, v.Broken, v.Missed)
+		if v := gap(t, seed, 3, 0, sim.Broken{Told: silent}); !v.Passed {
+			t.Errorf("seed %d: %v %v", seed, v.Violations, v.Missed)
 		}
 		v := gap(t, seed, 3, 0, sim.Broken{Told: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
-		caught = caught || slices.ContainsFunc(v.Broken, func(b Broken) bool { return b.Rule == check.RanCancelled })
+		caught = caught || slices.ContainsFunc(v.Violations, func(b Violation) bool { return b.Rule == check.RanCancelled })
 	}
 	if !caught {
 		t.Error("nobody noticed that the bound was taken out")
--- a/internal/rehearse/meet.go
+++ b/internal/rehearse/meet.go
@@ -9,8 +9,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// Met is a trouble that began at an event of those before it.
-type Met struct {
+// TriggeredFault is a trouble that began at an event of those before it.
+type TriggeredFault struct {
 	First string `json:"first"` // kind of the trouble before
 	Kind  string `json:"kind"`
 	Event string `json:"event"`
@@ -25,11 +25,11 @@
 	keptMoments = 2000
 )
 
-// Meet draws troubles by their meeting: the first by the clock, each other at an event that
+// DrawAtEvents draws troubles by their meeting: the first by the clock, each other at an event that
 // follows from those before it, a little before, at or after it; and so that some end at an
 // event as well. As a seed gives one history, the play up to there shows when that is. What
 // comes out is a scenario with fixed troubles.
-func Meet(s *scenario.Scenario, opt sim.Options) (*scenario.Scenario, []Met) {
+func DrawAtEvents(s *scenario.Scenario, opt sim.Options) (*scenario.Scenario, []TriggeredFault) {
 	seed := opt.Seed
 	if seed == 0 {
 		seed = s.Seed
@@ -40,7 +40,7 @@
 	out.Faults = slices.Clone(s.Faults)
 	last := sim.DrawFault(rng, round(s.Draw.FromS+(s.Draw.ToS-s.Draw.FromS)*rng.Float64()))
 	out.Faults = append(out.Faults, last)
-	var met []Met
+	var met []TriggeredFault
 	for range s.Draw.Meet - 1 {
 		from, to := last.AtS, last.AtS+last.ForS+linger
 		moments := map[string][]float64{}
@@ -70,7 +70,7 @@
 				next.ForS = max(next.ForS, 0.001)
 			}
 		}
-		met = append(met, Met{last.Kind, next.Kind, event})
+		met = append(met, TriggeredFault{last.Kind, next.Kind, event})
 		out.Faults = append(out.Faults, next)
 		last = next
 	}
--- a/internal/rehearse/meet_test.go
+++ b/internal/rehearse/meet_test.go
@@ -21,8 +21,8 @@
 	}
 	seen := map[string]bool{}
 	for seed := uint64(1); seed <= 4; seed++ {
-		fixed, met := Meet(s, sim.Options{Seed: seed})
-		again, _ := Meet(s, sim.Options{Seed: seed})
+		fixed, met := DrawAtEvents(s, sim.Options{Seed: seed})
+		again, _ := DrawAtEvents(s, sim.Options{Seed: seed})
 		if !reflect.DeepEqual(fixed.Faults, again.Faults) || len(met) != len(fixed.Faults)-1 || fixed.Draw.Meet != 0 {
 			t.Fatalf("seed %d: %v and %v; met %v", seed, fixed.Faults, again.Faults, met)
 		}
@@ -54,9 +54,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Expect.Events = map[string]int{scenario.CancelTold: 2, scenario.StartSent: 100_000}
-	v := Play("base.toml", s, sim.Options{Seed: 1})
-	if v.Kept || len(v.Missed) != 1 || !strings.Contains(v.Missed[0], "events.start_sent: happened ") {
+	s.Expect.Events = map[string]int{scenario.CancelReported: 2, scenario.StartSent: 100_000}
+	v := Simulate("base.toml", s, sim.Options{Seed: 1})
+	if v.Passed || len(v.Missed) != 1 || !strings.Contains(v.Missed[0], "events.start_sent: happened ") {
 		t.Errorf("%+v", v)
 	}
 }
@@ -69,11 +69,11 @@
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
 		n := uint64(0)
-		v := Play("meet-old-reports.toml", s, sim.Options{Seed: seed, Break: sim.Broken{Report: func(r *fleet.Heartbeat) {
+		v := Simulate("meet-old-reports.toml", s, sim.Options{Seed: seed, Break: sim.Broken{Report: func(r *fleet.Heartbeat) {
 			n++
 			r.Incarnation, r.Seq = 1, n
 		}}})
-		if len(v.Broken) > 0 {
+		if len(v.Violations) > 0 {
 			return
 		}
 	}
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -13,8 +13,8 @@
 // servesWithin bounds how long a deployment may take until it serves.
 const servesWithin = 30 * time.Second
 
-// PlayReal plays a scenario with real processes over loopback, in real time.
-func PlayReal(file string, s *scenario.Scenario) (Verdict, error) {
+// RunProcesses plays a scenario with real processes over loopback, in real time.
+func RunProcesses(file string, s *scenario.Scenario) (Verdict, error) {
 	began := time.Now()
 	v := Verdict{File: file, Name: s.Name, Seed: s.Seed, Real: true, Faults: s.Faults}
 	d, err := launch.Start(launch.Options{Scenario: file})
@@ -42,18 +42,18 @@
 		}
 	}
 	broken, starts := d.Finish(s.Expect.AllOver)
-	v.Broken, v.Starts = Breaks(broken), starts
+	v.Violations, v.Starts = violationsOf(broken), starts
 	figures, err := d.Figures()
 	if err != nil {
 		return v, fmt.Errorf("the cloud tells no figures: %w", err)
 	}
-	v.Money = figures.Money
+	v.Cost = figures.Money
 	var longest units.Microseconds
 	v.Jobs = len(jobs)
-	v.Over, longest = user.Summary(jobs, units.Seconds(s.DurationS))
+	v.FinishedJobs, longest = user.Summary(jobs, units.Seconds(s.DurationS))
 	v.Wait = longest.Seconds()
-	v.Missed = s.Expect.Missed(longest, v.Money, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
-	v.Kept = len(v.Broken) == 0 && len(v.Missed) == 0
-	v.Took = time.Since(began).Seconds()
+	v.Missed = s.Expect.Missed(longest, v.Cost, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
+	v.Passed = len(v.Violations) == 0 && len(v.Missed) == 0
+	v.DurationS = time.Since(began).Seconds()
 	return v, nil
 }
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -20,51 +20,51 @@
 
 // Verdict is how one play of a file went.
 type Verdict struct {
-	File   string   `json:"file"`
-	Name   string   `json:"name"`
-	Seed   uint64   `json:"seed"`
-	Real   bool     `json:"real,omitempty"`
-	Kept   bool     `json:"kept"`
-	Broken []Broken `json:"broken,omitempty"`
-	Missed []string `json:"missed,omitempty"` // expectations that are no rules
-	Digest string   `json:"digest,omitempty"` // of the history, in simulated time
-	Jobs   int      `json:"jobs"`
-	Over   int      `json:"over"`
-	Starts int      `json:"starts"`
+	File         string      `json:"file"`
+	Name         string      `json:"name"`
+	Seed         uint64      `json:"seed"`
+	Real         bool        `json:"real,omitempty"`
+	Passed       bool        `json:"kept"`
+	Violations   []Violation `json:"broken,omitempty"`
+	Missed       []string    `json:"missed,omitempty"` // expectations that are no rules
+	Digest       string      `json:"digest,omitempty"` // of the history, in simulated time
+	Jobs         int         `json:"jobs"`
+	FinishedJobs int         `json:"over"`
+	Starts       int         `json:"starts"`
 	// StartsCancelled counts the tasks that began after their job's cancellation was told.
 	StartsCancelled int              `json:"starts_cancelled,omitempty"`
 	Wait            float64          `json:"longest_s"` // from a submission to the answer that the job is over
-	Money           float64          `json:"money"`
-	Took            float64          `json:"took_s"` // of real time
+	Cost            float64          `json:"money"`
+	DurationS       float64          `json:"took_s"` // of real time
 	Faults          []scenario.Fault `json:"faults,omitempty"`
-	Met             []Met            `json:"met,omitempty"` // of troubles that are drawn by their meeting
+	Triggered       []TriggeredFault `json:"met,omitempty"` // of troubles that are drawn by their meeting
 	// Account says where the money went, if that was asked for.
 	Account []account.Row `json:"account,omitempty"`
 }
 
-// Broken is a broken rule with the part of the history that concerns it.
-type Broken struct {
+// Violation is a broken rule with the part of the history that concerns it.
+type Violation struct {
 	At      float64  `json:"at_s"`
 	Rule    string   `json:"rule"`
 	Text    string   `json:"text"`
 	History []string `json:"history"`
 }
 
-// Breaks turns a checker's findings into a verdict's.
-func Breaks(list []check.Violation) []Broken {
-	var out []Broken
+// violationsOf turns a checker's findings into a verdict's.
+func violationsOf(list []check.Violation) []Violation {
+	var out []Violation
 	for _, b := range list {
-		out = append(out, Broken{b.At.Seconds(), b.Rule, b.Text, b.History})
+		out = append(out, Violation{b.At.Seconds(), b.Rule, b.Text, b.History})
 	}
 	return out
 }
 
-// Play plays a scenario in simulated time.
-func Play(file string, s *scenario.Scenario, opt sim.Options) Verdict {
+// Simulate plays a scenario in simulated time.
+func Simulate(file string, s *scenario.Scenario, opt sim.Options) Verdict {
 	began := time.Now()
-	var met []Met
+	var met []TriggeredFault
 	if s.Draw.Meet > 0 {
-		s, met = Meet(s, opt)
+		s, met = DrawAtEvents(s, opt)
 		opt.Noise = true
 	}
 	if opt.Traffic != nil { // processor time is counted by the thread
@@ -77,18 +77,18 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	v := Verdict{File: file, Name: s.Name, Seed: seed, Kept: len(r.Broken) == 0 && len(r.Missed) == 0, Broken: Breaks(r.Broken), Missed: r.Missed,
-		Digest: r.Digest, Jobs: r.Jobs, Over: r.Over, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Money: r.Money,
-		Took: time.Since(began).Seconds(), Faults: r.Faults, Met: met}
+	v := Verdict{File: file, Name: s.Name, Seed: seed, Passed: len(r.Broken) == 0 && len(r.Missed) == 0, Violations: violationsOf(r.Broken), Missed: r.Missed,
+		Digest: r.Digest, Jobs: r.Jobs, FinishedJobs: r.Over, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Cost: r.Money,
+		DurationS: time.Since(began).Seconds(), Faults: r.Faults, Triggered: met}
 	if opt.Account != nil {
 		v.Account = opt.Account.Rows()
 	}
 	return v
 }
 
-// Each calls f for the numbers below n on all processors; the results come in
+// ForEachOrdered calls f for the numbers below n on all processors; the results come in
 // order, as soon as they are there.
-func Each[T any](n int, f func(i int) T, got func(T)) {
+func ForEachOrdered[T any](n int, f func(i int) T, got func(T)) {
 	out := make([]chan T, n)
 	next := make(chan int)
 	for i := range out {
@@ -117,10 +117,10 @@
 // Shrink drops faults and jobs of a scenario that breaks a rule while it still
 // breaks the same rule, and returns what is left. Drawn faults become fixed ones.
 func Shrink(s *scenario.Scenario, seed uint64, v Verdict, tries int) (*scenario.Scenario, int) {
-	if len(v.Broken) == 0 {
+	if len(v.Violations) == 0 {
 		return s, 0
 	}
-	rule := v.Broken[0].Rule
+	rule := v.Violations[0].Rule
 	best := *s
 	// What was drawn is written down, so that single faults can be left out.
 	noise := s.Draw.ToS > 0
@@ -128,8 +128,8 @@
 	used := 0
 	breaks := func(c scenario.Scenario) bool {
 		used++
-		r := Play(v.File, &c, sim.Options{Seed: seed, Noise: noise})
-		return slices.ContainsFunc(r.Broken, func(b Broken) bool { return b.Rule == rule })
+		r := Simulate(v.File, &c, sim.Options{Seed: seed, Noise: noise})
+		return slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Rule == rule })
 	}
 	if !breaks(best) {
 		return s, used
@@ -192,12 +192,12 @@
 func WriteJUnit(w io.Writer, list []Verdict) error {
 	s := suite{Name: "rehearsals", Tests: len(list)}
 	for _, v := range list {
-		c := tcase{Name: fmt.Sprintf("%s seed %d", v.Name, v.Seed), Class: v.File, Time: v.Took}
-		s.Time += v.Took
-		if !v.Kept {
+		c := tcase{Name: fmt.Sprintf("%s seed %d", v.Name, v.Seed), Class: v.File, Time: v.DurationS}
+		s.Time += v.DurationS
+		if !v.Passed {
 			s.Failures++
 			var text []string
-			for _, b := range v.Broken {
+			for _, b := range v.Violations {
 				text = append(text, fmt.Sprintf("%.3f %s: %s", b.At, b.Rule, b.Text))
 				text = append(text, b.History...)
 			}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -26,8 +26,8 @@
 				t.Fatal(err)
 			}
 			for seed := range uint64(2) {
-				v := Play(f, s, sim.Options{Seed: seed + 1})
-				for _, b := range v.Broken {
+				v := Simulate(f, s, sim.Options{Seed: seed + 1})
+				for _, b := range v.Violations {
 					t.Errorf("seed %d: %.3f %s: %s", v.Seed, b.At, b.Rule, b.Text)
 				}
 				for _, m := range v.Missed {
@@ -50,8 +50,8 @@
 	}
 	s.Draw = scenario.Draw{FromS: 5, ToS: 60, GapS: 6}
 	s.Faults = []scenario.Fault{{Kind: scenario.StateLimits, AtS: 30, ValueKB: 0.1}}
-	v := Play("x", s, sim.Options{Seed: 3})
-	if v.Kept || v.Broken[0].Rule != check.TooLarge {
+	v := Simulate("x", s, sim.Options{Seed: 3})
+	if v.Passed || v.Violations[0].Rule != check.TooLarge {
 		t.Fatalf("%+v", v)
 	}
 	small, used := Shrink(s, 3, v, 200)
@@ -59,7 +59,7 @@
 		t.Errorf("after %d plays %d faults and %d jobs are left: %v", used, len(small.Faults), len(small.Jobs), small.Faults)
 	}
 	var b bytes.Buffer
-	if err := WriteJUnit(&b, []Verdict{v, {Name: "kept", Kept: true}}); err != nil {
+	if err := WriteJUnit(&b, []Verdict{v, {Name: "kept", Passed: true}}); err != nil {
 		t.Fatal(err)
 	}
 	var got struct {
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -111,12 +111,12 @@
 		t.Fatal(err)
 	}
 	for seed := uint64(1); seed <= c.seeds; seed++ {
-		v := Play(c.file, s, sim.Options{Seed: seed, Break: c.program()})
-		if slices.ContainsFunc(v.Broken, func(b Broken) bool { return slices.Contains(c.rules, b.Rule) }) {
+		v := Simulate(c.file, s, sim.Options{Seed: seed, Break: c.program()})
+		if slices.ContainsFunc(v.Violations, func(b Violation) bool { return slices.Contains(c.rules, b.Rule) }) {
 			return
 		}
-		if c.rules == nil && len(v.Broken) > 0 {
-			t.Errorf("seed %d: %v", seed, v.Broken)
+		if c.rules == nil && len(v.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, v.Violations)
 		}
 	}
 	if c.rules != nil {
--- a/internal/scalerun/file.go
+++ b/internal/scalerun/file.go
@@ -125,18 +125,18 @@
 		return nil, err
 	}
 	if w, bad := f.mistake(); bad {
-		return nil, scenario.Wrong(path, b, w.at, "%s", w.text)
+		return nil, scenario.ErrorAt(path, b, w.at, "%s", w.text)
 	}
 	// What is left to check is what a region's own file is checked for; the smallest will do.
 	sized, err := f.At(MinSize)
 	if err == nil {
 		_, err = sized.Region(0)
 	}
-	var m *scenario.Mistake
+	var m *scenario.FileError
 	if errors.As(err, &m) {
 		// Tables of the region's file that come from this one have the same names here.
 		at, text, _ := strings.Cut(m.Text, ": ")
-		return nil, scenario.Wrong(path, b, at, "%s", text)
+		return nil, scenario.ErrorAt(path, b, at, "%s", text)
 	}
 	return f, err
 }
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -31,8 +31,8 @@
 	return kv.Limits{Rate: l.RPS, WriteRate: l.WriteRPS, ValueBytes: int(l.ValueKB * 1024), TxnOps: l.TxnOps}
 }
 
-// Fallen returns the limits after a fault that lowers some of them.
-func (s State) Fallen(f Fault) Limits {
+// LoweredLimits returns the limits after a fault that lowers some of them.
+func (s State) LoweredLimits(f Fault) Limits {
 	return Limits{RPS: cmp.Or(f.RPS, s.Next.RPS, s.RPS), WriteRPS: cmp.Or(f.WriteRPS, s.Next.WriteRPS, s.WriteRPS),
 		ValueKB: cmp.Or(f.ValueKB, s.Next.ValueKB, s.ValueKB), TxnOps: cmp.Or(f.TxnOps, s.Next.TxnOps, s.TxnOps)}
 }
@@ -196,8 +196,8 @@
 	return g
 }
 
-// SiteFault does a fault of the cloud or of its machines. Rates are put back by the caller.
-func (s *Scenario) SiteFault(now units.Microseconds, st *site.Site, f Fault) error {
+// InjectSiteFault does a fault of the cloud or of its machines. Rates are put back by the caller.
+func (s *Scenario) InjectSiteFault(now units.Microseconds, st *site.Site, f Fault) error {
 	until := now + units.Seconds(f.ForS)
 	match := func(m *cloudprovider.Machine) bool {
 		return (f.Type == "" || f.Type == m.Type) && (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != SpotWave || m.Spot)
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -308,10 +308,10 @@
 // ZoneParty names the machines of a zone.
 func ZoneParty(zone string) string { return "zone " + zone }
 
-// ApartFrom returns the pairs of parties that do not reach each other when a zone is
+// PartitionedPairs returns the pairs of parties that do not reach each other when a zone is
 // cut off, the one inside first: controllers, and controllers and machines; with services,
 // also the zone's controllers and all that serves them or asks them.
-func (s *Scenario) ApartFrom(zone string, services bool) [][2]string {
+func (s *Scenario) PartitionedPairs(zone string, services bool) [][2]string {
 	var out [][2]string
 	zones := s.Controllers.Zones
 	zoneOf := func(i int) string { return zones[i%len(zones)] }
@@ -339,8 +339,8 @@
 	return out
 }
 
-// LosePrefix is the prefix of the keys whose writes are lost: jobs, unless said otherwise.
-func (f Fault) LosePrefix() string { return cmp.Or(f.Prefix, "shalestage/job/") }
+// LostWritePrefix is the prefix of the keys whose writes are lost: jobs, unless said otherwise.
+func (f Fault) LostWritePrefix() string { return cmp.Or(f.Prefix, "shalestage/job/") }
 
 // NodeName returns the name of a controller.
 func NodeName(i int) string { return fmt.Sprintf("node-%d", i) }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -207,22 +207,22 @@
 	"": jobs.Normal, "low": jobs.Low, "normal": jobs.Normal, "high": jobs.High, "production": jobs.Production,
 }
 
-// Mistake is something wrong in a file.
-type Mistake struct {
+// FileError is something wrong in a file.
+type FileError struct {
 	File      string
 	Line, Col int // 0: not known
 	Text      string
 }
 
-func (m *Mistake) Error() string {
+func (m *FileError) Error() string {
 	if m.Line == 0 {
 		return fmt.Sprintf("%s: %s", m.File, m.Text)
 	}
 	return fmt.Sprintf("%s:%d:%d: %s", m.File, m.Line, m.Col, m.Text)
 }
 
-// MaxFile bounds a file.
-const MaxFile = 4 << 20
+// MaxFileBytes bounds a file.
+const MaxFileBytes = 4 << 20
 
 // ReadFile reads a file that is not too long.
 func ReadFile(file string) ([]byte, error) {
@@ -230,8 +230,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if st.Size() > MaxFile {
-		return nil, &Mistake{File: file, Text: fmt.Sprintf("longer than %d bytes", MaxFile)}
+	if st.Size() > MaxFileBytes {
+		return nil, &FileError{File: file, Text: fmt.Sprintf("longer than %d bytes", MaxFileBytes)}
 	}
 	return os.ReadFile(file)
 }
@@ -249,21 +249,21 @@
 		return Parse(file, b, true)
 	}
 	if filepath.Base(head.Base) != head.Base {
-		return nil, &Mistake{File: file, Text: fmt.Sprintf("base: want the name of a file beside this one, got %q", head.Base)}
+		return nil, &FileError{File: file, Text: fmt.Sprintf("base: want the name of a file beside this one, got %q", head.Base)}
 	}
 	base, err := Load(filepath.Join(filepath.Dir(file), head.Base))
 	if err != nil {
 		return nil, err
 	}
 	if base.Base != "" {
-		return nil, &Mistake{File: file, Text: "base: a base may have none itself"}
+		return nil, &FileError{File: file, Text: "base: a base may have none itself"}
 	}
 	return parseOver(base, file, b, true)
 }
 
-// LoadOver reads a file and what changes some of it, in the file's own form. Mistakes of
+// LoadWithOverrides reads a file and what changes some of it, in the file's own form. Mistakes of
 // the latter are told with lines and columns of it, under its name.
-func LoadOver(file, name string, over []byte) (*Scenario, error) {
+func LoadWithOverrides(file, name string, over []byte) (*Scenario, error) {
 	s, err := Load(file)
 	if err != nil || len(over) == 0 {
 		return s, err
@@ -289,8 +289,8 @@
 	return c.found
 }
 
-// Wrong tells a mistake at a key of a file, such as "setting[1].name".
-func Wrong(file string, b []byte, path, format string, args ...any) error {
+// ErrorAt tells a mistake at a key of a file, such as "setting[1].name".
+func ErrorAt(file string, b []byte, path, format string, args ...any) error {
 	c := checker{file: file, text: b}
 	c.fail(path, format, args...)
 	return c.found
@@ -333,14 +333,14 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
 		line, col := e.Position()
-		return &Mistake{file, line, col, fmt.Sprintf("unknown key %s", strings.Join(e.Key(), "."))}
+		return &FileError{file, line, col, fmt.Sprintf("unknown key %s", strings.Join(e.Key(), "."))}
 	}
 	var dec *toml.DecodeError
 	if errors.As(err, &dec) {
 		line, col := dec.Position()
-		return &Mistake{file, line, col, strings.TrimPrefix(dec.Error(), "toml: ")}
+		return &FileError{file, line, col, strings.TrimPrefix(dec.Error(), "toml: ")}
 	}
-	return &Mistake{File: file, Text: strings.TrimPrefix(err.Error(), "toml: ")}
+	return &FileError{File: file, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
 // checker looks for the first value that cannot be worked with.
@@ -363,7 +363,7 @@
 	for at := path; !ok && at != ""; p, ok = c.where[at] {
 		at = at[:max(0, strings.LastIndexByte(at, '.'))]
 	}
-	c.found = &Mistake{c.file, p.line, p.col, path + ": " + fmt.Sprintf(format, args...)}
+	c.found = &FileError{c.file, p.line, p.col, path + ": " + fmt.Sprintf(format, args...)}
 }
 
 func (c *checker) within(path string, v, lo, hi float64) {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -47,7 +47,7 @@
 		"capacity of nothing": {whole("[[capacity]]\ntype = \"huge\"\nzone = \"north\"\ncount = 1\n"), lines + 1, 1, "there is no machine type"},
 	} {
 		_, err := Parse("f.toml", []byte(c.text), true)
-		var m *Mistake
+		var m *FileError
 		if !errors.As(err, &m) {
 			t.Errorf("%s: %v", name, err)
 			continue
