--- a/cmd/shalestage/explore.go
+++ b/cmd/shalestage/explore.go
@@ -40,18 +40,18 @@
 		return unusable(errors.New("want --depth from 1 to 100 and --mail from 1 to 8"))
 	}
 	if o.World == "following" {
-		opt := following.Options{Fault: following.Fault(o.Fault), Starts: o.Starts, Mail: o.Mail, Lost: o.Lost}
-		return search(o, opt.Fault, following.Faults, func() explore.World[following.Move] { return following.New(opt) },
-			func(h []following.Move) []string { return following.Tell(opt, h) })
+		opt := following.Options{Mutation: following.Mutation(o.Fault), Starts: o.Starts, Mail: o.Mail, Lost: o.Lost}
+		return search(o, opt.Mutation, following.Mutations, func() explore.World[following.Action] { return following.New(opt) },
+			func(h []following.Action) []string { return following.FormatTrace(opt, h) })
 	}
 	if o.World == "cancelling" {
-		opt := cancelling.Options{Fault: cancelling.Fault(o.Fault), Jobs: o.Jobs, Mail: o.Mail, Crashes: o.Crashes}
-		return search(o, opt.Fault, cancelling.Faults, func() explore.World[cancelling.Move] { return cancelling.New(opt) },
-			func(h []cancelling.Move) []string { return cancelling.Tell(opt, h) })
+		opt := cancelling.Options{Mutation: cancelling.Mutation(o.Fault), Jobs: o.Jobs, Mail: o.Mail, Crashes: o.Crashes}
+		return search(o, opt.Mutation, cancelling.Mutations, func() explore.World[cancelling.Action] { return cancelling.New(opt) },
+			func(h []cancelling.Action) []string { return cancelling.FormatTrace(opt, h) })
 	}
-	opt := authority.Options{Fault: authority.Fault(o.Fault), Mail: o.Mail, Crashes: o.Crashes, Twice: o.Twice, Alone: o.Alone, Unserved: o.Unserved}
-	return search(o, opt.Fault, authority.Faults, func() explore.World[authority.Move] { return authority.New(opt) },
-		func(h []authority.Move) []string { return authority.Tell(opt, h) })
+	opt := authority.Options{Mutation: authority.Mutation(o.Fault), Mail: o.Mail, Crashes: o.Crashes, Twice: o.Twice, Alone: o.Alone, Unserved: o.Unserved}
+	return search(o, opt.Mutation, authority.Mutations, func() explore.World[authority.Action] { return authority.New(opt) },
+		func(h []authority.Action) []string { return authority.FormatTrace(opt, h) })
 }
 
 // search explores a world and tells what was found.
--- a/internal/explore/authority/authority.go
+++ b/internal/explore/authority/authority.go
@@ -1,11 +1,10 @@
-// Package authority is a small world in which controllers hold a block by their seats:
-// three of them with the service's own seats, promises and permits, a state service with
-// leases, and messages that may be late, lost or come twice. Controllers end and begin
-// anew, and their clocks run off. Explored, it shows whether two can ever hold the block
-// at one moment.
+// Package authority is a model in which three controllers compete for the ownership of a shard. They run the
+// service's own code for memberships, peer leases and takeover votes. The model has a state service with leases,
+// and messages that may be delayed, lost or duplicated. Controllers crash and restart, and their clocks drift.
+// Model checking shows whether two controllers can ever own the shard at the same time.
 //
-// The first controller holds the block and may lose any message; the others are served by
-// the state service all the time, but may read late what concerns the first, and may end.
+// The first controller owns the shard and may lose any message. The others always reach the state service, but they
+// may read the first one's records late, and they may crash.
 package authority
 
 import (
@@ -24,42 +23,43 @@
 	"shalestage.example/shalestage/internal/explore"
 )
 
-// Fault is a mistake that is planted, to show that it is found.
-type Fault string
+// Mutation is a bug that is added on purpose, to show that the search finds it.
+type Mutation string
 
-// Faults. Each takes away one of the things that safety rests on.
+// Mutations. Each removes one condition that safety depends on.
 const (
-	None       Fault = ""
-	FromAnswer Fault = "from-answer" // promises count from when they come, and not from when they were asked for
-	Forgetful  Fault = "forgetful"   // a controller permits as soon as it has begun, though it may have promised
-	Minority   Fault = "minority"    // one permit is enough
-	Unguarded  Fault = "unguarded"   // blocks are granted whatever was granted meanwhile
-	LongLease  Fault = "long-lease"  // a lease is taken for longer than the state service keeps it
-	FastClock  Fault = "fast-clock"  // a clock runs off by more than the bound
-	Torn       Fault = "torn"        // controllers read who holds the block before they read the seats of that time
-	Hasty      Fault = "hasty"       // controllers take a seat for over before a majority's promises can be
-	Few        Fault = "few"         // a majority's promises count as those of all
-	TwoFaced   Fault = "two-faced"   // a controller goes on promising to a seat that it has helped to end
+	None                Mutation = ""
+	LeaseFromGrant      Mutation = "from-answer" // a peer lease counts from the arrival of its grant, not from the sending of its request
+	VoteAfterRestart    Mutation = "forgetful"   // a controller votes right after its start, though it may have granted a peer lease before
+	SingleVote          Mutation = "minority"    // one vote is enough for a takeover
+	UnguardedAssignment Mutation = "unguarded"   // a shard assignment is stored without a guard on the version of the previous one
+	LongLease           Mutation = "long-lease"  // a controller counts its lease for longer than the state service keeps it
+	FastClock           Mutation = "fast-clock"  // clocks drift by more than the bound
+	StaleMembers        Mutation = "torn"        // controllers read the shard assignment before they read the member records of that time
+	EarlyExpiry         Mutation = "hasty"       // controllers count a membership as expired before a majority's peer leases can have expired
+	MajorityAsAll       Mutation = "few"         // peer leases of a majority count as those of all peers
+	LeaseAfterVote      Mutation = "two-faced"   // a controller still grants peer leases to a membership that it has voted to end
 )
 
-// Faults lists all that can be planted.
-var Faults = []Fault{FromAnswer, Forgetful, Minority, Unguarded, LongLease, FastClock, Torn, Hasty, Few, TwoFaced}
+// Mutations lists all mutations.
+var Mutations = []Mutation{LeaseFromGrant, VoteAfterRestart, SingleVote, UnguardedAssignment, LongLease, FastClock, StaleMembers, EarlyExpiry, MajorityAsAll, LeaseAfterVote}
 
-// Options say what may happen.
+// Options configure the model and bound its actions.
 type Options struct {
-	Fault   Fault
-	Mail    int // messages under way at once
-	Crashes int // of controllers, in a history
-	Twice   int // messages that come twice
-	// Alone lets promises of all carry a seat for much longer than those of a majority, so
-	// that the seat may be ended by one alone.
+	Mutation Mutation
+	Mail     int // maximum number of messages in flight
+	Crashes  int // maximum number of crashes of controllers in a trace
+	Twice    int // maximum number of duplicated messages in a trace
+	// Alone lets peer leases of all peers extend a membership for much longer than those of a majority, so that one
+	// controller alone may end the membership.
 	Alone bool
-	// Unserved lets the others promise as in an outage, also to a seat whose record is gone.
+	// Unserved lets the others grant peer leases as in an outage of the state service, also to a membership whose
+	// record has been deleted.
 	Unserved bool
 }
 
-// times are a lease's, and for how long promises of all and of a majority carry it.
-func (o Options) times() (ttl, extend, short units.Microseconds) {
+// times returns the TTL of a lease, and for how long peer leases of all peers and of a majority extend it.
+func (o Options) times() (ttl, allExtension, majorityExtension units.Microseconds) {
 	if o.Alone {
 		return second, 8 * second, second
 	}
@@ -67,521 +67,522 @@
 }
 
 const (
-	count   = 3
-	second  = units.Second
-	started = 10 * second // of the processes that are there at the beginning
+	controllerCount = 3
+	second          = units.Second
+	startTime       = 10 * second // start time of the initial processes
 )
 
-// drift is by how much each clock runs off, within the bound: the holder's is slow and
-// those of the others are fast, which is the worst.
-var drift = [count]float64{0.9995, 1.0005, 1.0005}
+// clockRates are the rates of the controllers' clocks. They are within the drift bound. The worst case is chosen: the
+// owner's clock is slow and the others' are fast.
+var clockRates = [controllerCount]float64{0.9995, 1.0005, 1.0005}
 
-// Move is one thing that happens. What A and B are depends on its kind.
-type Move struct {
-	Kind kind
+// Action is one step of the model. The meaning of A and B depends on its kind.
+type Action struct {
+	Kind actionKind
 	A, B int8
 }
 
-type kind int8
+type actionKind int8
 
 const (
-	passes  kind = iota // a second
-	ticks               // the first's timer: a renewal, or a new lease; B: answered at once
-	asks                // the first asks B for a promise; A: answered at once
-	governs             // A tries to give the block to itself; B: 1 permits come at once, 2 the grant too
-	learns              // A reads the first's seat and who holds the block
-	expires             // the lease of the first's seat
-	crashes             // A
-	carried             // message A
-	lost                // message A
-	doubled             // message A comes, and will come once more
+	advanceTime      actionKind = iota // one second passes
+	fireTimer                          // the first controller's timer fires: it renews its lease or opens a new one; B 1: answered at once
+	requestPeerLease                   // the first controller requests a peer lease from B; A 1: answered at once
+	takeOver                           // A tries to take over the shard; B 1: votes arrive at once, 2: the assignment is also stored at once
+	readRecords                        // A reads the first controller's member record and the shard assignment
+	expireLease                        // the lease of the first controller's membership expires
+	crash                              // A crashes and restarts
+	deliver                            // message A is delivered
+	lose                               // message A is lost
+	duplicate                          // message A is delivered, and will be delivered again
 )
 
-type letter int8
+type messageKind int8
 
 const (
-	renewal letter = iota // to the state service
-	opening
-	seating
-	granting
-	renewed // from it
-	opened
-	seated
-	askPromise // between controllers
-	promise
-	askPermit
-	permit
+	renewRequest messageKind = iota // requests to the state service
+	openRequest
+	memberWrite
+	assignmentWrite
+	renewResponse // its responses
+	openResponse
+	memberWriteResponse
+	peerLeaseRequest // messages between controllers
+	peerLeaseGrant
+	voteRequest
+	vote
 )
 
-// mail is a message under way. Times are those of the clock of the process that asked.
-type mail struct {
-	kind     letter
-	from, to int8
-	life     int // of the process that is to get the answer
-	seat     uint64
-	sent     units.Microseconds
-	node     int8
-	stamp    uint64
-	ok       bool
-	write    *store.Write
+// message is a message in flight. Times are in the requesting process's clock.
+type message struct {
+	kind        messageKind
+	from, to    int8
+	incarnation int // incarnation of the process that waits for the response
+	memberID    uint64
+	sent        units.Microseconds
+	node        int8
+	version     uint64
+	ok          bool
+	write       *store.Write
 }
 
 type record struct {
-	stamp, lease uint64
+	version, lease uint64
 }
 
-type block struct {
-	stamp, seat uint64
-	node        int8
+type assignment struct {
+	version, memberID uint64
+	node              int8
 }
 
 type process struct {
-	w     *World
-	i     int8
-	life  int
-	born  units.Microseconds
-	rate  float64
-	s     *membership.Registry
-	block block // as it knows it
-	seen  [count]record
-	out   []any
-	write *store.Write
+	w           *World
+	i           int8
+	incarnation int
+	startedAt   units.Microseconds
+	clockRate   float64
+	registry    *membership.Registry
+	assignment  assignment // as this process has read it
+	seenMembers [controllerCount]record
+	emitted     []any
+	write       *store.Write
 }
 
-// World is the state of everything.
+// World is the state of the model.
 type World struct {
-	o      Options
-	ttl    units.Microseconds
-	now    units.Microseconds
-	rev    uint64
-	seats  [count]record
-	leases map[uint64]units.Microseconds // when each was last renewed
-	block  block
-	nodes  [count]*process
-	mail   []mail
-	ended  int
-	twice  int
-
-	promising bool // a promise is being asked for
+	o          Options
+	ttl        units.Microseconds
+	now        units.Microseconds
+	revision   uint64
+	members    [controllerCount]record
+	leases     map[uint64]units.Microseconds // time of the last renewal of each lease
+	assignment assignment
+	nodes      [controllerCount]*process
+	messages   []message
+	crashes    int
+	duplicates int
+
+	grantingPeerLease bool // a peer lease request is being handled
 }
 
-func name(i int8) string { return string(rune('a' + i)) }
+func nodeName(i int8) string { return string(rune('a' + i)) }
 
-// values are the records of seats as they are stored.
-var values = func() (out [count]json.RawMessage) {
+// memberValues are the stored values of the member records.
+var memberValues = func() (out [controllerCount]json.RawMessage) {
 	for i := range out {
-		out[i] = store.Value(authority.Member{Node: name(int8(i))})
+		out[i] = store.Value(authority.Member{Node: nodeName(int8(i))})
 	}
 	return out
 }()
 
-func index(name string) int8 { return int8(name[0] - 'a') }
+func nodeIndex(name string) int8 { return int8(name[0] - 'a') }
 
-// New returns a world in which all controllers have seats, and the first holds the block.
+// New returns a world in which all controllers are members and the first one owns the shard.
 func New(o Options) *World {
-	w := &World{o: o, now: started, leases: map[uint64]units.Microseconds{}}
+	w := &World{o: o, now: startTime, leases: map[uint64]units.Microseconds{}}
 	w.ttl, _, _ = o.times()
-	for i := range int8(count) {
+	for i := range int8(controllerCount) {
 		w.start(i, 0)
 		p := w.nodes[i]
-		p.s.Tick(p.local())
-		p.out = nil // the lease that it asks for is answered here
-		w.rev++
-		lease := w.rev
+		p.registry.Tick(p.localTime())
+		p.emitted = nil // the requested lease is opened below
+		w.revision++
+		lease := w.revision
 		w.leases[lease] = w.now
-		p.s.OnLease(p.local(), store.OK, lease)
-		w.rev++
-		w.seats[i] = record{w.rev, lease}
-		p.write.Done(store.OK, w.rev)
+		p.registry.OnLease(p.localTime(), store.OK, lease)
+		w.revision++
+		w.members[i] = record{w.revision, lease}
+		p.write.Done(store.OK, w.revision)
 		p.write = nil
 	}
-	w.rev++
-	w.block = block{w.rev, w.seats[0].stamp, 0}
+	w.revision++
+	w.assignment = assignment{w.revision, w.members[0].version, 0}
 	for _, p := range w.nodes {
-		for j := range int8(count) {
-			p.learn(j)
+		for j := range int8(controllerCount) {
+			p.readMember(j)
 		}
-		p.block = w.block
+		p.assignment = w.assignment
 	}
 	return w
 }
 
-func (w *World) start(i int8, born units.Microseconds) {
-	life := 0
+func (w *World) start(i int8, startedAt units.Microseconds) {
+	incarnation := 0
 	if p := w.nodes[i]; p != nil {
-		life = p.life + 1
+		incarnation = p.incarnation + 1
 	}
-	p := &process{w: w, i: i, life: life, born: born, rate: drift[i]}
-	size := count
-	if w.o.Fault == Minority {
+	p := &process{w: w, i: i, incarnation: incarnation, startedAt: startedAt, clockRate: clockRates[i]}
+	size := controllerCount
+	if w.o.Mutation == SingleVote {
 		size = 1
 	}
-	lease, extend, carries := w.o.times()
-	if w.o.Fault == LongLease {
+	lease, allExtension, majorityExtension := w.o.times()
+	if w.o.Mutation == LongLease {
 		lease *= 2
 	}
-	if w.o.Fault == Hasty && i == 0 {
-		carries *= 5
+	if w.o.Mutation == EarlyExpiry && i == 0 {
+		majorityExtension *= 5
 	}
-	if w.o.Fault == Few && i == 0 {
-		carries = extend
+	if w.o.Mutation == MajorityAsAll && i == 0 {
+		majorityExtension = allExtension
 	}
-	if w.o.Fault == FastClock && i > 0 {
-		p.rate = 2
+	if w.o.Mutation == FastClock && i > 0 {
+		p.clockRate = 2
 	}
-	if w.o.Fault == Forgetful {
-		p.born -= 10 * second
+	if w.o.Mutation == VoteAfterRestart {
+		p.startedAt -= 10 * second
 	}
-	p.s = membership.New(membership.Config{Node: name(i), Size: size, TTL: lease, UnvotedExpiry: extend, MajorityExtension: carries, Log: slog.New(slog.DiscardHandler)}, p)
+	p.registry = membership.New(membership.Config{Node: nodeName(i), Size: size, TTL: lease, UnvotedExpiry: allExtension, MajorityExtension: majorityExtension, Log: slog.New(slog.DiscardHandler)}, p)
 	w.nodes[i] = p
 }
 
-func (p *process) local() units.Microseconds {
-	return units.Microseconds(float64(p.w.now-p.born) * p.rate)
+func (p *process) localTime() units.Microseconds {
+	return units.Microseconds(float64(p.w.now-p.startedAt) * p.clockRate)
 }
 
-// Emit implements seats.Host.
-func (p *process) Emit(e any) { p.out = append(p.out, e) }
+// Emit implements membership.Host.
+func (p *process) Emit(e any) { p.emitted = append(p.emitted, e) }
 
-// Store implements seats.Host.
+// Store implements membership.Host.
 func (p *process) Store(w *store.Write) { p.write = w }
 
-// Version implements seats.Host.
-func (p *process) Version(string) uint64 { return p.seen[p.i].stamp }
+// Version implements membership.Host.
+func (p *process) Version(string) uint64 { return p.seenMembers[p.i].version }
 
-// CacheAge implements seats.Host.
+// CacheAge implements membership.Host.
 func (p *process) CacheAge() (since, age units.Microseconds, ok bool) {
-	if p.w.o.Unserved && p.w.promising {
+	if p.w.o.Unserved && p.w.grantingPeerLease {
 		return 0, units.MaxTime, true
 	}
 	return 0, 0, true
 }
 
-// Refresh implements seats.Host.
+// Refresh implements membership.Host.
 func (p *process) Refresh() {}
 
-// Joined implements seats.Host.
+// Joined implements membership.Host.
 func (p *process) Joined() {}
 
-// Lost implements seats.Host.
+// Lost implements membership.Host.
 func (p *process) Lost() {}
 
-// PeerRelease implements seats.Host.
+// PeerRelease implements membership.Host.
 func (p *process) PeerRelease(string, int) {}
 
-// RequestVotes implements seats.Host.
-func (p *process) RequestVotes(node string, seat uint64) {
-	for j := range int8(count) {
+// RequestVotes implements membership.Host.
+func (p *process) RequestVotes(node string, memberID uint64) {
+	for j := range int8(controllerCount) {
 		if j != p.i {
-			p.w.post(mail{kind: askPermit, from: p.i, to: j, life: p.life, node: index(node), seat: seat})
+			p.w.post(message{kind: voteRequest, from: p.i, to: j, incarnation: p.incarnation, node: nodeIndex(node), memberID: memberID})
 		}
 	}
 }
 
-// post sends a message, unless too many are under way: then it is lost. Two are for those
-// that are answered at once.
-func (w *World) post(m mail) {
-	if len(w.mail) < w.o.Mail+2 {
-		w.mail = append(w.mail, m)
+// post sends a message. The message is lost if too many are in flight. Two slots are added for messages that are
+// answered at once.
+func (w *World) post(m message) {
+	if len(w.messages) < w.o.Mail+2 {
+		w.messages = append(w.messages, m)
 	}
 }
 
-// tick lets a controller's timer run.
+// tick fires a controller's timer.
 func (p *process) tick() {
-	p.s.Tick(p.local())
+	p.registry.Tick(p.localTime())
 	p.flush()
 }
 
-// flush posts what a controller asks of the state service.
+// flush posts a controller's pending requests to the state service.
 func (p *process) flush() {
-	for _, e := range p.out {
+	for _, e := range p.emitted {
 		switch e := e.(type) {
 		case membership.RenewLease:
-			p.w.post(mail{kind: renewal, from: p.i, life: p.life, stamp: e.ID})
+			p.w.post(message{kind: renewRequest, from: p.i, incarnation: p.incarnation, version: e.ID})
 		case membership.OpenLease:
-			p.w.post(mail{kind: opening, from: p.i, life: p.life})
+			p.w.post(message{kind: openRequest, from: p.i, incarnation: p.incarnation})
 		case membership.CloseLease:
-			p.w.drop(e.ID)
+			p.w.endLease(e.ID)
 		}
 	}
-	p.out = nil
+	p.emitted = nil
 	if p.write != nil {
-		p.w.post(mail{kind: seating, from: p.i, life: p.life, write: p.write})
+		p.w.post(message{kind: memberWrite, from: p.i, incarnation: p.incarnation, write: p.write})
 		p.write = nil
 	}
 }
 
-// drop ends a lease in the state service, and with it the seat.
-func (w *World) drop(lease uint64) {
+// endLease ends a lease in the state service and deletes the member record that is attached to it.
+func (w *World) endLease(lease uint64) {
 	delete(w.leases, lease)
-	for i := range w.seats {
-		if w.seats[i].lease == lease {
-			w.seats[i] = record{}
+	for i := range w.members {
+		if w.members[i].lease == lease {
+			w.members[i] = record{}
 		}
 	}
 }
 
-func (p *process) learn(j int8) {
-	p.seen[j] = p.w.seats[j]
-	e := store.Event{Key: membership.Prefix + name(j), Stamp: p.seen[j].stamp}
+func (p *process) readMember(j int8) {
+	p.seenMembers[j] = p.w.members[j]
+	e := store.Event{Key: membership.Prefix + nodeName(j), Stamp: p.seenMembers[j].version}
 	if e.Stamp > 0 {
-		e.Value = values[j]
+		e.Value = memberValues[j]
 	}
-	_ = p.s.ApplyRecord(p.local(), name(j), e) // a value that was made here can be read
+	_ = p.registry.ApplyRecord(p.localTime(), nodeName(j), e) // cannot fail: the value was encoded by this package
 	p.flush()
 }
 
-// holds reports whether a controller thinks that it may act for the block.
-func (p *process) holds() bool {
-	return p.block.node == p.i && p.block.seat == p.s.ID() && p.s.ID() != 0 && p.s.Valid(p.local())
+// ownsShard reports whether a controller considers itself the owner of the shard.
+func (p *process) ownsShard() bool {
+	return p.assignment.node == p.i && p.assignment.memberID == p.registry.ID() && p.registry.ID() != 0 && p.registry.Valid(p.localTime())
 }
 
 // Violation implements explore.World.
 func (w *World) Violation() string {
-	var who []string
+	var owners []string
 	for _, p := range w.nodes {
-		if p.holds() {
-			who = append(who, name(p.i))
+		if p.ownsShard() {
+			owners = append(owners, nodeName(p.i))
 		}
 	}
-	if len(who) > 1 {
-		return fmt.Sprintf("%s hold the block at once", strings.Join(who, " and "))
+	if len(owners) > 1 {
+		return fmt.Sprintf("%s own the shard at the same time", strings.Join(owners, " and "))
 	}
 	return ""
 }
 
 // Actions implements explore.World.
-func (w *World) Actions() []Move {
-	first, room := w.nodes[0], len(w.mail) < w.o.Mail
-	out := []Move{{Kind: passes}, {ticks, 0, 1}}
-	if room {
-		out = append(out, Move{ticks, 0, 0})
+func (w *World) Actions() []Action {
+	first, hasCapacity := w.nodes[0], len(w.messages) < w.o.Mail
+	out := []Action{{Kind: advanceTime}, {fireTimer, 0, 1}}
+	if hasCapacity {
+		out = append(out, Action{fireTimer, 0, 0})
 	}
-	for i := range int8(count) {
+	for i := range int8(controllerCount) {
 		p := w.nodes[i]
-		if i > 0 && first.s.ID() != 0 {
-			out = append(out, Move{asks, 1, i})
-			if room {
-				out = append(out, Move{asks, 0, i})
+		if i > 0 && first.registry.ID() != 0 {
+			out = append(out, Action{requestPeerLease, 1, i})
+			if hasCapacity {
+				out = append(out, Action{requestPeerLease, 0, i})
 			}
 		}
-		// The first may take over from its own last seat.
-		if p.s.ID() != 0 && p.block.node == 0 && (i > 0 || p.block.seat != p.s.ID()) && p.seen[0].stamp != p.block.seat {
-			out = append(out, Move{governs, i, 2})
-			if room {
-				out = append(out, Move{governs, i, 0}, Move{governs, i, 1})
+		// The first controller may take over from its own previous membership.
+		if p.registry.ID() != 0 && p.assignment.node == 0 && (i > 0 || p.assignment.memberID != p.registry.ID()) && p.seenMembers[0].version != p.assignment.memberID {
+			out = append(out, Action{takeOver, i, 2})
+			if hasCapacity {
+				out = append(out, Action{takeOver, i, 0}, Action{takeOver, i, 1})
 			}
 		}
-		if p.seen[0] != w.seats[0] || p.block != w.block {
-			out = append(out, Move{learns, i, 0})
+		if p.seenMembers[0] != w.members[0] || p.assignment != w.assignment {
+			out = append(out, Action{readRecords, i, 0})
 		}
-		if w.ended < w.o.Crashes {
-			out = append(out, Move{crashes, i, 0})
+		if w.crashes < w.o.Crashes {
+			out = append(out, Action{crash, i, 0})
 		}
 	}
-	if r := w.seats[0]; r.stamp != 0 && w.now-w.leases[r.lease] >= w.ttl {
-		out = append(out, Move{Kind: expires})
+	if r := w.members[0]; r.version != 0 && w.now-w.leases[r.lease] >= w.ttl {
+		out = append(out, Action{Kind: expireLease})
 	}
-	for k, m := range w.mail {
-		out = append(out, Move{carried, int8(k), 0})
-		if m.kind == renewed || m.kind == promise { // of others, one that never comes is as one that is late
-			out = append(out, Move{lost, int8(k), 0})
+	for k, m := range w.messages {
+		out = append(out, Action{deliver, int8(k), 0})
+		if m.kind == renewResponse || m.kind == peerLeaseGrant { // losing another kind is equivalent to delaying it forever
+			out = append(out, Action{lose, int8(k), 0})
 		}
-		if w.twice < w.o.Twice {
-			out = append(out, Move{doubled, int8(k), 0})
+		if w.duplicates < w.o.Twice {
+			out = append(out, Action{duplicate, int8(k), 0})
 		}
 	}
 	return out
 }
 
 // Apply implements explore.World.
-func (w *World) Apply(m Move) {
+func (w *World) Apply(m Action) {
 	switch m.Kind {
-	case passes:
+	case advanceTime:
 		w.now += second
-	case ticks:
+	case fireTimer:
 		w.nodes[0].tick()
 		if m.B == 1 {
-			w.settle(renewal, opening, seating, renewed, opened, seated)
+			w.deliverLast(renewRequest, openRequest, memberWrite, renewResponse, openResponse, memberWriteResponse)
 		} else {
-			w.settle(renewal, opening, seating)
+			w.deliverLast(renewRequest, openRequest, memberWrite)
 		}
-	case asks:
+	case requestPeerLease:
 		p := w.nodes[0]
-		w.post(mail{kind: askPromise, from: 0, to: m.B, life: p.life, seat: p.s.ID(), sent: p.local()})
-		w.settle(askPromise)
+		w.post(message{kind: peerLeaseRequest, from: 0, to: m.B, incarnation: p.incarnation, memberID: p.registry.ID(), sent: p.localTime()})
+		w.deliverLast(peerLeaseRequest)
 		if m.A == 1 {
-			w.settle(promise)
+			w.deliverLast(peerLeaseGrant)
 		}
-	case governs:
-		w.nodes[m.A].govern()
+	case takeOver:
+		w.nodes[m.A].tryTakeOver()
 		if m.B > 0 {
-			w.settle(askPermit, permit)
-			w.nodes[m.A].govern()
+			w.deliverLast(voteRequest, vote)
+			w.nodes[m.A].tryTakeOver()
 		}
 		if m.B == 2 {
-			w.settle(granting)
-			w.nodes[m.A].learn(0) // whatever became of it
-			w.nodes[m.A].block = w.block
-		}
-	case learns:
-		w.nodes[m.A].learn(0)
-		w.nodes[m.A].block = w.block
-	case expires:
-		w.drop(w.seats[0].lease)
-	case crashes:
-		w.ended++
+			w.deliverLast(assignmentWrite)
+			w.nodes[m.A].readMember(0) // read the result, also if the takeover failed
+			w.nodes[m.A].assignment = w.assignment
+		}
+	case readRecords:
+		w.nodes[m.A].readMember(0)
+		w.nodes[m.A].assignment = w.assignment
+	case expireLease:
+		w.endLease(w.members[0].lease)
+	case crash:
+		w.crashes++
 		w.start(m.A, w.now)
-		w.nodes[m.A].begin()
-	case carried, doubled:
-		t := w.mail[m.A]
-		if m.Kind == carried {
-			w.mail = slices.Delete(w.mail, int(m.A), int(m.A)+1)
+		w.nodes[m.A].loadState()
+	case deliver, duplicate:
+		t := w.messages[m.A]
+		if m.Kind == deliver {
+			w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
 		} else {
-			w.twice++
+			w.duplicates++
 		}
-		w.carry(t)
-	case lost:
-		w.mail = slices.Delete(w.mail, int(m.A), int(m.A)+1)
+		w.deliver(t)
+	case lose:
+		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
 	}
-	w.serve()
+	w.maintainPeers()
 }
 
-// settle delivers the last message as long as it is of one of some kinds.
-func (w *World) settle(kinds ...letter) {
-	for n := len(w.mail); n > 0 && slices.Contains(kinds, w.mail[n-1].kind); n = len(w.mail) {
-		m := w.mail[n-1]
-		w.mail = w.mail[:n-1]
-		w.carry(m)
+// deliverLast delivers the last message, repeatedly, as long as it has one of the given kinds.
+func (w *World) deliverLast(kinds ...messageKind) {
+	for n := len(w.messages); n > 0 && slices.Contains(kinds, w.messages[n-1].kind); n = len(w.messages) {
+		m := w.messages[n-1]
+		w.messages = w.messages[:n-1]
+		w.deliver(m)
 	}
 }
 
-// serve keeps the seats of all but the first, and has everybody read them.
-func (w *World) serve() {
-	for i := int8(1); i < count; i++ {
+// maintainPeers renews the memberships of all controllers but the first. All controllers then read the changed member
+// records.
+func (w *World) maintainPeers() {
+	for i := int8(1); i < controllerCount; i++ {
 		p := w.nodes[i]
-		for range 3 { // the renewal, or a lease and a seat
-			n := len(w.mail)
-			p.s.Tick(p.local())
+		for range 3 { // a renewal, or a new lease and a member record
+			n := len(w.messages)
+			p.registry.Tick(p.localTime())
 			p.flush()
-			if len(w.mail) == n {
+			if len(w.messages) == n {
 				break
 			}
-			w.settle(renewal, opening, seating, renewed, opened, seated)
+			w.deliverLast(renewRequest, openRequest, memberWrite, renewResponse, openResponse, memberWriteResponse)
 		}
 		for _, q := range w.nodes {
-			if q.seen[i] != w.seats[i] {
-				q.learn(i)
+			if q.seenMembers[i] != w.members[i] {
+				q.readMember(i)
 			}
 		}
 	}
-	if w.o.Fault == Torn {
+	if w.o.Mutation == StaleMembers {
 		for _, p := range w.nodes[1:] {
-			p.block = w.block
+			p.assignment = w.assignment
 		}
 	}
 }
 
-// begin has a process that has just begun read what is there.
-func (p *process) begin() {
-	for j := range int8(count) {
-		p.learn(j)
+// loadState lets a restarted process read all records.
+func (p *process) loadState() {
+	for j := range int8(controllerCount) {
+		p.readMember(j)
 	}
-	p.block = p.w.block
-	if p.i > 0 { // its seat was another process's, and goes at once
-		p.w.drop(p.w.seats[p.i].lease)
+	p.assignment = p.w.assignment
+	if p.i > 0 { // the member record belongs to the previous incarnation and is deleted at once
+		p.w.endLease(p.w.members[p.i].lease)
 	}
 }
 
-// govern gives the block to this controller where that is safe.
-func (p *process) govern() {
-	b := p.block
-	if b.seat == p.s.ID() || !p.s.Expired(p.local(), name(b.node), b.seat) {
+// tryTakeOver assigns the shard to this controller if the service considers the previous membership expired.
+func (p *process) tryTakeOver() {
+	b := p.assignment
+	if b.memberID == p.registry.ID() || !p.registry.Expired(p.localTime(), nodeName(b.node), b.memberID) {
 		return
 	}
-	p.w.post(mail{kind: granting, from: p.i, life: p.life, seat: p.s.ID(), stamp: b.stamp})
+	p.w.post(message{kind: assignmentWrite, from: p.i, incarnation: p.incarnation, memberID: p.registry.ID(), version: b.version})
 }
 
-// carry delivers a message.
-func (w *World) carry(m mail) {
-	var back *process // who gets an answer, if it is still the same process
-	if p := w.nodes[m.from]; p.life == m.life {
+// deliver delivers a message.
+func (w *World) deliver(m message) {
+	var back *process // process that gets the response; nil if it has restarted
+	if p := w.nodes[m.from]; p.incarnation == m.incarnation {
 		back = p
 	}
 	switch m.kind {
-	case renewal:
-		_, ok := w.leases[m.stamp]
+	case renewRequest:
+		_, ok := w.leases[m.version]
 		if ok {
-			w.leases[m.stamp] = w.now
-		}
-		w.post(mail{kind: renewed, from: m.from, life: m.life, stamp: m.stamp, ok: ok})
-	case opening:
-		w.rev++
-		w.leases[w.rev] = w.now
-		w.post(mail{kind: opened, from: m.from, life: m.life, stamp: w.rev})
-	case seating:
+			w.leases[m.version] = w.now
+		}
+		w.post(message{kind: renewResponse, from: m.from, incarnation: m.incarnation, version: m.version, ok: ok})
+	case openRequest:
+		w.revision++
+		w.leases[w.revision] = w.now
+		w.post(message{kind: openResponse, from: m.from, incarnation: m.incarnation, version: w.revision})
+	case memberWrite:
 		g, ch := m.write.Guards[0], m.write.Changes[0]
-		_, lives := w.leases[ch.Lease]
-		ok := lives && w.seats[m.from].stamp == g.Version
+		_, leaseExists := w.leases[ch.Lease]
+		ok := leaseExists && w.members[m.from].version == g.Version
 		if ok {
-			w.rev++
-			w.seats[m.from] = record{w.rev, ch.Lease}
+			w.revision++
+			w.members[m.from] = record{w.revision, ch.Lease}
 		}
-		w.post(mail{kind: seated, from: m.from, life: m.life, stamp: w.rev, ok: ok, write: m.write})
-	case granting:
-		if (w.o.Fault == Unguarded || w.block.stamp == m.stamp) && w.seats[m.from].stamp == m.seat {
-			w.rev++
-			w.block = block{w.rev, m.seat, m.from}
+		w.post(message{kind: memberWriteResponse, from: m.from, incarnation: m.incarnation, version: w.revision, ok: ok, write: m.write})
+	case assignmentWrite:
+		if (w.o.Mutation == UnguardedAssignment || w.assignment.version == m.version) && w.members[m.from].version == m.memberID {
+			w.revision++
+			w.assignment = assignment{w.revision, m.memberID, m.from}
 		}
-	case renewed:
+	case renewResponse:
 		if back != nil {
-			o := store.OK
+			outcome := store.OK
 			if !m.ok {
-				o = store.Failed
+				outcome = store.Failed
 			}
-			back.s.OnRenew(back.local(), m.stamp, o)
+			back.registry.OnRenew(back.localTime(), m.version, outcome)
 			back.flush()
 		}
-	case opened:
+	case openResponse:
 		if back != nil {
-			back.s.OnLease(back.local(), store.OK, m.stamp)
+			back.registry.OnLease(back.localTime(), store.OK, m.version)
 			back.flush()
 		}
-	case seated:
+	case memberWriteResponse:
 		if back != nil {
-			o := store.OK
+			outcome := store.OK
 			if !m.ok {
-				o = store.Failed
+				outcome = store.Failed
 			}
-			back.seen[back.i] = w.seats[back.i]
-			m.write.Done(o, m.stamp)
+			back.seenMembers[back.i] = w.members[back.i]
+			m.write.Done(outcome, m.version)
 			back.flush()
 		}
-	case askPromise:
+	case peerLeaseRequest:
 		to := w.nodes[m.to]
-		w.promising = true
-		promised := to.s.GrantPeerLease(to.local(), name(m.from), m.seat)
-		w.promising = false
-		if promised || w.o.Fault == TwoFaced {
-			w.post(mail{kind: promise, from: m.from, to: m.to, life: m.life, seat: m.seat, sent: m.sent})
+		w.grantingPeerLease = true
+		granted := to.registry.GrantPeerLease(to.localTime(), nodeName(m.from), m.memberID)
+		w.grantingPeerLease = false
+		if granted || w.o.Mutation == LeaseAfterVote {
+			w.post(message{kind: peerLeaseGrant, from: m.from, to: m.to, incarnation: m.incarnation, memberID: m.memberID, sent: m.sent})
 		}
-	case promise:
+	case peerLeaseGrant:
 		if back != nil {
 			sent := m.sent
-			if w.o.Fault == FromAnswer {
-				sent = back.local()
+			if w.o.Mutation == LeaseFromGrant {
+				sent = back.localTime()
 			}
-			back.s.PeerLeaseGranted(back.local(), name(m.to), m.seat, sent)
+			back.registry.PeerLeaseGranted(back.localTime(), nodeName(m.to), m.memberID, sent)
 		}
-	case askPermit:
+	case voteRequest:
 		to := w.nodes[m.to]
-		if to.s.VoteRequested(to.local(), name(m.node), m.seat) {
-			w.post(mail{kind: permit, from: m.from, to: m.to, life: m.life, node: m.node, seat: m.seat})
+		if to.registry.VoteRequested(to.localTime(), nodeName(m.node), m.memberID) {
+			w.post(message{kind: vote, from: m.from, to: m.to, incarnation: m.incarnation, node: m.node, memberID: m.memberID})
 		}
 		to.flush()
-	case permit:
+	case vote:
 		if back != nil {
-			back.s.VoteReceived(name(m.to), name(m.node), m.seat)
+			back.registry.VoteReceived(nodeName(m.to), nodeName(m.node), m.memberID)
 		}
 	}
 }
@@ -595,81 +596,81 @@
 		}
 	}
 	for _, p := range w.nodes {
-		add(p.block.stamp, uint64(p.life))
-		for _, r := range p.seen {
-			add(r.stamp)
+		add(p.assignment.version, uint64(p.incarnation))
+		for _, r := range p.seenMembers {
+			add(r.version)
 		}
-		b = append(b, p.s.Describe(p.local())...)
+		b = append(b, p.registry.Describe(p.localTime())...)
 	}
-	for _, r := range w.seats {
-		add(r.stamp, r.lease)
-		if r.stamp != 0 {
+	for _, r := range w.members {
+		add(r.version, r.lease)
+		if r.version != 0 {
 			add(uint64(min(w.now-w.leases[r.lease], w.ttl)))
 		}
 	}
-	add(w.block.stamp, w.block.seat, uint64(w.ended), uint64(w.twice))
-	list := slices.Clone(w.mail)
+	add(w.assignment.version, w.assignment.memberID, uint64(w.crashes), uint64(w.duplicates))
+	list := slices.Clone(w.messages)
 	for i, m := range list {
-		if p := w.nodes[m.from]; m.sent > 0 && p.life == m.life {
-			list[i].sent = min(p.local()-m.sent, 3*second) // older promises bind nobody
+		if p := w.nodes[m.from]; m.sent > 0 && p.incarnation == m.incarnation {
+			list[i].sent = min(p.localTime()-m.sent, 3*second) // older peer leases have expired
 		}
 	}
-	// In the order of their contents, as they come in any.
-	slices.SortFunc(list, func(x, y mail) int {
-		return cmp.Or(cmp.Compare(x.kind, y.kind), cmp.Compare(x.from, y.from), cmp.Compare(x.to, y.to), cmp.Compare(x.life, y.life), cmp.Compare(x.seat, y.seat),
-			cmp.Compare(x.sent, y.sent), cmp.Compare(x.stamp, y.stamp), cmp.Compare(x.node, y.node))
+	// Sorted by content, because messages are delivered in any order.
+	slices.SortFunc(list, func(x, y message) int {
+		return cmp.Or(cmp.Compare(x.kind, y.kind), cmp.Compare(x.from, y.from), cmp.Compare(x.to, y.to), cmp.Compare(x.incarnation, y.incarnation), cmp.Compare(x.memberID, y.memberID),
+			cmp.Compare(x.sent, y.sent), cmp.Compare(x.version, y.version), cmp.Compare(x.node, y.node))
 	})
 	for _, m := range list {
-		add(uint64(m.kind), uint64(m.from), uint64(m.to), uint64(m.life), m.seat, uint64(m.sent), uint64(m.node), m.stamp)
+		add(uint64(m.kind), uint64(m.from), uint64(m.to), uint64(m.incarnation), m.memberID, uint64(m.sent), uint64(m.node), m.version)
 		b = strconv.AppendBool(b, m.ok)
 	}
 	return string(b)
 }
 
-// Tell plays a history and says what happened, a line a move.
-func Tell(o Options, history []Move) []string {
+// FormatTrace replays a trace and describes it, one line per action.
+func FormatTrace(o Options, trace []Action) []string {
 	w := New(o)
 	var out []string
-	for _, m := range history {
-		text := w.say(m)
+	for _, m := range trace {
+		text := w.describe(m)
 		w.Apply(m)
-		var who []string
+		var owners []string
 		for _, p := range w.nodes {
-			if p.holds() {
-				who = append(who, name(p.i))
+			if p.ownsShard() {
+				owners = append(owners, nodeName(p.i))
 			}
 		}
-		out = append(out, fmt.Sprintf("%4.0f s  %-60s holds: %s", (w.now-started).Seconds(), text, strings.Join(who, ", ")))
+		out = append(out, fmt.Sprintf("%4.0f s  %-60s owns the shard: %s", (w.now-startTime).Seconds(), text, strings.Join(owners, ", ")))
 	}
 	return out
 }
 
-// late says of a request whether its answer is still to come.
-var late = [...]string{": no answer yet", ""}
+// replySuffix describes whether a request was answered at once.
+var replySuffix = [...]string{": no response yet", ""}
 
-func (w *World) say(m Move) string {
+func (w *World) describe(m Action) string {
 	switch m.Kind {
-	case passes:
+	case advanceTime:
 		return "a second passes"
-	case ticks:
-		return "a renews its lease, or takes a new seat" + late[m.B]
-	case asks:
-		return fmt.Sprintf("a asks %s for a promise", name(m.B)) + late[m.A]
-	case governs:
-		return name(m.A) + " tries to take the block over" + [...]string{"", ": all permit at once", ": all permit at once, and it is stored"}[m.B]
-	case learns:
-		return name(m.A) + " reads a's seat, and who holds the block"
-	case expires:
-		return "the lease of a's seat ends"
-	case crashes:
-		return name(m.A) + " ends and begins anew"
-	}
-	t := w.mail[m.A]
-	what := [...]string{"renewal of " + name(t.from), name(t.from) + " opens a lease", name(t.from) + " takes a seat", name(t.from) + "'s grant",
-		"answer to " + name(t.from) + "'s renewal", "lease for " + name(t.from), "seat for " + name(t.from),
-		fmt.Sprintf("request for a promise of %s to %s", name(t.to), name(t.from)), fmt.Sprintf("promise of %s to %s", name(t.to), name(t.from)),
-		fmt.Sprintf("request for a permit of %s to %s", name(t.to), name(t.from)), fmt.Sprintf("permit of %s to %s", name(t.to), name(t.from))}[t.kind]
-	return what + map[kind]string{carried: " comes", lost: " is lost", doubled: " comes, and will come again"}[m.Kind]
+	case fireTimer:
+		return "a renews its lease, or requests a new membership" + replySuffix[m.B]
+	case requestPeerLease:
+		return fmt.Sprintf("a requests a peer lease from %s", nodeName(m.B)) + replySuffix[m.A]
+	case takeOver:
+		return nodeName(m.A) + " tries to take over the shard" + [...]string{"", ": all vote at once", ": all vote at once, and the assignment is stored"}[m.B]
+	case readRecords:
+		return nodeName(m.A) + " reads a's member record and the shard assignment"
+	case expireLease:
+		return "the lease of a's membership expires"
+	case crash:
+		return nodeName(m.A) + " crashes and restarts"
+	}
+	t := w.messages[m.A]
+	what := [...]string{"renewal of " + nodeName(t.from), nodeName(t.from) + " opens a lease", nodeName(t.from) + " stores its member record", nodeName(t.from) + "'s shard assignment",
+		"response to " + nodeName(t.from) + "'s renewal", "lease for " + nodeName(t.from), "member record for " + nodeName(t.from),
+		fmt.Sprintf("peer lease request to %s from %s", nodeName(t.to), nodeName(t.from)), fmt.Sprintf("peer lease from %s to %s", nodeName(t.to), nodeName(t.from)),
+		fmt.Sprintf("vote request to %s from %s", nodeName(t.to), nodeName(t.from)), fmt.Sprintf("vote from %s to %s", nodeName(t.to), nodeName(t.from))}[t.kind]
+	return what + map[actionKind]string{deliver: " is delivered", lose: " is lost", duplicate: " is delivered, and will be delivered again"}[m.Kind]
 }
 
-var _ explore.World[Move] = (*World)(nil)
+var _ explore.World[Action] = (*World)(nil)
--- a/internal/explore/authority/authority_test.go
+++ b/internal/explore/authority/authority_test.go
@@ -6,29 +6,28 @@
 	"shalestage.example/shalestage/internal/explore"
 )
 
-func search(o Options, depth int) explore.Result[Move] {
-	return explore.Search(func() explore.World[Move] { return New(o) }, explore.Options{Depth: depth})
+func search(o Options, depth int) explore.Result[Action] {
+	return explore.Search(func() explore.World[Action] { return New(o) }, explore.Options{Depth: depth})
 }
 
-// TestOneHolder visits all histories of a few moves: no two controllers hold the block. A
-// longer search is "shalestage explore"; docs/results.md has what it visited.
-func TestOneHolder(t *testing.T) {
+// TestSingleOwner checks all traces of up to six actions: two controllers never own the shard at the same time.
+// "shalestage explore" searches deeper; docs/results.md has the number of states that it visited.
+func TestSingleOwner(t *testing.T) {
 	if r := search(Options{Mail: 2, Crashes: 1}, 6); r.Violation != "" || r.Depth != 6 || r.States < 2000 {
 		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 	}
 }
 
-// TestAlone visits those in which one controller may end a seat without the others' help.
-func TestAlone(t *testing.T) {
+// TestSingleOwnerAlone checks the same where one controller may end a membership without the others' votes.
+func TestSingleOwnerAlone(t *testing.T) {
 	if r := search(Options{Mail: 1, Crashes: 1, Alone: true}, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
 		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 	}
 }
 
-// TestUnserved visits those in which the others promise as in an outage of the state service,
-// also to a seat whose record they have seen go, though it serves them: whatever it does, no
-// two controllers hold the block.
-func TestUnserved(t *testing.T) {
+// TestSingleOwnerUnserved checks the same where the others grant peer leases as in an outage of the state service,
+// though it serves them: also to a membership whose record they have seen deleted.
+func TestSingleOwnerUnserved(t *testing.T) {
 	for _, o := range []Options{{Mail: 1, Crashes: 1, Alone: true, Unserved: true}, {Mail: 1, Crashes: 1, Unserved: true}} {
 		if r := search(o, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
 			t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
@@ -36,21 +35,21 @@
 	}
 }
 
-// TestPlantedFaults has the search find mistakes, each by a history of as few moves as it
-// takes.
-func TestPlantedFaults(t *testing.T) {
-	for f, moves := range map[Fault]int{Minority: 5, LongLease: 5, Unguarded: 5, FastClock: 6, Forgetful: 7, FromAnswer: 7, Torn: 8, Hasty: 7, Few: 7, TwoFaced: 7} {
-		o := Options{Fault: f, Mail: 2, Crashes: 1}
-		if f == Hasty || f == Few || f == TwoFaced {
-			o = Options{Fault: f, Alone: true}
+// TestMutationsFound checks that the search finds a violation for each mutation, and that its trace is as short as
+// possible.
+func TestMutationsFound(t *testing.T) {
+	for f, actions := range map[Mutation]int{SingleVote: 5, LongLease: 5, UnguardedAssignment: 5, FastClock: 6, VoteAfterRestart: 7, LeaseFromGrant: 7, StaleMembers: 8, EarlyExpiry: 7, MajorityAsAll: 7, LeaseAfterVote: 7} {
+		o := Options{Mutation: f, Mail: 2, Crashes: 1}
+		if f == EarlyExpiry || f == MajorityAsAll || f == LeaseAfterVote {
+			o = Options{Mutation: f, Alone: true}
 		}
 		r := search(o, 10)
-		if r.Violation == "" || len(r.Counterexample) != moves {
-			t.Errorf("%s: %q after %d moves, want %d", f, r.Violation, len(r.Counterexample), moves)
+		if r.Violation == "" || len(r.Counterexample) != actions {
+			t.Errorf("%s: %q after %d actions, want %d", f, r.Violation, len(r.Counterexample), actions)
 			continue
 		}
-		if lines := Tell(o, r.Counterexample); len(lines) != moves {
-			t.Errorf("%s is told in %d lines", f, len(lines))
+		if lines := FormatTrace(o, r.Counterexample); len(lines) != actions {
+			t.Errorf("%s: the trace has %d lines", f, len(lines))
 		}
 	}
 }
--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -1,9 +1,9 @@
-// Package cancelling is a small world in which two controllers confirm cancellations to users
-// while a third, the holder, answers workers: by the service's own code for what the holder
-// knows of them (package cancels). The holder's reads of the state service, its questions and
-// their answers may be late, lost or out of order, what the others store may stay without an
-// answer, and they may end and forget. Explored, it shows whether the holder can still answer
-// workers, without knowing of a cancellation, once that has been confirmed for too long.
+// Package cancelling is a model in which two controllers confirm cancellations to users while a third, the shard
+// owner, answers workers. It runs the service's own code that tracks which cancellations the owner knows (package
+// cancellations). The owner's reads of the state service, its requests to the peers and their responses may be
+// delayed, lost or reordered. Writes of the peers may get no response, and the peers may crash and lose their memory.
+// Model checking shows whether the owner can still answer workers without knowing of a cancellation that was
+// confirmed too long ago.
 package cancelling
 
 import (
@@ -19,271 +19,273 @@
 	"shalestage.example/shalestage/internal/explore"
 )
 
-// Fault is a mistake that is planted, to show that it is found.
-type Fault string
+// Mutation is a bug that is added on purpose, to show that the search finds it.
+type Mutation string
 
-// Faults. Each takes away one of the things that safety rests on.
+// Mutations. Each removes one condition that safety depends on.
 const (
-	None       Fault = ""
-	Renewal    Fault = "renewal"     // a renewal counts as if the keys had been read
-	Forgetful  Fault = "forgetful"   // a controller vouches as soon as it has begun, before it has read
-	FromAnswer Fault = "from-answer" // a list counts from when it comes, and not from when it was asked for
-	Ahead      Fault = "ahead"       // who has stored something itself says that it knows all up to there
-	Latest     Fault = "latest"      // the holder says that it knows all up to the last that it was told
-	One        Fault = "one"         // one controller's word counts as that of all
-	Cut        Fault = "cut"         // a list that was cut counts as whole
-	Dropped    Fault = "dropped"     // so does one of which the beginning is no longer kept
+	None                 Mutation = ""
+	RenewalAsRead        Mutation = "renewal"     // a lease renewal counts as a read of the keys
+	CompleteAfterRestart Mutation = "forgetful"   // a controller reports its list as complete right after its start, before it has read the keys
+	CountFromResponse    Mutation = "from-answer" // a list counts from its arrival, not from the sending of its request
+	ClaimOwnWrite        Mutation = "ahead"       // a controller that stored a cancellation claims to know all up to its revision
+	ClaimLatestListed    Mutation = "latest"      // the owner claims to know all up to the latest cancellation in a list
+	SinglePeer           Mutation = "one"         // a response of one controller counts as those of all
+	TruncatedAsComplete  Mutation = "cut"         // a truncated list counts as complete
+	TrimmedAsComplete    Mutation = "dropped"     // a list whose beginning is no longer kept counts as complete
 )
 
-// Faults lists all that can be planted.
-var Faults = []Fault{Renewal, Forgetful, FromAnswer, Ahead, Latest, One, Cut, Dropped}
+// Mutations lists all mutations.
+var Mutations = []Mutation{RenewalAsRead, CompleteAfterRestart, CountFromResponse, ClaimOwnWrite, ClaimLatestListed, SinglePeer, TruncatedAsComplete, TrimmedAsComplete}
 
-// Options say what may happen.
+// Options configure the model and bound its actions.
 type Options struct {
-	Fault   Fault
-	Jobs    int // cancellations
-	Mail    int // messages under way at once
-	Crashes int // of the controllers that confirm
+	Mutation Mutation
+	Jobs     int // maximum number of cancellations
+	Mail     int // maximum number of messages in flight
+	Crashes  int // maximum number of crashes of the controllers that confirm cancellations
 }
 
 const (
-	count  = 3
-	second = units.Second
-	// extension is for how long the holder may answer past the time up to which it knows all.
+	controllerCount = 3
+	second          = units.Second
+	// extension is how long the owner may answer workers after the time up to which it knows all cancellations.
 	extension = second
-	begins    = 10 * second
+	startTime = 10 * second
 )
 
-// drift is by how much each clock runs off: the holder's is slow, which is the worst.
-var drift = [count]float64{0.9995, 1.0005, 1.0005}
+// clockRates are the rates of the controllers' clocks. The owner's clock is slow, which is the worst case.
+var clockRates = [controllerCount]float64{0.9995, 1.0005, 1.0005}
 
-// Move is one thing that happens; what A is depends on the kind.
-type Move struct {
-	Kind kind
+// Action is one step of the model. The meaning of A depends on the kind.
+type Action struct {
+	Kind actionKind
 	A    int8
 }
 
-type kind int8
+type actionKind int8
 
 const (
-	passes  kind = iota // a second
-	stores              // A stores a cancellation, and tells its user
-	slips               // a cancellation is stored, and nobody hears of it for now
-	learns              // A reads all keys, and may tell users of what it finds
-	reads               // the holder sends a read
-	asks                // the holder asks A what it lacks
-	renews              // the holder's lease is renewed
-	crashes             // A
-	carried             // message A
-	lost                // message A
+	advanceTime       actionKind = iota // one second passes
+	storeCancellation                   // A stores a cancellation and confirms it to the user
+	storeUnanswered                     // a cancellation is stored, but its writer gets no response
+	readKeys                            // A reads all keys and may confirm the cancellations that it finds
+	sendRead                            // the owner sends a read
+	sendRequest                         // the owner requests the cancellations that it lacks from A
+	renewLease                          // the owner's lease is renewed
+	crash                               // A crashes and restarts
+	deliver                             // message A is delivered
+	lose                                // message A is lost
 )
 
-type letter struct {
-	kind kind // reads, asks, or their answers: learns, stores
-	from int8 // whom it is from or to
-	sent units.Microseconds
-	rev  uint64
-	told cancellations.Update
+type message struct {
+	kind     actionKind // sendRead or sendRequest, or their responses: readKeys, storeCancellation
+	from     int8       // the peer that sends or receives it
+	sent     units.Microseconds
+	revision uint64
+	update   cancellations.Update
 }
 
 type process struct {
-	book   *cancellations.Tracker
-	rate   float64
-	rev    uint64          // up to which its copy is complete
-	begun  uint64          // revision at which that was begun
-	loaded bool            // it has read the keys at all
-	knows  map[uint64]bool // cancellations, by revision
+	tracker   *cancellations.Tracker
+	clockRate float64
+	revision  uint64          // revision up to which its watch cache is complete
+	firstRead uint64          // revision of the first complete read
+	loaded    bool            // it has read the keys at least once
+	known     map[uint64]bool // cancellations, by revision
 }
 
-// World is the state of everything.
+// World is the state of the model.
 type World struct {
-	o       Options
-	now     units.Microseconds
-	rev     uint64
-	stored  []uint64                      // cancellations
-	told    map[uint64]units.Microseconds // when a user was first told of each
-	nodes   [count]*process
-	read    units.Microseconds // when the holder's last read was sent that was answered
-	mail    []letter
-	crashes int
+	o            Options
+	now          units.Microseconds
+	revision     uint64
+	stored       []uint64                      // revisions of the cancellations
+	confirmed    map[uint64]units.Microseconds // time of the first confirmation of each to a user
+	nodes        [controllerCount]*process
+	lastReadSent units.Microseconds // send time of the owner's last answered read
+	messages     []message
+	crashes      int
 }
 
-// New returns a world in which nothing is cancelled and all know that.
+// New returns a world without cancellations, in which all controllers have read the keys.
 func New(o Options) *World {
-	w := &World{o: o, now: begins, rev: 1, told: map[uint64]units.Microseconds{}}
+	w := &World{o: o, now: startTime, revision: 1, confirmed: map[uint64]units.Microseconds{}}
 	for i := range w.nodes {
-		w.nodes[i] = w.process(i)
-		w.nodes[i].loaded, w.nodes[i].rev, w.nodes[i].begun = true, w.rev, w.rev
+		w.nodes[i] = w.newProcess(i)
+		w.nodes[i].loaded, w.nodes[i].revision, w.nodes[i].firstRead = true, w.revision, w.revision
 	}
-	w.read = w.local(0)
+	w.lastReadSent = w.localTime(0)
 	return w
 }
 
-func (w *World) process(i int) *process {
-	cfg := cancellations.Config{Peers: count - 1, Kept: 2, Listed: 1}
-	if w.o.Fault == Dropped {
+func (w *World) newProcess(i int) *process {
+	cfg := cancellations.Config{Peers: controllerCount - 1, Kept: 2, Listed: 1}
+	if w.o.Mutation == TrimmedAsComplete {
 		cfg.Kept = 1
 	}
-	if w.o.Fault == One {
+	if w.o.Mutation == SinglePeer {
 		cfg.Peers = 1
 	}
-	return &process{book: cancellations.New(cfg), rate: drift[i], knows: map[uint64]bool{}}
+	return &process{tracker: cancellations.New(cfg), clockRate: clockRates[i], known: map[uint64]bool{}}
 }
 
-func (w *World) local(i int) units.Microseconds { return units.Microseconds(float64(w.now) * drift[i]) }
+func (w *World) localTime(i int) units.Microseconds {
+	return units.Microseconds(float64(w.now) * clockRates[i])
+}
 
-func event(rev uint64) store.Event {
-	return store.Event{Key: fmt.Sprintf("j%d", rev), Value: []byte("{}"), Stamp: rev}
+func event(revision uint64) store.Event {
+	return store.Event{Key: fmt.Sprintf("j%d", revision), Value: []byte("{}"), Stamp: revision}
 }
 
-func (p *process) learn(rev uint64) {
-	if !p.knows[rev] {
-		p.knows[rev] = true
-		if rev > p.rev {
-			p.book.Record(event(rev))
+func (p *process) observe(revision uint64) {
+	if !p.known[revision] {
+		p.known[revision] = true
+		if revision > p.revision {
+			p.tracker.Record(event(revision))
 		}
 	}
 }
 
-// take brings a controller's copy up to a revision.
-func (w *World) take(p *process, rev uint64) {
+// advanceCache brings a controller's watch cache up to a revision.
+func (w *World) advanceCache(p *process, revision uint64) {
 	if !p.loaded {
-		p.loaded, p.begun, p.rev = true, rev, rev
+		p.loaded, p.firstRead, p.revision = true, revision, revision
 	}
 	for _, s := range w.stored {
-		if s <= rev {
-			p.learn(s)
+		if s <= revision {
+			p.observe(s)
 		}
 	}
-	p.rev = max(p.rev, rev)
+	p.revision = max(p.revision, revision)
 }
 
-func (w *World) tell(rev uint64) {
-	if _, ok := w.told[rev]; !ok {
-		w.told[rev] = w.now
+func (w *World) confirm(revision uint64) {
+	if _, ok := w.confirmed[revision]; !ok {
+		w.confirmed[revision] = w.now
 	}
 }
 
 // Actions implements explore.World.
-func (w *World) Actions() []Move {
-	out := []Move{{Kind: passes}}
-	for i := int8(1); i < count; i++ {
+func (w *World) Actions() []Action {
+	out := []Action{{Kind: advanceTime}}
+	for i := int8(1); i < controllerCount; i++ {
 		p := w.nodes[i]
 		if len(w.stored) < w.o.Jobs && p.loaded {
-			out = append(out, Move{stores, i})
+			out = append(out, Action{storeCancellation, i})
 		}
-		if !p.loaded || p.rev < w.rev {
-			out = append(out, Move{learns, i})
+		if !p.loaded || p.revision < w.revision {
+			out = append(out, Action{readKeys, i})
 		}
-		if len(w.mail) < w.o.Mail {
-			out = append(out, Move{asks, i})
+		if len(w.messages) < w.o.Mail {
+			out = append(out, Action{sendRequest, i})
 		}
 		if w.crashes < w.o.Crashes {
-			out = append(out, Move{crashes, i})
+			out = append(out, Action{crash, i})
 		}
 	}
 	if len(w.stored) < w.o.Jobs {
-		out = append(out, Move{Kind: slips})
+		out = append(out, Action{Kind: storeUnanswered})
 	}
-	if len(w.mail) < w.o.Mail {
-		out = append(out, Move{Kind: reads})
+	if len(w.messages) < w.o.Mail {
+		out = append(out, Action{Kind: sendRead})
 	}
-	if w.o.Fault == Renewal {
-		out = append(out, Move{Kind: renews})
+	if w.o.Mutation == RenewalAsRead {
+		out = append(out, Action{Kind: renewLease})
 	}
-	for k := range w.mail {
-		out = append(out, Move{carried, int8(k)}, Move{lost, int8(k)})
+	for k := range w.messages {
+		out = append(out, Action{deliver, int8(k)}, Action{lose, int8(k)})
 	}
 	return out
 }
 
 // Apply implements explore.World.
-func (w *World) Apply(m Move) {
+func (w *World) Apply(m Action) {
 	a := w.nodes[0]
 	switch m.Kind {
-	case passes:
+	case advanceTime:
 		w.now += second
-	case stores, slips:
-		w.rev++
-		w.stored = append(w.stored, w.rev)
-		if m.Kind == stores {
-			w.nodes[m.A].learn(w.rev)
-			w.tell(w.rev)
+	case storeCancellation, storeUnanswered:
+		w.revision++
+		w.stored = append(w.stored, w.revision)
+		if m.Kind == storeCancellation {
+			w.nodes[m.A].observe(w.revision)
+			w.confirm(w.revision)
 		}
-	case learns:
+	case readKeys:
 		p := w.nodes[m.A]
-		w.take(p, w.rev)
-		for rev := range p.knows {
-			w.tell(rev)
+		w.advanceCache(p, w.revision)
+		for revision := range p.known {
+			w.confirm(revision)
 		}
-	case reads:
-		w.mail = append(w.mail, letter{kind: reads, sent: w.local(0)})
-	case asks:
-		w.mail = append(w.mail, letter{kind: asks, from: m.A, sent: w.local(0), rev: a.book.KnownRevision(a.rev)})
-	case renews:
-		w.read = w.local(0)
-	case crashes:
+	case sendRead:
+		w.messages = append(w.messages, message{kind: sendRead, sent: w.localTime(0)})
+	case sendRequest:
+		w.messages = append(w.messages, message{kind: sendRequest, from: m.A, sent: w.localTime(0), revision: a.tracker.KnownRevision(a.revision)})
+	case renewLease:
+		w.lastReadSent = w.localTime(0)
+	case crash:
 		w.crashes++
-		w.nodes[m.A] = w.process(int(m.A))
-	case lost:
-		w.mail = slices.Delete(w.mail, int(m.A), int(m.A)+1)
-	case carried:
-		l := w.mail[m.A]
-		w.mail = slices.Delete(w.mail, int(m.A), int(m.A)+1)
-		w.carry(l)
+		w.nodes[m.A] = w.newProcess(int(m.A))
+	case lose:
+		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+	case deliver:
+		l := w.messages[m.A]
+		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+		w.deliver(l)
 	}
 }
 
-func (w *World) carry(l letter) {
+func (w *World) deliver(l message) {
 	a, p := w.nodes[0], w.nodes[l.from]
 	switch l.kind {
-	case reads:
-		l.kind, l.rev = learns, w.rev
-		w.mail = append(w.mail, l)
-	case learns:
-		w.take(a, l.rev)
-		w.read = max(w.read, l.sent)
-	case asks:
-		begun, rev, loaded := p.begun, p.rev, p.loaded
-		if w.o.Fault == Forgetful {
-			begun, loaded = 0, true
+	case sendRead:
+		l.kind, l.revision = readKeys, w.revision
+		w.messages = append(w.messages, l)
+	case readKeys:
+		w.advanceCache(a, l.revision)
+		w.lastReadSent = max(w.lastReadSent, l.sent)
+	case sendRequest:
+		firstRead, revision, loaded := p.firstRead, p.revision, p.loaded
+		if w.o.Mutation == CompleteAfterRestart {
+			firstRead, loaded = 0, true
 		}
-		if w.o.Fault == Ahead {
-			for s := range p.knows {
-				rev = max(rev, s)
+		if w.o.Mutation == ClaimOwnWrite {
+			for s := range p.known {
+				revision = max(revision, s)
 			}
 		}
-		l.kind, l.told = stores, p.book.UpdateFor(w.local(int(l.from)), l.rev, begun, rev, loaded)
-		l.told.Whole = l.told.Whole || w.o.Fault == Dropped && p.loaded
-		w.mail = append(w.mail, l)
-	case stores:
-		for _, e := range l.told.List {
-			a.learn(e.Stamp)
-			if w.o.Fault == Latest {
-				l.told.Upto = max(l.told.Upto, e.Stamp)
+		l.kind, l.update = storeCancellation, p.tracker.UpdateFor(w.localTime(int(l.from)), l.revision, firstRead, revision, loaded)
+		l.update.Whole = l.update.Whole || w.o.Mutation == TrimmedAsComplete && p.loaded
+		w.messages = append(w.messages, l)
+	case storeCancellation:
+		for _, e := range l.update.List {
+			a.observe(e.Stamp)
+			if w.o.Mutation == ClaimLatestListed {
+				l.update.Upto = max(l.update.Upto, e.Stamp)
 			}
 		}
 		sent := l.sent
-		if w.o.Fault == FromAnswer {
-			sent = w.local(0)
+		if w.o.Mutation == CountFromResponse {
+			sent = w.localTime(0)
 		}
-		l.told.Whole = l.told.Whole || w.o.Fault == Cut
-		a.book.Receive(w.local(0), fmt.Sprint(l.from), sent, l.told, a.rev)
+		l.update.Whole = l.update.Whole || w.o.Mutation == TruncatedAsComplete
+		a.tracker.Receive(w.localTime(0), fmt.Sprint(l.from), sent, l.update, a.revision)
 	}
 }
 
 func (w *World) answersUntil() units.Microseconds {
-	return w.nodes[0].book.KnownUntil(w.local(0), w.read) + units.MinWithDrift(extension)
+	return w.nodes[0].tracker.KnownUntil(w.localTime(0), w.lastReadSent) + units.MinWithDrift(extension)
 }
 
 // Violation implements explore.World.
 func (w *World) Violation() string {
-	if w.local(0) >= w.answersUntil() {
+	if w.localTime(0) >= w.answersUntil() {
 		return ""
 	}
-	for _, rev := range w.stored {
-		if at, ok := w.told[rev]; ok && w.now >= at+extension && !w.nodes[0].knows[rev] {
-			return fmt.Sprintf("the holder answers workers, and does not know of a cancellation that was told %.0f s ago", (w.now - at).Seconds())
+	for _, revision := range w.stored {
+		if at, ok := w.confirmed[revision]; ok && w.now >= at+extension && !w.nodes[0].known[revision] {
+			return fmt.Sprintf("the owner answers workers without knowing of a cancellation that was confirmed %.0f s ago", (w.now - at).Seconds())
 		}
 	}
 	return ""
@@ -292,45 +294,45 @@
 // State implements explore.World.
 func (w *World) State() string {
 	var b strings.Builder
-	ago := func(t units.Microseconds) units.Microseconds { return min(w.local(0)-t, extension+second) }
-	fmt.Fprintf(&b, "%d %v %d|", w.rev, w.stored, w.crashes)
+	ago := func(t units.Microseconds) units.Microseconds { return min(w.localTime(0)-t, extension+second) }
+	fmt.Fprintf(&b, "%d %v %d|", w.revision, w.stored, w.crashes)
 	for _, s := range w.stored {
-		if at, ok := w.told[s]; ok {
+		if at, ok := w.confirmed[s]; ok {
 			fmt.Fprint(&b, min(w.now-at, extension), " ")
 		}
 	}
-	fmt.Fprintf(&b, "%d|", ago(w.read))
+	fmt.Fprintf(&b, "%d|", ago(w.lastReadSent))
 	for i, p := range w.nodes {
-		fmt.Fprintf(&b, "%d %d %v %v %s|", p.rev, p.begun, p.loaded, p.knows, p.book.Describe(w.local(i), extension+second))
+		fmt.Fprintf(&b, "%d %d %v %v %s|", p.revision, p.firstRead, p.loaded, p.known, p.tracker.Describe(w.localTime(i), extension+second))
 	}
-	mail := make([]string, len(w.mail))
-	for i, l := range w.mail {
-		mail[i] = fmt.Sprint(l.kind, l.from, ago(l.sent), l.rev, l.told)
+	described := make([]string, len(w.messages))
+	for i, l := range w.messages {
+		described[i] = fmt.Sprint(l.kind, l.from, ago(l.sent), l.revision, l.update)
 	}
-	slices.Sort(mail)
-	fmt.Fprint(&b, mail)
+	slices.Sort(described)
+	fmt.Fprint(&b, described)
 	return b.String()
 }
 
-// Tell plays a history and says what happened, a line a move.
-func Tell(o Options, history []Move) []string {
+// FormatTrace replays a trace and describes it, one line per action.
+func FormatTrace(o Options, trace []Action) []string {
 	w := New(o)
 	var out []string
-	for _, m := range history {
+	for _, m := range trace {
 		who := string(rune('a' + m.A))
-		text := [...]string{"a second passes", who + " stores a cancellation, and tells its user", "a cancellation is stored, and nobody hears of it",
-			who + " reads the keys, and tells users what it finds", "a sends a read", "a asks " + who, "a's lease is renewed", who + " ends and begins anew", "", ""}[m.Kind]
-		if m.Kind == carried || m.Kind == lost {
-			l := w.mail[m.A]
+		text := [...]string{"a second passes", who + " stores a cancellation and confirms it to its user", "a cancellation is stored, and its writer gets no response",
+			who + " reads the keys and confirms the cancellations that it finds", "a sends a read", "a requests cancellations from " + who, "a's lease is renewed", who + " crashes and restarts", "", ""}[m.Kind]
+		if m.Kind == deliver || m.Kind == lose {
+			l := w.messages[m.A]
 			from := string(rune('a' + l.from))
-			text = map[kind]string{reads: "a's read", learns: "the answer to a's read", asks: "a's question to " + from, stores: from + "'s word"}[l.kind] +
-				map[kind]string{carried: " comes", lost: " is lost"}[m.Kind]
+			text = map[actionKind]string{sendRead: "a's read", readKeys: "the response to a's read", sendRequest: "a's request to " + from, storeCancellation: from + "'s response"}[l.kind] +
+				map[actionKind]string{deliver: " is delivered", lose: " is lost"}[m.Kind]
 		}
 		w.Apply(m)
-		out = append(out, fmt.Sprintf("%4.0f s  %-50s stored: %v; a knows %v, answers for %.1f s", (w.now-begins).Seconds(), text, w.stored,
-			slices.Sorted(maps.Keys(w.nodes[0].knows)), cmp.Or(max(0, w.answersUntil()-w.local(0)).Seconds(), 0)))
+		out = append(out, fmt.Sprintf("%4.0f s  %-50s stored: %v; a knows %v, answers for %.1f s", (w.now-startTime).Seconds(), text, w.stored,
+			slices.Sorted(maps.Keys(w.nodes[0].known)), cmp.Or(max(0, w.answersUntil()-w.localTime(0)).Seconds(), 0)))
 	}
 	return out
 }
 
-var _ explore.World[Move] = (*World)(nil)
+var _ explore.World[Action] = (*World)(nil)
--- a/internal/explore/cancelling/cancelling_test.go
+++ b/internal/explore/cancelling/cancelling_test.go
@@ -6,13 +6,13 @@
 	"shalestage.example/shalestage/internal/explore"
 )
 
-func search(o Options, depth int) explore.Result[Move] {
-	return explore.Search(func() explore.World[Move] { return New(o) }, explore.Options{Depth: depth})
+func search(o Options, depth int) explore.Result[Action] {
+	return explore.Search(func() explore.World[Action] { return New(o) }, explore.Options{Depth: depth})
 }
 
-// TestCancellationsKnown visits all histories of a few moves: a holder that does not know of
-// a cancellation no longer answers workers once that has been told for too long. A longer
-// search is "shalestage explore --world cancelling"; docs/results.md has what it visited.
+// TestCancellationsKnown checks all traces of up to 6 or 9 actions: an owner that does not know of a cancellation
+// stops answering workers in time after the cancellation was confirmed. "shalestage explore --world cancelling"
+// searches deeper; docs/results.md has the number of states that it visited.
 func TestCancellationsKnown(t *testing.T) {
 	for mail, depth := range map[int]int{1: 9, 2: 6} {
 		if r := search(Options{Jobs: 2, Mail: mail, Crashes: 1}, depth); r.Violation != "" || r.Depth != depth || r.States < 2000 {
@@ -21,22 +21,21 @@
 	}
 }
 
-// TestPlantedFaults has the search find mistakes, each by a history of as few moves as it
-// takes.
-func TestPlantedFaults(t *testing.T) {
-	for _, f := range Faults {
-		o := Options{Fault: f, Jobs: 2, Mail: 1}
-		if f == Forgetful {
+// TestMutationsFound checks that the search finds a violation for each mutation.
+func TestMutationsFound(t *testing.T) {
+	for _, f := range Mutations {
+		o := Options{Mutation: f, Jobs: 2, Mail: 1}
+		if f == CompleteAfterRestart {
 			o.Jobs, o.Crashes = 1, 1
 		}
 		r := search(o, 10)
-		t.Logf("%s: %d moves, %d states: %s", f, len(r.Counterexample), r.States, r.Violation)
+		t.Logf("%s: %d actions, %d states: %s", f, len(r.Counterexample), r.States, r.Violation)
 		if r.Violation == "" {
 			t.Errorf("%s is not found in %d states", f, r.States)
 			continue
 		}
-		if lines := Tell(o, r.Counterexample); len(lines) != len(r.Counterexample) {
-			t.Errorf("%s is told in %d lines", f, len(lines))
+		if lines := FormatTrace(o, r.Counterexample); len(lines) != len(r.Counterexample) {
+			t.Errorf("%s: the trace has %d lines", f, len(lines))
 		}
 	}
 }
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,7 +1,7 @@
-// Package explore visits every state of a small world that any order of its moves can
-// reach, up to a depth, and finds the shortest history that breaks what must hold. A world
-// is played again from its beginning for each history, so that it may be made of the
-// service's own code, which knows nothing of being explored.
+// Package explore is an explicit-state model checker. It visits all states of a small model that any order of its
+// actions can reach, up to a depth, and finds a shortest trace that violates an invariant. For each trace the model is
+// replayed from its initial state. Models can therefore use the service's own code, which needs no support for
+// model checking.
 package explore
 
 import (
@@ -11,75 +11,74 @@
 	"time"
 )
 
-// World is a world that can be moved.
+// World is the state of a model.
 type World[M any] interface {
-	// Actions returns what can happen now.
+	// Actions returns the actions that are possible in the current state.
 	Actions() []M
-	// Do lets it happen.
+	// Do performs an action.
 	Apply(m M)
-	// State tells all that matters for what can happen from now on: of two worlds with
-	// equal states one is visited.
+	// State describes everything that future behaviour depends on. Of two worlds with equal states only one is
+	// visited.
 	State() string
-	// Broken says what is broken, or "".
+	// Broken describes a violated invariant, or returns "" if there is none.
 	Violation() string
 }
 
-// Options bound a search.
+// Options limit a search.
 type Options struct {
-	Depth   int           // moves in a history at most
-	States  int           // visited at most; 0: any number
-	Within  time.Duration // 0: any time
+	Depth   int           // maximum number of actions in a trace
+	States  int           // maximum number of visited states; 0: no limit
+	Within  time.Duration // maximum run time; 0: no limit
 	OnDepth func(depth, states int)
 }
 
-// Result is what was found.
+// Result is the result of a search.
 type Result[M any] struct {
-	States         int  // different ones that were visited
-	Transitions    int  // that led to them, those to known states included
-	Depth          int  // up to which all histories were visited
-	Complete       bool // no state beyond that is left
+	States         int  // distinct states visited
+	Transitions    int  // transitions taken, also those to states visited before
+	Depth          int  // depth up to which all traces were checked
+	Complete       bool // all reachable states were visited
 	Elapsed        time.Duration
 	Violation      string
-	Counterexample []M // the shortest that breaks it
+	Counterexample []M // shortest trace to the violation
 }
 
-// Search visits all states breadth first, so that the first broken one has the shortest
-// history.
-func Search[M any](begin func() World[M], o Options) Result[M] {
-	began := time.Now()
+// Search visits the states breadth first, so that the first violation found has a shortest trace.
+func Search[M any](newWorld func() World[M], o Options) Result[M] {
+	startTime := time.Now()
 	seed := maphash.MakeSeed()
 	hash := func(w World[M]) [2]uint64 {
 		s := w.State()
-		// Two sums of 64 bits: that two of some million states share both is out of reach.
+		// Two hashes of 64 bits, because a collision of both among some millions of states is practically impossible.
 		return [2]uint64{maphash.String(seed, s), maphash.String(seed, "\x00"+s)}
 	}
 	var r Result[M]
-	first := begin()
-	seen := map[[2]uint64]bool{hash(first): true}
+	first := newWorld()
+	visited := map[[2]uint64]bool{hash(first): true}
 	r.States = 1
 	if r.Violation = first.Violation(); r.Violation != "" {
 		return r
 	}
-	type found struct {
-		sum    [2]uint64
-		broken string
-		path   []M
+	type successor struct {
+		hash      [2]uint64
+		violation string
+		path      []M
 	}
-	layer := [][]M{nil}
-	for r.Depth < o.Depth && len(layer) > 0 {
-		parts := make([][]found, len(layer))
+	frontier := [][]M{nil}
+	for r.Depth < o.Depth && len(frontier) > 0 {
+		expanded := make([][]successor, len(frontier))
 		var wg sync.WaitGroup
 		next := make(chan int)
 		for range runtime.GOMAXPROCS(0) {
 			wg.Go(func() {
 				for i := range next {
-					parts[i] = expand(begin, layer[i], func(w World[M], path []M) found { return found{hash(w), w.Violation(), path} })
+					expanded[i] = expand(newWorld, frontier[i], func(w World[M], path []M) successor { return successor{hash(w), w.Violation(), path} })
 				}
 			})
 		}
 		stopped := false
-		for i := range layer {
-			if o.Within > 0 && time.Since(began) > o.Within {
+		for i := range frontier {
+			if o.Within > 0 && time.Since(startTime) > o.Within {
 				stopped = true
 				break
 			}
@@ -87,26 +86,26 @@
 		}
 		close(next)
 		wg.Wait()
-		var deeper [][]M
-		for _, part := range parts {
-			for _, f := range part {
+		var nextFrontier [][]M
+		for _, successors := range expanded {
+			for _, f := range successors {
 				r.Transitions++
-				if seen[f.sum] {
+				if visited[f.hash] {
 					continue
 				}
-				seen[f.sum] = true
+				visited[f.hash] = true
 				r.States++
-				if f.broken != "" && r.Violation == "" {
-					r.Violation, r.Counterexample = f.broken, f.path
+				if f.violation != "" && r.Violation == "" {
+					r.Violation, r.Counterexample = f.violation, f.path
 				}
-				deeper = append(deeper, f.path)
+				nextFrontier = append(nextFrontier, f.path)
 			}
 		}
 		if r.Violation != "" || stopped {
 			break
 		}
 		r.Depth++
-		layer = deeper
+		frontier = nextFrontier
 		if o.OnDepth != nil {
 			o.OnDepth(r.Depth, r.States)
 		}
@@ -114,32 +113,32 @@
 			break
 		}
 	}
-	r.Complete = len(layer) == 0
-	r.Elapsed = time.Since(began)
+	r.Complete = len(frontier) == 0
+	r.Elapsed = time.Since(startTime)
 	return r
 }
 
-// expand plays a history once more for each move that can follow it.
-func expand[M, F any](begin func() World[M], path []M, got func(w World[M], path []M) F) []F {
+// expand replays a trace once for each action that can follow it, performs the action and passes the state to visit.
+func expand[M, F any](newWorld func() World[M], path []M, visit func(w World[M], path []M) F) []F {
 	replay := func() World[M] {
-		w := begin()
+		w := newWorld()
 		for _, m := range path {
 			w.Apply(m)
 		}
 		return w
 	}
 	w := replay()
-	moves := w.Actions()
-	out := make([]F, 0, len(moves))
-	for i, m := range moves {
+	actions := w.Actions()
+	out := make([]F, 0, len(actions))
+	for i, m := range actions {
 		if i > 0 {
 			w = replay()
 		}
 		w.Apply(m)
-		longer := make([]M, len(path)+1)
-		copy(longer, path)
-		longer[len(path)] = m
-		out = append(out, got(w, longer))
+		extended := make([]M, len(path)+1)
+		copy(extended, path)
+		extended[len(path)] = m
+		out = append(out, visit(w, extended))
 	}
 	return out
 }
--- a/internal/explore/following/following.go
+++ b/internal/explore/following/following.go
@@ -1,9 +1,7 @@
-// Package following is a small world in which a holder starts tasks on two machines and a
-// follower comes to know of them, by the service's own code (package follow): messages
-// between them may be late, lost, out of order or come twice, and what is written to the
-// state service may come late or stay without an answer. At any moment the holder may end:
-// then the follower is asked, and must know of every start that was let out, or must not
-// think that it knows all.
+// Package following is a model in which a shard owner starts tasks on two machines and replicates them to a standby.
+// It runs the service's own code (package replication). Messages between the two may be delayed, lost, reordered or
+// duplicated, and writes to the state service may be applied late or get no response. The owner may end at any moment.
+// Its standby must then know every start that was sent to a machine, or must report its snapshot as incomplete.
 package following
 
 import (
@@ -18,134 +16,134 @@
 	"shalestage.example/shalestage/internal/explore"
 )
 
-// Fault is a mistake that is planted, to show that it is found.
-type Fault string
+// Mutation is a bug that is added on purpose, to show that the search finds it.
+type Mutation string
 
-// Faults. Each takes away one of the things that safety rests on.
+// Mutations. Each removes one condition that safety depends on.
 const (
-	None      Fault = ""
-	Impatient Fault = "impatient" // answers with a start are let out at once
-	Skipping  Fault = "skipping"  // a follower says that it has all messages up to the last that came
-	Hopeful   Fault = "hopeful"   // a write without an answer counts as stored
-	Unguarded Fault = "unguarded" // that somebody follows is written over whatever is there
-	Unnamed   Fault = "unnamed"   // a follower goes by the stream that it has, whatever is stored
+	None               Mutation = ""
+	SendUnacknowledged Mutation = "impatient" // heartbeat responses with a start are sent before the standby has acknowledged it
+	AcknowledgeGaps    Mutation = "skipping"  // a standby acknowledges all messages up to the last received one, also across gaps
+	AssumeStored       Mutation = "hopeful"   // a write without a response counts as stored
+	UnguardedRecord    Mutation = "unguarded" // the record that names the standby is written without a version guard
+	IgnoreRecord       Mutation = "unnamed"   // a standby uses its stream even if the stored record names another one
 )
 
-// Faults lists all that can be planted.
-var Faults = []Fault{Impatient, Skipping, Hopeful, Unguarded, Unnamed}
+// Mutations lists all mutations.
+var Mutations = []Mutation{SendUnacknowledged, AcknowledgeGaps, AssumeStored, UnguardedRecord, IgnoreRecord}
 
-// Options say what may happen.
+// Options configure the model and bound its actions.
 type Options struct {
-	Fault  Fault
-	Starts int // tasks that may be started
-	Mail   int // messages under way at once
-	Lost   int // messages and writes that are lost, or stay without an answer
+	Mutation Mutation
+	Starts   int // maximum number of started tasks
+	Mail     int // maximum number of messages in flight
+	Lost     int // maximum number of messages and writes that are lost or get no response
 }
 
 const token = 7
 
-// Move is one thing that happens; what A is depends on the kind.
-type Move struct {
-	Kind kind
+// Action is one step of the model. The meaning of A depends on the kind.
+type Action struct {
+	Kind actionKind
 	A    int8
 }
 
-type kind int8
+type actionKind int8
 
 const (
-	passes  kind = iota // a quarter of a second
-	starts              // a task on machine A
-	gone                // machine A reports that nothing is left on it
-	comes               // message A
-	lost                // message A
-	stored              // write A is carried out, and answered
-	silent              // write A is carried out, and nobody is told
-	refused             // write A is not carried out, and nobody is told whether it was
-	late                // write A comes after all, though nobody waits for it any more
+	advanceTime     actionKind = iota // a quarter of a second passes
+	startTask                         // a task is started on machine A
+	reportIdle                        // machine A reports that it runs no task
+	deliver                           // message A is delivered
+	lose                              // message A is lost
+	writeStored                       // write A is applied and answered
+	writeUnanswered                   // write A is applied but gets no response
+	writeInDoubt                      // write A is not applied for now and gets no response, so it is in doubt
+	applyLate                         // in-doubt write A is applied late
 )
 
-type letter struct {
+type envelope struct {
 	m   *replication.Message
 	ack *replication.Ack
 }
 
 type write struct {
 	r     replication.Record
-	guard uint64 // version of the record that it replaces; 0: any
+	guard uint64 // expected version of the replaced record; 0: any
 	done  func(bool)
 }
 
-// World is the state of everything.
+// World is the state of the model.
 type World struct {
-	o       Options
-	now     units.Microseconds
-	source  *replication.Primary
-	sink    *replication.Standby
-	on      [2][]fleet.Task // what may be on each machine, as the holder knows
-	out     map[jobs.TaskID]int
-	next    int
-	mail    []letter
-	writes  []write
-	late    []write
-	version uint64
-	record  replication.Record
-	seen    uint64 // version that the holder knows
-	lost    int
+	o            Options
+	now          units.Microseconds
+	primary      *replication.Primary
+	standby      *replication.Standby
+	tasks        [2][]fleet.Task // tasks that may be on each machine, in the owner's view
+	sent         map[jobs.TaskID]int
+	started      int
+	messages     []envelope
+	writes       []write
+	inDoubt      []write
+	version      uint64
+	record       replication.Record
+	knownVersion uint64 // version that the owner knows
+	lost         int
 }
 
-var names = []string{"m", "n"}
+var machineNames = []string{"m", "n"}
 
-// New returns a world in which one task is on the first machine and nobody follows.
+// New returns a world with one task on the first machine and no standby.
 func New(o Options) *World {
-	w := &World{o: o, sink: replication.NewStandby(), out: map[jobs.TaskID]int{}, version: 1, seen: 1, now: 10 * units.Second}
-	w.source = replication.NewPrimary(0, token, w)
+	w := &World{o: o, standby: replication.NewStandby(), sent: map[jobs.TaskID]int{}, version: 1, knownVersion: 1, now: 10 * units.Second}
+	w.primary = replication.NewPrimary(0, token, w)
 	w.start(0)
-	w.source.Tick(w.now, true)
+	w.primary.Tick(w.now, true)
 	return w
 }
 
-// Candidate implements follow.Host.
+// Candidate implements replication.Host.
 func (w *World) Candidate() string { return "f" }
 
-// Eligible implements follow.Host.
+// Eligible implements replication.Host.
 func (w *World) Eligible(string) bool { return true }
 
-// Machines implements follow.Host.
-func (w *World) Machines() []string { return names }
+// Machines implements replication.Host.
+func (w *World) Machines() []string { return machineNames }
 
-// UnstoredTasks implements follow.Host.
+// UnstoredTasks implements replication.Host.
 func (w *World) UnstoredTasks() []replication.FinishedTasks { return nil }
 
-// SnapshotMachine implements follow.Host.
+// SnapshotMachine implements replication.Host.
 func (w *World) SnapshotMachine(name string) replication.MachineSnapshot {
-	return replication.MachineSnapshot{Name: name, Tasks: slices.Clone(w.on[slices.Index(names, name)])}
+	return replication.MachineSnapshot{Name: name, Tasks: slices.Clone(w.tasks[slices.Index(machineNames, name)])}
 }
 
-// Send implements follow.Host.
-func (w *World) Send(_ string, m replication.Message) { w.post(letter{m: &m}) }
+// Send implements replication.Host.
+func (w *World) Send(_ string, m replication.Message) { w.post(envelope{m: &m}) }
 
-func (w *World) post(l letter) {
-	if len(w.mail) < w.o.Mail {
-		w.mail = append(w.mail, l)
+func (w *World) post(l envelope) {
+	if len(w.messages) < w.o.Mail {
+		w.messages = append(w.messages, l)
 	}
 }
 
-// Store implements follow.Host.
+// Store implements replication.Host.
 func (w *World) Store(r replication.Record, done func(bool)) {
 	x := write{r: r, done: done}
-	if r.Node != "" && w.o.Fault != Unguarded {
-		x.guard = w.seen
+	if r.Node != "" && w.o.Mutation != UnguardedRecord {
+		x.guard = w.knownVersion
 	}
 	w.writes = append(w.writes, x)
 }
 
-// Answer implements follow.Host.
+// Answer implements replication.Host.
 func (w *World) Answer(a any, ok bool) {
 	s := a.(start)
 	if ok {
-		w.out[s.id] = s.machine
+		w.sent[s.id] = s.machine
 	} else {
-		w.on[s.machine] = slices.DeleteFunc(w.on[s.machine], func(t fleet.Task) bool { return t.ID == s.id })
+		w.tasks[s.machine] = slices.DeleteFunc(w.tasks[s.machine], func(t fleet.Task) bool { return t.ID == s.id })
 	}
 }
 
@@ -155,16 +153,16 @@
 }
 
 func (w *World) start(machine int) {
-	w.next++
-	s := start{jobs.TaskID{Job: "j", Task: w.next}, machine}
-	w.on[machine] = append(w.on[machine], fleet.Task{ID: s.id, Attempt: uint64(w.next), State: fleet.Running})
-	if !w.source.DeferAnswer(w.now, names[machine], s) || w.o.Fault == Impatient {
-		w.out[s.id] = machine
+	w.started++
+	s := start{jobs.TaskID{Job: "j", Task: w.started}, machine}
+	w.tasks[machine] = append(w.tasks[machine], fleet.Task{ID: s.id, Attempt: uint64(w.started), State: fleet.Running})
+	if !w.primary.DeferAnswer(w.now, machineNames[machine], s) || w.o.Mutation == SendUnacknowledged {
+		w.sent[s.id] = machine
 	}
 }
 
-// apply carries a write out and reports whether it took place.
-func (w *World) apply(x write) bool {
+// applyWrite applies a write and reports whether its guard matched.
+func (w *World) applyWrite(x write) bool {
 	if x.guard != 0 && x.guard != w.version {
 		return false
 	}
@@ -174,39 +172,39 @@
 }
 
 // Actions implements explore.World.
-func (w *World) Actions() []Move {
-	out := []Move{{Kind: passes}}
+func (w *World) Actions() []Action {
+	out := []Action{{Kind: advanceTime}}
 	for m := range int8(2) {
-		if w.next < w.o.Starts {
-			out = append(out, Move{starts, m})
+		if w.started < w.o.Starts {
+			out = append(out, Action{startTask, m})
 		}
-		if len(w.on[m]) > 0 && w.settled(int(m)) {
-			out = append(out, Move{gone, m})
+		if len(w.tasks[m]) > 0 && w.startsSent(int(m)) {
+			out = append(out, Action{reportIdle, m})
 		}
 	}
-	for k := range w.mail {
-		out = append(out, Move{comes, int8(k)})
+	for k := range w.messages {
+		out = append(out, Action{deliver, int8(k)})
 		if w.lost < w.o.Lost {
-			out = append(out, Move{lost, int8(k)})
+			out = append(out, Action{lose, int8(k)})
 		}
 	}
 	for k := range w.writes {
-		out = append(out, Move{stored, int8(k)})
+		out = append(out, Action{writeStored, int8(k)})
 		if w.lost < w.o.Lost {
-			out = append(out, Move{silent, int8(k)}, Move{refused, int8(k)})
+			out = append(out, Action{writeUnanswered, int8(k)}, Action{writeInDoubt, int8(k)})
 		}
 	}
-	for k := range w.late {
-		out = append(out, Move{late, int8(k)})
+	for k := range w.inDoubt {
+		out = append(out, Action{applyLate, int8(k)})
 	}
 	return out
 }
 
-// settled reports whether all that the holder has on a machine was let out: a report that
-// shows nothing of it is no answer to one that still waits for orders.
-func (w *World) settled(m int) bool {
-	for _, t := range w.on[m] {
-		if _, ok := w.out[t.ID]; !ok {
+// startsSent reports whether all starts of a machine's tasks have been sent. While a response with a start is still
+// deferred, a heartbeat without the task does not show that the task has ended.
+func (w *World) startsSent(m int) bool {
+	for _, t := range w.tasks[m] {
+		if _, ok := w.sent[t.ID]; !ok {
 			return false
 		}
 	}
@@ -214,79 +212,79 @@
 }
 
 // Apply implements explore.World.
-func (w *World) Apply(m Move) {
+func (w *World) Apply(m Action) {
 	switch m.Kind {
-	case passes:
+	case advanceTime:
 		w.now += units.Second / 4
-	case starts:
+	case startTask:
 		w.start(int(m.A))
-	case gone:
-		for _, t := range w.on[m.A] {
-			delete(w.out, t.ID)
+	case reportIdle:
+		for _, t := range w.tasks[m.A] {
+			delete(w.sent, t.ID)
 		}
-		w.on[m.A] = nil
-	case comes, lost:
-		l := w.mail[m.A]
-		w.mail = slices.Delete(w.mail, int(m.A), int(m.A)+1)
-		if m.Kind == lost {
+		w.tasks[m.A] = nil
+	case deliver, lose:
+		l := w.messages[m.A]
+		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+		if m.Kind == lose {
 			w.lost++
 			break
 		}
-		w.carry(l)
-	case stored, silent, refused:
+		w.deliver(l)
+	case writeStored, writeUnanswered, writeInDoubt:
 		x := w.writes[m.A]
 		w.writes = slices.Delete(w.writes, int(m.A), int(m.A)+1)
 		switch m.Kind {
-		case stored:
-			ok := w.apply(x)
-			w.seen = w.version
+		case writeStored:
+			ok := w.applyWrite(x)
+			w.knownVersion = w.version
 			x.done(ok)
-		case silent:
+		case writeUnanswered:
 			w.lost++
-			w.apply(x)
-			x.done(w.o.Fault == Hopeful)
-		case refused:
+			w.applyWrite(x)
+			x.done(w.o.Mutation == AssumeStored)
+		case writeInDoubt:
 			w.lost++
-			w.late = append(w.late, x)
-			x.done(w.o.Fault == Hopeful)
+			w.inDoubt = append(w.inDoubt, x)
+			x.done(w.o.Mutation == AssumeStored)
 		}
-	case late:
-		x := w.late[m.A]
-		w.late = slices.Delete(w.late, int(m.A), int(m.A)+1)
-		if x.r.Node != "" { // one that says nobody follows does no harm
-			w.apply(x)
+	case applyLate:
+		x := w.inDoubt[m.A]
+		w.inDoubt = slices.Delete(w.inDoubt, int(m.A), int(m.A)+1)
+		if x.r.Node != "" { // a late write that removes the standby is harmless
+			w.applyWrite(x)
 		}
 	}
 	w.now += replication.FlushInterval
-	w.source.Tick(w.now, true)
+	w.primary.Tick(w.now, true)
 }
 
-func (w *World) carry(l letter) {
+func (w *World) deliver(l envelope) {
 	if l.ack != nil {
-		w.source.OnAck(w.now, "f", *l.ack)
+		w.primary.OnAck(w.now, "f", *l.ack)
 		return
 	}
-	a := w.sink.Receive(*l.m, func(string, int) bool { return false })
-	if w.o.Fault == Skipping {
+	a := w.standby.Receive(*l.m, func(string, int) bool { return false })
+	if w.o.Mutation == AcknowledgeGaps {
 		a.N = max(a.N, l.m.N)
 	}
-	w.post(letter{ack: &a})
+	w.post(envelope{ack: &a})
 }
 
-// Violation implements explore.World: it asks the follower what it knows, as if the holder had
-// ended at this moment and all that was under way were lost.
+// Violation implements explore.World. It reads the standby's snapshot as if the owner had ended at this moment and
+// all messages in flight were lost.
 func (w *World) Violation() string {
 	r := w.record
-	if w.o.Fault == Unnamed {
-		r = replication.Record{Node: "f", Token: token, Run: w.sink.StreamID(0)}
+	if w.o.Mutation == IgnoreRecord {
+		r = replication.Record{Node: "f", Token: token, Run: w.standby.StreamID(0)}
 	}
-	machines, _, ok := w.sink.Snapshot(0, "f", r)
+	machines, _, ok := w.standby.Snapshot(0, "f", r)
 	if !ok {
 		return ""
 	}
-	for id, m := range w.out {
-		if !slices.ContainsFunc(machines[names[m]].Tasks, func(t fleet.Task) bool { return t.ID == id }) {
-			return fmt.Sprintf("%s was started on %s, and the follower does not know", id, names[m])
+	for id, m := range w.sent {
+		if !slices.ContainsFunc(machines[machineNames[m]].Tasks, func(t fleet.Task) bool { return t.ID == id }) {
+			return fmt.Sprintf("%s was started on %s without the standby knowing", id, machineNames[m])
 		}
 	}
 	return ""
@@ -295,8 +293,8 @@
 // State implements explore.World.
 func (w *World) State() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s|%s|%v|%v|%d %v %d %d %d|", w.source.Trace(w.now), w.sink.Trace(), w.on, w.out, w.version, w.record, w.seen, w.next, w.lost)
-	for _, l := range w.mail {
+	fmt.Fprintf(&b, "%s|%s|%v|%v|%d %v %d %d %d|", w.primary.Trace(w.now), w.standby.Trace(), w.tasks, w.sent, w.version, w.record, w.knownVersion, w.started, w.lost)
+	for _, l := range w.messages {
 		if l.m != nil {
 			fmt.Fprintf(&b, " %v", *l.m)
 		} else {
@@ -306,26 +304,26 @@
 	for _, x := range w.writes {
 		fmt.Fprintf(&b, " w%v %d", x.r, x.guard)
 	}
-	for _, x := range w.late {
+	for _, x := range w.inDoubt {
 		fmt.Fprintf(&b, " l%v %d", x.r, x.guard)
 	}
 	return b.String()
 }
 
-// Tell plays a history and says what happened, a line a move.
-func Tell(o Options, history []Move) []string {
+// FormatTrace replays a trace and describes it, one line per action.
+func FormatTrace(o Options, trace []Action) []string {
 	w := New(o)
 	var out []string
-	for _, m := range history {
-		text := [...]string{"a quarter of a second passes", "a task is started on " + names[m.A%2], names[m.A%2] + " reports that nothing is left", "message %d comes", "message %d is lost",
-			"write %d is stored", "write %d is stored, and nobody is told", "write %d is not stored for now, and nobody is told", "write %d is stored late"}[m.Kind]
+	for _, m := range trace {
+		text := [...]string{"a quarter of a second passes", "a task is started on " + machineNames[m.A%2], machineNames[m.A%2] + " reports that it runs no task", "message %d is delivered", "message %d is lost",
+			"write %d is stored", "write %d is stored without a response", "write %d is not stored for now and gets no response", "write %d is stored late"}[m.Kind]
 		if strings.Contains(text, "%d") {
 			text = fmt.Sprintf(text, m.A)
 		}
 		w.Apply(m)
-		out = append(out, fmt.Sprintf("%-50s let out: %v; stored: %v", text, w.out, w.record))
+		out = append(out, fmt.Sprintf("%-50s sent: %v; stored: %v", text, w.sent, w.record))
 	}
 	return out
 }
 
-var _ explore.World[Move] = (*World)(nil)
+var _ explore.World[Action] = (*World)(nil)
--- a/internal/rehearse/census.go
+++ b/internal/rehearse/census.go
@@ -8,13 +8,13 @@
 	"shalestage.example/shalestage/internal/emulator/sim"
 )
 
-// folders are the columns of a census: the folders of the state service that are
-// there for more than a moment.
+// folders are the key folders of the state service that a census counts, one column each. Folders of short-lived
+// keys are left out.
 var folders = []string{"shalestage/job", "shalestage/part", "shalestage/progress", "shalestage/machine", "shalestage/type", "shalestage/kind",
 	"shalestage/seat", "shalestage/block", "shalestage/share", "shalestage", "shalestage-past"}
 
-// WriteCensus returns what writes each census as a line of CSV: the time in seconds,
-// keys by folder, the largest figures of any controller, and those of the fleet.
+// WriteCensus returns a function that writes each census as a line of CSV: the time in seconds, the number of keys by
+// folder, the maximum of each figure over the controllers, and totals of the machines and tasks.
 func WriteCensus(w io.Writer) func(sim.Census) {
 	out := csv.NewWriter(w)
 	head := append([]string{"at_s"}, folders...)
@@ -39,12 +39,12 @@
 			line = append(line, strconv.Itoa(n))
 		}
 		_ = out.Write(line)
-		out.Flush() // a long play is looked at while it goes on
+		out.Flush() // the file of a long run is read while the run goes on
 	}
 }
 
-// fleetOf adds up what the blocks' holders tell: machines that report, tasks that wait, that are
-// placed, and that were started since their holders hold them.
+// fleetOf adds up the figures of the shard owners: machines that send heartbeats, waiting tasks, placed tasks, and tasks
+// started since their owners own the shards.
 func fleetOf(c sim.Census) [4]int {
 	var sum [4]int
 	for _, n := range c.Nodes {
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -12,9 +12,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// gap plays rehearsals/gap.toml with so many controllers; several share the work where
-// blockMachines is not 0.
-func gap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Broken) Verdict {
+// runGap runs rehearsals/gap.toml with count controllers. The machines are divided into shards if blockMachines is not 0.
+func runGap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Broken) Verdict {
 	s, err := scenario.Load("../../rehearsals/gap.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -23,26 +22,25 @@
 	return Simulate("gap.toml", s, sim.Options{Seed: seed, Break: b})
 }
 
-// TestGap has one controller refused alone, others confirm cancellations, and then the state
-// service down for all, for more or less than cancel_s: one, three and five controllers, one
-// block and several. What was cancelled is gone in time.
-func TestGap(t *testing.T) {
+// TestCancellationsAcrossOutage guards against tasks that run on after their job was cancelled. The state service
+// refuses one controller, the others confirm cancellations, and then the state service is down for all, for more or
+// less than cancel_s. It runs with one, three and five controllers, and with one shard and several.
+func TestCancellationsAcrossOutage(t *testing.T) {
 	for _, c := range []struct {
 		count  int
 		blocks float64
 	}{{1, 0}, {3, 4}, {5, 0}, {5, 4}} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			if v := gap(t, seed, c.count, c.blocks, sim.Broken{}); !v.Passed {
+			if v := runGap(t, seed, c.count, c.blocks, sim.Broken{}); !v.Passed {
 				t.Errorf("%d controllers, seed %d: %v %v", c.count, seed, v.Violations, v.Missed)
 			}
 		}
 	}
 }
 
-// TestGapUntold takes away what controllers tell each other of cancellations: then a holder
-// must stop answering its workers in time by itself. With that bound taken out as well, the
-// checker must notice.
-func TestGapUntold(t *testing.T) {
+// TestCancellationsWithoutPeers removes the cancellations from the messages between controllers. A shard owner must then
+// stop answering its workers in time by itself. If that bound is removed as well, the checker must report a violation.
+func TestCancellationsWithoutPeers(t *testing.T) {
 	silent := func(m any) any {
 		if p, ok := m.(core.PeerLeaseGrant); ok {
 			p.Told = cancellations.Update{}
@@ -52,13 +50,13 @@
 	}
 	caught := false
 	for seed := uint64(1); seed <= 6; seed++ {
-		if v := gap(t, seed, 3, 0, sim.Broken{Told: silent}); !v.Passed {
+		if v := runGap(t, seed, 3, 0, sim.Broken{Told: silent}); !v.Passed {
 			t.Errorf("seed %d: %v %v", seed, v.Violations, v.Missed)
 		}
-		v := gap(t, seed, 3, 0, sim.Broken{Told: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
+		v := runGap(t, seed, 3, 0, sim.Broken{Told: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
 		caught = caught || slices.ContainsFunc(v.Violations, func(b Violation) bool { return b.Rule == check.RanCancelled })
 	}
 	if !caught {
-		t.Error("nobody noticed that the bound was taken out")
+		t.Error("no violation is reported although the bound is removed")
 	}
 }
--- a/internal/rehearse/meet_test.go
+++ b/internal/rehearse/meet_test.go
@@ -12,43 +12,43 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestMeet draws troubles by their meeting: one seed draws the same ones, and each begins close
-// to an event of the kind that is told, which the play with those before it shows.
-func TestMeet(t *testing.T) {
+// TestDrawAtEvents checks faults that are drawn at events. One seed gives the same faults each time, and each later
+// fault begins close to its event in a run with the earlier faults.
+func TestDrawAtEvents(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/drawn-meet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen := map[string]bool{}
 	for seed := uint64(1); seed <= 4; seed++ {
-		fixed, met := DrawAtEvents(s, sim.Options{Seed: seed})
-		again, _ := DrawAtEvents(s, sim.Options{Seed: seed})
-		if !reflect.DeepEqual(fixed.Faults, again.Faults) || len(met) != len(fixed.Faults)-1 || fixed.Draw.Meet != 0 {
-			t.Fatalf("seed %d: %v and %v; met %v", seed, fixed.Faults, again.Faults, met)
+		fixed, triggered := DrawAtEvents(s, sim.Options{Seed: seed})
+		repeated, _ := DrawAtEvents(s, sim.Options{Seed: seed})
+		if !reflect.DeepEqual(fixed.Faults, repeated.Faults) || len(triggered) != len(fixed.Faults)-1 || fixed.Draw.Meet != 0 {
+			t.Fatalf("seed %d: %v and %v; drawn at events: %v", seed, fixed.Faults, repeated.Faults, triggered)
 		}
-		for i, m := range met {
+		for i, m := range triggered {
 			before := *fixed
 			before.Faults = fixed.Faults[:i+1]
 			at := fixed.Faults[i+1].AtS
-			var moments []float64
+			var occurrences []float64
 			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, Event: func(at units.Microseconds, event string) {
 				if event == m.Event {
-					moments = append(moments, at.Seconds())
+					occurrences = append(occurrences, at.Seconds())
 				}
 			}})
 			w.Run(units.Seconds(at + 1))
-			if !slices.ContainsFunc(moments, func(x float64) bool { return x > at-offBy-0.002 && x < at+offBy+0.002 }) {
-				t.Errorf("seed %d: %s at %g, and there is no %s near", seed, m.Kind, at, m.Event)
+			if !slices.ContainsFunc(occurrences, func(x float64) bool { return x > at-maxOffsetS-0.002 && x < at+maxOffsetS+0.002 }) {
+				t.Errorf("seed %d: %s at %g, but no %s near it", seed, m.Kind, at, m.Event)
 			}
 			seen[m.Kind+m.Event] = true
 		}
 	}
 	if len(seen) < 5 {
-		t.Errorf("only %d different meetings", len(seen))
+		t.Errorf("only %d different combinations of fault and event", len(seen))
 	}
 }
 
-// TestExpectedEvents expects events of a play: those that happen too seldom are told.
+// TestExpectedEvents checks that an expected event that happens too seldom is reported.
 func TestExpectedEvents(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/base.toml")
 	if err != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestOldReportsTaken has every report taken for the newest: the plays must notice that.
-func TestOldReportsTaken(t *testing.T) {
+// TestStaleHeartbeatsDetected treats every heartbeat as the newest one. One of the runs must violate a rule.
+func TestStaleHeartbeatsDetected(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/meet-old-reports.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -77,5 +77,5 @@
 			return
 		}
 	}
-	t.Error("ten plays in which old reports are taken for new break nothing")
+	t.Error("ten runs that accept stale heartbeats violate no rule")
 }
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -16,21 +16,21 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// plantedMistake is a service that lacks one check.
-type plantedMistake struct {
-	name    string
-	mistake sim.Broken
-	file    string // rehearsal that finds it
-	rule    string // that is broken then
-	within  uint64 // plays
+// removedGuard is a service without one of its safety checks.
+type removedGuard struct {
+	name     string
+	mutation sim.Broken
+	file     string // rehearsal that detects it
+	rule     string // rule that is violated then
+	within   uint64 // maximum number of runs
 }
 
-// without leaves one check of the core out.
+// without removes one check of the core.
 func without(g guard.Guard) sim.Broken {
 	return sim.Broken{Core: func(c *core.Config) { c.SkippedGuard = g }}
 }
 
-// unguarded takes the guards off transactions that match.
+// unguarded removes the matching guards from transactions.
 func unguarded(match func(t *kv.Txn, g kv.Guard) bool) sim.Broken {
 	return sim.Broken{Commit: func(t *kv.Txn) {
 		all := *t
@@ -38,7 +38,7 @@
 	}}
 }
 
-// change returns what a transaction puts under a key, nil if nothing.
+// change returns the change of a key in a transaction, or nil.
 func change(t *kv.Txn, key string) *kv.Change {
 	for i := range t.Changes {
 		if t.Changes[i].Key == key {
@@ -48,14 +48,14 @@
 	return nil
 }
 
-// unguardedKey takes off the guard of the version of each changed key in a folder.
+// unguardedKey removes the version guard of each changed key in a folder.
 func unguardedKey(folder string) sim.Broken {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		return strings.HasPrefix(g.Key, "shalestage/"+folder) && change(t, g.Key) != nil
 	})
 }
 
-// unguardedJob takes off the guard of the version where a job gets a status.
+// unguardedJob removes the version guard of a job's record where the job gets the given status.
 func unguardedJob(s jobs.Status) sim.Broken {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
@@ -67,7 +67,7 @@
 	})
 }
 
-// unguardedRelease takes off the guard of a block's version where it is given up.
+// unguardedRelease removes the version guard of a shard's assignment where the shard is released.
 func unguardedRelease() sim.Broken {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
@@ -75,37 +75,37 @@
 	})
 }
 
-// planted are services that lack one check each. The rehearsal breaks the rule within so many
-// seeds, from 1 on.
-var planted = []plantedMistake{
-	// What machines report.
-	{"older reports are taken for new", without(guard.HeartbeatOrder), "meet-all-away.toml", check.RanTwice, 5},
-	{"a silent machine's tasks are gone after a third of its lease", sim.Broken{Core: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
-	{"machines of earlier holders count as known", without(guard.UnreconciledMachines), "meet-returns.toml", check.RanTwice, 5},
-	// What a holder does.
+// removedGuards lists services that lack one check each. The rehearsal violates the rule within the given number of
+// seeds, counted from 1.
+var removedGuards = []removedGuard{
+	// Heartbeats of machines.
+	{"older heartbeats are accepted as new", without(guard.HeartbeatOrder), "meet-all-away.toml", check.RanTwice, 5},
+	{"tasks of a silent machine count as lost after a third of its lease", sim.Broken{Core: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
+	{"machines of earlier owners count as reconciled", without(guard.UnreconciledMachines), "meet-returns.toml", check.RanTwice, 5},
+	// Shard owner.
 	{"tasks of a job start in any zone", without(guard.ZoneConstraints), "meet-one-zone.toml", check.WrongPlace, 5},
-	{"a start does not wait for the follower", without(guard.StandbyAcknowledged), "meet-held-commands.toml", check.RanTwice, 5},
-	{"jobs are closed only with their last task", without(guard.CompleteAfterFailover), "meet-old-reports.toml", check.Lost, 5},
-	{"polls are answered from the copy as it is", without(guard.FreshRead), "meet-slow-state.toml", check.WentBack, 10},
+	{"a start does not wait for the standby", without(guard.StandbyAcknowledged), "meet-held-commands.toml", check.RanTwice, 5},
+	{"jobs are finalized only with their last task", without(guard.CompleteAfterFailover), "meet-old-reports.toml", check.Lost, 5},
+	{"polls are answered from a stale watch cache", without(guard.FreshRead), "meet-slow-state.toml", check.WentBack, 10},
 	// Authority.
-	{"a holder answers while it has not heard that its seat ended", without(guard.Authority), "meet-zone-cut.toml", check.TwoHolders, 5},
-	{"a renewal counts from its answer", without(guard.RenewalSendTime), "meet-cut-leader.toml", check.TwoHolders, 20},
-	{"a promise counts from its answer", without(guard.PeerLeaseSendTime), "meet-cut-leader.toml", check.TwoHolders, 5},
-	{"promises are given for seats that are gone", without(guard.MemberRecord), "meet-zone-cut.toml", check.TwoHolders, 10},
-	{"permits are given while a promise runs", without(guard.VoteAfterPeerLease), "gap.toml", check.TwoHolders, 10},
-	{"a seat is over without a majority's permits", without(guard.TakeoverMajority), "meet-zone-cut.toml", check.TwoHolders, 5},
-	// Writes that come late.
-	{"a new job is stored whatever is there", unguardedJob(jobs.Pending), "meet-late-ends.toml", check.WentBack, 10},
-	{"a cancellation is stored whatever is there", unguardedJob(jobs.Cancelled), "meet-late-ends.toml", check.WentBack, 10},
-	{"an end is stored whatever is there", unguardedJob(jobs.Done), "meet-late-ends.toml", check.WentBack, 10},
-	{"a machine group is stored whatever is there", unguardedKey("machine/"), "meet-late-writes.toml", check.RanTwice, 10},
-	{"a block is released whoever holds it", unguardedRelease(), "meet-late-grants.toml", check.TwoHolders, 20},
+	{"an owner answers until it learns that its membership ended", without(guard.Authority), "meet-zone-cut.toml", check.TwoHolders, 5},
+	{"a renewal counts from its response", without(guard.RenewalSendTime), "meet-cut-leader.toml", check.TwoHolders, 20},
+	{"a peer lease counts from its response", without(guard.PeerLeaseSendTime), "meet-cut-leader.toml", check.TwoHolders, 5},
+	{"peer leases are granted to deleted memberships", without(guard.MemberRecord), "meet-zone-cut.toml", check.TwoHolders, 10},
+	{"takeover votes are given during a peer lease", without(guard.VoteAfterPeerLease), "gap.toml", check.TwoHolders, 10},
+	{"a membership ends without a majority's votes", without(guard.TakeoverMajority), "meet-zone-cut.toml", check.TwoHolders, 5},
+	// Late writes.
+	{"a new job is stored without a guard", unguardedJob(jobs.Pending), "meet-late-ends.toml", check.WentBack, 10},
+	{"a cancellation is stored without a guard", unguardedJob(jobs.Cancelled), "meet-late-ends.toml", check.WentBack, 10},
+	{"the end of a job is stored without a guard", unguardedJob(jobs.Done), "meet-late-ends.toml", check.WentBack, 10},
+	{"a machine group is stored without a guard", unguardedKey("machine/"), "meet-late-writes.toml", check.RanTwice, 10},
+	{"a shard is released without a guard", unguardedRelease(), "meet-late-grants.toml", check.TwoHolders, 20},
 }
 
-// TestPlantedMistakes takes out one check after another: what brings about the fault
-// combination that it is there for must notice.
-func TestPlantedMistakes(t *testing.T) {
-	for _, p := range planted {
+// TestRemovedGuardsDetected removes one safety check at a time. The rehearsal with the combination of faults that the
+// check protects against must violate its rule.
+func TestRemovedGuardsDetected(t *testing.T) {
+	for _, p := range removedGuards {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Load(filepath.Join("../../rehearsals", p.file))
@@ -113,27 +113,27 @@
 				t.Fatal(err)
 			}
 			for seed := uint64(1); seed <= p.within; seed++ {
-				if breaks(s, sim.Options{Seed: seed, Break: p.mistake}, p.rule) {
+				if violates(s, sim.Options{Seed: seed, Break: p.mutation}, p.rule) {
 					t.Logf("%s with seed %d", p.rule, seed)
 					return
 				}
 			}
-			t.Errorf("%d plays of %s do not break %s", p.within, p.file, p.rule)
+			t.Errorf("%d runs of %s do not violate %s", p.within, p.file, p.rule)
 		})
 	}
 }
 
-// breaks plays a scenario until a rule is broken, and reports whether it is.
-func breaks(s *scenario.Scenario, opt sim.Options, rule string) bool {
+// violates runs a scenario until a rule is violated, and reports whether it was.
+func violates(s *scenario.Scenario, opt sim.Options, rule string) bool {
 	w := sim.New(s, opt)
-	broken := func() bool {
+	violated := func() bool {
 		return slices.ContainsFunc(w.Check.Violations(), func(b check.Violation) bool { return b.Rule == rule })
 	}
 	for at := 10.0; at < s.DurationS; at += 10 {
-		if w.Run(units.Seconds(at)); broken() {
+		if w.Run(units.Seconds(at)); violated() {
 			return true
 		}
 	}
 	w.Play()
-	return broken()
+	return violated()
 }
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -10,29 +10,29 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// servesWithin bounds how long a deployment may take until it serves.
-const servesWithin = 30 * time.Second
+// startTimeout bounds the time until a deployment serves requests.
+const startTimeout = 30 * time.Second
 
-// RunProcesses plays a scenario with real processes over loopback, in real time.
+// RunProcesses runs a scenario with real processes over loopback, in real time.
 func RunProcesses(file string, s *scenario.Scenario) (Verdict, error) {
-	began := time.Now()
+	startTime := time.Now()
 	v := Verdict{File: file, Name: s.Name, Seed: s.Seed, Real: true, Faults: s.Faults}
 	d, err := launch.Start(launch.Options{Scenario: file})
 	if err != nil {
 		return v, err
 	}
 	defer d.Stop()
-	if err := d.WaitServing(servesWithin); err != nil {
+	if err := d.WaitServing(startTimeout); err != nil {
 		return v, err
 	}
 	jobs := d.Run()
-	last := 0.0 // nothing is over before the last fault
+	lastFaultEnd := 0.0 // the run does not end before the last fault
 	for _, f := range s.Faults {
-		last = max(last, f.AtS+f.ForS)
+		lastFaultEnd = max(lastFaultEnd, f.AtS+f.ForS)
 	}
-	played := time.Now()
-	for until := played.Add(time.Duration(s.DurationS * float64(time.Second))); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		if p := d.Progress(); p.Left == 0 && time.Since(played).Seconds() > last || len(p.Broken) > 0 {
+	runStart := time.Now()
+	for until := runStart.Add(time.Duration(s.DurationS * float64(time.Second))); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
+		if p := d.Progress(); p.Left == 0 && time.Since(runStart).Seconds() > lastFaultEnd || len(p.Broken) > 0 {
 			break
 		}
 		select {
@@ -41,11 +41,11 @@
 		default:
 		}
 	}
-	broken, starts := d.Finish(s.Expect.AllOver)
-	v.Violations, v.Starts = violationsOf(broken), starts
+	violations, starts := d.Finish(s.Expect.AllOver)
+	v.Violations, v.Starts = violationsOf(violations), starts
 	figures, err := d.Figures()
 	if err != nil {
-		return v, fmt.Errorf("the cloud tells no figures: %w", err)
+		return v, fmt.Errorf("read figures of the cloud: %w", err)
 	}
 	v.Cost = figures.Money
 	var longest units.Microseconds
@@ -54,6 +54,6 @@
 	v.Wait = longest.Seconds()
 	v.Missed = s.Expect.Missed(longest, v.Cost, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
 	v.Passed = len(v.Violations) == 0 && len(v.Missed) == 0
-	v.DurationS = time.Since(began).Seconds()
+	v.DurationS = time.Since(startTime).Seconds()
 	return v, nil
 }
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -1,5 +1,5 @@
-// Package rehearse plays scenarios, in simulated time or with real processes, and
-// tells whether the rules and the file's expectations were kept.
+// Package rehearse runs scenarios, in simulated time or with real processes, and reports whether the rules and the
+// file's expectations were met.
 package rehearse
 
 import (
@@ -18,7 +18,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// Verdict is how one play of a file went.
+// Verdict is the result of one run of a scenario file.
 type Verdict struct {
 	File         string      `json:"file"`
 	Name         string      `json:"name"`
@@ -26,23 +26,23 @@
 	Real         bool        `json:"real,omitempty"`
 	Passed       bool        `json:"kept"`
 	Violations   []Violation `json:"broken,omitempty"`
-	Missed       []string    `json:"missed,omitempty"` // expectations that are no rules
-	Digest       string      `json:"digest,omitempty"` // of the history, in simulated time
+	Missed       []string    `json:"missed,omitempty"` // expectations of the file that were not met
+	Digest       string      `json:"digest,omitempty"` // of the history; only in simulated time
 	Jobs         int         `json:"jobs"`
 	FinishedJobs int         `json:"over"`
 	Starts       int         `json:"starts"`
-	// StartsCancelled counts the tasks that began after their job's cancellation was told.
+	// StartsCancelled is the number of tasks that began after their job's cancellation was confirmed.
 	StartsCancelled int              `json:"starts_cancelled,omitempty"`
-	Wait            float64          `json:"longest_s"` // from a submission to the answer that the job is over
+	Wait            float64          `json:"longest_s"` // longest time from a submission to the reply that the job has finished
 	Cost            float64          `json:"money"`
-	DurationS       float64          `json:"took_s"` // of real time
+	DurationS       float64          `json:"took_s"` // wall-clock duration of the run
 	Faults          []scenario.Fault `json:"faults,omitempty"`
-	Triggered       []TriggeredFault `json:"met,omitempty"` // of troubles that are drawn by their meeting
-	// Account says where the money went, if that was asked for.
+	Triggered       []TriggeredFault `json:"met,omitempty"` // faults that were drawn at events
+	// Account breaks down the cost, if requested.
 	Account []account.Row `json:"account,omitempty"`
 }
 
-// Violation is a broken rule with the part of the history that concerns it.
+// Violation is a violated rule with the part of the history that concerns it.
 type Violation struct {
 	At      float64  `json:"at_s"`
 	Rule    string   `json:"rule"`
@@ -50,7 +50,7 @@
 	History []string `json:"history"`
 }
 
-// violationsOf turns a checker's findings into a verdict's.
+// violationsOf converts the checker's violations for a verdict.
 func violationsOf(list []check.Violation) []Violation {
 	var out []Violation
 	for _, b := range list {
@@ -59,15 +59,15 @@
 	return out
 }
 
-// Simulate plays a scenario in simulated time.
+// Simulate runs a scenario in simulated time.
 func Simulate(file string, s *scenario.Scenario, opt sim.Options) Verdict {
-	began := time.Now()
-	var met []TriggeredFault
+	startTime := time.Now()
+	var triggered []TriggeredFault
 	if s.Draw.Meet > 0 {
-		s, met = DrawAtEvents(s, opt)
+		s, triggered = DrawAtEvents(s, opt)
 		opt.Noise = true
 	}
-	if opt.Traffic != nil { // processor time is counted by the thread
+	if opt.Traffic != nil { // CPU time is measured per thread
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 	}
@@ -79,15 +79,15 @@
 	}
 	v := Verdict{File: file, Name: s.Name, Seed: seed, Passed: len(r.Broken) == 0 && len(r.Missed) == 0, Violations: violationsOf(r.Broken), Missed: r.Missed,
 		Digest: r.Digest, Jobs: r.Jobs, FinishedJobs: r.Over, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Cost: r.Money,
-		DurationS: time.Since(began).Seconds(), Faults: r.Faults, Triggered: met}
+		DurationS: time.Since(startTime).Seconds(), Faults: r.Faults, Triggered: triggered}
 	if opt.Account != nil {
 		v.Account = opt.Account.Rows()
 	}
 	return v
 }
 
-// ForEachOrdered calls f for the numbers below n on all processors; the results come in
-// order, as soon as they are there.
+// ForEachOrdered calls f for the numbers 0 to n-1 on all processors. It passes the results to got in order, each as soon as
+// it and all earlier ones are available.
 func ForEachOrdered[T any](n int, f func(i int) T, got func(T)) {
 	out := make([]chan T, n)
 	next := make(chan int)
@@ -114,69 +114,69 @@
 	wg.Wait()
 }
 
-// Shrink drops faults and jobs of a scenario that breaks a rule while it still
-// breaks the same rule, and returns what is left. Drawn faults become fixed ones.
+// Shrink minimizes a scenario that violates a rule. It removes faults and jobs as long as a run still violates the
+// same rule, with about tries runs at most, and returns the rest and the number of runs. Drawn faults become fixed.
 func Shrink(s *scenario.Scenario, seed uint64, v Verdict, tries int) (*scenario.Scenario, int) {
 	if len(v.Violations) == 0 {
 		return s, 0
 	}
 	rule := v.Violations[0].Rule
 	best := *s
-	// What was drawn is written down, so that single faults can be left out.
+	// Drawn faults are replaced by fixed ones, so that single faults can be removed.
 	noise := s.Draw.ToS > 0
 	best.Faults, best.Draw = slices.Clone(v.Faults), scenario.Draw{}
-	used := 0
-	breaks := func(c scenario.Scenario) bool {
-		used++
+	runs := 0
+	violatesRule := func(c scenario.Scenario) bool {
+		runs++
 		r := Simulate(v.File, &c, sim.Options{Seed: seed, Noise: noise})
 		return slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Rule == rule })
 	}
-	if !breaks(best) {
-		return s, used
+	if !violatesRule(best) {
+		return s, runs
 	}
-	for changed := true; changed && used < tries; {
+	for changed := true; changed && runs < tries; {
 		changed = false
-		// Halves first, then smaller pieces, down to single ones.
-		for size := max(1, len(best.Faults)/2); size >= 1 && used < tries; size /= 2 {
-			for i := 0; i+size <= len(best.Faults) && used < tries; {
+		// Halves first, then smaller groups, down to single faults.
+		for size := max(1, len(best.Faults)/2); size >= 1 && runs < tries; size /= 2 {
+			for i := 0; i+size <= len(best.Faults) && runs < tries; {
 				c := best
 				c.Faults = slices.Delete(slices.Clone(best.Faults), i, i+size)
-				if breaks(c) {
+				if violatesRule(c) {
 					best, changed = c, true
 				} else {
 					i += size
 				}
 			}
 		}
-		for i := len(best.Jobs) - 1; i >= 0 && used < tries; i-- {
-			if needed(best.Jobs, best.Jobs[i].Name) {
+		for i := len(best.Jobs) - 1; i >= 0 && runs < tries; i-- {
+			if isDependency(best.Jobs, best.Jobs[i].Name) {
 				continue
 			}
 			c := best
 			c.Jobs = slices.Delete(slices.Clone(best.Jobs), i, i+1)
-			if len(c.Jobs) > 0 && breaks(c) {
+			if len(c.Jobs) > 0 && violatesRule(c) {
 				best, changed = c, true
 			}
 		}
 	}
-	return &best, used
+	return &best, runs
 }
 
-func needed(jobs []scenario.Job, name string) bool {
+func isDependency(jobs []scenario.Job, name string) bool {
 	return slices.ContainsFunc(jobs, func(j scenario.Job) bool { return slices.Contains(j.Awaits, name) })
 }
 
-// suite and its parts are what other tools read of test runs (JUnit's XML form).
+// suite is a test suite in JUnit's XML format.
 type suite struct {
-	XMLName  xml.Name `xml:"testsuite"`
-	Name     string   `xml:"name,attr"`
-	Tests    int      `xml:"tests,attr"`
-	Failures int      `xml:"failures,attr"`
-	Time     float64  `xml:"time,attr"`
-	Cases    []tcase  `xml:"testcase"`
+	XMLName  xml.Name   `xml:"testsuite"`
+	Name     string     `xml:"name,attr"`
+	Tests    int        `xml:"tests,attr"`
+	Failures int        `xml:"failures,attr"`
+	Time     float64    `xml:"time,attr"`
+	Cases    []testCase `xml:"testcase"`
 }
 
-type tcase struct {
+type testCase struct {
 	Name    string   `xml:"name,attr"`
 	Class   string   `xml:"classname,attr"`
 	Time    float64  `xml:"time,attr"`
@@ -188,11 +188,11 @@
 	Text    string `xml:",chardata"`
 }
 
-// WriteJUnit writes verdicts in the form that other tools read.
+// WriteJUnit writes verdicts in JUnit's XML format.
 func WriteJUnit(w io.Writer, list []Verdict) error {
 	s := suite{Name: "rehearsals", Tests: len(list)}
 	for _, v := range list {
-		c := tcase{Name: fmt.Sprintf("%s seed %d", v.Name, v.Seed), Class: v.File, Time: v.DurationS}
+		c := testCase{Name: fmt.Sprintf("%s seed %d", v.Name, v.Seed), Class: v.File, Time: v.DurationS}
 		s.Time += v.DurationS
 		if !v.Passed {
 			s.Failures++
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -11,8 +11,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestRehearsals plays every file of rehearsals/ with two seeds. docs/emulator.md
-// says how to play more.
+// TestRehearsals runs every file of rehearsals/ with two seeds. docs/emulator.md says how to run more.
 func TestRehearsals(t *testing.T) {
 	files, err := filepath.Glob("../../rehearsals/*.toml")
 	if err != nil || len(files) < 30 {
@@ -34,15 +33,15 @@
 					t.Errorf("seed %d: %s", v.Seed, m)
 				}
 				if v.Starts == 0 {
-					t.Errorf("seed %d: nothing ran", v.Seed)
+					t.Errorf("seed %d: no task was started", v.Seed)
 				}
 			}
 		})
 	}
 }
 
-// TestShrink gives a scenario with many faults to a state service that takes less
-// than anybody was told: what is left of the faults is the one that matters.
+// TestShrink checks that Shrink leaves the one fault that matters. The scenario has many faults, and one of them lowers
+// the value size that the state service accepts, without an announcement.
 func TestShrink(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/base.toml")
 	if err != nil {
@@ -56,7 +55,7 @@
 	}
 	small, used := Shrink(s, 3, v, 200)
 	if len(small.Faults) != 1 || small.Faults[0].Kind != scenario.StateLimits || len(small.Jobs) > 3 {
-		t.Errorf("after %d plays %d faults and %d jobs are left: %v", used, len(small.Faults), len(small.Jobs), small.Faults)
+		t.Errorf("after %d runs %d faults and %d jobs are left: %v", used, len(small.Faults), len(small.Jobs), small.Faults)
 	}
 	var b bytes.Buffer
 	if err := WriteJUnit(&b, []Verdict{v, {Name: "kept", Passed: true}}); err != nil {
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -16,21 +16,20 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// withoutGuards sends transactions that change a job's record without their guards: whoever
-// writes last wins.
+// withoutGuards removes the guards of transactions that change a job's record, so that the last write wins.
 func withoutGuards(t *kv.Txn) {
 	if slices.ContainsFunc(t.Changes, func(c kv.Change) bool { return strings.HasPrefix(c.Key, "shalestage/job/") }) {
 		t.Guards = nil
 	}
 }
 
-// withoutStops drops all commands to stop tasks.
+// withoutStops removes all commands to stop tasks.
 func withoutStops(_ string, o *core.HeartbeatResponse) {
 	o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 }
 
-// onlyOwnStops lets each controller stop only the tasks that it has started itself, not those
-// that an earlier holder of the block has.
+// onlyOwnStops lets each controller stop only the tasks that it started itself, not those of an earlier owner of the
+// shard.
 func onlyOwnStops() func(node string, o *core.HeartbeatResponse) {
 	started := map[string]map[jobs.TaskID]bool{}
 	return func(node string, o *core.HeartbeatResponse) {
@@ -46,8 +45,8 @@
 	}
 }
 
-// untold tells no other controller of cancellations.
-func untold(m any) any {
+// withoutPeerCancellations removes the cancellations from peer lease grants.
+func withoutPeerCancellations(m any) any {
 	if p, ok := m.(core.PeerLeaseGrant); ok {
 		p.Told = cancellations.Update{}
 		return p
@@ -55,63 +54,62 @@
 	return m
 }
 
-// shortLease tells controllers that machines' leases are a sixth of what they are: what a
-// machine may run that is not heard counts for too short.
+// shortLease configures controllers with a sixth of the real worker lease, so that tasks of a silent machine count for
+// too short a time.
 func shortLease(s *config.Settings) { s.Deployment.Workers.LeaseS /= 6 }
 
-// longCancel lets a holder answer its workers for far longer after it last knew every
-// cancellation.
+// longCancel lets a shard owner answer its workers ten times as long after it last knew every cancellation.
 func longCancel(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }
 
-// withoutGuard is a meeting of users' troubles, and a program without what guards it.
+// withoutGuard is a rehearsal of unusual user requests, and a service without the guard that protects against them.
 type withoutGuard struct {
 	file, guard string
 	seeds       uint64
-	rules       []string // of which one is broken; none: another guard stands behind it
-	program     func() sim.Broken
+	rules       []string // one of them is violated; nil: another guard still protects
+	mutation    func() sim.Broken
 }
 
 var withoutGuardCases = []withoutGuard{
-	{"meet-close-looks", "a question waits for a read that began after it", 2, []string{check.Forgotten},
+	{"meet-close-looks", "a poll waits for a read that began after it", 2, []string{check.Forgotten},
 		func() sim.Broken { return sim.Broken{Stale: true} }},
-	{"meet-close-looks", "a job's record is written over the version that is known", 2, []string{check.WentBack},
+	{"meet-close-looks", "a job's record is written with a guard on its known version", 2, []string{check.WentBack},
 		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
-	{"meet-limit-cancels", "what may run counts until the lease must have run out", 2, []string{check.Quota},
+	{"meet-limit-cancels", "possibly running tasks count until the lease must have expired", 2, []string{check.Quota},
 		func() sim.Broken { return sim.Broken{Settings: shortLease} }},
-	{"meet-handover-cancels", "a holder stops what an earlier one has started", 2, []string{check.RanCancelled},
+	{"meet-handover-cancels", "an owner stops tasks that an earlier one started", 2, []string{check.RanCancelled},
 		func() sim.Broken { return sim.Broken{Orders: onlyOwnStops()} }},
 	{"meet-quick-jobs", "tasks of cancelled jobs are stopped", 2, []string{check.RanCancelled},
 		func() sim.Broken { return sim.Broken{Orders: withoutStops} }},
-	{"meet-quick-jobs", "a job's record is written over the version that is known", 6, []string{check.WentBack},
+	{"meet-quick-jobs", "a job's record is written with a guard on its known version", 6, []string{check.WentBack},
 		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
-	{"meet-last-end", "a job's record is written over the version that is known", 2, []string{check.WentBack},
+	{"meet-last-end", "a job's record is written with a guard on its known version", 2, []string{check.WentBack},
 		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
-	{"meet-last-end", "a question waits for a read that began after it", 2, []string{check.WentBack},
+	{"meet-last-end", "a poll waits for a read that began after it", 2, []string{check.WentBack},
 		func() sim.Broken { return sim.Broken{Stale: true} }},
-	{"meet-refused-cancels", "others tell of cancellations, and the bound on not knowing them", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Told: untold, Settings: longCancel} }},
-	{"meet-refused-cancels", "others tell of cancellations", 2, nil, func() sim.Broken { return sim.Broken{Told: untold} }},
+	{"meet-refused-cancels", "peers report cancellations, and the bound on not knowing them", 2, []string{check.RanCancelled},
+		func() sim.Broken { return sim.Broken{Told: withoutPeerCancellations, Settings: longCancel} }},
+	{"meet-refused-cancels", "peers report cancellations", 2, nil, func() sim.Broken { return sim.Broken{Told: withoutPeerCancellations} }},
 	{"meet-refused-cancels", "the bound on not knowing cancellations", 2, nil, func() sim.Broken { return sim.Broken{Settings: longCancel} }},
 }
 
-// TestMeetingsWithoutGuards takes out what guards each meeting of the users' troubles: one of
-// the first plays must break a rule that it keeps, unless another guard stands behind it.
-func TestMeetingsWithoutGuards(t *testing.T) {
+// TestUserRequestGuardsDetected removes the guard that protects against each kind of unusual user requests. One of the
+// first runs must violate one of its rules, unless another guard still protects against it.
+func TestUserRequestGuardsDetected(t *testing.T) {
 	for _, c := range withoutGuardCases {
 		t.Run(c.file+": "+c.guard, func(t *testing.T) {
 			t.Parallel()
-			c.play(t)
+			c.run(t)
 		})
 	}
 }
 
-func (c withoutGuard) play(t *testing.T) {
+func (c withoutGuard) run(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/" + c.file + ".toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for seed := uint64(1); seed <= c.seeds; seed++ {
-		v := Simulate(c.file, s, sim.Options{Seed: seed, Break: c.program()})
+		v := Simulate(c.file, s, sim.Options{Seed: seed, Break: c.mutation()})
 		if slices.ContainsFunc(v.Violations, func(b Violation) bool { return slices.Contains(c.rules, b.Rule) }) {
 			return
 		}
@@ -120,6 +118,6 @@
 		}
 	}
 	if c.rules != nil {
-		t.Errorf("%d plays break none of %v", c.seeds, c.rules)
+		t.Errorf("%d runs violate none of %v", c.seeds, c.rules)
 	}
 }
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -23,45 +23,46 @@
 	"shalestage.example/shalestage/internal/emulator/work"
 )
 
-// MaxDrift is by how much steady clocks run off, as a share.
+// MaxDrift bounds the rate error of monotonic clocks, as a share.
 const MaxDrift = 0.0005
 
-// KV returns the limits in the state service's terms.
+// KV returns the limits as the configuration of the emulated state service.
 func (l Limits) KV() kv.Limits {
 	return kv.Limits{Rate: l.RPS, WriteRate: l.WriteRPS, ValueBytes: int(l.ValueKB * 1024), TxnOps: l.TxnOps}
 }
 
-// LoweredLimits returns the limits after a fault that lowers some of them.
+// LoweredLimits returns the limits after a state_limits fault. A limit that the fault does not set falls to the
+// announced one in Next, if any.
 func (s State) LoweredLimits(f Fault) Limits {
 	return Limits{RPS: cmp.Or(f.RPS, s.Next.RPS, s.RPS), WriteRPS: cmp.Or(f.WriteRPS, s.Next.WriteRPS, s.WriteRPS),
 		ValueKB: cmp.Or(f.ValueKB, s.Next.ValueKB, s.ValueKB), TxnOps: cmp.Or(f.TxnOps, s.Next.TxnOps, s.TxnOps)}
 }
 
-// Site returns the cloud and its machines.
+// Site returns the configuration of the emulated cloud and its machines.
 func (s *Scenario) Site() site.Config {
 	c := site.Config{ReportEvery: units.Seconds(s.Workers.ReportS), Lease: units.Seconds(s.Workers.LeaseS), Nodes: s.Nodes(), MaxDrift: MaxDrift,
 		Cloud: cloudprovider.Config{Capacity: map[cloudprovider.Pool]int{}, RequestRate: s.Cloud.RPS, ListLag: units.Seconds(s.Cloud.ListLagS),
 			ReclaimRate: s.Cloud.SpotPerHour, Notice: units.Seconds(s.Cloud.NoticeS), NoNoticeShare: s.Cloud.Silent,
 			FailingShare: s.Cloud.SickShare, SlowShare: s.Cloud.SlowShare}}
 	for _, t := range s.Types {
-		rt := cloudprovider.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
+		machineType := cloudprovider.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
 			Price: t.Price, SpotPrice: t.SpotPrice, Boot: units.Seconds(t.BootS), BootFailShare: t.BootFail}
 		for _, z := range s.Controllers.Zones {
 			for _, p := range s.Capacity {
 				if p.Type == t.Name && p.Zone == z && p.Count+p.Spot > 0 {
-					rt.Zones = append(rt.Zones, z)
+					machineType.Zones = append(machineType.Zones, z)
 					c.Cloud.Capacity[cloudprovider.Pool{Type: t.Name, Zone: z}] += p.Count
 					c.Cloud.Capacity[cloudprovider.Pool{Type: t.Name, Zone: z, Spot: true}] += p.Spot
 					break
 				}
 			}
 		}
-		c.Cloud.Types = append(c.Cloud.Types, rt)
+		c.Cloud.Types = append(c.Cloud.Types, machineType)
 	}
 	return c
 }
 
-// Nodes returns the controllers' names.
+// Nodes returns the names of all controllers.
 func (s *Scenario) Nodes() []string {
 	var out []string
 	for i := range s.Controllers.Count {
@@ -70,7 +71,7 @@
 	return out
 }
 
-// Check returns what the rules are measured by.
+// Check returns the configuration of the rule checker.
 func (s *Scenario) Check() check.Config {
 	c := check.Config{CancelIn: units.Seconds(s.Workers.CancelS)}
 	for _, t := range s.Teams {
@@ -82,15 +83,15 @@
 	return c
 }
 
-// Addrs is where a deployment listens. State and Cloud differ for each
-// controller, so that one alone can be cut off; so do its peers' addresses.
+// Addrs holds the addresses that a controller listens on and connects to. State, Cloud and Peers differ for each
+// controller, so that a single controller can be cut off.
 type Addrs struct {
 	Listen, Internal string
 	State, Cloud     string
-	Peers            map[string]string // by name
+	Peers            map[string]string // by controller name
 }
 
-// Settings returns a controller's settings.
+// Settings returns the settings of controller i.
 func (s *Scenario) Settings(i int, a Addrs) *config.Settings {
 	n := s.Controllers
 	out := &config.Settings{Node: NodeName(i), Zone: n.Zones[i%len(n.Zones)], Listen: a.Listen, PeerListen: a.Internal,
@@ -101,7 +102,7 @@
 			Cloud:      config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
 			Quota:      config.Quota{CPU: n.CPU, RAMMB: n.MemoryMB, FDLimit: n.Sockets},
 			ClockErrMs: n.ClockErrorMS}}
-	out.Tuning, _ = s.tuning() // checked when the file was read
+	out.Tuning, _ = s.tuning() // validated when the file was read
 	out.Tuning.LeaderLeaseS, out.Tuning.MachinesPerShard = n.LeaseS, n.BlockMachines
 	out.Tuning.KeepFinished, out.Tuning.PackSettleS = n.KeepDone, n.PackSettleS
 	for k := range n.Count {
@@ -119,7 +120,7 @@
 	return out
 }
 
-// tuning returns the defaults of the controllers' knobs with what the file changes.
+// tuning returns the controllers' default tuning with the overrides of the file.
 func (s *Scenario) tuning() (config.Tuning, error) {
 	t := config.DefaultTuning()
 	b, err := json.Marshal(s.Tuning)
@@ -134,19 +135,19 @@
 	return t, t.Check()
 }
 
-// UserOptions says how the users behave.
+// UserOptions returns the options of the emulated users.
 func (s *Scenario) UserOptions() user.Options {
 	return user.Options{PollEvery: units.Seconds(s.Users.PollS), LateRetries: s.Users.LateRetries, Strangers: s.Users.Strangers, Revisits: s.Users.Revisits, Nodes: s.Nodes()}
 }
 
-// Work returns what is true of a job.
+// Work returns the actual behaviour of a job: its run time and whether it fails.
 func (j Job) Work(id string, spec *jobs.Spec) *work.Job {
 	return &work.Job{ID: id, Spec: spec, Run: units.Seconds(j.RunS), Vary: j.Vary, Broken: j.Broken}
 }
 
-// Plan returns the file's jobs as their users go about them, in the order in
-// which they come, with ids counted from first. Jobs of an entry with a count
-// come at drawn times, and await the first of each entry that they name.
+// Plan returns the file's jobs as users submit them, in the order of the entries, with ids counted from first.
+// Jobs of an entry with a count are submitted at random times. A job that awaits an entry depends on the first
+// job of that entry.
 func (s *Scenario) Plan(first int, rng *rand.Rand) []*user.Job {
 	byName := map[string]*user.Job{}
 	var out []*user.Job
@@ -161,7 +162,7 @@
 	}
 	for _, j := range s.Jobs {
 		at := units.Seconds(j.AtS)
-		spec := j.Spec() // one for all: nobody writes to it, and a long play has millions of jobs
+		spec := j.Spec() // shared because it is read-only, and a long run has millions of jobs
 		for k := range s.submissions(j) {
 			u := add(j, spec, at)
 			if k == 0 {
@@ -173,7 +174,7 @@
 	return out
 }
 
-// submissions returns how many jobs an entry stands for.
+// submissions returns the number of jobs of an entry.
 func (s *Scenario) submissions(j Job) int {
 	if j.Count == 0 {
 		return 1
@@ -181,10 +182,10 @@
 	return max(1, int(math.Round(float64(j.Count)*s.load())))
 }
 
-// load is how many times the jobs of entries with a count come.
+// load returns the factor for the number of jobs of entries with a count.
 func (s *Scenario) load() float64 { return cmp.Or(s.Users.Load, 1) }
 
-// gap draws the time until the next job of an entry; surges shorten it.
+// gap draws the time in seconds until the next job of an entry. Surges shorten it.
 func (s *Scenario) gap(j Job, at units.Microseconds, rng *rand.Rand) float64 {
 	g := j.EveryS * rng.ExpFloat64() / s.load()
 	for _, f := range s.Faults {
@@ -196,13 +197,13 @@
 	return g
 }
 
-// InjectSiteFault does a fault of the cloud or of its machines. Rates are put back by the caller.
+// InjectSiteFault injects a fault of the cloud or its machines. The caller restores the reclaim rate afterwards.
 func (s *Scenario) InjectSiteFault(now units.Microseconds, st *site.Site, f Fault) error {
 	until := now + units.Seconds(f.ForS)
 	match := func(m *cloudprovider.Machine) bool {
 		return (f.Type == "" || f.Type == m.Type) && (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != SpotWave || m.Spot)
 	}
-	pick := func() []*cloudprovider.Machine {
+	selectMachines := func() []*cloudprovider.Machine {
 		if f.Share > 0 {
 			all := st.Pick(1<<30, match)
 			return all[:int(float64(len(all))*f.Share+0.5)]
@@ -215,29 +216,29 @@
 	case NoCapacity:
 		st.Cloud.RefuseCapacity(f.Type, f.Zone, until)
 	case MachineStop:
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Kill(now, m)
 		}
 	case MachineHang:
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Hang(now, m, until)
 		}
 	case MachineDeaf:
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Deafen(now, m, until)
 		}
 	case MachineMute:
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Mute(now, m, until)
 		}
 	case QuickBoots:
 		st.Cloud.BootQuickly(until)
 	case MachineSick:
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Spoil(now, m, machine.Fault{Speed: m.Speed, FailsTasks: true})
 		}
 	case MachineSlow:
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Spoil(now, m, machine.Fault{Speed: 1 / f.Times, FailsTasks: m.FailsTasks})
 		}
 	case SpotWave:
@@ -245,39 +246,39 @@
 		if notice == 0 {
 			notice = s.Cloud.NoticeS
 		}
-		for _, m := range pick() {
+		for _, m := range selectMachines() {
 			st.Take(now, m, units.Seconds(notice), s.Cloud.Silent)
 		}
 	case SpotRate:
 		st.Cloud.SetReclaimRate(now, f.PerHour)
 	default:
-		return fmt.Errorf("%s is no fault of the cloud", f.Kind)
+		return fmt.Errorf("fault kind %s does not concern the cloud or its machines", f.Kind)
 	}
 	return nil
 }
 
-// MissedEvents says which events happened less often than expected; count tells how often
-// one did.
+// MissedEvents returns a message for each event that happened less often than expected. count returns how often
+// an event happened.
 func (e Expect) MissedEvents(count func(event string) int) (out []string) {
 	for _, event := range slices.Sorted(maps.Keys(e.Events)) {
 		if got, want := count(event), e.Events[event]; got < want {
-			out = append(out, fmt.Sprintf("events.%s: happened %d times, %d are expected at least", event, got, want))
+			out = append(out, fmt.Sprintf("events.%s: happened %d times, want at least %d", event, got, want))
 		}
 	}
 	return out
 }
 
-// Missed says which expectations were not met, beside the rules.
+// Missed returns a message for each expectation that was not met, apart from the rules and the events.
 func (e Expect) Missed(longest units.Microseconds, money float64, served []user.Served) (out []string) {
 	if e.MaxWaitS > 0 && longest > units.Seconds(e.MaxWaitS) {
-		out = append(out, fmt.Sprintf("max_wait_s: a job took %.1f s, %g are expected at most", longest.Seconds(), e.MaxWaitS))
+		out = append(out, fmt.Sprintf("max_wait_s: a job took %.1f s, want at most %g", longest.Seconds(), e.MaxWaitS))
 	}
 	if e.MaxMoney > 0 && money > e.MaxMoney {
-		out = append(out, fmt.Sprintf("max_money: %.3f were spent, %g are expected at most", money, e.MaxMoney))
+		out = append(out, fmt.Sprintf("max_money: spent %.3f, want at most %g", money, e.MaxMoney))
 	}
 	for _, s := range served {
-		if part := s.Share(); part < e.MinServed {
-			out = append(out, fmt.Sprintf("min_served: %.3f of %d of %s, %g are expected at least", part, s.Of, s.What, e.MinServed))
+		if share := s.Share(); share < e.MinServed {
+			out = append(out, fmt.Sprintf("min_served: %.3f of %d of %s, want at least %g", share, s.Of, s.What, e.MinServed))
 		}
 	}
 	return out
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -8,41 +8,40 @@
 	"strings"
 )
 
-// Fault is something that goes wrong, at a time or by command.
+// Fault is a fault that is injected at a given time or by command.
 type Fault struct {
 	AtS       float64  `toml:"at_s" json:"at_s,omitempty"`
 	Kind      string   `toml:"kind" json:"kind"`
-	ForS      float64  `toml:"for_s" json:"for_s,omitempty"`         // how long it lasts
-	AtToS     float64  `toml:"at_to_s" json:"at_to_s,omitempty"`     // it comes at a drawn time from AtS up to here; 0: at AtS
-	ForToS    float64  `toml:"for_to_s" json:"for_to_s,omitempty"`   // it lasts for a drawn time from ForS up to this; 0: for ForS
+	ForS      float64  `toml:"for_s" json:"for_s,omitempty"`         // duration
+	AtToS     float64  `toml:"at_to_s" json:"at_to_s,omitempty"`     // it begins at a random time from AtS to AtToS; 0: at AtS
+	ForToS    float64  `toml:"for_to_s" json:"for_to_s,omitempty"`   // it lasts for a random time from ForS to ForToS; 0: for ForS
 	Node      string   `toml:"node" json:"node,omitempty"`           // "node-1", "holder", "leader", "any" or "all"
-	Count     int      `toml:"count" json:"count,omitempty"`         // of machines, or how many writes are lost
-	Share     float64  `toml:"share" json:"share,omitempty"`         // of the machines that match, in place of Count
-	Type      string   `toml:"type" json:"type,omitempty"`           // of machines; empty: any
-	Zone      string   `toml:"zone" json:"zone,omitempty"`           // of machines; empty: any
-	Between   []string `toml:"between" json:"between,omitempty"`     // two parties of a cut, see Parties
+	Count     int      `toml:"count" json:"count,omitempty"`         // number of machines, jobs, lost writes or changes
+	Share     float64  `toml:"share" json:"share,omitempty"`         // share of the matching machines (instead of Count), transactions, heartbeats or jobs
+	Type      string   `toml:"type" json:"type,omitempty"`           // machine type; empty: any
+	Zone      string   `toml:"zone" json:"zone,omitempty"`           // zone of the machines; empty: any
+	Between   []string `toml:"between" json:"between,omitempty"`     // two parties of a cut; see PartyState and the others
 	Direction string   `toml:"direction" json:"direction,omitempty"` // "both" (default), "there" or "back"
-	Mode      string   `toml:"mode" json:"mode,omitempty"`           // of a cut: "hold" (default), "drop", "reset", "delay" or "trickle"
-	EveryS    float64  `toml:"every_s" json:"every_s,omitempty"`     // between several, or between packets that trickle
-	Times     float64  `toml:"times" json:"times,omitempty"`         // a factor
-	Class     string   `toml:"class" json:"class,omitempty"`         // of jobs; empty: any
-	PerHour   float64  `toml:"per_hour" json:"per_hour,omitempty"`   // a rate
-	NoticeS   float64  `toml:"notice_s" json:"notice_s,omitempty"`   // of a wave of takings
-	DelayMS   float64  `toml:"delay_ms" json:"delay_ms,omitempty"`   // of slow answers, of pieces that are delayed, of each byte that trickles
-	RPS       float64  `toml:"rps" json:"rps,omitempty"`             // limits that fall
+	Mode      string   `toml:"mode" json:"mode,omitempty"`           // mode of a cut: "hold" (default), "drop", "reset", "delay" or "trickle"
+	EveryS    float64  `toml:"every_s" json:"every_s,omitempty"`     // interval of a series
+	Times     float64  `toml:"times" json:"times,omitempty"`         // factor
+	Class     string   `toml:"class" json:"class,omitempty"`         // class of jobs; empty: any
+	PerHour   float64  `toml:"per_hour" json:"per_hour,omitempty"`   // rate
+	NoticeS   float64  `toml:"notice_s" json:"notice_s,omitempty"`   // notice before machines of a wave are reclaimed
+	DelayMS   float64  `toml:"delay_ms" json:"delay_ms,omitempty"`   // delay of slow responses, of delayed segments, of each byte of a trickling link
+	RPS       float64  `toml:"rps" json:"rps,omitempty"`             // lowered limits of the state service
 	WriteRPS  float64  `toml:"write_rps" json:"write_rps,omitempty"`
 	ValueKB   float64  `toml:"value_kb" json:"value_kb,omitempty"`
 	TxnOps    int      `toml:"txn_ops" json:"txn_ops,omitempty"`
-	HangS     float64  `toml:"hang_s" json:"hang_s,omitempty"`     // for which machines of cancelled jobs stand still
-	Prefix    string   `toml:"prefix" json:"prefix,omitempty"`     // of the key whose write is lost
-	ForNext   bool     `toml:"for_next" json:"for_next,omitempty"` // copies of reports wait for the next leader
-	Team      string   `toml:"team" json:"team,omitempty"`         // whose limit is changed
-	CPUsMax   float64  `toml:"cpus_max" json:"cpus_max,omitempty"` // the limit from then on; 0: none
-	Remove    bool     `toml:"remove" json:"remove,omitempty"`     // the team takes no new jobs from then on
+	HangS     float64  `toml:"hang_s" json:"hang_s,omitempty"`     // for which machines of cancelled jobs hang
+	Prefix    string   `toml:"prefix" json:"prefix,omitempty"`     // key prefix of the lost writes
+	ForNext   bool     `toml:"for_next" json:"for_next,omitempty"` // copies of heartbeats are held until the next leader begins
+	Team      string   `toml:"team" json:"team,omitempty"`         // team whose limit is changed
+	CPUsMax   float64  `toml:"cpus_max" json:"cpus_max,omitempty"` // new limit; 0: none
+	Remove    bool     `toml:"remove" json:"remove,omitempty"`     // the team accepts no new jobs from then on
 }
 
-// KindHelp describes a kind of fault for users; needs are the fields without
-// which it makes no sense.
+// KindHelp describes a kind of fault for users. Needs lists its required fields.
 type KindHelp struct {
 	Kind  string
 	Needs []string
@@ -90,45 +89,44 @@
 
 // Kinds lists all kinds of faults.
 var Kinds = []KindHelp{
-	{ControllerCrash, nil, "a controller's process ends and comes back, after for_s where that is given"},
-	{ControllerRetire, nil, "a controller is told to end: it hands on what it holds, ends and comes back"},
-	{ControllerRoll, []string{"every_s"}, "all controllers are restarted one after the other"},
-	{ControllerFreeze, []string{"for_s"}, "a controller stands still while its clocks run on"},
-	{ControllerSlow, []string{"for_s", "times"}, "a controller computes several times slower"},
-	{ClockJump, nil, "a controller's time of day jumps within its bound"},
-	{Cut, []string{"for_s", "between"}, "two parties do not reach each other, in one direction or both; what is sent is held back and delivered later, dropped, reset, delayed, or trickles a byte at a time"},
-	{StateOutage, []string{"for_s"}, "the state service answers 503 to all"},
-	{StateRefuse, []string{"for_s"}, "the state service answers 503 to one controller"},
-	{StateSlow, []string{"for_s", "delay_ms"}, "the state service answers slowly"},
-	{StateLimits, nil, "the state service lowers its limits, for good"},
-	{StateLate, []string{"for_s"}, "transactions, or a share of them, are applied late, after newer ones, and answered by nobody"},
-	{StateUnanswered, []string{"for_s"}, "transactions, or a share of them, are applied at once, and their answers lost"},
-	{StateLose, nil, "the state service loses the last writes that it has answered"},
-	{CloudDown, []string{"for_s"}, "the cloud's interface is out of order"},
+	{ControllerCrash, nil, "a controller's process ends and restarts, after for_s if given"},
+	{ControllerRetire, nil, "a controller shuts down gracefully: it hands over its shards, ends and restarts"},
+	{ControllerRoll, []string{"every_s"}, "all controllers restart one after the other"},
+	{ControllerFreeze, []string{"for_s"}, "a controller's process is paused while its clocks run on"},
+	{ControllerSlow, []string{"for_s", "times"}, "a controller's processor is several times slower"},
+	{ClockJump, nil, "a controller's wall clock jumps within its error bound"},
+	{Cut, []string{"for_s", "between"}, "two parties cannot reach each other, in one direction or both; traffic is held and delivered later, dropped, reset, delayed, or trickles one byte at a time"},
+	{StateOutage, []string{"for_s"}, "the state service returns 503 to all controllers"},
+	{StateRefuse, []string{"for_s"}, "the state service returns 503 to one controller"},
+	{StateSlow, []string{"for_s", "delay_ms"}, "the state service responds slowly"},
+	{StateLimits, nil, "the state service lowers its limits permanently"},
+	{StateLate, []string{"for_s"}, "transactions, or a share of them, are applied late, after newer ones, and get no response"},
+	{StateUnanswered, []string{"for_s"}, "transactions, or a share of them, are applied at once, and their responses are lost"},
+	{StateLose, nil, "the state service loses the last acknowledged writes"},
+	{CloudDown, []string{"for_s"}, "the cloud's API is unavailable"},
 	{NoCapacity, []string{"for_s"}, "the cloud has no machines of a type or in a zone"},
-	{MachineStop, nil, "machines stop with all that is on them"},
-	{MachineHang, []string{"for_s"}, "machines stand still and go on"},
-	{MachineSick, nil, "machines fail every task that they start"},
-	{MachineSlow, []string{"times"}, "machines run their tasks slower"},
-	{MachineDeaf, []string{"for_s"}, "machines' reports arrive, and neither answers nor commands reach them"},
-	{MachineMute, []string{"for_s"}, "machines reach no controller; direct commands reach them"},
-	{LateReports, []string{"for_s", "share"}, "of a share of the machines' reports a copy arrives again, from 2 s to well over a lease later; with for_next it arrives at every controller as a new leader begins"},
-	{QuickBoots, []string{"for_s"}, "machines that are rented meanwhile are up within two seconds"},
-	{SpotWave, []string{"share"}, "spot machines are taken back in a wave"},
-	{SpotRate, []string{"per_hour", "for_s"}, "spot machines are taken back more often"},
-	{ZoneApart, []string{"zone", "for_s"}, "a zone's machines and controllers do not reach those of the others"},
-	{ZoneLost, []string{"zone", "for_s"}, "a zone does not reach the others, the services or users; there is the way out of it"},
-	{Surge, []string{"times", "for_s"}, "jobs of a class come several times as often"},
-	{ConfigSet, []string{"team"}, "an operator changes a team's limit of CPUs, or removes the team; with count so many changes, every_s apart, the last of which is the one given"},
-	{PollStorm, []string{"times", "for_s"}, "users ask about their jobs many times as often"},
-	{CancelNow, nil, "users cancel that many running jobs with long to go within a fifth of a second; with hang_s, up to eight of their machines stand still that long"},
-	{CancelAtEnd, []string{"share", "for_s"}, "a share of the jobs that end is cancelled at that moment"},
-	{OddRequests, []string{"for_s"}, "users repeat submissions of unfinished jobs, cancel jobs that are done, and submit jobs that fit no machine or lack a field"},
-	{CloseLooks, []string{"for_s"}, "users ask at all controllers, again and again within milliseconds, and repeat the submission, right after a job was accepted, ended or confirmed as cancelled; some cancel at once"},
+	{MachineStop, nil, "machines stop, and all their tasks are lost"},
+	{MachineHang, []string{"for_s"}, "machines hang and resume"},
+	{MachineSick, nil, "every task that starts on the machines fails"},
+	{MachineSlow, []string{"times"}, "tasks run slower on the machines"},
+	{MachineDeaf, []string{"for_s"}, "machines' heartbeats arrive, but neither responses nor commands reach the machines"},
+	{MachineMute, []string{"for_s"}, "machines cannot reach any controller; direct commands reach the machines"},
+	{LateReports, []string{"for_s", "share"}, "a copy of a share of the machines' heartbeats arrives again, from 2 s to well over a lease later; with for_next it arrives at every controller as a new leader begins"},
+	{QuickBoots, []string{"for_s"}, "machines that are created meanwhile boot within two seconds"},
+	{SpotWave, []string{"share"}, "many spot machines are reclaimed at the same time"},
+	{SpotRate, []string{"per_hour", "for_s"}, "spot machines are reclaimed at a given rate"},
+	{ZoneApart, []string{"zone", "for_s"}, "a zone's machines and controllers cannot reach those of the other zones"},
+	{ZoneLost, []string{"zone", "for_s"}, "a zone cannot reach the other zones, the services or the users; the direction there is outbound from the zone"},
+	{Surge, []string{"times", "for_s"}, "jobs of a class are submitted several times as often"},
+	{ConfigSet, []string{"team"}, "an operator changes a team's CPU limit or removes the team; with count, that many changes are made, every_s apart, and the last is the given one"},
+	{PollStorm, []string{"times", "for_s"}, "users poll their jobs many times as often"},
+	{CancelNow, nil, "users cancel count running jobs with a long remaining run time within a fifth of a second; with hang_s, up to eight of their machines hang that long"},
+	{CancelAtEnd, []string{"share", "for_s"}, "a share of the ending jobs is cancelled at the moment they end"},
+	{OddRequests, []string{"for_s"}, "users repeat submissions of unfinished jobs, cancel finished jobs, and submit jobs that fit no machine or lack a field"},
+	{CloseLooks, []string{"for_s"}, "users poll all controllers repeatedly within milliseconds, and repeat the submission, right after a job was accepted, ended or confirmed as cancelled; some cancel it at once"},
 }
 
-// Parties that a cut can be between, beside controllers by name, "holder",
-// "leader" and "any".
+// Parties of a cut, in addition to controllers by name, "holder" (a shard owner), "leader" and "any".
 const (
 	PartyState   = "state"
 	PartyCloud   = "cloud"
@@ -140,39 +138,39 @@
 func (f Fault) String() string {
 	var b strings.Builder
 	b.WriteString(f.Kind)
-	put := func(name string, v any, set bool) {
+	appendField := func(name string, v any, set bool) {
 		if set {
 			fmt.Fprintf(&b, " %s=%v", name, v)
 		}
 	}
-	put("node", f.Node, f.Node != "")
-	put("between", strings.Join(f.Between, ","), len(f.Between) > 0)
-	put("direction", f.Direction, f.Direction != "")
-	put("mode", f.Mode, f.Mode != "")
-	put("for_s", f.ForS, f.ForS != 0)
-	put("count", f.Count, f.Count != 0)
-	put("share", f.Share, f.Share != 0)
-	put("type", f.Type, f.Type != "")
-	put("zone", f.Zone, f.Zone != "")
-	put("times", f.Times, f.Times != 0)
-	put("every_s", f.EveryS, f.EveryS != 0)
-	put("delay_ms", f.DelayMS, f.DelayMS != 0)
-	put("hang_s", f.HangS, f.HangS != 0)
-	put("for_next", f.ForNext, f.ForNext)
-	put("team", f.Team, f.Team != "")
-	put("cpus_max", f.CPUsMax, f.Kind == ConfigSet && !f.Remove)
-	put("remove", f.Remove, f.Remove)
+	appendField("node", f.Node, f.Node != "")
+	appendField("between", strings.Join(f.Between, ","), len(f.Between) > 0)
+	appendField("direction", f.Direction, f.Direction != "")
+	appendField("mode", f.Mode, f.Mode != "")
+	appendField("for_s", f.ForS, f.ForS != 0)
+	appendField("count", f.Count, f.Count != 0)
+	appendField("share", f.Share, f.Share != 0)
+	appendField("type", f.Type, f.Type != "")
+	appendField("zone", f.Zone, f.Zone != "")
+	appendField("times", f.Times, f.Times != 0)
+	appendField("every_s", f.EveryS, f.EveryS != 0)
+	appendField("delay_ms", f.DelayMS, f.DelayMS != 0)
+	appendField("hang_s", f.HangS, f.HangS != 0)
+	appendField("for_next", f.ForNext, f.ForNext)
+	appendField("team", f.Team, f.Team != "")
+	appendField("cpus_max", f.CPUsMax, f.Kind == ConfigSet && !f.Remove)
+	appendField("remove", f.Remove, f.Remove)
 	return b.String()
 }
 
-// Check reports why a fault cannot be done in a deployment of n controllers; the
-// field that is wrong comes first.
+// Check validates a fault for a deployment of n controllers. It returns the name of the wrong field and an error
+// that says what is wrong with it.
 func (f Fault) Check(n int) (field string, err error) {
 	i := slices.IndexFunc(Kinds, func(k KindHelp) bool { return k.Kind == f.Kind })
 	if i < 0 {
 		return "kind", fmt.Errorf("there is no kind %q, but %v", f.Kind, kindNames())
 	}
-	if field, err := f.strange(); err != nil {
+	if field, err := f.unexpectedField(); err != nil {
 		return field, err
 	}
 	set := map[string]bool{"for_s": f.ForS > 0, "every_s": f.EveryS > 0, "times": f.Times > 0, "between": len(f.Between) > 0,
@@ -199,7 +197,7 @@
 	if f.ForToS != 0 && f.ForToS < f.ForS {
 		return "for_to_s", fmt.Errorf("want at least for_s, %g, got %g", f.ForS, f.ForToS)
 	}
-	if !knownNode(f.Node, n) && f.Node != "" && f.Node != "all" {
+	if !isNodeSelector(f.Node, n) && f.Node != "" && f.Node != "all" {
 		return "node", fmt.Errorf("want node-0 to node-%d, holder, leader, any or all, got %q", n-1, f.Node)
 	}
 	if !slices.Contains([]string{"", "both", "there", "back"}, f.Direction) {
@@ -212,10 +210,10 @@
 		return "delay_ms", fmt.Errorf("missing, the mode %s needs it", f.Mode)
 	}
 	if f.Kind == Cut {
-		if len(f.Between) != 2 || !knownNode(f.Between[0], n) {
+		if len(f.Between) != 2 || !isNodeSelector(f.Between[0], n) {
 			return "between", fmt.Errorf("want a controller and another party, got %v", f.Between)
 		}
-		if b := f.Between[1]; !knownNode(b, n) && !slices.Contains([]string{PartyState, PartyCloud, PartyWorkers, PartyPeers, PartyUsers}, b) {
+		if b := f.Between[1]; !isNodeSelector(b, n) && !slices.Contains([]string{PartyState, PartyCloud, PartyWorkers, PartyPeers, PartyUsers}, b) {
 			return "between", fmt.Errorf("there is no party %q", b)
 		}
 	}
@@ -231,11 +229,11 @@
 	return out
 }
 
-// machineFields choose the machines that a fault is about.
+// machineFields are the fields that select the machines of a fault.
 var machineFields = []string{"count", "share", "type", "zone"}
 
-// takes are the fields that each kind takes, beside those that every kind takes.
-var takes = map[string][]string{
+// allowedFields lists the fields that each kind accepts in addition to commonFields.
+var allowedFields = map[string][]string{
 	ControllerCrash:  {"node", "for_s"},
 	ControllerRetire: {"node"},
 	ControllerRoll:   {"every_s"},
@@ -273,12 +271,12 @@
 	ConfigSet:        {"team", "cpus_max", "remove", "count", "every_s"},
 }
 
-// always are the fields that every kind takes. What lasts no time takes no for_to_s either.
-var always = []string{"kind", "at_s", "at_to_s"}
+// commonFields are the fields that every kind accepts. Kinds that accept for_s also accept for_to_s.
+var commonFields = []string{"kind", "at_s", "at_to_s"}
 
-// strange returns a field that is given and that the fault's kind does not take.
-func (f Fault) strange() (field string, err error) {
-	allowed := slices.Concat(takes[f.Kind], always)
+// unexpectedField returns a field that is set although the fault's kind does not accept it.
+func (f Fault) unexpectedField() (field string, err error) {
+	allowed := slices.Concat(allowedFields[f.Kind], commonFields)
 	if slices.Contains(allowed, "for_s") {
 		allowed = append(allowed, "for_to_s")
 	}
@@ -293,7 +291,7 @@
 	return "", nil
 }
 
-func knownNode(name string, n int) bool {
+func isNodeSelector(name string, n int) bool {
 	if slices.Contains([]string{"holder", "leader", "any"}, name) {
 		return true
 	}
@@ -305,12 +303,12 @@
 	return false
 }
 
-// ZoneParty names the machines of a zone.
+// ZoneParty returns the name of the party that stands for the machines of a zone.
 func ZoneParty(zone string) string { return "zone " + zone }
 
-// PartitionedPairs returns the pairs of parties that do not reach each other when a zone is
-// cut off, the one inside first: controllers, and controllers and machines; with services,
-// also the zone's controllers and all that serves them or asks them.
+// PartitionedPairs returns the pairs of parties that cannot reach each other when a zone is cut off; the party
+// inside the zone comes first. The pairs are controllers with controllers and controllers with machines. With
+// services, the zone's controllers are also cut off from the state service, the cloud and the users.
 func (s *Scenario) PartitionedPairs(zone string, services bool) [][2]string {
 	var out [][2]string
 	zones := s.Controllers.Zones
@@ -339,13 +337,13 @@
 	return out
 }
 
-// LostWritePrefix is the prefix of the keys whose writes are lost: jobs, unless said otherwise.
+// LostWritePrefix returns the prefix of the keys whose writes are lost. The default is the prefix of job records.
 func (f Fault) LostWritePrefix() string { return cmp.Or(f.Prefix, "shalestage/job/") }
 
-// NodeName returns the name of a controller.
+// NodeName returns the name of controller i.
 func NodeName(i int) string { return fmt.Sprintf("node-%d", i) }
 
-func (c *checker) faults(s *Scenario) {
+func (c *checker) checkFaults(s *Scenario) {
 	for i, f := range s.Faults {
 		if field, err := f.Check(s.Controllers.Count); err != nil {
 			c.fail(fmt.Sprintf("fault[%d].%s", i, field), "%v", err)
--- a/internal/scenario/positions.go
+++ b/internal/scenario/positions.go
@@ -7,12 +7,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// position is where a key stands in a file, counted from 1.
+// position is the line and column of a key in a file, both counted from 1.
 type position struct{ line, col int }
 
-// positions returns where each key and table of a file stands, by its path, such
-// as "job[2].tasks". The decoder tells where a value has the wrong type; what it
-// cannot know is which value makes no sense.
+// positions returns the position of each key and table of a file, by its path, such as "job[2].tasks". The TOML
+// decoder reports the position of a value of the wrong type only; these positions serve for errors of validation.
 func positions(text []byte) map[string]position {
 	out := map[string]position{}
 	counts := map[string]int{}
@@ -58,7 +57,7 @@
 	return out
 }
 
-// elements adds what stands inside of inline arrays and tables.
+// elements adds the positions of the elements of inline arrays and tables.
 func elements(path string, v *unstable.Node, at func(*unstable.Node) position, out map[string]position) {
 	if v.Kind != unstable.Array && v.Kind != unstable.InlineTable {
 		return
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads the files that describe a deployment, its load, faults
-// and what is expected of it: TOML, in standard terms, whose mistakes are told
-// with line and column. Durations are in seconds, sizes in GB, prices an hour.
+// Package scenario reads scenario files. A scenario file is TOML and describes a deployment, its load, the
+// injected faults and the expected results. Errors are reported with line and column. Durations are in seconds,
+// sizes in GB and prices per hour.
 package scenario
 
 import (
@@ -20,20 +20,20 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Scenario is a whole file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Name        string      `toml:"name"`
 	About       string      `toml:"about"`
-	Base        string      `toml:"base"` // file beside this one, of which this one changes what it names
+	Base        string      `toml:"base"` // file in the same directory, whose values this file overrides
 	Seed        uint64      `toml:"seed"`
-	DurationS   float64     `toml:"duration_s"` // of the play; a run of "up" ends when all jobs are over
+	DurationS   float64     `toml:"duration_s"` // length of a run; a run of "up" ends earlier if all jobs have finished
 	Controllers Controllers `toml:"controllers"`
 	State       State       `toml:"state"`
 	Cloud       Cloud       `toml:"cloud"`
 	Workers     Workers     `toml:"workers"`
 	Users       Users       `toml:"users"`
-	// Tuning are knobs of the controllers' settings, by their names there; those that
-	// have a field of their own under controllers are set by that.
+	// Tuning overrides tuning parameters of the controllers, by their names in the controllers' settings. A
+	// parameter that has its own field in Controllers is always set from that field.
 	Tuning     map[string]float64 `toml:"tuning,omitempty"`
 	Types      []MachineType      `toml:"machine_types"`
 	Capacity   []Capacity         `toml:"capacity"`
@@ -45,14 +45,14 @@
 	Expect     Expect             `toml:"expect"`
 }
 
-// Controllers says how many there are and what each has.
+// Controllers holds the number of controllers and the resources and settings of each.
 type Controllers struct {
 	Count         int      `toml:"count"`
 	Zones         []string `toml:"zones"`
-	CPU           float64  `toml:"cpu"` // share of a core
+	CPU           float64  `toml:"cpu"` // cores; fractions are allowed
 	MemoryMB      float64  `toml:"memory_mb"`
 	Sockets       int      `toml:"sockets"`
-	RestartS      float64  `toml:"restart_s"` // from an end to the next start
+	RestartS      float64  `toml:"restart_s"` // from the end of a process to its restart
 	ClockErrorMS  float64  `toml:"clock_error_ms"`
 	LeaseS        float64  `toml:"lease_s"`
 	BlockMachines float64  `toml:"block_machines"`
@@ -60,7 +60,7 @@
 	PackSettleS   float64  `toml:"pack_settle_s"`
 }
 
-// Limits of the state service.
+// Limits are request and size limits of the state service.
 type Limits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -68,45 +68,44 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// State describes the state service; Next is what controllers are told that its
-// limits will be.
+// State describes the state service. Next holds the announced future limits, which the controllers get in their
+// settings.
 type State struct {
 	Limits
 	Next      Limits  `toml:"next"`
 	LatencyMS float64 `toml:"latency_ms"`
 }
 
-// Cloud describes the cloud.
+// Cloud describes the cloud provider.
 type Cloud struct {
 	RPS         float64 `toml:"rps"`
 	ListLagS    float64 `toml:"list_lag_s"`
 	LatencyMS   float64 `toml:"latency_ms"`
-	SpotPerHour float64 `toml:"spot_per_hour"` // spot machines taken back, as a share
+	SpotPerHour float64 `toml:"spot_per_hour"` // share of the spot machines that is reclaimed per hour
 	NoticeS     float64 `toml:"notice_s"`
-	Silent      float64 `toml:"silent"` // share of those taken without a notice
+	Silent      float64 `toml:"silent"` // share of the reclaimed machines that get no notice
 	SickShare   float64 `toml:"sick_share"`
 	SlowShare   float64 `toml:"slow_share"`
 }
 
-// Workers holds the timing that every worker follows.
+// Workers holds the heartbeat, lease and cancellation timing of all workers.
 type Workers struct {
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// Users says how users behave beyond what the protocol fixes.
+// Users holds the behaviour of users that the protocol leaves open.
 type Users struct {
 	PollS       float64 `toml:"poll_s"`
 	LateRetries float64 `toml:"late_retries"`
 	Strangers   float64 `toml:"strangers"`
 	Revisits    float64 `toml:"revisits"`
-	// Load has users submit so many times the jobs of each entry with a count, in the same time;
-	// 0: once.
+	// Load multiplies the number of jobs of each entry with a count. They are submitted in the same time. 0 means 1.
 	Load float64 `toml:"load"`
 }
 
-// MachineType is a type on the price list.
+// MachineType is a machine type of the cloud provider's price list.
 type MachineType struct {
 	Name      string  `toml:"name"`
 	CPUs      float64 `toml:"cpus"`
@@ -120,7 +119,7 @@
 	BootFail  float64 `toml:"boot_fail"`
 }
 
-// Capacity is how many machines of a type a zone has: ordinary and spot ones.
+// Capacity is the number of machines of a type in a zone: on-demand (Count) and spot (Spot).
 type Capacity struct {
 	Type  string `toml:"type"`
 	Zone  string `toml:"zone"`
@@ -128,7 +127,7 @@
 	Spot  int    `toml:"spot"`
 }
 
-// Team holds a team's guarantee and limit; 0 means none.
+// Team holds a team's guaranteed quota and its limit; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -137,7 +136,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim for a class of jobs.
+// Objective is a service level objective for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -146,7 +145,7 @@
 	Times   float64 `toml:"times"`
 }
 
-// Job is one job, or with Count several that come one after another.
+// Job is one job or, with Count, a series of jobs that are submitted one after another.
 type Job struct {
 	Name         string   `toml:"name"`
 	Class        string   `toml:"class"`
@@ -164,42 +163,42 @@
 	OneZone      bool     `toml:"one_zone"`
 	Spread       bool     `toml:"spread"`
 	Spot         bool     `toml:"spot"`
-	EstimateS    float64  `toml:"estimate_s"` // 0: as long as it really runs
+	EstimateS    float64  `toml:"estimate_s"` // 0: the actual run time
 	CheckpointS  float64  `toml:"checkpoint_s"`
 	SaveS        float64  `toml:"save_s"`
 	DeadlineS    float64  `toml:"deadline_s"`
-	Awaits       []string `toml:"awaits"` // names of jobs further up
-	RunS         float64  `toml:"run_s"`  // how long a task really runs
-	Vary         float64  `toml:"vary"`   // tasks run up to this share shorter or longer
-	Broken       bool     `toml:"broken"` // fails on every machine
-	AtS          float64  `toml:"at_s"`   // of the submission
+	Awaits       []string `toml:"awaits"` // names of entries earlier in the file
+	RunS         float64  `toml:"run_s"`  // actual run time of a task
+	Vary         float64  `toml:"vary"`   // run times vary by up to this share in both directions
+	Broken       bool     `toml:"broken"` // its tasks fail on every machine
+	AtS          float64  `toml:"at_s"`   // time of the submission
 	Count        int      `toml:"count"`
-	EveryS       float64  `toml:"every_s"` // between several, on average
+	EveryS       float64  `toml:"every_s"` // mean interval of a series
 	CancelAfterS float64  `toml:"cancel_after_s"`
 }
 
-// Draw lets faults of any kind be drawn from the seed.
+// Draw configures faults of any kind that are drawn from the seed.
 type Draw struct {
 	FromS float64 `toml:"from_s"`
-	ToS   float64 `toml:"to_s"` // 0: none are drawn
+	ToS   float64 `toml:"to_s"` // 0: no faults are drawn
 	GapS  float64 `toml:"gap_s"`
-	Pairs bool    `toml:"pairs"` // instead, two kinds at once, a few times: the seed says which
-	// Meet is how many troubles are drawn by their meeting instead: the first between FromS and
-	// ToS, each other at one of Events (none: any) that follows from those before it.
+	Pairs bool    `toml:"pairs"` // instead, two kinds at the same time, a few times; the seed selects them
+	// Meet is the number of faults if they are drawn at events instead: the first one begins between FromS and ToS,
+	// each later one at an event that the earlier faults lead to. Events lists the allowed events; none allows any.
 	Meet   int      `toml:"meet"`
 	Events []string `toml:"events"`
 }
 
-// Expect says what must hold beside the rules.
+// Expect holds the expectations that a run must meet in addition to the rules.
 type Expect struct {
-	AllOver  bool    `toml:"all_over"`   // every job that was accepted is over at the end
-	MaxWaitS float64 `toml:"max_wait_s"` // longest time from a submission to the answer that the job is over; 0: any
+	AllOver  bool    `toml:"all_over"`   // every accepted job has finished at the end
+	MaxWaitS float64 `toml:"max_wait_s"` // longest time from a submission to the reply that the job has finished; 0: no limit
 	MaxMoney float64 `toml:"max_money"`
-	// MinServed is the least share of the jobs of each class and of each team that must be
-	// done, and of those with a deadline in time; 0: any.
+	// MinServed is the minimum share of the jobs of each class and each team that must be done, and done in time
+	// among the jobs with a deadline. 0 means no minimum.
 	MinServed float64 `toml:"min_served"`
-	// Events is how often each of some CountedEvents must happen at least, in simulated
-	// time: a play in which a fault combination did not come about proves nothing.
+	// Events maps events of CountedEvents to the minimum number of times that each must happen, in simulated time.
+	// A run in which the intended combination of faults does not occur proves nothing.
 	Events map[string]int `toml:"events"`
 }
 
@@ -207,10 +206,10 @@
 	"": jobs.Normal, "low": jobs.Low, "normal": jobs.Normal, "high": jobs.High, "production": jobs.Production,
 }
 
-// FileError is something wrong in a file.
+// FileError is an error in a scenario file or in another file that this package decodes.
 type FileError struct {
 	File      string
-	Line, Col int // 0: not known
+	Line, Col int // 0: unknown
 	Text      string
 }
 
@@ -221,10 +220,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s", m.File, m.Line, m.Col, m.Text)
 }
 
-// MaxFileBytes bounds a file.
+// MaxFileBytes is the maximum size of a file.
 const MaxFileBytes = 4 << 20
 
-// ReadFile reads a file that is not too long.
+// ReadFile reads a file of at most MaxFileBytes. A larger file gives a FileError.
 func ReadFile(file string) ([]byte, error) {
 	st, err := os.Stat(file)
 	if err != nil {
@@ -236,7 +235,7 @@
 	return os.ReadFile(file)
 }
 
-// Load reads and checks a file.
+// Load reads and validates a scenario file, together with the base file that it names.
 func Load(file string) (*Scenario, error) {
 	b, err := ReadFile(file)
 	if err != nil {
@@ -258,45 +257,45 @@
 	if base.Base != "" {
 		return nil, &FileError{File: file, Text: "base: a base may have none itself"}
 	}
-	return parseOver(base, file, b, true)
+	return parseInto(base, file, b, true)
 }
 
-// LoadWithOverrides reads a file and what changes some of it, in the file's own form. Mistakes of
-// the latter are told with lines and columns of it, under its name.
+// LoadWithOverrides reads a file like Load and applies overrides, which are TOML of the same form. An error in
+// the overrides is reported under name, with its line and column in over.
 func LoadWithOverrides(file, name string, over []byte) (*Scenario, error) {
 	s, err := Load(file)
 	if err != nil || len(over) == 0 {
 		return s, err
 	}
-	return parseOver(s, name, over, true)
+	return parseInto(s, name, over, true)
 }
 
-// Decode reads a file of another form into v; unknown keys and mistakes are told with line
-// and column.
+// Decode decodes TOML into v, which may have any form. Errors, also unknown keys, are reported with line and
+// column.
 func Decode(file string, b []byte, v any) error {
 	d := toml.NewDecoder(strings.NewReader(string(b)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return mistakeOf(file, err)
+		return decodeError(file, err)
 	}
 	return nil
 }
 
-// CheckJobs looks for what cannot be worked with in jobs that a file of another form has.
+// CheckJobs validates the jobs of a file of another form. Its teams are not checked against a deployment.
 func CheckJobs(file string, b []byte, jobs []Job) error {
 	c := checker{file: file, text: b}
-	c.jobs(&Scenario{Jobs: jobs}, false)
-	return c.found
+	c.checkJobs(&Scenario{Jobs: jobs}, false)
+	return c.err
 }
 
-// ErrorAt tells a mistake at a key of a file, such as "setting[1].name".
+// ErrorAt returns a FileError at the position of a key of the file, such as "setting[1].name".
 func ErrorAt(file string, b []byte, path, format string, args ...any) error {
 	c := checker{file: file, text: b}
 	c.fail(path, format, args...)
-	return c.found
+	return c.err
 }
 
-// Defaults returns the deployment that a file changes: a small one.
+// Defaults returns the small deployment whose values a scenario file overrides.
 func Defaults() *Scenario {
 	return &Scenario{Seed: 1, DurationS: 300,
 		Controllers: Controllers{Count: 3, CPU: 1, MemoryMB: 512, Sockets: 1800, RestartS: 3, ClockErrorMS: 50, LeaseS: 2, KeepDone: 8192, PackSettleS: 600},
@@ -307,28 +306,28 @@
 	}
 }
 
-// Parse reads a file's text. A file of jobs alone (whole false) describes no deployment.
+// Parse decodes and validates the text of a file. With whole false, the file has jobs only and no deployment.
 func Parse(file string, b []byte, whole bool) (*Scenario, error) {
-	return parseOver(Defaults(), file, b, whole)
+	return parseInto(Defaults(), file, b, whole)
 }
 
-func parseOver(s *Scenario, file string, b []byte, whole bool) (*Scenario, error) {
+func parseInto(s *Scenario, file string, b []byte, whole bool) (*Scenario, error) {
 	if err := Decode(file, b, s); err != nil {
 		return nil, err
 	}
 	c := checker{file: file, text: b}
 	if whole {
-		c.deployment(s)
+		c.checkDeployment(s)
 	}
-	c.jobs(s, whole)
-	c.faults(s)
-	if c.found != nil {
-		return nil, c.found
+	c.checkJobs(s, whole)
+	c.checkFaults(s)
+	if c.err != nil {
+		return nil, c.err
 	}
 	return s, nil
 }
 
-func mistakeOf(file string, err error) error {
+func decodeError(file string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
@@ -343,30 +342,30 @@
 	return &FileError{File: file, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// checker looks for the first value that cannot be worked with.
+// checker validates a file and keeps the first error.
 type checker struct {
-	file  string
-	text  []byte
-	where map[string]position
-	found error
+	file      string
+	text      []byte
+	positions map[string]position
+	err       error
 }
 
 func (c *checker) fail(path, format string, args ...any) {
-	if c.found != nil {
+	if c.err != nil {
 		return
 	}
-	if c.where == nil {
-		c.where = positions(c.text)
+	if c.positions == nil {
+		c.positions = positions(c.text)
 	}
-	// A key that is missing is told at the table that it is missing from.
-	p, ok := c.where[path]
-	for at := path; !ok && at != ""; p, ok = c.where[at] {
+	// A missing key is reported at the position of its table.
+	p, ok := c.positions[path]
+	for at := path; !ok && at != ""; p, ok = c.positions[at] {
 		at = at[:max(0, strings.LastIndexByte(at, '.'))]
 	}
-	c.found = &FileError{c.file, p.line, p.col, path + ": " + fmt.Sprintf(format, args...)}
+	c.err = &FileError{c.file, p.line, p.col, path + ": " + fmt.Sprintf(format, args...)}
 }
 
-func (c *checker) within(path string, v, lo, hi float64) {
+func (c *checker) checkRange(path string, v, lo, hi float64) {
 	if math.IsNaN(v) || v < lo || v > hi {
 		c.fail(path, "want %g to %g, got %g", lo, hi, v)
 	}
@@ -374,74 +373,74 @@
 
 const maxAmount = 1e6
 
-// isPlain reports whether a rune may be in a name.
-func isPlain(r rune) bool {
+// isNameRune reports whether a name may contain the rune.
+func isNameRune(r rune) bool {
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '.' || r == '-' || r == '_'
 }
 
-func (c *checker) name(path, v string) {
-	if v == "" || len(v) > 100 || strings.ContainsFunc(v, func(r rune) bool { return !isPlain(r) }) {
+func (c *checker) checkName(path, v string) {
+	if v == "" || len(v) > 100 || strings.ContainsFunc(v, func(r rune) bool { return !isNameRune(r) }) {
 		c.fail(path, "want letters, digits, dots, dashes and underscores, got %q", v)
 	}
 }
 
-func (c *checker) deployment(s *Scenario) {
+func (c *checker) checkDeployment(s *Scenario) {
 	n := s.Controllers
-	c.within("duration_s", s.DurationS, 1, 1e7)
-	c.within("controllers.count", float64(n.Count), 1, 99)
-	c.within("controllers.cpu", n.CPU, 0.001, 1024)
-	c.within("controllers.memory_mb", n.MemoryMB, 32, 1e7)
-	c.within("controllers.sockets", float64(n.Sockets), 32, 1e6)
-	c.within("controllers.restart_s", n.RestartS, 0, 3600)
-	c.within("controllers.clock_error_ms", n.ClockErrorMS, 0, 60_000)
-	c.within("controllers.lease_s", n.LeaseS, 1, 60)
-	c.within("controllers.block_machines", n.BlockMachines, 0, core.MaxShardMachines)
-	c.within("controllers.keep_done", n.KeepDone, 0, 1e9)
-	c.within("controllers.pack_settle_s", n.PackSettleS, 0, 1e9)
+	c.checkRange("duration_s", s.DurationS, 1, 1e7)
+	c.checkRange("controllers.count", float64(n.Count), 1, 99)
+	c.checkRange("controllers.cpu", n.CPU, 0.001, 1024)
+	c.checkRange("controllers.memory_mb", n.MemoryMB, 32, 1e7)
+	c.checkRange("controllers.sockets", float64(n.Sockets), 32, 1e6)
+	c.checkRange("controllers.restart_s", n.RestartS, 0, 3600)
+	c.checkRange("controllers.clock_error_ms", n.ClockErrorMS, 0, 60_000)
+	c.checkRange("controllers.lease_s", n.LeaseS, 1, 60)
+	c.checkRange("controllers.block_machines", n.BlockMachines, 0, core.MaxShardMachines)
+	c.checkRange("controllers.keep_done", n.KeepDone, 0, 1e9)
+	c.checkRange("controllers.pack_settle_s", n.PackSettleS, 0, 1e9)
 	for _, l := range []struct {
 		path string
 		Limits
-		least float64 // 0 where a limit may be left out
+		minimum float64 // 0 if the limit is optional
 	}{{"state", s.State.Limits, 1}, {"state.next", s.State.Next, 0}} {
-		c.within(l.path+".rps", l.RPS, l.least, 1e6)
-		c.within(l.path+".write_rps", l.WriteRPS, l.least, 1e6)
-		c.within(l.path+".value_kb", l.ValueKB, 2*l.least, 1e6)
-		c.within(l.path+".txn_ops", float64(l.TxnOps), 3*l.least, 1e6)
-	}
-	c.within("state.latency_ms", s.State.LatencyMS, 0, 60_000)
-	c.within("cloud.rps", s.Cloud.RPS, 0.1, 1e6)
-	c.within("cloud.list_lag_s", s.Cloud.ListLagS, 0, 3600)
-	c.within("cloud.latency_ms", s.Cloud.LatencyMS, 0, 60_000)
-	c.within("cloud.spot_per_hour", s.Cloud.SpotPerHour, 0, 1e4)
-	c.within("cloud.notice_s", s.Cloud.NoticeS, 0, 3600)
-	c.within("cloud.silent", s.Cloud.Silent, 0, 1)
-	c.within("cloud.sick_share", s.Cloud.SickShare, 0, 1)
-	c.within("cloud.slow_share", s.Cloud.SlowShare, 0, 1)
-	c.within("workers.report_s", s.Workers.ReportS, 0.1, 600)
-	c.within("workers.lease_s", s.Workers.LeaseS, 1, 3600)
-	c.within("workers.cancel_s", s.Workers.CancelS, 1, 3600)
-	c.within("users.poll_s", s.Users.PollS, 0.1, 3600)
-	c.within("users.late_retries", s.Users.LateRetries, 0, 1)
-	c.within("users.strangers", s.Users.Strangers, 0, 1)
-	c.within("users.revisits", s.Users.Revisits, 0, 1)
-	c.within("users.load", s.Users.Load, 0, 1000)
-	c.within("draw.from_s", s.Draw.FromS, 0, 1e6)
-	c.within("draw.to_s", s.Draw.ToS, 0, 1e6)
-	c.within("draw.gap_s", s.Draw.GapS, 0, 1e6)
-	c.events(s.Draw)
-	c.expectedEvents(s.Expect)
+		c.checkRange(l.path+".rps", l.RPS, l.minimum, 1e6)
+		c.checkRange(l.path+".write_rps", l.WriteRPS, l.minimum, 1e6)
+		c.checkRange(l.path+".value_kb", l.ValueKB, 2*l.minimum, 1e6)
+		c.checkRange(l.path+".txn_ops", float64(l.TxnOps), 3*l.minimum, 1e6)
+	}
+	c.checkRange("state.latency_ms", s.State.LatencyMS, 0, 60_000)
+	c.checkRange("cloud.rps", s.Cloud.RPS, 0.1, 1e6)
+	c.checkRange("cloud.list_lag_s", s.Cloud.ListLagS, 0, 3600)
+	c.checkRange("cloud.latency_ms", s.Cloud.LatencyMS, 0, 60_000)
+	c.checkRange("cloud.spot_per_hour", s.Cloud.SpotPerHour, 0, 1e4)
+	c.checkRange("cloud.notice_s", s.Cloud.NoticeS, 0, 3600)
+	c.checkRange("cloud.silent", s.Cloud.Silent, 0, 1)
+	c.checkRange("cloud.sick_share", s.Cloud.SickShare, 0, 1)
+	c.checkRange("cloud.slow_share", s.Cloud.SlowShare, 0, 1)
+	c.checkRange("workers.report_s", s.Workers.ReportS, 0.1, 600)
+	c.checkRange("workers.lease_s", s.Workers.LeaseS, 1, 3600)
+	c.checkRange("workers.cancel_s", s.Workers.CancelS, 1, 3600)
+	c.checkRange("users.poll_s", s.Users.PollS, 0.1, 3600)
+	c.checkRange("users.late_retries", s.Users.LateRetries, 0, 1)
+	c.checkRange("users.strangers", s.Users.Strangers, 0, 1)
+	c.checkRange("users.revisits", s.Users.Revisits, 0, 1)
+	c.checkRange("users.load", s.Users.Load, 0, 1000)
+	c.checkRange("draw.from_s", s.Draw.FromS, 0, 1e6)
+	c.checkRange("draw.to_s", s.Draw.ToS, 0, 1e6)
+	c.checkRange("draw.gap_s", s.Draw.GapS, 0, 1e6)
+	c.checkDraw(s.Draw)
+	c.checkExpectedEvents(s.Expect)
 	if _, err := s.tuning(); err != nil {
 		c.fail("tuning", "%s", strings.TrimPrefix(err.Error(), "tuning."))
 	}
-	c.types(s)
+	c.checkTypes(s)
 	if len(s.Teams) == 0 {
 		c.fail("teams", "missing: at least one team is needed")
 	}
 	for i, t := range s.Teams {
 		at := fmt.Sprintf("teams[%d]", i)
-		c.name(at+".name", t.Name)
+		c.checkName(at+".name", t.Name)
 		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			c.within(at, v, 0, 1e9)
+			c.checkRange(at, v, 0, 1e9)
 		}
 		if slices.ContainsFunc(s.Teams[:i], func(o Team) bool { return o.Name == t.Name }) {
 			c.fail(at+".name", "%q is named twice", t.Name)
@@ -449,22 +448,22 @@
 	}
 }
 
-func (c *checker) types(s *Scenario) {
+func (c *checker) checkTypes(s *Scenario) {
 	if len(s.Types) == 0 {
 		c.fail("machine_types", "missing: at least one machine type is needed")
 	}
 	for i, t := range s.Types {
 		at := fmt.Sprintf("machine_types[%d]", i)
-		c.name(at+".name", t.Name)
-		c.within(at+".cpus", t.CPUs, 0.001, maxAmount)
-		c.within(at+".gpus", t.GPUs, 0, maxAmount)
-		c.within(at+".memory_gb", t.MemoryGB, 0.001, maxAmount)
-		c.within(at+".price", t.Price, 0, maxAmount)
-		c.within(at+".spot_price", t.SpotPrice, 0, maxAmount)
-		c.within(at+".cache_gb", t.CacheGB, 0, maxAmount)
-		c.within(at+".fetch_gb_per_s", t.FetchGBs, 0.001, maxAmount)
-		c.within(at+".boot_s", t.BootS, 0, 36_000)
-		c.within(at+".boot_fail", t.BootFail, 0, 1)
+		c.checkName(at+".name", t.Name)
+		c.checkRange(at+".cpus", t.CPUs, 0.001, maxAmount)
+		c.checkRange(at+".gpus", t.GPUs, 0, maxAmount)
+		c.checkRange(at+".memory_gb", t.MemoryGB, 0.001, maxAmount)
+		c.checkRange(at+".price", t.Price, 0, maxAmount)
+		c.checkRange(at+".spot_price", t.SpotPrice, 0, maxAmount)
+		c.checkRange(at+".cache_gb", t.CacheGB, 0, maxAmount)
+		c.checkRange(at+".fetch_gb_per_s", t.FetchGBs, 0.001, maxAmount)
+		c.checkRange(at+".boot_s", t.BootS, 0, 36_000)
+		c.checkRange(at+".boot_fail", t.BootFail, 0, 1)
 	}
 	if len(s.Controllers.Zones) == 0 {
 		c.fail("controllers.zones", "missing: at least one zone is needed")
@@ -477,19 +476,19 @@
 		if !slices.Contains(s.Controllers.Zones, p.Zone) {
 			c.fail(at+".zone", "%q is none of controllers.zones", p.Zone)
 		}
-		c.within(at+".count", float64(p.Count), 0, maxAmount)
-		c.within(at+".spot", float64(p.Spot), 0, maxAmount)
+		c.checkRange(at+".count", float64(p.Count), 0, maxAmount)
+		c.checkRange(at+".spot", float64(p.Spot), 0, maxAmount)
 	}
 	if len(s.Capacity) == 0 {
 		c.fail("capacity", "missing: there are no machines to rent")
 	}
 }
 
-func (c *checker) jobs(s *Scenario, whole bool) {
+func (c *checker) checkJobs(s *Scenario, whole bool) {
 	names := map[string]bool{}
 	for i, j := range s.Jobs {
 		at := fmt.Sprintf("job[%d]", i)
-		c.name(at+".name", j.Name)
+		c.checkName(at+".name", j.Name)
 		if names[j.Name] {
 			c.fail(at+".name", "%q is named twice", j.Name)
 		}
@@ -505,21 +504,21 @@
 		if j.Team == "" {
 			c.fail(at+".team", "missing")
 		}
-		c.within(at+".tasks", float64(j.Tasks), 1, jobs.MaxTasks)
-		c.within(at+".cpus", j.CPUs, 0, maxAmount)
-		c.within(at+".gpus", j.GPUs, 0, maxAmount)
-		c.within(at+".memory_gb", j.MemoryGB, 0, maxAmount)
-		c.within(at+".image_gb", j.ImageGB, 0, maxAmount)
-		c.within(at+".estimate_s", j.EstimateS, 0, maxAmount)
-		c.within(at+".checkpoint_s", j.CheckpointS, 0, maxAmount)
-		c.within(at+".save_s", j.SaveS, 0, maxAmount)
-		c.within(at+".deadline_s", j.DeadlineS, 0, maxAmount)
-		c.within(at+".run_s", j.RunS, 0, maxAmount)
-		c.within(at+".vary", j.Vary, 0, 1)
-		c.within(at+".at_s", j.AtS, 0, maxAmount)
-		c.within(at+".count", float64(j.Count), 0, 1e7)
-		c.within(at+".every_s", j.EveryS, 0, maxAmount)
-		c.within(at+".cancel_after_s", j.CancelAfterS, 0, maxAmount)
+		c.checkRange(at+".tasks", float64(j.Tasks), 1, jobs.MaxTasks)
+		c.checkRange(at+".cpus", j.CPUs, 0, maxAmount)
+		c.checkRange(at+".gpus", j.GPUs, 0, maxAmount)
+		c.checkRange(at+".memory_gb", j.MemoryGB, 0, maxAmount)
+		c.checkRange(at+".image_gb", j.ImageGB, 0, maxAmount)
+		c.checkRange(at+".estimate_s", j.EstimateS, 0, maxAmount)
+		c.checkRange(at+".checkpoint_s", j.CheckpointS, 0, maxAmount)
+		c.checkRange(at+".save_s", j.SaveS, 0, maxAmount)
+		c.checkRange(at+".deadline_s", j.DeadlineS, 0, maxAmount)
+		c.checkRange(at+".run_s", j.RunS, 0, maxAmount)
+		c.checkRange(at+".vary", j.Vary, 0, 1)
+		c.checkRange(at+".at_s", j.AtS, 0, maxAmount)
+		c.checkRange(at+".count", float64(j.Count), 0, 1e7)
+		c.checkRange(at+".every_s", j.EveryS, 0, maxAmount)
+		c.checkRange(at+".cancel_after_s", j.CancelAfterS, 0, maxAmount)
 		for k, a := range j.Awaits {
 			if !names[a] {
 				c.fail(fmt.Sprintf("%s.awaits", at), "awaits[%d]: there is no job %q further up", k, a)
@@ -531,7 +530,7 @@
 	}
 }
 
-// Spec returns what a job's user submits, but for what it awaits.
+// Spec returns the job spec that the user submits, without its dependencies.
 func (j Job) Spec() *jobs.Spec {
 	estimate := j.EstimateS
 	if estimate == 0 && j.Kind != "service" {
