--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -1,6 +1,6 @@
 // Package guard names the checks of the core that tests disable one at a
 // time, to verify that the protocol's invariants break without them
-// (TestPlantedMistakes in internal/rehearse). No setting can disable them.
+// (TestRemovedGuardsDetected in internal/rehearse). No setting can disable them.
 package guard
 
 // Guard is a check to disable.
--- a/internal/explore/authority/authority.go
+++ b/internal/explore/authority/authority.go
@@ -1,10 +1,10 @@
 // Package authority is a model in which three controllers compete for the ownership of a shard. They run the
-// service's own code for memberships, peer leases and takeover votes. The model has a state service with leases,
-// and messages that may be delayed, lost or duplicated. Controllers crash and restart, and their clocks drift.
-// Model checking shows whether two controllers can ever own the shard at the same time.
+// service's own code for memberships, peer leases and takeover votes. The model has a state service with
+// leases, and messages that may be delayed, lost or duplicated. Controllers crash and restart, and their
+// clocks drift. Model checking shows whether two controllers can ever own the shard at the same time.
 //
-// The first controller owns the shard and may lose any message. The others always reach the state service, but they
-// may read the first one's records late, and they may crash.
+// The first controller owns the shard and may lose any message. The others always reach the state service,
+// but they may read the first one's records late, and they may crash.
 package authority
 
 import (
@@ -50,11 +50,11 @@
 	Mail     int // maximum number of messages in flight
 	Crashes  int // maximum number of crashes of controllers in a trace
 	Twice    int // maximum number of duplicated messages in a trace
-	// Alone lets peer leases of all peers extend a membership for much longer than those of a majority, so that one
-	// controller alone may end the membership.
+	// Alone lets peer leases of all peers extend a membership for much longer than those of a majority, so
+	// that one controller alone may end the membership.
 	Alone bool
-	// Unserved lets the others grant peer leases as in an outage of the state service, also to a membership whose
-	// record has been deleted.
+	// Unserved lets the others grant peer leases as in an outage of the state service, also to a membership
+	// whose record has been deleted.
 	Unserved bool
 }
 
@@ -72,8 +72,8 @@
 	startTime       = 10 * second // start time of the initial processes
 )
 
-// clockRates are the rates of the controllers' clocks. They are within the drift bound. The worst case is chosen: the
-// owner's clock is slow and the others' are fast.
+// clockRates are the rates of the controllers' clocks. They are within the drift bound. The worst case is
+// chosen: the owner's clock is slow and the others' are fast.
 var clockRates = [controllerCount]float64{0.9995, 1.0005, 1.0005}
 
 // Action is one step of the model. The meaning of A and B depends on its kind.
@@ -211,7 +211,7 @@
 	if p := w.nodes[i]; p != nil {
 		incarnation = p.incarnation + 1
 	}
-	p := &process{w: w, i: i, incarnation: incarnation, startedAt: startedAt, clockRate: clockRates[i]}
+	node := &process{w: w, i: i, incarnation: incarnation, startedAt: startedAt, clockRate: clockRates[i]}
 	size := controllerCount
 	if w.o.Mutation == SingleVote {
 		size = 1
@@ -227,13 +227,13 @@
 		majorityExtension = allExtension
 	}
 	if w.o.Mutation == FastClock && i > 0 {
-		p.clockRate = 2
+		node.clockRate = 2
 	}
 	if w.o.Mutation == VoteAfterRestart {
-		p.startedAt -= 10 * second
+		node.startedAt -= 10 * second
 	}
-	p.registry = membership.New(membership.Config{Node: nodeName(i), Size: size, TTL: lease, UnvotedExpiry: allExtension, MajorityExtension: majorityExtension, Log: slog.New(slog.DiscardHandler)}, p)
-	w.nodes[i] = p
+	node.registry = membership.New(membership.Config{Node: nodeName(i), Size: size, TTL: lease, UnvotedExpiry: allExtension, MajorityExtension: majorityExtension, Log: slog.New(slog.DiscardHandler)}, node)
+	w.nodes[i] = node
 }
 
 func (p *process) localTime() units.Microseconds {
@@ -278,8 +278,8 @@
 	}
 }
 
-// post sends a message. The message is lost if too many are in flight. Two slots are added for messages that are
-// answered at once.
+// post sends a message. The message is lost if too many are in flight. Two slots are added for messages that
+// are answered at once.
 func (w *World) post(m message) {
 	if len(w.messages) < w.o.Mail+2 {
 		w.messages = append(w.messages, m)
@@ -358,7 +358,7 @@
 		out = append(out, Action{fireTimer, 0, 0})
 	}
 	for i := range int8(controllerCount) {
-		p := w.nodes[i]
+		node := w.nodes[i]
 		if i > 0 && first.registry.ID() != 0 {
 			out = append(out, Action{requestPeerLease, 1, i})
 			if hasCapacity {
@@ -366,13 +366,13 @@
 			}
 		}
 		// The first controller may take over from its own previous membership.
-		if p.registry.ID() != 0 && p.assignment.node == 0 && (i > 0 || p.assignment.memberID != p.registry.ID()) && p.seenMembers[0].version != p.assignment.memberID {
+		if node.registry.ID() != 0 && node.assignment.node == 0 && (i > 0 || node.assignment.memberID != node.registry.ID()) && node.seenMembers[0].version != node.assignment.memberID {
 			out = append(out, Action{takeOver, i, 2})
 			if hasCapacity {
 				out = append(out, Action{takeOver, i, 0}, Action{takeOver, i, 1})
 			}
 		}
-		if p.seenMembers[0] != w.members[0] || p.assignment != w.assignment {
+		if node.seenMembers[0] != w.members[0] || node.assignment != w.assignment {
 			out = append(out, Action{readRecords, i, 0})
 		}
 		if w.crashes < w.o.Crashes {
@@ -395,54 +395,54 @@
 }
 
 // Apply implements explore.World.
-func (w *World) Apply(m Action) {
-	switch m.Kind {
+func (w *World) Apply(action Action) {
+	switch action.Kind {
 	case advanceTime:
 		w.now += second
 	case fireTimer:
 		w.nodes[0].tick()
-		if m.B == 1 {
+		if action.B == 1 {
 			w.deliverLast(renewRequest, openRequest, memberWrite, renewResponse, openResponse, memberWriteResponse)
 		} else {
 			w.deliverLast(renewRequest, openRequest, memberWrite)
 		}
 	case requestPeerLease:
 		p := w.nodes[0]
-		w.post(message{kind: peerLeaseRequest, from: 0, to: m.B, incarnation: p.incarnation, memberID: p.registry.ID(), sent: p.localTime()})
+		w.post(message{kind: peerLeaseRequest, from: 0, to: action.B, incarnation: p.incarnation, memberID: p.registry.ID(), sent: p.localTime()})
 		w.deliverLast(peerLeaseRequest)
-		if m.A == 1 {
+		if action.A == 1 {
 			w.deliverLast(peerLeaseGrant)
 		}
 	case takeOver:
-		w.nodes[m.A].tryTakeOver()
-		if m.B > 0 {
+		w.nodes[action.A].tryTakeOver()
+		if action.B > 0 {
 			w.deliverLast(voteRequest, vote)
-			w.nodes[m.A].tryTakeOver()
+			w.nodes[action.A].tryTakeOver()
 		}
-		if m.B == 2 {
+		if action.B == 2 {
 			w.deliverLast(assignmentWrite)
-			w.nodes[m.A].readMember(0) // read the result, also if the takeover failed
-			w.nodes[m.A].assignment = w.assignment
+			w.nodes[action.A].readMember(0) // read the result, also if the takeover failed
+			w.nodes[action.A].assignment = w.assignment
 		}
 	case readRecords:
-		w.nodes[m.A].readMember(0)
-		w.nodes[m.A].assignment = w.assignment
+		w.nodes[action.A].readMember(0)
+		w.nodes[action.A].assignment = w.assignment
 	case expireLease:
 		w.endLease(w.members[0].lease)
 	case crash:
 		w.crashes++
-		w.start(m.A, w.now)
-		w.nodes[m.A].loadState()
+		w.start(action.A, w.now)
+		w.nodes[action.A].loadState()
 	case deliver, duplicate:
-		t := w.messages[m.A]
-		if m.Kind == deliver {
-			w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+		t := w.messages[action.A]
+		if action.Kind == deliver {
+			w.messages = slices.Delete(w.messages, int(action.A), int(action.A)+1)
 		} else {
 			w.duplicates++
 		}
 		w.deliver(t)
 	case lose:
-		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+		w.messages = slices.Delete(w.messages, int(action.A), int(action.A)+1)
 	}
 	w.maintainPeers()
 }
@@ -456,8 +456,8 @@
 	}
 }
 
-// maintainPeers renews the memberships of all controllers but the first. All controllers then read the changed member
-// records.
+// maintainPeers renews the memberships of all controllers but the first. All controllers then read the
+// changed member records.
 func (w *World) maintainPeers() {
 	for i := int8(1); i < controllerCount; i++ {
 		p := w.nodes[i]
@@ -648,29 +648,29 @@
 // replySuffix describes whether a request was answered at once.
 var replySuffix = [...]string{": no response yet", ""}
 
-func (w *World) describe(m Action) string {
-	switch m.Kind {
+func (w *World) describe(action Action) string {
+	switch action.Kind {
 	case advanceTime:
 		return "a second passes"
 	case fireTimer:
-		return "a renews its lease, or requests a new membership" + replySuffix[m.B]
+		return "a renews its lease, or requests a new membership" + replySuffix[action.B]
 	case requestPeerLease:
-		return fmt.Sprintf("a requests a peer lease from %s", nodeName(m.B)) + replySuffix[m.A]
+		return fmt.Sprintf("a requests a peer lease from %s", nodeName(action.B)) + replySuffix[action.A]
 	case takeOver:
-		return nodeName(m.A) + " tries to take over the shard" + [...]string{"", ": all vote at once", ": all vote at once, and the assignment is stored"}[m.B]
+		return nodeName(action.A) + " tries to take over the shard" + [...]string{"", ": all vote at once", ": all vote at once, and the assignment is stored"}[action.B]
 	case readRecords:
-		return nodeName(m.A) + " reads a's member record and the shard assignment"
+		return nodeName(action.A) + " reads a's member record and the shard assignment"
 	case expireLease:
 		return "the lease of a's membership expires"
 	case crash:
-		return nodeName(m.A) + " crashes and restarts"
+		return nodeName(action.A) + " crashes and restarts"
 	}
-	t := w.messages[m.A]
+	t := w.messages[action.A]
 	what := [...]string{"renewal of " + nodeName(t.from), nodeName(t.from) + " opens a lease", nodeName(t.from) + " stores its member record", nodeName(t.from) + "'s shard assignment",
 		"response to " + nodeName(t.from) + "'s renewal", "lease for " + nodeName(t.from), "member record for " + nodeName(t.from),
 		fmt.Sprintf("peer lease request to %s from %s", nodeName(t.to), nodeName(t.from)), fmt.Sprintf("peer lease from %s to %s", nodeName(t.to), nodeName(t.from)),
 		fmt.Sprintf("vote request to %s from %s", nodeName(t.to), nodeName(t.from)), fmt.Sprintf("vote from %s to %s", nodeName(t.to), nodeName(t.from))}[t.kind]
-	return what + map[actionKind]string{deliver: " is delivered", lose: " is lost", duplicate: " is delivered, and will be delivered again"}[m.Kind]
+	return what + map[actionKind]string{deliver: " is delivered", lose: " is lost", duplicate: " is delivered, and will be delivered again"}[action.Kind]
 }
 
 var _ explore.World[Action] = (*World)(nil)
--- a/internal/explore/authority/authority_test.go
+++ b/internal/explore/authority/authority_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestSingleOwnerUnserved checks the same where the others grant peer leases as in an outage of the state service,
-// though it serves them: also to a membership whose record they have seen deleted.
+// TestSingleOwnerUnserved checks the same where the others grant peer leases as in an outage of the state
+// service, though it serves them: also to a membership whose record they have seen deleted.
 func TestSingleOwnerUnserved(t *testing.T) {
 	for _, o := range []Options{{Mail: 1, Crashes: 1, Alone: true, Unserved: true}, {Mail: 1, Crashes: 1, Unserved: true}} {
 		if r := search(o, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestMutationsFound checks that the search finds a violation for each mutation, and that its trace is as short as
-// possible.
+// TestMutationsFound checks that the search finds a violation for each mutation, and that its trace is as
+// short as possible.
 func TestMutationsFound(t *testing.T) {
 	for f, actions := range map[Mutation]int{SingleVote: 5, LongLease: 5, UnguardedAssignment: 5, FastClock: 6, VoteAfterRestart: 7, LeaseFromGrant: 7, StaleMembers: 8, EarlyExpiry: 7, MajorityAsAll: 7, LeaseAfterVote: 7} {
 		o := Options{Mutation: f, Mail: 2, Crashes: 1}
--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -1,9 +1,9 @@
-// Package cancelling is a model in which two controllers confirm cancellations to users while a third, the shard
-// owner, answers workers. It runs the service's own code that tracks which cancellations the owner knows (package
-// cancellations). The owner's reads of the state service, its requests to the peers and their responses may be
-// delayed, lost or reordered. Writes of the peers may get no response, and the peers may crash and lose their memory.
-// Model checking shows whether the owner can still answer workers without knowing of a cancellation that was
-// confirmed too long ago.
+// Package cancelling is a model in which two controllers confirm cancellations to users while a third, the
+// shard owner, answers workers. It runs the service's own code that tracks which cancellations the owner
+// knows (package cancellations). The owner's reads of the state service, its requests to the peers and their
+// responses may be delayed, lost or reordered. Writes of the peers may get no response, and the peers may
+// crash and lose their memory. Model checking shows whether the owner can still answer workers without
+// knowing of a cancellation that was confirmed too long ago.
 package cancelling
 
 import (
@@ -200,20 +200,20 @@
 }
 
 // Apply implements explore.World.
-func (w *World) Apply(m Action) {
-	a := w.nodes[0]
-	switch m.Kind {
+func (w *World) Apply(action Action) {
+	owner := w.nodes[0]
+	switch action.Kind {
 	case advanceTime:
 		w.now += second
 	case storeCancellation, storeUnanswered:
 		w.revision++
 		w.stored = append(w.stored, w.revision)
-		if m.Kind == storeCancellation {
-			w.nodes[m.A].observe(w.revision)
+		if action.Kind == storeCancellation {
+			w.nodes[action.A].observe(w.revision)
 			w.confirm(w.revision)
 		}
 	case readKeys:
-		p := w.nodes[m.A]
+		p := w.nodes[action.A]
 		w.advanceCache(p, w.revision)
 		for revision := range p.known {
 			w.confirm(revision)
@@ -221,30 +221,30 @@
 	case sendRead:
 		w.messages = append(w.messages, message{kind: sendRead, sent: w.localTime(0)})
 	case sendRequest:
-		w.messages = append(w.messages, message{kind: sendRequest, from: m.A, sent: w.localTime(0), revision: a.tracker.KnownRevision(a.revision)})
+		w.messages = append(w.messages, message{kind: sendRequest, from: action.A, sent: w.localTime(0), revision: owner.tracker.KnownRevision(owner.revision)})
 	case renewLease:
 		w.lastReadSent = w.localTime(0)
 	case crash:
 		w.crashes++
-		w.nodes[m.A] = w.newProcess(int(m.A))
+		w.nodes[action.A] = w.newProcess(int(action.A))
 	case lose:
-		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+		w.messages = slices.Delete(w.messages, int(action.A), int(action.A)+1)
 	case deliver:
-		l := w.messages[m.A]
-		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
+		l := w.messages[action.A]
+		w.messages = slices.Delete(w.messages, int(action.A), int(action.A)+1)
 		w.deliver(l)
 	}
 }
 
-func (w *World) deliver(l message) {
-	a, p := w.nodes[0], w.nodes[l.from]
-	switch l.kind {
+func (w *World) deliver(received message) {
+	owner, p := w.nodes[0], w.nodes[received.from]
+	switch received.kind {
 	case sendRead:
-		l.kind, l.revision = readKeys, w.revision
-		w.messages = append(w.messages, l)
+		received.kind, received.revision = readKeys, w.revision
+		w.messages = append(w.messages, received)
 	case readKeys:
-		w.advanceCache(a, l.revision)
-		w.lastReadSent = max(w.lastReadSent, l.sent)
+		w.advanceCache(owner, received.revision)
+		w.lastReadSent = max(w.lastReadSent, received.sent)
 	case sendRequest:
 		firstRead, revision, loaded := p.firstRead, p.revision, p.loaded
 		if w.o.Mutation == CompleteAfterRestart {
@@ -255,22 +255,22 @@
 				revision = max(revision, s)
 			}
 		}
-		l.kind, l.update = storeCancellation, p.tracker.UpdateFor(w.localTime(int(l.from)), l.revision, firstRead, revision, loaded)
-		l.update.Whole = l.update.Whole || w.o.Mutation == TrimmedAsComplete && p.loaded
-		w.messages = append(w.messages, l)
+		received.kind, received.update = storeCancellation, p.tracker.UpdateFor(w.localTime(int(received.from)), received.revision, firstRead, revision, loaded)
+		received.update.Whole = received.update.Whole || w.o.Mutation == TrimmedAsComplete && p.loaded
+		w.messages = append(w.messages, received)
 	case storeCancellation:
-		for _, e := range l.update.List {
-			a.observe(e.Stamp)
+		for _, e := range received.update.List {
+			owner.observe(e.Stamp)
 			if w.o.Mutation == ClaimLatestListed {
-				l.update.Upto = max(l.update.Upto, e.Stamp)
+				received.update.Upto = max(received.update.Upto, e.Stamp)
 			}
 		}
-		sent := l.sent
+		sent := received.sent
 		if w.o.Mutation == CountFromResponse {
 			sent = w.localTime(0)
 		}
-		l.update.Whole = l.update.Whole || w.o.Mutation == TruncatedAsComplete
-		a.tracker.Receive(w.localTime(0), fmt.Sprint(l.from), sent, l.update, a.revision)
+		received.update.Whole = received.update.Whole || w.o.Mutation == TruncatedAsComplete
+		owner.tracker.Receive(w.localTime(0), fmt.Sprint(received.from), sent, received.update, owner.revision)
 	}
 }
 
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,7 +1,7 @@
-// Package explore is an explicit-state model checker. It visits all states of a small model that any order of its
-// actions can reach, up to a depth, and finds a shortest trace that violates an invariant. For each trace the model is
-// replayed from its initial state. Models can therefore use the service's own code, which needs no support for
-// model checking.
+// Package explore is an explicit-state model checker. It visits all states of a small model that any order of
+// its actions can reach, up to a depth, and finds a shortest trace that violates an invariant. For each trace
+// the model is replayed from its initial state. Models can therefore use the service's own code, which needs
+// no support for model checking.
 package explore
 
 import (
@@ -49,7 +49,8 @@
 	seed := maphash.MakeSeed()
 	hash := func(w World[M]) [2]uint64 {
 		s := w.State()
-		// Two hashes of 64 bits, because a collision of both among some millions of states is practically impossible.
+		// Two hashes of 64 bits, because a collision of both among some millions of states is practically
+		// impossible.
 		return [2]uint64{maphash.String(seed, s), maphash.String(seed, "\x00"+s)}
 	}
 	var r Result[M]
@@ -67,10 +68,10 @@
 	frontier := [][]M{nil}
 	for r.Depth < o.Depth && len(frontier) > 0 {
 		expanded := make([][]successor, len(frontier))
-		var wg sync.WaitGroup
+		var workers sync.WaitGroup
 		next := make(chan int)
 		for range runtime.GOMAXPROCS(0) {
-			wg.Go(func() {
+			workers.Go(func() {
 				for i := range next {
 					expanded[i] = expand(newWorld, frontier[i], func(w World[M], path []M) successor { return successor{hash(w), w.Violation(), path} })
 				}
@@ -85,7 +86,7 @@
 			next <- i
 		}
 		close(next)
-		wg.Wait()
+		workers.Wait()
 		var nextFrontier [][]M
 		for _, successors := range expanded {
 			for _, f := range successors {
@@ -118,7 +119,8 @@
 	return r
 }
 
-// expand replays a trace once for each action that can follow it, performs the action and passes the state to visit.
+// expand replays a trace once for each action that can follow it, performs the action and passes the state to
+// visit.
 func expand[M, F any](newWorld func() World[M], path []M, visit func(w World[M], path []M) F) []F {
 	replay := func() World[M] {
 		w := newWorld()
--- a/internal/explore/following/following.go
+++ b/internal/explore/following/following.go
@@ -1,7 +1,8 @@
-// Package following is a model in which a shard owner starts tasks on two machines and replicates them to a standby.
-// It runs the service's own code (package replication). Messages between the two may be delayed, lost, reordered or
-// duplicated, and writes to the state service may be applied late or get no response. The owner may end at any moment.
-// Its standby must then know every start that was sent to a machine, or must report its snapshot as incomplete.
+// Package following is a model in which a shard owner starts tasks on two machines and replicates them to a
+// standby. It runs the service's own code (package replication). Messages between the two may be delayed,
+// lost, reordered or duplicated, and writes to the state service may be applied late or get no response. The
+// owner may end at any moment. Its standby must then know every start that was sent to a machine, or must
+// report its snapshot as incomplete.
 package following
 
 import (
@@ -200,8 +201,8 @@
 	return out
 }
 
-// startsSent reports whether all starts of a machine's tasks have been sent. While a response with a start is still
-// deferred, a heartbeat without the task does not show that the task has ended.
+// startsSent reports whether all starts of a machine's tasks have been sent. While a response with a start is
+// still deferred, a heartbeat without the task does not show that the task has ended.
 func (w *World) startsSent(m int) bool {
 	for _, t := range w.tasks[m] {
 		if _, ok := w.sent[t.ID]; !ok {
@@ -212,45 +213,45 @@
 }
 
 // Apply implements explore.World.
-func (w *World) Apply(m Action) {
-	switch m.Kind {
+func (w *World) Apply(action Action) {
+	switch action.Kind {
 	case advanceTime:
 		w.now += units.Second / 4
 	case startTask:
-		w.start(int(m.A))
+		w.start(int(action.A))
 	case reportIdle:
-		for _, t := range w.tasks[m.A] {
+		for _, t := range w.tasks[action.A] {
 			delete(w.sent, t.ID)
 		}
-		w.tasks[m.A] = nil
+		w.tasks[action.A] = nil
 	case deliver, lose:
-		l := w.messages[m.A]
-		w.messages = slices.Delete(w.messages, int(m.A), int(m.A)+1)
-		if m.Kind == lose {
+		l := w.messages[action.A]
+		w.messages = slices.Delete(w.messages, int(action.A), int(action.A)+1)
+		if action.Kind == lose {
 			w.lost++
 			break
 		}
 		w.deliver(l)
 	case writeStored, writeUnanswered, writeInDoubt:
-		x := w.writes[m.A]
-		w.writes = slices.Delete(w.writes, int(m.A), int(m.A)+1)
-		switch m.Kind {
+		pending := w.writes[action.A]
+		w.writes = slices.Delete(w.writes, int(action.A), int(action.A)+1)
+		switch action.Kind {
 		case writeStored:
-			ok := w.applyWrite(x)
+			ok := w.applyWrite(pending)
 			w.knownVersion = w.version
-			x.done(ok)
+			pending.done(ok)
 		case writeUnanswered:
 			w.lost++
-			w.applyWrite(x)
-			x.done(w.o.Mutation == AssumeStored)
+			w.applyWrite(pending)
+			pending.done(w.o.Mutation == AssumeStored)
 		case writeInDoubt:
 			w.lost++
-			w.inDoubt = append(w.inDoubt, x)
-			x.done(w.o.Mutation == AssumeStored)
+			w.inDoubt = append(w.inDoubt, pending)
+			pending.done(w.o.Mutation == AssumeStored)
 		}
 	case applyLate:
-		x := w.inDoubt[m.A]
-		w.inDoubt = slices.Delete(w.inDoubt, int(m.A), int(m.A)+1)
+		x := w.inDoubt[action.A]
+		w.inDoubt = slices.Delete(w.inDoubt, int(action.A), int(action.A)+1)
 		if x.r.Node != "" { // a late write that removes the standby is harmless
 			w.applyWrite(x)
 		}
@@ -271,8 +272,8 @@
 	w.post(envelope{ack: &a})
 }
 
-// Violation implements explore.World. It reads the standby's snapshot as if the owner had ended at this moment and
-// all messages in flight were lost.
+// Violation implements explore.World. It reads the standby's snapshot as if the owner had ended at this
+// moment and all messages in flight were lost.
 func (w *World) Violation() string {
 	r := w.record
 	if w.o.Mutation == IgnoreRecord {
--- a/internal/explore/following/following_test.go
+++ b/internal/explore/following/following_test.go
@@ -10,8 +10,8 @@
 	return explore.Search(func() explore.World[Action] { return New(o) }, explore.Options{Depth: depth})
 }
 
-// TestStandbyKnowsStarts checks all traces of up to seven actions: a standby that reports a complete snapshot knows
-// every start that the owner has sent. "shalestage explore --world following" searches deeper.
+// TestStandbyKnowsStarts checks all traces of up to seven actions: a standby that reports a complete snapshot
+// knows every start that the owner has sent. "shalestage explore --world following" searches deeper.
 func TestStandbyKnowsStarts(t *testing.T) {
 	if r := search(Options{Starts: 2, Mail: 2, Lost: 2}, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
 		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -12,7 +12,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// runGap runs rehearsals/gap.toml with count controllers. The machines are divided into shards if blockMachines is not 0.
+// runGap runs rehearsals/gap.toml with count controllers. The machines are divided into shards if
+// blockMachines is not 0.
 func runGap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Broken) Verdict {
 	s, err := scenario.Load("../../rehearsals/gap.toml")
 	if err != nil {
@@ -22,9 +23,10 @@
 	return Simulate("gap.toml", s, sim.Options{Seed: seed, Break: b})
 }
 
-// TestCancellationsAcrossOutage guards against tasks that run on after their job was cancelled. The state service
-// refuses one controller, the others confirm cancellations, and then the state service is down for all, for more or
-// less than cancel_s. It runs with one, three and five controllers, and with one shard and several.
+// TestCancellationsAcrossOutage guards against tasks that run on after their job was cancelled. The state
+// service refuses one controller, the others confirm cancellations, and then the state service is down for
+// all, for more or less than cancel_s. It runs with one, three and five controllers, and with one shard and
+// several.
 func TestCancellationsAcrossOutage(t *testing.T) {
 	for _, c := range []struct {
 		count  int
@@ -38,8 +40,9 @@
 	}
 }
 
-// TestCancellationsWithoutPeers removes the cancellations from the messages between controllers. A shard owner must then
-// stop answering its workers in time by itself. If that bound is removed as well, the checker must report a violation.
+// TestCancellationsWithoutPeers removes the cancellations from the messages between controllers. A shard
+// owner must then stop answering its workers in time by itself. If that bound is removed as well, the checker
+// must report a violation.
 func TestCancellationsWithoutPeers(t *testing.T) {
 	silent := func(m any) any {
 		if p, ok := m.(core.PeerLeaseGrant); ok {
--- a/internal/rehearse/meet.go
+++ b/internal/rehearse/meet.go
@@ -25,28 +25,29 @@
 	maxOccurrences = 2000
 )
 
-// DrawAtEvents draws faults at events. The first fault begins at a random time. Each later one begins slightly before, at
-// or slightly after an event that the earlier faults led to, and some faults also end at an event. A run is
-// deterministic for its seed, so a run with the earlier faults shows when the events happen. DrawAtEvents returns a
-// copy of the scenario with fixed faults, and the faults that were drawn at events.
-func DrawAtEvents(s *scenario.Scenario, opt sim.Options) (*scenario.Scenario, []TriggeredFault) {
+// DrawAtEvents draws faults at events. The first fault begins at a random time. Each later one begins
+// slightly before, at or slightly after an event that the earlier faults led to, and some faults also end at
+// an event. A run is deterministic for its seed, so a run with the earlier faults shows when the events
+// happen. DrawAtEvents returns a copy of the scenario with fixed faults, and the faults that were drawn at
+// events.
+func DrawAtEvents(base *scenario.Scenario, opt sim.Options) (*scenario.Scenario, []TriggeredFault) {
 	seed := opt.Seed
 	if seed == 0 {
-		seed = s.Seed
+		seed = base.Seed
 	}
 	rng := rand.New(rand.NewPCG(seed, 18))
-	out := *s
+	out := *base
 	out.Draw = scenario.Draw{}
-	out.Faults = slices.Clone(s.Faults)
-	last := sim.DrawFault(rng, round(s.Draw.FromS+(s.Draw.ToS-s.Draw.FromS)*rng.Float64()))
+	out.Faults = slices.Clone(base.Faults)
+	last := sim.DrawFault(rng, round(base.Draw.FromS+(base.Draw.ToS-base.Draw.FromS)*rng.Float64()))
 	out.Faults = append(out.Faults, last)
 	var triggered []TriggeredFault
-	for range s.Draw.Meet - 1 {
+	for range base.Draw.Meet - 1 {
 		from, to := last.AtS, last.AtS+last.ForS+maxDelayS
 		occurrences := map[string][]float64{}
 		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Break: opt.Break, Event: func(at units.Microseconds, event string) {
 			t := at.Seconds()
-			if t < from || t > to || len(occurrences[event]) >= maxOccurrences || len(s.Draw.Events) > 0 && !slices.Contains(s.Draw.Events, event) {
+			if t < from || t > to || len(occurrences[event]) >= maxOccurrences || len(base.Draw.Events) > 0 && !slices.Contains(base.Draw.Events, event) {
 				return
 			}
 			occurrences[event] = append(occurrences[event], t)
--- a/internal/rehearse/meet_test.go
+++ b/internal/rehearse/meet_test.go
@@ -12,8 +12,8 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// TestDrawAtEvents checks faults that are drawn at events. One seed gives the same faults each time, and each later
-// fault begins close to its event in a run with the earlier faults.
+// TestDrawAtEvents checks faults that are drawn at events. One seed gives the same faults each time, and each
+// later fault begins close to its event in a run with the earlier faults.
 func TestDrawAtEvents(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/drawn-meet.toml")
 	if err != nil {
@@ -26,21 +26,21 @@
 		if !reflect.DeepEqual(fixed.Faults, repeated.Faults) || len(triggered) != len(fixed.Faults)-1 || fixed.Draw.Meet != 0 {
 			t.Fatalf("seed %d: %v and %v; drawn at events: %v", seed, fixed.Faults, repeated.Faults, triggered)
 		}
-		for i, m := range triggered {
+		for i, drawn := range triggered {
 			before := *fixed
 			before.Faults = fixed.Faults[:i+1]
 			at := fixed.Faults[i+1].AtS
 			var occurrences []float64
 			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, Event: func(at units.Microseconds, event string) {
-				if event == m.Event {
+				if event == drawn.Event {
 					occurrences = append(occurrences, at.Seconds())
 				}
 			}})
 			w.Run(units.Seconds(at + 1))
 			if !slices.ContainsFunc(occurrences, func(x float64) bool { return x > at-maxOffsetS-0.002 && x < at+maxOffsetS+0.002 }) {
-				t.Errorf("seed %d: %s at %g, but no %s near it", seed, m.Kind, at, m.Event)
+				t.Errorf("seed %d: %s at %g, but no %s near it", seed, drawn.Kind, at, drawn.Event)
 			}
-			seen[m.Kind+m.Event] = true
+			seen[drawn.Kind+drawn.Event] = true
 		}
 	}
 	if len(seen) < 5 {
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// removedGuards lists services that lack one check each. The rehearsal violates the rule within the given number of
-// seeds, counted from 1.
+// removedGuards lists services that lack one check each. The rehearsal violates the rule within the given
+// number of seeds, counted from 1.
 var removedGuards = []removedGuard{
 	// Heartbeats of machines.
 	{"older heartbeats are accepted as new", without(guard.HeartbeatOrder), "meet-all-away.toml", check.RanTwice, 5},
@@ -102,23 +102,23 @@
 	{"a shard is released without a guard", unguardedRelease(), "meet-late-grants.toml", check.TwoHolders, 20},
 }
 
-// TestRemovedGuardsDetected removes one safety check at a time. The rehearsal with the combination of faults that the
-// check protects against must violate its rule.
+// TestRemovedGuardsDetected removes one safety check at a time. The rehearsal with the combination of faults
+// that the check protects against must violate its rule.
 func TestRemovedGuardsDetected(t *testing.T) {
-	for _, p := range removedGuards {
-		t.Run(p.name, func(t *testing.T) {
+	for _, removed := range removedGuards {
+		t.Run(removed.name, func(t *testing.T) {
 			t.Parallel()
-			s, err := scenario.Load(filepath.Join("../../rehearsals", p.file))
+			s, err := scenario.Load(filepath.Join("../../rehearsals", removed.file))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for seed := uint64(1); seed <= p.within; seed++ {
-				if violates(s, sim.Options{Seed: seed, Break: p.mutation}, p.rule) {
-					t.Logf("%s with seed %d", p.rule, seed)
+			for seed := uint64(1); seed <= removed.within; seed++ {
+				if violates(s, sim.Options{Seed: seed, Break: removed.mutation}, removed.rule) {
+					t.Logf("%s with seed %d", removed.rule, seed)
 					return
 				}
 			}
-			t.Errorf("%d runs of %s do not violate %s", p.within, p.file, p.rule)
+			t.Errorf("%d runs of %s do not violate %s", removed.within, removed.file, removed.rule)
 		})
 	}
 }
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -14,46 +14,46 @@
 const startTimeout = 30 * time.Second
 
 // RunProcesses runs a scenario with real processes over loopback, in real time.
-func RunProcesses(file string, s *scenario.Scenario) (Verdict, error) {
+func RunProcesses(file string, spec *scenario.Scenario) (Verdict, error) {
 	startTime := time.Now()
-	v := Verdict{File: file, Name: s.Name, Seed: s.Seed, Real: true, Faults: s.Faults}
-	d, err := launch.Start(launch.Options{Scenario: file})
+	verdict := Verdict{File: file, Name: spec.Name, Seed: spec.Seed, Real: true, Faults: spec.Faults}
+	deployment, err := launch.Start(launch.Options{Scenario: file})
 	if err != nil {
-		return v, err
+		return verdict, err
 	}
-	defer d.Stop()
-	if err := d.WaitServing(startTimeout); err != nil {
-		return v, err
+	defer deployment.Stop()
+	if err := deployment.WaitServing(startTimeout); err != nil {
+		return verdict, err
 	}
-	jobs := d.Run()
+	jobs := deployment.Run()
 	lastFaultEnd := 0.0 // the run does not end before the last fault
-	for _, f := range s.Faults {
+	for _, f := range spec.Faults {
 		lastFaultEnd = max(lastFaultEnd, f.AtS+f.ForS)
 	}
 	runStart := time.Now()
-	for until := runStart.Add(time.Duration(s.DurationS * float64(time.Second))); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		if p := d.Progress(); p.Left == 0 && time.Since(runStart).Seconds() > lastFaultEnd || len(p.Broken) > 0 {
+	for until := runStart.Add(time.Duration(spec.DurationS * float64(time.Second))); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
+		if p := deployment.Progress(); p.Left == 0 && time.Since(runStart).Seconds() > lastFaultEnd || len(p.Broken) > 0 {
 			break
 		}
 		select {
-		case err := <-d.Fatal:
-			return v, err
+		case err := <-deployment.Fatal:
+			return verdict, err
 		default:
 		}
 	}
-	violations, starts := d.Finish(s.Expect.AllOver)
-	v.Violations, v.Starts = violationsOf(violations), starts
-	figures, err := d.Figures()
+	violations, starts := deployment.Finish(spec.Expect.AllOver)
+	verdict.Violations, verdict.Starts = violationsOf(violations), starts
+	figures, err := deployment.Figures()
 	if err != nil {
-		return v, fmt.Errorf("read figures of the cloud: %w", err)
+		return verdict, fmt.Errorf("read figures of the cloud: %w", err)
 	}
-	v.Cost = figures.Money
+	verdict.Cost = figures.Money
 	var longest units.Microseconds
-	v.Jobs = len(jobs)
-	v.FinishedJobs, longest = user.Summary(jobs, units.Seconds(s.DurationS))
-	v.Wait = longest.Seconds()
-	v.Missed = s.Expect.Missed(longest, v.Cost, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
-	v.Passed = len(v.Violations) == 0 && len(v.Missed) == 0
-	v.DurationS = time.Since(startTime).Seconds()
-	return v, nil
+	verdict.Jobs = len(jobs)
+	verdict.FinishedJobs, longest = user.Summary(jobs, units.Seconds(spec.DurationS))
+	verdict.Wait = longest.Seconds()
+	verdict.Missed = spec.Expect.Missed(longest, verdict.Cost, user.Floor(jobs, spec.UserOptions(), deployment.FirstBegan))
+	verdict.Passed = len(verdict.Violations) == 0 && len(verdict.Missed) == 0
+	verdict.DurationS = time.Since(startTime).Seconds()
+	return verdict, nil
 }
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -1,5 +1,5 @@
-// Package rehearse runs scenarios, in simulated time or with real processes, and reports whether the rules and the
-// file's expectations were met.
+// Package rehearse runs scenarios, in simulated time or with real processes, and reports whether the rules
+// and the file's expectations were met.
 package rehearse
 
 import (
@@ -60,24 +60,24 @@
 }
 
 // Simulate runs a scenario in simulated time.
-func Simulate(file string, s *scenario.Scenario, opt sim.Options) Verdict {
+func Simulate(file string, spec *scenario.Scenario, opt sim.Options) Verdict {
 	startTime := time.Now()
 	var triggered []TriggeredFault
-	if s.Draw.Meet > 0 {
-		s, triggered = DrawAtEvents(s, opt)
+	if spec.Draw.Meet > 0 {
+		spec, triggered = DrawAtEvents(spec, opt)
 		opt.Noise = true
 	}
 	if opt.Traffic != nil { // CPU time is measured per thread
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 	}
-	w := sim.New(s, opt)
+	w := sim.New(spec, opt)
 	r := w.Play()
 	seed := opt.Seed
 	if seed == 0 {
-		seed = s.Seed
+		seed = spec.Seed
 	}
-	v := Verdict{File: file, Name: s.Name, Seed: seed, Passed: len(r.Broken) == 0 && len(r.Missed) == 0, Violations: violationsOf(r.Broken), Missed: r.Missed,
+	v := Verdict{File: file, Name: spec.Name, Seed: seed, Passed: len(r.Broken) == 0 && len(r.Missed) == 0, Violations: violationsOf(r.Broken), Missed: r.Missed,
 		Digest: r.Digest, Jobs: r.Jobs, FinishedJobs: r.Over, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Cost: r.Money,
 		DurationS: time.Since(startTime).Seconds(), Faults: r.Faults, Triggered: triggered}
 	if opt.Account != nil {
@@ -86,17 +86,17 @@
 	return v
 }
 
-// ForEachOrdered calls f for the numbers 0 to n-1 on all processors. It passes the results to got in order, each as soon as
-// it and all earlier ones are available.
+// ForEachOrdered calls f for the numbers 0 to n-1 on all processors. It passes the results to got in order,
+// each as soon as it and all earlier ones are available.
 func ForEachOrdered[T any](n int, f func(i int) T, got func(T)) {
 	out := make([]chan T, n)
 	next := make(chan int)
 	for i := range out {
 		out[i] = make(chan T, 1)
 	}
-	var wg sync.WaitGroup
+	var workers sync.WaitGroup
 	for range min(n, runtime.GOMAXPROCS(0)) {
-		wg.Go(func() {
+		workers.Go(func() {
 			for i := range next {
 				out[i] <- f(i)
 			}
@@ -111,19 +111,20 @@
 	for i := range n {
 		got(<-out[i])
 	}
-	wg.Wait()
+	workers.Wait()
 }
 
-// Shrink minimizes a scenario that violates a rule. It removes faults and jobs as long as a run still violates the
-// same rule, with about tries runs at most, and returns the rest and the number of runs. Drawn faults become fixed.
-func Shrink(s *scenario.Scenario, seed uint64, v Verdict, tries int) (*scenario.Scenario, int) {
+// Shrink minimizes a scenario that violates a rule. It removes faults and jobs as long as a run still
+// violates the same rule, with about tries runs at most, and returns the rest and the number of runs. Drawn
+// faults become fixed.
+func Shrink(spec *scenario.Scenario, seed uint64, v Verdict, tries int) (*scenario.Scenario, int) {
 	if len(v.Violations) == 0 {
-		return s, 0
+		return spec, 0
 	}
 	rule := v.Violations[0].Rule
-	best := *s
+	best := *spec
 	// Drawn faults are replaced by fixed ones, so that single faults can be removed.
-	noise := s.Draw.ToS > 0
+	noise := spec.Draw.ToS > 0
 	best.Faults, best.Draw = slices.Clone(v.Faults), scenario.Draw{}
 	runs := 0
 	violatesRule := func(c scenario.Scenario) bool {
@@ -132,7 +133,7 @@
 		return slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Rule == rule })
 	}
 	if !violatesRule(best) {
-		return s, runs
+		return spec, runs
 	}
 	for changed := true; changed && runs < tries; {
 		changed = false
@@ -190,12 +191,12 @@
 
 // WriteJUnit writes verdicts in JUnit's XML format.
 func WriteJUnit(w io.Writer, list []Verdict) error {
-	s := suite{Name: "rehearsals", Tests: len(list)}
+	report := suite{Name: "rehearsals", Tests: len(list)}
 	for _, v := range list {
 		c := testCase{Name: fmt.Sprintf("%s seed %d", v.Name, v.Seed), Class: v.File, Time: v.DurationS}
-		s.Time += v.DurationS
+		report.Time += v.DurationS
 		if !v.Passed {
-			s.Failures++
+			report.Failures++
 			var text []string
 			for _, b := range v.Violations {
 				text = append(text, fmt.Sprintf("%.3f %s: %s", b.At, b.Rule, b.Text))
@@ -204,12 +205,12 @@
 			text = append(text, v.Missed...)
 			c.Failure = &failure{Message: text[0], Text: strings.Join(text, "\n")}
 		}
-		s.Cases = append(s.Cases, c)
+		report.Cases = append(report.Cases, c)
 	}
 	if _, err := io.WriteString(w, xml.Header); err != nil {
 		return err
 	}
 	e := xml.NewEncoder(w)
 	e.Indent("", "  ")
-	return e.Encode(s)
+	return e.Encode(report)
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestShrink checks that Shrink leaves the one fault that matters. The scenario has many faults, and one of them lowers
-// the value size that the state service accepts, without an announcement.
+// TestShrink checks that Shrink leaves the one fault that matters. The scenario has many faults, and one of
+// them lowers the value size that the state service accepts, without an announcement.
 func TestShrink(t *testing.T) {
 	s, err := scenario.Load("../../rehearsals/base.toml")
 	if err != nil {
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -28,8 +28,8 @@
 	o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 }
 
-// onlyOwnStops lets each controller stop only the tasks that it started itself, not those of an earlier owner of the
-// shard.
+// onlyOwnStops lets each controller stop only the tasks that it started itself, not those of an earlier owner
+// of the shard.
 func onlyOwnStops() func(node string, o *core.HeartbeatResponse) {
 	started := map[string]map[jobs.TaskID]bool{}
 	return func(node string, o *core.HeartbeatResponse) {
@@ -54,14 +54,15 @@
 	return m
 }
 
-// shortLease configures controllers with a sixth of the real worker lease, so that tasks of a silent machine count for
-// too short a time.
+// shortLease configures controllers with a sixth of the real worker lease, so that tasks of a silent machine
+// count for too short a time.
 func shortLease(s *config.Settings) { s.Deployment.Workers.LeaseS /= 6 }
 
 // longCancel lets a shard owner answer its workers ten times as long after it last knew every cancellation.
 func longCancel(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }
 
-// withoutGuard is a rehearsal of unusual user requests, and a service without the guard that protects against them.
+// withoutGuard is a rehearsal of unusual user requests, and a service without the guard that protects against
+// them.
 type withoutGuard struct {
 	file, guard string
 	seeds       uint64
@@ -92,8 +93,8 @@
 	{"meet-refused-cancels", "the bound on not knowing cancellations", 2, nil, func() sim.Broken { return sim.Broken{Settings: longCancel} }},
 }
 
-// TestUserRequestGuardsDetected removes the guard that protects against each kind of unusual user requests. One of the
-// first runs must violate one of its rules, unless another guard still protects against it.
+// TestUserRequestGuardsDetected removes the guard that protects against each kind of unusual user requests.
+// One of the first runs must violate one of its rules, unless another guard still protects against it.
 func TestUserRequestGuardsDetected(t *testing.T) {
 	for _, c := range withoutGuardCases {
 		t.Run(c.file+": "+c.guard, func(t *testing.T) {
--- a/internal/scenario/build.go
+++ b/internal/scenario/build.go
@@ -83,8 +83,8 @@
 	return c
 }
 
-// Addrs holds the addresses that a controller listens on and connects to. State, Cloud and Peers differ for each
-// controller, so that a single controller can be cut off.
+// Addrs holds the addresses that a controller listens on and connects to. State, Cloud and Peers differ for
+// each controller, so that a single controller can be cut off.
 type Addrs struct {
 	Listen, Internal string
 	State, Cloud     string
@@ -197,7 +197,8 @@
 	return g
 }
 
-// InjectSiteFault injects a fault of the cloud or its machines. The caller restores the reclaim rate afterwards.
+// InjectSiteFault injects a fault of the cloud or its machines. The caller restores the reclaim rate
+// afterwards.
 func (s *Scenario) InjectSiteFault(now units.Microseconds, st *site.Site, f Fault) error {
 	until := now + units.Seconds(f.ForS)
 	match := func(m *cloudprovider.Machine) bool {
--- a/internal/scenario/event.go
+++ b/internal/scenario/event.go
@@ -28,8 +28,8 @@
 
 // Events that are counted, but at which no fault is drawn to begin.
 const (
-	// LateRefused is a transaction without a response that arrives after newer ones of its controller and fails its
-	// compare-and-swap guards.
+	// LateRefused is a transaction without a response that arrives after newer ones of its controller and
+	// fails its compare-and-swap guards.
 	LateRefused       = "late_refused"
 	Trickled          = "trickled" // a message is sent over a link that trickles
 	CapacityExhausted = "no_room"  // the cloud has no capacity left for a request
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -163,8 +163,8 @@
 	return b.String()
 }
 
-// Check validates a fault for a deployment of n controllers. It returns the name of the wrong field and an error
-// that says what is wrong with it.
+// Check validates a fault for a deployment of n controllers. It returns the name of the wrong field and an
+// error that says what is wrong with it.
 func (f Fault) Check(n int) (field string, err error) {
 	i := slices.IndexFunc(Kinds, func(k KindHelp) bool { return k.Kind == f.Kind })
 	if i < 0 {
@@ -337,7 +337,8 @@
 	return out
 }
 
-// LostWritePrefix returns the prefix of the keys whose writes are lost. The default is the prefix of job records.
+// LostWritePrefix returns the prefix of the keys whose writes are lost. The default is the prefix of job
+// records.
 func (f Fault) LostWritePrefix() string { return cmp.Or(f.Prefix, "shalestage/job/") }
 
 // NodeName returns the name of controller i.
--- a/internal/scenario/positions.go
+++ b/internal/scenario/positions.go
@@ -10,8 +10,9 @@
 // position is the line and column of a key in a file, both counted from 1.
 type position struct{ line, col int }
 
-// positions returns the position of each key and table of a file, by its path, such as "job[2].tasks". The TOML
-// decoder reports the position of a value of the wrong type only; these positions serve for errors of validation.
+// positions returns the position of each key and table of a file, by its path, such as "job[2].tasks". The
+// TOML decoder reports the position of a value of the wrong type only; these positions serve for errors of
+// validation.
 func positions(text []byte) map[string]position {
 	out := map[string]position{}
 	counts := map[string]int{}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -101,7 +101,8 @@
 	LateRetries float64 `toml:"late_retries"`
 	Strangers   float64 `toml:"strangers"`
 	Revisits    float64 `toml:"revisits"`
-	// Load multiplies the number of jobs of each entry with a count. They are submitted in the same time. 0 means 1.
+	// Load multiplies the number of jobs of each entry with a count. They are submitted in the same time. 0
+	// means 1.
 	Load float64 `toml:"load"`
 }
 
@@ -183,8 +184,9 @@
 	ToS   float64 `toml:"to_s"` // 0: no faults are drawn
 	GapS  float64 `toml:"gap_s"`
 	Pairs bool    `toml:"pairs"` // instead, two kinds at the same time, a few times; the seed selects them
-	// Meet is the number of faults if they are drawn at events instead: the first one begins between FromS and ToS,
-	// each later one at an event that the earlier faults lead to. Events lists the allowed events; none allows any.
+	// Meet is the number of faults if they are drawn at events instead: the first one begins between FromS
+	// and ToS, each later one at an event that the earlier faults lead to. Events lists the allowed events;
+	// none allows any.
 	Meet   int      `toml:"meet"`
 	Events []string `toml:"events"`
 }
@@ -194,11 +196,11 @@
 	AllOver  bool    `toml:"all_over"`   // every accepted job has finished at the end
 	MaxWaitS float64 `toml:"max_wait_s"` // longest time from a submission to the reply that the job has finished; 0: no limit
 	MaxMoney float64 `toml:"max_money"`
-	// MinServed is the minimum share of the jobs of each class and each team that must be done, and done in time
-	// among the jobs with a deadline. 0 means no minimum.
+	// MinServed is the minimum share of the jobs of each class and each team that must be done, and done in
+	// time among the jobs with a deadline. 0 means no minimum.
 	MinServed float64 `toml:"min_served"`
-	// Events maps events of CountedEvents to the minimum number of times that each must happen, in simulated time.
-	// A run in which the intended combination of faults does not occur proves nothing.
+	// Events maps events of CountedEvents to the minimum number of times that each must happen, in simulated
+	// time. A run in which the intended combination of faults does not occur proves nothing.
 	Events map[string]int `toml:"events"`
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// FuzzParse checks that any input is either refused or gives a scenario whose configurations and job specs can be
-// built, and that none panics.
+// FuzzParse checks that any input is either refused or gives a scenario whose configurations and job specs
+// can be built, and that none panics.
 func FuzzParse(f *testing.F) {
 	f.Add(examples.Sample)
 	f.Add([]byte("[[job]]\nname=\"a\"\nteam=\"t\"\ntasks=1\nawaits=[\"b\"]"))
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestLoadFactor checks that users.load multiplies the jobs of entries with a count, in the same time, and leaves
-// entries without a count alone.
+// TestLoadFactor checks that users.load multiplies the jobs of entries with a count, in the same time, and
+// leaves entries without a count alone.
 func TestLoadFactor(t *testing.T) {
 	last := map[float64]float64{}
 	for load, want := range map[float64]int{0: 1001, 1: 1001, 1.1: 1101, 0.0001: 2} {
