--- a/internal/core/rollback.go
+++ b/internal/core/rollback.go
@@ -20,7 +20,7 @@
 
 // StateRolledBack implements rollback.Host.
 func (c rollbackHost) StateRolledBack() {
-	c.config.Reloaded()
+	c.config.CacheRebuilt()
 	c.cancellations.StateRolledBack(c.now)
 	c.suspectRollback()
 	c.archive.RolledBack()
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -101,8 +101,8 @@
 	for k := range peering.MaxPeers + 1 {
 		status.Blocks = append(status.Blocks, core.ShardStatus{Block: k, Share: 1<<64 - 1, Use: 1.0 / 3})
 	}
-	for remaining := core.MaxOverQuotaBytes; remaining >= configuration.MaxName+4; remaining -= configuration.MaxName + 4 {
-		status.Blocks[0].Over = append(status.Blocks[0].Over, fmt.Sprintf("%0*d", configuration.MaxName, remaining))
+	for remaining := core.MaxOverQuotaBytes; remaining >= configuration.MaxNameBytes+4; remaining -= configuration.MaxNameBytes + 4 {
+		status.Blocks[0].Over = append(status.Blocks[0].Over, fmt.Sprintf("%0*d", configuration.MaxNameBytes, remaining))
 	}
 	if n := len(status.Blocks[0].Over); n < 340 {
 		t.Errorf("a status lists %d teams, want at least 340", n)
