--- a/internal/explore/cancelling/cancelling.go
+++ b/internal/explore/cancelling/cancelling.go
@@ -237,7 +237,7 @@
 }
 
 func (w *World) deliver(received message) {
-	owner, p := w.nodes[0], w.nodes[received.from]
+	owner, peer := w.nodes[0], w.nodes[received.from]
 	switch received.kind {
 	case sendRead:
 		received.kind, received.revision = readKeys, w.revision
@@ -246,17 +246,17 @@
 		w.advanceCache(owner, received.revision)
 		w.lastReadSent = max(w.lastReadSent, received.sent)
 	case sendRequest:
-		firstRead, revision, loaded := p.firstRead, p.revision, p.loaded
+		firstRead, revision, loaded := peer.firstRead, peer.revision, peer.loaded
 		if w.o.Mutation == CompleteAfterRestart {
 			firstRead, loaded = 0, true
 		}
 		if w.o.Mutation == ClaimOwnWrite {
-			for s := range p.known {
+			for s := range peer.known {
 				revision = max(revision, s)
 			}
 		}
-		received.kind, received.update = storeCancellation, p.tracker.UpdateFor(w.localTime(int(received.from)), received.revision, firstRead, revision, loaded)
-		received.update.Whole = received.update.Whole || w.o.Mutation == TrimmedAsComplete && p.loaded
+		received.kind, received.update = storeCancellation, peer.tracker.UpdateFor(w.localTime(int(received.from)), received.revision, firstRead, revision, loaded)
+		received.update.Whole = received.update.Whole || w.o.Mutation == TrimmedAsComplete && peer.loaded
 		w.messages = append(w.messages, received)
 	case storeCancellation:
 		for _, e := range received.update.List {
