--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -26,14 +26,14 @@
 	EveryS    float64  `toml:"every_s" json:"every_s,omitempty"`     // interval of a series
 	Times     float64  `toml:"times" json:"times,omitempty"`         // factor
 	Class     string   `toml:"class" json:"class,omitempty"`         // class of jobs; empty: any
-	PerHour   float64  `toml:"per_hour" json:"per_hour,omitempty"`   // rate
+	PerHour   float64  `toml:"per_hour" json:"per_hour,omitempty"`   // reclaimed spot machines per hour, as a share
 	NoticeS   float64  `toml:"notice_s" json:"notice_s,omitempty"`   // notice before machines of a wave are reclaimed
 	DelayMS   float64  `toml:"delay_ms" json:"delay_ms,omitempty"`   // delay of slow responses, of delayed segments, of each byte of a trickling link
 	RPS       float64  `toml:"rps" json:"rps,omitempty"`             // lowered limits of the state service
 	WriteRPS  float64  `toml:"write_rps" json:"write_rps,omitempty"`
 	ValueKB   float64  `toml:"value_kb" json:"value_kb,omitempty"`
 	TxnOps    int      `toml:"txn_ops" json:"txn_ops,omitempty"`
-	HangS     float64  `toml:"hang_s" json:"hang_s,omitempty"`     // for which machines of cancelled jobs hang
+	HangS     float64  `toml:"hang_s" json:"hang_s,omitempty"`     // how long machines of cancelled jobs hang
 	Prefix    string   `toml:"prefix" json:"prefix,omitempty"`     // key prefix of the lost writes
 	ForNext   bool     `toml:"for_next" json:"for_next,omitempty"` // copies of heartbeats are held until the next leader begins
 	Team      string   `toml:"team" json:"team,omitempty"`         // team whose limit is changed
