--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -7,19 +7,19 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// nodesOf returns the controllers that a fault means.
+// nodesOf returns the controllers that the node field of a fault selects.
 func (w *World) nodesOf(node string) []*Node {
 	switch node {
 	case "all":
 		return w.Nodes
 	case "holder":
-		if n := w.Holder(0); n != nil {
+		if n := w.ShardOwner(0); n != nil {
 			return []*Node{n}
 		}
 		return nil
 	case "leader":
 		for _, n := range w.Nodes {
-			if n.life != 0 && n.core.Leads() {
+			if n.incarnation != 0 && n.core.Leads() {
 				return []*Node{n}
 			}
 		}
@@ -30,53 +30,53 @@
 	return []*Node{w.node(node)}
 }
 
-// Fault injects a fault now.
-func (w *World) Fault(f scenario.Fault) {
-	w.Check.Note(w.now, "fault: %s", f)
-	w.faultComes(f)
-	switch f.Kind {
+// InjectFault injects a fault now.
+func (w *World) InjectFault(fault scenario.Fault) {
+	w.Check.Note(w.now, "fault: %s", fault)
+	w.recordFault(fault)
+	switch fault.Kind {
 	case scenario.Cut:
-		w.cut(f)
+		w.cut(fault)
 	case scenario.ZoneApart, scenario.ZoneLost:
-		w.apart(f)
+		w.cutZone(fault)
 	case scenario.LateReports:
-		w.copies.until, w.copies.share, w.copies.forNext = w.now+units.Seconds(f.ForS), f.Share, f.ForNext
-	case scenario.Surge: // in the jobs' times already
+		w.heartbeatCopies.until, w.heartbeatCopies.share, w.heartbeatCopies.forNext = w.now+units.Seconds(fault.ForS), fault.Share, fault.ForNext
+	case scenario.Surge: // the submission times of jobs include it already
 	default:
-		if !w.controllerFault(f) && !w.stateFault(f) && !w.userFault(f) {
-			w.siteFault(f)
+		if !w.controllerFault(fault) && !w.stateFault(fault) && !w.userFault(fault) {
+			w.siteFault(fault)
 		}
 	}
 }
 
-// controllerFault injects a fault of controllers' processes, and reports whether it is one.
-func (w *World) controllerFault(f scenario.Fault) bool {
-	last := units.Seconds(f.ForS)
+// controllerFault injects a fault of controller processes. It reports whether the fault is of that kind.
+func (w *World) controllerFault(fault scenario.Fault) bool {
+	last := units.Seconds(fault.ForS)
 	until := w.now + last
-	switch f.Kind {
+	switch fault.Kind {
 	case scenario.ControllerCrash:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			n.crash(last)
 		}
 	case scenario.ControllerRetire:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			n.Retire()
 		}
 	case scenario.ControllerRoll:
 		for i, n := range w.Nodes {
-			w.after(units.Microseconds(i)*units.Seconds(f.EveryS), n.Crash)
+			w.schedule(units.Microseconds(i)*units.Seconds(fault.EveryS), n.Crash)
 		}
 	case scenario.ControllerFreeze:
-		for _, n := range w.nodesOf(f.Node) {
+		for _, n := range w.nodesOf(fault.Node) {
 			n.Freeze(until)
 		}
 	case scenario.ControllerSlow:
-		for _, n := range w.nodesOf(f.Node) {
-			n.slow, n.cost = until, units.Microseconds(f.Times*float64(millis))
+		for _, n := range w.nodesOf(fault.Node) {
+			n.slowUntil, n.messageCost = until, units.Microseconds(fault.Times*float64(millis))
 		}
 	case scenario.ClockJump:
-		for _, n := range w.nodesOf(f.Node) {
-			n.jump()
+		for _, n := range w.nodesOf(fault.Node) {
+			n.drawWallOffset()
 		}
 	default:
 		return false
@@ -84,104 +84,105 @@
 	return true
 }
 
-// stateFault injects a fault of the state service, and reports whether it is one.
-func (w *World) stateFault(f scenario.Fault) bool {
-	until := w.now + units.Seconds(f.ForS)
-	switch f.Kind {
+// stateFault injects a fault of the state service. It reports whether the fault is of that kind.
+func (w *World) stateFault(fault scenario.Fault) bool {
+	until := w.now + units.Seconds(fault.ForS)
+	switch fault.Kind {
 	case scenario.StateOutage:
-		w.State.Down(w.now, until)
-		w.takeState()
+		w.State.SetDown(w.now, until)
+		w.deliverWatchResponses()
 	case scenario.StateRefuse:
-		for _, n := range w.nodesOf(f.Node) {
-			w.State.Refuse(n.Name, until)
+		for _, n := range w.nodesOf(fault.Node) {
+			w.State.RefuseClient(n.Name, until)
 		}
 	case scenario.StateSlow:
-		w.slow.until, w.slow.delay = until, units.Microseconds(f.DelayMS*1000)
+		w.stateSlowness.until, w.stateSlowness.delay = until, units.Microseconds(fault.DelayMS*1000)
 	case scenario.StateLimits:
-		w.State.SetLimits(w.S.State.LoweredLimits(f).KV())
+		w.State.SetLimits(w.Scenario.State.LoweredLimits(fault).KV())
 	case scenario.StateLate:
-		w.late, w.lateShare = until, cmp.Or(f.Share, 1)
+		w.lateUntil, w.lateShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateUnanswered:
-		w.unanswered, w.unansweredShare = until, cmp.Or(f.Share, 1)
+		w.unansweredUntil, w.unansweredShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateLose:
-		w.State.Lose(w.now, f.LostWritePrefix(), max(f.Count, 1))
+		w.State.RollBack(w.now, fault.LostWritePrefix(), max(fault.Count, 1))
 	default:
 		return false
 	}
 	return true
 }
 
-// userFault lets users or the operator do something, and reports whether the fault says so.
-func (w *World) userFault(f scenario.Fault) bool {
-	last := units.Seconds(f.ForS)
+// userFault makes users or the operator send requests. It reports whether the fault is of that kind.
+func (w *World) userFault(fault scenario.Fault) bool {
+	last := units.Seconds(fault.ForS)
 	until := w.now + last
-	switch f.Kind {
+	switch fault.Kind {
 	case scenario.PollStorm:
-		w.Crowd.Storm(f.Times)
-		w.after(last, func() { w.Crowd.Storm(1) })
+		w.Users.SetPollFactor(fault.Times)
+		w.schedule(last, func() { w.Users.SetPollFactor(1) })
 	case scenario.CancelNow:
-		w.cancelNow(f)
+		w.cancelNow(fault)
 	case scenario.CancelAtEnd:
-		w.users.endUntil, w.users.endShare = until, f.Share
+		w.userFaults.cancelAtEndUntil, w.userFaults.cancelAtEndShare = until, fault.Share
 	case scenario.OddRequests:
 		w.oddRequests(until)
 	case scenario.CloseLooks:
-		w.Crowd.LookClosely(until)
+		w.Users.ProbeReadsUntil(until)
 	case scenario.ConfigSet:
-		w.configSet(f)
+		w.changeTeam(fault)
 	default:
 		return false
 	}
 	return true
 }
 
-// siteFault injects a fault of machines or of the cloud provider.
-func (w *World) siteFault(f scenario.Fault) {
-	if err := w.S.InjectSiteFault(w.now, w.Site, f); err != nil {
-		panic(err) // the scenario was checked
+// siteFault injects a fault of worker machines or of the cloud provider.
+func (w *World) siteFault(fault scenario.Fault) {
+	if err := w.Scenario.InjectSiteFault(w.now, w.Site, fault); err != nil {
+		panic(err) // the scenario has been validated
 	}
-	w.takeSite()
-	if f.Kind == scenario.SpotRate {
-		w.after(units.Seconds(f.ForS), func() {
-			w.Site.Cloud.SetReclaimRate(w.now, w.S.Cloud.SpotPerHour)
-			w.takeSite()
+	w.handleSiteEvents()
+	if fault.Kind == scenario.SpotRate {
+		w.schedule(units.Seconds(fault.ForS), func() {
+			w.Site.Cloud.SetReclaimRate(w.now, w.Scenario.Cloud.SpotPerHour)
+			w.handleSiteEvents()
 		})
 	}
 }
 
-func (w *World) cut(f scenario.Fault) {
-	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
-	for _, a := range w.nodesOf(f.Between[0]) {
-		for _, b := range w.parties(a, f.Between[1]) {
-			if f.Direction != "back" {
-				w.net.cut(a.Name, b, t)
+// cut impairs the links between controllers and the other party of the fault.
+func (w *World) cut(fault scenario.Fault) {
+	cut := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
+	for _, node := range w.nodesOf(fault.Between[0]) {
+		for _, party := range w.parties(node, fault.Between[1]) {
+			if fault.Direction != "back" {
+				w.net.cut(node.Name, party, cut)
 			}
-			if f.Direction != "there" {
-				w.net.cut(b, a.Name, t)
+			if fault.Direction != "there" {
+				w.net.cut(party, node.Name, cut)
 			}
 		}
 	}
 }
 
-// parties returns whom a cut is to, as seen from a controller.
-func (w *World) parties(a *Node, name string) []string {
+// parties returns the names of the parties that a cut separates from a controller.
+func (w *World) parties(node *Node, name string) []string {
 	var out []string
 	switch name {
 	case scenario.PartyState, scenario.PartyCloud, scenario.PartyUsers:
 		return []string{name}
 	case scenario.PartyWorkers:
-		for _, z := range w.S.Controllers.Zones {
+		for _, z := range w.Scenario.Controllers.Zones {
 			out = append(out, scenario.ZoneParty(z))
 		}
 	case scenario.PartyPeers:
 		for _, n := range w.Nodes {
-			if n != a {
+			if n != node {
 				out = append(out, n.Name)
 			}
 		}
 	default:
 		for _, n := range w.nodesOf(name) {
-			if n != a {
+			if n != node {
 				out = append(out, n.Name)
 			}
 		}
@@ -189,16 +190,16 @@
 	return out
 }
 
-// apart cuts a zone off; there is the way out of it.
-func (w *World) apart(f scenario.Fault) {
-	t := trouble{w.now + units.Seconds(f.ForS), f.Mode, units.Microseconds(f.DelayMS * 1000)}
-	w.zoneCut[f.Zone] = t.until
-	for _, p := range w.S.PartitionedPairs(f.Zone, f.Kind == scenario.ZoneLost) {
-		if f.Direction != "back" {
-			w.net.cut(p[0], p[1], t)
-		}
-		if f.Direction != "there" {
-			w.net.cut(p[1], p[0], t)
+// cutZone cuts a zone off. The direction "there" leads out of the zone.
+func (w *World) cutZone(fault scenario.Fault) {
+	cut := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
+	w.zoneCutUntil[fault.Zone] = cut.until
+	for _, p := range w.Scenario.PartitionedPairs(fault.Zone, fault.Kind == scenario.ZoneLost) {
+		if fault.Direction != "back" {
+			w.net.cut(p[0], p[1], cut)
+		}
+		if fault.Direction != "there" {
+			w.net.cut(p[1], p[0], cut)
 		}
 	}
 }
--- a/internal/emulator/sim/net.go
+++ b/internal/emulator/sim/net.go
@@ -5,91 +5,92 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// way is the direction from one party to another.
-type way struct{ from, to string }
+// link is the direction from one party to another.
+type link struct{ from, to string }
 
-// trouble is what happens to messages on a way.
-type trouble struct {
+// impairment is a fault of a link.
+type impairment struct {
 	until units.Microseconds
 	mode  string             // "hold" (or ""), "drop", "reset", "delay" or "trickle"
-	delay units.Microseconds // of a message, or of each byte that trickles
+	delay units.Microseconds // of each message, or of each byte with "trickle"
 }
 
-// messageBytes is about how long a message is that trickles.
+// messageBytes is the approximate size of a message, for the delay with "trickle".
 const messageBytes = 400
 
-// lost reports whether nothing comes through for now.
-func (t trouble) lost(now units.Microseconds) bool {
-	return now < t.until && t.mode != "delay" && t.mode != "trickle"
+// blocks reports whether no message passes the link now.
+func (i impairment) blocks(now units.Microseconds) bool {
+	return now < i.until && i.mode != "delay" && i.mode != "trickle"
 }
 
 // network carries messages between parties: controllers by name, "state",
 // "cloud", "users", and "zone Z" for the machines of a zone.
 type network struct {
-	w    *World
-	ways map[way]trouble
+	world *World
+	links map[link]impairment
 }
 
-// cut puts a way into trouble until a time.
-func (n *network) cut(from, to string, t trouble) { n.ways[way{from, to}] = t }
+// cut impairs a link.
+func (n *network) cut(from, to string, i impairment) { n.links[link{from, to}] = i }
 
-// outcome of a message that is sent.
+// outcome is the fate of a message that is sent.
 type outcome int
 
 const (
-	carried outcome = iota // delivered, now or once the trouble is over
-	dropped                // never delivered, and nobody says so
-	refused                // never delivered, and the sender learns it
+	delivered outcome = iota // it arrives, perhaps only when the impairment is over
+	dropped                  // it is lost, and the sender is not told
+	refused                  // it is rejected, and the sender is told
 )
 
-// send delivers a message after some time. Held messages come in the order in
-// which they were sent, when the trouble is over, also to those who have given up.
-func (n *network) send(from, to string, f func()) outcome {
-	w := n.w
-	t := n.ways[way{from, to}]
-	if w.now < t.until {
-		switch t.mode {
+// send calls deliver after the delay of the link, unless the message is lost. Held messages arrive when the
+// impairment is over, in the order in which they were sent, even if the sender no longer waits for a
+// response.
+func (n *network) send(from, to string, deliver func()) outcome {
+	w := n.world
+	current := n.links[link{from, to}]
+	if w.now < current.until {
+		switch current.mode {
 		case "drop":
 			return dropped
 		case "reset":
 			return refused
 		case "delay":
-			w.after(t.delay+w.span(0.0003, 0.002), f)
-			return carried
+			w.schedule(current.delay+w.randomDuration(0.0003, 0.002), deliver)
+			return delivered
 		case "trickle":
-			w.happened(scenario.Trickled)
-			w.after(min(t.delay*messageBytes, t.until-w.now)+w.span(0.0003, 0.002), f)
-			return carried
+			w.recordEvent(scenario.Trickled)
+			w.schedule(min(current.delay*messageBytes, current.until-w.now)+w.randomDuration(0.0003, 0.002), deliver)
+			return delivered
 		}
-		w.after(t.until-w.now+units.Second/1000, f)
-		return carried
+		w.schedule(current.until-w.now+units.Second/1000, deliver)
+		return delivered
 	}
-	if w.noise && w.chance(0.0005) { // lost, and delivered by a later try
-		w.after(w.span(0.2, 0.6), f)
-		return carried
+	if w.noise && w.chance(0.0005) { // lost, and delivered by a retransmission
+		w.schedule(w.randomDuration(0.2, 0.6), deliver)
+		return delivered
 	}
-	w.after(w.span(0.0003, 0.002), f)
-	return carried
+	w.schedule(w.randomDuration(0.0003, 0.002), deliver)
+	return delivered
 }
 
-// open reports whether a new connection from one party to another comes about.
-func (n *network) open(from, to string) outcome {
-	for _, d := range []way{{from, to}, {to, from}} {
-		if t := n.ways[d]; t.lost(n.w.now) {
-			if t.mode == "reset" {
+// connect returns the outcome of opening a connection from one party to another. It needs both directions.
+func (n *network) connect(from, to string) outcome {
+	for _, direction := range []link{{from, to}, {to, from}} {
+		if current := n.links[direction]; current.blocks(n.world.now) {
+			if current.mode == "reset" {
 				return refused
 			}
 			return dropped
 		}
 	}
-	return carried
+	return delivered
 }
 
-// request sends a question and brings its answer back. serve gets a function to
-// answer with; done is called exactly once: with what the answer does, or with nil
-// when none has come in time, or none can come.
+// request sends a request and delivers its response. serve handles the request and calls answer with a
+// function that delivers the response. done is called exactly once: with that function, or with nil if no
+// response arrived within wait or the connection was refused.
 func (n *network) request(from, to string, wait units.Microseconds, serve func(answer func(f func())), done func(f func())) {
-	w := n.w
+	w := n.world
 	settled := false
 	finish := func(f func()) {
 		if !settled {
@@ -97,15 +98,15 @@
 			done(f)
 		}
 	}
-	w.after(wait, func() { finish(nil) })
+	w.schedule(wait, func() { finish(nil) })
 	sent := n.send(from, to, func() {
 		serve(func(f func()) {
 			if n.send(to, from, func() { finish(f) }) == refused {
-				w.after(units.Second/1000, func() { finish(nil) })
+				w.schedule(units.Second/1000, func() { finish(nil) })
 			}
 		})
 	})
 	if sent == refused {
-		w.after(units.Second/1000, func() { finish(nil) })
+		w.schedule(units.Second/1000, func() { finish(nil) })
 	}
 }
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -14,80 +14,81 @@
 )
 
 const (
-	// longToGo is how much longer a job runs that is cancelled by CancelNow, where there are any.
-	longToGo = 20 * second
-	// mostHanging bounds how many machines of cancelled jobs stand still.
-	mostHanging = 8
-	// handover is how long after a grant a cancellation counts as told while work changes hands.
-	handover = 3 * second
+	// longRemaining is the remaining run time from which CancelNow prefers a job.
+	longRemaining = 20 * second
+	// maxHangingMachines bounds the machines of cancelled jobs that hang.
+	maxHangingMachines = 8
+	// handoverWindow is the time after a shard assignment in which a cancellation counts as reported during a
+	// handover.
+	handoverWindow = 3 * second
 )
 
-// userTroubles are what users do beyond their usual ways.
-type userTroubles struct {
-	endUntil units.Microseconds // until when jobs are cancelled as they end
-	endShare float64            // of those that do
-	granted  units.Microseconds // when a block was last granted or released
+// userFaultState is the state of the faults that users cause.
+type userFaultState struct {
+	cancelAtEndUntil units.Microseconds // jobs that finish until then may be cancelled at that moment
+	cancelAtEndShare float64            // share of these jobs that are cancelled
+	lastAssignmentAt units.Microseconds // when a shard was last assigned or released
 }
 
-// runningJob is a job that runs, and how much longer its longest task on a machine takes.
+// runningJob is a job with tasks on machines, and the remaining run time of the longest of these tasks.
 type runningJob struct {
-	job      *user.Job
-	left     units.Microseconds
-	machines []*cloudprovider.Machine
+	job       *user.Job
+	remaining units.Microseconds
+	machines  []*cloudprovider.Machine
 }
 
-// runningJobs lists the jobs that run and whose users have not cancelled them.
+// runningJobs returns the running jobs that are not final as far as their users know.
 func (w *World) runningJobs() []*runningJob {
 	byID := map[string]*runningJob{}
 	var out []*runningJob
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil {
 			continue
 		}
-		for _, t := range k.RemainingTimes(w.now) {
-			j := w.Crowd.Job(t.Task.Job)
-			if j == nil || !j.Accepted || j.Final != "" {
+		for _, task := range worker.RemainingTimes(w.now) {
+			job := w.Users.Job(task.Task.Job)
+			if job == nil || !job.Accepted || job.FinalStatus != "" {
 				continue
 			}
-			r := byID[j.ID]
-			if r == nil {
-				r = &runningJob{job: j}
-				byID[j.ID] = r
-				out = append(out, r)
+			running := byID[job.ID]
+			if running == nil {
+				running = &runningJob{job: job}
+				byID[job.ID] = running
+				out = append(out, running)
 			}
-			r.left = max(r.left, t.Time)
-			r.machines = append(r.machines, m)
+			running.remaining = max(running.remaining, task.Time)
+			running.machines = append(running.machines, m)
 		}
 	}
 	return out
 }
 
-// cancelNow lets users cancel running jobs at nearly the same time, and some of their
-// machines stand still.
-func (w *World) cancelNow(f scenario.Fault) {
+// cancelNow makes users cancel running jobs at nearly the same time, and makes some of the jobs' machines
+// hang.
+func (w *World) cancelNow(fault scenario.Fault) {
 	all := w.runningJobs()
 	w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	slices.SortStableFunc(all, func(a, b *runningJob) int {
-		return boolOrder(a.left < longToGo) - boolOrder(b.left < longToGo)
+		return boolOrder(a.remaining < longRemaining) - boolOrder(b.remaining < longRemaining)
 	})
-	all = all[:min(len(all), max(f.Count, 1))]
+	all = all[:min(len(all), max(fault.Count, 1))]
 	var submitted []*user.Job
 	hanging := map[string]bool{}
 	for _, r := range all {
 		submitted = append(submitted, r.job)
 		for _, m := range r.machines {
-			if f.HangS > 0 && len(hanging) < mostHanging && !hanging[m.Name] {
+			if fault.HangS > 0 && len(hanging) < maxHangingMachines && !hanging[m.Name] {
 				hanging[m.Name] = true
-				w.Site.Hang(w.now, m, w.now+units.Seconds(f.HangS))
+				w.Site.Hang(w.now, m, w.now+units.Seconds(fault.HangS))
 			}
 		}
 	}
-	w.takeSite()
-	w.Crowd.CancelSoon(w.now, submitted)
+	w.handleSiteEvents()
+	w.Users.CancelSoon(w.now, submitted)
 }
 
-// boolOrder puts what is not so first.
+// boolOrder orders false before true.
 func boolOrder(b bool) int {
 	if b {
 		return 1
@@ -95,117 +96,119 @@
 	return 0
 }
 
-// oddRequests lets users send requests that make no sense, or none any more, until a time.
+// oddRequests makes users send invalid or outdated requests until the given time.
 func (w *World) oddRequests(until units.Microseconds) {
 	if w.now >= until {
 		return
 	}
-	if w.Crowd.OddRequest(w.now) {
-		w.happened(scenario.OddRequest)
+	if w.Users.SendInvalidRequest(w.now) {
+		w.recordEvent(scenario.OddRequest)
 	}
-	w.takeCrowd()
-	w.after(w.Crowd.OddPause(), func() { w.oddRequests(until) })
+	w.handleUserEvents()
+	w.schedule(w.Users.DrawInvalidRequestDelay(), func() { w.oddRequests(until) })
 }
 
-// began notes that a task is on a machine.
-func (w *World) began(m check.Machine, id jobs.TaskID) {
+// recordTaskStart reports the start of a task to the checker.
+func (w *World) recordTaskStart(m check.Machine, id jobs.TaskID) {
 	before := w.Check.StartsCancelled()
 	w.Check.TaskStarted(w.now, m, id)
 	if w.Check.StartsCancelled() > before {
-		w.happened(scenario.StartCancelled)
+		w.recordEvent(scenario.StartCancelled)
 	}
 }
 
-// ended notes that a task of a job has completed: with the last one the job has ended.
-func (w *World) ended(id string) {
-	if w.now >= w.users.endUntil && !w.Crowd.LooksClosely(w.now) {
+// recordTaskCompletion records that a task of a job has completed. If all tasks have, the job may be
+// cancelled at that moment.
+func (w *World) recordTaskCompletion(id string) {
+	if w.now >= w.userFaults.cancelAtEndUntil && !w.Users.ProbingReads(w.now) {
 		return
 	}
-	j := w.Crowd.Job(id)
-	if j == nil || !j.Done() {
+	job := w.Users.Job(id)
+	if job == nil || !job.Done() {
 		return
 	}
-	w.Crowd.Ended(w.now, j)
-	if w.now < w.users.endUntil && w.chance(w.users.endShare) {
-		w.happened(scenario.CancelledAtEnd)
-		w.Crowd.CancelAtEnd(w.now, j)
+	w.Users.LastTaskEnded(w.now, job)
+	if w.now < w.userFaults.cancelAtEndUntil && w.chance(w.userFaults.cancelAtEndShare) {
+		w.recordEvent(scenario.CancelledAtEnd)
+		w.Users.CancelAtEnd(w.now, job)
 	}
 }
 
-// cancelTold notes what goes on while a user is told that a job is cancelled.
-func (w *World) cancelTold(id string) {
+// recordReportedCancel records the conditions under which a user is told that a job is cancelled.
+func (w *World) recordReportedCancel(id string) {
 	if w.Check.Running(id) > 0 {
-		w.happened(scenario.CancelRunning)
-		if w.unreached(id) {
-			w.happened(scenario.CancelUnreached)
+		w.recordEvent(scenario.CancelRunning)
+		if w.jobUnreachable(id) {
+			w.recordEvent(scenario.CancelUnreached)
 		}
 	}
 	if w.Check.AtLimit(id) {
-		w.happened(scenario.CancelAtLimit)
+		w.recordEvent(scenario.CancelAtLimit)
 	}
-	if w.now-w.users.granted < handover || w.Holder(0) == nil {
-		w.happened(scenario.CancelInHandover)
+	if w.now-w.userFaults.lastAssignmentAt < handoverWindow || w.ShardOwner(0) == nil {
+		w.recordEvent(scenario.CancelInHandover)
 	}
-	if w.refusedAlone() {
-		w.happened(scenario.CancelAlone)
+	if w.someNodesRefused() {
+		w.recordEvent(scenario.CancelAlone)
 	}
 }
 
-// refusedAlone reports whether the state service serves some controllers and refuses others.
-func (w *World) refusedAlone() bool {
+// someNodesRefused reports whether the state service serves some controllers and refuses others.
+func (w *World) someNodesRefused() bool {
 	refused := 0
 	for _, n := range w.Nodes {
-		if w.State.Refuses(w.now, n.Name) {
+		if w.State.IsClientRefused(w.now, n.Name) {
 			refused++
 		}
 	}
 	return refused > 0 && refused < len(w.Nodes)
 }
 
-// unreached reports whether a task of a job is on a machine that stands still, does not hear,
-// or reaches no controller.
-func (w *World) unreached(id string) bool {
+// jobUnreachable reports whether a task of a job is on a machine that hangs, receives no messages, or reaches
+// no controller.
+func (w *World) jobUnreachable(id string) bool {
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil || !slices.ContainsFunc(k.RemainingTimes(w.now), func(t machine.Remaining) bool { return t.Task.Job == id }) {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil || !slices.ContainsFunc(worker.RemainingTimes(w.now), func(t machine.Remaining) bool { return t.Task.Job == id }) {
 			continue
 		}
 		cut := true
 		for _, n := range w.Nodes {
-			cut = cut && w.net.open(scenario.ZoneParty(m.Zone), n.Name) != carried
+			cut = cut && w.net.connect(scenario.ZoneParty(m.Zone), n.Name) != delivered
 		}
-		if cut || k.Hung(w.now) || k.InboundCut(w.now) {
+		if cut || worker.Hung(w.now) || worker.InboundCut(w.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// lookForWaiting shows the checker the room on machines, again and again.
-func (w *World) lookForWaiting() {
-	w.after(check.WaitingCheckEvery, func() {
+// scheduleWaitingCheck reports the free capacity of machines to the checker every check.WaitingCheckEvery,
+// once all faults are over.
+func (w *World) scheduleWaitingCheck() {
+	w.schedule(check.WaitingCheckEvery, func() {
 		if w.Check.FaultsOver(w.now) {
-			w.Check.CheckWaiting(w.now, w.rooms())
+			w.Check.CheckWaiting(w.now, w.availableMachines())
 		}
-		w.lookForWaiting()
+		w.scheduleWaitingCheck()
 	})
 }
 
-// unusable is the room on a machine that cannot be used.
+// unusable is the free capacity of a machine that cannot be used.
 var unusable = binpack.Vec{-1, -1, -1}
 
-// rooms lists the machines that are up, with the room that they have.
-func (w *World) rooms() (out []check.AvailableMachine) {
+// availableMachines returns the machines that are up, with their free capacity.
+func (w *World) availableMachines() (out []check.AvailableMachine) {
 	for _, m := range w.Site.Cloud.Alive() {
-		k := w.Site.Worker(m.Name)
-		if k == nil {
+		worker := w.Site.Worker(m.Name)
+		if worker == nil {
 			continue
 		}
-		r := check.AvailableMachine{Machine: machineOf(m)}
-		if r.Free, r.Tasks = k.FreeCapacity(); k.Hung(w.now) || k.InboundCut(w.now) || k.Unreliable() {
-			r.Free = unusable
+		available := check.AvailableMachine{Machine: machineOf(m)}
+		if available.Free, available.Tasks = worker.FreeCapacity(); worker.Hung(w.now) || worker.InboundCut(w.now) || worker.Unreliable() {
+			available.Free = unusable
 		}
-		out = append(out, r)
+		out = append(out, available)
 	}
 	return out
 }
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -14,13 +14,13 @@
 
 // runGap runs rehearsals/gap.toml with count controllers. The machines are divided into shards if
 // blockMachines is not 0.
-func runGap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Broken) Verdict {
+func runGap(t *testing.T, seed uint64, count int, blockMachines float64, b sim.Mutation) Verdict {
 	s, err := scenario.Load("../../rehearsals/gap.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Controllers.Count, s.Controllers.BlockMachines = count, blockMachines
-	return Simulate("gap.toml", s, sim.Options{Seed: seed, Break: b})
+	return Simulate("gap.toml", s, sim.Options{Seed: seed, Mutation: b})
 }
 
 // TestCancellationsAcrossOutage guards against tasks that run on after their job was cancelled. The state
@@ -33,7 +33,7 @@
 		blocks float64
 	}{{1, 0}, {3, 4}, {5, 0}, {5, 4}} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			if v := runGap(t, seed, c.count, c.blocks, sim.Broken{}); !v.Passed {
+			if v := runGap(t, seed, c.count, c.blocks, sim.Mutation{}); !v.Passed {
 				t.Errorf("%d controllers, seed %d: %v %v", c.count, seed, v.Violations, v.Missed)
 			}
 		}
@@ -53,10 +53,10 @@
 	}
 	caught := false
 	for seed := uint64(1); seed <= 6; seed++ {
-		if v := runGap(t, seed, 3, 0, sim.Broken{Told: silent}); !v.Passed {
+		if v := runGap(t, seed, 3, 0, sim.Mutation{PeerMessage: silent}); !v.Passed {
 			t.Errorf("seed %d: %v %v", seed, v.Violations, v.Missed)
 		}
-		v := runGap(t, seed, 3, 0, sim.Broken{Told: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
+		v := runGap(t, seed, 3, 0, sim.Mutation{PeerMessage: silent, Settings: func(s *config.Settings) { s.Deployment.Workers.CancelS *= 10 }})
 		caught = caught || slices.ContainsFunc(v.Violations, func(b Violation) bool { return b.Rule == check.RanCancelled })
 	}
 	if !caught {
--- a/internal/rehearse/meet.go
+++ b/internal/rehearse/meet.go
@@ -45,7 +45,7 @@
 	for range base.Draw.Meet - 1 {
 		from, to := last.AtS, last.AtS+last.ForS+maxDelayS
 		occurrences := map[string][]float64{}
-		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Break: opt.Break, Event: func(at units.Microseconds, event string) {
+		w := sim.New(&out, sim.Options{Seed: seed, Noise: true, Mutation: opt.Mutation, OnEvent: func(at units.Microseconds, event string) {
 			t := at.Seconds()
 			if t < from || t > to || len(occurrences[event]) >= maxOccurrences || len(base.Draw.Events) > 0 && !slices.Contains(base.Draw.Events, event) {
 				return
--- a/internal/rehearse/planted_test.go
+++ b/internal/rehearse/planted_test.go
@@ -19,20 +19,20 @@
 // removedGuard is a service without one of its safety checks.
 type removedGuard struct {
 	name     string
-	mutation sim.Broken
+	mutation sim.Mutation
 	file     string // rehearsal that detects it
 	rule     string // rule that is violated then
 	within   uint64 // maximum number of runs
 }
 
 // without removes one check of the core.
-func without(g guard.Guard) sim.Broken {
-	return sim.Broken{Core: func(c *core.Config) { c.SkippedGuard = g }}
+func without(g guard.Guard) sim.Mutation {
+	return sim.Mutation{CoreConfig: func(c *core.Config) { c.SkippedGuard = g }}
 }
 
 // unguarded removes the matching guards from transactions.
-func unguarded(match func(t *kv.Txn, g kv.Guard) bool) sim.Broken {
-	return sim.Broken{Commit: func(t *kv.Txn) {
+func unguarded(match func(t *kv.Txn, g kv.Guard) bool) sim.Mutation {
+	return sim.Mutation{Commit: func(t *kv.Txn) {
 		all := *t
 		t.Guards = slices.DeleteFunc(slices.Clone(t.Guards), func(g kv.Guard) bool { return match(&all, g) })
 	}}
@@ -49,14 +49,14 @@
 }
 
 // unguardedKey removes the version guard of each changed key in a folder.
-func unguardedKey(folder string) sim.Broken {
+func unguardedKey(folder string) sim.Mutation {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		return strings.HasPrefix(g.Key, "shalestage/"+folder) && change(t, g.Key) != nil
 	})
 }
 
 // unguardedJob removes the version guard of a job's record where the job gets the given status.
-func unguardedJob(s jobs.Status) sim.Broken {
+func unguardedJob(s jobs.Status) sim.Mutation {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
 		if c == nil || !strings.HasPrefix(g.Key, "shalestage/job/") || c.Value == nil {
@@ -68,7 +68,7 @@
 }
 
 // unguardedRelease removes the version guard of a shard's assignment where the shard is released.
-func unguardedRelease() sim.Broken {
+func unguardedRelease() sim.Mutation {
 	return unguarded(func(t *kv.Txn, g kv.Guard) bool {
 		c := change(t, g.Key)
 		return c != nil && strings.HasPrefix(g.Key, "shalestage/block/") && strings.Contains(string(c.Value), `"left"`)
@@ -80,7 +80,7 @@
 var removedGuards = []removedGuard{
 	// Heartbeats of machines.
 	{"older heartbeats are accepted as new", without(guard.HeartbeatOrder), "meet-all-away.toml", check.RanTwice, 5},
-	{"tasks of a silent machine count as lost after a third of its lease", sim.Broken{Core: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
+	{"tasks of a silent machine count as lost after a third of its lease", sim.Mutation{CoreConfig: func(c *core.Config) { c.Lease /= 3 }}, "meet-deaf-machines.toml", check.RanTwice, 10},
 	{"machines of earlier owners count as reconciled", without(guard.UnreconciledMachines), "meet-returns.toml", check.RanTwice, 5},
 	// Shard owner.
 	{"tasks of a job start in any zone", without(guard.ZoneConstraints), "meet-one-zone.toml", check.WrongPlace, 5},
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			for seed := uint64(1); seed <= removed.within; seed++ {
-				if violates(s, sim.Options{Seed: seed, Break: removed.mutation}, removed.rule) {
+				if violates(s, sim.Options{Seed: seed, Mutation: removed.mutation}, removed.rule) {
 					t.Logf("%s with seed %d", removed.rule, seed)
 					return
 				}
@@ -134,6 +134,6 @@
 			return true
 		}
 	}
-	w.Play()
+	w.RunScenario()
 	return violated()
 }
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -52,7 +52,7 @@
 	verdict.Jobs = len(jobs)
 	verdict.FinishedJobs, longest = user.Summary(jobs, units.Seconds(spec.DurationS))
 	verdict.Wait = longest.Seconds()
-	verdict.Missed = spec.Expect.Missed(longest, verdict.Cost, user.Floor(jobs, spec.UserOptions(), deployment.FirstBegan))
+	verdict.Missed = spec.Expect.Missed(longest, verdict.Cost, user.ServiceLevels(jobs, spec.UserOptions(), deployment.FirstBegan))
 	verdict.Passed = len(verdict.Violations) == 0 && len(verdict.Missed) == 0
 	verdict.DurationS = time.Since(startTime).Seconds()
 	return verdict, nil
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -72,13 +72,13 @@
 		defer runtime.UnlockOSThread()
 	}
 	w := sim.New(spec, opt)
-	r := w.Play()
+	r := w.RunScenario()
 	seed := opt.Seed
 	if seed == 0 {
 		seed = spec.Seed
 	}
-	v := Verdict{File: file, Name: spec.Name, Seed: seed, Passed: len(r.Broken) == 0 && len(r.Missed) == 0, Violations: violationsOf(r.Broken), Missed: r.Missed,
-		Digest: r.Digest, Jobs: r.Jobs, FinishedJobs: r.Over, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Cost: r.Money,
+	v := Verdict{File: file, Name: spec.Name, Seed: seed, Passed: len(r.Violations) == 0 && len(r.MissedExpectations) == 0, Violations: violationsOf(r.Violations), Missed: r.MissedExpectations,
+		Digest: r.Digest, Jobs: r.Jobs, FinishedJobs: r.FinishedJobs, Starts: r.Starts, StartsCancelled: r.StartsCancelled, Wait: r.MaxWait.Seconds(), Cost: r.Cost,
 		DurationS: time.Since(startTime).Seconds(), Faults: r.Faults, Triggered: triggered}
 	if opt.Account != nil {
 		v.Account = opt.Account.Rows()
--- a/internal/rehearse/users_test.go
+++ b/internal/rehearse/users_test.go
@@ -67,30 +67,30 @@
 	file, guard string
 	seeds       uint64
 	rules       []string // one of them is violated; nil: another guard still protects
-	mutation    func() sim.Broken
+	mutation    func() sim.Mutation
 }
 
 var withoutGuardCases = []withoutGuard{
 	{"meet-close-looks", "a poll waits for a read that began after it", 2, []string{check.Forgotten},
-		func() sim.Broken { return sim.Broken{Stale: true} }},
+		func() sim.Mutation { return sim.Mutation{StaleReads: true} }},
 	{"meet-close-looks", "a job's record is written with a guard on its known version", 2, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
+		func() sim.Mutation { return sim.Mutation{Commit: withoutGuards} }},
 	{"meet-limit-cancels", "possibly running tasks count until the lease must have expired", 2, []string{check.Quota},
-		func() sim.Broken { return sim.Broken{Settings: shortLease} }},
+		func() sim.Mutation { return sim.Mutation{Settings: shortLease} }},
 	{"meet-handover-cancels", "an owner stops tasks that an earlier one started", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Orders: onlyOwnStops()} }},
+		func() sim.Mutation { return sim.Mutation{Commands: onlyOwnStops()} }},
 	{"meet-quick-jobs", "tasks of cancelled jobs are stopped", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Orders: withoutStops} }},
+		func() sim.Mutation { return sim.Mutation{Commands: withoutStops} }},
 	{"meet-quick-jobs", "a job's record is written with a guard on its known version", 6, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
+		func() sim.Mutation { return sim.Mutation{Commit: withoutGuards} }},
 	{"meet-last-end", "a job's record is written with a guard on its known version", 2, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Commit: withoutGuards} }},
+		func() sim.Mutation { return sim.Mutation{Commit: withoutGuards} }},
 	{"meet-last-end", "a poll waits for a read that began after it", 2, []string{check.WentBack},
-		func() sim.Broken { return sim.Broken{Stale: true} }},
+		func() sim.Mutation { return sim.Mutation{StaleReads: true} }},
 	{"meet-refused-cancels", "peers report cancellations, and the bound on not knowing them", 2, []string{check.RanCancelled},
-		func() sim.Broken { return sim.Broken{Told: withoutPeerCancellations, Settings: longCancel} }},
-	{"meet-refused-cancels", "peers report cancellations", 2, nil, func() sim.Broken { return sim.Broken{Told: withoutPeerCancellations} }},
-	{"meet-refused-cancels", "the bound on not knowing cancellations", 2, nil, func() sim.Broken { return sim.Broken{Settings: longCancel} }},
+		func() sim.Mutation { return sim.Mutation{PeerMessage: withoutPeerCancellations, Settings: longCancel} }},
+	{"meet-refused-cancels", "peers report cancellations", 2, nil, func() sim.Mutation { return sim.Mutation{PeerMessage: withoutPeerCancellations} }},
+	{"meet-refused-cancels", "the bound on not knowing cancellations", 2, nil, func() sim.Mutation { return sim.Mutation{Settings: longCancel} }},
 }
 
 // TestUserRequestGuardsDetected removes the guard that protects against each kind of unusual user requests.
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	for seed := uint64(1); seed <= c.seeds; seed++ {
-		v := Simulate(c.file, s, sim.Options{Seed: seed, Break: c.mutation()})
+		v := Simulate(c.file, s, sim.Options{Seed: seed, Mutation: c.mutation()})
 		if slices.ContainsFunc(v.Violations, func(b Violation) bool { return slices.Contains(c.rules, b.Rule) }) {
 			return
 		}
