--- a/internal/rehearse/meet_test.go
+++ b/internal/rehearse/meet_test.go
@@ -32,7 +32,7 @@
 			at := fixed.Faults[i+1].AtS
 			var occurrences []float64
 			w := sim.New(&before, sim.Options{Seed: seed, Noise: true, OnEvent: func(at units.Microseconds, event string) {
-				if event == drawn.OnEvent {
+				if event == drawn.Event {
 					occurrences = append(occurrences, at.Seconds())
 				}
 			}})
