--- a/internal/emulator/sim/cloudclient.go
+++ b/internal/emulator/sim/cloudclient.go
@@ -121,7 +121,7 @@
 		return code
 	}, func(o store.Outcome) {
 		if o == store.Refused && none {
-			w.recordEvent(scenario.NoRoom)
+			w.recordEvent(scenario.CapacityExhausted)
 			o = store.Failed
 		}
 		n.deliver(incarnation, func() { n.core.OnScaleOut(n.steadyClock(), effect, o, names) })
--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -72,7 +72,7 @@
 	combinations := &w.combinations
 	combinations.exitedAt[n.Name] = w.now
 	if n.core.Owns(n.steadyClock(), 0) && w.anyWorkerUnreachable(n) {
-		w.recordEvent(scenario.HolderEndedUnheard)
+		w.recordEvent(scenario.OwnerEndedWorkerUnreachable)
 	}
 	for _, other := range w.Nodes {
 		if other != n && other.incarnation != 0 {
@@ -108,7 +108,7 @@
 		w.recordEvent(scenario.ReturnedAtOnce)
 	}
 	if combinations.allDownSince != 0 && w.now-combinations.allDownSince > units.Seconds(w.Scenario.Workers.LeaseS) {
-		w.recordEvent(scenario.AllAway)
+		w.recordEvent(scenario.RestartAfterLeaseExpiry)
 	}
 	combinations.allDownSince = 0
 }
@@ -131,7 +131,7 @@
 		owners.seen = map[string]bool{}
 	}
 	if owners.seen[assignment.Node] && owners.last != assignment.Node {
-		w.recordEvent(scenario.HandedBack)
+		w.recordEvent(scenario.ShardReturned)
 	}
 	owners.seen[assignment.Node], owners.last = true, assignment.Node
 	combinations.owners[number] = owners
@@ -146,7 +146,7 @@
 	}
 	bound := job.Spec.OneZone || job.Spec.Zone != "" || job.Spec.Spread
 	if !end.Completed && bound && (end.Machine.DiedAt != 0 || end.Machine.DeletedAt != 0) {
-		w.recordEvent(scenario.BoundTaskLost)
+		w.recordEvent(scenario.ZoneBoundTaskLost)
 	}
 	if n := job.Spec.Tasks; !end.Completed || job.Spec.Service || n < 2 || n > 3 {
 		return
@@ -214,7 +214,7 @@
 // at that time and so can neither read nor receive it.
 func (w *World) recordCancelPastCut() {
 	w.combinations.reportedCancels++
-	w.recordEvent(scenario.CancelTold)
+	w.recordEvent(scenario.CancelReported)
 	for _, n := range w.Nodes {
 		if w.isolatedOwner(n) {
 			w.recordEvent(scenario.CancelPastCut)
--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -32,12 +32,12 @@
 		}
 	case core.SendPeer:
 		if _, ok := effect.Message.(core.SnapshotMessage); ok {
-			w.recordEvent(scenario.PictureSent)
+			w.recordEvent(scenario.SnapshotSent)
 		}
 	case core.List:
 		w.recordEvent(scenario.ListingSent)
 	case core.Probe:
-		w.recordEvent(scenario.TokenShown)
+		w.recordEvent(scenario.TokenPresented)
 	}
 }
 
@@ -54,9 +54,9 @@
 			w.recordEvent(scenario.LeaderChanged)
 			w.deliverKeptHeartbeats()
 		case strings.HasPrefix(c.Key, "shalestage/progress/") && c.Value != nil:
-			w.recordEvent(scenario.EndStored)
+			w.recordEvent(scenario.CompletionStored)
 		case strings.HasPrefix(c.Key, "shalestage/follow/"):
-			w.recordEvent(scenario.FollowerStored)
+			w.recordEvent(scenario.StandbyStored)
 		}
 	}
 }
--- a/internal/emulator/sim/fault.go
+++ b/internal/emulator/sim/fault.go
@@ -98,13 +98,13 @@
 	case scenario.StateSlow:
 		w.stateSlowness.until, w.stateSlowness.delay = until, units.Microseconds(fault.DelayMS*1000)
 	case scenario.StateLimits:
-		w.State.SetLimits(w.Scenario.State.Fallen(fault).KV())
+		w.State.SetLimits(w.Scenario.State.LoweredLimits(fault).KV())
 	case scenario.StateLate:
 		w.lateUntil, w.lateShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateUnanswered:
 		w.unansweredUntil, w.unansweredShare = until, cmp.Or(fault.Share, 1)
 	case scenario.StateLose:
-		w.State.RollBack(w.now, fault.LosePrefix(), max(fault.Count, 1))
+		w.State.RollBack(w.now, fault.LostWritePrefix(), max(fault.Count, 1))
 	default:
 		return false
 	}
@@ -137,7 +137,7 @@
 
 // siteFault injects a fault of worker machines or of the cloud provider.
 func (w *World) siteFault(fault scenario.Fault) {
-	if err := w.Scenario.SiteFault(w.now, w.Site, fault); err != nil {
+	if err := w.Scenario.InjectSiteFault(w.now, w.Site, fault); err != nil {
 		panic(err) // the scenario has been validated
 	}
 	w.handleSiteEvents()
@@ -194,7 +194,7 @@
 func (w *World) cutZone(fault scenario.Fault) {
 	cut := impairment{w.now + units.Seconds(fault.ForS), fault.Mode, units.Microseconds(fault.DelayMS * 1000)}
 	w.zoneCutUntil[fault.Zone] = cut.until
-	for _, p := range w.Scenario.ApartFrom(fault.Zone, fault.Kind == scenario.ZoneLost) {
+	for _, p := range w.Scenario.PartitionedPairs(fault.Zone, fault.Kind == scenario.ZoneLost) {
 		if fault.Direction != "back" {
 			w.net.cut(p[0], p[1], cut)
 		}
