--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -14,8 +14,8 @@
 )
 
 // Machine is the state of one machine as its shard's owner knows it. Package reconcile adds, reconciles
-// and removes machines and sets the first group of fields. The provisioner sets the second group, and
-// failure attribution (package quarantine) most of the third.
+// and removes machines. The provisioner sets Unlisted, Deprovisioning and SpareSince, and failure attribution
+// (package quarantine) sets Quarantined, Failed, FailedAt and HasCompletedTask.
 type Machine struct {
 	Name   string
 	Record Record // Record.Up is true once the stored group lists the machine as up
@@ -24,7 +24,7 @@
 	Type           *Type              // nil if not known yet
 	Addr           string             // "" if not known yet
 	Probes         int                // number of probes sent to it (see package reconcile)
-	ProvisionedAt  units.Microseconds // or time at which it was first seen, if the former is not known
+	ProvisionedAt  units.Microseconds // time at which it was provisioned or, if not known, first seen
 	Incarnation    uint64             // incarnation of its worker process
 	Seq            uint64             // sequence number of the last heartbeat of that incarnation
 	LastSeen       units.Microseconds // time of the last heartbeat; 0 if none since its lease last expired
@@ -43,7 +43,7 @@
 	SpareSince     units.Microseconds // time since which no work needs it; 0 while some does
 
 	Quarantined      bool               // its tasks fail or are slow: no more tasks start on it
-	Failed           map[string]bool    // jobs without a completed task that failed here since a task last completed here
+	Failed           map[string]bool    // jobs that failed here, since a task last completed here, and had no completed task
 	FailedAt         units.Microseconds // time of the last failure
 	HasCompletedTask bool               // a task has completed on this machine
 
--- a/internal/core/introspect.go
+++ b/internal/core/introspect.go
@@ -13,7 +13,7 @@
 	Stats = introspect.Stats
 	// ShardStats are the statistics of an owned shard.
 	ShardStats = introspect.ShardStats
-	// PoolStats are the statistics of one kind of machines.
+	// PoolStats are the statistics of one kind of machine, ordinary or spot.
 	PoolStats = introspect.PoolStats
 )
 
--- a/internal/core/introspect/audit.go
+++ b/internal/core/introspect/audit.go
@@ -160,7 +160,7 @@
 	id := e.Key[len(keys.JobPrefix):]
 	record, err := jobs.DecodeRecord(e.Value)
 	if err != nil {
-		s.jobs[id] = jobSummary{status: jobs.Pending, version: e.Stamp} // so its chunks and progress are no findings
+		s.jobs[id] = jobSummary{status: jobs.Pending, version: e.Stamp} // so that its chunks and progress are not reported
 		return err
 	}
 	s.jobs[id] = jobSummary{status: record.Status, version: e.Stamp, chunks: record.Chunks, checksum: record.Checksum}
--- a/internal/core/introspect/stats.go
+++ b/internal/core/introspect/stats.go
@@ -35,11 +35,11 @@
 	Placed         int    // tasks
 	Started        uint64 // tasks started since this controller has owned the shard
 	Unreconciled   int    // machines
-	Standby        string // stored standby; "": none
+	Standby        string // stored standby, which knows of every start in the shard; "": none
 	Ordinary, Spot PoolStats
 }
 
-// PoolStats are the figures of the machines of one kind, ordinary or spot.
+// PoolStats are the figures of one kind of machine, ordinary or spot.
 type PoolStats struct {
 	Machines, Booting, Idle int
 	UsedCPUs, CPUs          int64
--- a/internal/core/liveness/reachability.go
+++ b/internal/core/liveness/reachability.go
@@ -13,8 +13,8 @@
 	// maxAwakePerTick is the most that one tick adds to the time without heartbeats. A longer gap means
 	// that this process was paused or overloaded, which says nothing about the workers.
 	maxAwakePerTick = 2 * TickInterval
-	// manyMachines is the number of machines from which on it is implausible that all end or pause at the
-	// same moment.
+	// manyMachines is the number of machines that are too many for all of them to plausibly end or pause at
+	// the same moment.
 	manyMachines = 20
 	// unreachableFor is the time for which a controller that released its shards because no worker
 	// reached it counts as unreachable, unless a worker reaches it. It is long enough for each of several
