--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -35,8 +35,8 @@
 // given, and an upper bound of Slack, as a multiple of its run time.
 const defaultTimeFactor = 8
 
-// TimeRemaining returns the time left for a job, from the earliest deadline that depends on
-// it and the strictest objective of its class. It is negative once that time has passed.
+// TimeRemaining returns the time left for a job, by the earliest of its own deadline, the deadlines that its
+// dependents impose on it and the strictest objective of its class. It is negative once that time has passed.
 func (e *Estimator) TimeRemaining(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
 	runtime := e.Runtime(spec)
@@ -62,7 +62,7 @@
 // goes before work that can meet only a later one. Work that can meet none any more comes last.
 type Urgency int
 
-// NumUrgencies.
+// Urgencies, lowest first.
 const (
 	AllMissed       Urgency = iota
 	FirstMissed             // a later objective can still be met
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -214,7 +214,8 @@
 	}
 }
 
-// Finalize makes the job final and drops all but its record.
+// Finalize makes the job final. It drops everything except the record and the
+// placements of tasks that may still be running.
 func (j *Job) Finalize(record Record, version uint64) {
 	j.Record, j.Version = record, version
 	j.ready, j.dirty, j.MachineFailures = nil, nil, nil
--- a/internal/core/jobs/registry/apply.go
+++ b/internal/core/jobs/registry/apply.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// add registers a job that was not known.
+// add registers a job that was not known before.
 func (r *Registry) add(id string, record jobs.Record, version uint64) *jobs.Job {
 	job := &jobs.Job{ID: id, Version: version, Record: record}
 	r.all[id] = job
@@ -136,7 +136,7 @@
 	}
 	r.host.JobArchived(job)
 	if job.Placed() > 0 {
-		job.MarkArchived() // its tasks are accounted for until their machines no longer report them
+		job.MarkArchived() // it is kept for its tasks until their machines no longer report them
 		return
 	}
 	delete(r.all, id)
--- a/internal/core/jobs/registry/garbage.go
+++ b/internal/core/jobs/registry/garbage.go
@@ -12,8 +12,8 @@
 )
 
 // Writer queues transactions that are guarded by the assignment of the first shard. A
-// transaction fails once the assignment has ended, or if a guarded key has another
-// version than the watch cache. done is called later with the outcome.
+// transaction fails once the assignment has ended, or if the version of a guarded key
+// differs from that in the watch cache. done is called later with the outcome.
 type Writer interface {
 	Write(done func(store.Outcome), guarded []string, changes ...store.Change)
 }
--- a/internal/core/jobs/registry/registry.go
+++ b/internal/core/jobs/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry owns the jobs that a controller knows: all jobs, the active ones, those that may start in
-// the order in which they became able to, the dependencies between them, the chunks of long job specs, and
+// Package registry owns the jobs that a controller knows: all jobs, the active ones, the runnable ones in the
+// order in which they could first start, the dependencies between them, the chunks of long job specs, and
 // what is still to be deleted or stored for final jobs. No other package writes any of these.
 //
 // Changes of the state service are applied by ApplyRecord, ApplyProgress and ApplyChunk, in the order of the
@@ -47,7 +47,7 @@
 
 // Config holds the registry's fixed settings.
 type Config struct {
-	Layout jobs.ProgressLayout // of the records of finished tasks
+	Layout jobs.ProgressLayout // of the progress records
 	TxnOps int                 // maximum number of changes in one transaction
 	// OrphanAge is how long chunks must have been without a record before they are deleted.
 	OrphanAge units.Microseconds
@@ -103,7 +103,7 @@
 	return r.runnable.Jobs()
 }
 
-// Layout returns how the finished tasks of a job are divided among records.
+// Layout returns how the finished tasks of a job are divided among progress records.
 func (r *Registry) Layout() jobs.ProgressLayout { return r.cfg.Layout }
 
 // BlockedLen returns the number of jobs that wait for dependencies.
--- a/internal/core/keys/keys.go
+++ b/internal/core/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys defines every key of the state service. The texts of the keys are those of the first release
-// and must not change, because earlier releases have stored them: "block" is a shard, "share" a quota
-// allocation, "follow" a standby, "seat" a membership, "past" the archive, "part" a chunk of a description.
+// Package keys defines every key of the state service. The texts of the keys must not change, because earlier
+// releases have stored them: "block" is a shard, "share" a quota allocation, "follow" a standby, "seat" a
+// membership, "past" the archive, "part" a chunk of a description.
 package keys
 
 import (
