--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -190,7 +190,7 @@
 	election        *election.Election
 	planner         *shardplan.Planner
 	owned           map[int]*ownedShard   // shards that this node owns
-	emptySince      units.Microseconds    // since when it has owned no shard while retiring; 0: it owns some
+	emptySince      units.Microseconds    // since when it has owned no shard while retiring; 0: not so
 	retiringSince   units.Microseconds    // since when this node is retiring; 0: it is not
 	reachability    liveness.Reachability // whether worker machines can reach this node
 	zones           *zones.View
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -59,7 +59,7 @@
 	Log  *slog.Logger
 }
 
-// Election is a controller's view of who leads. Create it with New.
+// Election is a controller's view of who leads, and its own leadership. Create it with New.
 type Election struct {
 	cfg         Config
 	host        Host
@@ -156,8 +156,8 @@
 // there yet: what is stored at keys.Leader then names no leader.
 func (e *Election) ArchivingStarted() error { return e.setRecord(e.stored[keys.LeaderSinceArchive]) }
 
-// setRecord replaces the leader record. It ends this controller's leadership if the record is of another
-// term.
+// setRecord replaces the leader record. It ends this controller's leadership if the record was deleted or is
+// of another term.
 func (e *Election) setRecord(event store.Event) error {
 	e.record = authority.LeaderRecord{}
 	var err error
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -94,7 +94,7 @@
 		}
 		return commands
 	case accepted.Status == reconcile.Unconfirmed && machine.Transferred:
-		// What may run on the machine is known from the shard's last owner.
+		// What may run on the machine is known from the shard's last owner, before the machine confirms it.
 		return shard.scheduler.Fill(machine)
 	}
 	return nil
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -33,7 +33,7 @@
 
 // Joined implements membership.Host. Other controllers may see the membership record before this controller
 // receives the answer to its write. If that answer is slow, a leader may already have assigned a shard to the
-// membership. Without this check the shard would have no owner for as long as the membership lasts.
+// membership. Unless Joined acquires that shard, it has no owner for as long as the membership lasts.
 func (c membershipHost) Joined() {
 	for _, number := range c.shardRecords.Shards() {
 		c.acquireIfAssigned(number)
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -345,8 +345,8 @@
 	return r.majorityVotes(now, node, id)
 }
 
-// viewOf returns what is known of a controller's membership. A membership that did not exist when the watch
-// cache was first loaded counts as expired since then.
+// viewOf returns what is known of a controller's membership. If its record did not exist when the watch cache
+// was first loaded, the record counts as deleted since then.
 func (r *Registry) viewOf(node string) *view {
 	known := r.views[node]
 	if known == nil {
