--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -14,7 +14,7 @@
 	StartWithin      ObjectiveKind = "wait"      // the tasks start within a time
 	FinishWithin     ObjectiveKind = "finished"  // the job finishes within a time
 	KeepDeadline     ObjectiveKind = "deadline"  // the job finishes within a multiple of its own deadline
-	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; not used by this package
+	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; no decision depends on it
 )
 
 // ObjectiveKinds returns all kinds.
@@ -28,7 +28,7 @@
 	Class  string
 	Within units.Microseconds
 	Times  float64 // multiple of the deadline, for KeepDeadline
-	Share  float64 // fraction of the jobs that should meet it; not used by this package
+	Share  float64 // fraction of the jobs that should meet it; no decision depends on it
 }
 
 // defaultTimeFactor is the time that a job without any objective is
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -43,7 +43,7 @@
 	SpareSince     units.Microseconds // time since which no work needs it; 0 while some does
 
 	Quarantined      bool               // its tasks fail or are slow: no more tasks start on it
-	Failed           map[string]bool    // jobs that failed here, since a task last completed here, and had no completed task
+	Failed           map[string]bool    // jobs without any completed task that failed here since a task last completed here
 	FailedAt         units.Microseconds // time of the last failure
 	HasCompletedTask bool               // a task has completed on this machine
 
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -14,7 +14,7 @@
 	Machine string
 	Attempt uint64
 	Zone    string
-	Live    bool // the machine has reported the task as running, with its image loaded
+	Live    bool // the machine has reported the task as running or saving, so its image is fetched
 }
 
 // Job is an unfinished job in memory, or only the status of a finished one. Its fields
@@ -167,7 +167,8 @@
 	}
 }
 
-// SetLive records that the machine of a placed task reports it as running, with its image loaded.
+// SetLive records that the machine of a placed task has fetched the task's image: it reports the task as
+// running or saving.
 func (j *Job) SetLive(task int) {
 	p := j.places[task]
 	p.Live = true
