--- a/internal/core/peering/forwarder.go
+++ b/internal/core/peering/forwarder.go
@@ -54,7 +54,7 @@
 	return remote
 }
 
-// Full reports whether as many requests are forwarded as may be at a time.
+// Full reports whether the maximum number of forwarded requests is reached.
 func (f *Forwarder) Full() bool { return len(f.sent) >= maxForwarded }
 
 // Send records that a request is forwarded, and returns the ID that its answer will have.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -233,7 +233,7 @@
 	c.emit(Reply{Request: request, Code: answer.Code, Body: Problem{answer.Text}, RetryAfter: answer.RetryAfter})
 }
 
-// send answers a request: directly, or by the controller that forwarded it.
+// send answers a request: directly, or through the controller that forwarded it.
 func (c *Core) send(reply Reply) {
 	origin, remote := c.forwarder.FinishRemote(reply.Request)
 	if !remote {
--- a/internal/core/provisioner/list.go
+++ b/internal/core/provisioner/list.go
@@ -28,7 +28,7 @@
 		machine.Addr = listed.Addr
 	}
 	if p.host.InAnotherShard(listed.Name) {
-		return // its owner reads the list itself and sees when the machine fails
+		return // the owner of that shard detects the failure itself, without the list
 	}
 	switch {
 	case listed.Failed && machine == nil:
--- a/internal/core/provisioner/plan.go
+++ b/internal/core/provisioner/plan.go
@@ -124,14 +124,14 @@
 		machine.LastSeen == 0 && machine.LeaseEnd == 0 && p.now-machine.ProvisionedAt > bootDeadline(machine)
 }
 
-// isZoneProbe reports whether a machine is booting that was provisioned into an unreachable zone after
-// the zone became unreachable, in order to find out whether it still is.
+// isZoneProbe reports whether a machine of an unreachable zone is a probe: it was provisioned after the
+// zone became unreachable, in order to find out whether it still is, and it has not come up yet.
 func (p *Provisioner) isZoneProbe(machine *fleet.Machine) bool {
 	return p.booting(machine) && p.now-machine.ProvisionedAt < p.zones.StateAge(machine.Record.Zone)
 }
 
-// scaleOut sends as many requests for machines as the cloud accepts in a second, split evenly between the
-// pools.
+// scaleOut requests machines. It splits half of the calls that the cloud accepts in a second evenly between
+// the pools, and sends at least one request for each.
 func (p *Provisioner) scaleOut(increases []autoscaler.Increase) {
 	if len(increases) == 0 {
 		return
@@ -160,7 +160,7 @@
 	return machine.LastSeen == 0 && machine.LeaseEnd == 0 && !machine.Lost
 }
 
-// bootOverdue reports whether a machine is booting for longer than slowBootFactor times the usual time.
+// bootOverdue reports whether a machine has been booting for longer than slowBootFactor times the usual time.
 func (p *Provisioner) bootOverdue(machine *fleet.Machine) bool {
 	return machine.Type != nil && p.booting(machine) && p.now-machine.ProvisionedAt > slowBootFactor*machine.Type.Boot
 }
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -59,7 +59,7 @@
 // the job, and quarantines the machine if it is at fault.
 //
 //   - If a task of the job has completed elsewhere, the machine is at fault. The same holds if
-//     two jobs have failed on it that have completed no task and failed on no other machine.
+//     two jobs failed on it, neither of which has completed a task or failed on another machine.
 //   - If the job has failed on several machines and completed no task, the
 //     job is at fault, and its failures do not count against the machines.
 //   - While neither is known to be at fault, the job continues with a few tasks on other machines.
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -93,10 +93,10 @@
 	host     Host
 	quota    Quota
 	machines map[string]*fleet.Machine
-	// unreconciled has the machines that may run unknown tasks of earlier owners.
+	// unreconciled holds the machines that may run unknown tasks of earlier owners.
 	unreconciled map[string]bool
-	// unknown has the machines that send heartbeats though no shard has stored them, with the time of the
-	// first one.
+	// unknown holds the machines that send heartbeats though no shard has stored them, with the time of
+	// each machine's first heartbeat.
 	unknown map[string]units.Microseconds
 	probes  probes
 	pending pending
@@ -154,8 +154,8 @@
 	}
 }
 
-// Snapshot is the state of a machine as recorded by the shard's previous owner when it released the
-// shard.
+// Snapshot is the last state of a machine that the shard's previous owner recorded: sent when it released
+// the shard, or replicated to its standby before it failed.
 type Snapshot struct {
 	Addr             string
 	Incarnation, Seq uint64 // of the last heartbeat
--- a/internal/core/rollback/rollback.go
+++ b/internal/core/rollback/rollback.go
@@ -1,7 +1,7 @@
 // Package rollback restores values that are missing after a rollback of the
 // state service, that is, after it has lost writes that it had acknowledged.
 //
-// By its protocol the state service never does so. If it happens all the same, because the service
+// By its protocol the state service never loses them. If it does all the same, because the service
 // was restored from an older backup or has lost writes, a controller detects it by a revision below
 // one that it has seen, or by a transaction of its own that got no higher revision (package
 // watchcache). The controller then lists all keys again, keeps the values that it knows to be newer,
@@ -102,8 +102,8 @@
 	r.host.RestoreShards()
 }
 
-// Rewrite stores a lost value, unless somebody else changes the key first. A value that a
-// controller with less knowledge has written over the key is compared again at the next listing.
+// Rewrite stores a lost value, unless somebody else changes the key first. That change then stays, even
+// if its author knew less; every other controller that recovers compares it again with what it knows.
 func (r *Recovery) Rewrite(e store.Event) {
 	r.host.Store(&store.Write{
 		Guards:  []store.Guard{{Key: e.Key, Version: e.Stamp}},
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -8,7 +8,7 @@
 //     from fair share. It runs a few times per second, not on every heartbeat.
 //   - filter (fill.go) selects, for a machine with free capacity, the first ranked jobs
 //     whose tasks fit, except for tasks that preferred machines can take (headroom.go).
-//   - score (package binpack) combines the paper's alignment score with the
+//   - score (package binpack) combines the Tetris paper's alignment score with the
 //     remaining work of the job, among the jobs that pass the fair-share filter.
 //   - place (fill.go) starts the tasks that binpack chooses, unless
 //     the team's limit or the job's zone constraints forbid it.
