--- a/internal/backup/audit.go
+++ b/internal/backup/audit.go
@@ -19,7 +19,7 @@
 
 // AuditResult is the result of an audit.
 type AuditResult struct {
-	Keys         map[string]int       `json:"keys"` // by key group
+	Keys         map[string]int       `json:"keys"` // number of keys, by store.KeyGroup
 	ArchivedJobs int                  `json:"packed_jobs"`
 	Findings     []introspect.Finding `json:"findings"`
 }
@@ -111,8 +111,8 @@
 	return out
 }
 
-// AuditFile audits a backup. It reads the file twice so that archived jobs need not be held in memory at any size
-// of the backup. Only the last record of each key counts.
+// AuditFile audits a backup. It reads the file twice, so that archived jobs are never all in memory and the size of
+// the archive does not matter. Only the last record of each key counts.
 func AuditFile(open func() (io.ReadCloser, error)) (AuditResult, error) {
 	scan := func(f func(n int, e store.Event)) error {
 		r, err := open()
--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -206,7 +206,7 @@
 	return err
 }
 
-// finish deletes restoreKey, which marks the restore as complete.
+// finish deletes restoreKey, whose presence marks a restore as running.
 func (r *restorer) finish(ctx context.Context) error {
 	return r.options.retry(ctx, "writing", func() store.Outcome {
 		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}}) // without guards, so it cannot fail with a conflict
--- a/internal/backup/save.go
+++ b/internal/backup/save.go
@@ -247,7 +247,7 @@
 	Header
 	Footer Footer         `json:"foot"`
 	Bytes  int64          `json:"bytes"`
-	Lines  map[string]int `json:"lines"` // by folder
+	Lines  map[string]int `json:"lines"` // number of key records, by store.KeyGroup
 }
 
 // Verify reads a whole backup. It checks every checksum and every record, and that the backup is complete.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// check checks that required lists are not empty, and checks the fields that are integers.
+// check checks that required lists are not empty, and the ranges of integer fields.
 func (d *Deployment) check() error {
 	if len(d.Zones) == 0 {
 		return invalid("deployment.zones", "missing")
@@ -320,9 +320,9 @@
 func (s *Settings) LeaseTime() units.Microseconds { return units.Seconds(s.Deployment.Workers.LeaseS) }
 
 // LimitOpenFiles lowers the file descriptor quota to the number of files that the process may have open, and
-// returns a *FieldError if it had to. Beyond the process's limit the operating system would refuse
-// every socket, also those to the state service. A controller with a lower quota instead redirects
-// machines and users to other controllers in time.
+// returns a *FieldError if the quota was higher. Beyond the process's limit the operating system would
+// refuse every socket, also those to the state service. A controller that stays below its quota instead
+// redirects machines and users to other controllers.
 func (s *Settings) LimitOpenFiles(files uint64) error {
 	quota := &s.Deployment.Quota
 	if uint64(quota.FDLimit) <= files {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -79,7 +79,7 @@
 type ControllerStatus struct {
 	Node         string `json:"controller"`
 	Version      uint64 `json:"version"`
-	KnownVersion uint64 `json:"known"` // latest version that it knows of; while it is later than Version no tasks are started
+	KnownVersion uint64 `json:"known"` // latest version that it knows of; while that is later than Version the controller starts no tasks
 	Unresponsive bool   `json:"silent,omitempty"`
 	Confirmed    bool   `json:"done"` // no longer starts tasks under a version before the requested one
 }
@@ -93,7 +93,7 @@
 	Controllers []ControllerStatus `json:"controllers"`
 }
 
-// Unconfirmed returns the names of the controllers that have not confirmed the version.
+// Unconfirmed returns the names of the controllers for which the version is not confirmed yet.
 func (s Status) Unconfirmed() []string {
 	var out []string
 	for _, c := range s.Controllers {
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,8 +1,9 @@
 // Package admission serves users' requests: submissions, queries and cancellations of jobs. A
 // request passes through steps, each of which may wait for an asynchronous answer:
 //
-//   - a submission looks up the job and its dependencies in the archive (resolve), is answered, accepted
-//     or refused (answerOrAdmit, validate), is encoded as a record (accept), stored (store) and answered;
+//   - for a submission, the job and its dependencies are looked up in the archive (resolve); then it is
+//     answered or refused, or its job is accepted (answerOrAdmit, validate), encoded as a record (accept)
+//     and stored (store) before the answer;
 //   - a query is answered from memory if the known state is final or at least as new as the query;
 //   - a cancellation is stored and then answered.
 //
--- a/internal/core/admission/submit.go
+++ b/internal/core/admission/submit.go
@@ -212,7 +212,7 @@
 	h.store(sub)
 }
 
-// notReadyRefusal returns why no job can be accepted at present, or nil if jobs can be.
+// notReadyRefusal returns why no job can be accepted at present, or nil if jobs can be accepted.
 func (h *Handler) notReadyRefusal() *Refusal {
 	if h.AnyMemoryFull() {
 		return &Refusal{Reason: Unavailable, Text: "a controller's memory is nearly full", RetryAfter: LongRetryAfter}
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -244,9 +244,9 @@
 	}
 }
 
-// CheckPlacement checks that every job belongs to exactly one bucket: the bucket that n was split off must
-// exist and have a depth at which n is separate. depths holds the depths of all buckets. It returns the key
-// of bucket n, and why its place is invalid or "".
+// CheckPlacement checks the place of bucket n: every job must belong to exactly one bucket, so the bucket that n
+// was split off must exist and be deep enough to exclude the jobs of n. depths holds the depths of all buckets.
+// It returns the key of bucket n, and why its place is invalid or "".
 func CheckPlacement(n uint32, depths map[uint32]int) (key, why string) {
 	if n == 0 {
 		return Key(n), ""
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -47,9 +47,9 @@
 	cachedSummaries   = 1 << 13
 	maxFilterBytes    = 8 << 20
 	maxTrackedBuckets = 1 << 18 // buckets whose depths are recorded
-	// urgentWaitSeconds and backgroundWaitSeconds limit the queues of reads, for submissions and for all
-	// other lookups, to the reads of so many seconds. So no read waits longer than its requester. Further
-	// lookups are refused immediately. A queue may always hold minQueueLimit reads.
+	// urgentWaitSeconds and backgroundWaitSeconds limit the queued reads, for submissions and for all other
+	// lookups, to as many as can be sent in that time, so that no read waits longer than its requester.
+	// Further lookups are refused immediately. minQueueLimit reads may always be queued.
 	urgentWaitSeconds, backgroundWaitSeconds = 3, 1.2
 	minQueueLimit                            = 4
 	maxWaitersPerRead                        = 1024 // lookups that wait for the same read
--- a/internal/core/archive/manager.go
+++ b/internal/core/archive/manager.go
@@ -56,7 +56,7 @@
 	// Queue returns the queue for background writes, which only the manager uses.
 	Queue() *store.WriteQueue
 	// QueuesIdle reports whether no other writes are queued and the state service has not rate-limited
-	// a request during the last calm.
+	// a request for at least the duration calm.
 	QueuesIdle(calm units.Microseconds) bool
 	// Rewrite stores a value again that the state service has lost.
 	Rewrite(e store.Event)
--- a/internal/core/archived.go
+++ b/internal/core/archived.go
@@ -42,8 +42,8 @@
 	return keys.TypePrefix + name
 }
 
-// incompatible reports whether another controller runs a release that cannot find archived jobs, while there
-// are some, or that ignores the stored configuration, while there is one.
+// incompatible reports whether another controller runs a release that is too old: one that cannot find archived
+// jobs although archiving is enabled, or that ignores the configuration although one is stored.
 func (c *Core) incompatible(node string) bool {
 	return node != c.cfg.Node && (c.archive.Index().Enabled() && c.peers.Release(node) < peering.ReleaseArchive || c.config.HasStoredVersion() && c.peers.Release(node) < peering.ReleaseConfig)
 }
--- a/internal/core/authority/authority.go
+++ b/internal/core/authority/authority.go
@@ -52,9 +52,9 @@
 	PreviousToken uint64 `json:"after,omitempty"`
 }
 
-// DecodeAssignment decodes the stored assignment of a shard. Releases before 0.2 stored the controller under
-// another name and had no memberships: such an assignment gets a member id that no controller has. The error
-// is that of decoding the JSON.
+// DecodeAssignment decodes the stored assignment of a shard. Releases before 0.2 stored the controller's name in
+// the field controller and had no memberships: such an assignment has the member id 0, which no controller has.
+// The error is that of decoding the JSON.
 func DecodeAssignment(b []byte) (Assignment, error) {
 	var v struct {
 		Assignment
--- a/internal/core/binpack/binpack.go
+++ b/internal/core/binpack/binpack.go
@@ -170,7 +170,7 @@
 }
 
 // firstGroup returns the leading jobs of an order that are scored against each other:
-// those of the first job's tier that are deferred like it, or not deferred like it.
+// those with the Tier and Deferred of the first job.
 func (p *packer) firstGroup(order []int) []int {
 	first := &p.jobs[order[0]]
 	n := 1
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// knownSince returns the time at which this controller first had a version or a later one in force.
+// knownSince returns the time since when this controller has certainly known of a version: when it first had
+// that or a later one in force.
 func (c *confirmation) knownSince(version uint64) (units.Microseconds, bool) {
 	for _, a := range c.adoptions {
 		if a.version >= version {
@@ -58,7 +59,7 @@
 type ControllerStatus struct {
 	Node         string
 	Version      uint64
-	KnownVersion uint64 // the latest that it knows of; while it is later than Version no tasks are started
+	KnownVersion uint64 // the latest that it knows of; while that is later than Version the controller starts no tasks
 	Unresponsive bool   // no current status from it has arrived
 	// Confirmed says that it no longer starts tasks under an older version than the requested one. For an
 	// unresponsive controller this holds once IsolatedStartLimit has passed: by then it either knows
@@ -120,8 +121,8 @@
 
 // limitReductions tracks teams whose limit was reduced and holds back their tasks. Limits are divided among
 // shards by allocations. After a reduction, a shard's running tasks may use more than its new allocation.
-// Until they no longer do, other shards must not start tasks of that team: the team would start tasks
-// while it is above its limit.
+// As long as they do, other shards must not start tasks of that team. Otherwise the team would start
+// tasks while it is above its limit.
 type limitReductions struct {
 	reducedIn map[string]uint64  // by team: the version that last reduced its limit
 	shards    map[int]shardUsage // as last reported by the owners
@@ -138,7 +139,7 @@
 	return limitReductions{reducedIn: map[string]uint64{}, shards: map[int]shardUsage{}}
 }
 
-// record records that a version may have reduced the limits of teams.
+// record notes the version that may have reduced the limits of teams.
 func (r *limitReductions) record(version uint64, teams []string) {
 	for _, t := range teams {
 		r.reducedIn[t] = version
@@ -183,8 +184,8 @@
 	return true
 }
 
-// withinAllocation reports whether a shard is known to be within its allocation of a team's limit, as that
-// limit is since a version.
+// withinAllocation reports whether a shard is known to be within its allocation of a team's limit. The limit is
+// the one that the given version set.
 func (r *limitReductions) withinAllocation(shard int, team string, version uint64) bool {
 	usage, ok := r.shards[shard]
 	return ok && usage.version >= version && !usage.overAllocation[team]
