--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -32,7 +32,7 @@
 }
 
 // termMargin is added to the term of a backup, together with one term per second of its age. Terms never increase
-// faster, because the loss of a leader is detected only after its lease has expired.
+// faster than one per second, because the loss of a leader is detected only after its lease has expired.
 const termMargin = 1000
 
 // RestoreResult describes a completed restore.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -66,7 +66,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective of a class of jobs.
+// Objective is a service-level objective that users of a class of jobs were promised.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -126,7 +126,7 @@
 	DemandWindowS      float64 `json:"demand_memory_s"` // time over which demand is averaged
 	WorkPerSlotS       float64 `json:"worth_s"`         // work that must be waiting per slot of a machine before one is provisioned
 	MachinesPerShard   float64 `json:"block_machines"`  // machines per shard; 0: derived from the CPU quota and the sockets
-	SequentialFraction float64 `json:"round_share"`     // share of a job's time in which scaling out expects its tasks to run one after another
+	SequentialFraction float64 `json:"round_share"`     // share of a job's time that scaling out plans to use for running its tasks one after another
 	KeepFinished       float64 `json:"keep_done"`       // finished jobs that are kept in memory before the oldest are archived; 0: all
 	ArchiveSettleS     float64 `json:"pack_settle_s"`   // how long all controllers must have run a release that reads archived jobs
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -79,7 +79,7 @@
 type ControllerStatus struct {
 	Node         string `json:"controller"`
 	Version      uint64 `json:"version"`
-	KnownVersion uint64 `json:"known"` // latest version that it knows of; while that is later than Version the controller starts no tasks
+	KnownVersion uint64 `json:"known"` // latest version that it knows of; it starts no tasks while that is later than Version
 	Unresponsive bool   `json:"silent,omitempty"`
 	Confirmed    bool   `json:"done"` // no longer starts tasks under a version before the requested one
 }
--- a/internal/core/chunks/chunks.go
+++ b/internal/core/chunks/chunks.go
@@ -1,4 +1,4 @@
-// Package chunks keeps job descriptions that are stored in chunks because one value of the state service is
+// Package chunks keeps job specs that are stored in chunks because one value of the state service is
 // too small for them. It holds the texts until the job's record has been applied with them, records that
 // arrived before all of their chunks, and orphaned chunks, which have no record. The package does no I/O.
 package chunks
@@ -15,7 +15,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Key returns the key of one chunk of a job's description.
+// Key returns the key of one chunk of a job's spec.
 func Key(id, checksum string, number int) string {
 	return fmt.Sprintf("%s%s/%s/%d", keys.ChunkPrefix, id, checksum, number)
 }
@@ -26,8 +26,8 @@
 	return id
 }
 
-// FirstKey returns the key of the first chunk of the description to which a key belongs.
-// The record that names a description guards the version of its first chunk. So whoever
+// FirstKey returns the key of the first chunk of the spec to which a key belongs.
+// The record that names a spec guards the version of its first chunk. So whoever
 // deletes the first chunk first may delete the others as long as the first is absent.
 func FirstKey(key string) string { return key[:strings.LastIndexByte(key, '/')+1] + "0" }
 
@@ -91,13 +91,13 @@
 }
 
 // Keys returns the keys of a job's chunks in order, so that
-// the first chunk of each description precedes its others.
+// the first chunk of each spec precedes its others.
 func (s *Store) Keys(id string) []string { return slices.Sorted(maps.Keys(s.texts[id])) }
 
 // HasChunks reports whether any chunk of a job is stored.
 func (s *Store) HasChunks(id string) bool { return len(s.texts[id]) > 0 }
 
-// Join adds the description to a record and returns true if all of its chunks are there. Otherwise it keeps
+// Join adds the spec to a record and returns true if all of its chunks are there. Otherwise it keeps
 // the record until they are. An error means that the chunks cannot be joined; the record is kept then too.
 func (s *Store) Join(id string, record *jobs.Record, event store.Event) (bool, error) {
 	delete(s.orphans, id)
--- a/internal/core/configuration/confirm.go
+++ b/internal/core/configuration/confirm.go
@@ -59,7 +59,7 @@
 type ControllerStatus struct {
 	Node         string
 	Version      uint64
-	KnownVersion uint64 // the latest that it knows of; while that is later than Version the controller starts no tasks
+	KnownVersion uint64 // the latest that it knows of; it starts no tasks while that is later than Version
 	Unresponsive bool   // no current status from it has arrived
 	// Confirmed says that it no longer starts tasks under an older version than the requested one. For an
 	// unresponsive controller this holds once IsolatedStartLimit has passed: by then it either knows
