--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -160,7 +160,7 @@
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(r.Code)
-	_, _ = w.Write(encoded) // fails only if the client has disconnected
+	_, _ = w.Write(encoded) // fails if the client has disconnected
 }
 
 // connKind returns the kind of client that sends a request, by its path.
--- a/internal/api/internal.go
+++ b/internal/api/internal.go
@@ -109,7 +109,7 @@
 		writeJSON(w, r.Code, config.NewHistory(b))
 	case core.ConfigRefused:
 		writeJSON(w, r.Code, refusal(b.Err))
-	case core.Problem: // the controller did not respond in time; the change may still be stored
+	case core.Problem: // no response in time: a change may have been stored, or may still be
 		writeJSON(w, r.Code, config.Refusal{Error: b.Text, Unknown: true})
 	default:
 		writeJSON(w, r.Code, struct{}{})
@@ -141,5 +141,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_, _ = w.Write(append(encoded, '\n')) // fails only if the client has disconnected
+	_, _ = w.Write(append(encoded, '\n')) // fails if the client has disconnected
 }
--- a/internal/core/archive/bucket.go
+++ b/internal/core/archive/bucket.go
@@ -19,7 +19,7 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Prefix is the key prefix of all buckets. Controllers neither list nor watch it.
+// Prefix is the key prefix of all buckets. It is outside the prefix that the watch cache lists and watches.
 const Prefix = keys.ArchivePrefix
 
 // MaxDepth is the maximum depth of a bucket: 2^28 buckets hold more summaries than the state service can
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -1,6 +1,6 @@
 // Package archive archives finished jobs: it moves their summaries from the controllers' memory into buckets
-// in the state service. A hash of the job's id selects the bucket. Buckets are read when a job is looked up;
-// they are neither listed nor watched. The package decides what to read, what the absence of an id proves,
+// in the state service. A hash of the job's id selects the bucket. Buckets are read when a job is looked up,
+// and by a scan that fills a filter of the archived ids. The watch cache does not hold them. The package decides what to read, what the absence of an id proves,
 // and which jobs to archive. It does no input or output itself.
 //
 // A job is archived by one transaction that writes its bucket and deletes its record. So a reader that has
