--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -1,7 +1,8 @@
 // Package archive archives finished jobs: it moves their summaries from the controllers' memory into buckets
 // in the state service. A hash of the job's id selects the bucket. Buckets are read when a job is looked up,
-// and by a scan that fills a filter of the archived ids. The watch cache does not hold them. The package decides what to read, what the absence of an id proves,
-// and which jobs to archive. It does no input or output itself.
+// and by a scan that fills a filter of the archived ids; the watch cache does not hold them. The package
+// decides what to read, what the absence of an id proves, and which jobs to archive. It does no input or
+// output itself.
 //
 // A job is archived by one transaction that writes its bucket and deletes its record. So a reader that has
 // seen that the record does not exist, and then finds no summary in the bucket, knows that the job had not
