--- a/internal/core/shardplan/allocate.go
+++ b/internal/core/shardplan/allocate.go
@@ -15,8 +15,8 @@
 	minTargetChange = 0.04
 	// roundingTolerance is by how much the fractions of a limit may exceed the whole of it when added up.
 	roundingTolerance = 1e-6
-	// minShareDivisor limits how small a target gets: a shard in use is weighted with at least an even part
-	// of the capacity divided by it, so that a small shard can grow.
+	// minShareDivisor limits how small a target gets, so that a small shard can grow: the capacity of a shard
+	// in use counts as at least the average capacity divided by minShareDivisor.
 	minShareDivisor = 4
 )
 
@@ -28,7 +28,7 @@
 }
 
 // ObserveQuotaUse records a controller's report of the quota use of a shard under a version of its
-// allocation. Only reports of the shard's owner count, and only while this controller leads.
+// allocation. It ignores reports of controllers other than the shard's owner. Only the leader calls it.
 func (p *Planner) ObserveQuotaUse(from string, shard int, version uint64, used float64) {
 	if owner := p.records.Assignment(shard); owner.Version != 0 && owner.Node == from && used >= 0 {
 		p.recordQuotaUse(shard, version, used)
--- a/internal/core/shardplan/load.go
+++ b/internal/core/shardplan/load.go
@@ -9,10 +9,10 @@
 // loadInterval is how long measured loads are reused before they are measured again.
 const loadInterval = units.Second / 4
 
-// load is the unfinished work of a shard and the capacity that it has for that.
+// load is the unfinished work of a shard and the capacity of its machines.
 type load struct {
 	work     float64 // in thousandths of a CPU times seconds
-	capacity float64 // of its machines, in thousandths of a CPU
+	capacity float64 // in thousandths of a CPU
 	machines int
 }
 
--- a/internal/core/shardplan/migrate.go
+++ b/internal/core/shardplan/migrate.go
@@ -10,8 +10,8 @@
 const (
 	// migrationsPerRound limits how many jobs migrate from a shard in one round.
 	migrationsPerRound = 8
-	// imbalanceFactor is how many times as much work relative to its capacity a shard must have than another
-	// before jobs migrate.
+	// imbalanceFactor is the ratio between the relative loads of two shards (see loads.relative) from which
+	// jobs migrate.
 	imbalanceFactor = 1.3
 )
 
@@ -71,8 +71,8 @@
 	key := keys.Job(job.ID)
 	record := job.Record
 	record.Shard = target
-	// Once the job's record names another shard, the owner of that shard schedules the job from the
-	// beginning.
+	// If the job's record names another shard, the migration is stored, and the owner of that shard schedules
+	// the job from the beginning.
 	pending := func() bool { return owned.Owned() && job.Active() && job.Record.Shard == owned.Number() }
 	p.host.Store(&store.Write{
 		Guards:  []store.Guard{{Key: key, Version: job.Version}, owned.Guard()},
--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -29,7 +29,7 @@
 
 // Host is the controller that plans. The planner calls it from Tick, Migrate and NewJobShard, and from the
 // Done of a migration's write. The host calls none of these back; ReadFresh calls its function only later.
-// The map of MachineGroups belongs to the host and is read only.
+// The map of MachineGroups belongs to the host; the planner only reads it.
 type Host interface {
 	// CacheAge returns how long ago the state service last answered; complete is false while the watch cache
 	// is being reloaded.
@@ -167,9 +167,9 @@
 	return 1
 }
 
-// shouldShard reports whether there are more machines than one controller can serve. Machines are provisioned
-// as work demands them. If a task needs more of a team's limit than one shard's fraction, the limits are not
-// divided.
+// shouldShard reports whether there are more machines than one controller can serve; their number follows the
+// amount of work. Once there are several shards, they stay in use until one shard has been enough for
+// unshardDelay. If a task needs more of a team's limit than one shard's fraction, the limits are not divided.
 func (p *Planner) shouldShard(now units.Microseconds) bool {
 	if p.cfg.Size == 1 {
 		return false
