--- a/internal/core/zones/zones.go
+++ b/internal/core/zones/zones.go
@@ -75,8 +75,8 @@
 	// have had time for a heartbeat: machines that were scaled out together, or that were cut off
 	// together by a network partition, send their heartbeats all at once and nothing in between.
 	suspectAfterControllersSilent = 2 * units.Second
-	// responsiveShare is the share of the other zones' machines that must be responsive. If none is, the
-	// fault is more likely that no machine can reach this controller.
+	// responsiveShare is the share of the other zones' machines that must be responsive for the silence of a
+	// zone to count. If none is, the cause is rather that no machine can reach this controller.
 	responsiveShare = 0.5
 	// minTrustDelay is the time for which a lost zone must be responsive before it is trusted again. Each
 	// further loss within lossCountResetAfter doubles it, up to maxTrustDelay.
@@ -97,7 +97,7 @@
 	state             State
 	since             units.Microseconds // time at which the state began
 	lastHeartbeatAt   units.Microseconds // time awake at the last heartbeat of one of the zone's machines
-	unreachableSince  units.Microseconds // start of the present silence; a lost zone is lost since then
+	unreachableSince  units.Microseconds // start of the present silence; a lost zone has been lost since then
 	timesLost         int
 	lostAt            units.Microseconds // time at which the zone was last lost
 	recoveredAt       units.Microseconds // time at which it last became responsive again; 0 if it was never unresponsive
@@ -259,8 +259,8 @@
 	return n
 }
 
-// otherControllersAlive reports whether a controller of another zone is alive. It also reports true if
-// the other zones have no controllers besides this one, whose own reachability the caller must assess.
+// otherControllersAlive reports whether a controller of another zone is alive. It also reports true if there
+// is none other than this controller, whose own reachability the caller must assess.
 func (v *View) otherControllersAlive(name string) bool {
 	all, alive := 0, 0
 	for other, z := range v.zones {
@@ -430,7 +430,7 @@
 	return -1
 }
 
-// StateAge returns the time for which a zone has been in its state, or units.Never for a zone that is not
+// StateAge returns the time for which a zone has been in its state, or units.MaxTime for a zone that is not
 // configured.
 func (v *View) StateAge(name string) units.Microseconds {
 	if z := v.zones[name]; z != nil {
@@ -439,7 +439,7 @@
 	return units.MaxTime
 }
 
-// SinceRecovery returns the time since a zone last became responsive again, or units.Never if it was
+// SinceRecovery returns the time since a zone last became responsive again, or units.MaxTime if it was
 // never unresponsive.
 func (v *View) SinceRecovery(name string) units.Microseconds {
 	if z := v.zones[name]; z != nil && z.recoveredAt > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,7 @@
 
 const (
 	tickInterval = time.Duration(core.TickInterval) * time.Microsecond
-	// Requests are answered before the client's own timeout: workers wait 4 s, users 5 s, or 2 s for a query.
+	// Requests are answered within the client's own timeout: workers wait 4 s, users 5 s, or 2 s for a query.
 	requestTimeout = 4 * time.Second
 	queryTimeout   = 1900 * time.Millisecond
 	// leaveDelay is the time before the process exits in which it revokes its lease and sends the responses that
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -9,8 +9,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// This file implements the other side of the interfaces: what users and workers send and receive, for clients
-// and for the emulator.
+// This file implements the other side of the interfaces, for clients and for the emulator: what users, workers
+// and the external services send and receive.
 
 // nameOf returns the key of a value in a map whose values are unique, or the zero key if there is none.
 func nameOf[K, V comparable](m map[K]V, v V) K {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -9,7 +9,8 @@
 	"shalestage.example/shalestage/internal/core/units"
 )
 
-// Guard is a precondition of a transaction: the key has this version. Version 0 means that the key does not exist.
+// Guard is a precondition of a transaction: the key has this version. Version 0 means that the key does not
+// exist.
 type Guard struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
@@ -114,7 +115,8 @@
 	}, nil
 }
 
-// ScaleOutRequest is the body of a request that rents machines. A repeated Request is idempotent.
+// ScaleOutRequest is the body of a request that rents machines. A request that is repeated with the same value
+// of Request rents no further machines.
 type ScaleOutRequest struct {
 	Request string `json:"booking"`
 	Type    string `json:"rig"`
