--- a/internal/core/transfer/snapshot.go
+++ b/internal/core/transfer/snapshot.go
@@ -42,8 +42,8 @@
 	TaskFinished(job *jobs.Job, task int)
 }
 
-// Restore applies the snapshot to the shard's next owner
-// and returns the number of machines that were restored.
+// Restore passes the contents of the snapshot to the shard's next owner. It returns the number of machines
+// that were restored.
 func (s *Snapshot) Restore(host Host) int {
 	restored := 0
 	machines := host.Machines()
--- a/internal/core/transfer/transfer.go
+++ b/internal/core/transfer/transfer.go
@@ -137,7 +137,7 @@
 	node      string
 	snapshots map[int]*Snapshot          // sent by owners on release, by shard
 	records   map[int]replication.Record // stored record of the standby of each shard's owner
-	standby   *replication.Standby       // streams of the owners for which this node is the standby
+	standby   *replication.Standby       // streams of the owners for which this controller is the standby
 }
 
 // NewReceiver returns the empty Receiver of a controller.
@@ -176,7 +176,7 @@
 func (r *Receiver) ApplyStandby(shard int, record replication.Record) { r.records[shard] = record }
 
 // StandbyOf returns the stored standby of the owner that holds a shard under a fencing token, or
-// "" if none is stored. The stream of an owner with another standby, or none, is of no more use.
+// "" if none is stored. The stream of an owner with another standby, or none, is not used any more.
 func (r *Receiver) StandbyOf(shard int, fencingToken uint64) string {
 	if record := r.records[shard]; record.Token == fencingToken {
 		return record.Node
@@ -191,8 +191,8 @@
 // the state service, the stored standby records may be out of date.
 func (r *Receiver) StateRolledBack() { r.standby = replication.NewStandby() }
 
-// TakeSnapshot removes and returns the snapshot of a shard that was assigned to
-// this node. The snapshot is empty if none may be used under the assignment.
+// TakeSnapshot removes and returns the snapshot of a shard that was assigned to this controller. The snapshot
+// is empty if none may be used under the assignment.
 func (r *Receiver) TakeSnapshot(shard int, assignment authority.Assignment) *Snapshot {
 	sent := r.snapshots[shard]
 	delete(r.snapshots, shard)
@@ -205,8 +205,8 @@
 	return sent
 }
 
-// takeReplicatedSnapshot returns the snapshot of a shard whose last owner had
-// this node as its standby until the end of the previous assignment, or nil.
+// takeReplicatedSnapshot returns the snapshot of a shard whose last owner had this controller as its standby
+// until the end of the previous assignment, or nil.
 func (r *Receiver) takeReplicatedSnapshot(shard int, assignment authority.Assignment) *Snapshot {
 	defer r.standby.DropStream(shard)
 	record := r.records[shard]
--- a/internal/core/watchcache.go
+++ b/internal/core/watchcache.go
@@ -31,8 +31,8 @@
 // EventsMissed implements watchcache.Host.
 func (c cacheHost) EventsMissed() { c.archive.EventsMissed() }
 
-// RateLimited implements watchcache.Host. The state service has refused a request as over its limit, so from now
-// on the lower rates apply that are configured for later.
+// RateLimited implements watchcache.Host. The state service has refused a request as over its limit, so it is
+// assumed to have lowered its limits, and the lower rate configured for that case applies from now on.
 func (c cacheHost) RateLimited() {
 	if next := c.cfg.NextWriteRate; 0 < next && next < c.cfg.WriteRate {
 		c.log.Info("state service has lowered its write limit; reducing the write rate", "a_second", next)
@@ -51,8 +51,9 @@
 // done, if not nil, with whether the read succeeded.
 func (c *Core) readFresh(done func(ok bool)) { c.cache.ReadFresh(done) }
 
-// noteOutcome records whether the state service serves this node, and at what rate. It returns the outcome for
-// callers that need not know why a request was refused: store.RateLimited becomes store.Refused.
+// noteOutcome records whether the state service responds to this controller, and at what rate. It returns
+// the outcome for callers that need not know why a request was refused: store.RateLimited becomes
+// store.Refused.
 func (c *Core) noteOutcome(o store.Outcome) store.Outcome { return c.cache.NoteOutcome(c.now, o) }
 
 // OnList handles one page of a listing, read at revision rev. more reports whether further pages follow.
--- a/internal/core/watchcache/watchcache.go
+++ b/internal/core/watchcache/watchcache.go
@@ -1,7 +1,7 @@
 // Package watchcache keeps a controller's watch cache of the state service's keys. A paginated listing fills
-// the cache and a watch keeps it up to date. A request that must not see stale data waits for a fresh read,
-// which is a watch request without waiting that is sent after the request arrived. Requests that arrive
-// together share one read. If the service is rolled back, that is, has lost revisions that it had already
+// the cache and a watch keeps it up to date. A client request that must not see stale data waits for a fresh
+// read: a watch that is answered immediately, sent after the request arrived. Requests that arrive together
+// share one read. If the service is rolled back, that is, has lost revisions that it had already
 // returned, the cache detects it and lists all keys again.
 //
 // The package does no input or output: responses and the time are passed in by method calls, and requests are
@@ -72,8 +72,8 @@
 	// number grows with the worker machines in use. A request beyond the limit fails immediately, and its
 	// user is redirected to another controller or gets a retry time.
 	maxWaiters = 4096
-	// PollInterval is the time without a response of the service after which the cache sends a fresh read. So
-	// every controller knows whether the service responds to it, and can tell its peers.
+	// PollInterval is the time without a response of the service after which the cache sends a fresh read. This
+	// way every controller knows whether the service responds to it, and can tell its peers.
 	PollInterval = 400 * units.Second / 1000
 	// retryDelay is the pause after a listing or a watch has failed, readRetryDelay the pause after a read
 	// has failed.
