--- a/internal/core/shardplan/assign.go
+++ b/internal/core/shardplan/assign.go
@@ -69,7 +69,7 @@
 	if last.Version != 0 {
 		next.PreviousToken = last.Token()
 		if last.Node == "" && last.ReleasedBy != "" {
-			next.TransferredFrom = next.PreviousToken // nobody has owned it since
+			next.TransferredFrom = next.PreviousToken // no other controller has owned it since
 		}
 	}
 	t.guard(keys.Assignment(shard), last.Version)
