--- a/internal/backup/restore.go
+++ b/internal/backup/restore.go
@@ -32,7 +32,7 @@
 }
 
 // termMargin is added to the term of a backup, together with one term per second of its age. Terms never increase
-// faster, because the loss of a leader is detected only after its lease has expired.
+// faster than one per second, because the loss of a leader is detected only after its lease has expired.
 const termMargin = 1000
 
 // RestoreResult describes a completed restore.
@@ -206,7 +206,7 @@
 	return err
 }
 
-// finish deletes restoreKey, which marks the restore as complete.
+// finish deletes restoreKey, whose presence marks a restore as running.
 func (r *restorer) finish(ctx context.Context) error {
 	return r.options.retry(ctx, "writing", func() store.Outcome {
 		outcome, _, _ := r.service.Commit(ctx, &store.Txn{Changes: []store.Change{{Key: restoreKey}}}) // without guards, so it cannot fail with a conflict
--- a/internal/core/archive/index.go
+++ b/internal/core/archive/index.go
@@ -1,7 +1,8 @@
 // Package archive archives finished jobs: it moves their summaries from the controllers' memory into buckets
-// in the state service. A hash of the job's id selects the bucket. Buckets are read when a job is looked up;
-// they are neither listed nor watched. The package decides what to read, what the absence of an id proves,
-// and which jobs to archive. It does no input or output itself.
+// in the state service. A hash of the job's id selects the bucket. Buckets are read when a job is looked up,
+// and by a scan that fills a filter of the archived ids; the watch cache does not hold them. The package
+// decides what to read, what the absence of an id proves, and which jobs to archive. It does no input or
+// output itself.
 //
 // A job is archived by one transaction that writes its bucket and deletes its record. So a reader that has
 // seen that the record does not exist, and then finds no summary in the bucket, knows that the job had not
@@ -47,9 +48,9 @@
 	cachedSummaries   = 1 << 13
 	maxFilterBytes    = 8 << 20
 	maxTrackedBuckets = 1 << 18 // buckets whose depths are recorded
-	// urgentWaitSeconds and backgroundWaitSeconds limit the queues of reads, for submissions and for all
-	// other lookups, to the reads of so many seconds. So no read waits longer than its requester. Further
-	// lookups are refused immediately. A queue may always hold minQueueLimit reads.
+	// urgentWaitSeconds and backgroundWaitSeconds limit the queued reads, for submissions and for all other
+	// lookups, to as many as can be sent in that time, so that no read waits longer than its requester.
+	// Further lookups are refused immediately. minQueueLimit reads may always be queued.
 	urgentWaitSeconds, backgroundWaitSeconds = 3, 1.2
 	minQueueLimit                            = 4
 	maxWaitersPerRead                        = 1024 // lookups that wait for the same read
--- a/internal/core/demand/objective.go
+++ b/internal/core/demand/objective.go
@@ -14,7 +14,7 @@
 	StartWithin      ObjectiveKind = "wait"      // the tasks start within a time
 	FinishWithin     ObjectiveKind = "finished"  // the job finishes within a time
 	KeepDeadline     ObjectiveKind = "deadline"  // the job finishes within a multiple of its own deadline
-	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; not used by this package
+	KeepNominalQuota ObjectiveKind = "guarantee" // teams get their nominal quota; no decision depends on it
 )
 
 // ObjectiveKinds returns all kinds.
@@ -28,15 +28,15 @@
 	Class  string
 	Within units.Microseconds
 	Times  float64 // multiple of the deadline, for KeepDeadline
-	Share  float64 // fraction of the jobs that should meet it; not used by this package
+	Share  float64 // fraction of the jobs that should meet it; no decision depends on it
 }
 
 // defaultTimeFactor is the time that a job without any objective is
 // given, and an upper bound of Slack, as a multiple of its run time.
 const defaultTimeFactor = 8
 
-// TimeRemaining returns the time left for a job, from the earliest deadline that depends on
-// it and the strictest objective of its class. It is negative once that time has passed.
+// TimeRemaining returns the time left for a job, by the earliest of its own deadline, the deadlines that its
+// dependents impose on it and the strictest objective of its class. It is negative once that time has passed.
 func (e *Estimator) TimeRemaining(wall units.Microseconds, job *jobs.Job) units.Microseconds {
 	spec := job.Spec()
 	runtime := e.Runtime(spec)
@@ -62,7 +62,7 @@
 // goes before work that can meet only a later one. Work that can meet none any more comes last.
 type Urgency int
 
-// NumUrgencies.
+// Urgencies, lowest first.
 const (
 	AllMissed       Urgency = iota
 	FirstMissed             // a later objective can still be met
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -9,61 +9,61 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// Told takes what users do and are told, for a checker.
-type Told func(e any)
+// UserObserver is called with the events of users, their requests and the replies to them, for a checker.
+type UserObserver func(e any)
 
-// Users drives a crowd against a load balancer.
+// Users runs emulated users, who send their requests to a load balancer.
 type Users struct {
-	ctx    context.Context
-	loop   *loop
-	crowd  *user.Crowd
-	client *client.Client
-	told   Told
+	ctx     context.Context
+	loop    *loop
+	crowd   *user.Users
+	client  *client.Client
+	observe UserObserver
 }
 
-// NewUsers returns users who talk to an address.
-func NewUsers(ctx context.Context, c *user.Crowd, addr string, told Told) *Users {
-	u := &Users{ctx: ctx, crowd: c, client: client.New(addr), told: told}
-	u.loop = newLoop(c, u.settle, func(error) {})
+// NewUsers returns users who send their requests to an address.
+func NewUsers(ctx context.Context, c *user.Users, addr string, observe UserObserver) *Users {
+	u := &Users{ctx: ctx, crowd: c, client: client.New(addr), observe: observe}
+	u.loop = newLoop(c, u.flush, func(error) {})
 	return u
 }
 
-// Run drives the users until the context ends.
+// Run drives the model until the context ends.
 func (u *Users) Run() { u.loop.run(u.ctx) }
 
-// Do runs a function on the model.
-func (u *Users) Do(f func(now units.Microseconds, c *user.Crowd)) bool {
+// Do runs f on the model and waits until its effects are processed. It returns false if the context ended first.
+func (u *Users) Do(f func(now units.Microseconds, c *user.Users)) bool {
 	return u.loop.do(u.ctx, func(now units.Microseconds) { f(now, u.crowd) })
 }
 
-func (u *Users) settle(now units.Microseconds) error {
+func (u *Users) flush(now units.Microseconds) error {
 	for _, e := range u.crowd.Drain() {
 		if call, ok := e.(user.Call); ok {
 			go u.call(call)
 		} else {
-			u.told(e)
+			u.observe(e)
 		}
 	}
 	return nil
 }
 
-func (u *Users) call(e user.Call) {
-	ctx, cancel := context.WithTimeout(u.ctx, time.Duration(e.Wait)*time.Microsecond)
+func (u *Users) call(request user.Call) {
+	ctx, cancel := context.WithTimeout(u.ctx, time.Duration(request.Timeout)*time.Microsecond)
 	defer cancel()
 	var r client.Reply
 	var err error
-	switch e.Kind {
+	switch request.Kind {
 	case user.Submit:
-		r, err = u.client.Submit(ctx, e.ID, e.Spec)
+		r, err = u.client.Submit(ctx, request.ID, request.Spec)
 	case user.Poll:
-		r, err = u.client.Poll(ctx, e.ID)
+		r, err = u.client.Poll(ctx, request.ID)
 	case user.Cancel:
-		r, err = u.client.Cancel(ctx, e.ID)
+		r, err = u.client.Cancel(ctx, request.ID)
 	}
 	if err != nil {
 		r = client.Reply{}
 	}
-	u.loop.tell(u.ctx, func(now units.Microseconds) {
-		u.crowd.Answer(now, e.Number, user.Answer{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
+	u.loop.enqueue(u.ctx, func(now units.Microseconds) {
+		u.crowd.HandleReply(now, request.Number, user.Reply{Code: r.Code, Status: r.Status, RetryAfter: r.RetryAfter})
 	})
 }
--- a/internal/emulator/sim/users_test.go
+++ b/internal/emulator/sim/users_test.go
@@ -15,38 +15,39 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// crowded plays a small deployment with short and long jobs and one fault.
-func crowded(seed uint64, f scenario.Fault, b Broken) *World {
+// runUserFault runs a small deployment with short and long jobs and one fault.
+func runUserFault(seed uint64, f scenario.Fault, b Mutation) *World {
 	sc := deployment(3, 0)
 	sc.Users.LateRetries = 0.3
 	sc.Faults = []scenario.Fault{f}
-	w := New(sc, Options{Seed: seed, Break: b})
+	w := New(sc, Options{Seed: seed, Mutation: b})
 	for i := range 24 {
 		length := 4 * second
 		if i%3 == 0 {
 			length = 150 * second
 		}
-		w.submit(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 1 + i%3, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true,
+		w.submitJob(units.Microseconds(1+i)*second, &jobs.Spec{Class: "x", Team: "blue", Priority: jobs.Normal, Tasks: 1 + i%3, Demand: binpack.Vec{1000, 0, 1000}, AnyType: true,
 			Spot: true, Image: "i", Estimate: length}, length, 0)
 	}
 	w.Run(240 * second)
 	return w
 }
 
-// broke reports whether a rule was broken in one of some seeds.
-func broke(rule string, seeds uint64, f scenario.Fault, b Broken) bool {
+// violates reports whether a rule is violated with at least one of the seeds.
+func violates(rule string, seeds uint64, f scenario.Fault, b Mutation) bool {
 	for seed := uint64(1); seed <= seeds; seed++ {
-		if slices.ContainsFunc(crowded(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
+		if slices.ContainsFunc(runUserFault(seed, f, b).Check.Violations(), func(x check.Violation) bool { return x.Rule == rule }) {
 			return true
 		}
 	}
 	return false
 }
 
-// answers returns a program that answers one kind of calls wrongly after so many.
-func answers(k user.Kind, after, code int, s jobs.Status) Broken {
+// answeringAfter returns a mutation that replies to requests of one kind without processing them, after the
+// first ones.
+func answeringAfter(k user.Kind, after, code int, s jobs.Status) Mutation {
 	n := 0
-	return Broken{Answer: func(e user.Call) *core.Reply {
+	return Mutation{UserReply: func(e user.Call) *core.Reply {
 		if e.Kind != k {
 			return nil
 		}
@@ -57,9 +58,10 @@
 	}}
 }
 
-// TestUserTroubles plays each of the users' troubles: it comes about, and breaks nothing.
-func TestUserTroubles(t *testing.T) {
-	for _, c := range []struct {
+// TestUserFaults guards against rule violations by each of the users' faults, and against faults that do not
+// occur.
+func TestUserFaults(t *testing.T) {
+	for _, testCase := range []struct {
 		f     scenario.Fault
 		event string
 		least int
@@ -70,60 +72,62 @@
 		{scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, scenario.CloseLook, 200},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			w := crowded(seed, c.f, Broken{})
+			w := runUserFault(seed, testCase.f, Mutation{})
 			for _, b := range w.Check.Violations() {
-				t.Errorf("%s, seed %d: %s", c.f.Kind, seed, b)
+				t.Errorf("%s, seed %d: %s", testCase.f.Kind, seed, b)
 			}
-			if got := w.EventCount(c.event); got < c.least {
-				t.Errorf("%s, seed %d: %s happened %d times, want %d", c.f.Kind, seed, c.event, got, c.least)
+			if got := w.EventCount(testCase.event); got < testCase.least {
+				t.Errorf("%s, seed %d: %s happened %d times, want %d", testCase.f.Kind, seed, testCase.event, got, testCase.least)
 			}
 		}
 	}
 }
 
-// TestOlderAnswersAreNoticed answers each kind of calls with something older than what users
-// were told, in close looks: the checker must notice.
-func TestOlderAnswersAreNoticed(t *testing.T) {
-	looks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
-	for name, c := range map[string]struct {
+// TestCheckerDetectsStaleAnswers guards against a checker that misses stale replies. While users query within
+// milliseconds of each change of a job, one kind of request gets replies that are older than what users were
+// told before: the checker must report that.
+func TestCheckerDetectsStaleAnswers(t *testing.T) {
+	closeLooks := scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}
+	for name, testCase := range map[string]struct {
 		rule string
-		b    Broken
+		b    Mutation
 	}{
-		"submission repeated, new":     {check.WentBack, answers(user.Submit, 0, http.StatusCreated, jobs.Pending)},
-		"submission repeated, older":   {check.WentBack, answers(user.Submit, 30, http.StatusOK, jobs.Pending)},
-		"submission repeated, refused": {check.Forgotten, answers(user.Submit, 30, http.StatusUnprocessableEntity, "")},
-		"cancellation, unknown":        {check.Forgotten, answers(user.Cancel, 0, http.StatusNotFound, "")},
-		"cancellation, older":          {check.WentBack, answers(user.Cancel, 0, http.StatusOK, jobs.Running)},
-		"question, unknown":            {check.Forgotten, answers(user.Poll, 30, http.StatusNotFound, "")},
-		"question, older":              {check.WentBack, answers(user.Poll, 100, http.StatusOK, jobs.Pending)},
-		"reads that bring nothing new": {check.Forgotten, Broken{Stale: true}},
+		"submission repeated, new":     {check.WentBack, answeringAfter(user.Submit, 0, http.StatusCreated, jobs.Pending)},
+		"submission repeated, older":   {check.WentBack, answeringAfter(user.Submit, 30, http.StatusOK, jobs.Pending)},
+		"submission repeated, refused": {check.Forgotten, answeringAfter(user.Submit, 30, http.StatusUnprocessableEntity, "")},
+		"cancellation, unknown":        {check.Forgotten, answeringAfter(user.Cancel, 0, http.StatusNotFound, "")},
+		"cancellation, older":          {check.WentBack, answeringAfter(user.Cancel, 0, http.StatusOK, jobs.Running)},
+		"question, unknown":            {check.Forgotten, answeringAfter(user.Poll, 30, http.StatusNotFound, "")},
+		"question, older":              {check.WentBack, answeringAfter(user.Poll, 100, http.StatusOK, jobs.Pending)},
+		"reads that bring nothing new": {check.Forgotten, Mutation{StaleReads: true}},
 	} {
-		if !broke(c.rule, 3, looks, c.b) {
-			t.Errorf("%s: three plays break no %s", name, c.rule)
+		if !violates(testCase.rule, 3, closeLooks, testCase.b) {
+			t.Errorf("%s: three runs do not violate %s", name, testCase.rule)
 		}
 	}
 }
 
-// TestCancelledOnHangingMachine has tasks of cancelled jobs on machines that hang, go on
-// within their leases and are told no stop: the checker must notice.
-func TestCancelledOnHangingMachine(t *testing.T) {
+// TestCheckerDetectsCancelledTaskOnHungMachine guards against a checker that misses running tasks of
+// cancelled jobs. Their machines hang, resume within their leases and get no stop commands: the checker must
+// report that.
+func TestCheckerDetectsCancelledTaskOnHungMachine(t *testing.T) {
 	hang := scenario.Fault{Kind: scenario.CancelNow, AtS: 40, Count: 8, HangS: 6}
-	noStops := Broken{Orders: func(_ string, o *core.HeartbeatResponse) {
+	withoutStops := Mutation{Commands: func(_ string, o *core.HeartbeatResponse) {
 		o.Commands = slices.DeleteFunc(slices.Clone(o.Commands), func(c fleet.Command) bool { return c.Op == fleet.Stop })
 	}}
-	if !broke(check.RanCancelled, 3, hang, noStops) {
-		t.Error("three plays with tasks that go on break nothing")
+	if !violates(check.RanCancelled, 3, hang, withoutStops) {
+		t.Error("three runs in which tasks of cancelled jobs continue violate nothing")
 	}
 }
 
-// TestStartsAfterCancelCounted has tasks start after their job's cancellation was told: they
-// are counted.
-func TestStartsAfterCancelCounted(t *testing.T) {
+// TestStartsAfterCancellationAreCounted guards against missing tasks that start after a user was told that
+// their job is cancelled.
+func TestStartsAfterCancellationAreCounted(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := crowded(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, says(user.Cancel, http.StatusOK, jobs.Cancelled))
+		w := runUserFault(seed, scenario.Fault{Kind: scenario.CloseLooks, AtS: 1, ForS: 60}, answering(user.Cancel, http.StatusOK, jobs.Cancelled))
 		if w.Check.StartsCancelled() > 0 && w.EventCount(scenario.StartCancelled) == w.Check.StartsCancelled() {
 			return
 		}
 	}
-	t.Error("three plays whose cancellations are not stored start nothing that is cancelled")
+	t.Error("in three runs with cancellations that are not stored, no start of a cancelled task was counted")
 }
--- a/internal/rehearse/real.go
+++ b/internal/rehearse/real.go
@@ -10,50 +10,50 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// servesWithin bounds how long a deployment may take until it serves.
-const servesWithin = 30 * time.Second
+// startTimeout bounds the time until a deployment serves requests.
+const startTimeout = 30 * time.Second
 
-// PlayReal plays a scenario with real processes over loopback, in real time.
-func PlayReal(file string, s *scenario.Scenario) (Verdict, error) {
-	began := time.Now()
-	v := Verdict{File: file, Name: s.Name, Seed: s.Seed, Real: true, Faults: s.Faults}
-	d, err := launch.Start(launch.Options{Scenario: file})
+// RunProcesses runs a scenario with real processes over loopback, in real time.
+func RunProcesses(file string, spec *scenario.Scenario) (Verdict, error) {
+	startTime := time.Now()
+	verdict := Verdict{File: file, Name: spec.Name, Seed: spec.Seed, Real: true, Faults: spec.Faults}
+	deployment, err := launch.Start(launch.Options{Scenario: file})
 	if err != nil {
-		return v, err
+		return verdict, err
 	}
-	defer d.Stop()
-	if err := d.WaitServing(servesWithin); err != nil {
-		return v, err
+	defer deployment.Stop()
+	if err := deployment.WaitServing(startTimeout); err != nil {
+		return verdict, err
 	}
-	jobs := d.Run()
-	last := 0.0 // nothing is over before the last fault
-	for _, f := range s.Faults {
-		last = max(last, f.AtS+f.ForS)
+	jobs := deployment.Run()
+	lastFaultEnd := 0.0 // the run does not end before the last fault
+	for _, f := range spec.Faults {
+		lastFaultEnd = max(lastFaultEnd, f.AtS+f.ForS)
 	}
-	played := time.Now()
-	for until := played.Add(time.Duration(s.DurationS * float64(time.Second))); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		if p := d.Progress(); p.Left == 0 && time.Since(played).Seconds() > last || len(p.Broken) > 0 {
+	runStart := time.Now()
+	for until := runStart.Add(time.Duration(spec.DurationS * float64(time.Second))); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
+		if p := deployment.Progress(); p.Left == 0 && time.Since(runStart).Seconds() > lastFaultEnd || len(p.Broken) > 0 {
 			break
 		}
 		select {
-		case err := <-d.Fatal:
-			return v, err
+		case err := <-deployment.Fatal:
+			return verdict, err
 		default:
 		}
 	}
-	broken, starts := d.Finish(s.Expect.AllOver)
-	v.Broken, v.Starts = Breaks(broken), starts
-	figures, err := d.Figures()
+	violations, starts := deployment.Finish(spec.Expect.AllOver)
+	verdict.Violations, verdict.Starts = violationsOf(violations), starts
+	figures, err := deployment.Figures()
 	if err != nil {
-		return v, fmt.Errorf("the cloud tells no figures: %w", err)
+		return verdict, fmt.Errorf("read figures of the cloud: %w", err)
 	}
-	v.Money = figures.Money
+	verdict.Cost = figures.Money
 	var longest units.Microseconds
-	v.Jobs = len(jobs)
-	v.Over, longest = user.Summary(jobs, units.Seconds(s.DurationS))
-	v.Wait = longest.Seconds()
-	v.Missed = s.Expect.Missed(longest, v.Money, user.Floor(jobs, s.UserOptions(), d.FirstBegan))
-	v.Kept = len(v.Broken) == 0 && len(v.Missed) == 0
-	v.Took = time.Since(began).Seconds()
-	return v, nil
+	verdict.Jobs = len(jobs)
+	verdict.FinishedJobs, longest = user.Summary(jobs, units.Seconds(spec.DurationS))
+	verdict.Wait = longest.Seconds()
+	verdict.Missed = spec.Expect.Missed(longest, verdict.Cost, user.ServiceLevels(jobs, spec.UserOptions(), deployment.FirstBegan))
+	verdict.Passed = len(verdict.Violations) == 0 && len(verdict.Missed) == 0
+	verdict.DurationS = time.Since(startTime).Seconds()
+	return verdict, nil
 }
