--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -155,7 +155,8 @@
 }
 
 // Finish checks the whole run: that at least one task was started if any job was to run, and, if
-// over is set (all work should be finished by now), that every accepted job has a final status.
+// over is set (all work should be finished by now), that every accepted job except services has a final
+// status.
 func (c *Checker) Finish(at units.Microseconds, over bool) {
 	c.Advance(at)
 	var unfinished []*jobRecord
--- a/internal/emulator/check/limits.go
+++ b/internal/emulator/check/limits.go
@@ -146,7 +146,7 @@
 }
 
 // checkTeamNotRemoved checks that the team of an accepted job, submitted at made, accepts new jobs in
-// at least one version that a controller may have applied since.
+// at least one version that a controller may have applied then or later.
 func (c *Checker) checkTeamNotRemoved(at, made units.Microseconds, job *jobRecord) {
 	removed := true
 	c.eachEffectiveVersion(made, func(v *configVersion) { removed = removed && v.removed[job.spec.Team] })
--- a/internal/emulator/cloudprovider/billing.go
+++ b/internal/emulator/cloudprovider/billing.go
@@ -19,8 +19,8 @@
 	return h.spotIntegral
 }
 
-// movePrices changes each spot price by one random step of up to 5%, within a third of its nominal
-// value.
+// movePrices changes each spot price by one random step of up to 5%, and keeps it within a third of its
+// nominal value.
 func (p *Provider) movePrices(at units.Microseconds) {
 	for _, t := range p.config.Types {
 		history := p.types[t.Name]
@@ -30,7 +30,7 @@
 	p.steps.Add(at+priceInterval, step{kind: stepPrices})
 }
 
-// charge returns the cost of a machine up to now, billed for least at the minimum.
+// charge returns the cost of a machine up to now. It bills the duration least if the machine is younger.
 func (p *Provider) charge(now units.Microseconds, m *Machine, least units.Microseconds) float64 {
 	if m.DiedAt != units.MaxTime {
 		return m.costAtDeath
--- a/internal/emulator/cloudprovider/machine.go
+++ b/internal/emulator/cloudprovider/machine.go
@@ -62,8 +62,9 @@
 	return created
 }
 
-// drawBootTime draws the boot time of a machine; false means that it never comes up. Of the others, 2%
-// boot several times slower than usual, and 2% within seconds.
+// drawBootTime draws the boot time of a machine; false means that it never comes up. Besides those that
+// never do, 2% of all machines boot several times slower than usual, and 2% within seconds. While
+// BootQuickly is in effect, every machine comes up within quickBoot.
 func (p *Provider) drawBootTime(now units.Microseconds, of MachineType) (units.Microseconds, bool) {
 	boot := float64(of.Boot) * (0.6 + 0.9*p.rng.Float64())
 	comesUp := true
@@ -133,8 +134,8 @@
 	p.effects = append(p.effects, MachineEnded{m})
 }
 
-// markDeleted releases a machine's capacity and adds its cost, billed for least at the minimum, to
-// spentOnDeleted.
+// markDeleted releases a machine's capacity and adds its cost to spentOnDeleted. A machine
+// younger than least is billed for least.
 func (p *Provider) markDeleted(now units.Microseconds, m *Machine, least units.Microseconds) {
 	m.DeletedAt = now
 	p.used[m.Pool]--
--- a/internal/emulator/host/state.go
+++ b/internal/emulator/host/state.go
@@ -106,8 +106,8 @@
 // Responses returns the number of responses.
 func (s *State) Responses() uint64 { return s.responses.Load() }
 
-// simulateLatency counts a response and sleeps for its latency, which varies from 60% to 140% of the configured
-// latency.
+// simulateLatency counts a response and sleeps for its latency: 60% to 140% of the configured and the extra
+// latency together.
 func (s *State) simulateLatency() {
 	s.responses.Add(1)
 	if d := s.latency + time.Duration(s.extraLatency.Load())*time.Microsecond; d > 0 {
--- a/internal/emulator/host/users.go
+++ b/internal/emulator/host/users.go
@@ -9,7 +9,7 @@
 	"shalestage.example/shalestage/internal/emulator/user"
 )
 
-// UserObserver is called with the events of users, their requests and the replies to them, for a checker.
+// UserObserver is called with the events of users other than user.Call, such as replies, for a checker.
 type UserObserver func(e any)
 
 // Users runs emulated users, who send their requests to a load balancer.
--- a/internal/emulator/link/link.go
+++ b/internal/emulator/link/link.go
@@ -87,7 +87,8 @@
 	return l.reverse
 }
 
-// Serve forwards the connections of a listener until accepting one fails, usually as the listener is closed.
+// Serve forwards the connections of a listener until accepting one fails, usually because the listener
+// was closed.
 func (l *Link) Serve(listener net.Listener) error {
 	for {
 		c, err := listener.Accept()
@@ -98,7 +99,7 @@
 	}
 }
 
-// Close resets all open connections.
+// Close resets all open connections. A connection that is being set up is closed as well.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +113,7 @@
 func (l *Link) proxy(client net.Conn) {
 	defer client.Close()
 	// While the forward direction holds or drops bytes, a new connection isn't forwarded. When Hold ends, the
-	// target gets what the client has written meanwhile.
+	// target gets what the client has written meanwhile; when Drop ends, the connection is reset.
 	if l.wait(true) != nil {
 		ResetConn(client)
 		return
--- a/internal/emulator/machine/heartbeat.go
+++ b/internal/emulator/machine/heartbeat.go
@@ -24,7 +24,7 @@
 	Code           int
 	RedirectTo     string // the controller named in a 421
 	FencingToken   uint64
-	NoFencingToken bool // the response had no token and is ignored
+	NoFencingToken bool // the response had no token; one with status 200 is then ignored
 	Commands       []fleet.Command
 }
 
--- a/internal/emulator/meter/meter.go
+++ b/internal/emulator/meter/meter.go
@@ -25,8 +25,9 @@
 	More        bool
 }
 
-// Measures lists the figures of every run. Times are in seconds. They count from the first attempt to
-// submit a job, or from the completion of the last job that it awaits, whichever is later.
+// Measures lists the figures of every run. Times are in seconds, or in milliseconds if the name ends in
+// _ms. A job's times until its start and completion count from the first attempt to submit it, or from
+// the completion of the last job that it awaits, whichever is later.
 var Measures = []Measure{
 	{"wait_mean_s", "until a job's first task began, on average", false},
 	{"wait_p95_s", "the same, 95% of jobs", false},
@@ -208,7 +209,8 @@
 }
 
 // isMeasured reports whether a job is measured: it was accepted, and no cancellation was requested of
-// it or of a job that it awaits. Call it for the jobs in order, as awaited jobs come first.
+// it or of a job that it awaits. It marks a job that awaits a cancelled one as cancelled, too, so call it
+// in the order of submission, in which awaited jobs come first.
 func (m *Meter) isMeasured(j *job) bool {
 	for _, a := range j.Awaits {
 		if o := m.jobs[a.ID]; o == nil || o.cancelled {
@@ -281,7 +283,7 @@
 		"idle_share":   share(m.sums.Rented-m.sums.Booting-m.sums.Fetching-m.sums.Running, m.sums.Rented),
 		"wasted_share": share(m.wasted, m.sums.Rented), "stops": float64(m.stops),
 	}
-	if due > 0 { // without such jobs there is no share
+	if due > 0 { // without a job with a deadline there is no share
 		figures["deadline"] = float64(kept) / float64(due)
 	}
 	maps.DeleteFunc(figures, func(_ string, v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) })
--- a/internal/emulator/packed/packed.go
+++ b/internal/emulator/packed/packed.go
@@ -8,8 +8,8 @@
 	"shalestage.example/shalestage/internal/core/store"
 )
 
-// Buckets returns the records of archive buckets that hold the given number of jobs, some 100 to 200 in each bucket.
-// job returns the job number and the summary of the i-th job.
+// Buckets returns the records of archive buckets that hold the given number of jobs, some 100 to 200 in each
+// bucket. job returns the job number and the summary of the i-th job.
 func Buckets(jobs int, job func(i uint64) (number uint64, summary archive.Summary)) []store.Event {
 	depth := 0
 	for jobs>>depth > 200 {
