--- a/internal/emulator/check/answers.go
+++ b/internal/emulator/check/answers.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// accept records the first reply that says that a job is accepted.
+// accept records that a job is accepted, at the first reply that says so.
 func (c *Checker) accept(at units.Microseconds, job *jobRecord) {
 	if job.accepted {
 		return
--- a/internal/emulator/cloudprovider/machine.go
+++ b/internal/emulator/cloudprovider/machine.go
@@ -134,8 +134,8 @@
 	p.effects = append(p.effects, MachineEnded{m})
 }
 
-// markDeleted releases a machine's capacity and adds its cost to spentOnDeleted. A machine
-// younger than least is billed for least.
+// markDeleted releases a machine's capacity and adds its cost to spentOnDeleted. A machine younger
+// than least is billed for least.
 func (p *Provider) markDeleted(now units.Microseconds, m *Machine, least units.Microseconds) {
 	m.DeletedAt = now
 	p.used[m.Pool]--
--- a/internal/emulator/kv/kv.go
+++ b/internal/emulator/kv/kv.go
@@ -305,7 +305,8 @@
 }
 
 // List returns the items with a prefix that follow the key after, in the order of their keys. page limits the
-// number of items; 0 means MaxPageItems.
+// number of items; 0 means MaxPageItems. A page also ends before its second or a later item would take it
+// beyond MaxPageBytes.
 func (s *Service) List(now units.Microseconds, client, prefix, after string, page int) Listing {
 	code := s.admit(now, client)
 	if code != http.StatusOK {
@@ -456,8 +457,8 @@
 }
 
 // Watch requests the changes with a prefix after a revision. Drain returns its only response: at once if the
-// request is refused, else when there are changes or the wait is over. No open watch gets a response while the
-// service is down or refuses its client.
+// request is refused, or with status 410 if the history no longer has all changes; otherwise when there are
+// changes or the wait is over. No open watch gets a response while the service is down or refuses its client.
 func (s *Service) Watch(now units.Microseconds, id uint64, client, prefix string, after uint64, wait units.Microseconds) {
 	if code := s.admit(now, client); code != http.StatusOK {
 		s.responses = append(s.responses, WatchResponse{ID: id, Code: code})
