--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -1,6 +1,6 @@
 // Package check checks a run against the rules of the protocol: which tasks run on which machines,
-// and what users get as replies. It depends on neither the models nor the service: it builds its own
-// state from events that it is given one at a time. The cost of an event does not grow with the
+// and what users get as replies. It depends on neither the models nor the service, and trusts the state of
+// neither: it builds its own from events that it is given one at a time. The cost of an event does not grow with the
 // number of machines or jobs.
 //
 // The texts of the history are hashed into its digest: changing one changes the digest of every
@@ -69,7 +69,7 @@
 	malformed       bool               // its submission lacks a required field
 	failsAlways     bool               // its tasks fail on every machine
 	waitingSince    units.Microseconds // since when it has waited despite free capacity, see CheckWaiting; 0: it does not
-	excusedSince    units.Microseconds // waitingSince when its free capacity was found to be transient; 0: never
+	excusedSince    units.Microseconds // waitingSince when its free capacity was found to be transient; 0: it was not
 }
 
 // Checker records events and the rules that they violate. The times that its methods are given must
--- a/internal/emulator/host/cloud.go
+++ b/internal/emulator/host/cloud.go
@@ -29,7 +29,7 @@
 
 // WorkerProcesses runs workers in separate processes. Both methods return when the operation has completed.
 type WorkerProcesses interface {
-	// StartWorker starts the worker of a machine. The handler serves the requests to the machine's own address.
+	// StartWorker starts the worker of a machine and returns the handler of requests to the machine's own address.
 	StartWorker(name string, c machine.Config, f machine.Fault) (http.Handler, error)
 	// StopWorker stops a machine and everything that runs on it.
 	StopWorker(name string)
@@ -131,7 +131,7 @@
 	m.Addr = listener.Addr().String()
 	c.listeners[m.Name] = listener
 	handler := c.machineHandler(m.Name)
-	go func() { // returns when the machine is deleted
+	go func() { // returns when the machine has ended, as flush then closes the listener
 		_ = newServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			if h, ok := c.handlers.Load(m.Name); ok {
 				h.(http.Handler).ServeHTTP(w, req)
