--- a/internal/emulator/check/check.go
+++ b/internal/emulator/check/check.go
@@ -1,7 +1,7 @@
 // Package check checks a run against the rules of the protocol: which tasks run on which machines,
-// and what users get as replies. It depends on neither the models nor the service, and trusts the state of
-// neither: it builds its own from events that it is given one at a time. The cost of an event does not grow with the
-// number of machines or jobs.
+// and what users get as replies. It depends on neither the models nor the service, and trusts the
+// state of neither: it builds its own from events that it is given one at a time. The cost of an event
+// does not grow with the number of machines or jobs.
 //
 // The texts of the history are hashed into its digest: changing one changes the digest of every
 // recorded run.
