--- a/internal/backup/backup_test.go
+++ b/internal/backup/backup_test.go
@@ -117,9 +117,10 @@
 	return n, nil
 }
 
-// TestBackupIsConsistentSnapshot guards against backups that mix revisions when keys change during the backup. The
-// backup must show all keys as of its revision, also after it was interrupted and resumed, and any corrupt byte must
-// be detected. A restored service must have the same keys, except for leased keys and a term higher than any issued.
+// TestBackupIsConsistentSnapshot guards against backups that mix revisions when keys change during the
+// backup. The backup must show all keys as of its revision, also after it was interrupted and resumed, and
+// any corrupt byte must be detected. A restored service must have the same keys, except that leased keys
+// are missing and the term is higher than any that was issued.
 func TestBackupIsConsistentSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := newService()
@@ -216,8 +217,9 @@
 	return store.OK, h
 }
 
-// TestAuditFindsInconsistencies checks that the audit finds one planted inconsistency of each kind, in a live service
-// and in a backup, and that Fix clears only those that are safe to clear and have not changed since.
+// TestAuditFindsInconsistencies checks that the audit finds one planted inconsistency of each kind, in
+// a live service and in a backup, and that Fix clears only those that are safe to clear and have not
+// changed since.
 func TestAuditFindsInconsistencies(t *testing.T) {
 	source := newService()
 	spec := `{"class":"c","team":"t","tasks":1,"demand":[1,0,1],"image":"","image_mb":0,"estimate":1,"awaits":["wk-000099","wk-000050"]}`
--- a/internal/backup/scale_test.go
+++ b/internal/backup/scale_test.go
@@ -105,8 +105,8 @@
 
 var scaleInto = flag.String("into", "", "address of an emulated state service to fill with -scale archived jobs")
 
-// TestFill fills the state service of a running deployment with archived jobs, to observe the resources that its
-// controllers then use:
+// TestFill fills the state service of a running deployment with archived jobs, to observe the resources
+// that its controllers then use:
 //
 //	go test ./internal/backup -run TestFill -scale N -into HOST:PORT
 func TestFill(t *testing.T) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestLimitOpenFiles checks that the file descriptor quota is lowered, with an error, to the number of files that
-// the process may have open. The same number or more must change nothing.
+// TestLimitOpenFiles checks that the file descriptor quota is lowered, with an error, to the number of
+// files that the process may have open, if that is less. Otherwise nothing must change.
 func TestLimitOpenFiles(t *testing.T) {
 	for files, want := range map[uint64]int{1 << 63: 1800, 1801: 1800, 1800: 1800, 1799: 1799, 1024: 1024} {
 		s, err := Parse([]byte(validSettings))
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -370,8 +370,8 @@
 	}
 }
 
-// TestUnreachableStateServiceForwards checks a controller without answers from the state service: it answers final
-// states itself and forwards everything else to a controller that can reach the state service.
+// TestUnreachableStateServiceForwards checks a controller without answers from the state service: it
+// answers final states itself and forwards everything else to a controller that can reach the service.
 func TestUnreachableStateServiceForwards(t *testing.T) {
 	host := newFakeHost()
 	host.unreachable = true
--- a/internal/core/archive/archive_test.go
+++ b/internal/core/archive/archive_test.go
@@ -262,7 +262,7 @@
 	}
 }
 
-// poll queries a job: first in the copy, then in the archive.
+// poll queries a job: first in the controller's copy, then in the archive.
 func (c *controller) poll(id string) {
 	c.sync()
 	if _, known := c.jobs[id]; known {
--- a/internal/core/configuration/configuration_test.go
+++ b/internal/core/configuration/configuration_test.go
@@ -541,9 +541,9 @@
 	}
 }
 
-// TestReducedLimitHoldsBackOtherShards reduces a team's limit. Its tasks must be held back in a shard until the
-// owners of all other shards have reported, with that version in force, that they are within
-// their allocations.
+// TestReducedLimitHoldsBackOtherShards reduces a team's limit. Its tasks must be held back in a shard until
+// the owners of all other shards have reported, with that version or a later one in force, that they are
+// within their allocations.
 func TestReducedLimitHoldsBackOtherShards(t *testing.T) {
 	service := newService(t, 12, 8192)
 	member := newMember(service, "a", []string{"b"}, 3)
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -57,10 +57,11 @@
 
 func (o *fakeHost) CacheAge() (since, age units.Microseconds, ok bool) { return 0, o.age, true }
 
-// TestPeerLeaseInOutage has a membership expire just before an outage of the state service. If all peers
-// refuse it further leases, what it owned is without an owner, though nobody else can own that until the
-// outage is over. A controller that the state service serves must refuse. So must one that has voted for the
-// takeover, has seen a later membership, or has started since and may have forgotten either.
+// TestPeerLeaseInOutage guards against shards without an owner when a membership expires just before an
+// outage of the state service. All peers used to refuse it further peer leases, although no other
+// controller can own its shards until the outage is over. A peer must still refuse if the state service
+// serves it, if it has voted for the takeover or seen a later membership, or if it has started since
+// and may have lost the memory of either.
 func TestPeerLeaseInOutage(t *testing.T) {
 	now := 100 * units.Second
 	host := &fakeHost{}
--- a/internal/core/provisioner/provisioner_test.go
+++ b/internal/core/provisioner/provisioner_test.go
@@ -97,8 +97,8 @@
 }
 
 // TestScaleInOutcomes checks the outcomes of a request to delete machines. After store.OK the machines
-// must be removed and remembered as deleted. After any other outcome the next plan must try again, after
-// errorPause.
+// must be removed and remembered as deleted. After any other outcome they must stay, and the next plan
+// must try again after errorPause.
 func TestScaleInOutcomes(t *testing.T) {
 	provisioner, shard := newProvisioner(t)
 	machine := shard.add("n-1", 0)
@@ -116,8 +116,8 @@
 	if shard.machines["n-1"] != nil || !provisioner.Deprovisioned("n-1") {
 		t.Error("after OK the machine is still recorded, or not remembered as deleted")
 	}
-	// The list may still show the machine and delayed heartbeats may arrive, so it is remembered for a
-	// while.
+	// The list may still show the machine and delayed
+	// heartbeats may arrive, so it is remembered for a while.
 	keep := 4*provisioner.cfg.ListLag + deprovisionedRetention
 	provisioner.OnListMachines(5*second+keep, ListMachines{}, []ListedMachine{listed("n-1", 500*second)})
 	if !provisioner.Deprovisioned("n-1") || len(shard.adopted) != 0 {
