--- a/internal/emulator/sim/combinations.go
+++ b/internal/emulator/sim/combinations.go
@@ -210,8 +210,8 @@
 	return false
 }
 
-// recordCancelPastCut records that a user was told of a cancellation, and whether a shard owner is isolated
-// at that time and so can neither read nor receive it.
+// recordCancelPastCut records that a user was told of a cancellation. It also records whether a shard owner
+// is isolated at that time: such an owner cannot learn of the cancellation.
 func (w *World) recordCancelPastCut() {
 	w.combinations.reportedCancels++
 	w.recordEvent(scenario.CancelReported)
--- a/internal/emulator/sim/interactions.go
+++ b/internal/emulator/sim/interactions.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// recordAssignmentToken records a stored shard assignment: a controller is about to own the shard, or has
-// released it.
+// recordAssignmentToken records the fencing token of a stored shard assignment and delivers the kept heartbeats,
+// as a controller is about to own the shard. An assignment without an owner is ignored.
 func (w *World) recordAssignmentToken(value json.RawMessage) {
 	if assignment, err := authority.DecodeAssignment(value); err == nil && assignment.Node != "" {
 		w.interactions.grants++
@@ -85,8 +85,8 @@
 	}
 }
 
-// recordQuickStart records commands that reach a machine: a start on a machine that has just booted, while
-// transactions are applied late.
+// recordQuickStart records the event if commands that reach a machine start a task, the machine has just
+// booted, and transactions are currently applied late.
 func (w *World) recordQuickStart(name string, commands []fleet.Command) {
 	m := w.Site.Cloud.Machine(name)
 	starts := slices.ContainsFunc(commands, func(c fleet.Command) bool { return c.Op == fleet.Start })
@@ -104,7 +104,8 @@
 	return w.randomDuration(1, 60)
 }
 
-// recordJudgedTxn records that the state service has applied a transaction or rejected it by its guards.
+// recordJudgedTxn records the number of a transaction that the state service has applied or rejected by its
+// guards.
 func (n *Node) recordJudgedTxn(number, code int) {
 	if code == http.StatusOK || code == http.StatusConflict {
 		n.newestJudgedTxn = max(n.newestJudgedTxn, number)
--- a/internal/emulator/sim/node.go
+++ b/internal/emulator/sim/node.go
@@ -145,7 +145,7 @@
 // Freeze stops the process until the given time, as a stopped virtual machine does.
 func (n *Node) Freeze(until units.Microseconds) { n.frozenUntil = max(n.frozenUntil, until) }
 
-// whenRunning calls fn once the process is not frozen and, if it is slow, has computed all earlier messages.
+// whenRunning calls fn once the process is not frozen and, if it is slow, has processed all earlier messages.
 // fn is not called if the process ends before.
 func (n *Node) whenRunning(fn func()) {
 	w, incarnation := n.world, n.incarnation
--- a/internal/emulator/sim/operator.go
+++ b/internal/emulator/sim/operator.go
@@ -55,7 +55,7 @@
 }
 
 // requestConfigChange requests a change at the controllers that node selects. If it fails and again is set,
-// it is retried at random controllers.
+// it is retried at random controllers, but not if it was rejected as invalid.
 func (w *World) requestConfigChange(node string, request configuration.Request, change *ConfigChange, again bool) {
 	answered := false
 	retry := func() {
--- a/internal/emulator/sim/users.go
+++ b/internal/emulator/sim/users.go
@@ -37,7 +37,7 @@
 	machines  []*cloudprovider.Machine
 }
 
-// runningJobs returns the running jobs that are not final as far as their users know.
+// runningJobs returns the accepted jobs that have tasks on machines and are not final as far as their users know.
 func (w *World) runningJobs() []*runningJob {
 	byID := map[string]*runningJob{}
 	var out []*runningJob
--- a/internal/emulator/sim/world.go
+++ b/internal/emulator/sim/world.go
@@ -160,7 +160,7 @@
 	w.Users.Add(j)
 }
 
-// schedule adds an event to the event queue, at d after the current time. A negative d counts as 0.
+// schedule adds an event to the event queue, due d after the current time. A negative d counts as 0.
 func (w *World) schedule(d units.Microseconds, event func()) { w.events.Add(w.now+max(d, 0), event) }
 
 // randomDuration returns a random duration between a and b seconds.
@@ -252,9 +252,9 @@
 	Jobs               int
 	FinishedJobs       int
 	MachinesCreated    int
-	Cost               float64            // of all machines
+	Cost               float64            // total cost of all machines
 	MaxWait            units.Microseconds // longest time from a submission to the response that the job is final
-	MissedExpectations []string           // expectations of the scenario that are no invariants
+	MissedExpectations []string           // unmet expectations of the scenario other than invariants
 	Faults             []scenario.Fault
 }
 
@@ -270,7 +270,8 @@
 	return r
 }
 
-// Unfinished returns the ids of accepted jobs that are not final as far as their users know.
+// Unfinished returns the ids of jobs that their users neither know to be final nor have given up. Services that
+// nobody cancels are left out.
 func (w *World) Unfinished() []string {
 	var out []string
 	for _, j := range w.Users.Jobs() {
@@ -281,7 +282,8 @@
 	return out
 }
 
-// Explain describes the state of a job at every controller and in the workers' uploads, for test failures.
+// Explain describes what every controller knows of a job, and how many of its tasks have really completed, for
+// test failures.
 func (w *World) Explain(id string) string {
 	var b strings.Builder
 	for _, n := range w.Nodes {
--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -64,7 +64,7 @@
 func (s ServiceLevel) Share() float64 { return float64(s.Good) / float64(max(s.Of, 1)) }
 
 const (
-	// largestFraction: one in largestFraction of a class's jobs counts as one of its largest.
+	// largestFraction is the divisor for the largest jobs of a class: with 5, the largest fifth of them.
 	largestFraction = 5
 	// startWithin is the time within which a largest job should start.
 	startWithin = 240 * units.Second
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -15,12 +15,12 @@
 type World[M any] interface {
 	// Actions returns the actions that are possible in the current state.
 	Actions() []M
-	// Do performs an action.
+	// Apply performs an action.
 	Apply(m M)
 	// State describes everything that future behaviour depends on. Of two worlds with equal states only one is
 	// visited.
 	State() string
-	// Broken describes a violated invariant, or returns "" if there is none.
+	// Violation describes a violated invariant, or returns "" if there is none.
 	Violation() string
 }
 
--- a/internal/rehearse/census.go
+++ b/internal/rehearse/census.go
@@ -44,7 +44,7 @@
 }
 
 // fleetOf adds up the figures of the shard owners: machines that send heartbeats, waiting tasks, placed
-// tasks, and tasks started since their owners own the shards.
+// tasks, and tasks started under their current shard owner.
 func fleetOf(c sim.Census) [4]int {
 	var sum [4]int
 	for _, n := range c.Nodes {
--- a/internal/scenario/event.go
+++ b/internal/scenario/event.go
@@ -21,7 +21,7 @@
 	LeaderChanged    = "leader_changed"  // a controller becomes leader
 	UnansweredRead   = "unanswered_read" // a controller reads a value written by another controller's transaction that got no response
 	LateApplied      = "late_applied"    // a transaction without a response is applied after newer ones of its controller
-	ReportToNext     = "report_to_next"  // a held heartbeat arrives after a new shard owner has its assignment
+	ReportToNext     = "report_to_next"  // a kept copy of a heartbeat arrives after a new shard owner has its assignment
 	MuteReached      = "mute_reached"    // a direct command reaches a machine that cannot reach any controller
 	QuickStart       = "quick_start"     // a start command reaches a machine within two seconds of its boot, while writes are late
 )
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -35,7 +35,7 @@
 	TxnOps    int      `toml:"txn_ops" json:"txn_ops,omitempty"`
 	HangS     float64  `toml:"hang_s" json:"hang_s,omitempty"`     // how long machines of cancelled jobs hang
 	Prefix    string   `toml:"prefix" json:"prefix,omitempty"`     // key prefix of the lost writes
-	ForNext   bool     `toml:"for_next" json:"for_next,omitempty"` // copies of heartbeats are held until the next leader begins
+	ForNext   bool     `toml:"for_next" json:"for_next,omitempty"` // copies of heartbeats are kept for the next leader or shard owner
 	Team      string   `toml:"team" json:"team,omitempty"`         // team whose limit is changed
 	CPUsMax   float64  `toml:"cpus_max" json:"cpus_max,omitempty"` // new limit; 0: none
 	Remove    bool     `toml:"remove" json:"remove,omitempty"`     // the team accepts no new jobs from then on
