--- a/internal/emulator/sim/events.go
+++ b/internal/emulator/sim/events.go
@@ -10,7 +10,7 @@
 	"shalestage.example/shalestage/internal/scenario"
 )
 
-// recordEvent counts an event and calls OnEvent, which draws faults that coincide with events.
+// recordEvent counts an event and reports it to OnEvent, which serves to draw faults at events.
 func (w *World) recordEvent(event string) {
 	w.eventCounts[event]++
 	if w.options.OnEvent != nil {
--- a/internal/emulator/sim/measure.go
+++ b/internal/emulator/sim/measure.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// scheduleAccount reports the billed machines to the account every account.Every.
+// scheduleAccount reports the billed machines to the account every account.Interval.
 func (w *World) scheduleAccount() {
 	if w.options.Account == nil {
 		return
--- a/internal/emulator/sim/workers.go
+++ b/internal/emulator/sim/workers.go
@@ -17,7 +17,8 @@
 	return check.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// handleSiteEvents executes the heartbeats of workers and reports starts and ends of tasks.
+// handleSiteEvents sends the heartbeats of workers and reports starts and ends of tasks to the checker, the meter
+// and the account.
 func (w *World) handleSiteEvents() {
 	for _, event := range w.Site.Drain() {
 		switch event := event.(type) {
--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -55,7 +55,7 @@
 
 // ServiceLevel counts the jobs of a class or team that met a goal.
 type ServiceLevel struct {
-	What string // "class C done", "team T done", and the same "in time"
+	What string // "class C done", "team T done", the same "in time", or "class C largest begun"
 	Good int    // jobs that met it
 	Of   int    // all jobs counted
 }
--- a/internal/emulator/work/work.go
+++ b/internal/emulator/work/work.go
@@ -14,7 +14,7 @@
 type Job struct {
 	ID           string
 	Spec         *jobs.Spec
-	Run          units.Microseconds // mean of a task on a machine of speed 1, without the image fetch
+	Run          units.Microseconds // mean run time of a task on a machine of speed 1, without the image fetch
 	RunVariation float64            // run times vary by up to this share in both directions
 	FailsAlways  bool               // submitted with an error: its tasks fail on every machine
 
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -26,7 +26,7 @@
 	EveryS    float64  `toml:"every_s" json:"every_s,omitempty"`     // interval of a series
 	Times     float64  `toml:"times" json:"times,omitempty"`         // factor
 	Class     string   `toml:"class" json:"class,omitempty"`         // class of jobs; empty: any
-	PerHour   float64  `toml:"per_hour" json:"per_hour,omitempty"`   // reclaimed spot machines per hour, as a share
+	PerHour   float64  `toml:"per_hour" json:"per_hour,omitempty"`   // mean number of reclaims per spot machine and hour; can exceed 1
 	NoticeS   float64  `toml:"notice_s" json:"notice_s,omitempty"`   // notice before machines of a wave are reclaimed
 	DelayMS   float64  `toml:"delay_ms" json:"delay_ms,omitempty"`   // delay of slow responses, of delayed segments, of each byte of a trickling link
 	RPS       float64  `toml:"rps" json:"rps,omitempty"`             // lowered limits of the state service
--- a/internal/scenario/positions.go
+++ b/internal/scenario/positions.go
@@ -11,8 +11,7 @@
 type position struct{ line, col int }
 
 // positions returns the position of each key and table of a file, by its path, such as "job[2].tasks". The
-// TOML decoder reports the position of a value of the wrong type only; these positions serve for errors of
-// validation.
+// TOML decoder reports only positions of values of the wrong type; these positions are for validation errors.
 func positions(text []byte) map[string]position {
 	out := map[string]position{}
 	counts := map[string]int{}
