--- a/internal/scenario/event.go
+++ b/internal/scenario/event.go
@@ -17,7 +17,7 @@
 	SnapshotSent     = "picture_sent"    // a shard owner sends a part of its snapshot during a handover
 	ListingSent      = "listing_sent"    // a controller lists a page of all keys
 	TokenPresented   = "token_shown"     // a new shard owner presents its fencing token to a machine
-	RenewalFailed    = "renewal_failed"  // a lease renewal fails, and the lease is about to expire
+	RenewalFailed    = "renewal_failed"  // a lease renewal fails or gets no response
 	LeaderChanged    = "leader_changed"  // a controller becomes leader
 	UnansweredRead   = "unanswered_read" // a controller reads a value written by another controller's transaction that got no response
 	LateApplied      = "late_applied"    // a transaction without a response is applied after newer ones of its controller
@@ -41,14 +41,14 @@
 
 // Events that are only counted: an unusual request of a user coincides with something else.
 const (
-	CloseLook        = "close_look"         // a user polls a controller within milliseconds of an acceptance, an end or a cancellation
+	CloseLook        = "close_look"         // a user calls a controller directly within milliseconds of an acceptance, an end or a cancellation
 	CancelledAtEnd   = "cancelled_at_end"   // a job is cancelled at the moment at which its last task ends
 	OddRequest       = "odd_request"        // a user sends a request that is invalid or outdated
 	CancelRunning    = "cancel_running"     // a cancellation is confirmed while tasks of the job are on machines
 	CancelUnreached  = "cancel_unreached"   // the same, and one of these machines hangs or is cut off
-	CancelAtLimit    = "cancel_at_limit"    // a cancellation is confirmed while the job's team has reached its limit
+	CancelAtLimit    = "cancel_at_limit"    // a cancellation is confirmed while one more task of the job would exceed its team's limit
 	CancelInHandover = "cancel_in_handover" // a cancellation is confirmed while a shard has no owner, or within seconds after it got one
-	CancelAlone      = "cancel_alone"       // a cancellation is confirmed while the state service refuses a single controller
+	CancelAlone      = "cancel_alone"       // a cancellation is confirmed while the state service refuses some controllers but not all
 	StartCancelled   = "start_cancelled"    // a task begins after the cancellation of its job was confirmed
 )
 
