--- a/internal/emulator/user/tell.go
+++ b/internal/emulator/user/tell.go
@@ -55,7 +55,7 @@
 
 // ServiceLevel counts the jobs of a class or team that met a goal.
 type ServiceLevel struct {
-	What string // "class C done", "team T done", and the same "in time"
+	What string // "class C done", "team T done", the same "in time", or "class C largest begun"
 	Good int    // jobs that met it
 	Of   int    // all jobs counted
 }
@@ -64,7 +64,7 @@
 func (s ServiceLevel) Share() float64 { return float64(s.Good) / float64(max(s.Of, 1)) }
 
 const (
-	// largestFraction: one in largestFraction of a class's jobs counts as one of its largest.
+	// largestFraction is the divisor for the largest jobs of a class: with 5, the largest fifth of them.
 	largestFraction = 5
 	// startWithin is the time within which a largest job should start.
 	startWithin = 240 * units.Second
