--- a/internal/core/transfer/transfer_test.go
+++ b/internal/core/transfer/transfer_test.go
@@ -165,8 +165,9 @@
 
 // TestReplicatedSnapshotNeedsStandbyRecord guards against the use of a replicated
 // snapshot that may miss starts: it counts as complete only if the stored record
-// names this node and its stream, and the assignment directly follows. Then nothing
-// can run on a machine that it does not include, unless that machine is orphaned.
+// names this node and its stream, the assignment directly follows, and the state
+// service was not rolled back. Then nothing can run on a machine that it does not
+// include, unless that machine is orphaned.
 func TestReplicatedSnapshotNeedsStandbyRecord(t *testing.T) {
 	record := replication.Record{Node: "b", Token: token, Run: 1}
 	for name, test := range map[string]struct {
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -56,7 +56,7 @@
 		machine.Type, machine.LastSeen = busy.core.types["big"], busy.core.now
 		busy.shard.reconciler.MarkReconciled(busy.core.now, machine)
 	}
-	for busy.core.jobs.ActiveLen() < waiting+machines { // about as many jobs as machines are about to run
+	for busy.core.jobs.ActiveLen() < waiting+machines { // besides the waiting jobs, one for each machine is about to start
 		busy.submit(busy.jobs%2 == 0 || busy.core.jobs.ActiveLen() > waiting)
 	}
 	for range machines {
--- a/internal/emulator/check/waiting_test.go
+++ b/internal/emulator/check/waiting_test.go
@@ -41,8 +41,9 @@
 }
 
 // TestLeftWaiting guards against a checker that misses a starved job, or reports one that waits in a
-// full fleet: it compares the time until a waiting job is reported for lasting capacity (95 s), for
-// capacity on many machines and for capacity that is only transient (245 s).
+// full fleet. A job is reported after 95 s if one machine keeps capacity for it, or if a large enough
+// share of the machines has capacity at each check; after 245 s if the capacity of a full fleet is only
+// transient; and not within 300 s if there is none at every tenth check.
 func TestLeftWaiting(t *testing.T) {
 	allBig := func(int) string { return "big" }
 	firstTen := func(ten, others string) func(int) string {
--- a/internal/emulator/sim/sim_test.go
+++ b/internal/emulator/sim/sim_test.go
@@ -572,7 +572,7 @@
 }
 
 // TestInvalidPeerMessages guards against peer messages that are malformed, outdated or repeated, or that
-// refer to unknown controllers, shards or jobs: they must change no shard's owner.
+// refer to unknown controllers, shards or jobs: they must change no shard's owner and violate no rule.
 func TestInvalidPeerMessages(t *testing.T) {
 	w := multiShardWorld(8)
 	var before []*Node
--- a/internal/explore/authority/authority_test.go
+++ b/internal/explore/authority/authority_test.go
@@ -18,15 +18,17 @@
 	}
 }
 
-// TestSingleOwnerAlone checks the same where one controller may end a membership without the others' votes.
+// TestSingleOwnerAlone checks the same, with up to seven actions, where one controller may end a membership
+// without the others' votes.
 func TestSingleOwnerAlone(t *testing.T) {
 	if r := search(Options{Mail: 1, Crashes: 1, Alone: true}, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
 		t.Errorf("%d states up to depth %d: %s\n%v", r.States, r.Depth, r.Violation, r.Counterexample)
 	}
 }
 
-// TestSingleOwnerUnserved checks the same where the others grant peer leases as in an outage of the state
-// service, though it serves them: also to a membership whose record they have seen deleted.
+// TestSingleOwnerUnserved checks the same, with up to seven actions, where the others grant peer leases as in
+// an outage of the state service, though it serves them: also to a membership whose record they have seen
+// deleted.
 func TestSingleOwnerUnserved(t *testing.T) {
 	for _, o := range []Options{{Mail: 1, Crashes: 1, Alone: true, Unserved: true}, {Mail: 1, Crashes: 1, Unserved: true}} {
 		if r := search(o, 7); r.Violation != "" || r.Depth != 7 || r.States < 2000 {
--- a/internal/explore/cancelling/cancelling_test.go
+++ b/internal/explore/cancelling/cancelling_test.go
@@ -10,9 +10,10 @@
 	return explore.Search(func() explore.World[Action] { return New(o) }, explore.Options{Depth: depth})
 }
 
-// TestCancellationsKnown checks all traces of up to 6 or 9 actions: an owner that does not know of a
-// cancellation stops answering workers in time after the cancellation was confirmed. "shalestage explore
-// --world cancelling" searches deeper; docs/results.md has the number of states that it visited.
+// TestCancellationsKnown checks all traces of up to nine actions with at most one message in flight, and of up
+// to six with at most two: an owner that does not know of a cancellation stops answering workers in time after
+// the cancellation was confirmed. "shalestage explore --world cancelling" searches deeper; docs/results.md has
+// the number of states that it visited.
 func TestCancellationsKnown(t *testing.T) {
 	for mail, depth := range map[int]int{1: 9, 2: 6} {
 		if r := search(Options{Jobs: 2, Mail: mail, Crashes: 1}, depth); r.Violation != "" || r.Depth != depth || r.States < 2000 {
--- a/internal/rehearse/gap_test.go
+++ b/internal/rehearse/gap_test.go
@@ -23,10 +23,10 @@
 	return Simulate("gap.toml", s, sim.Options{Seed: seed, Mutation: b})
 }
 
-// TestCancellationsAcrossOutage guards against tasks that run on after their job was cancelled. The state
-// service refuses one controller, the others confirm cancellations, and then the state service is down for
-// all, for more or less than cancel_s. It runs with one, three and five controllers, and with one shard and
-// several.
+// TestCancellationsAcrossOutage guards against tasks that run for longer than allowed after their job was
+// cancelled. The state service refuses one controller, the others confirm cancellations, and then the state
+// service is down for all, for more or less than cancel_s. It runs with one, three and five controllers, and
+// with one shard and several.
 func TestCancellationsAcrossOutage(t *testing.T) {
 	for _, c := range []struct {
 		count  int
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,7 +13,8 @@
 )
 
 // TestCommitOutcomes checks the outcome for each kind of response. A transaction that is too large must not be
-// retried unchanged, an expired lease is an ordinary failure, and a 429 response reduces the request rate.
+// retried unchanged, an expired lease is an ordinary failure, and a 429 response switches the client to its
+// reduced rate.
 func TestCommitOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name string
